--- /dev/null
+++ b/tests/characterisation/test_frames.py
@@ -0,0 +1,25 @@
+"""Frames between sidecars are byte for byte those of b81049c, in both directions."""
+
+import json
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from starlingwheel.net.fleet.links import Reader, framed
+
+FRAMES = json.loads(Path(__file__).with_name("frames.json").read_text())
+TAGS = set(range(1, 16))
+LENGTH_PREFIX = 4  # bytes
+
+
+@pytest.mark.parametrize("name", FRAMES)
+def test_a_recorded_frame_is_read_and_written_again_byte_for_byte(name):
+    recorded = bytes.fromhex(FRAMES[name])
+    (frame,) = Reader().read(recorded)
+    assert framed(frame) == recorded
+
+
+def test_the_recorded_frames_hold_every_tag():
+    bodies = [bytes.fromhex(frame)[LENGTH_PREFIX:] for frame in FRAMES.values()]
+    assert {msgspec.msgpack.decode(body)[0] for body in bodies} == TAGS
