--- a/tests/characterisation/simulated_day.py
+++ b/tests/characterisation/simulated_day.py
@@ -490,4 +490,20 @@
         requests_per_second=160,
         settings=settings("zone", caps={"peers": True}, charges={"peer": 0.0001, "crossZone": 0.2}),
     ),
+    Scenario(
+        "many_sidecars_before_restarting_endpoints", seed=17, sidecars=24, endpoints=16, duration=10_000_000,
+        requests_per_second=260, service_time=40_000,
+        settings=settings(
+            caps={"streamsPerConn": 8}, charges={"connection": 0.2}, discovery="push",
+            rules={"cold": 4_000_000, "coldShare": 0.1, "fallMultiple": 1.2, "overloadFor": 300_000},
+        ),
+    ),
+    Scenario(
+        "priced_connections_that_idle_out", seed=18, sidecars=10, endpoints=8, duration=10_000_000,
+        requests_per_second=120,
+        settings=settings(
+            caps={"keepalive": 300_000}, charges={"handshake": 0.3},
+            rules={"cold": 4_000_000, "coldShare": 0.1, "fallMultiple": 1.2, "overloadFor": 300_000},
+        ),
+    ),
 ]  # fmt: skip
