--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -265,7 +265,7 @@
         self.down = True
         self.reset_watches()
 
-    def come_back(self) -> None:
+    def retry_after(self) -> None:
         self.down = False
         self.up_since = asyncio.get_running_loop().time()
         self.arrived.set()
--- a/starlingwheel/command/__main__.py
+++ b/starlingwheel/command/__main__.py
@@ -14,7 +14,7 @@
 import click
 
 from ..fleet import common
-from ..net.lifecycle.config import Unusable, configured
+from ..net.lifecycle.config import ConfigError, load_config
 
 DONE, REFUSED, DROPPED, UNDECIDED = 0, 1, 3, 4
 LOOK = 0.2  # seconds between looks at how it goes
@@ -86,8 +86,8 @@
 def extract(file: str) -> None:
     """Print the policy that a sidecar's configuration FILE holds."""
     try:
-        config, _ = configured({"EDGE_CONFIG": file})
-    except Unusable as unusable:
+        config, _ = load_config({"EDGE_CONFIG": file})
+    except ConfigError as unusable:
         stop(REFUSED, str(unusable))
     if config.fleet is None:
         stop(REFUSED, f"{file}: fleet: missing")
--- a/starlingwheel/decisions/estimators.py
+++ b/starlingwheel/decisions/estimators.py
@@ -56,7 +56,7 @@
         return edge
 
 
-class Line:
+class LinearEstimator:
     """A straight line through what was lately seen (least squares), with some doubt about its slope."""
 
     __slots__ = ("n", "x", "y", "xx", "xy")
@@ -76,7 +76,7 @@
         return max(slope / max(y - slope * x, y / 8, 1e-9), 1 / 16)
 
 
-class Flow:
+class InFlightEstimator:
     """What was out, times how long, and how many answers came; both fade. Divided, an answer's time."""
 
     __slots__ = ("out", "answers", "span", "at")
--- a/starlingwheel/decisions/runner.py
+++ b/starlingwheel/decisions/runner.py
@@ -12,79 +12,79 @@
 from typing import Any, Protocol
 
 from .lease import EndpointLease
-from .rules import Balancer, Upstream
+from .rules import Balancer, EndpointStats
 from .terms import (
-    GONE,
-    Asked,
-    Cancel,
-    Defer,
-    Fate,
-    HandOff,
-    Listing,
-    News,
-    Outcome,
-    Probe,
-    Send,
-    Started,
-    Steps,
-    Subscribe,
-    Tell,
-    Terms,
+    CLIENT_DISCONNECTED,
+    Attempt,
+    AttemptEnded,
+    AttemptOutcome,
+    BalancerConfig,
+    CancelAttempt,
+    DecisionCoroutine,
+    Endpoint,
+    FailRequest,
+    HealthCheckEnded,
+    RejectRequest,
+    Request,
+    ResponseStarted,
+    SendGossip,
+    StartAttempt,
+    StartHealthCheck,
     Wait,
-    WorkItem,
-    WriteOff,
+    WatchEndpoints,
+    WatchEvent,
 )
 
 
-class Door(Protocol):
-    def send(self, ho: HandOff, limit: float) -> None: ...
-    def cancel(self, ho: HandOff) -> None: ...
-    def defer(self, wi: WorkItem, come_back: float) -> None: ...
-    def write_off(self, wi: WorkItem) -> None: ...
+class DecisionHost(Protocol):
+    def send(self, attempt: Attempt, limit: float) -> None: ...
+    def cancel(self, attempt: Attempt) -> None: ...
+    def defer(self, request: Request, retry_after: float) -> None: ...
+    def write_off(self, request: Request) -> None: ...
     def subscribe(self) -> None: ...
     def probe(self, upstream: Any) -> None: ...
     def tell(self, body: bytes) -> None: ...
     def alarm(self, at: float) -> None: ...
-    def defect(self, wi: WorkItem | None, error: Exception) -> None: ...
+    def defect(self, request: Request | None, error: Exception) -> None: ...
 
 
-class Task:
+class ScheduledCoroutine:
     """One generator, with the work item it answers for (None for a standing chore)."""
 
-    __slots__ = ("steps", "wi", "turn", "answered", "ended")
+    __slots__ = ("coroutine", "request", "turn", "answered", "ended")
 
-    def __init__(self, steps: Steps, wi: WorkItem | None) -> None:
-        self.steps = steps
-        self.wi = wi
+    def __init__(self, steps: DecisionCoroutine, request: Request | None) -> None:
+        self.coroutine = steps
+        self.request = request
         self.turn = 0
         self.answered = False
         self.ended = False
 
 
-class Runner:
+class DecisionScheduler:
     def __init__(
         self,
-        terms: Terms,
+        terms: BalancerConfig,
         chance: random.Random,
-        door: Door,
+        door: DecisionHost,
         now: float,
         lease: EndpointLease | None = None,
     ) -> None:
         self.door = door
         self.now = now
         self.balancer = Balancer(terms, chance, now, lease)
-        self._tasks: dict[WorkItem, Task] = {}
-        self._alarms: list[tuple[float, int, Task, int]] = []
+        self._tasks: dict[Request, ScheduledCoroutine] = {}
+        self._alarms: list[tuple[float, int, ScheduledCoroutine, int]] = []
         self._count = 0
         self._armed: float | None = None
-        self._due: deque[tuple[Task, Any]] = deque()
-        self._asking: dict[str, deque[tuple[Task, Any]]] = {}
-        self._follower: Task | None = None
+        self._due: deque[tuple[ScheduledCoroutine, Any]] = deque()
+        self._asking: dict[str, deque[tuple[ScheduledCoroutine, Any]]] = {}
+        self._follower: ScheduledCoroutine | None = None
 
     def start(self) -> None:
         """Begin the standing chores; the first list must have been given."""
         for steps in self.balancer.chores():
-            self._due.append((Task(steps, None), None))
+            self._due.append((ScheduledCoroutine(steps, None), None))
         self._run()
 
     def at(self, now: float) -> None:
@@ -99,59 +99,59 @@
                 self._run()
         self._arm()
 
-    def take(self, wi: WorkItem, before: Sequence[tuple[Listing, float, bool]] = ()) -> None:
+    def take(self, request: Request, before: Sequence[tuple[Endpoint, float, bool]] = ()) -> None:
         """`before`: the hand-offs that a lost sidecar made for it: where, when, whether it may have run."""
-        wi.most_hand_offs = wi.most_hand_offs or self.balancer.terms.most_hand_offs
+        request.max_attempts = request.max_attempts or self.balancer.terms.max_attempts
         if before:
-            wi.before = [self._former(wi, *told) for told in before]
-        task = self._tasks[wi] = Task(self.balancer.work(wi), wi)
+            request.earlier_attempts = [self._former(request, *told) for told in before]
+        task = self._tasks[request] = ScheduledCoroutine(self.balancer.work(request), request)
         self._due.append((task, None))
         self._run()
 
-    def _former(self, wi: WorkItem, listing: Listing, sent: float, risky: bool) -> HandOff:
-        known = self.balancer.upstreams.get(listing.address) or Upstream(listing, self.now, 1)
-        fate = None if risky else Fate.UNSENT
-        return HandOff(wi, known, min(sent, self.now), pending=False, fate=fate)
+    def _former(self, request: Request, listing: Endpoint, sent: float, risky: bool) -> Attempt:
+        known = self.balancer.upstreams.get(listing.address) or EndpointStats(listing, self.now, 1)
+        fate = None if risky else AttemptOutcome.NOT_SENT
+        return Attempt(request, known, min(sent, self.now), pending=False, outcome=fate)
 
-    def whole(self, wi: WorkItem, out: list[HandOff]) -> None:
+    def whole(self, request: Request, out: list[Attempt]) -> None:
         """Its `arrived` has been set: it was taken, and handed off, while it was still coming."""
-        for ho in out:
-            self.balancer.begun(ho)
-        if task := self._tasks.get(wi):
+        for attempt in out:
+            self.balancer.begun(attempt)
+        if task := self._tasks.get(request):
             self._due.append((task, None))
             self._run()
 
-    def outcome(self, outcome: Outcome) -> None:
-        ho = outcome.ho
-        ho.pending = False
-        ho.fate = outcome.fate
+    def outcome(self, outcome: AttemptEnded) -> None:
+        attempt = outcome.attempt
+        attempt.pending = False
+        attempt.outcome = outcome.outcome
         self.balancer.settle(outcome)
-        task = self._tasks.get(ho.wi)
+        task = self._tasks.get(attempt.request)
         if task is None:
             return
-        if outcome.answered:
+        if outcome.request_answered:
             task.answered = True
         self._due.append((task, outcome))
         self._run()
 
-    def started(self, ho: HandOff) -> None:
-        if task := self._tasks.get(ho.wi):
-            self._due.append((task, Started(ho)))
+    def started(self, attempt: Attempt) -> None:
+        if task := self._tasks.get(attempt.request):
+            self._due.append((task, ResponseStarted(attempt)))
             self._run()
 
-    def gone(self, wi: WorkItem) -> None:
-        if task := self._tasks.get(wi):
+    def gone(self, request: Request) -> None:
+        if task := self._tasks.get(request):
             task.answered = True
-            self._due.append((task, GONE))
+            self._due.append((task, CLIENT_DISCONNECTED))
             self._run()
 
-    def listed(self, news: News, listings: list[Listing]) -> None:
+    def listed(self, news: WatchEvent, listings: list[Endpoint]) -> None:
         self.balancer.listed(news, listings)
         if self._follower is not None:
             self._due.append((self._follower, news))
             self._run()
 
-    def probed(self, address: str, fate: Fate, took: float, report: dict[str, float]) -> None:
+    def probed(self, address: str, fate: AttemptOutcome, took: float, report: dict[str, float]) -> None:
         self.balancer.probed(address, fate, took, report)
         asking = self._asking.get(address)
         if asking is None:
@@ -159,10 +159,10 @@
         task, upstream = asking.popleft()
         if not asking:
             del self._asking[address]
-        self._due.append((task, Asked(upstream, fate)))
+        self._due.append((task, HealthCheckEnded(upstream, fate)))
         self._run()
 
-    def retune(self, terms: Terms) -> None:
+    def retune(self, terms: BalancerConfig) -> None:
         self.balancer.retune(terms)
 
     def heard(self, peer: int, body: bytes) -> None:
@@ -180,19 +180,19 @@
             if not task.ended:
                 self._step(task, result)
 
-    def _step(self, task: Task, result: Any) -> None:
+    def _step(self, task: ScheduledCoroutine, result: Any) -> None:
         task.turn += 1
         while True:
             try:
-                command = task.steps.send(result)
+                command = task.coroutine.send(result)
             except StopIteration:
                 self._close(task)
                 return
             except Exception as error:
                 # Guards against one work item that can't be decided ending all others: the host answers it.
                 task.ended = True
-                self._tasks.pop(task.wi, None)
-                self.door.defect(task.wi, error)
+                self._tasks.pop(task.request, None)
+                self.door.defect(task.request, error)
                 return
             if isinstance(command, Wait):
                 if command.until is not None:
@@ -202,41 +202,41 @@
                 return
             result = self._carry_out(task, command)
 
-    def _carry_out(self, task: Task, command: Any) -> HandOff | None:
+    def _carry_out(self, task: ScheduledCoroutine, command: Any) -> Attempt | None:
         match command:
-            case Send(upstream, limit, load) if task.wi is not None:
+            case StartAttempt(upstream, limit, load) if task.request is not None:
                 if task.answered:
                     raise RuntimeError("a hand-off for a work item that has its final answer")
-                ho = HandOff(task.wi, upstream, self.now, load)
-                self.door.send(ho, limit)
-                return ho
-            case Cancel(ho):
-                self.door.cancel(ho)
-            case Defer() | WriteOff() if task.wi is not None:
+                attempt = Attempt(task.request, upstream, self.now, load)
+                self.door.send(attempt, limit)
+                return attempt
+            case CancelAttempt(attempt):
+                self.door.cancel(attempt)
+            case RejectRequest() | FailRequest() if task.request is not None:
                 if task.answered:
                     raise RuntimeError("a second final answer for one work item")
                 task.answered = True
-                if isinstance(command, Defer):
-                    self.door.defer(task.wi, command.come_back)
+                if isinstance(command, RejectRequest):
+                    self.door.defer(task.request, command.retry_after)
                 else:
-                    self.door.write_off(task.wi)
-            case Subscribe():
+                    self.door.write_off(task.request)
+            case WatchEndpoints():
                 self._follower = task
                 self.door.subscribe()
-            case Probe(upstream):
+            case StartHealthCheck(upstream):
                 self._asking.setdefault(upstream.address, deque()).append((task, upstream))
                 self.door.probe(upstream)
-            case Tell(body):
+            case SendGossip(body):
                 self.door.tell(body)
             case _:
                 raise RuntimeError(f"a command out of place: {command!r}")
         return None
 
-    def _close(self, task: Task) -> None:
+    def _close(self, task: ScheduledCoroutine) -> None:
         task.ended = True
-        if task.wi is None:
+        if task.request is None:
             return
-        del self._tasks[task.wi]
+        del self._tasks[task.request]
         if not task.answered:
             raise RuntimeError("a work item ended without a final answer")
 
--- a/starlingwheel/decisions/terms.py
+++ b/starlingwheel/decisions/terms.py
@@ -15,13 +15,13 @@
 import msgspec
 
 
-class Effect(enum.Enum):
-    RERUNNABLE = "rerunnable"
-    TICKETED = "ticketed"
-    EXCLUSIVE = "exclusive"
+class RetrySafety(enum.Enum):
+    IDEMPOTENT = "rerunnable"
+    IDEMPOTENT_WITH_KEY = "ticketed"
+    NON_IDEMPOTENT = "exclusive"
 
 
-class Group(enum.Enum):
+class DeduplicationScope(enum.Enum):
     """The upstreams that drop each other's repeats of a ticketed work item."""
 
     ALL = "all"
@@ -29,83 +29,83 @@
     CELL = "cell"
 
 
-class Condition(enum.Enum):
+class EndpointState(enum.Enum):
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class Fate(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How a hand-off ended."""
 
-    FINISHED = "finished"
+    SUCCESS = "finished"
     ERROR = "error"
-    TURNED_DOWN = "turned down"
-    OVERDUE = "overdue"
-    UNREACHED = "unreached"
-    BROKEN = "broken"
+    REJECTED = "turned down"
+    TIMED_OUT = "overdue"
+    CONNECT_FAILED = "unreached"
+    RESET = "broken"
     CANCELLED = "cancelled"
-    UNSENT = "unsent"
+    NOT_SENT = "unsent"
 
     @property
     def never_ran(self) -> bool:
-        return self in (Fate.TURNED_DOWN, Fate.UNREACHED, Fate.UNSENT)
+        return self in (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
-class Category(msgspec.Struct, frozen=True, eq=False):
+class RequestClass(msgspec.Struct, frozen=True, eq=False):
     name: str
-    effect: Effect
-    due_time: float
-    payoff: float
-    expiry: float
-    group: Group = Group.ALL
-    memory: float = 0.0
-    late_payoff: float = 0.0
-    stretch: float = 0.0
+    retry_safety: RetrySafety
+    latency_objective: float
+    priority_weight: float
+    timeout: float
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: float = 0.0
+    late_priority_weight: float = 0.0
+    objective_per_cost: float = 0.0
 
 
-class Customer(msgspec.Struct, frozen=True, eq=False):
+class Tenant(msgspec.Struct, frozen=True, eq=False):
     name: str
     share: float
 
 
-class Terms(msgspec.Struct, frozen=True, eq=False):
+class BalancerConfig(msgspec.Struct, frozen=True, eq=False):
     """What was agreed before the start: the figures that decisions and hosts read, in our words."""
 
-    categories: list[Category]
+    request_classes: list[RequestClass]
     zone: str
     sidecars: int
-    must_subscribe: bool
-    ask_within: float
-    cold_share: float
-    cold_for: float
-    fall_multiple: float
-    fall_span: float
-    most_hand_offs: int
-    crossing_price: float
-    connecting_price: float = 0.0
-    keeping_price: float = 0.0
-    streams: int = 1
-    sizes_move: bool = False
-    asking_price: float = 0.0
-    telling_price: float = 0.0
-    copies_allowed: bool = True
+    must_watch_endpoints: bool
+    endpoint_list_max_age: float
+    slow_start_initial_fraction: float
+    slow_start_duration: float
+    overload_factor: float
+    overload_window: float
+    max_attempts: int
+    cross_zone_price: float
+    connection_setup_price: float = 0.0
+    open_connection_price: float = 0.0
+    streams_per_connection: int = 1
+    weights_are_live: bool = False
+    health_check_price: float = 0.0
+    gossip_price: float = 0.0
+    hedging_allowed: bool = True
     cancel_allowed: bool = True
-    peers_allowed: bool = False
-    asking_allowed: bool = False
+    gossip_allowed: bool = False
+    health_checks_allowed: bool = False
     load_reported: bool = False
-    answers_tell: bool = False  # each answer carries a load report
-    keys_known: bool = False  # an upstream does less work for a key that its cell has met lately
-    longest_come_back: float = 0.0
-    connect_within: float = 0.0
+    load_reported_in_responses: bool = False  # each answer carries a load report
+    key_affinity: bool = False  # an upstream does less work for a key that its cell has met lately
+    max_retry_after: float = 0.0
+    connect_timeout: float = 0.0
     drain_grace: float = 0.0  # after the word that an upstream goes, nothing new comes later; 0: not said
-    keep_idle: float = 0.0
-    number: int = 0
-    processes: int = 1  # of this sidecar, which share its part of what is cold
-    customers: list[Customer] = []
+    idle_timeout: float = 0.0
+    sidecar_index: int = 0
+    process_count: int = 1  # of this sidecar, which share its part of what is cold
+    tenants: list[Tenant] = []
 
 
-class Listing(msgspec.Struct, frozen=True):
+class Endpoint(msgspec.Struct, frozen=True):
     """One line of the list of upstreams. The address is opaque: it only tells one upstream from another."""
 
     address: str
@@ -113,90 +113,90 @@
     cell: int
     size: float
     started: float | None
-    condition: Condition
+    condition: EndpointState
 
 
-class News(enum.Enum):
+class WatchEvent(enum.Enum):
     """What a word from the list of upstreams is."""
 
-    CHANGES = "changes"
-    WHOLE = "whole"
+    DELTA = "changes"
+    SNAPSHOT = "whole"
     FAILED = "failed"
 
 
 @dataclass(slots=True, eq=False)
-class WorkItem:
-    category: Category
-    arrived: float  # infinite while it is still coming
-    patience: float
-    customer: Customer | None = None
-    repeat: bool = False
+class Request:
+    request_class: RequestClass
+    arrived_at: float  # infinite while it is still coming
+    time_left: float
+    tenant: Tenant | None = None
+    is_retry: bool = False
     cost: float = 0.0
     key: str = ""  # what it is about; empty: nothing that others share
-    home: int | None = None  # the cell that all sidecars pick for its key
-    most_hand_offs: int = 0  # 0: as the terms say that are in force when it is taken
-    before: Sequence[HandOff] = ()  # made by another sidecar, which is lost
+    preferred_cell: int | None = None  # the cell that all sidecars pick for its key
+    max_attempts: int = 0  # 0: as the terms say that are in force when it is taken
+    earlier_attempts: Sequence[Attempt] = ()  # made by another sidecar, which is lost
 
 
 @dataclass(slots=True, eq=False)
-class HandOff:
-    wi: WorkItem
-    upstream: Any
-    sent: float
+class Attempt:
+    request: Request
+    endpoint: Any
+    started_at: float
     load: float = 0.0
     pending: bool = True
-    fate: Fate | None = None
+    outcome: AttemptOutcome | None = None
 
     @property
     def may_have_run(self) -> bool:
-        return self.fate is None or not self.fate.never_ran
+        return self.outcome is None or not self.outcome.never_ran
 
 
 @dataclass(slots=True, frozen=True)
-class Outcome:
+class AttemptEnded:
     """A hand-off ended; `answered` says that the client has its final answer."""
 
-    ho: HandOff
-    fate: Fate
-    took: float
-    answered: bool
-    report: dict[str, float] = field(default_factory=dict)
+    attempt: Attempt
+    outcome: AttemptOutcome
+    duration: float
+    request_answered: bool
+    load_report: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Started:
+class ResponseStarted:
     """The answer of a streamed category has begun: the hand-off is the client's now."""
 
-    ho: HandOff
+    attempt: Attempt
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class HealthCheckEnded:
     """An upstream has answered a probe, or failed to."""
 
-    upstream: Any
-    fate: Fate
+    endpoint: Any
+    outcome: AttemptOutcome
 
 
-class Gone:
+class ClientDisconnected:
     """The client has left; nothing is owed any more."""
 
 
-GONE = Gone()
+CLIENT_DISCONNECTED = ClientDisconnected()
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class StartAttempt:
     """Hand the work item to an upstream, with a time-out."""
 
-    upstream: Any
-    limit: float
+    endpoint: Any
+    timeout: float
     load: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Cancel:
-    ho: HandOff
+class CancelAttempt:
+    attempt: Attempt
 
 
 @dataclass(slots=True, frozen=True)
@@ -210,31 +210,40 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Defer:
-    come_back: float = 0.0
+class RejectRequest:
+    retry_after: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class WriteOff:
+class FailRequest:
     pass
 
 
 @dataclass(slots=True, frozen=True)
-class Subscribe:
+class WatchEndpoints:
     """Ask for the changes of the list; every `News` from then on resumes the asker's `Wait`."""
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
+class StartHealthCheck:
     """Ask an upstream for its load; an `Asked` resumes the asker's `Wait`."""
 
-    upstream: Any
+    endpoint: Any
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendGossip:
     body: bytes
 
 
-Command = Send | Cancel | Wait | Defer | WriteOff | Subscribe | Probe | Tell
-Steps = Generator[Command, Any, None]
+Command = (
+    StartAttempt
+    | CancelAttempt
+    | Wait
+    | RejectRequest
+    | FailRequest
+    | WatchEndpoints
+    | StartHealthCheck
+    | SendGossip
+)
+DecisionCoroutine = Generator[Command, Any, None]
--- a/starlingwheel/fleet/cells.py
+++ b/starlingwheel/fleet/cells.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from .records import CELLS, MEMBERS, Cut, Records, Txn, equal
+from .records import CELLS, MEMBERS, Sharding, StoreRecords, Transaction, equal
 from .view import MOST_CELLS
 
 HALVED = 1 / 4  # of what a cell may have on the mean: with less, half as many cells
@@ -22,18 +22,18 @@
 TURNS = 16
 
 
-class Cutting:
+class ShardMap:
     """One member's part of the fleet's decision into how many cells it is cut."""
 
     def __init__(self, me: str, lease: float, size: int, now: float) -> None:
         """`lease`: seconds. `size`: members a cell has on the mean at most; 0: never proposes."""
         self.me, self.lease, self.size, self.now = me, lease, size, now
-        self.records = Records()
+        self.records = StoreRecords()
         self.changed_at = now  # when the entry was last seen to change, at the latest
         self.wanted = 0
         self.since = inf  # when that was first wanted
 
-    def recorded(self, records: Records) -> None:
+    def recorded(self, records: StoreRecords) -> None:
         """What the arbiter has."""
         if records.cells_mod != self.records.cells_mod:
             self.changed_at = self.now
@@ -55,7 +55,7 @@
         # Guards against members that start while nobody can read it knowing no cells at all.
         return cells if records.cells_spoilt else 0
 
-    def due(self) -> Txn | float:
+    def due(self) -> Transaction | float:
         """What to write at the arbiter now, or when to ask again."""
         if not self.wanted:
             return inf
@@ -71,4 +71,4 @@
             equal(CELLS, "MOD", records.cells_mod),
             equal(MEMBERS + self.me, "CREATE", records.members[self.me].term),
         ]
-        return Txn("cut", same, [(CELLS, msgspec.json.encode(Cut(self.wanted, self.now)))])
+        return Transaction("cut", same, [(CELLS, msgspec.json.encode(Sharding(self.wanted, self.now)))])
--- a/starlingwheel/fleet/cover.py
+++ b/starlingwheel/fleet/cover.py
@@ -34,21 +34,21 @@
     RUNNING,
     STALE,
     UNKNOWN,
-    Answered,
-    Asked,
-    Beat,
-    Cover,
-    Ended,
-    Find,
+    AttemptIntent,
+    AttemptIntentFrame,
+    AttemptNotRunFrame,
+    FindOwnerFrame,
     Frame,
-    Intend,
-    Intent,
-    Kept,
-    Over,
-    Reply,
-    Told,
+    HeartbeatFrame,
+    RecordedRequest,
+    RecordedResponse,
+    ReplicaStateFrame,
+    ReplicateFrame,
+    RequestFinishedFrame,
+    ResponseFrame,
+    ViewSyncedFrame,
 )
-from .view import Member, View, place
+from .view import Member, MembershipView, place
 
 FINISHED, DEFERRED, MIXED_UP, WRITTEN_OFF = 200, 503, 422, 504
 RERUNNABLE = "rerunnable"
@@ -60,10 +60,10 @@
 UNTOLD, UNSURE = -2, -1  # of a keeper: it was not told of the item; it has not said that it recorded it
 RECENT = 1 / 4  # of the longest expiry: so old may the word of a member be that counts as heard
 EACH = 512  # bytes that an item takes beside its bodies
-NOTHING = Asked(b"", b"", [], b"", b"")
+NOTHING = RecordedRequest(b"", b"", [], b"", b"")
 
 
-class State(enum.Enum):
+class RequestState(enum.Enum):
     ASKING = "asking"  # a repeat whose home has not said yet whether it is new
     OWNING = "owning"  # we act on it
     JOINED = "joined"  # another one acts on it, somebody here waits
@@ -71,7 +71,7 @@
     DONE = "done"  # it has its final answer
 
 
-class Word(enum.Enum):
+class BeginResult(enum.Enum):
     """What the host does with a request that has come."""
 
     RUN = "run"  # decide on it now; its hand-offs wait until they are let go
@@ -80,7 +80,7 @@
     OTHER = "other"  # the name stands for another request
 
 
-class Item:
+class ReplicatedRequest:
     """One named work item, as one member knows it."""
 
     __slots__ = (
@@ -89,13 +89,13 @@
         "let_go", "unnoted", "at_home", "bytes", "stale", "rules", "place", "told_home", "granted",
     )  # fmt: skip
 
-    def __init__(self, told: Cover, state: State) -> None:
+    def __init__(self, told: ReplicateFrame, state: RequestState) -> None:
         self.key, self.mark, self.category, self.effect = told.key, told.mark, told.category, told.effect
         self.at, self.until, self.repeat, self.asked = told.at, told.until, told.repeat, told.asked
         self.intents, self.epoch, self.owner = list(told.intents), told.epoch, told.owner
         self.state = state
         self.rules = told.rules
-        self.reply: Reply | None = None
+        self.reply: RecordedResponse | None = None
         # Who was told of it, and how many intents each has recorded; or `UNTOLD`, `UNSURE`.
         self.keepers: dict[str, int] = {}
         self.sure = False  # that it is new has been granted to us
@@ -106,7 +106,7 @@
         self.clients: dict[Any, float] = {}  # the host's requests that wait for its answer, and until when
         self.adopted = False  # it was another one's
         self.let_go = False  # a hand-off of ours was let go
-        self.unnoted: Reply | None = None  # a deferral that its keepers have not recorded yet
+        self.unnoted: RecordedResponse | None = None  # a deferral that its keepers have not recorded yet
         self.at_home = ""  # whom we asked, or who acts on it
         self.bytes = len(told.asked.body) + EACH
         self.stale = False  # a record from before we were out of the view for a while
@@ -122,17 +122,17 @@
     @property
     def ungranted(self) -> bool:
         """We act on it, or want to, or wait for it; nobody has said yet that it is new."""
-        return not self.sure and self.state in (State.ASKING, State.JOINED, State.OWNING)
+        return not self.sure and self.state in (RequestState.ASKING, RequestState.JOINED, RequestState.OWNING)
 
-    def cover(self, asks: bool, home: str = "") -> Cover:
-        return Cover(
+    def cover(self, asks: bool, home: str = "") -> ReplicateFrame:
+        return ReplicateFrame(
             self.key, self.owner, self.epoch, asks, self.mark, self.category, self.effect, self.at,
             self.until, self.repeat, self.asked, list(self.intents), self.sure or self.granted, self.rules,
             home,
         )  # fmt: skip
 
 
-class Door(Protocol):
+class ReplicationHost(Protocol):
     def say(self, member: str, frame: Frame) -> bool:
         """False: there is no link to it now."""
 
@@ -142,49 +142,51 @@
         False: none can, now.
         """
 
-    def go(self, item: Item, number: int) -> None:
+    def go(self, item: ReplicatedRequest, number: int) -> None:
         """That hand-off may be written whole."""
 
-    def stop(self, item: Item, number: int) -> None:
+    def stop(self, item: ReplicatedRequest, number: int) -> None:
         """That hand-off is never to be written whole."""
 
-    def decide(self, item: Item) -> None:
+    def decide(self, item: ReplicatedRequest) -> None:
         """Decide on it, with its history; what is decided on already goes on."""
 
-    def answer(self, item: Item, client: Any, reply: Reply) -> None:
+    def answer(self, item: ReplicatedRequest, client: Any, reply: RecordedResponse) -> None:
         """The final answer for one that waits here."""
 
     def note(self, event: str, **fields: Any) -> None:
         """For the log."""
 
 
-class Reach:
+class DialMember:
     """The members that an owner of another cell reaches; being asked, it begins to."""
 
-    def __init__(self, covering: Covering) -> None:
+    def __init__(self, covering: RequestReplicator) -> None:
         self.covering = covering
 
     def __contains__(self, member: str) -> bool:
         return self.covering._reach(member)
 
 
-class Covering:
+class RequestReplicator:
     """One member's part of the cover of the whole fleet's work."""
 
-    def __init__(self, me: str, longest: float, count: int, room: int, door: Door, now: float) -> None:
+    def __init__(
+        self, me: str, longest: float, count: int, room: int, door: ReplicationHost, now: float
+    ) -> None:
         """`longest`: the longest expiry, seconds; `count`: keepers an item; `room`: bytes kept for others."""
         self.me, self.longest, self.count, self.room = me, longest, count, room
         self.door, self.now = door, now
-        self.items: dict[bytes, Item] = {}
-        self.view = View()
+        self.items: dict[bytes, ReplicatedRequest] = {}
+        self.view = MembershipView()
         self.view_at = now
         # The last view under which all had told us what they own, and those since.
-        self.lately: list[View] = []
+        self.lately: list[MembershipView] = []
         self.settled = False  # there was one
         self.told: dict[str, int] = {}  # the view under which each member has told us that
-        self.beats: dict[str, tuple[float, Beat]] = {}
+        self.beats: dict[str, tuple[float, HeartbeatFrame]] = {}
         self.links: dict[str, None] = {}
-        self.held: list[tuple[str, Cover]] = []  # asked of us before all have told
+        self.held: list[tuple[str, ReplicateFrame]] = []  # asked of us before all have told
         self.reaching: dict[str, None] = {}  # members of other cells to which a link is to come up
         self.failed: dict[str, float] = {}  # those to which none did, and until when that counts
         # Recorded here, while its owner, of another cell, names that home and we another one.
@@ -193,12 +195,12 @@
         self.counts: Counter[str] = Counter()
         self.kept_bytes = 0
         # When an item is over, or a client has waited enough.
-        self.ends: list[tuple[float, int, Item, Any]] = []
+        self.ends: list[tuple[float, int, ReplicatedRequest, Any]] = []
         self.number = 0
 
     # What the host tells.
 
-    def viewed(self, view: View, gap: bool) -> None:
+    def viewed(self, view: MembershipView, gap: bool) -> None:
         """Another set of members holds leases. `gap`: there may have been others between."""
         if view.digest == self.view.digest and not (gap and view.members):
             return
@@ -207,7 +209,7 @@
         if anew:
             # Others may have gone on without us: what we know of their work is old.
             for item in self.items.values():
-                item.stale = item.state is State.KEEPING
+                item.stale = item.state is RequestState.KEEPING
         before, self.view = self.view, view
         if gap or before.digest_of(before.cell_of(self.me)) != self.digest:
             self.view_at = self.now
@@ -224,11 +226,11 @@
         for member in list(self.links):
             cell = view.cell_of(member)
             if gap or before.digest_of(before.cell_of(member)) != view.digest_of(cell):
-                self.door.say(member, Told(view.digest_of(cell)))
+                self.door.say(member, ViewSyncedFrame(view.digest_of(cell)))
         self._reach_holders()
         self._perhaps_settled()
 
-    def _supposed(self, view: View) -> list[View]:
+    def _supposed(self, view: MembershipView) -> list[MembershipView]:
         """What may have held just before the first view that we know.
 
         Guards against one that has just come granting what others keep: of a cell that was split since, or
@@ -236,13 +238,13 @@
         """
         cell = self._cell()
         counts = [view.cells // 2] if self.now < view.cut_at + self.longest else []
-        supposed = [View(view.members.values(), count) for count in counts]
+        supposed = [MembershipView(view.members.values(), count) for count in counts]
         if len(cell) <= FEW:
             others = [m for m in view.members.values() if m.id not in cell]
-            supposed += [View(others, count) for count in (*counts, view.cells)]
+            supposed += [MembershipView(others, count) for count in (*counts, view.cells)]
         return supposed
 
-    def _moved(self, item: Item, before: View) -> bool:
+    def _moved(self, item: ReplicatedRequest, before: MembershipView) -> bool:
         """Something that concerns it has changed since that view."""
         now, then = self.view.cell_at(item.place), before.cell_at(item.place)
         changed = before.digest_of(then) != self.view.digest_of(now)
@@ -255,11 +257,11 @@
         self.failed.pop(member, None)
         for item in self._about(member):
             kept = item.keepers.get(member)
-            if kept is not None and (item.state is State.OWNING or kept == UNTOLD):
+            if kept is not None and (item.state is RequestState.OWNING or kept == UNTOLD):
                 # What was said on the link before may be lost, and it may have taken over meanwhile.
                 self._cover(item, member)
             self._place(item)
-        self.door.say(member, Told(self.view.digest_of(self.view.cell_of(member))))
+        self.door.say(member, ViewSyncedFrame(self.view.digest_of(self.view.cell_of(member))))
 
     def down(self, member: str) -> None:
         """The link to a member has ended, or nothing comes over it any more."""
@@ -270,19 +272,19 @@
         self.early = {one: home for one, home in self.early.items() if one[0] != member}
         for item in self._about(member):
             item.askers.pop(member, None)
-            if item.told_home == member and item.state in (State.KEEPING, State.DONE):
+            if item.told_home == member and item.state in (RequestState.KEEPING, RequestState.DONE):
                 item.told_home = ""  # what was said last may be lost
-            if item.state is State.OWNING and member in item.keepers:
+            if item.state is RequestState.OWNING and member in item.keepers:
                 item.keepers[member] = UNSURE
                 if item.unnoted is not None:
                     # Guards against telling a client that nothing was done while one that we can't reach
                     # takes it over.
-                    self._done(item, Reply(WRITTEN_OFF))
+                    self._done(item, RecordedResponse(WRITTEN_OFF))
                 elif self._far(item):
                     self._place(item)
-            elif item.state is State.DONE and item.at_home == member:
+            elif item.state is RequestState.DONE and item.at_home == member:
                 item.at_home = ""  # what was said last may be lost
-            elif item.state is State.KEEPING and item.owner == member:
+            elif item.state is RequestState.KEEPING and item.owner == member:
                 self._place(item, lost=True)
             elif item.at_home == member:
                 self._place(item)
@@ -294,7 +296,7 @@
         self.reaching.pop(member, None)
         self.failed[member] = self.now + RETRY * self.longest
         for item in self._about(member):
-            if item.state is State.ASKING and member in item.keepers:
+            if item.state is RequestState.ASKING and member in item.keepers:
                 self._cover_by_all(item)
             else:
                 self._place(item)
@@ -308,12 +310,12 @@
         return any(
             member in item.askers
             or member in item.keepers
-            or (item.state is State.KEEPING and item.owner == member)
-            or (item.state in (State.ASKING, State.JOINED) and item.at_home == member)
+            or (item.state is RequestState.KEEPING and item.owner == member)
+            or (item.state in (RequestState.ASKING, RequestState.JOINED) and item.at_home == member)
             for item in self.items.values()
         )
 
-    def _about(self, member: str) -> list[Item]:
+    def _about(self, member: str) -> list[ReplicatedRequest]:
         """Items that a link to that member may concern."""
         if self.view.cells == 1:
             return list(self.items.values())
@@ -327,12 +329,12 @@
             or of_cell(item.place) == cell
         ]
 
-    def _outside(self, member: str, item: Item) -> bool:
+    def _outside(self, member: str, item: ReplicatedRequest) -> bool:
         """That member is not of the cell whose members keep the item."""
         view = self.view
         return view.cells > 1 and view.cell_of(member) != view.cell_at(item.place)
 
-    def _far(self, item: Item) -> bool:
+    def _far(self, item: ReplicatedRequest) -> bool:
         """Its keepers, if it is ours, are not of our cell."""
         return self._outside(self.me, item) or bool(self.view.beside(self.view.cell_at(item.place)))
 
@@ -368,7 +370,7 @@
         early, self.early = self.early, {}
         for (member, key), home in early.items():
             item = self.items.get(key)
-            if item is None or item.state is not State.KEEPING or item.owner != member:
+            if item is None or item.state is not RequestState.KEEPING or item.owner != member:
                 continue
             now = self.view.home(key)
             if now == home or not self._outside(member, item):
@@ -384,9 +386,9 @@
     def heard(self, member: str, frame: Frame) -> None:
         """A frame that a member has sent, of bounded size and of a known type."""
         match frame:
-            case Beat():
+            case HeartbeatFrame():
                 self.beats[member] = (self.now, frame)
-            case Told(view):
+            case ViewSyncedFrame(view):
                 self.told[member] = view
                 self._perhaps_settled()
                 # It may have turned away what it did not know yet to be its own.
@@ -395,21 +397,21 @@
                         self._place(item)
                     elif view == self.digest and item.owner == member:
                         self._untold(item)
-            case Cover():
+            case ReplicateFrame():
                 self._covered(member, frame)
-            case Find(key, mark):
+            case FindOwnerFrame(key, mark):
                 self._find(member, key, mark)
-            case Intend(key, epoch, number, intent, home):
+            case AttemptIntentFrame(key, epoch, number, intent, home):
                 self._intends(member, key, epoch, number, intent, home)
-            case Ended(key, epoch, number, fate):
+            case AttemptNotRunFrame(key, epoch, number, fate):
                 item = self.items.get(key)
                 if item and (item.owner, item.epoch) == (member, epoch) and 0 <= number < len(item.intents):
                     item.intents[number].fate = fate
-            case Answered(key, epoch, reply):
+            case ResponseFrame(key, epoch, reply):
                 self._answered(member, key, epoch, reply)
-            case Kept():
+            case ReplicaStateFrame():
                 self._kept(member, frame)
-            case Over():
+            case RequestFinishedFrame():
                 self._heard_over(frame)
 
     @property
@@ -425,11 +427,11 @@
                 self._forget(item)
             elif client is None:
                 self._remind(self._over(item), item, None)
-            elif client in item.clients and not (item.state is State.OWNING and client is item.main):
+            elif client in item.clients and not (item.state is RequestState.OWNING and client is item.main):
                 # Guards against one that has joined waiting for an answer that is lost.
                 del item.clients[client]
                 self.counts["waited_out"] += 1
-                self.door.answer(item, client, Reply(WRITTEN_OFF))
+                self.door.answer(item, client, RecordedResponse(WRITTEN_OFF))
         again = [member for member, until in self.failed.items() if until <= self.now]
         for member in again:
             del self.failed[member]
@@ -448,7 +450,7 @@
 
     # What the host asks.
 
-    def begin(self, told: Cover, client: Any, until: float) -> tuple[Word, Item]:
+    def begin(self, told: ReplicateFrame, client: Any, until: float) -> tuple[BeginResult, ReplicatedRequest]:
         """A client's request with a name, to be answered by `until`. Its item, and what to do."""
         item = self.items.get(told.key)
         if item is not None and self._free(item):
@@ -457,72 +459,74 @@
         if item is not None:
             if item.mark != told.mark:
                 self.counts["other"] += 1
-                return Word.OTHER, item
-            if item.state is State.DONE:
+                return BeginResult.OTHER, item
+            if item.state is RequestState.DONE:
                 self.counts["answered_again"] += 1
-                return Word.ANSWER, item
+                return BeginResult.ANSWER, item
             self.counts["joined"] += 1
             item.until = max(item.until, told.until)
             self._waits(item, client, until)
-            return Word.WAIT, item
-        item = self._add(Item(told, State.ASKING))
+            return BeginResult.WAIT, item
+        item = self._add(ReplicatedRequest(told, RequestState.ASKING))
         self._waits(item, client, until)
         self.counts["covered"] += 1
         # Guards against connections spoilt for what another one acts on already: a repeat waits for the word.
         if not item.repeat or self.view.home(item.key) == self.me:
-            item.state, item.running = State.OWNING, True
+            item.state, item.running = RequestState.OWNING, True
         self._seek(item)
-        if item.state is State.OWNING and (item.sure or not item.repeat):
+        if item.state is RequestState.OWNING and (item.sure or not item.repeat):
             item.running, item.main = True, client
-            return Word.RUN, item
+            return BeginResult.RUN, item
         item.running = False
-        if item.state is State.OWNING:
-            item.state = State.ASKING
-        return Word.WAIT, item
+        if item.state is RequestState.OWNING:
+            item.state = RequestState.ASKING
+        return BeginResult.WAIT, item
 
-    def intend(self, item: Item, intent: Intent) -> int:
+    def intend(self, item: ReplicatedRequest, intent: AttemptIntent) -> int:
         """A hand-off is to be made; its number. `Door.go` or `Door.stop` follows by `hand_on`."""
         item.intents.append(intent)
         return len(item.intents) - 1
 
-    def hand_on(self, item: Item, number: int) -> None:
+    def hand_on(self, item: ReplicatedRequest, number: int) -> None:
         """Have the intent of that number recorded."""
-        if item.state is not State.OWNING:
+        if item.state is not RequestState.OWNING:
             item.intents[number].fate = UNSENT
             self.door.stop(item, number)
             return
         item.waiting[number] = None
         home = self.view.home(item.key) if self._outside(self.me, item) else ""
         for member in list(item.keepers):
-            self.door.say(member, Intend(item.key, item.epoch, number, item.intents[number], home))
+            self.door.say(
+                member, AttemptIntentFrame(item.key, item.epoch, number, item.intents[number], home)
+            )
         self._let_go(item)
 
-    def ended(self, item: Item, number: int, fate: str) -> None:
+    def ended(self, item: ReplicatedRequest, number: int, fate: str) -> None:
         """A hand-off is known never to have run."""
         item.waiting.pop(number, None)
-        if item.state is State.KEEPING:
+        if item.state is RequestState.KEEPING:
             return  # those recorded are another one's
         if number < len(item.intents):
             item.intents[number].fate = fate
-        if item.state is State.OWNING:
+        if item.state is RequestState.OWNING:
             for member in item.keepers:
-                self.door.say(member, Ended(item.key, item.epoch, number, fate))
+                self.door.say(member, AttemptNotRunFrame(item.key, item.epoch, number, fate))
 
-    def answered(self, item: Item, reply: Reply) -> Reply | None:
+    def answered(self, item: ReplicatedRequest, reply: RecordedResponse) -> RecordedResponse | None:
         """Our decisions have a final answer. What our client gets; None: `Door.answer` follows."""
         item.running = False
-        if item.state is State.DONE:
+        if item.state is RequestState.DONE:
             return item.reply
-        if item.state is not State.OWNING:
+        if item.state is not RequestState.OWNING:
             # Another one has taken it over. A hand-off of ours that was let go before may still finish it.
             if reply.status != FINISHED:
                 return None
-            self.door.say(item.at_home, Answered(item.key, item.epoch, reply))
+            self.door.say(item.at_home, ResponseFrame(item.key, item.epoch, reply))
             self._done(item, reply)
             return reply
         if reply.status == DEFERRED and item.may_have_run and (item.adopted or item.askers):
             # Guards against a deferral for one client of what its lost owner finished for another.
-            reply = Reply(WRITTEN_OFF)
+            reply = RecordedResponse(WRITTEN_OFF)
         for member in [m for m, kept in item.keepers.items() if kept == UNTOLD]:
             del item.keepers[member]
         if reply.status == DEFERRED and item.keepers:
@@ -530,75 +534,75 @@
                 item.unnoted = reply
                 self._tell_keepers(item, reply)
                 return None
-            reply = Reply(WRITTEN_OFF)
+            reply = RecordedResponse(WRITTEN_OFF)
         self._done(item, reply)
         return reply
 
-    def wait_on(self, item: Item, client: Any, until: float) -> None:
+    def wait_on(self, item: ReplicatedRequest, client: Any, until: float) -> None:
         """A client whose decisions have ended without an answer waits for another's."""
-        if item.state is State.DONE and item.reply is not None:
+        if item.state is RequestState.DONE and item.reply is not None:
             self.door.answer(item, client, item.reply)
         else:
             self._waits(item, client, until)
 
-    def left(self, item: Item, client: Any) -> bool:
+    def left(self, item: ReplicatedRequest, client: Any) -> bool:
         """A client that waited has gone. True: nobody needs it any more, and nothing can come of it."""
         item.clients.pop(client, None)
-        if item.clients or item.askers or item.state is State.DONE:
+        if item.clients or item.askers or item.state is RequestState.DONE:
             return False
-        if item.state in (State.JOINED, State.ASKING):
+        if item.state in (RequestState.JOINED, RequestState.ASKING):
             self._forget(item)
             return True
-        if item.state is not State.OWNING or item.adopted:
+        if item.state is not RequestState.OWNING or item.adopted:
             return False
         if item.effect != RERUNNABLE and item.may_have_run:
             return False  # whoever comes again under its name learns how it ended
-        self._tell_keepers(item, Reply(DEFERRED))
+        self._tell_keepers(item, RecordedResponse(DEFERRED))
         self._forget(item)
         return True
 
     # The owner's part.
 
-    def _add(self, item: Item) -> Item:
+    def _add(self, item: ReplicatedRequest) -> ReplicatedRequest:
         self.items[item.key] = item
         self.kept_bytes += item.bytes
         self._remind(self._over(item), item, None)
         return item
 
-    def _add_kept(self, told: Cover) -> None:
-        item = self._add(Item(told, State.KEEPING))
+    def _add_kept(self, told: ReplicateFrame) -> None:
+        item = self._add(ReplicatedRequest(told, RequestState.KEEPING))
         item.granted = self.view.cells > 1 and told.granted
 
-    def _waits(self, item: Item, client: Any, until: float) -> None:
+    def _waits(self, item: ReplicatedRequest, client: Any, until: float) -> None:
         item.clients[client] = until
         self._remind(until, item, client)
 
-    def _remind(self, at: float, item: Item, client: Any) -> None:
+    def _remind(self, at: float, item: ReplicatedRequest, client: Any) -> None:
         self.number += 1
         heapq.heappush(self.ends, (at, self.number, item, client))
 
-    def _over(self, item: Item) -> float:
+    def _over(self, item: ReplicatedRequest) -> float:
         return item.until + REMEMBERED * self.longest
 
-    def _forget(self, item: Item) -> None:
+    def _forget(self, item: ReplicatedRequest) -> None:
         if self.items.get(item.key) is item:
             del self.items[item.key]
             self.kept_bytes -= item.bytes
 
-    def _free(self, item: Item) -> bool:
+    def _free(self, item: ReplicatedRequest) -> bool:
         """Its name may be used again: it was given up with nothing done, or may be done over."""
-        if item.state is not State.DONE or item.reply is None:
+        if item.state is not RequestState.DONE or item.reply is None:
             return False
         over = item.effect == RERUNNABLE and item.reply.status == WRITTEN_OFF
         return item.reply.status == DEFERRED or over
 
-    def _seek(self, item: Item) -> None:
+    def _seek(self, item: ReplicatedRequest) -> None:
         """Ask the home whether it is new; where that can't be reached, whoever would stand in for it."""
         home = self.view.home(item.key)
         if self._outside(self.me, item):
             stands_in = next(iter(self._wanted(item)), "")
             if stands_in and stands_in not in self.links:
-                item.state, item.at_home = State.ASKING, ""  # `up` or `unreached` follows
+                item.state, item.at_home = RequestState.ASKING, ""  # `up` or `unreached` follows
                 return
         else:
             stands_in = next((m.id for m in self.view.ranks(item.key) if m.id in self.links), "")
@@ -623,15 +627,15 @@
                 self._stand_in(item, stands_in)
             else:
                 self._uncovered(item, "no-link" if home else "no-view")
-        elif stands_in and self.door.say(stands_in, Find(item.key, item.mark)):
+        elif stands_in and self.door.say(stands_in, FindOwnerFrame(item.key, item.mark)):
             # Guards against doing twice what only the home may know of.
-            item.state, item.at_home = State.ASKING, stands_in
+            item.state, item.at_home = RequestState.ASKING, stands_in
         elif self._must_wait(item):
             self._give_up(item, "home-unreachable")
         else:
             self._uncovered(item, "no-link" if home else "no-view")
 
-    def _must_wait(self, item: Item) -> bool:
+    def _must_wait(self, item: ReplicatedRequest) -> bool:
         """Its home can't be reached, and a view to come may name another.
 
         While we hold a lease that is soon. Without one service goes on, but not for what may be in hand
@@ -643,28 +647,28 @@
             return True
         return item.repeat or (known and (self.now < self.lease_until or not self.may_decide()))
 
-    def _stand_in(self, item: Item, member: str) -> None:
+    def _stand_in(self, item: ReplicatedRequest, member: str) -> None:
         self.counts["stood_in"] += 1
-        item.sure, item.state = True, State.OWNING
+        item.sure, item.state = True, RequestState.OWNING
         self._cover(item, member)
 
-    def _cover(self, item: Item, member: str, asks: bool = False) -> None:
+    def _cover(self, item: ReplicatedRequest, member: str, asks: bool = False) -> None:
         item.owner = self.me
         home = self.view.home(item.key)
         outside = self._outside(self.me, item)
         if self.door.say(member, item.cover(asks or home == member, home if outside else "")):
             item.keepers[member] = UNSURE
 
-    def _wanted(self, item: Item) -> list[str]:
+    def _wanted(self, item: ReplicatedRequest) -> list[str]:
         """Who is to record it, home first, of those that can be reached as far as we know."""
         if not self._far(item):
             return self.view.keepers(item.key, self.me, self.count, self.links)
         if not self._outside(self.me, item):
-            return self.view.keepers(item.key, self.me, self.count, Reach(self))
+            return self.view.keepers(item.key, self.me, self.count, DialMember(self))
         # Guards against the loss of the home before an owner that nobody there waits for has told the next.
-        return self.view.keepers(item.key, self.me, max(2, self.count), Reach(self))
+        return self.view.keepers(item.key, self.me, max(2, self.count), DialMember(self))
 
-    def _cover_by_all(self, item: Item) -> None:
+    def _cover_by_all(self, item: ReplicatedRequest) -> None:
         wanted = self._wanted(item)
         if self._outside(self.me, item):
             home = self.view.home(item.key)
@@ -689,37 +693,40 @@
             elif member not in self.links and self._far(item):
                 self._reach(member)
 
-    def _own(self, item: Item) -> None:
+    def _own(self, item: ReplicatedRequest) -> None:
         """Granted to us, who are its home."""
-        item.sure, item.state = True, State.OWNING
+        item.sure, item.state = True, RequestState.OWNING
         self._cover_by_all(item)
         if not item.keepers:
             self._uncovered(item, "alone" if len(self.view.members) == 1 else "no-link")
 
-    def _uncovered(self, item: Item, reason: str) -> None:
+    def _uncovered(self, item: ReplicatedRequest, reason: str) -> None:
         """Recorded nowhere else: cover is lost before service is."""
         self.counts["uncovered"] += 1
         self.door.note("cover.none", reason=reason)
-        item.sure, item.state = True, State.OWNING
+        item.sure, item.state = True, RequestState.OWNING
 
-    def _start(self, item: Item) -> None:
-        if item.state is State.OWNING and not item.running:
+    def _start(self, item: ReplicatedRequest) -> None:
+        if item.state is RequestState.OWNING and not item.running:
             item.running, item.main = True, next(iter(item.clients), None)
             self.door.decide(item)
 
-    def _give_up(self, item: Item, reason: str) -> None:
+    def _give_up(self, item: ReplicatedRequest, reason: str) -> None:
         """At once: nothing was sent for it by us, and whoever has it in hand goes on."""
         self.counts["given_up"] += 1
         self.door.note("cover.given_up", reason=reason)
-        item.reply, item.state = Reply(DEFERRED, come_back=COME_BACK * self.longest), State.DONE
+        item.reply, item.state = (
+            RecordedResponse(DEFERRED, retry_after=COME_BACK * self.longest),
+            RequestState.DONE,
+        )
         self._forget(item)
         clients, item.clients = item.clients, {}
         for client in clients:
             self.door.answer(item, client, item.reply)
 
-    def _let_go(self, item: Item) -> None:
+    def _let_go(self, item: ReplicatedRequest) -> None:
         """Hand-offs whose intents all keepers have recorded."""
-        if not item.sure or item.state is not State.OWNING or not item.waiting:
+        if not item.sure or item.state is not RequestState.OWNING or not item.waiting:
             return
         if self.view.home(item.key) == self.me and not self._steady(item.key):
             return  # guards against going on while one that took it over under the view before does too
@@ -732,17 +739,17 @@
             item.let_go = True
             self.door.go(item, number)
 
-    def _stop_all(self, item: Item) -> None:
+    def _stop_all(self, item: ReplicatedRequest) -> None:
         waiting, item.waiting = item.waiting, {}
         for number in waiting:
             item.intents[number].fate = UNSENT
             self.door.stop(item, number)
 
-    def _kept(self, member: str, kept: Kept) -> None:
+    def _kept(self, member: str, kept: ReplicaStateFrame) -> None:
         item = self.items.get(kept.key)
-        if item is None or item.state in (State.DONE, State.KEEPING):
+        if item is None or item.state in (RequestState.DONE, RequestState.KEEPING):
             return
-        ours = item.state is State.OWNING and item.epoch == kept.epoch and member in item.keepers
+        ours = item.state is RequestState.OWNING and item.epoch == kept.epoch and member in item.keepers
         if kept.verdict == NOTED:
             if ours and item.unnoted is not None:
                 del item.keepers[member]
@@ -756,12 +763,12 @@
         elif kept.verdict == OTHER:
             self._stop_all(item)
             # Guards against a keeper of ours giving that answer for the request that has the name.
-            self._tell_keepers(item, Reply(DEFERRED))
+            self._tell_keepers(item, RecordedResponse(DEFERRED))
             item.keepers.clear()
-            self._done(item, Reply(MIXED_UP))
+            self._done(item, RecordedResponse(MIXED_UP))
             self._forget(item)
         elif kept.verdict == UNKNOWN:
-            if item.state is not State.OWNING and item.at_home == member:
+            if item.state is not RequestState.OWNING and item.at_home == member:
                 if kept.where or self._must_wait(item):
                     self._give_up(item, "home-unreachable")
                 else:
@@ -772,7 +779,7 @@
                 return
             item.keepers[member] = max(item.keepers[member], kept.upto)
             if kept.verdict == NEW:
-                item.sure, item.state = True, State.OWNING
+                item.sure, item.state = True, RequestState.OWNING
                 for other in [m for m, known in item.keepers.items() if known == UNTOLD]:
                     self._cover(item, other)
                 self._start(item)
@@ -803,31 +810,31 @@
                 self._start(item)
             self._let_go(item)
 
-    def _superseded(self, item: Item, member: str) -> None:
+    def _superseded(self, item: ReplicatedRequest, member: str) -> None:
         """Another one acts on it: nothing new from us, and its answer is ours."""
         self._no_longer_ours(item)
-        item.state, item.at_home = State.JOINED, member
+        item.state, item.at_home = RequestState.JOINED, member
         if not item.clients and not item.askers:
             self._forget(item)
 
-    def _no_longer_ours(self, item: Item) -> None:
+    def _no_longer_ours(self, item: ReplicatedRequest) -> None:
         """It has been taken over from us, or was in hand before we asked."""
-        self.counts["superseded"] += item.state is State.OWNING and item.let_go
+        self.counts["superseded"] += item.state is RequestState.OWNING and item.let_go
         self._stop_all(item)
         item.unnoted, item.sure, item.repeat = None, False, True
         item.keepers.clear()
         if item.main in item.clients:
             self._remind(item.clients[item.main], item, item.main)
 
-    def _done(self, item: Item, reply: Reply) -> None:
+    def _done(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         self._tell_keepers(item, reply)
         home = self.view.home(item.key)
-        passed = item.state is State.KEEPING and self._outside(item.owner, item)
+        passed = item.state is RequestState.KEEPING and self._outside(item.owner, item)
         sent = home in item.keepers and (self.view.cells == 1 or home in self.links)
         # An owner of another cell tells the home that it sees by itself.
         item.at_home = home if sent or (passed and item.at_home == home) else ""
         item.keepers.clear()
-        item.reply, item.state, item.unnoted = reply, State.DONE, None
+        item.reply, item.state, item.unnoted = reply, RequestState.DONE, None
         grown = len(reply.body) - len(item.asked.body)
         if self.items.get(item.key) is item:
             self.kept_bytes += grown
@@ -836,7 +843,7 @@
         askers, item.askers = item.askers, {}
         clients, item.clients = item.clients, {}
         for member in askers:
-            self.door.say(member, Answered(item.key, item.epoch, reply))
+            self.door.say(member, ResponseFrame(item.key, item.epoch, reply))
         for client in clients:
             self.door.answer(item, client, reply)
         if passed and home != self.me:
@@ -844,13 +851,13 @@
         if self._free(item):
             self._forget(item)
 
-    def _tell_keepers(self, item: Item, reply: Reply) -> None:
+    def _tell_keepers(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         for member in item.keepers:
-            self.door.say(member, Answered(item.key, item.epoch, reply))
+            self.door.say(member, ResponseFrame(item.key, item.epoch, reply))
 
     # The keeper's part.
 
-    def _covered(self, member: str, told: Cover) -> None:
+    def _covered(self, member: str, told: ReplicateFrame) -> None:
         if not self.now - 4 * self.longest <= told.at <= told.until <= self.now + 2 * self.longest:
             # Guards against clocks that differ too much, and against records that are never over.
             self._say_kept(member, told, FULL)
@@ -872,7 +879,7 @@
             self.held.append((member, told))  # its view is ahead of ours
             return
         if home != self.me and (outsider or (asks and (item is None or unsure))):
-            self.door.say(member, Kept(told.key, told.epoch, MOVED, where=home))
+            self.door.say(member, ReplicaStateFrame(told.key, told.epoch, MOVED, where=home))
             return
         # Of two that ask at once the home grants it to one, and any other keeper follows.
         contested = item is not None and self._contested(item, member, told.epoch)
@@ -883,7 +890,7 @@
             if told.granted:
                 self._record(item, told)  # guards against losing it with its owner meanwhile
             kept = self.items.get(told.key)
-            if kept is not None and kept.state is State.KEEPING and kept.owner == member:
+            if kept is not None and kept.state is RequestState.KEEPING and kept.owner == member:
                 kept.at_home = told.home
             self.held.append((member, told))
             return
@@ -898,9 +905,9 @@
             self._say_recorded(member, told, granted)
         elif item.mark != told.mark:
             self._say_kept(member, told, OTHER)
-        elif item.state is State.DONE:
+        elif item.state is RequestState.DONE:
             self._say_kept(member, told, ANSWERED, item.reply)
-        elif (item.state is State.KEEPING and item.owner == member and told.epoch >= item.epoch) or (
+        elif (item.state is RequestState.KEEPING and item.owner == member and told.epoch >= item.epoch) or (
             told.epoch > item.epoch or (unsure and told.granted) or instead
         ):
             if instead and not unsure:
@@ -913,18 +920,18 @@
             item.askers[member] = None
             self._say_kept(member, told, RUNNING)
 
-    def _contested(self, item: Item, member: str, epoch: int) -> bool:
+    def _contested(self, item: ReplicatedRequest, member: str, epoch: int) -> bool:
         """Another one asks for it as well, and nobody here knows to whom its home has granted it."""
         if self.view.cells == 1 or item.ungranted:
             return self.view.cells > 1
-        kept = item.state is State.KEEPING and not item.granted
+        kept = item.state is RequestState.KEEPING and not item.granted
         return kept and item.epoch == epoch and item.owner != member
 
-    def _same(self, member: str, item: Item, home: str) -> bool:
+    def _same(self, member: str, item: ReplicatedRequest, home: str) -> bool:
         """That member, of another cell, names the home that we do."""
         return self._outside(member, item) and home == self.view.home(item.key)
 
-    def _say_recorded(self, member: str, told: Cover, verdict: str) -> None:
+    def _say_recorded(self, member: str, told: ReplicateFrame, verdict: str) -> None:
         """To the owner of an item, once its home is the same in both views."""
         item, home = self.items[told.key], self.view.home(told.key)
         item.granted = self.view.cells > 1 and (item.granted or verdict == NEW)
@@ -936,29 +943,29 @@
             item.told_home = item.told_home or home
         self._say_kept(member, told, verdict)
 
-    def _record(self, item: Item | None, told: Cover) -> None:
+    def _record(self, item: ReplicatedRequest | None, told: ReplicateFrame) -> None:
         """What another member owns, or owned: it goes before what we ourselves have not been granted."""
         if item is None:
             if self.kept_bytes <= self.room:
                 self._add_kept(told)
         elif item.ungranted:
             self._keep(item, told)
-        elif item.state is State.KEEPING and item.epoch <= told.epoch:
+        elif item.state is RequestState.KEEPING and item.epoch <= told.epoch:
             other = item.owner != told.owner
             if item.granted and other and item.epoch == told.epoch and not told.granted:
                 return  # guards against the record of one that was never granted it
             self._merge(item, told)
 
-    def _keep(self, item: Item, told: Cover) -> None:
+    def _keep(self, item: ReplicatedRequest, told: ReplicateFrame) -> None:
         never = item.ungranted
         self._no_longer_ours(item)
         if never:
             # Guards against the fate of what we never let go being taken for that of its owner's hand-offs.
             item.intents.clear()
-        item.state, item.at_home = State.KEEPING, ""
+        item.state, item.at_home = RequestState.KEEPING, ""
         self._merge(item, told)
 
-    def _merge(self, item: Item, told: Cover) -> None:
+    def _merge(self, item: ReplicatedRequest, told: ReplicateFrame) -> None:
         """The history as both know it: an intent recorded anywhere counts."""
         other = item.owner != told.owner and item.epoch == told.epoch
         if item.owner != told.owner:
@@ -976,43 +983,45 @@
                 both[number].fate = both[number].fate or intent.fate
         item.intents = both
 
-    def _say_kept(self, member: str, told: Cover, verdict: str, reply: Reply | None = None) -> None:
-        self.door.say(member, Kept(told.key, told.epoch, verdict, len(told.intents), reply))
+    def _say_kept(
+        self, member: str, told: ReplicateFrame, verdict: str, reply: RecordedResponse | None = None
+    ) -> None:
+        self.door.say(member, ReplicaStateFrame(told.key, told.epoch, verdict, len(told.intents), reply))
 
     def _find(self, member: str, key: bytes, mark: bytes) -> None:
         item = self.items.get(key)
         verdict, reply = UNKNOWN, None
-        if item is not None and item.state in (State.OWNING, State.KEEPING, State.DONE):
+        if item is not None and item.state in (RequestState.OWNING, RequestState.KEEPING, RequestState.DONE):
             verdict = RUNNING
             if item.mark != mark:
                 verdict = OTHER
-            elif item.state is State.DONE:
+            elif item.state is RequestState.DONE:
                 verdict, reply = ANSWERED, item.reply
             else:
                 item.askers[member] = None
         # Whether somebody hears its home: nobody is to stand in for that then.
         home = self.view.home(key)
         where = home if home in self.links or home == self.me else ""
-        self.door.say(member, Kept(key, 0, verdict, 0, reply, where))
+        self.door.say(member, ReplicaStateFrame(key, 0, verdict, 0, reply, where))
 
     def _intends(
-        self, member: str, key: bytes, epoch: int, number: int, intent: Intent, home: str = ""
+        self, member: str, key: bytes, epoch: int, number: int, intent: AttemptIntent, home: str = ""
     ) -> None:
         item = self.items.get(key)
         if item is None:
             return  # what was said of it was turned away, or is over
-        if item.state is State.DONE:
-            self.door.say(member, Kept(key, epoch, ANSWERED, 0, item.reply))
+        if item.state is RequestState.DONE:
+            self.door.say(member, ReplicaStateFrame(key, epoch, ANSWERED, 0, item.reply))
         elif (
             member not in self.view and self.view.home(key) != self.me and not self._same(member, item, home)
         ):
             # Its lease has ended, and whoever is home now may have taken it over.
-            self.door.say(member, Kept(key, epoch, STALE, where=self.view.home(key)))
+            self.door.say(member, ReplicaStateFrame(key, epoch, STALE, where=self.view.home(key)))
         elif self._contested(item, member, epoch) and self.view.home(key) != self.me:
             pass  # it has been told
-        elif item.state is not State.KEEPING or (item.owner, item.epoch) != (member, epoch):
+        elif item.state is not RequestState.KEEPING or (item.owner, item.epoch) != (member, epoch):
             item.askers[member] = None
-            self.door.say(member, Kept(key, epoch, STALE))
+            self.door.say(member, ReplicaStateFrame(key, epoch, STALE))
         elif 0 <= number <= len(item.intents):
             item.intents[number:] = [intent]
             if self._outside(member, item) and home != self.view.home(key):
@@ -1020,19 +1029,19 @@
             elif self.view.home(key) == self.me and not self._steady(key):
                 self.held.append((member, item.cover(asks=True, home=home)))
             else:
-                self.door.say(member, Kept(key, epoch, KEPT, number + 1))
+                self.door.say(member, ReplicaStateFrame(key, epoch, KEPT, number + 1))
 
-    def _answered(self, member: str, key: bytes, epoch: int, reply: Reply) -> None:
+    def _answered(self, member: str, key: bytes, epoch: int, reply: RecordedResponse) -> None:
         item = self.items.get(key)
-        noted = Kept(key, epoch, NOTED)
+        noted = ReplicaStateFrame(key, epoch, NOTED)
         # Guards against recording, once all have told, what its owner has given up meanwhile.
         self.held = [(who, cover) for who, cover in self.held if (who, cover.key) != (member, key)]
-        if item is None or item.state is State.DONE:
+        if item is None or item.state is RequestState.DONE:
             self.door.say(member, noted)
-        elif item.state is State.KEEPING and (item.owner, item.epoch) == (member, epoch):
+        elif item.state is RequestState.KEEPING and (item.owner, item.epoch) == (member, epoch):
             self._done(item, reply)
             self.door.say(member, noted)
-        elif item.state in (State.JOINED, State.ASKING):
+        elif item.state in (RequestState.JOINED, RequestState.ASKING):
             self._done(item, reply)
         elif reply.status == FINISHED:
             # Its former owner was only cut off, and a hand-off that was granted to it has finished it.
@@ -1040,17 +1049,17 @@
             self._done(item, reply)
         else:
             item.askers[member] = None
-            self.door.say(member, Kept(key, epoch, STALE))
+            self.door.say(member, ReplicaStateFrame(key, epoch, STALE))
 
     # Owners lost, keepers lost, views.
 
-    def _place(self, item: Item, lost: bool = False) -> None:
+    def _place(self, item: ReplicatedRequest, lost: bool = False) -> None:
         """After a change of the view or of a link: whoever has to know of an item knows.
 
         `lost`: the link to its owner has ended.
         """
         home = self.view.home(item.key)
-        if item.state is State.OWNING:
+        if item.state is RequestState.OWNING:
             for member in [m for m in item.keepers if m not in self.view]:
                 del item.keepers[member]
             if item.unnoted is not None:
@@ -1066,7 +1075,7 @@
                     self.counts["stood_in"] += 1
                     item.sure = True
             self._let_go(item)
-        elif item.state is State.KEEPING:
+        elif item.state is RequestState.KEEPING:
             outside = self._outside(item.owner, item)
             if (item.owner not in self.view or outside) and home in self.links:
                 if not outside or item.told_home != home:
@@ -1078,18 +1087,18 @@
                 if not lost and outside and self._reach(item.owner):
                     return
                 self._take_over(item)
-        elif item.state is State.DONE:
+        elif item.state is RequestState.DONE:
             self._tell_home(item, home)
             self._tell_next(item, home)
-        elif item.state in (State.ASKING, State.JOINED):
+        elif item.state in (RequestState.ASKING, RequestState.JOINED):
             lost = item.at_home not in self.links
-            if lost or (item.state is State.ASKING and item.at_home != home and home in self.links):
+            if lost or (item.state is RequestState.ASKING and item.at_home != home and home in self.links):
                 item.keepers.clear()
-                item.state = State.ASKING
+                item.state = RequestState.ASKING
                 self._seek(item)
                 self._start(item)
 
-    def _tell_home(self, item: Item, home: str) -> None:
+    def _tell_home(self, item: ReplicatedRequest, home: str) -> None:
         """Guards against a new home taking for new what was answered before it became that."""
         if home in (item.at_home, self.me) or home not in self.links or item.reply is None:
             return
@@ -1097,7 +1106,7 @@
             item.at_home = home
             self._say_over(item, home)
 
-    def _tell_next(self, item: Item, home: str) -> None:
+    def _tell_next(self, item: ReplicatedRequest, home: str) -> None:
         """Guards against the loss of one keeper after another, where the owner is of another cell."""
         if home != self.me or item.reply is None or not self._outside(item.owner, item):
             return
@@ -1106,30 +1115,32 @@
             item.told_home = member
             self._say_over(item, member)
 
-    def _say_over(self, item: Item, member: str) -> None:
+    def _say_over(self, item: ReplicatedRequest, member: str) -> None:
         if item.reply is not None:
-            over = Over(item.key, item.owner, item.mark, item.category, item.effect, item.until, item.reply)
+            over = RequestFinishedFrame(
+                item.key, item.owner, item.mark, item.category, item.effect, item.until, item.reply
+            )
             self.door.say(member, over)
 
-    def _heard_over(self, over: Over) -> None:
+    def _heard_over(self, over: RequestFinishedFrame) -> None:
         item = self.items.get(over.key)
         if item is None:
             if self.kept_bytes > self.room or not self.now <= over.until <= self.now + 2 * self.longest:
                 return
             at = over.until - self.longest
-            told = Cover(
+            told = ReplicateFrame(
                 over.key, over.owner, 0, False, over.mark, over.category, over.effect, at, over.until, True,
                 NOTHING, [],
             )  # fmt: skip
-            item = self._add(Item(told, State.KEEPING))
-        elif item.state is State.DONE or item.sure:
+            item = self._add(ReplicatedRequest(told, RequestState.KEEPING))
+        elif item.state is RequestState.DONE or item.sure:
             return
         self._stop_all(item)
         self._done(item, over.reply)
         if self.items.get(over.key) is item:
             self._tell_next(item, self.view.home(over.key))
 
-    def _take_over(self, item: Item) -> None:
+    def _take_over(self, item: ReplicatedRequest) -> None:
         """Its owner is lost. Waits until all have told, where others may know more of it than we do."""
         known = not item.stale and (self.view.home(item.key) != self.me or self._steady(item.key))
         if not self.may_decide() or not (known or self.settled_now):
@@ -1137,7 +1148,7 @@
             return
         former, item.owner = item.owner, self.me
         item.epoch += 1
-        item.state, item.sure, item.adopted = State.OWNING, True, True
+        item.state, item.sure, item.adopted = RequestState.OWNING, True, True
         self.counts["taken_over"] += 1
         left = round(item.until - self.now, 3)
         told = {
@@ -1148,18 +1159,18 @@
         self.door.note("cover.taken_over", former=former, **told)
         self._cover_by_all(item)
         if left <= 0:
-            self._done(item, Reply(WRITTEN_OFF))
+            self._done(item, RecordedResponse(WRITTEN_OFF))
             return
         self._start(item)
 
-    def _untold(self, item: Item) -> None:
+    def _untold(self, item: ReplicatedRequest) -> None:
         """Its owner, of another cell, has told us all that it owns, and this was not among it."""
-        ours = self.view.home(item.key) == self.me != item.at_home and item.state is State.KEEPING
+        ours = self.view.home(item.key) == self.me != item.at_home and item.state is RequestState.KEEPING
         waited = item.clients or item.askers or (item.owner, item.key) in self.early
         if ours and self._outside(item.owner, item) and not waited:
             self._forget(item)
 
-    def _orphan(self, told: Cover) -> None:
+    def _orphan(self, told: ReplicateFrame) -> None:
         """Another keeper's record of what a lost member owned; we are its home, or will be in its view."""
         self._record(self.items.get(told.key), told)
         item = self.items.get(told.key)
@@ -1202,7 +1213,7 @@
         self.lately, self.settled = [self.view], True
         held, self.held = self.held, []
         for item in list(self.items.values()):
-            if item.state is State.KEEPING:
+            if item.state is RequestState.KEEPING:
                 outside = self._outside(item.owner, item)
                 if item.stale and item.owner in self.view and not item.clients and not outside:
                     self._forget(item)  # its owner lives and has not told it to us
@@ -1213,7 +1224,7 @@
             if item.sure:
                 self._let_go(item)
                 continue
-            if item.state in (State.ASKING, State.OWNING):
+            if item.state in (RequestState.ASKING, RequestState.OWNING):
                 self._own(item)
                 self._start(item)
                 self._let_go(item)
--- a/starlingwheel/fleet/frames.py
+++ b/starlingwheel/fleet/frames.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from ..decisions.terms import Category
-from .policy import Word
+from ..decisions.terms import DeduplicationScope, RequestClass, RetrySafety
+from .policy import PolicyStatus
 
 VERSION = 2
 LONGEST = 1 << 18  # bytes of one frame: a body and an answer are 64 KiB at most
 RELAYED = 64  # words of others in one answer, at most
 
 
-class Asked(msgspec.Struct, array_like=True, frozen=True):
+class RecordedRequest(msgspec.Struct, array_like=True, frozen=True):
     """A request as its client sent it."""
 
     method: bytes
@@ -27,7 +27,7 @@
     trace: bytes
 
 
-class Intent(msgspec.Struct, array_like=True):
+class AttemptIntent(msgspec.Struct, array_like=True):
     """One hand-off that its owner means to make, or has made. No fate: it may have run."""
 
     upstream: str
@@ -37,16 +37,52 @@
     fate: str = ""
 
 
-class Reply(msgspec.Struct, array_like=True, frozen=True):
+class RecordedResponse(msgspec.Struct, array_like=True, frozen=True):
     """A final answer: a status of ours, and the body and its kind where it is 200."""
 
     status: int
-    come_back: float = 0.0
+    retry_after: float = 0.0
     kind: bytes = b""
     body: bytes = b""
 
 
-class Hello(msgspec.Struct, array_like=True, tag=1, frozen=True):
+class RequestClassRecord(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "retry_safety": "effect",
+        "latency_objective": "due_time",
+        "priority_weight": "payoff",
+        "timeout": "expiry",
+        "deduplication_scope": "group",
+        "deduplication_window": "memory",
+        "late_priority_weight": "late_payoff",
+        "objective_per_cost": "stretch",
+    },
+):
+    """`RequestClass` under the field names that frames have for it. Times are seconds."""
+
+    name: str
+    retry_safety: RetrySafety
+    latency_objective: float
+    priority_weight: float
+    timeout: float
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: float = 0.0
+    late_priority_weight: float = 0.0
+    objective_per_cost: float = 0.0
+
+    @classmethod
+    def of(cls, request_class: RequestClass) -> RequestClassRecord:
+        """The record of a request class."""
+        return cls(**msgspec.structs.asdict(request_class))
+
+    def request_class(self) -> RequestClass:
+        """The request class that this is a record of."""
+        return RequestClass(**msgspec.structs.asdict(self))
+
+
+class HelloFrame(msgspec.Struct, array_like=True, tag=1, frozen=True):
     """`cells`: how many its view has; two that differ have no link."""
 
     fleet: str
@@ -55,7 +91,7 @@
     cells: int = 1
 
 
-class Beat(msgspec.Struct, array_like=True, tag=2, frozen=True):
+class HeartbeatFrame(msgspec.Struct, array_like=True, tag=2, frozen=True):
     """Said when nothing else is: alive, under that view of its cell; `lapsed`: not sure of its lease.
 
     `word`: only where it may be needed, as whoever `asks` says. `idle`: nothing in hand here needs this link.
@@ -63,18 +99,18 @@
 
     view: int
     lapsed: bool
-    word: Word | None = None
+    word: PolicyStatus | None = None
     idle: bool = False
     asks: bool = False
 
 
-class Told(msgspec.Struct, array_like=True, tag=3, frozen=True):
+class ViewSyncedFrame(msgspec.Struct, array_like=True, tag=3, frozen=True):
     """All that concerns you under that view of your cell has been said; nothing is granted under an older."""
 
     view: int
 
 
-class Cover(msgspec.Struct, array_like=True, tag=4, frozen=True):
+class ReplicateFrame(msgspec.Struct, array_like=True, tag=4, frozen=True):
     """A work item in hand, with its history. `asks`: say whether it is new; else it is only to be kept.
 
     `granted`: its owner has been told before that it is new, perhaps by a home that is lost. `rules`: its
@@ -92,57 +128,57 @@
     at: float
     until: float
     repeat: bool
-    asked: Asked
-    intents: list[Intent]
+    asked: RecordedRequest
+    intents: list[AttemptIntent]
     granted: bool = False
-    rules: Category | None = None
+    rules: RequestClassRecord | None = None
     home: str = ""
 
 
-class Find(msgspec.Struct, array_like=True, tag=5, frozen=True):
+class FindOwnerFrame(msgspec.Struct, array_like=True, tag=5, frozen=True):
     """Does anybody act on this? Asked of who would take over, where the home can't be reached."""
 
     key: bytes
     mark: bytes
 
 
-class Intend(msgspec.Struct, array_like=True, tag=6, frozen=True):
+class AttemptIntentFrame(msgspec.Struct, array_like=True, tag=6, frozen=True):
     """`home`: as with `Cover`."""
 
     key: bytes
     epoch: int
     number: int
-    intent: Intent
+    intent: AttemptIntent
     home: str = ""
 
 
-class Ended(msgspec.Struct, array_like=True, tag=7, frozen=True):
+class AttemptNotRunFrame(msgspec.Struct, array_like=True, tag=7, frozen=True):
     """That hand-off is known never to have run."""
 
     key: bytes
     epoch: int
     number: int
-    fate: str
+    outcome: str
 
 
-class Answered(msgspec.Struct, array_like=True, tag=8, frozen=True):
+class ResponseFrame(msgspec.Struct, array_like=True, tag=8, frozen=True):
     key: bytes
     epoch: int
-    reply: Reply
+    reply: RecordedResponse
 
 
-class Kept(msgspec.Struct, array_like=True, tag=9, frozen=True):
+class ReplicaStateFrame(msgspec.Struct, array_like=True, tag=9, frozen=True):
     """The word of a keeper. `upto`: so many intents are recorded."""
 
     key: bytes
     epoch: int
     verdict: str
     upto: int = 0
-    reply: Reply | None = None
+    reply: RecordedResponse | None = None
     where: str = ""
 
 
-class Over(msgspec.Struct, array_like=True, tag=10, frozen=True):
+class RequestFinishedFrame(msgspec.Struct, array_like=True, tag=10, frozen=True):
     """To a new home: that item has had its final answer."""
 
     key: bytes
@@ -151,10 +187,10 @@
     category: str
     effect: str
     until: float
-    reply: Reply
+    reply: RecordedResponse
 
 
-class Which(msgspec.Struct, array_like=True, tag=11, frozen=True):
+class PolicyQueryFrame(msgspec.Struct, array_like=True, tag=11, frozen=True):
     """Instead of a greeting, from one that is in no view: which policy do you follow? `known`: it does."""
 
     fleet: str
@@ -162,24 +198,24 @@
     known: int
 
 
-class Says(msgspec.Struct, array_like=True, tag=12, frozen=True):
+class PolicyStatusFrame(msgspec.Struct, array_like=True, tag=12, frozen=True):
     """Our word, and what we have heard lately over our links: each as old as it says."""
 
-    word: Word
-    others: list[Word] = []
+    word: PolicyStatus
+    others: list[PolicyStatus] = []
 
 
-class Want(msgspec.Struct, array_like=True, tag=13, frozen=True):
+class DecisionRequestFrame(msgspec.Struct, array_like=True, tag=13, frozen=True):
     """Tell me what is decided."""
 
 
-class Given(msgspec.Struct, array_like=True, tag=14, frozen=True):
+class DecisionFrame(msgspec.Struct, array_like=True, tag=14, frozen=True):
     """The decision in force, or that will be, as the arbiter has it."""
 
     decision: bytes
 
 
-class Rest(msgspec.Struct, array_like=True, tag=15, frozen=True):
+class LinkIdleFrame(msgspec.Struct, array_like=True, tag=15, frozen=True):
     """The last word on a link that neither side needs: what is said to it from now on is not read."""
 
 
@@ -196,5 +232,23 @@
 FULL = "full"  # no room to keep it
 NOTED = "noted"  # the final answer is recorded
 
-About = Cover | Find | Intend | Ended | Answered | Kept | Over
-Frame = Hello | Beat | Told | About | Which | Says | Want | Given | Rest
+About = (
+    ReplicateFrame
+    | FindOwnerFrame
+    | AttemptIntentFrame
+    | AttemptNotRunFrame
+    | ResponseFrame
+    | ReplicaStateFrame
+    | RequestFinishedFrame
+)
+Frame = (
+    HelloFrame
+    | HeartbeatFrame
+    | ViewSyncedFrame
+    | About
+    | PolicyQueryFrame
+    | PolicyStatusFrame
+    | DecisionRequestFrame
+    | DecisionFrame
+    | LinkIdleFrame
+)
--- a/starlingwheel/fleet/part.py
+++ b/starlingwheel/fleet/part.py
@@ -16,20 +16,20 @@
 CELL_SIZE = (0, 512)
 
 
-class CoverPart(msgspec.Struct, frozen=True):
+class ReplicationConfig(msgspec.Struct, frozen=True):
     categories: list[str]
     name_header: str = "x-work-name"
     keepers: int = 1
 
 
-class ZonesPart(msgspec.Struct, frozen=True):
+class ZonesConfig(msgspec.Struct, frozen=True):
     """`regions`: of each zone that lies in one. `bears`: hand-offs a second, of zones where it is known."""
 
     regions: dict[str, str] = {}
     bears: dict[str, float] = {}
 
 
-class FleetPart(msgspec.Struct, frozen=True):
+class FleetConfig(msgspec.Struct, frozen=True):
     """`name`: which fleet. `listen`: for links. `advertise`: where others reach that, if elsewhere.
 
     `keep`: the folder that outlives the process, for the policy in force; empty: none. `cell_size`: members
@@ -39,8 +39,8 @@
     name: str
     listen: str
     arbiter: list[str]
-    cover: CoverPart
-    zones: ZonesPart | None = None  # none: no common plan for zones
+    cover: ReplicationConfig
+    zones: ZonesConfig | None = None  # none: no common plan for zones
     advertise: str = ""
     lease_s: int = 3
     keep: str = ""
@@ -54,11 +54,11 @@
 }
 
 
-def decode(given: Any, categories: list[str], streams: int) -> FleetPart:
+def decode(given: Any, categories: list[str], streams: int) -> FleetConfig:
     """Raises `ValueError` that names every fault with its key. `categories`: those of the settings."""
     if faults := list(_faults(given, categories, streams)):
         raise ValueError("; ".join(faults))
-    return msgspec.convert(given, FleetPart)
+    return msgspec.convert(given, FleetConfig)
 
 
 def _faults(given: Any, categories: list[str], streams: int) -> Iterator[str]:
--- a/starlingwheel/fleet/policy.py
+++ b/starlingwheel/fleet/policy.py
@@ -30,13 +30,13 @@
     NOW,
     PAST_AT,
     VOTES,
-    Change,
     Compare,
-    Decision,
-    Past,
+    PastProposal,
     Policy,
-    Records,
-    Txn,
+    PolicyDecision,
+    PolicyProposal,
+    StoreRecords,
+    Transaction,
     equal,
 )
 
@@ -53,18 +53,18 @@
 LONGEST_WHY = 300
 
 
-class Kept(msgspec.Struct):
+class StoredPolicy(msgspec.Struct):
     """What outlives a process."""
 
     fleet: str
-    decision: Decision | None = None
-    promise: Change | None = None
+    decision: PolicyDecision | None = None
+    promise: PolicyProposal | None = None
     ended: int = 0
     names: list[str] = []
     addresses: dict[str, str] = {}
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True):
+class PolicyStatus(msgspec.Struct, array_like=True, frozen=True):
     """What a member says of itself. `until`: then it may have to follow another one; `known`: decided."""
 
     member: str
@@ -78,11 +78,11 @@
     sure: bool
 
 
-class Door(Protocol):
+class PolicyHost(Protocol):
     def check(self, body: Body) -> str:
         """Why this sidecar can't follow that policy; empty: it can."""
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: StoredPolicy) -> None:
         """Have it outlive the process; `kept` tells when it does."""
 
     def kept(self) -> str | None:
@@ -98,15 +98,17 @@
         """For the log."""
 
 
-class Following:
+class PolicyReplica:
     """One member's part of the fleet's one policy."""
 
-    def __init__(self, me: str, name: str, lease: float, door: Door, now: float, kept: Kept) -> None:
+    def __init__(
+        self, me: str, name: str, lease: float, door: PolicyHost, now: float, kept: StoredPolicy
+    ) -> None:
         """`lease`: seconds. `kept`: what a former process of this name has left."""
         self.me, self.name, self.lease, self.door, self.now = me, name, lease, door, now
         self.begun = now
         self.kept = kept
-        self.records = Records()
+        self.records = StoreRecords()
         self.in_force = Policy()
         self.decision = kept.decision
         self.promise = kept.promise
@@ -115,7 +117,7 @@
         self.from_file = bool(kept.names)
         self.sure = False  # what is decided is known: read since our entry, or said by more than half
         self.lease_until, self.entered = -inf, 0  # and the revision of our entry under it
-        self.words: dict[str, Word] = {}
+        self.words: dict[str, PolicyStatus] = {}
         self.saying: dict[str, str] = {}  # of each name, the member whose word is known
         self.well_until: float | None = None  # for so long enough words count; None: to be counted
         self.grown, self.counted_at = False, -inf  # words have come since, and can only have made it longer
@@ -166,12 +168,12 @@
         times += [self.uneasy_at()]
         return min((at for at in times if at > self.now), default=inf)
 
-    def word(self) -> Word:
+    def word(self) -> PolicyStatus:
         """What we say of ourselves, now."""
         self._switch()
         until = min(self._ahead(), self.promise.at if self.promise else inf)
         ours, sure = self.in_force, self.sure or self.from_file
-        return Word(
+        return PolicyStatus(
             self.me, self.name, self.now, ours.version, ours.digest, until, self.known, self.ended, sure
         )
 
@@ -184,7 +186,7 @@
         """Take up what was kept."""
         self._switch()
 
-    def heard(self, word: Word) -> None:
+    def heard(self, word: PolicyStatus) -> None:
         """The word of a member, or of one that will be, from itself or passed on by another."""
         before = self.words.get(word.member)
         if before is not None and before.at > word.at:
@@ -203,7 +205,7 @@
             self.sure = True
             self.door.note("policy.assumed", version=self.in_force.version)
 
-    def _dropped(self, change: Change, word: Word) -> bool:
+    def _dropped(self, change: PolicyProposal, word: PolicyStatus) -> bool:
         return word.ended >= change.number and word.known < change.policy.version
 
     def renewed(self, until: float, entered: int) -> None:
@@ -223,12 +225,12 @@
         """When our lease is so near its end that the words of others may be needed."""
         return self._leased() - UNEASY * self.lease
 
-    def told(self, decision: Decision) -> None:
+    def told(self, decision: PolicyDecision) -> None:
         """What a member knows to be decided."""
         if decision.policy.body is not None and digest(decision.policy.body) == decision.policy.digest:
             self._adopt(decision)
 
-    def recorded(self, records: Records, gap: bool) -> None:
+    def recorded(self, records: StoreRecords, gap: bool) -> None:
         """What the arbiter has. `gap`: there may have been changes between that nobody saw."""
         before, self.records = self.records, records
         change = records.next
@@ -258,10 +260,10 @@
         if change is not None and self.me in records.members and self._unvoted(change):
             self._consider(change)
 
-    def _unvoted(self, change: Change) -> bool:
+    def _unvoted(self, change: PolicyProposal) -> bool:
         return self.vote is None or self.vote[0] != change.number
 
-    def _is_open(self, change: Change) -> bool:
+    def _is_open(self, change: PolicyProposal) -> bool:
         return self.records.next is not None and self.records.next.number == change.number
 
     # Deciding what is what.
@@ -271,7 +273,7 @@
         """The latest version that is known to be decided; it may hold later only."""
         return self.decision.policy.version if self.decision else 0
 
-    def _adopt(self, decision: Decision) -> None:
+    def _adopt(self, decision: PolicyDecision) -> None:
         if decision.policy.version <= self.known:
             return
         self.decision = decision
@@ -301,7 +303,7 @@
             self.door.note("policy.in_force", version=policy.version, digest=policy.digest)
             self.door.rule(policy)
 
-    def _consider(self, change: Change) -> None:
+    def _consider(self, change: PolicyProposal) -> None:
         """Say yes or no, once."""
         why = self._why_not(change)
         if not why:
@@ -313,7 +315,7 @@
         self.counts["yes" if not why else "no"] += 1
         self.door.note("policy.vote", version=change.policy.version, yes=not why, reason=why)
 
-    def _why_not(self, change: Change) -> str:
+    def _why_not(self, change: PolicyProposal) -> str:
         policy = change.policy
         if policy.version != self.known + 1:
             return f"version {policy.version} does not follow {self.known}"
@@ -325,7 +327,7 @@
             return "the change before it has not taken hold yet"
         return self.door.check(policy.body)
 
-    def lately(self, members: Container[str], most: int) -> list[Word]:
+    def lately(self, members: Container[str], most: int) -> list[PolicyStatus]:
         """Words of these members that others may still count, the youngest first: to be passed on."""
         old = self.now - WORD * self.lease
         words = [word for word in self.words.values() if word.at > old and word.member in members]
@@ -342,7 +344,7 @@
             self.grown, self.counted_at = False, self.now
         return until
 
-    def _lasts(self, word: Word) -> float:
+    def _lasts(self, word: PolicyStatus) -> float:
         """Until when that word counts. By its own time, however it has come here; -inf: not at all."""
         same = (word.version, word.digest) == (self.in_force.version, self.in_force.digest) and word.sure
         return min(word.at + WORD * self.lease, word.until) if same else -inf
@@ -376,14 +378,14 @@
 
     # What is to be written at the arbiter.
 
-    def propose(self, body: Body, span: float) -> tuple[Txn, Change]:
+    def propose(self, body: Body, span: float) -> tuple[Transaction, PolicyProposal]:
         """A change that takes hold `span` seconds from now. Its checks are the caller's."""
         policy = Policy(self.known + 1, digest(body), body)
-        change = Change(policy, self.now + span, self.now, self.me)
+        change = PolicyProposal(policy, self.now + span, self.now, self.me)
         same = [equal(NEXT, "CREATE", 0), equal(NOW, "MOD", self.records.now_mod)]
-        return Txn("propose", same, [(NEXT, msgspec.json.encode(change))]), change
+        return Transaction("propose", same, [(NEXT, msgspec.json.encode(change))]), change
 
-    def drop(self, why: str) -> Txn | None:
+    def drop(self, why: str) -> Transaction | None:
         """The open change is not to be; None: there is none."""
         if self.records.next is None and not self.records.spoilt:
             return None
@@ -391,19 +393,19 @@
 
     def _ending(
         self, what: str, how: str, why: str, compare: list[Compare], put: list[tuple[str, bytes]]
-    ) -> Txn:
+    ) -> Transaction:
         """The one change of the proposal's key by which it ends."""
         number, change = self.records.next_mod, self.records.next
         version, digest_, author = 0, "", ""  # of one that nobody can read
         if change is not None:
             version, digest_, author = change.policy.version, change.policy.digest, change.author
-        past = Past(number, version, digest_, how, why[:LONGEST_WHY], self.now, author)
+        past = PastProposal(number, version, digest_, how, why[:LONGEST_WHY], self.now, author)
         oldest = sorted(self.records.past)[: 1 - PAST]
         erase = [NEXT, f"{VOTES}{number}/", *(f"{PAST_AT}{one}" for one in oldest)]
         put = [*put, (f"{PAST_AT}{number}", msgspec.json.encode(past))]
-        return Txn(what, [equal(NEXT, "MOD", number), *compare], put, erase)
+        return Transaction(what, [equal(NEXT, "MOD", number), *compare], put, erase)
 
-    def due(self) -> Txn | float:
+    def due(self) -> Transaction | float:
         """What to write at the arbiter now, or when to ask again."""
         records = self.records
         change = records.next
@@ -426,7 +428,7 @@
                 equal(key, "CREATE", 0),
                 equal(MEMBERS + self.me, "CREATE", records.members[self.me].term),
             ]
-            return Txn("vote", same, [(key, msgspec.json.encode(self.vote[1]))])
+            return Transaction("vote", same, [(key, msgspec.json.encode(self.vote[1]))])
         votes = {member: why for member, why in records.votes.items() if member in records.members}
         no = sorted(member for member, why in votes.items() if why)
         if no:
@@ -452,7 +454,7 @@
             return f"{len(votes)} of {len(self.records.names)} registered were there"
         return "not decided in time"
 
-    def _in_turn(self, what: str, number: int, made: Any) -> Txn | float:
+    def _in_turn(self, what: str, number: int, made: Any) -> Transaction | float:
         """Anybody may do it; its author first, then one after another."""
         since = self.since.setdefault((what, number), self.now)
         if len(self.since) > 4 * PAST:
@@ -466,10 +468,10 @@
         at = since + min(turn, TURNS) * TURN * self.lease
         return made() if self.now >= at else at
 
-    def _decide(self, change: Change) -> Txn:
+    def _decide(self, change: PolicyProposal) -> Transaction:
         records = self.records
         before = self.decision.policy if self.decision else Policy()
-        decision = Decision(change.policy, change.at, change.number, before)
+        decision = PolicyDecision(change.policy, change.at, change.number, before)
         unchanged = [
             equal(NOW, "MOD", records.now_mod),
             Compare(MEMBERS, "MOD", "LESS", records.revision + 1, prefix=True),
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from .common import Body
-from .view import MOST_CELLS, Member, View
+from .view import MOST_CELLS, Member, MembershipView
 
 NOW, NEXT, VOTES, PAST_AT = "policy/now", "policy/next", "policy/votes/", "policy/past/"
 MEMBERS, NAMES = "members/", "names/"
@@ -23,7 +23,7 @@
     body: Body | None = None
 
 
-class Change(msgspec.Struct, frozen=True):
+class PolicyProposal(msgspec.Struct, frozen=True):
     """A proposal. Times are seconds on the wall clock; `number` is the revision that it was written at."""
 
     policy: Policy
@@ -33,7 +33,7 @@
     number: int = 0
 
 
-class Decision(msgspec.Struct, frozen=True):
+class PolicyDecision(msgspec.Struct, frozen=True):
     """What is in force from `at` on, and before."""
 
     policy: Policy
@@ -42,7 +42,7 @@
     before: Policy
 
 
-class Past(msgspec.Struct, frozen=True):
+class PastProposal(msgspec.Struct, frozen=True):
     number: int
     version: int
     digest: str
@@ -52,7 +52,7 @@
     author: str
 
 
-class Seen(msgspec.Struct):
+class ZoneHealth(msgspec.Struct):
     """Of one zone, by one member: hand-offs a second as usual, its part that fails there now, and trials.
 
     `last`: when its last trials have ended, and whether well.
@@ -72,12 +72,12 @@
     last: list[tuple[float, bool]] = []
 
 
-class Said(msgspec.Struct):
+class ZoneReport(msgspec.Struct):
     at: float
-    zones: dict[str, Seen]
+    zones: dict[str, ZoneHealth]
 
 
-class Zone(msgspec.Struct, frozen=True):
+class ZoneState(msgspec.Struct, frozen=True):
     """What the plan says of one that is not whole. `next`: when it may change."""
 
     share: float
@@ -91,20 +91,20 @@
     by_operator: bool = False
 
 
-class Plan(msgspec.Struct, frozen=True):
+class ZonePlan(msgspec.Struct, frozen=True):
     epoch: int = 0
-    zones: dict[str, Zone] = {}
+    zones: dict[str, ZoneState] = {}
     bears: dict[str, float] = {}  # hand-offs a second that a zone was seen to turn away at
 
 
-class Cut(msgspec.Struct, frozen=True):
+class Sharding(msgspec.Struct, frozen=True):
     """Into how many cells the fleet is cut: a power of two. `at`: seconds on the wall clock."""
 
     count: int
     at: float = 0.0
 
 
-class Entry(msgspec.Struct, frozen=True):
+class StoreEntry(msgspec.Struct, frozen=True):
     value: bytes
     create: int
     mod: int
@@ -120,7 +120,7 @@
     prefix: bool = False
 
 
-class Txn(msgspec.Struct, frozen=True):
+class Transaction(msgspec.Struct, frozen=True):
     """One transaction at the arbiter.
 
     `erase`: a key, or all below one that ends in a stroke. `leased`: what is put goes with our entry.
@@ -137,7 +137,7 @@
     return Compare(key, target, "EQUAL", value)
 
 
-class Records:
+class StoreRecords:
     """What the arbiter has under the fleet's name, as of one revision."""
 
     def __init__(self, cells: int = 0) -> None:
@@ -150,28 +150,30 @@
         self.cells_spoilt = False  # nobody can read it
         self.members: dict[str, Member] = {}
         self.names: dict[str, int] = {}
-        self.now: Decision | None = None
+        self.now: PolicyDecision | None = None
         self.now_mod = 0
-        self.next: Change | None = None
+        self.next: PolicyProposal | None = None
         self.next_mod = 0
         self.spoilt = False  # there is a proposal that nobody can read
         self.votes: dict[str, str] = {}  # of the open proposal: empty is a yes
-        self.past: dict[int, Past] = {}
-        self.plan: Plan | None = None
+        self.past: dict[int, PastProposal] = {}
+        self.plan: ZonePlan | None = None
         self.plan_mod = 0
-        self.said: dict[str, Said] = {}
+        self.said: dict[str, ZoneReport] = {}
 
-    def copy(self) -> Records:
+    def copy(self) -> StoreRecords:
         other = copy.copy(self)
         for name in ("members", "names", "votes", "past", "said"):
             setattr(other, name, dict(getattr(self, name)))
         return other
 
-    def view(self) -> View:
+    def view(self) -> MembershipView:
         """Who is in. Empty while nobody here knows into how many cells the fleet is cut."""
-        return View(self.members.values(), self.cells, self.cut_at) if self.cells else View()
+        return (
+            MembershipView(self.members.values(), self.cells, self.cut_at) if self.cells else MembershipView()
+        )
 
-    def put(self, key: str, entry: Entry) -> str:
+    def put(self, key: str, entry: StoreEntry) -> str:
         """Take over one entry; the reason if it can't be read."""
         try:
             if key.startswith(MEMBERS):
@@ -183,10 +185,10 @@
                 self.names[key.removeprefix(NAMES)] = entry.create
             elif key == NOW:
                 self.now_mod = entry.mod  # also of one that nobody can read: it is in the way of none
-                self.now = msgspec.json.decode(entry.value, type=Decision)
+                self.now = msgspec.json.decode(entry.value, type=PolicyDecision)
             elif key == NEXT:
                 self.next, self.next_mod, self.spoilt = None, entry.mod, True
-                change = msgspec.json.decode(entry.value, type=Change)
+                change = msgspec.json.decode(entry.value, type=PolicyProposal)
                 self.next = msgspec.structs.replace(change, number=entry.create)
                 self.spoilt = False
             elif key.startswith(VOTES):
@@ -194,13 +196,13 @@
                 if int(number) == self.next_mod:
                     self.votes[member] = msgspec.json.decode(entry.value, type=str)
             elif key.startswith(PAST_AT):
-                past = msgspec.json.decode(entry.value, type=Past)
+                past = msgspec.json.decode(entry.value, type=PastProposal)
                 self.past[past.number] = past
             elif key == PLAN:
                 self.plan_mod, self.plan = entry.mod, None
-                self.plan = msgspec.json.decode(entry.value, type=Plan)
+                self.plan = msgspec.json.decode(entry.value, type=ZonePlan)
             elif key.startswith(SAID):
-                self.said[key.removeprefix(SAID)] = msgspec.json.decode(entry.value, type=Said)
+                self.said[key.removeprefix(SAID)] = msgspec.json.decode(entry.value, type=ZoneReport)
             elif key == CELLS:
                 self._cut(entry)
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError):
@@ -209,11 +211,11 @@
             return "unreadable"
         return ""
 
-    def _cut(self, entry: Entry) -> None:
+    def _cut(self, entry: StoreEntry) -> None:
         # Guards against taking what can't be read for one cell: homes would be others than everybody else's.
         self.cells = self.cells if self.revision else self.cells_before
         self.cells_mod, self.cells_spoilt = entry.mod, True
-        cut = msgspec.json.decode(entry.value, type=Cut)
+        cut = msgspec.json.decode(entry.value, type=Sharding)
         if not 1 <= cut.count <= MOST_CELLS or cut.count & (cut.count - 1):
             raise ValueError(f"{cut.count} cells")
         self.cells, self.cut_at, self.cells_spoilt = cut.count, cut.at, False
--- a/starlingwheel/fleet/view.py
+++ b/starlingwheel/fleet/view.py
@@ -46,7 +46,7 @@
     return int.from_bytes(hashlib.blake2b("\n".join(lines).encode(), digest_size=7).digest(), "big")
 
 
-class View:
+class MembershipView:
     def __init__(self, members: Iterable[Member] = (), cells: int = 1, cut_at: float = 0.0) -> None:
         """`cells`: how many, a power of two; `cut_at`: when that was decided, seconds on the wall clock."""
         self.members = {member.id: member for member in sorted(members, key=lambda m: m.id)}
@@ -114,7 +114,7 @@
             known = self.digests[cell] = digest(lines)
         return known
 
-    def holders(self, cell: int, older: View) -> set[str]:
+    def holders(self, cell: int, older: MembershipView) -> set[str]:
         """Those who may know, by an older view, of what has a name that this cell keeps now."""
         if self.cells == older.cells == 1:
             return set(older.members)
--- a/starlingwheel/fleet/zones.py
+++ b/starlingwheel/fleet/zones.py
@@ -21,7 +21,18 @@
 
 import msgspec
 
-from .records import MEMBERS, PLAN, SAID, Plan, Records, Said, Seen, Txn, Zone, equal
+from .records import (
+    MEMBERS,
+    PLAN,
+    SAID,
+    StoreRecords,
+    Transaction,
+    ZoneHealth,
+    ZonePlan,
+    ZoneReport,
+    ZoneState,
+    equal,
+)
 
 WINDOW = 2.0  # shortest due times: what is older is not looked at
 SILENT = 4.0  # times the usual answer after which one that has not come counts as silent
@@ -51,7 +62,7 @@
 TURN, TURNS = 1 / 32, 16  # of a lease: for so long each waits for those before it
 
 
-class Window:
+class OutcomeWindow:
     """Counts of one zone in two halves of a window."""
 
     __slots__ = ("now", "before", "turned", "row", "row_at", "good_at", "well_since", "failing_until")
@@ -70,14 +81,14 @@
         return sum(self.now[one] + self.before[one] for one in what)
 
 
-class Noting:
+class ZoneHealthTracker:
     """What one member sees of its own hand-offs, by zone."""
 
     def __init__(self, window: float, now: float) -> None:
         """`window`: seconds."""
         self.window, self.now = window, now
         self.half_at, self.looked_at = now + window / 2, now
-        self.zones: dict[str, Window] = {}
+        self.zones: dict[str, OutcomeWindow] = {}
         self.pending: dict[Any, tuple[str, float]] = {}
         self.silent: set[Any] = set()
         self.usual, self.answers = 0.0, 0.0
@@ -86,8 +97,8 @@
         # When the last trials of each have ended, and whether well.
         self.last: dict[str, deque[tuple[float, bool]]] = {}
 
-    def _zone(self, zone: str) -> Window:
-        return self.zones.setdefault(zone, Window())
+    def _zone(self, zone: str) -> OutcomeWindow:
+        return self.zones.setdefault(zone, OutcomeWindow())
 
     def began(self, hand_off: Any, zone: str) -> None:
         self.pending[hand_off] = (zone, self.now)
@@ -122,7 +133,7 @@
             self.tried[zone] = epoch, well + (how == "good"), badly + (how == "bad")
             self.last.setdefault(zone, deque(maxlen=int(GOOD))).append((round(self.now, 3), how == "good"))
 
-    def follow(self, plan: Plan) -> None:
+    def follow(self, plan: ZonePlan) -> None:
         """Trials are counted from each step of the plan on."""
         for zone, told in plan.zones.items():
             if self.tried.get(zone, (0, 0, 0))[0] != told.epoch:
@@ -131,7 +142,7 @@
         for zone in [zone for zone in self.tried if zone not in plan.zones]:
             del self.tried[zone]
 
-    def look(self) -> dict[str, Seen]:
+    def look(self) -> dict[str, ZoneHealth]:
         """What is to be said now; asked for every eighth of a window or sooner."""
         gap, self.looked_at = self.now - self.looked_at, self.now
         if gap > self.window / 4:
@@ -144,7 +155,7 @@
             self.half_at += self.window / 2
             if self.half_at < self.now - self.window:
                 self.half_at = self.now + self.window / 2  # after a pause nothing of before counts
-        told: dict[str, Seen] = {}
+        told: dict[str, ZoneHealth] = {}
         counts = {zone: self._counted(window) for zone, window in self.zones.items()}
         for zone, window in self.zones.items():
             others = [both for name, both in counts.items() if name != zone]
@@ -169,7 +180,7 @@
             rate = window.of("begun") / self.window
             full = window.turned > self.now - self.window and window.of("full") >= FEW
             weight = round(self.weight.get(zone, 0.0), 2)
-            seen = Seen(
+            seen = ZoneHealth(
                 weight, round(rate, 2), failing, round(part, 2), full, round(counted), round(bad), window.row
             )
             if zone in self.tried:
@@ -192,7 +203,7 @@
                 window.now["silent"] += 1
                 window.failed(at + span)
 
-    def _counted(self, window: Window) -> tuple[float, float]:
+    def _counted(self, window: OutcomeWindow) -> tuple[float, float]:
         """Hand-offs that tell something, and those of them that failed. One late is slow, not lost."""
         bad = window.of("bad") + max(0.0, window.of("silent") - 2 * window.of("late"))
         return bad + window.of("good", "late"), bad
@@ -208,7 +219,7 @@
             window.before, window.now = window.now, Counter()
 
 
-class Door(Protocol):
+class ZoneHost(Protocol):
     def shares(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
         """The part of its hand-offs that each zone gets, whole unless named; `back`: those that return."""
 
@@ -216,7 +227,7 @@
         """For the log."""
 
 
-class Planning:
+class ZonePlanner:
     """One member's part of the fleet's plan."""
 
     def __init__(
@@ -225,17 +236,17 @@
         lease: float,
         regions: Mapping[str, str],
         bears: Mapping[str, float],
-        door: Door,
-        noting: Noting,
+        door: ZoneHost,
+        noting: ZoneHealthTracker,
     ) -> None:
         """`regions`: of each zone, by configuration; `bears`: hand-offs a second, where that is known."""
         self.me, self.lease, self.regions, self.bears = me, lease, dict(regions), dict(bears)
         self.door, self.noting = door, noting
-        self.records = Records()
-        self.plan = Plan()
+        self.records = StoreRecords()
+        self.plan = ZonePlan()
         self.plan_mod = 0
-        self.said: dict[str, Said] = {}
-        self.mine: dict[str, Seen] = {}
+        self.said: dict[str, ZoneReport] = {}
+        self.mine: dict[str, ZoneHealth] = {}
         self.mine_at = -inf
         self.most_at = -inf
         self.most: dict[str, float] = {}  # hand-offs a second of the fleet that each was seen to do well
@@ -252,13 +263,13 @@
         """As the host has told it."""
         return self.noting.now
 
-    def recorded(self, records: Records) -> None:
+    def recorded(self, records: StoreRecords) -> None:
         self.records = records
         if records.plan_mod != self.plan_mod:
             self.plan_mod = records.plan_mod
-            self._follow(records.plan or Plan())
+            self._follow(records.plan or ZonePlan())
 
-    def _follow(self, plan: Plan) -> None:
+    def _follow(self, plan: ZonePlan) -> None:
         before, self.plan = self.plan, plan
         self.noting.follow(plan)
         self.recent.append((self.now, {name: zone.share for name, zone in before.zones.items()}))
@@ -308,7 +319,7 @@
         # Twice as long as between two words: guards against a side that is not heard for a moment.
         return seen.failing or (seen.counted > 0 and self.said[member].at > self.now - 2 * AGAIN * self.lease)
 
-    def _seen(self, zone: str) -> list[Seen]:
+    def _seen(self, zone: str) -> list[ZoneHealth]:
         """What all have said of it."""
         return [said.zones[zone] for said in self.said.values() if zone in said.zones]
 
@@ -373,7 +384,7 @@
 
     # What is to be written at the arbiter.
 
-    def due(self) -> Txn | float:
+    def due(self) -> Transaction | float:
         """What to write now, or when to ask again."""
         if self.me not in self.records.members:
             return inf
@@ -388,7 +399,7 @@
             return word
         return self._next()
 
-    def _word(self) -> Txn | None:
+    def _word(self) -> Transaction | None:
         """What we see, where it differs from what we have said."""
         seen = self.noting.look()
         if self.now < self.mine_at + SAY * self.lease or not seen:
@@ -409,7 +420,9 @@
         self.mine, self.mine_at = seen, self.now
         key = SAID + self.me
         there = [equal(MEMBERS + self.me, "CREATE", self.records.members[self.me].term)]
-        return Txn("zones.said", there, [(key, msgspec.json.encode(Said(self.now, seen)))], leased=True)
+        return Transaction(
+            "zones.said", there, [(key, msgspec.json.encode(ZoneReport(self.now, seen)))], leased=True
+        )
 
     def _said_weight(self, zone: str) -> float:
         return self.mine[zone].weight if zone in self.mine else 0.0
@@ -418,7 +431,7 @@
         mine = self.mine.get(zone)
         return (mine.epoch, mine.tried_well, mine.tried_badly) if mine else (0, 0, 0)
 
-    def _next(self) -> Txn | float:
+    def _next(self) -> Transaction | float:
         """The next plan, if what is known calls for one."""
         # Guards against weighing what all have said anew with each word of a large fleet.
         if self.now < self.look_at:
@@ -464,20 +477,20 @@
                 bears[name] = rate
         if zones == self.plan.zones and bears == self.plan.bears:
             return min(again, self.now + self.noting.window / 8)
-        return self._in_turn(Plan(epoch, zones, bears))
+        return self._in_turn(ZonePlan(epoch, zones, bears))
 
-    def _returning(self, zone: Zone, share: float, epoch: int, why: str) -> Zone:
+    def _returning(self, zone: ZoneState, share: float, epoch: int, why: str) -> ZoneState:
         until = self.now + STEP * self.lease
-        return Zone(share, "returning", epoch, self.now, until, why, zone.failed, zone.region)
+        return ZoneState(share, "returning", epoch, self.now, until, why, zone.failed, zone.region)
 
-    def _left(self, name: str, failed: int, share: float, epoch: int, why: str) -> Zone:
+    def _left(self, name: str, failed: int, share: float, epoch: int, why: str) -> ZoneState:
         pause = min(PAUSE * 2**failed, LONGEST) * self.lease
         region = self.regions.get(name, "")
-        return Zone(max(share, TRIAL), "left", epoch, self.now, self.now + pause, why, failed, region)
+        return ZoneState(max(share, TRIAL), "left", epoch, self.now, self.now + pause, why, failed, region)
 
     def _leaving(
-        self, zones: dict[str, Zone], epoch: int, known: dict[str, tuple[float, float]]
-    ) -> dict[str, Zone]:
+        self, zones: dict[str, ZoneState], epoch: int, known: dict[str, tuple[float, float]]
+    ) -> dict[str, ZoneState]:
         """Zones that are to be left now: with their region where most of that fails."""
         agreed = {name for name in known if name not in zones and self._agreed(name)}
         # Guards against leaving for a moment in which much stood still.
@@ -530,11 +543,11 @@
     def _usual(self, zone: str) -> float:
         return sum(self._weight(member, zone) for member in self.said)
 
-    def _trials(self, name: str, zone: Zone) -> tuple[int, int]:
+    def _trials(self, name: str, zone: ZoneState) -> tuple[int, int]:
         seen = [s for s in self._seen(name) if s.epoch == zone.epoch]
         return sum(s.tried_well for s in seen), sum(s.tried_badly for s in seen)
 
-    def _tried_well(self, name: str, zone: Zone) -> bool:
+    def _tried_well(self, name: str, zone: ZoneState) -> bool:
         """Of the last trials of all. Guards against what failed before it was back counting against it."""
         last = sorted(one for seen in self._seen(name) if seen.epoch == zone.epoch for one in seen.last)[
             -int(GOOD) :
@@ -543,15 +556,15 @@
         same = all(z.state != "left" or self.now >= z.next for z in region)
         return same and len(last) == GOOD and all(well for _, well in last)
 
-    def _goes_well(self, name: str, zone: Zone) -> bool:
+    def _goes_well(self, name: str, zone: ZoneState) -> bool:
         well, badly = self._trials(name, zone)
         return well >= GOOD and badly <= FAILING * APART * (well + badly)
 
-    def _goes_badly(self, name: str, zone: Zone) -> bool:
+    def _goes_badly(self, name: str, zone: ZoneState) -> bool:
         well, badly = self._trials(name, zone)
         return badly >= FEW and badly >= FAILING * (well + badly)
 
-    def _in_turn(self, plan: Plan) -> Txn | float:
+    def _in_turn(self, plan: ZonePlan) -> Transaction | float:
         """Anybody may write it: one after another, so that they don't all do it at once."""
         ranks = sorted(self.records.members)
         turn = (ranks.index(self.me) + plan.epoch) % len(ranks)
@@ -563,12 +576,14 @@
             return at
         return self.written(plan)
 
-    def written(self, plan: Plan) -> Txn:
-        return Txn("zones.plan", [equal(PLAN, "MOD", self.plan_mod)], [(PLAN, msgspec.json.encode(plan))])
+    def written(self, plan: ZonePlan) -> Transaction:
+        return Transaction(
+            "zones.plan", [equal(PLAN, "MOD", self.plan_mod)], [(PLAN, msgspec.json.encode(plan))]
+        )
 
     # Operators.
 
-    def say(self, name: str, what: str, why: str) -> Txn | None:
+    def say(self, name: str, what: str, why: str) -> Transaction | None:
         """`what`: leave, return or hold. None: there is nothing to change."""
         zones, epoch = dict(self.plan.zones), self.plan.epoch + 1
         zone = zones.get(name)
@@ -576,7 +591,7 @@
             left = self._left(name, 0, TRIAL, epoch, why)
             zones[name] = msgspec.structs.replace(left, share=0.0, by_operator=True)
         elif what == "hold":
-            held = zone or Zone(1.0, "held", epoch, self.now, inf, why)
+            held = zone or ZoneState(1.0, "held", epoch, self.now, inf, why)
             zones[name] = msgspec.structs.replace(
                 held, state="held", epoch=epoch, why=why, by_operator=True, next=self.now
             )
@@ -586,4 +601,4 @@
             zones[name] = msgspec.structs.replace(
                 self._returning(zone, FIRST, epoch, why), failed=0, by_operator=False
             )
-        return self.written(Plan(epoch, zones, self.plan.bears))
+        return self.written(ZonePlan(epoch, zones, self.plan.bears))
--- a/starlingwheel/net/fleet/arbiter.py
+++ b/starlingwheel/net/fleet/arbiter.py
@@ -19,13 +19,21 @@
 import h11
 import msgspec
 
-from ...fleet.records import CELLS, MEMBERS, NAMES, Compare, Entry, Records, Txn, equal
+from ...fleet.records import CELLS, MEMBERS, NAMES, Compare, StoreEntry, StoreRecords, Transaction, equal
 from ...fleet.view import Member
 from ..actor import Actor, Coroutine
 from ..loop import READ, WRITE, Loop, Ready
-from ..memory.buffers import Pool
-from ..wire.http import Lost, Stream, connect
-from .mail import ANEW, Lapsed, Recorded, Renewed, Strike, Viewed, Write
+from ..memory.buffers import BufferPool
+from ..wire.http import ConnectionLostError, Stream, connect
+from .mail import (
+    REGISTER_AGAIN,
+    EntryLost,
+    EvictMember,
+    LeaseRenewed,
+    StoreRead,
+    ViewChanged,
+    WriteTransaction,
+)
 
 WITHIN = 1 / 3  # of the lease within which a call is answered, or given up
 RENEW = 1 / 3  # of the lease after which it is renewed
@@ -38,56 +46,56 @@
 GRANT, KEEPALIVE = "/v3/lease/grant", "/v3/lease/keepalive"
 
 
-class Unfit(Exception):
+class UnusableReplyError(Exception):
     """An answer that is none, or a no; the text is its reason code."""
 
 
-class Header(msgspec.Struct):
+class ReplyHeader(msgspec.Struct):
     revision: str = "0"
 
 
-class Pair(msgspec.Struct):
+class KeyValue(msgspec.Struct):
     key: str = ""
     value: str = ""
     create_revision: str = "0"
     mod_revision: str = "0"
 
 
-class Ranged(msgspec.Struct):
-    header: Header
-    kvs: list[Pair] = []
+class RangeReply(msgspec.Struct):
+    header: ReplyHeader
+    kvs: list[KeyValue] = []
     count: str = "0"
 
 
-class Granted(msgspec.Struct):
+class LeaseGranted(msgspec.Struct):
     ID: str
     TTL: str = "0"
 
 
-class Kept(msgspec.Struct):
-    result: Granted
+class KeepAliveReply(msgspec.Struct):
+    result: LeaseGranted
 
 
-class Decided(msgspec.Struct):
-    header: Header
+class TransactionReply(msgspec.Struct):
+    header: ReplyHeader
     succeeded: bool = False
 
 
 class Event(msgspec.Struct):
-    kv: Pair
+    kv: KeyValue
     type: str = "PUT"
 
 
-class Seen(msgspec.Struct):
-    header: Header | None = None
+class WatchEvents(msgspec.Struct):
+    header: ReplyHeader | None = None
     events: list[Event] = []
     created: bool = False
     canceled: bool = False
     compact_revision: str = "0"
 
 
-class Line(msgspec.Struct):
-    result: Seen
+class WatchLine(msgspec.Struct):
+    result: WatchEvents
 
 
 def b64(text: str | bytes) -> str:
@@ -101,7 +109,7 @@
 
 def number(text: str) -> int:
     if not (text.isascii() and text.isdigit()) or len(text) > 19:
-        raise Unfit("no-number")
+        raise UnusableReplyError("no-number")
     return int(text)
 
 
@@ -109,10 +117,10 @@
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Unfit("unreadable") from error
+        raise UnusableReplyError("unreadable") from error
 
 
-class Speaker(Actor):
+class EtcdSession(Actor):
     """What they have in common: calls over one kept connection, and pauses between tries."""
 
     lasting = True
@@ -122,7 +130,7 @@
         loop: Loop,
         addresses: list[str],
         lease: float,
-        pool: Pool,
+        pool: BufferPool,
         log: Callable[..., None],
         chance: random.Random,
         fleet: str,
@@ -140,7 +148,7 @@
         while True:
             try:
                 yield from self.work()
-            except (Lost, Unfit) as error:
+            except (ConnectionLostError, UnusableReplyError) as error:
                 self.hang_up()
                 self.reasons[str(error)] += 1
                 if not self.pause and str(error) != "quiet":
@@ -168,8 +176,8 @@
     def wait(self, until: float) -> Coroutine[None]:
         while self.loop.now() < until:
             mail = yield until
-            if isinstance(mail, Lapsed):
-                raise Unfit("entry-gone")
+            if isinstance(mail, EntryLost):
+                raise UnusableReplyError("entry-gone")
             if isinstance(mail, Ready) and self.stream is not None:
                 # Nothing was asked for: it has ended.
                 self.hang_up()
@@ -179,12 +187,12 @@
             mail = yield until
             if isinstance(mail, Ready):
                 return
-            if isinstance(mail, Lapsed):
-                raise Unfit("entry-gone")
-            if mail is ANEW:
-                raise Lost("quiet")
+            if isinstance(mail, EntryLost):
+                raise UnusableReplyError("entry-gone")
+            if mail is REGISTER_AGAIN:
+                raise ConnectionLostError("quiet")
             if self.loop.now() >= until:
-                raise Lost(late)
+                raise ConnectionLostError(late)
 
     def ask(self, path: str, body: dict[str, Any], until: float) -> Coroutine[None]:
         """Send a call; what follows is its answer."""
@@ -214,7 +222,7 @@
             event = self.stream.event()
             if event is not h11.NEED_DATA:
                 if isinstance(event, h11.ConnectionClosed):
-                    raise Lost("closed")
+                    raise ConnectionLostError("closed")
                 return event
             yield from self._ready(until, late)
             self.stream.read()
@@ -231,7 +239,7 @@
             elif isinstance(event, h11.Data):
                 data += bytes(event.data)
                 if len(data) > LONGEST:
-                    raise Unfit("endless")
+                    raise UnusableReplyError("endless")
             elif isinstance(event, h11.EndOfMessage):
                 break
         if self.stream.http.our_state is h11.DONE and self.stream.http.their_state is h11.DONE:
@@ -239,10 +247,10 @@
         else:
             self.hang_up()
         if status != 200:
-            raise Unfit(f"answered-{status}")
+            raise UnusableReplyError(f"answered-{status}")
         return read(data, kind)
 
-    def write(self, txn: Txn, lease: str = "") -> Coroutine[bool]:
+    def write(self, txn: Transaction, lease: str = "") -> Coroutine[bool]:
         """Whether it was carried out. `lease`: of what is put."""
         compare = [self._compared(one) for one in txn.compare]
         under = {"lease": lease} if lease else {}
@@ -255,7 +263,7 @@
             if key.endswith("/"):
                 erase["range_end"] = b64(after(self.fleet + key))
             success.append({"request_delete_range": erase})
-        decided = yield from self.call(TXN, {"compare": compare, "success": success}, Decided)
+        decided = yield from self.call(TXN, {"compare": compare, "success": success}, TransactionReply)
         self.well()
         return decided.succeeded
 
@@ -268,7 +276,7 @@
         return told
 
 
-class Lessee(Speaker):
+class LeaseKeeper(EtcdSession):
     """Holds a lease and, under it, our entry among the members."""
 
     def __init__(self, *given: Any, member: Member, tell: Callable[[Any], None]) -> None:
@@ -278,7 +286,7 @@
 
     def work(self) -> Coroutine[None]:
         asked = self.loop.now()
-        granted = yield from self.call(GRANT, {"TTL": str(int(self.lease))}, Granted)
+        granted = yield from self.call(GRANT, {"TTL": str(int(self.lease))}, LeaseGranted)
         lease, seconds = granted.ID, number(granted.TTL)
         put = {
             "key": b64(self.prefix + self.member.id),
@@ -290,20 +298,20 @@
         new = {"key": name["key"], "target": "CREATE", "result": "EQUAL", "create_revision": "0"}
         entry = {"request_put": put}
         enter = {"compare": [new], "success": [{"request_put": name}, entry], "failure": [entry]}
-        entered = number((yield from self.call(TXN, enter, Decided)).header.revision)
+        entered = number((yield from self.call(TXN, enter, TransactionReply)).header.revision)
         self.held = lease
         self.log("arbiter.entered", member=self.member.id, lease_s=seconds)
         held = asked
         while True:
-            self.tell(Renewed(held + seconds, entered))
+            self.tell(LeaseRenewed(held + seconds, entered))
             self.well()
             yield from self.wait(held + RENEW * seconds)
             while True:
                 asked = self.loop.now()
                 try:
-                    kept = yield from self.call(KEEPALIVE, {"ID": lease}, Kept)
+                    kept = yield from self.call(KEEPALIVE, {"ID": lease}, KeepAliveReply)
                     break
-                except (Lost, Unfit) as error:
+                except (ConnectionLostError, UnusableReplyError) as error:
                     self.hang_up()
                     if str(error) == "entry-gone" or self.loop.now() >= held + seconds:
                         raise
@@ -313,11 +321,11 @@
                     yield from self.wait(self.loop.now() + PAUSES[0])
             held, seconds = asked, number(kept.result.TTL)
             if not seconds:
-                self.tell(Renewed(-inf, 0))
-                raise Unfit("lease-ended")
+                self.tell(LeaseRenewed(-inf, 0))
+                raise UnusableReplyError("lease-ended")
 
 
-class Clerk(Speaker):
+class MemberEvictor(EtcdSession):
     """Ends the entries of members whose process has ended, so that nobody waits for their leases."""
 
     def __init__(self, *given: Any) -> None:
@@ -325,7 +333,7 @@
         super().__init__(*given)
 
     def post(self, mail: Any) -> None:
-        if isinstance(mail, Strike):
+        if isinstance(mail, EvictMember):
             # Guards against losing one that comes while another is waited for: many may end at once.
             self.gone[mail.member.id] = mail.member
         super().post(mail)
@@ -342,14 +350,16 @@
     def _strike(self, member: Member) -> Coroutine[None]:
         key = MEMBERS + member.id
         # Only the entry that we know of: it may have entered anew.
-        if (yield from self.write(Txn("strike", [equal(key, "CREATE", member.term)], erase=[key]))):
+        if (yield from self.write(Transaction("strike", [equal(key, "CREATE", member.term)], erase=[key]))):
             self.log("member.struck", member=member.id)
 
 
-class Scribe(Speaker):
+class StateWriter(EtcdSession):
     """Writes at the arbiter what the policy has due, and what operators ask for."""
 
-    def __init__(self, *given: Any, due: Callable[[], Txn | float], lease_id: Callable[[], str]) -> None:
+    def __init__(
+        self, *given: Any, due: Callable[[], Transaction | float], lease_id: Callable[[], str]
+    ) -> None:
         super().__init__(*given)
         self.due, self.lease_id = due, lease_id
 
@@ -357,7 +367,7 @@
         until = 0.0
         while True:
             what = self.due() if self.loop.now() >= until else until
-            if isinstance(what, Txn):
+            if isinstance(what, Transaction):
                 done = yield from self.write(what, self.lease_id() if what.leased else "")
                 if not what.leased:
                     self.log("arbiter.wrote", what=what.what, done=done)
@@ -367,28 +377,28 @@
             mail = yield what
             if isinstance(mail, Ready):
                 self.hang_up()
-            elif isinstance(mail, Write):
+            elif isinstance(mail, WriteTransaction):
                 mail.done = yield from self.write(mail.txn)
             elif mail is not None:
                 until = 0.0  # something is known anew
 
 
-class Onlooker(Speaker):
+class StateWatcher(EtcdSession):
     """Follows all that the fleet has at the arbiter: the whole, then each change of it, in order."""
 
     def __init__(self, *given: Any, tell: Callable[[Any], None]) -> None:
         super().__init__(*given)
         self.tell = tell
-        self.records = Records()
+        self.records = StoreRecords()
         self.revision = 0  # up to which all changes are known; 0: none is
 
     def work(self) -> Coroutine[None]:
         reach = {"key": b64(self.fleet), "range_end": b64(after(self.fleet))}
         if not self.revision:
-            ranged = yield from self.call(RANGE, reach, Ranged)
+            ranged = yield from self.call(RANGE, reach, RangeReply)
             if len(ranged.kvs) > MOST:
-                raise Unfit("too-many")
-            self.records = Records(self.records.cells if self.records.revision else 0)
+                raise UnusableReplyError("too-many")
+            self.records = StoreRecords(self.records.cells if self.records.revision else 0)
             for pair in ranged.kvs:
                 self._put(pair)
             self.revision = number(ranged.header.revision)
@@ -400,21 +410,21 @@
         while True:
             event = yield from self.event(self.loop.now() + QUIET * self.lease, "quiet")
             if isinstance(event, h11.Response) and event.status_code != 200:
-                raise Unfit(f"answered-{event.status_code}")
+                raise UnusableReplyError(f"answered-{event.status_code}")
             if isinstance(event, h11.Data):
                 *whole, line = (line + bytes(event.data)).split(b"\n")
                 if len(line) > LINE:
-                    raise Unfit("endless")
+                    raise UnusableReplyError("endless")
                 for text in whole:
                     if text.strip():
-                        self._seen(read(text, Line).result)
+                        self._seen(read(text, WatchLine).result)
             elif isinstance(event, h11.EndOfMessage):
-                raise Lost("watch-ended")
+                raise ConnectionLostError("watch-ended")
 
-    def _seen(self, seen: Seen) -> None:
+    def _seen(self, seen: WatchEvents) -> None:
         if seen.canceled:
             self.revision = 0
-            raise Unfit("compacted" if seen.compact_revision != "0" else "canceled")
+            raise UnusableReplyError("compacted" if seen.compact_revision != "0" else "canceled")
         self.well()
         last, members = "", False
         for event in seen.events:
@@ -433,22 +443,24 @@
         if seen.events:
             self._say(gap=False, members=members)
 
-    def _key(self, pair: Pair) -> str:
+    def _key(self, pair: KeyValue) -> str:
         try:
             key = b64decode(pair.key, validate=True).decode()
         except ValueError as error:
-            raise Unfit("unreadable") from error
+            raise UnusableReplyError("unreadable") from error
         if not key.startswith(self.fleet):
-            raise Unfit("not-asked-for")
+            raise UnusableReplyError("not-asked-for")
         return key.removeprefix(self.fleet)
 
-    def _put(self, pair: Pair) -> None:
+    def _put(self, pair: KeyValue) -> None:
         key = self._key(pair)
         try:
             value = b64decode(pair.value, validate=True)
         except ValueError:
             value = b""
-        reason = self.records.put(key, Entry(value, number(pair.create_revision), number(pair.mod_revision)))
+        reason = self.records.put(
+            key, StoreEntry(value, number(pair.create_revision), number(pair.mod_revision))
+        )
         if reason:
             # One entry that nobody can read does not hide the others.
             self.log("arbiter.entry", key=key, reason=reason)
@@ -456,5 +468,5 @@
     def _say(self, gap: bool, members: bool) -> None:
         self.records.revision = self.revision
         if members:
-            self.tell(Viewed(self.records.view(), gap))
-        self.tell(Recorded(self.records.copy(), gap))
+            self.tell(ViewChanged(self.records.view(), gap))
+        self.tell(StoreRead(self.records.copy(), gap))
--- a/starlingwheel/net/fleet/calls.py
+++ b/starlingwheel/net/fleet/calls.py
@@ -9,9 +9,9 @@
 
 from ...fleet import common
 from ...fleet.policy import AHEAD, LEAST
-from ...fleet.records import NAMES, NEXT, Txn, equal
-from ..wire.operators import BAD, CONFLICT, NOT_NOW, Done, Known, Refused, named
-from .mail import Write
+from ...fleet.records import NAMES, NEXT, Transaction, equal
+from ..wire.operators import BAD, CONFLICT, NOT_NOW, AdminResult, AdminRoute, CallRejectedError, named
+from .mail import WriteTransaction
 
 if TYPE_CHECKING:
     from ..lifecycle.start import Node
@@ -22,12 +22,12 @@
 FURTHEST = 3600.0  # seconds ahead that a change may be proposed
 
 
-class Word(msgspec.Struct, forbid_unknown_fields=True):
+class ZoneCommand(msgspec.Struct, forbid_unknown_fields=True):
     zone: str
     why: str = "operators have said so"
 
 
-class Proposal(msgspec.Struct, forbid_unknown_fields=True):
+class ProposalCommand(msgspec.Struct, forbid_unknown_fields=True):
     """`switch_s`: seconds until it holds; `base`: the version that it was made from, if that matters."""
 
     policy: Any
@@ -35,18 +35,18 @@
     base: int | None = None
 
 
-def fleet(node: Node, body: bytes) -> Done:
+def fleet(node: Node, body: bytes) -> AdminResult:
     return "", msgspec.json.encode(node.fleet.told()) + b"\n"
 
 
-def policy(node: Node, body: bytes) -> Done:
+def policy(node: Node, body: bytes) -> AdminResult:
     return "", msgspec.json.encode(node.fleet.policy_told()) + b"\n"
 
 
-def propose(node: Node, body: bytes) -> Generator[float, Any, Done]:
+def propose(node: Node, body: bytes) -> Generator[float, Any, AdminResult]:
     following, ruling = node.fleet.ruling.following, node.fleet.ruling
     try:
-        given = msgspec.json.decode(body, type=Proposal)
+        given = msgspec.json.decode(body, type=ProposalCommand)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise _no(BAD, str(error)) from error
     lease = following.lease
@@ -75,7 +75,7 @@
     return str(change.policy.version), msgspec.json.encode(told) + b"\n"
 
 
-def drop(node: Node, body: bytes) -> Generator[float, Any, Done]:
+def drop(node: Node, body: bytes) -> Generator[float, Any, AdminResult]:
     following = node.fleet.ruling.following
     following.now = node.loop.now()
     name = named(body)
@@ -88,7 +88,7 @@
     return name, b""
 
 
-def retire(node: Node, body: bytes) -> Generator[float, Any, Done]:
+def retire(node: Node, body: bytes) -> Generator[float, Any, AdminResult]:
     """That name will not come back: more than half is counted without it from now on."""
     records = node.fleet.ruling.following.records
     name = named(body)
@@ -100,19 +100,19 @@
         # Guards against a decision by more than half of what it was when votes were given.
         raise _no(CONFLICT, "a change of the policy is open", "a change is open")
     same = [equal(NAMES + name, "CREATE", records.names[name]), equal(NEXT, "CREATE", 0)]
-    yield from _written(node, Txn("retire", same, [], [NAMES + name]))
+    yield from _written(node, Transaction("retire", same, [], [NAMES + name]))
     return name, b""
 
 
-def zones(node: Node, body: bytes) -> Done:
+def zones(node: Node, body: bytes) -> AdminResult:
     return "", msgspec.json.encode(node.fleet.module.zoning.told()) + b"\n"
 
 
-def zone(what: str) -> Callable[[Node, bytes], Generator[float, Any, Done]]:
-    def said(node: Node, body: bytes) -> Generator[float, Any, Done]:
+def zone(what: str) -> Callable[[Node, bytes], Generator[float, Any, AdminResult]]:
+    def said(node: Node, body: bytes) -> Generator[float, Any, AdminResult]:
         zoning = node.fleet.module.zoning
         try:
-            word = msgspec.json.decode(body, type=Word)
+            word = msgspec.json.decode(body, type=ZoneCommand)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise _no(BAD, str(error)) from error
         if not zoning.on:
@@ -129,8 +129,8 @@
     return said
 
 
-def _written(node: Node, txn: Txn) -> Generator[float, Any, None]:
-    mail = Write(txn)
+def _written(node: Node, txn: Transaction) -> Generator[float, Any, None]:
+    mail = WriteTransaction(txn)
     node.fleet.scribe.post(mail)
     until = node.loop.now() + WITHIN
     while mail.done is None:
@@ -141,19 +141,19 @@
         raise _no(CONFLICT, "something changed meanwhile")
 
 
-def _no(status: int, why: str, reason: str = "") -> Refused:
+def _no(status: int, why: str, reason: str = "") -> CallRejectedError:
     """`reason`: for the log, where `why` says more."""
-    return Refused(status, reason or why, msgspec.json.encode({"error": why}) + b"\n")
+    return CallRejectedError(status, reason or why, msgspec.json.encode({"error": why}) + b"\n")
 
 
 CALLS = {
-    b"/_fleet": Known(b"GET", fleet),
-    b"/_fleet/retire": Known(b"PUT", retire),
-    b"/_zones": Known(b"GET", zones),
-    b"/_zones/leave": Known(b"PUT", zone("leave")),
-    b"/_zones/return": Known(b"PUT", zone("return")),
-    b"/_zones/hold": Known(b"PUT", zone("hold")),
-    b"/_policy": Known(b"GET", policy),
-    b"/_policy/propose": Known(b"PUT", propose, LONGEST),
-    b"/_policy/drop": Known(b"PUT", drop),
+    b"/_fleet": AdminRoute(b"GET", fleet),
+    b"/_fleet/retire": AdminRoute(b"PUT", retire),
+    b"/_zones": AdminRoute(b"GET", zones),
+    b"/_zones/leave": AdminRoute(b"PUT", zone("leave")),
+    b"/_zones/return": AdminRoute(b"PUT", zone("return")),
+    b"/_zones/hold": AdminRoute(b"PUT", zone("hold")),
+    b"/_policy": AdminRoute(b"GET", policy),
+    b"/_policy/propose": AdminRoute(b"PUT", propose, LONGEST),
+    b"/_policy/drop": AdminRoute(b"PUT", drop),
 }
--- a/starlingwheel/net/fleet/hosting.py
+++ b/starlingwheel/net/fleet/hosting.py
@@ -9,32 +9,51 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from ...decisions.runner import Runner
-from ...decisions.terms import Terms
-from ...fleet.cover import Covering, Item
-from ...fleet.frames import Beat, Frame, Given, Intent, Reply, Says, Want
-from ...fleet.part import CoverPart, FleetPart
+from ...decisions.runner import DecisionScheduler
+from ...decisions.terms import BalancerConfig
+from ...fleet.cover import ReplicatedRequest, RequestReplicator
+from ...fleet.frames import (
+    AttemptIntent,
+    DecisionFrame,
+    DecisionRequestFrame,
+    Frame,
+    HeartbeatFrame,
+    PolicyStatusFrame,
+    RecordedResponse,
+)
+from ...fleet.part import FleetConfig, ReplicationConfig
 from ..loop import Loop
 from ..mail import CLOSE
-from .links import framed
-from .mail import WARY, Framed, Lapsed, LinkDown, LinkUp, Recorded, Renewed, Say, Unreached, Viewed
-from .zones import Zoning
+from .links import encode_frame
+from .mail import (
+    CHECK_LINKS,
+    EntryLost,
+    FrameReceived,
+    LeaseRenewed,
+    LinkDown,
+    LinkUp,
+    MemberUnreachable,
+    SendFrame,
+    StoreRead,
+    ViewChanged,
+)
+from .zones import ZoneController
 
 if TYPE_CHECKING:
-    from .policy import Ruling
+    from .policy import PolicyController
 
 
-class Gate:
+class AttemptHold:
     """Whether a hand-off may be written whole."""
 
     __slots__ = ("item", "number", "asked", "open")
 
-    def __init__(self, item: Item, number: int, asked: float) -> None:
+    def __init__(self, item: ReplicatedRequest, number: int, asked: float) -> None:
         self.item, self.number, self.asked = item, number, asked
         self.open = False
 
 
-class Hosting:
+class FleetHost:
     """For an actor that gets the fleet's mail; what it adds is the deciding part, named below."""
 
     loop: Loop
@@ -43,10 +62,10 @@
         self,
         loop: Loop,
         me: str,
-        part: FleetPart,
-        ruling: Ruling,
-        lapsed: Callable[[Lapsed], None],
-        runner: Callable[[], Runner],
+        part: FleetConfig,
+        ruling: PolicyController,
+        lapsed: Callable[[EntryLost], None],
+        runner: Callable[[], DecisionScheduler],
         times: tuple[float, float],
         room: int,
         log: Callable[..., None],
@@ -58,37 +77,37 @@
         self.me, self.lapsed, self.log = me, lapsed, log
         self.ruling, self.following = ruling, ruling.following
         now, (shortest, longest) = loop.now(), times
-        self.zoning = Zoning(me, float(part.lease_s), part.zones, shortest, now, runner, log)
+        self.zoning = ZoneController(me, float(part.lease_s), part.zones, shortest, now, runner, log)
         self.links: dict[str, Any] = {}
         self.reaching: Callable[[str], None] = lambda member: None  # has a link to it come up
-        self.gates: dict[Any, Gate] = {}
-        self.errands: dict[tuple[Item, int], Any] = {}
-        self.covering = Covering(me, longest, part.cover.keepers, room, self, now)
+        self.gates: dict[Any, AttemptHold] = {}
+        self.errands: dict[tuple[ReplicatedRequest, int], Any] = {}
+        self.covering = RequestReplicator(me, longest, part.cover.keepers, room, self, now)
         ruling.module = self
 
     # The deciding part.
 
-    def decide(self, item: Item) -> None:
+    def decide(self, item: ReplicatedRequest) -> None:
         """Decide on it, with its history; what is decided on already goes on."""
         raise NotImplementedError
 
-    def answer(self, item: Item, client: Any, reply: Reply) -> None:
+    def answer(self, item: ReplicatedRequest, client: Any, reply: RecordedResponse) -> None:
         """The final answer for one that waits here."""
         raise NotImplementedError
 
-    def released(self, errand: Any) -> None:
+    def released(self, exchange: Any) -> None:
         """That hand-off may be written whole."""
         raise NotImplementedError
 
-    def dropped(self, errand: Any) -> None:
+    def dropped(self, exchange: Any) -> None:
         """That hand-off is never to be written whole."""
         raise NotImplementedError
 
-    def cover_by(self, part: CoverPart) -> None:
+    def cover_by(self, part: ReplicationConfig) -> None:
         """What is covered from now on."""
         raise NotImplementedError
 
-    def retuned(self, terms: Terms) -> None:
+    def retuned(self, terms: BalancerConfig) -> None:
         """What the decisions go by from now on."""
         raise NotImplementedError
 
@@ -98,14 +117,14 @@
         """Take the fleet's mail; False: it is none of that."""
         self.covering.now = self.following.now = now
         match mail:
-            case Framed(_, Says() | Want() | Given() as frame):
+            case FrameReceived(_, PolicyStatusFrame() | DecisionRequestFrame() | DecisionFrame() as frame):
                 for answer in self.ruling.heard(frame):
                     self.say(mail.member, answer)
-            case Framed(member, frame):
-                if isinstance(frame, Beat) and frame.word is not None:
+            case FrameReceived(member, frame):
+                if isinstance(frame, HeartbeatFrame) and frame.word is not None:
                     self.following.heard(frame.word)
                 self.covering.heard(member, frame)
-            case Recorded(records, gap):
+            case StoreRead(records, gap):
                 self.following.recorded(records, gap)
                 self._wary()
                 self.zoning.recorded(records, now)
@@ -116,7 +135,7 @@
                 if self.links.get(member) is link:
                     del self.links[member]
                     self.covering.down(member)
-            case Viewed(view, gap):
+            case ViewChanged(view, gap):
                 self.log(
                     "view",
                     members=len(view.members),
@@ -125,15 +144,15 @@
                     ours=self.me in view,
                 )
                 if self.me in self.covering.view and self.me not in view:
-                    self.lapsed(Lapsed())
+                    self.lapsed(EntryLost())
                 if gap:
                     # Guards against words said under a view between that nobody saw: all is told anew.
                     for link in self.links.values():
                         link.post(CLOSE)
                 self.covering.viewed(view, gap)
-            case Unreached(member):
+            case MemberUnreachable(member):
                 self.covering.unreached(member)
-            case Renewed(until, entered):
+            case LeaseRenewed(until, entered):
                 self.covering.lease_until = until
                 self.following.renewed(until, entered)
                 self._wary()
@@ -151,14 +170,14 @@
         """Guards against doubt until the next beat, which says no word while nobody needs it."""
         if self.following.uneasy:
             for link in self.links.values():
-                link.post(WARY)
+                link.post(CHECK_LINKS)
 
     def next_at(self, now: float) -> float:
         """When to call `tick`, whatever comes."""
         at = self.following.next_at()
         return min(self.covering.next_at(), at if at > now else inf)
 
-    def beat(self, member: str, worded: bool) -> Beat:
+    def beat(self, member: str, worded: bool) -> HeartbeatFrame:
         """What to say to a member. `worded`: it may need our word on the policy."""
         self.covering.now = self.following.now = self.loop.now()
         self.following.doubt()
@@ -168,7 +187,7 @@
         outside = view.cell_of(member) != view.cell_of(
             self.me
         )  # in our own cell links stay, whatever is said
-        return Beat(self.covering.digest, lapsed, word, outside and not self.covering.needs(member))
+        return HeartbeatFrame(self.covering.digest, lapsed, word, outside and not self.covering.needs(member))
 
     # The door of the cover.
 
@@ -176,37 +195,37 @@
         link = self.links.get(member)
         if link is None or link.over:
             return False
-        link.post(Say(framed(frame)))
+        link.post(SendFrame(encode_frame(frame)))
         return True
 
     def reach(self, member: str) -> bool:
         self.reaching(member)
         return member in self.covering.view
 
-    def go(self, item: Item, number: int) -> None:
-        if (errand := self.errands.get((item, number))) is not None:
-            self.gates[errand].open = True
-            self.released(errand)
+    def go(self, item: ReplicatedRequest, number: int) -> None:
+        if (exchange := self.errands.get((item, number))) is not None:
+            self.gates[exchange].open = True
+            self.released(exchange)
 
-    def stop(self, item: Item, number: int) -> None:
-        if (errand := self.errands.get((item, number))) is not None:
-            self.dropped(errand)
+    def stop(self, item: ReplicatedRequest, number: int) -> None:
+        if (exchange := self.errands.get((item, number))) is not None:
+            self.dropped(exchange)
 
     def note(self, event: str, **fields: Any) -> None:
         self.log(event, **fields)
 
     # The gates.
 
-    def hold(self, errand: Any, item: Item, intent: Intent) -> None:
+    def hold(self, exchange: Any, item: ReplicatedRequest, intent: AttemptIntent) -> None:
         """A hand-off is to be made: `released` or `dropped` follows, perhaps at once."""
         number = self.covering.intend(item, intent)
-        self.gates[errand] = Gate(item, number, intent.at)
-        self.errands[item, number] = errand
+        self.gates[exchange] = AttemptHold(item, number, intent.at)
+        self.errands[item, number] = exchange
         self.covering.hand_on(item, number)
 
-    def unhold(self, errand: Any) -> Gate | None:
+    def unhold(self, exchange: Any) -> AttemptHold | None:
         """It has ended."""
-        gate = self.gates.pop(errand, None)
+        gate = self.gates.pop(exchange, None)
         if gate is not None:
             del self.errands[gate.item, gate.number]
         return gate
--- a/starlingwheel/net/fleet/links.py
+++ b/starlingwheel/net/fleet/links.py
@@ -17,13 +17,34 @@
 
 import msgspec
 
-from ...fleet.frames import LONGEST, Beat, Frame, Given, Hello, Rest, Says, Which
-from ...fleet.view import Member, View
+from ...fleet.frames import (
+    LONGEST,
+    DecisionFrame,
+    Frame,
+    HeartbeatFrame,
+    HelloFrame,
+    LinkIdleFrame,
+    PolicyQueryFrame,
+    PolicyStatusFrame,
+)
+from ...fleet.view import Member, MembershipView
 from ..actor import Actor, Coroutine
 from ..loop import READ, WRITE, Loop, Ready
 from ..mail import CLOSE
-from ..wire.http import Lost, connect
-from .mail import PROBE, ROUSE, WARY, Framed, LinkDown, LinkUp, Reach, Say, Strike, Unreached, Viewed
+from ..wire.http import ConnectionLostError, connect
+from .mail import (
+    CHECK_LINKS,
+    PROBE_LINK,
+    RESUME_DIALING,
+    DialMember,
+    EvictMember,
+    FrameReceived,
+    LinkDown,
+    LinkUp,
+    MemberUnreachable,
+    SendFrame,
+    ViewChanged,
+)
 
 BEAT = 0.1  # seconds between words, on a link with something at stake, when there is nothing else to say
 IDLE = (1.0, 10.0)  # the same on any other link: with few links, and at most
@@ -50,16 +71,16 @@
 decoder = msgspec.msgpack.Decoder(Frame)
 
 
-class Refused(Exception):
+class LinkRejectedError(Exception):
     """A link that ends; the text is its reason code."""
 
 
-def framed(frame: Frame) -> bytes:
+def encode_frame(frame: Frame) -> bytes:
     body = encoder.encode(frame)
     return len(body).to_bytes(HEAD, "big") + body
 
 
-class Reader:
+class FrameReader:
     """Bytes into frames. Raises `Refused` for what is no frame of ours."""
 
     def __init__(self) -> None:
@@ -71,18 +92,18 @@
         while len(self.held) >= HEAD:
             length = int.from_bytes(self.held[:HEAD], "big")
             if not 0 < length <= LONGEST:
-                raise Refused("too-long" if length else "empty")
+                raise LinkRejectedError("too-long" if length else "empty")
             if len(self.held) < HEAD + length:
                 break
             try:
                 frames.append(decoder.decode(bytes(self.held[HEAD : HEAD + length])))
             except (msgspec.DecodeError, UnicodeDecodeError, ValueError, OverflowError) as error:
-                raise Refused("unreadable") from error
+                raise LinkRejectedError("unreadable") from error
             del self.held[: HEAD + length]
         return frames
 
 
-class Links(Actor):
+class LinkManager(Actor):
     """Listens, and keeps a link to each member of our cell; to others while they are needed.
 
     In the cell the member with the smaller id calls. Outside it either does, when there is work: of two calls
@@ -95,10 +116,10 @@
         self,
         loop: Loop,
         sock: socket.socket,
-        me: Hello,
+        me: HelloFrame,
         tell: Callable[[Any], None],
-        beat: Callable[[str, bool], Beat],
-        says: Callable[[Which], list[Frame]],
+        beat: Callable[[str, bool], HeartbeatFrame],
+        says: Callable[[PolicyQueryFrame], list[Frame]],
         log: Callable[..., None],
         chance: random.Random,
     ) -> None:
@@ -110,11 +131,11 @@
         self.sock, self.me, self.tell, self.beat, self.log, self.chance = sock, me, tell, beat, log, chance
         self.says = says
         self.source = sock.getsockname()[0]
-        self.view = View()
+        self.view = MembershipView()
         self.peers: frozenset[str] = frozenset()  # the others of our cell
-        self.links: dict[str, Link] = {}  # those that are up
-        self.new: dict[Link, None] = {}  # calls of others that have not said whose they are
-        self.calls: dict[str, Link] = {}  # calls of ours that are not up yet
+        self.links: dict[str, PeerLink] = {}  # those that are up
+        self.new: dict[PeerLink, None] = {}  # calls of others that have not said whose they are
+        self.calls: dict[str, PeerLink] = {}  # calls of ours that are not up yet
         self.wanted: dict[str, float] = {}  # outside links that are needed, and until when each may come up
         self.calling: dict[str, tuple[float, float]] = {}  # when to try each again, and the pause after that
         self.roused_at = -inf
@@ -129,15 +150,15 @@
             mail = yield min([*times, *self.wanted.values()], default=None)
             if isinstance(mail, Ready):
                 self._accept()
-            elif isinstance(mail, Viewed):
+            elif isinstance(mail, ViewChanged):
                 self._viewed(mail.view)
-            elif isinstance(mail, Reach):
+            elif isinstance(mail, DialMember):
                 self._reach(mail.member)
             self._call()
             for member in [m for m, until in self.wanted.items() if until <= self.loop.now()]:
                 self._unreached(member)
 
-    def _viewed(self, view: View) -> None:
+    def _viewed(self, view: MembershipView) -> None:
         self.view, self.peers = view, frozenset(view.peers(self.me.member))
         for member in [member for member in self.wanted if member not in view]:
             self._unreached(member)
@@ -169,7 +190,7 @@
             self.calling.pop(member, None)
             if (call := self.calls.get(member)) is not None:
                 call.post(CLOSE)
-        self.tell(Unreached(member))
+        self.tell(MemberUnreachable(member))
 
     def _accept(self) -> None:
         with contextlib.suppress(BlockingIOError, OSError):
@@ -180,7 +201,7 @@
                 if len(self.new) >= MOST:
                     # Guards against strangers that say nothing keeping out members.
                     next(iter(self.new)).post(CLOSE)
-                Link(self, sock, "").begin()
+                PeerLink(self, sock, "").begin()
 
     def _call(self) -> None:
         now = self.loop.now()
@@ -191,10 +212,10 @@
             try:
                 # From the address that we listen on: others tell links apart by it.
                 sock = connect(self.view.members[member].address, self.source)
-            except Lost:
+            except ConnectionLostError:
                 self.lost(None, member, "unreachable")
                 continue
-            Link(self, sock, member).begin()
+            PeerLink(self, sock, member).begin()
 
     def each(self, seconds: float, link: float) -> float:
         """How often something is said that all links say: seconds, at least so many a link."""
@@ -213,23 +234,23 @@
             return False
         self.roused_at = now
         for link in self.links.values():
-            link.post(ROUSE)
+            link.post(RESUME_DIALING)
         return bool(self.links)
 
-    def named(self, link: Link, hello: Hello) -> str:
+    def named(self, link: PeerLink, hello: HelloFrame) -> str:
         """Whose it is; raises `Refused` for whom we have no link with."""
         if hello.fleet != self.me.fleet:
-            raise Refused("other-fleet")
+            raise LinkRejectedError("other-fleet")
         if hello.version != self.me.version:
-            raise Refused("other-version")
+            raise LinkRejectedError("other-version")
         if link.member and hello.member != link.member:
-            raise Refused("not-who-was-called")
+            raise LinkRejectedError("not-who-was-called")
         # What we said may be older than our view: both sides judge by the same two words.
         if not hello.cells == link.cells == self.view.cells:
-            raise Refused("other-cells")
+            raise LinkRejectedError("other-cells")
         if hello.member not in self.view:
             # It may be in a view that we have not seen yet; it calls again.
-            raise Refused("stranger")
+            raise LinkRejectedError("stranger")
         if not link.called and hello.member > self.me.member:
             self._answerable(hello.member)
         return hello.member
@@ -237,15 +258,15 @@
     def _answerable(self, member: str) -> None:
         """Raises `Refused` for the call of a member with a greater id that is not to be answered."""
         if member in self.peers:
-            raise Refused("wrong-way")
+            raise LinkRejectedError("wrong-way")
         if (link := self.links.get(member)) is not None:
             # Guards against a link that has ended on its side alone: a word on it shows that.
-            link.post(PROBE)
+            link.post(PROBE_LINK)
         if link is not None or member in self.calls:
             # Guards against both ending their own call for the other's.
-            raise Refused("crossed")
+            raise LinkRejectedError("crossed")
 
-    def up(self, link: Link) -> None:
+    def up(self, link: PeerLink) -> None:
         member = link.member
         before = self.links.get(member)
         self.new.pop(link, None)
@@ -262,7 +283,7 @@
             self.log("link.up", member=member)
         self.tell(LinkUp(member, link))
 
-    def lost(self, link: Link | None, member: str, reason: str) -> None:
+    def lost(self, link: PeerLink | None, member: str, reason: str) -> None:
         self.reasons[reason] += 1
         gone = reason in GONE
         if link is not None:
@@ -278,7 +299,7 @@
                 self.log("link.down", member=member, reason=reason)
             self.tell(LinkDown(member, link))
             if reason in ENDED and member in self.view:
-                Knock(self, self.view.members[member]).begin()
+                LinkDialer(self, self.view.members[member]).begin()
         elif reason not in QUIET:
             self.log("link.refused", member=member, reason=reason)
         if member not in self.view or member in self.links:
@@ -291,21 +312,21 @@
             self.post(None)  # it waits for a time anew
 
 
-class Knock(Actor):
+class LinkDialer(Actor):
     """Sees whether anybody listens where a member did whose link was reset.
 
     Whoever listens greets. A refusal, or an end without a word, says that its process has ended, sooner than
     its lease does; silence says nothing. One that was struck wrongly enters anew.
     """
 
-    def __init__(self, links: Links, member: Member) -> None:
+    def __init__(self, links: LinkManager, member: Member) -> None:
         self.links, self.member = links, member
         super().__init__(links.loop)
 
     def run(self) -> Coroutine[None]:
         try:
             sock = connect(self.member.address)
-        except Lost as lost:
+        except ConnectionLostError as lost:
             if isinstance(lost.__cause__, ConnectionRefusedError):
                 self._strike()  # on one machine a refusal comes at once
             return
@@ -323,7 +344,7 @@
     def _strike(self) -> None:
         if self.member.id in self.links.view:
             self.links.log("member.gone", member=self.member.id)
-            self.links.tell(Strike(self.member))
+            self.links.tell(EvictMember(self.member))
 
     def _ended(self, sock: socket.socket) -> bool:
         try:
@@ -334,51 +355,51 @@
             return error.errno in (errno.ECONNREFUSED, errno.ECONNRESET)
 
 
-class Inquiry(Actor):
+class MemberQuery(Actor):
     """Asks one that we have no link with which policy it follows."""
 
-    def __init__(self, links: Links, address: str, known: int) -> None:
+    def __init__(self, links: LinkManager, address: str, known: int) -> None:
         self.links, self.address = links, address
-        self.asks = Which(links.me.fleet, links.me.version, known)
+        self.asks = PolicyQueryFrame(links.me.fleet, links.me.version, known)
         super().__init__(links.loop)
 
     def run(self) -> Coroutine[None]:
         try:
             sock = connect(self.address, self.links.source)
-        except Lost:
+        except ConnectionLostError:
             return
-        reader, until = Reader(), self.loop.now() + GREETING
+        reader, until = FrameReader(), self.loop.now() + GREETING
         try:
             self.loop.watch(sock.fileno(), self, WRITE)
             if (yield until) is None:
                 return
-            sock.send(framed(self.asks))  # less than any buffer
+            sock.send(encode_frame(self.asks))  # less than any buffer
             self.loop.change(sock.fileno(), READ)
             while (yield until) is not None:
                 with contextlib.suppress(BlockingIOError):
                     if not (data := sock.recv(CHUNK)):
                         return
                     for frame in reader.read(data):
-                        if isinstance(frame, Says | Given):
-                            self.links.tell(Framed("", frame))
-        except (OSError, Refused):
+                        if isinstance(frame, PolicyStatusFrame | DecisionFrame):
+                            self.links.tell(FrameReceived("", frame))
+        except (OSError, LinkRejectedError):
             pass
         finally:
             self.loop.forget(sock.fileno())
             sock.close()
 
 
-class Link(Actor):
+class PeerLink(Actor):
     """One connection to a member, from its first byte to its end."""
 
     urgent = True
     at_once = 32
 
-    def __init__(self, links: Links, sock: socket.socket, member: str) -> None:
+    def __init__(self, links: LinkManager, sock: socket.socket, member: str) -> None:
         self.links, self.sock, self.member = links, sock, member
         self.called, self.greeted = bool(member), False
         self.cells = links.view.cells  # as we say in our greeting
-        self.reader = Reader()
+        self.reader = FrameReader()
         self.early: list[Frame] = []  # what came with the greeting
         self.unsent = bytearray()
         self.mask = 0
@@ -400,7 +421,7 @@
             yield from self._greet()
             self.links.up(self)
             yield from self._talk()
-        except Refused as refused:
+        except LinkRejectedError as refused:
             reason = str(refused)
             if self.rested:
                 self.over = True
@@ -426,9 +447,9 @@
             while not isinstance(mail := (yield until), Ready):
                 self._still_wanted(mail, until, "never-came-up")
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                raise Refused("refused")
+                raise LinkRejectedError("refused")
         hello = msgspec.structs.replace(self.links.me, cells=self.cells)
-        self._send(framed(hello))
+        self._send(encode_frame(hello))
         self._want(READ)
         while not self.greeted or (self.called and not self.early):
             mail = yield until
@@ -439,35 +460,35 @@
                 if self.greeted:
                     self.early.append(frame)
                     continue
-                if isinstance(frame, Which) and not self.called:
+                if isinstance(frame, PolicyQueryFrame) and not self.called:
                     yield from self._say(frame, until)
-                if not isinstance(frame, Hello):
-                    raise Refused("no-greeting")
+                if not isinstance(frame, HelloFrame):
+                    raise LinkRejectedError("no-greeting")
                 self.greeted = True
                 self.member = self.links.named(self, frame)
 
     def _still_wanted(self, mail: Any, until: float, late: str) -> None:
         if mail is CLOSE:
-            raise Refused("replaced" if self.member in self.links.links else "not-needed")
+            raise LinkRejectedError("replaced" if self.member in self.links.links else "not-needed")
         if mail is None and self.loop.now() >= until:
-            raise Refused(late)
+            raise LinkRejectedError(late)
 
-    def _say(self, asked: Which, until: float) -> Coroutine[None]:
+    def _say(self, asked: PolicyQueryFrame, until: float) -> Coroutine[None]:
         """What one that is in no view may know: which policy we follow, others say, and what is decided."""
         if asked.fleet != self.links.me.fleet:
-            raise Refused("other-fleet")
+            raise LinkRejectedError("other-fleet")
         if asked.version != self.links.me.version:
-            raise Refused("other-version")
+            raise LinkRejectedError("other-version")
         if self.links.rouse():
             at = self.loop.now() + BEAT
             while self.loop.now() < at:
                 yield at
         for frame in self.links.says(asked):
-            self._send(framed(frame))
+            self._send(encode_frame(frame))
         while self.unsent and self.loop.now() < until:
             if isinstance((yield until), Ready):
                 self._flush()
-        raise Refused("asked")
+        raise LinkRejectedError("asked")
 
     def _talk(self) -> Coroutine[None]:
         self.heard = self.said = self.worked = self.loop.now()
@@ -480,27 +501,27 @@
             if now < self.quick_until and not self._resting:
                 lost_at = max(self.heard, self.quick_since) + SILENCE * BEAT
             if now >= lost_at:
-                raise Refused("silent")
+                raise LinkRejectedError("silent")
             if now >= self._beat_at(now):
                 self._beat(now)
             rest_at = self.worked + REST if self._resting else inf
             if now >= rest_at and not self.mailbox:
                 self._rest(now)
             mail = yield min(self._beat_at(now), lost_at, rest_at)
-            if isinstance(mail, Say):
+            if isinstance(mail, SendFrame):
                 self._quicken()
                 self._send(mail.data)
-            elif mail is WARY:
+            elif mail is CHECK_LINKS:
                 self.wary_until = self.loop.now() + STAKE
-            elif mail is PROBE or mail is ROUSE:
-                self._beat(self.loop.now(), asks=mail is ROUSE)
+            elif mail is PROBE_LINK or mail is RESUME_DIALING:
+                self._beat(self.loop.now(), asks=mail is RESUME_DIALING)
             elif isinstance(mail, Ready):
                 if mail.mask & WRITE:
                     self._flush()
                 if mail.mask & ~WRITE:
                     self._take(self._receive())
             elif mail is CLOSE:
-                raise Refused("replaced")
+                raise LinkRejectedError("replaced")
 
     def _beat(self, now: float, worded: bool = False, asks: bool = False) -> None:
         """`worded`: with our word on the policy; `asks`: for that of the other side."""
@@ -510,7 +531,7 @@
         if beat.lapsed:
             self.wary_until = now + STAKE
         self.idle[0], self.beaten = beat.idle, now
-        self._send(framed(beat))
+        self._send(encode_frame(beat))
 
     def _beat_at(self, now: float) -> float:
         # The other side may think of it as at stake for a moment longer: we go on beating for that.
@@ -532,9 +553,9 @@
         if not self.links.beat(self.member, False).idle:
             self.worked, self.idle[0] = now, False  # it is needed since we said that it is not
             return
-        self._send(framed(Rest()))
+        self._send(encode_frame(LinkIdleFrame()))
         self.rested = True
-        raise Refused("at-rest")
+        raise LinkRejectedError("at-rest")
 
     def _linger(self) -> Coroutine[None]:
         """Until the other side has read our last word. What comes meanwhile it says again, on a new link.
@@ -561,11 +582,11 @@
 
     def _take(self, frames: list[Frame]) -> None:
         for frame in frames:
-            if isinstance(frame, Hello):
-                raise Refused("greeted-twice")
-            if isinstance(frame, Rest):
-                raise Refused("at-rest")
-            if not isinstance(frame, Beat):
+            if isinstance(frame, HelloFrame):
+                raise LinkRejectedError("greeted-twice")
+            if isinstance(frame, LinkIdleFrame):
+                raise LinkRejectedError("at-rest")
+            if not isinstance(frame, HeartbeatFrame):
                 self._quicken()
             else:
                 self.idle[1] = frame.idle
@@ -573,7 +594,7 @@
                     self.wary_until = self.loop.now() + STAKE
                 if frame.asks:
                     self._beat(self.loop.now(), worded=True)
-            self.links.tell(Framed(self.member, frame))
+            self.links.tell(FrameReceived(self.member, frame))
         if frames and self.loop.now() >= self.said + ANSWER:
             self._beat(self.loop.now())
 
@@ -583,7 +604,7 @@
         except BlockingIOError:
             return []
         if not data:
-            raise Refused("closed")
+            raise LinkRejectedError("closed")
         self.heard = self.loop.now()
         return self.reader.read(data)
 
@@ -591,7 +612,7 @@
         self.said = self.loop.now()
         self.unsent += data
         if len(self.unsent) > UNSENT:
-            raise Refused("too-slow")
+            raise LinkRejectedError("too-slow")
         self._flush()
 
     def _flush(self) -> None:
--- a/starlingwheel/net/fleet/mail.py
+++ b/starlingwheel/net/fleet/mail.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ...fleet.records import Records, Txn
-from ...fleet.view import Member, View
+from ...fleet.records import StoreRecords, Transaction
+from ...fleet.view import Member, MembershipView
 
 
 @dataclass(slots=True, eq=False)
@@ -26,21 +26,21 @@
 
 
 @dataclass(slots=True, eq=False)
-class Reach:
+class DialMember:
     """To the links: that member is needed. `LinkUp` or `Unreached` follows, unless its link is up already."""
 
     member: str
 
 
 @dataclass(slots=True, eq=False)
-class Unreached:
+class MemberUnreachable:
     """To the module: no link to that member came up."""
 
     member: str
 
 
 @dataclass(slots=True, eq=False)
-class Framed:
+class FrameReceived:
     """To the module: a frame that a member has sent."""
 
     member: str
@@ -48,22 +48,22 @@
 
 
 @dataclass(slots=True, eq=False)
-class Say:
+class SendFrame:
     """To a link: send these bytes."""
 
     data: bytes
 
 
 @dataclass(slots=True, eq=False)
-class Viewed:
+class ViewChanged:
     """To the module and the links: who is in. `gap`: there may have been views between that nobody saw."""
 
-    view: View
+    view: MembershipView
     gap: bool
 
 
 @dataclass(slots=True, eq=False)
-class Renewed:
+class LeaseRenewed:
     """To the module: our lease holds until then; the revision of our entry under it."""
 
     until: float
@@ -71,58 +71,64 @@
 
 
 @dataclass(slots=True, eq=False)
-class Recorded:
+class StoreRead:
     """To the module: what the arbiter has. `gap`: there may have been changes between that nobody saw."""
 
-    records: Records
+    records: StoreRecords
     gap: bool
 
 
 @dataclass(slots=True, eq=False)
-class Write:
+class WriteTransaction:
     """To the arbiter's client: this, once. `done` tells whether it was; None: not known yet."""
 
-    txn: Txn
+    txn: Transaction
     done: bool | None = None
 
 
-class Wake:
+class WritePending:
     """To an actor: look again at what is due."""
 
 
-class Wary:
+class CheckLinks:
     """To a link: the words of others may be needed soon."""
 
 
-class Probe:
+class ProbeLink:
     """To a link: say something, which shows whether the other side has it still."""
 
 
-class Rouse:
+class ResumeDialing:
     """To a link: have the other side say its word on the policy, once."""
 
 
-class Anew:
+class RegisterAgain:
     """To the arbiter's client: what it watches may have gone quiet; begin the watch anew."""
 
 
-WAKE, WARY, PROBE, ROUSE, ANEW = Wake(), Wary(), Probe(), Rouse(), Anew()
+WRITE_PENDING, CHECK_LINKS, PROBE_LINK, RESUME_DIALING, REGISTER_AGAIN = (
+    WritePending(),
+    CheckLinks(),
+    ProbeLink(),
+    ResumeDialing(),
+    RegisterAgain(),
+)
 
 
 @dataclass(slots=True, eq=False)
-class Strike:
+class EvictMember:
     """To the arbiter's client: nobody listens at that member's address any more."""
 
     member: Member
 
 
 @dataclass(slots=True, eq=False)
-class Lapsed:
+class EntryLost:
     """To the arbiter's client: our own entry has gone."""
 
 
 @dataclass(slots=True, eq=False)
-class Released:
+class ExchangeReleased:
     """To a connection: the hand-off that it holds back may be written whole."""
 
-    errand: Any
+    exchange: Any
