--- a/starlingwheel/net/fleet/module.py
+++ b/starlingwheel/net/fleet/module.py
@@ -7,21 +7,35 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from ...decisions.terms import Condition, Effect, Fate, HandOff, Listing, Terms, WorkItem
-from ...fleet.cover import DEFERRED, FINISHED, MIXED_UP, UNSENT, WRITTEN_OFF, Item, Word
-from ...fleet.frames import Asked, Cover, Intent, Reply
-from ...fleet.part import CoverPart, FleetPart
-from ..mail import Final, Left, Taken
-from ..memory.buffers import Body, Exhausted
-from ..memory.flow import Flow
-from ..memory.work import Answer, Errand, Job
-from ..module import Module
-from .hosting import Hosting
-from .mail import Lapsed, Released
+from ...decisions.terms import (
+    Attempt,
+    AttemptOutcome,
+    BalancerConfig,
+    Endpoint,
+    EndpointState,
+    Request,
+    RetrySafety,
+)
+from ...fleet.cover import DEFERRED, FINISHED, MIXED_UP, UNSENT, WRITTEN_OFF, BeginResult, ReplicatedRequest
+from ...fleet.frames import (
+    AttemptIntent,
+    RecordedRequest,
+    RecordedResponse,
+    ReplicateFrame,
+    RequestClassRecord,
+)
+from ...fleet.part import FleetConfig, ReplicationConfig
+from ..mail import ClientDisconnected, FinalResponse, RequestReceived
+from ..memory.buffers import BufferedBody, BuffersExhaustedError
+from ..memory.flow import BodyStream
+from ..memory.work import Exchange, PendingRequest, UpstreamResponse
+from ..module import RequestCoordinator
+from .hosting import FleetHost
+from .mail import EntryLost, ExchangeReleased
 
 if TYPE_CHECKING:
     from ..lifecycle.start import Node
-    from .policy import Ruling
+    from .policy import PolicyController
 
 COME_BACK = 1 / 8  # of a lease: when one is to come again who came while the policy was in doubt
 LATEST = 0.98  # part of its patience after which a client that waits for another's answer is told
@@ -32,34 +46,39 @@
 KINDS = {FINISHED: "finished", DEFERRED: "deferred", WRITTEN_OFF: "written_off"}
 
 
-class Nobody:
+class DisconnectedClient:
     """Stands where a client stood whose sidecar is lost: its answer is recorded, not written."""
 
     def post(self, mail: Any) -> None:
-        if isinstance(mail, Final) and mail.answer:
-            mail.answer.body.release()
+        if isinstance(mail, FinalResponse) and mail.response:
+            mail.response.body.release()
 
     def has_left(self) -> bool:
         return False  # what goes on for it does so with nobody waiting
 
 
-NOBODY = Nobody()
+DISCONNECTED_CLIENT = DisconnectedClient()
 
 
-class CoveringModule(Hosting, Module):
+class ReplicatingCoordinator(FleetHost, RequestCoordinator):
     def __init__(
-        self, node: Node, me: str, part: FleetPart, lapsed: Callable[[Lapsed], None], ruling: Ruling
+        self,
+        node: Node,
+        me: str,
+        part: FleetConfig,
+        lapsed: Callable[[EntryLost], None],
+        ruling: PolicyController,
     ) -> None:
         """`lapsed` is told when our own entry has gone from the view."""
         self.deferred = 0  # while it was not known which policy holds
-        self.items: dict[WorkItem, Item] = {}
+        self.items: dict[Request, ReplicatedRequest] = {}
         room = int(node.config.limits.memory_mb * ROOM * 2**20)
         times = node.shortest, node.longest
         self.host(node.loop, me, part, ruling, lapsed, lambda: self.runner, times, room, node.log)
-        Module.__init__(self, node)
+        RequestCoordinator.__init__(self, node)
         self.cover_by(part.cover)
 
-    def cover_by(self, part: CoverPart) -> None:
+    def cover_by(self, part: ReplicationConfig) -> None:
         """What is covered from now on; items that there are stay so."""
         self.categories = frozenset(part.categories)
         self.header = part.name_header.encode()
@@ -67,18 +86,18 @@
         # Guards against forgetting what was taken under a longer expiry.
         self.covering.longest = max(self.covering.longest, self.node.longest)
 
-    def retuned(self, terms: Terms) -> None:
+    def retuned(self, terms: BalancerConfig) -> None:
         self.runner.retune(terms)  # in this turn: what comes next is taken under it
 
     def _handle(self, mail: Any) -> None:
         if not self.hosted(mail, self.runner.now):
             match mail:
-                case Taken(job) if self._unruled(job):
+                case RequestReceived(pending) if self._unruled(pending):
                     pass
-                case Taken(job) if (name := self._name(job)) is not None:
-                    self._begin(job, name)
-                case Left(job) if (item := self.items.get(job.wi)) is not None:
-                    self._left(job, item)
+                case RequestReceived(pending) if (name := self._name(pending)) is not None:
+                    self._begin(pending, name)
+                case ClientDisconnected(pending) if (item := self.items.get(pending.request)) is not None:
+                    self._left(pending, item)
                 case None:
                     self.tick()
                     super()._handle(mail)
@@ -86,210 +105,224 @@
                     super()._handle(mail)
         self.alarm_at = min(self.alarm_at, self.next_at(self.runner.now))
 
-    def _unruled(self, job: Job) -> bool:
+    def _unruled(self, pending: PendingRequest) -> bool:
         """True: answered here, since it is not known which policy holds. Else it is taken under that one."""
         # A clock read in this turn may be from before a pause.
         self.following.now = self.loop.now()
         why = self.following.doubt()
-        wi = job.wi
-        category = self.node.categories.get(wi.category.name)
-        if not why and category is not wi.category:
+        request = pending.request
+        category = self.node.categories.get(request.request_class.name)
+        if not why and category is not request.request_class:
             # It was read under a policy that is over since.
-            if category is None or category.effect is not wi.category.effect:
+            if category is None or category.retry_safety is not request.request_class.retry_safety:
                 why = "switched"
             else:
-                wi.category, wi.patience = category, min(wi.patience, category.expiry)
+                request.request_class, request.time_left = category, min(request.time_left, category.timeout)
         if why:
             self.deferred += 1
-            self._answer_job(job, Reply(DEFERRED, COME_BACK * self.following.lease))
+            self._answer_job(pending, RecordedResponse(DEFERRED, COME_BACK * self.following.lease))
         return bool(why)
 
     # Requests with a name.
 
-    def _name(self, job: Job) -> bytes | None:
+    def _name(self, pending: PendingRequest) -> bytes | None:
         """What its client calls it; None: it is not covered."""
-        if job.wi.category.name not in self.categories:
+        if pending.request.request_class.name not in self.categories:
             return None
-        given = {header.lower(): value for header, value in reversed(job.headers)}
+        given = {header.lower(): value for header, value in reversed(pending.headers)}
         name = given.get(TICKET, given.get(self.header))
         if name is None:
             self.covering.counts["unnamed"] += 1
-        elif isinstance(job.body, Flow):
+        elif isinstance(pending.body, BodyStream):
             # A body that is passed on while it comes is kept nowhere.
             self.covering.counts["too_long"] += 1
             name = None
         return name
 
-    def _begin(self, job: Job, name: bytes) -> None:
+    def _begin(self, pending: PendingRequest, name: bytes) -> None:
         if not 0 < len(name) <= LONGEST_NAME:
-            self._answer_job(job, Reply(BAD))
+            self._answer_job(pending, RecordedResponse(BAD))
             return
-        wi, now = job.wi, self.runner.now
-        category = wi.category
-        body = b"".join(job.body.views())
+        request, now = pending.request, self.runner.now
+        category = request.request_class
+        body = b"".join(pending.body.views())
         key = category.name.encode() + b"\0" + name
-        mark = hashlib.blake2b(b"\0".join((job.method, job.target, body)), digest_size=8).digest()
-        asked = Asked(job.method, job.target, [(bytes(n), bytes(v)) for n, v in job.headers], body, job.trace)
-        until = now + wi.patience
-        effect = category.effect.value
-        told = Cover(
-            key, self.me, 0, False, mark, category.name, effect, now, until, wi.repeat, asked, [],
-            rules=category,
+        mark = hashlib.blake2b(b"\0".join((pending.method, pending.target, body)), digest_size=8).digest()
+        asked = RecordedRequest(
+            pending.method,
+            pending.target,
+            [(bytes(n), bytes(v)) for n, v in pending.headers],
+            body,
+            pending.trace,
+        )
+        until = now + request.time_left
+        effect = category.retry_safety.value
+        told = ReplicateFrame(
+            key, self.me, 0, False, mark, category.name, effect, now, until, request.is_retry, asked, [],
+            rules=RequestClassRecord.of(category),
         )  # fmt: skip
-        word, item = self.covering.begin(told, job, now + LATEST * wi.patience)
+        word, item = self.covering.begin(told, pending, now + LATEST * request.time_left)
         match word:
-            case Word.RUN:
-                self._run_job(item, job)
-            case Word.ANSWER:
-                self._answer_job(job, item.reply)
-            case Word.OTHER:
+            case BeginResult.RUN:
+                self._run_job(item, pending)
+            case BeginResult.ANSWER:
+                self._answer_job(pending, item.reply)
+            case BeginResult.OTHER:
                 self.node.log("cover.other", category=category.name)
-                self._answer_job(job, Reply(MIXED_UP))
-            case Word.WAIT:
-                if job.owed:
-                    self.items[wi] = item
-
-    def _run_job(self, item: Item, job: Job) -> None:
-        self.items[job.wi] = item
-        self.jobs[job.wi] = job
-        self.runner.take(job.wi)
-
-    def _left(self, job: Job, item: Item) -> None:
-        over = self.covering.left(item, job)
-        if not over and job.wi in self.jobs and job.owed:
+                self._answer_job(pending, RecordedResponse(MIXED_UP))
+            case BeginResult.WAIT:
+                if pending.owed:
+                    self.items[request] = item
+
+    def _run_job(self, item: ReplicatedRequest, pending: PendingRequest) -> None:
+        self.items[pending.request] = item
+        self.pending_requests[pending.request] = pending
+        self.runner.take(pending.request)
+
+    def _left(self, pending: PendingRequest, item: ReplicatedRequest) -> None:
+        over = self.covering.left(item, pending)
+        if not over and pending.request in self.pending_requests and pending.owed:
             # Whoever comes again under its name gets its answer: what is out goes on with nobody waiting.
             # Guards against sending on for one that has left: nothing more is begun, nor what is unwritten.
-            job.client = NOBODY
-            job.wi.most_hand_offs = 1
-            for errand in [errand for errand in job.errands.values() if not errand.written]:
-                self._drop(errand)
+            pending.client = DISCONNECTED_CLIENT
+            pending.request.max_attempts = 1
+            for exchange in [exchange for exchange in pending.exchanges.values() if not exchange.written]:
+                self._drop(exchange)
             return
-        self.items.pop(job.wi, None)
-        if job.wi in self.jobs:
-            super()._handle(Left(job))
+        self.items.pop(pending.request, None)
+        if pending.request in self.pending_requests:
+            super()._handle(ClientDisconnected(pending))
         else:
-            job.owed = False
-            job.body.release()
+            pending.owed = False
+            pending.body.release()
 
     # What the cover wants.
 
-    def released(self, errand: Errand) -> None:
-        if errand.connection is not None:
-            errand.connection.post(Released(errand))
+    def released(self, exchange: Exchange) -> None:
+        if exchange.connection is not None:
+            exchange.connection.post(ExchangeReleased(exchange))
 
-    def dropped(self, errand: Errand) -> None:
-        self._drop(errand)
+    def dropped(self, exchange: Exchange) -> None:
+        self._drop(exchange)
 
-    def decide(self, item: Item) -> None:
-        job = item.main
-        category = item.rules or self.node.category(item.category, Effect(item.effect))
+    def decide(self, item: ReplicatedRequest) -> None:
+        pending = item.main
+        rules = item.rules
+        category = (
+            rules.request_class() if rules else self.node.category(item.category, RetrySafety(item.effect))
+        )
         if category is None:
-            self._settled(item, Reply(WRITTEN_OFF))
+            self._settled(item, RecordedResponse(WRITTEN_OFF))
             return
         now = self.runner.now
-        wi = WorkItem(category, now, max(0.0, item.until - now), repeat=item.repeat)
+        request = Request(category, now, max(0.0, item.until - now), is_retry=item.repeat)
         asked = item.asked
-        body = Body(self.node.pool)
+        body = BufferedBody(self.node.pool)
         try:
             body.add(asked.body)
-        except Exhausted:
+        except BuffersExhaustedError:
             body.release()
-            self._settled(item, Reply(WRITTEN_OFF))
+            self._settled(item, RecordedResponse(WRITTEN_OFF))
             return
-        client = NOBODY if job is None else job.client
-        new = Job(wi, client, asked.method, asked.target, asked.headers, body, asked.trace)
-        if job is not None:
+        client = DISCONNECTED_CLIENT if pending is None else pending.client
+        new = PendingRequest(request, client, asked.method, asked.target, asked.headers, body, asked.trace)
+        if pending is not None:
             # What its client says of the former one is said of this one.
-            item.clients[new] = item.clients.pop(job)
-            self.items.pop(job.wi, None)
-            job.owed = False
-            job.body.release()
-            if getattr(client, "job", None) is job:
-                client.job = new
+            item.clients[new] = item.clients.pop(pending)
+            self.items.pop(pending.request, None)
+            pending.owed = False
+            pending.body.release()
+            if getattr(client, "job", None) is pending:
+                client.pending = new
         item.main = new
-        self.items[wi] = item
-        self.jobs[wi] = new
+        self.items[request] = item
+        self.pending_requests[request] = new
         before = [
-            (Listing(i.upstream, i.zone, i.cell, 1.0, None, Condition.GONE), i.at, not i.fate)
+            (Endpoint(i.upstream, i.zone, i.cell, 1.0, None, EndpointState.GONE), i.at, not i.fate)
             for i in item.intents
             if i.fate != UNSENT
         ]
-        self.runner.take(wi, before)
+        self.runner.take(request, before)
 
-    def _settled(self, item: Item, reply: Reply) -> None:
+    def _settled(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         """What can't even be decided on."""
         for client in list(item.clients):
             self._answer_job(client, reply)
         item.clients.clear()
         self.covering.answered(item, reply)
 
-    def answer(self, item: Item, client: Job, reply: Reply) -> None:
+    def answer(self, item: ReplicatedRequest, client: PendingRequest, reply: RecordedResponse) -> None:
         self._answer_job(client, reply)
 
-    def _answer_job(self, job: Job, reply: Reply) -> None:
-        self.items.pop(job.wi, None)
-        deciding = job.wi in self.jobs
+    def _answer_job(self, pending: PendingRequest, reply: RecordedResponse) -> None:
+        self.items.pop(pending.request, None)
+        deciding = pending.request in self.pending_requests
         if not deciding:
-            job.body.release()
-        self._give(job, self._made(reply), KINDS.get(reply.status, "written_off"))
+            pending.body.release()
+        self._give(pending, self._made(reply), KINDS.get(reply.status, "written_off"))
         if deciding:
-            self.runner.gone(job.wi)
-            self._forget_if_closed(job)
+            self.runner.gone(pending.request)
+            self._forget_if_closed(pending)
 
-    def _made(self, reply: Reply) -> Final:
+    def _made(self, reply: RecordedResponse) -> FinalResponse:
         if reply.status != FINISHED:
-            return Final(reply.status, come_back=reply.come_back)
-        body = Body(self.node.pool)
+            return FinalResponse(reply.status, retry_after=reply.retry_after)
+        body = BufferedBody(self.node.pool)
         try:
             body.add(reply.body)
-        except Exhausted:
+        except BuffersExhaustedError:
             body.release()
-            return Final(WRITTEN_OFF)
-        return Final(FINISHED, Answer(body, reply.kind))
+            return FinalResponse(WRITTEN_OFF)
+        return FinalResponse(FINISHED, UpstreamResponse(body, reply.kind))
 
     # What the decisions want.
 
-    def send(self, ho: HandOff, limit: float) -> None:
-        super().send(ho, limit)
-        errand, listing = self.jobs[ho.wi].errands[ho], ho.upstream.listing
-        self.zoning.began(errand, listing.zone, self.runner.now)
-        item = self.items.get(ho.wi)
+    def send(self, attempt: Attempt, limit: float) -> None:
+        super().send(attempt, limit)
+        exchange, listing = (
+            self.pending_requests[attempt.request].exchanges[attempt],
+            attempt.endpoint.listing,
+        )
+        self.zoning.began(exchange, listing.zone, self.runner.now)
+        item = self.items.get(attempt.request)
         if item is None:
             return
-        self.hold(errand, item, Intent(listing.address, listing.zone, listing.cell, self.runner.now))
+        self.hold(exchange, item, AttemptIntent(listing.address, listing.zone, listing.cell, self.runner.now))
 
-    def _ended(self, errand: Errand, fate: Fate, report: dict[str, float], answer: Any) -> None:
-        self.zoning.ended(errand, fate, self.runner.now)
-        gate = self.unhold(errand)
-        if gate is not None and (fate.never_ran or not (gate.open and errand.written)):
+    def _ended(self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any) -> None:
+        self.zoning.ended(exchange, fate, self.runner.now)
+        gate = self.unhold(exchange)
+        if gate is not None and (fate.never_ran or not (gate.open and exchange.written)):
             self.covering.ended(gate.item, gate.number, fate.value)
-        super()._ended(errand, fate, report, answer)
+        super()._ended(exchange, fate, report, answer)
 
-    def _final(self, job: Job, final: Final, how: str) -> None:
-        item = self.items.pop(job.wi, None)
+    def _final(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
+        item = self.items.pop(pending.request, None)
         if item is None:
-            self._give(job, final, how)
+            self._give(pending, final, how)
             return
-        until = item.clients.pop(job, inf)
-        reply = Reply(final.status, final.come_back)
-        if final.answer is not None:
-            body = final.answer.body
+        until = item.clients.pop(pending, inf)
+        reply = RecordedResponse(final.status, final.retry_after)
+        if final.response is not None:
+            body = final.response.body
             # One that is passed on while it comes can't be given to anybody else.
-            whole = b"" if isinstance(body, Flow) else b"".join(body.views())
-            reply = Reply(WRITTEN_OFF if isinstance(body, Flow) else FINISHED, 0.0, final.answer.kind, whole)
+            whole = b"" if isinstance(body, BodyStream) else b"".join(body.views())
+            reply = RecordedResponse(
+                WRITTEN_OFF if isinstance(body, BodyStream) else FINISHED, 0.0, final.response.kind, whole
+            )
         given = self.covering.answered(item, reply)
         if given is None:
-            job.owed = False
-            if job.client is not NOBODY:
-                self.covering.wait_on(item, job, until)
-                self.items[job.wi] = item
+            pending.owed = False
+            if pending.client is not DISCONNECTED_CLIENT:
+                self.covering.wait_on(item, pending, until)
+                self.items[pending.request] = item
             return
-        if given is not reply and final.answer is None:
+        if given is not reply and final.response is None:
             final = self._made(given)
             how = KINDS.get(given.status, how)
-        self._give(job, final, how)
+        self._give(pending, final, how)
 
-    def _give(self, job: Job, final: Final, how: str) -> None:
-        super()._final(job, final, how)
+    def _give(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
+        super()._final(pending, final, how)
         # Guards against a second answer being taken for that of the next request on its connection.
-        job.client = NOBODY
+        pending.client = DISCONNECTED_CLIENT
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -13,26 +13,33 @@
 
 import msgspec
 
-from ...decisions.terms import Terms
+from ...decisions.terms import BalancerConfig
 from ...fleet import common
-from ...fleet.frames import RELAYED, Frame, Given, Says, Want, Which
-from ...fleet.part import CoverPart, FleetPart, ZonesPart
-from ...fleet.policy import WORD, Following, Kept
-from ...fleet.records import Decision, Policy
+from ...fleet.frames import (
+    RELAYED,
+    DecisionFrame,
+    DecisionRequestFrame,
+    Frame,
+    PolicyQueryFrame,
+    PolicyStatusFrame,
+)
+from ...fleet.part import FleetConfig, ReplicationConfig, ZonesConfig
+from ...fleet.policy import WORD, PolicyReplica, StoredPolicy
+from ...fleet.records import Policy, PolicyDecision
 from ..actor import Actor, Coroutine
-from ..lifecycle.config import Config, Unusable, standing, terms_of
-from .links import Inquiry, Links
-from .mail import ANEW, WARY
+from ..lifecycle.config import ConfigError, SidecarConfig, balancer_config_of, keep_start_only_fields
+from .links import LinkManager, MemberQuery
+from .mail import CHECK_LINKS, REGISTER_AGAIN
 
 AT_ONCE = 16  # members asked in one go
 EACH = 1 / 16  # of the time for which a word counts: how often it is seen who is to be asked
 AGAIN = 3 / 4  # of the same: so old is the youngest word of a cell, or of a name, when it is asked for anew
 SLOW = 1 / 4  # of the same: so long an answer is waited for before another one is asked
 TOLD = 8  # differences that are named in one line of the log
-decoder = msgspec.json.Decoder(Kept)
+decoder = msgspec.json.Decoder(StoredPolicy)
 
 
-class Keep:
+class VoteStore:
     """The file that outlives a process: the policy in force, and the vote that still binds."""
 
     def __init__(self, folder: str, fleet: str, name: str, log: Callable[..., None]) -> None:
@@ -46,10 +53,10 @@
         if self.path is not None:
             threading.Thread(target=self._run, daemon=True).start()
 
-    def read(self) -> Kept:
+    def read(self) -> StoredPolicy:
         """What is there; what can't be used is as if it were not there."""
         if self.path is None:
-            return Kept(self.fleet)
+            return StoredPolicy(self.fleet)
         try:
             kept = decoder.decode(self.path.read_bytes())
             if kept.fleet != self.fleet:
@@ -59,13 +66,13 @@
                     if policy.body is not None and common.digest(policy.body) != policy.digest:
                         raise ValueError("its digest is another one's")
         except FileNotFoundError:
-            return Kept(self.fleet)
+            return StoredPolicy(self.fleet)
         except (OSError, ValueError, msgspec.DecodeError) as error:
             self.log("policy.unreadable", error=str(error))
-            return Kept(self.fleet)
+            return StoredPolicy(self.fleet)
         return kept
 
-    def write(self, kept: Kept) -> None:
+    def write(self, kept: StoredPolicy) -> None:
         if self.path is not None:
             self.data = msgspec.json.encode(kept)
             self.waiting.set()
@@ -100,23 +107,23 @@
         return self.fault or None
 
 
-class Ruling:
+class PolicyController:
     """The door of `Following`, and what a sidecar makes of the policy."""
 
     def __init__(
         self,
-        config: Config,
-        part: FleetPart,
+        config: SidecarConfig,
+        part: FleetConfig,
         me: str,
         now: float,
-        terms: Callable[[], Terms],
-        retune: Callable[[Terms], None],
+        terms: Callable[[], BalancerConfig],
+        retune: Callable[[BalancerConfig], None],
         log: Callable[..., None],
     ) -> None:
         """`terms`: those in force; `retune`: puts others in force, in one turn."""
         self.config, self.part, self.terms, self.retune, self.log = config, part, terms, retune, log
-        self.keeper = Keep(part.keep, part.name, config.name, log)
-        self.following = Following(me, config.name, float(part.lease_s), self, now, self.keeper.read())
+        self.keeper = VoteStore(part.keep, part.name, config.name, log)
+        self.following = PolicyReplica(me, config.name, float(part.lease_s), self, now, self.keeper.read())
         self.file = common.common(config.settings, part.cover, part.zones)
         self.module: Any = None  # whose links the words go over
 
@@ -127,12 +134,12 @@
         if not faults:
             try:
                 terms = self._terms(body, self.config)
-            except Unusable as unusable:
+            except ConfigError as unusable:
                 return str(unusable)
-            faults = [f"{name}: needs a restart" for name in standing(terms, self.terms())[1]]
+            faults = [f"{name}: needs a restart" for name in keep_start_only_fields(terms, self.terms())[1]]
         return "; ".join(faults)
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: StoredPolicy) -> None:
         self.keeper.write(kept)
 
     def kept(self) -> str | None:
@@ -141,70 +148,72 @@
     def rule(self, policy: Policy) -> None:
         if policy.body is None or self.module is None:
             return
-        self.retune(standing(self._terms(policy.body, self.config), self.terms())[0])
+        self.retune(keep_start_only_fields(self._terms(policy.body, self.config), self.terms())[0])
         self.module.retuned(self.terms())
-        self.module.cover_by(msgspec.convert(policy.body["cover"], CoverPart))
+        self.module.cover_by(msgspec.convert(policy.body["cover"], ReplicationConfig))
         zones = policy.body.get("zones")
-        self.module.zoning.plan_by(None if zones is None else msgspec.convert(zones, ZonesPart))
+        self.module.zoning.plan_by(None if zones is None else msgspec.convert(zones, ZonesConfig))
         differ = [key for key, _, _ in common.differences(self.file, policy.body)]
         if differ:
             self.log("policy.file_differs", version=policy.version, keys=differ[:TOLD])
 
     def ask(self, member: str) -> None:
         if self.module is not None:
-            self.module.say(member, Want())
+            self.module.say(member, DecisionRequestFrame())
 
     def note(self, event: str, **fields: Any) -> None:
         self.log(event, **fields)
 
     # What the host asks.
 
-    def _terms(self, body: common.Body, config: Config) -> Terms:
+    def _terms(self, body: common.Body, config: SidecarConfig) -> BalancerConfig:
         merged = common.merged(body, config.settings)
-        return terms_of(msgspec.structs.replace(config, settings=merged), "policy")
+        return balancer_config_of(msgspec.structs.replace(config, settings=merged), "policy")
 
-    def renewed(self, config: Config) -> Terms:
+    def renewed(self, config: SidecarConfig) -> BalancerConfig:
         """The terms by a file that was read again. Raises `Unusable`: it changes what is the fleet's."""
         part = config.fleet or self.part
         now = common.common(config.settings, part.cover, part.zones)
         policy = self.following.in_force
         ruling = policy.body if policy.body is not None else self.file
         if edited := common.edited(self.file, now, ruling):
-            raise Unusable(
+            raise ConfigError(
                 f"version {policy.version} of the fleet's policy holds, a change is to be proposed: "
                 + "; ".join(edited)
             )
         self.file, self.config = now, msgspec.structs.replace(self.config, settings=config.settings)
         return self._terms(ruling, config)
 
-    def says(self, asked: Which) -> list[Frame]:
+    def says(self, asked: PolicyQueryFrame) -> list[Frame]:
         """To one that we have no link with: our word, and those that we have heard over our links."""
         following = self.following
         following.now = self.module.loop.now()
-        frames: list[Frame] = [Says(following.word(), following.lately(self.module.links, RELAYED))]
+        frames: list[Frame] = [
+            PolicyStatusFrame(following.word(), following.lately(self.module.links, RELAYED))
+        ]
         return [*frames, *self.given()] if following.known > asked.known else frames
 
     def given(self) -> list[Frame]:
         decision = self.following.decision
-        return [] if decision is None else [Given(msgspec.json.encode(decision))]
+        return [] if decision is None else [DecisionFrame(msgspec.json.encode(decision))]
 
     def heard(self, frame: Frame) -> list[Frame]:
         """A frame about the policy; what is answered."""
         match frame:
-            case Says(word, others):
+            case PolicyStatusFrame(word, others):
                 for one in (word, *others[:RELAYED]):
                     self.following.heard(one)
-            case Want():
+            case DecisionRequestFrame():
                 return self.given()
-            case Given(data):
+            case DecisionFrame(data):
                 try:
-                    self.following.told(msgspec.json.decode(data, type=Decision))
+                    self.following.told(msgspec.json.decode(data, type=PolicyDecision))
                 except (msgspec.DecodeError, UnicodeDecodeError) as error:
                     self.log("policy.unreadable", error=str(error))
         return []
 
 
-class Asker(Actor):
+class PolicyPoller(Actor):
     """Where the words of others are needed, asks for those that no link brings; and the arbiter again.
 
     Of each other cell one member is asked in turn, which passes on what it has heard of its own.
@@ -213,7 +222,12 @@
     lasting = True
 
     def __init__(
-        self, links: Links, following: Following, onlooker: Actor, chance: random.Random, lease: float
+        self,
+        links: LinkManager,
+        following: PolicyReplica,
+        onlooker: Actor,
+        chance: random.Random,
+        lease: float,
     ) -> None:
         self.links, self.following, self.onlooker = links, following, onlooker
         self.chance, self.counts = chance, WORD * lease
@@ -234,13 +248,13 @@
             if not following.uneasy:
                 continue
             for link in self.links.links.values():
-                link.post(WARY)
+                link.post(CHECK_LINKS)
             for address in self._addresses(now):
-                Inquiry(self.links, address, following.known).begin()
+                MemberQuery(self.links, address, following.known).begin()
             if following.promise is not None and now >= max(following.promise.at, self.anew_at):
                 # Guards against a watch that has gone quiet just when what it would tell is waited for.
                 self.anew_at = now + following.lease
-                self.onlooker.post(ANEW)
+                self.onlooker.post(REGISTER_AGAIN)
 
     def _addresses(self, now: float) -> list[str]:
         """Whom to ask now: of those whose words are the oldest."""
--- a/starlingwheel/net/fleet/sidecar.py
+++ b/starlingwheel/net/fleet/sidecar.py
@@ -6,31 +6,35 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from ...fleet.part import FleetPart
+from ...fleet.part import FleetConfig
 from .calls import CALLS
-from .connection import HoldingConnection
-from .mail import Lapsed
-from .module import CoveringModule
-from .policy import Ruling
-from .start import Fleet, Who
+from .connection import ReplicatedHttp1Connection
+from .mail import EntryLost
+from .module import ReplicatingCoordinator
+from .policy import PolicyController
+from .start import FleetMember, MemberIdentity
 
 if TYPE_CHECKING:
     from ..lifecycle.start import Node
 
 
-class Sidecar(Fleet):
+class SidecarFleet(FleetMember):
     """One sidecar's actors of the fleet, and what operators can ask of them."""
 
-    module: CoveringModule
+    module: ReplicatingCoordinator
     calls = CALLS
 
-    def __init__(self, node: Node, part: FleetPart, sock: socket.socket) -> None:
-        def ruling(me: str) -> Ruling:
-            return Ruling(node.config, part, me, node.loop.now(), lambda: node.terms, node.retune, node.log)
+    def __init__(self, node: Node, part: FleetConfig, sock: socket.socket) -> None:
+        def ruling(me: str) -> PolicyController:
+            return PolicyController(
+                node.config, part, me, node.loop.now(), lambda: node.terms, node.retune, node.log
+            )
 
-        def module(me: str, ruling: Ruling, lapsed: Callable[[Lapsed], None]) -> CoveringModule:
-            return CoveringModule(node, me, part, lapsed, ruling)
+        def module(
+            me: str, ruling: PolicyController, lapsed: Callable[[EntryLost], None]
+        ) -> ReplicatingCoordinator:
+            return ReplicatingCoordinator(node, me, part, lapsed, ruling)
 
-        who = Who(node.config.name, node.terms.zone, node.config.seed)
+        who = MemberIdentity(node.config.name, node.terms.zone, node.config.seed)
         super().__init__(node.loop, node.pool, node.log, part, sock, who, ruling, module)
-        node.connection = HoldingConnection
+        node.connection = ReplicatedHttp1Connection
--- a/starlingwheel/net/fleet/start.py
+++ b/starlingwheel/net/fleet/start.py
@@ -11,30 +11,30 @@
 
 import msgspec
 
-from ...decisions.terms import Terms
-from ...fleet.cells import Cutting
-from ...fleet.frames import VERSION, Hello
-from ...fleet.part import FleetPart
-from ...fleet.records import Txn
+from ...decisions.terms import BalancerConfig
+from ...fleet.cells import ShardMap
+from ...fleet.frames import VERSION, HelloFrame
+from ...fleet.part import FleetConfig
+from ...fleet.records import Transaction
 from ...fleet.view import Member
 from ..actor import Coroutine
 from ..loop import Loop
-from ..memory.buffers import Pool
-from .arbiter import Clerk, Lessee, Onlooker, Scribe
-from .hosting import Hosting
-from .links import Links
-from .mail import WAKE, Lapsed, Reach, Recorded, Strike, Viewed
-from .policy import Asker, Ruling
+from ..memory.buffers import BufferPool
+from .arbiter import LeaseKeeper, MemberEvictor, StateWatcher, StateWriter
+from .hosting import FleetHost
+from .links import LinkManager
+from .mail import WRITE_PENDING, DialMember, EntryLost, EvictMember, StoreRead, ViewChanged
+from .policy import PolicyController, PolicyPoller
 
 if TYPE_CHECKING:
-    from ..lifecycle.config import Config
+    from ..lifecycle.config import SidecarConfig
 
 
 LEAVING = 1 / 6  # of a lease for which a process that ends waits to be out of the view
 LATE = 8.0  # leases after which a sidecar that can't reach the arbiter serves all the same, uncovered
 
 
-class Who(NamedTuple):
+class MemberIdentity(NamedTuple):
     """A member as its configuration names it. `zone`: as its settings say."""
 
     name: str
@@ -42,19 +42,19 @@
     seed: str
 
 
-class Fleet:
+class FleetMember:
     """One member's actors of the fleet."""
 
     def __init__(
         self,
         loop: Loop,
-        pool: Pool,
+        pool: BufferPool,
         log: Callable[..., None],
-        part: FleetPart,
+        part: FleetConfig,
         sock: socket.socket,
-        who: Who,
-        ruling: Callable[[str], Ruling],
-        module: Callable[[str, Ruling, Callable[[Lapsed], None]], Hosting],
+        who: MemberIdentity,
+        ruling: Callable[[str], PolicyController],
+        module: Callable[[str, PolicyController, Callable[[EntryLost], None]], FleetHost],
     ) -> None:
         """`sock`: listens for links. `ruling`, `module`: make those, for the member of that id.
 
@@ -66,19 +66,23 @@
         self.me = f"{who.name or 'sidecar'}.{random.SystemRandom().getrandbits(48):012x}"
         member = Member(self.me, who.name, address, who.zone)
         given = (loop, part.arbiter, float(part.lease_s), pool, log, chance, part.name)
-        self.lessee = Lessee(*given, member=member, tell=self._tell)
-        self.onlooker = Onlooker(*given, tell=self._tell)
+        self.lessee = LeaseKeeper(*given, member=member, tell=self._tell)
+        self.onlooker = StateWatcher(*given, tell=self._tell)
         self.leaving = False
         self.loop, self.lease, self.late_at = loop, part.lease_s, inf
-        self.clerk = Clerk(*given)
+        self.clerk = MemberEvictor(*given)
         self.ruling = ruling(self.me)
         self.module = module(self.me, self.ruling, self._lapsed)
-        self.cutting = Cutting(self.me, float(part.lease_s), part.cell_size, loop.now())
-        self.scribe = Scribe(*given, due=self._due, lease_id=lambda: self.lessee.held)
-        hello = Hello(part.name, VERSION, self.me)
-        self.links = Links(loop, sock, hello, self._tell, self.module.beat, self.ruling.says, log, chance)
-        self.module.reaching = lambda member: self.links.post(Reach(member))
-        self.asker = Asker(self.links, self.ruling.following, self.onlooker, chance, float(part.lease_s))
+        self.cutting = ShardMap(self.me, float(part.lease_s), part.cell_size, loop.now())
+        self.scribe = StateWriter(*given, due=self._due, lease_id=lambda: self.lessee.held)
+        hello = HelloFrame(part.name, VERSION, self.me)
+        self.links = LinkManager(
+            loop, sock, hello, self._tell, self.module.beat, self.ruling.says, log, chance
+        )
+        self.module.reaching = lambda member: self.links.post(DialMember(member))
+        self.asker = PolicyPoller(
+            self.links, self.ruling.following, self.onlooker, chance, float(part.lease_s)
+        )
 
     @property
     def joined(self) -> bool:
@@ -90,7 +94,7 @@
         there = self.me in self.module.covering.view or self.loop.now() > self.late_at
         return there and self.ruling.following.sure
 
-    def renewed(self, config: Config) -> Terms:
+    def renewed(self, config: SidecarConfig) -> BalancerConfig:
         """The terms by a file that was read again. Raises `Unusable`: it changes what is the fleet's."""
         return self.ruling.renewed(config)
 
@@ -99,11 +103,11 @@
         following = self.ruling.following
         now = following.now = self.loop.now()
         due = following.due()
-        if isinstance(due, Txn):
+        if isinstance(due, Transaction):
             return due
         self.cutting.now = now
         for other in (self.module.zoning.due(now, following.leased), self.cutting.due()):
-            if isinstance(other, Txn):
+            if isinstance(other, Transaction):
                 return other
             due = min(due, other)
         return due
@@ -168,12 +172,12 @@
         member = self.module.covering.view.members.get(self.me)
         self.leaving = True
         if member is not None:
-            self.clerk.post(Strike(member))
+            self.clerk.post(EvictMember(member))
             until = self.loop.now() + LEAVING * self.lease
             while self.me in self.module.covering.view and self.loop.now() < until:
                 yield self.loop.now() + LEAVING * self.lease / 32
 
-    def _lapsed(self, mail: Lapsed) -> None:
+    def _lapsed(self, mail: EntryLost) -> None:
         if not self.leaving:
             self.lessee.post(mail)
 
@@ -189,16 +193,16 @@
         )
 
     def _tell(self, mail: Any) -> None:
-        if isinstance(mail, Strike):
+        if isinstance(mail, EvictMember):
             self.clerk.post(mail)
             return
         self.module.post(mail)
-        if isinstance(mail, Viewed):
+        if isinstance(mail, ViewChanged):
             self.links.post(mail)
-        elif isinstance(mail, Recorded):
+        elif isinstance(mail, StoreRead):
             self.cutting.now = self.loop.now()
             self.cutting.recorded(mail.records)
-            self.scribe.post(WAKE)
+            self.scribe.post(WRITE_PENDING)
 
     def begin(self) -> None:
         self.late_at = self.loop.now() + LATE * self.lease
--- a/starlingwheel/net/fleet/zones.py
+++ b/starlingwheel/net/fleet/zones.py
@@ -8,43 +8,43 @@
 
 import msgspec
 
-from ...decisions.runner import Runner
-from ...decisions.terms import Fate
-from ...fleet.part import ZonesPart
-from ...fleet.records import Records, Txn
-from ...fleet.zones import WINDOW, Noting, Planning
+from ...decisions.runner import DecisionScheduler
+from ...decisions.terms import AttemptOutcome
+from ...fleet.part import ZonesConfig
+from ...fleet.records import StoreRecords, Transaction
+from ...fleet.zones import WINDOW, ZoneHealthTracker, ZonePlanner
 
 HOW = {
-    Fate.FINISHED: "good",
-    Fate.ERROR: "bad",
-    Fate.BROKEN: "bad",
-    Fate.UNREACHED: "bad",
-    Fate.OVERDUE: "bad",
-    Fate.TURNED_DOWN: "full",
+    AttemptOutcome.SUCCESS: "good",
+    AttemptOutcome.ERROR: "bad",
+    AttemptOutcome.RESET: "bad",
+    AttemptOutcome.CONNECT_FAILED: "bad",
+    AttemptOutcome.TIMED_OUT: "bad",
+    AttemptOutcome.REJECTED: "full",
 }
 
 
-class Zoning:
+class ZoneController:
     """The door of `Planning`. Without a `zones` part it sees nothing and plans nothing."""
 
     def __init__(
         self,
         me: str,
         lease: float,
-        part: ZonesPart | None,
+        part: ZonesConfig | None,
         shortest: float,
         now: float,
-        runner: Callable[[], Runner],
+        runner: Callable[[], DecisionScheduler],
         log: Callable[..., None],
     ) -> None:
         """`shortest`: the shortest due time, seconds."""
         self.runner, self.log = runner, log
-        self.noting = Noting(WINDOW * shortest, now)
-        part_ = part or ZonesPart()
-        self.planning = Planning(me, lease, part_.regions, part_.bears, self, self.noting)
+        self.noting = ZoneHealthTracker(WINDOW * shortest, now)
+        part_ = part or ZonesConfig()
+        self.planning = ZonePlanner(me, lease, part_.regions, part_.bears, self, self.noting)
         self.on = part is not None
 
-    def plan_by(self, part: ZonesPart | None) -> None:
+    def plan_by(self, part: ZonesConfig | None) -> None:
         """What the policy says of zones, from now on."""
         if part is not None:
             self.planning.regions, self.planning.bears = dict(part.regions), dict(part.bears)
@@ -54,22 +54,22 @@
 
     # What the host tells.
 
-    def began(self, errand: Any, zone: str, now: float) -> None:
+    def began(self, exchange: Any, zone: str, now: float) -> None:
         if self.on:
             self.noting.now = now
-            self.noting.began(errand, zone)
+            self.noting.began(exchange, zone)
 
-    def ended(self, errand: Any, fate: Fate, now: float) -> None:
+    def ended(self, exchange: Any, fate: AttemptOutcome, now: float) -> None:
         if self.on:
             self.noting.now = now
-            self.noting.ended(errand, HOW.get(fate, "none"))
+            self.noting.ended(exchange, HOW.get(fate, "none"))
 
-    def recorded(self, records: Records, now: float) -> None:
+    def recorded(self, records: StoreRecords, now: float) -> None:
         if self.on:
             self.noting.now = now
             self.planning.recorded(records)
 
-    def due(self, now: float, leased: bool) -> Txn | float:
+    def due(self, now: float, leased: bool) -> Transaction | float:
         """What is to be written at the arbiter, or when to ask again."""
         if not self.on:
             return inf
--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from ... import settings
-from ...decisions.terms import Terms
+from ...decisions.terms import BalancerConfig
 from ..wire.address import split
-from ..wire.entries import Word
+from ..wire.entries import DiscoveryMessage
 
 
 class Limits(msgspec.Struct, frozen=True):
@@ -20,7 +20,7 @@
     sockets: int = 1024
 
 
-class Config(msgspec.Struct, frozen=True):
+class SidecarConfig(msgspec.Struct, frozen=True):
     """What a sidecar is told before its start."""
 
     listen: str
@@ -32,81 +32,91 @@
     peer_listen: str = ""
     peers: list[str] = []
     peers_all: str = ""
-    known: Word | None = None
+    known: DiscoveryMessage | None = None
     mgmt: str = ""
     fleet: Any = None  # as given; fleet/part.py knows what it may say
     named: frozenset[str] = frozenset()  # the keys that the file has
 
 
-class Unusable(Exception):
+class ConfigError(Exception):
     """The start can't be made; names file and field."""
 
 
-def configured(environment: Mapping[str, str]) -> tuple[Config, Terms]:
+def load_config(environment: Mapping[str, str]) -> tuple[SidecarConfig, BalancerConfig]:
     config = _read(environment)
     return _whole(config, environment["EDGE_CONFIG"])
 
 
-def _whole(config: Config, path: str) -> tuple[Config, Terms]:
-    terms = terms_of(config, path)
+def _whole(config: SidecarConfig, path: str) -> tuple[SidecarConfig, BalancerConfig]:
+    terms = balancer_config_of(config, path)
     if config.fleet is not None:
         if not config.name:
-            raise Unusable(f"{path}: name: missing; members of a fleet are told apart by it")
+            raise ConfigError(f"{path}: name: missing; members of a fleet are told apart by it")
         from ...fleet.part import decode  # costs a start without it no import
 
         try:
-            part = decode(config.fleet, [c.name for c in terms.categories], terms.streams)
+            part = decode(config.fleet, [c.name for c in terms.request_classes], terms.streams_per_connection)
         except ValueError as error:
-            raise Unusable(f"{path}: {error}") from error
+            raise ConfigError(f"{path}: {error}") from error
         config = msgspec.structs.replace(config, fleet=part)
     return config, terms
 
 
-def _read(environment: Mapping[str, str]) -> Config:
+def _read(environment: Mapping[str, str]) -> SidecarConfig:
     path = environment.get("EDGE_CONFIG", "")
     if not path:
-        raise Unusable("EDGE_CONFIG names no file")
+        raise ConfigError("EDGE_CONFIG names no file")
     try:
         with open(path, "rb") as file:
             given = msgspec.json.decode(file.read())
-        config = msgspec.convert(given, Config)
+        config = msgspec.convert(given, SidecarConfig)
         mgmt = environment.get("EDGE_MGMT") or config.mgmt
         config = msgspec.structs.replace(config, mgmt=mgmt, named=frozenset(given))
         for field in ("listen", "discovery", "mgmt")[: 3 if config.mgmt else 2]:
             split(getattr(config, field))
     except (OSError, msgspec.DecodeError, ValueError) as error:
-        raise Unusable(f"{path}: {error}") from error
+        raise ConfigError(f"{path}: {error}") from error
     return config
 
 
-def terms_of(config: Config, path: str) -> Terms:
+def balancer_config_of(config: SidecarConfig, path: str) -> BalancerConfig:
     """Raises `Unusable`, the key named, for settings that nobody can follow."""
     try:
         settings.check(config.settings)
         terms = settings.terms(config.settings)
-        if not terms.categories or not all(c.due_time > 0 and c.expiry > 0 for c in terms.categories):
+        if not terms.request_classes or not all(
+            c.latency_objective > 0 and c.timeout > 0 for c in terms.request_classes
+        ):
             raise msgspec.ValidationError("categories: none, or one without dueTime or expiry")
     except (msgspec.ValidationError, TypeError) as error:
-        raise Unusable(f"{path}: settings: {error}") from error
+        raise ConfigError(f"{path}: settings: {error}") from error
     # A sidecar whose settings don't say how the list comes asks for it.
     asks = config.settings.get("discovery", "ask") == "ask"
-    return msgspec.structs.replace(terms, must_subscribe=asks)
+    return msgspec.structs.replace(terms, must_watch_endpoints=asks)
 
 
-def standing(terms: Terms, before: Terms) -> tuple[Terms, list[str]]:
+def keep_start_only_fields(terms: BalancerConfig, before: BalancerConfig) -> tuple[BalancerConfig, list[str]]:
     """Those terms as far as a process can take them over, and the names of what needs a restart."""
-    held = {name: getattr(before, name) for name in STANDING}
+    held = {name: getattr(before, name) for name in FIXED_AT_START}
     changed = [name for name, value in held.items() if getattr(terms, name) != value]
     return msgspec.structs.replace(terms, **held), changed
 
 
 START_ONLY = {"seed", "known"}  # for the next start: new each time, and of no use to one that has its list
 # Terms that sockets, peers and standing chores were made from at the start.
-STANDING = ("must_subscribe", "streams", "number", "sidecars", "peers_allowed")
+FIXED_AT_START = (
+    "must_watch_endpoints",
+    "streams_per_connection",
+    "sidecar_index",
+    "sidecars",
+    "gossip_allowed",
+)
 NUMBERS = ("dueTime", "expiry")
 
 
-def renewed(environment: Mapping[str, str], before: Config) -> tuple[Config, Terms]:
+def reload_config(
+    environment: Mapping[str, str], before: SidecarConfig
+) -> tuple[SidecarConfig, BalancerConfig]:
     """The configuration as the file has it now, if that can take the place of the one in force.
 
     Guards against a file that is half written or half edited: what was named before is named again, and no
@@ -116,22 +126,22 @@
     try:
         _complete(before, config, path)
     except (TypeError, AttributeError) as error:
-        raise Unusable(f"{path}: settings: {error}") from error
+        raise ConfigError(f"{path}: settings: {error}") from error
     return _whole(config, path)
 
 
-def _complete(before: Config, config: Config, path: str) -> None:
+def _complete(before: SidecarConfig, config: SidecarConfig, path: str) -> None:
     missing = [*sorted(before.named - config.named - START_ONLY)]
     missing += [f"settings.{key}" for key in _missing(before.settings, config.settings)]
     if missing:
-        raise Unusable(f"{path}: missing: {', '.join(missing)}")
+        raise ConfigError(f"{path}: missing: {', '.join(missing)}")
     for key, value in _numbers(config.settings):
         if (
             isinstance(value, bool)
             or not isinstance(value, int | float)
             or not (isfinite(value) and value > 0)
         ):
-            raise Unusable(f"{path}: settings.{key}: {value!r} is no positive number")
+            raise ConfigError(f"{path}: settings.{key}: {value!r} is no positive number")
 
 
 def _missing(before: Any, now: Any) -> Iterator[str]:
--- a/starlingwheel/net/lifecycle/log.py
+++ b/starlingwheel/net/lifecycle/log.py
@@ -15,7 +15,7 @@
 MOST = 1 << 20
 
 
-class Log:
+class EventLog:
     def __init__(self, now: Callable[[], float], fd: int = 1) -> None:
         self.now, self.fd = now, fd
         self.lines: deque[bytes] = deque()
--- a/starlingwheel/net/lifecycle/signals.py
+++ b/starlingwheel/net/lifecycle/signals.py
@@ -10,8 +10,8 @@
 
 from ..actor import Actor, Coroutine
 from ..loop import READ
-from ..mail import STOP, Relocated
-from .config import START_ONLY, Unusable, renewed, standing
+from ..mail import STOP, DiscoveryMoved
+from .config import START_ONLY, ConfigError, keep_start_only_fields, reload_config
 
 if TYPE_CHECKING:
     from .start import Node
@@ -20,7 +20,7 @@
 TAKEN_OVER = {"discovery", "settings", "named"}
 
 
-class Signals(Actor):
+class SignalHandler(Actor):
     lasting = True
 
     def __init__(self, node: Node) -> None:
@@ -52,10 +52,10 @@
     def _renew(self) -> None:
         """Read the configuration again, whole. One that can't be used leaves the one before in force."""
         try:
-            config, terms = renewed(self.node.environment, self.node.config)
+            config, terms = reload_config(self.node.environment, self.node.config)
             if self.node.fleet is not None:
                 terms = self.node.fleet.renewed(config)
-        except Unusable as unusable:
+        except ConfigError as unusable:
             self.node.log("config.unusable", error=str(unusable))
             return
         before = self.node.config
@@ -67,11 +67,11 @@
         self.node.config = msgspec.structs.replace(before, **{name: getattr(config, name) for name in taken})
         need_restart = differs - TAKEN_OVER - START_ONLY
         if "settings" in taken:
-            terms, changed = standing(terms, self.node.terms)
+            terms, changed = keep_start_only_fields(terms, self.node.terms)
             need_restart |= {f"settings: {name}" for name in changed}
             self.node.retune(terms)
             self.node.tell_mixed()
         told = sorted(taken - {"named"})
         self.node.log("config.read", taken_over=told, need_restart=sorted(need_restart))
         if "discovery" in taken:
-            self.node.list.post(Relocated(config.discovery))
+            self.node.list.post(DiscoveryMoved(config.discovery))
--- a/starlingwheel/net/lifecycle/stop.py
+++ b/starlingwheel/net/lifecycle/stop.py
@@ -11,11 +11,11 @@
     from .start import Node
 
 LINGER = 0.6  # seconds after the word to stop for which clients go on being served: they go on coming
-PULSE = 5.0
+STATS_INTERVAL = 5.0
 PAGE = 4096
 
 
-class Stopper(Actor):
+class ShutdownController(Actor):
     def __init__(self, node: Node) -> None:
         self.node = node
         super().__init__(node.loop)
@@ -24,7 +24,7 @@
         node = self.node
         yield None
         node.stopping = True  # from now on each answer says that its connection closes
-        node.log("stop", clients=len(node.ledger.clients), in_hand=len(node.module.jobs))
+        node.log("stop", clients=len(node.ledger.clients), in_hand=len(node.module.pending_requests))
         # Where another process has the socket too new connections are its; else they go on coming.
         if not node.passed:
             yield from self._linger()
@@ -45,7 +45,7 @@
             yield until
 
 
-class Drainer(Actor):
+class ClientDrainer(Actor):
     """Sends clients away while operators say so, and the process stays."""
 
     lasting = True
@@ -62,7 +62,12 @@
                 yield None
                 continue
             self.on = node.lameduck
-            node.log("lameduck", on=self.on, clients=len(node.ledger.clients), in_hand=len(node.module.jobs))
+            node.log(
+                "lameduck",
+                on=self.on,
+                clients=len(node.ledger.clients),
+                in_hand=len(node.module.pending_requests),
+            )
             # Clients go on coming for a moment after the first no; each answer ends its connection.
             until = self.loop.now() + LINGER
             while node.lameduck and self.loop.now() < until:
@@ -77,7 +82,7 @@
         client.post(STOP)
 
 
-class Pulse(Actor):
+class StatsReporter(Actor):
     """Says now and then how the sidecar is."""
 
     lasting = True
@@ -89,13 +94,13 @@
     def run(self) -> Coroutine[None]:
         node = self.node
         while True:
-            yield self.loop.now() + PULSE
+            yield self.loop.now() + STATS_INTERVAL
             with open("/proc/self/statm", "rb") as file:
                 resident = int(file.read().split()[1]) * PAGE
             node.log(
                 "pulse",
                 **node.module.counts,
-                in_hand=len(node.module.jobs),
+                in_hand=len(node.module.pending_requests),
                 upstreams=len(node.module.upstreams),
                 out=len(node.out.kept.out),
                 lameduck=node.lameduck,
--- a/starlingwheel/net/mail.py
+++ b/starlingwheel/net/mail.py
@@ -5,51 +5,51 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..decisions.terms import Fate, News, Terms
-from .memory.work import Answer, Errand, Job
+from ..decisions.terms import AttemptOutcome, BalancerConfig, WatchEvent
+from .memory.work import Exchange, PendingRequest, UpstreamResponse
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class RequestReceived:
     """To the module: a client's work item."""
 
-    job: Job
+    pending: PendingRequest
 
 
 @dataclass(slots=True, eq=False)
-class Left:
+class ClientDisconnected:
     """To the module: the client of a work item has gone away."""
 
-    job: Job
+    pending: PendingRequest
 
 
 @dataclass(slots=True, eq=False)
-class Whole:
+class RequestBodyComplete:
     """To the module: the last byte of a work item has come that was taken before."""
 
-    job: Job
+    pending: PendingRequest
 
 
 @dataclass(slots=True, eq=False)
-class Ended:
+class ExchangeEnded:
     """To the module: an errand has ended."""
 
-    errand: Errand
-    fate: Fate
-    report: dict[str, float] = field(default_factory=dict)
-    answer: Answer | None = None
+    exchange: Exchange
+    outcome: AttemptOutcome
+    load_report: dict[str, float] = field(default_factory=dict)
+    response: UpstreamResponse | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Listed:
+class EndpointsChanged:
     """To the module: word from the list of upstreams."""
 
-    news: News
-    entries: list[Any]
+    event: WatchEvent
+    endpoints: list[Any]
 
 
 @dataclass(slots=True, eq=False)
-class Heard:
+class GossipReceived:
     """To the module: what a peer has said."""
 
     peer: int
@@ -57,69 +57,69 @@
 
 
 @dataclass(slots=True, eq=False)
-class Final:
+class FinalResponse:
     """To a client: the final answer for its work item."""
 
     status: int
-    answer: Answer | None = None
-    come_back: float = 0.0
+    response: UpstreamResponse | None = None
+    retry_after: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class Carry:
+class StartExchange:
     """To an upstream and its connections: an errand to run."""
 
-    errand: Errand
+    exchange: Exchange
 
 
 @dataclass(slots=True, eq=False)
-class Drop:
+class CancelExchange:
     """To an upstream and its connections: give the errand up."""
 
-    errand: Errand
+    exchange: Exchange
 
 
 @dataclass(slots=True, eq=False)
-class Free:
+class ConnectionIdle:
     """To an upstream: a connection of its can carry the next errand."""
 
     connection: Any
 
 
 @dataclass(slots=True, eq=False)
-class Closed:
+class ConnectionClosed:
     """To an upstream: a connection of its has ended."""
 
     connection: Any
 
 
 @dataclass(slots=True, eq=False)
-class Moved:
+class EndpointMoved:
     """To an upstream: what the list now says of it; None: it has left."""
 
     entry: Any
 
 
 @dataclass(slots=True, eq=False)
-class Retuned:
+class ConfigReloaded:
     """To the module: new terms; work in hand keeps those it was taken with."""
 
-    terms: Terms
+    terms: BalancerConfig
 
 
-class Subscribe:
+class WatchEndpoints:
     """To the list: begin a watch."""
 
 
 @dataclass(slots=True, eq=False)
-class Relocated:
+class DiscoveryMoved:
     """To the list: a new configuration names another discovery."""
 
     address: str
 
 
 @dataclass(slots=True, eq=False)
-class Said:
+class WatchMessage:
     """To the list: a watch has read a line."""
 
     watch: Any
@@ -127,7 +127,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Answered:
+class WatchAnswered:
     """To the list: the answer to a call has begun, so it does not hang."""
 
     watch: Any
@@ -152,4 +152,4 @@
     """To an idle connection: its room is needed, or it can't be used again."""
 
 
-SUBSCRIBE, STOP, CLOSE, DRAIN = Subscribe(), Stop(), Close(), Drain()
+WATCH_ENDPOINTS, STOP, CLOSE, DRAIN = WatchEndpoints(), Stop(), Close(), Drain()
--- a/starlingwheel/net/memory/beside.py
+++ b/starlingwheel/net/memory/beside.py
@@ -6,16 +6,16 @@
 import os
 from pathlib import Path
 
-FILE = "starlingwheel-processes.lock"
-MOST = 8  # processes at a time
+LOCK_FILE = "starlingwheel-processes.lock"
+MAX_PROCESSES = 8  # processes at a time
 
 
-class Beside:
+class SiblingProcesses:
     """Each process locks one byte of a file; the kernel drops the lock with the process, however it ends."""
 
     def __init__(self, folder: str) -> None:
-        self.fd = os.open(Path(folder, FILE), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        self.slot = next((slot for slot in range(MOST) if self._lock(slot)), MOST)
+        self.fd = os.open(Path(folder, LOCK_FILE), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self.slot = next((slot for slot in range(MAX_PROCESSES) if self._lock(slot)), MAX_PROCESSES)
 
     def _lock(self, slot: int) -> bool:
         try:
@@ -25,7 +25,7 @@
         return True
 
     def others(self) -> bool:
-        for slot in range(MOST):
+        for slot in range(MAX_PROCESSES):
             if slot != self.slot:
                 if not self._lock(slot):
                     return True
--- a/starlingwheel/net/memory/connections.py
+++ b/starlingwheel/net/memory/connections.py
@@ -11,7 +11,7 @@
 FIXED = 20  # of those, at least: what a process has open with nobody there, and a few files for a moment
 
 
-class Ledger:
+class ConnectionTracker:
     def __init__(self, most: int, called: bool = False) -> None:
         self.called = called
         self.limit(most)
--- a/starlingwheel/net/memory/flow.py
+++ b/starlingwheel/net/memory/flow.py
@@ -4,23 +4,23 @@
 
 from typing import TYPE_CHECKING
 
-from .buffers import SIZE, Body, Pool
+from .buffers import BUFFER_SIZE, BufferedBody, BufferPool
 
 if TYPE_CHECKING:
     from ..actor import Actor
 
-WINDOW = 1 << 17  # bytes that lie between source and sink, at most, but for one read
-LONGEST = 1 << 25  # of a body that is passed on
+STREAM_WINDOW = 1 << 17  # bytes that lie between source and sink, at most, but for one read
+MAX_STREAMED_BODY = 1 << 25  # of a body that is passed on
 
 
-class Flowing:
+class BodyStreamChanged:
     """To either end of a flow: there is something to take, or room, or it has ended."""
 
 
-FLOWING = Flowing()
+BODY_STREAM_CHANGED = BodyStreamChanged()
 
 
-class Flow:
+class BodyStream:
     """The source adds and ends it, or breaks off; the sink takes, and releases it when it is done with it.
 
     Each end looks at it again when it gets `FLOWING`.
@@ -40,7 +40,7 @@
         "told",
     )
 
-    def __init__(self, pool: Pool, source: Actor, length: int | None, begun: Body) -> None:
+    def __init__(self, pool: BufferPool, source: Actor, length: int | None, begun: BufferedBody) -> None:
         self.pool, self.source, self.length = pool, source, length
         self.sink: Actor | None = None
         self.coming = begun
@@ -51,11 +51,11 @@
 
     @property
     def full(self) -> bool:
-        return self.coming.length >= WINDOW
+        return self.coming.length >= STREAM_WINDOW
 
     def room(self) -> bool:
         """One read more may be added."""
-        return not self.full and self.pool.left * SIZE > len(self.pool.scratch)
+        return not self.full and self.pool.left * BUFFER_SIZE > len(self.pool.scratch)
 
     def add(self, data: bytes | bytearray) -> None:
         self.total += len(data)
@@ -74,7 +74,7 @@
     def _wake(self) -> None:
         if self.sink is not None and not self.told:
             self.told = True
-            self.sink.post(FLOWING)
+            self.sink.post(BODY_STREAM_CHANGED)
 
     # The sink.
 
@@ -83,13 +83,13 @@
         """All of it has been taken."""
         return not self.coming.length and (self.ended or self.taken == self.length)
 
-    def take(self) -> Body:
+    def take(self) -> BufferedBody:
         """What has come since; to be released once it is written."""
         was_full, self.told = self.full, False
-        part, self.coming = self.coming, Body(self.pool)
+        part, self.coming = self.coming, BufferedBody(self.pool)
         self.taken += part.length
         if was_full:
-            self.source.post(FLOWING)
+            self.source.post(BODY_STREAM_CHANGED)
         return part
 
     def release(self) -> None:
@@ -97,4 +97,4 @@
         self.coming.release()
         if not (self.refused or self.ended):
             self.refused = True
-            self.source.post(FLOWING)
+            self.source.post(BODY_STREAM_CHANGED)
--- a/starlingwheel/net/memory/out.py
+++ b/starlingwheel/net/memory/out.py
@@ -14,17 +14,17 @@
 
 import msgspec
 
-FILE = "starlingwheel-operators.json"
-MOST_KNOWN = 4096  # ids ever listed that are remembered, the latest
-BACK_KEPT = 600.0  # seconds for which it is remembered that one was put back
-OUT = "leaving"  # the state that says it, in discovery's word
+OVERRIDES_FILE = "starlingwheel-operators.json"
+MAX_KNOWN_IDS = 4096  # ids ever listed that are remembered, the latest
+RESTORED_RETENTION = 600.0  # seconds for which it is remembered that one was put back
+DRAINING_STATE = "leaving"  # the state that says it, in discovery's word
 
 
-class Busy(Exception):
+class OverridesLockedError(Exception):
     """Another process is writing; to be tried again in a moment."""
 
 
-class Kept(msgspec.Struct):
+class StoredOverrides(msgspec.Struct):
     """What operators have said, as the file has it."""
 
     out: dict[str, float | None] = {}  # with the start that discovery told when it was taken out
@@ -33,11 +33,11 @@
     lameduck: bool = False
 
 
-class Out:
+class EndpointOverrides:
     def __init__(self, folder: str | None, now: Callable[[], float], log: Callable[..., None]) -> None:
         self.now, self.log = now, log
-        self.path = Path(folder, FILE) if folder else None
-        self.kept = Kept()
+        self.path = Path(folder, OVERRIDES_FILE) if folder else None
+        self.kept = StoredOverrides()
         self.entries: dict[str, Any] = {}  # as discovery lists them
         self.known: dict[str, None] = {}
         self.seen: tuple[int, int] | None = None
@@ -71,7 +71,7 @@
         if entry.state == "left":
             return entry
         if entry.id in self.kept.out:
-            return msgspec.structs.replace(entry, state=OUT)
+            return msgspec.structs.replace(entry, state=DRAINING_STATE)
         if entry.id in self.kept.back:
             before, at = self.kept.back[entry.id]
             if entry.started_ms == before:
@@ -82,11 +82,11 @@
     def _know(self, ids: Iterable[str]) -> None:
         for one in ids:
             self.known[one] = None
-        if len(self.known) > MOST_KNOWN:
+        if len(self.known) > MAX_KNOWN_IDS:
             # Guards against growing without end where ids are ever new; what is listed now stays.
             kept = [one for one in self.known if one in self.entries or one in self.kept.out]
             late = [one for one in self.known if one not in self.entries and one not in self.kept.out]
-            self.known = dict.fromkeys([*late[-MOST_KNOWN // 2 :], *kept])
+            self.known = dict.fromkeys([*late[-MAX_KNOWN_IDS // 2 :], *kept])
 
     # What operators say.
 
@@ -102,32 +102,32 @@
         if on != self.kept.lameduck:
             self._change(lambda kept: setattr(kept, "lameduck", on))
 
-    def _taken(self, kept: Kept, name: str, entry: Any) -> None:
+    def _taken(self, kept: StoredOverrides, name: str, entry: Any) -> None:
         if name not in kept.out:
             kept.out[name] = entry.started_ms if entry else None
         kept.back.pop(name, None)
 
-    def _put(self, kept: Kept, name: str) -> None:
+    def _put(self, kept: StoredOverrides, name: str) -> None:
         if name in kept.out:
             kept.back[name] = kept.out.pop(name), round(self.now() * 1000)
 
-    def _say(self, name: str, change: Callable[[Kept], None]) -> list[Any] | None:
+    def _say(self, name: str, change: Callable[[StoredOverrides], None]) -> list[Any] | None:
         if name not in self.known:
             self.read()
         return self._change(change) if name in self.known else None
 
-    def _change(self, change: Callable[[Kept], None]) -> list[Any]:
+    def _change(self, change: Callable[[StoredOverrides], None]) -> list[Any]:
         """Raises `Busy`, or OSError where it can't be written: then nothing has changed."""
         with self._lock():
-            kept = msgspec.convert(msgspec.to_builtins(self._stored()), Kept)
+            kept = msgspec.convert(msgspec.to_builtins(self._stored()), StoredOverrides)
             change(kept)
             # Guards against ids that have left for good being kept: by then none of them is cold.
-            oldest = (self.now() - BACK_KEPT) * 1000
+            oldest = (self.now() - RESTORED_RETENTION) * 1000
             kept.back = {n: back for n, back in kept.back.items() if back[1] > oldest}
             self._write(kept)
         return self._adopt(kept)
 
-    def _adopt(self, kept: Kept) -> list[Any]:
+    def _adopt(self, kept: StoredOverrides) -> list[Any]:
         before = {name: self.joined(entry) for name, entry in self.entries.items()}
         self.kept = kept
         self._know(n for n in kept.known if n not in self.known)
@@ -152,20 +152,20 @@
     def keep(self) -> None:
         """Write the ids that have come since, for the process that replaces this one."""
         if self.unwritten:
-            with contextlib.suppress(Busy, OSError):
+            with contextlib.suppress(OverridesLockedError, OSError):
                 self._change(lambda kept: None)
 
-    def _stored(self) -> Kept:
+    def _stored(self) -> StoredOverrides:
         if self.path is None or not self.path.exists():
             return self.kept
         try:
-            return msgspec.json.decode(self.path.read_bytes(), type=Kept)
+            return msgspec.json.decode(self.path.read_bytes(), type=StoredOverrides)
         except (OSError, msgspec.DecodeError, UnicodeDecodeError) as error:
             # Guards against a torn file stopping a start or a call: what this process knows stays in force.
             self.log("operators.unreadable", error=str(error))
             return self.kept
 
-    def _write(self, kept: Kept) -> None:
+    def _write(self, kept: StoredOverrides) -> None:
         self._know(n for n in kept.known if n not in self.known)
         kept.known = list(self.known)
         if self.path is not None:
@@ -191,5 +191,5 @@
             try:
                 fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError as error:
-                raise Busy from error
+                raise OverridesLockedError from error
             yield
--- a/starlingwheel/net/module.py
+++ b/starlingwheel/net/module.py
@@ -8,12 +8,25 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from ..decisions.runner import Runner
-from ..decisions.terms import Fate, HandOff, News, Outcome, WorkItem
+from ..decisions.runner import DecisionScheduler
+from ..decisions.terms import Attempt, AttemptEnded, AttemptOutcome, Request, WatchEvent
 from .actor import Actor, Coroutine
-from .mail import SUBSCRIBE, Carry, Drop, Ended, Final, Heard, Left, Listed, Moved, Retuned, Taken, Whole
-from .memory.work import Errand, Job
-from .wire.upstream import Upstream
+from .mail import (
+    WATCH_ENDPOINTS,
+    CancelExchange,
+    ClientDisconnected,
+    ConfigReloaded,
+    EndpointMoved,
+    EndpointsChanged,
+    ExchangeEnded,
+    FinalResponse,
+    GossipReceived,
+    RequestBodyComplete,
+    RequestReceived,
+    StartExchange,
+)
+from .memory.work import Exchange, PendingRequest
+from .wire.upstream import ConnectionPool
 
 if TYPE_CHECKING:
     from .lifecycle.start import Node
@@ -22,16 +35,16 @@
 WRITTEN_OFF = 504
 
 
-class Module(Actor):
+class RequestCoordinator(Actor):
     lasting = True
     # Guards against the mail of many peers piling up before one that is given as much a turn as each of them.
     at_once = 64
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.runner = Runner(node.terms, node.chance, self, node.loop.now(), node.lease)
-        self.upstreams: dict[str, Upstream] = {}
-        self.jobs: dict[WorkItem, Job] = {}
+        self.runner = DecisionScheduler(node.terms, node.chance, self, node.loop.now(), node.lease)
+        self.upstreams: dict[str, ConnectionPool] = {}
+        self.pending_requests: dict[Request, PendingRequest] = {}
         self.alarm_at = self.restart_at = inf
         self.begun = self.listed = False
         self.counts = {"finished": 0, "deferred": 0, "written_off": 0, "left": 0}
@@ -47,34 +60,36 @@
                 self._handle(mail)
             except Exception as error:
                 self.node.log.defect("module.defect", error)
-                if job := getattr(mail, "job", None) or getattr(getattr(mail, "errand", None), "job", None):
-                    self._give_up(job)
+                if pending := getattr(mail, "job", None) or getattr(
+                    getattr(mail, "errand", None), "job", None
+                ):
+                    self._give_up(pending)
             self.slowest = max(self.slowest, self.loop.now() - now)
 
     def _handle(self, mail: Any) -> None:
         match mail:
             case None:
                 self._due()
-            case Taken(job):
-                self.jobs[job.wi] = job
-                self.runner.take(job.wi)
-            case Whole(job):
+            case RequestReceived(pending):
+                self.pending_requests[pending.request] = pending
+                self.runner.take(pending.request)
+            case RequestBodyComplete(pending):
                 # Its time counts from now on.
-                job.wi.arrived = self.runner.now
-                self.runner.whole(job.wi, list(job.errands))
-            case Ended(errand, fate, report, answer):
-                self._ended(errand, fate, report, answer)
-            case Left(job):
-                if job.owed:
-                    job.owed = False
+                pending.request.arrived_at = self.runner.now
+                self.runner.whole(pending.request, list(pending.exchanges))
+            case ExchangeEnded(exchange, fate, report, answer):
+                self._ended(exchange, fate, report, answer)
+            case ClientDisconnected(pending):
+                if pending.owed:
+                    pending.owed = False
                     self.counts["left"] += 1
-                    self.runner.gone(job.wi)
-                    self._forget_if_closed(job)
-            case Listed(news, entries):
+                    self.runner.gone(pending.request)
+                    self._forget_if_closed(pending)
+            case EndpointsChanged(news, entries):
                 self._listed(news, entries)
-            case Retuned(terms):
+            case ConfigReloaded(terms):
                 self.runner.retune(terms)
-            case Heard(peer, body):
+            case GossipReceived(peer, body):
                 self.runner.heard(peer, body)
 
     def _due(self) -> None:
@@ -85,39 +100,39 @@
             self.alarm_at = inf
             self.runner.tick()
 
-    def _ended(self, errand: Errand, fate: Fate, report: dict[str, float], answer: Any) -> None:
-        took = self.loop.now() - errand.sent
-        if errand.ho is None:
-            self.runner.probed(errand.upstream.address, fate, took, report)
+    def _ended(self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any) -> None:
+        took = self.loop.now() - exchange.started_at
+        if exchange.attempt is None:
+            self.runner.probed(exchange.endpoint.address, fate, took, report)
             return
-        job = errand.job
-        del job.errands[errand.ho]
+        pending = exchange.pending
+        del pending.exchanges[exchange.attempt]
         if not fate.never_ran:
-            job.may_have_run = True
-            job.risky_since = min(job.risky_since, errand.sent)
+            pending.may_have_run = True
+            pending.risky_since = min(pending.risky_since, exchange.started_at)
         if answer is not None:
-            if job.owed:
-                self._final(job, Final(200, answer), "finished")
+            if pending.owed:
+                self._final(pending, FinalResponse(200, answer), "finished")
             else:
                 answer.body.release()
         try:
-            self.runner.outcome(Outcome(errand.ho, fate, took, not job.owed, report))
+            self.runner.outcome(AttemptEnded(exchange.attempt, fate, took, not pending.owed, report))
         finally:
-            self._forget_if_closed(job)
+            self._forget_if_closed(pending)
 
-    def _listed(self, news: News, entries: list[Any]) -> None:
-        if news is News.WHOLE:
+    def _listed(self, news: WatchEvent, entries: list[Any]) -> None:
+        if news is WatchEvent.SNAPSHOT:
             named = {entry.id for entry in entries}
             for gone in [known for known in self.upstreams if known not in named]:
-                self.upstreams.pop(gone).post(Moved(None))
+                self.upstreams.pop(gone).post(EndpointMoved(None))
         for entry in entries:
             if entry.state == "left":
                 if known := self.upstreams.pop(entry.id, None):
-                    known.post(Moved(None))
+                    known.post(EndpointMoved(None))
             elif known := self.upstreams.get(entry.id):
-                known.post(Moved(entry))
+                known.post(EndpointMoved(entry))
             else:
-                self.upstreams[entry.id] = Upstream(self.node, entry)
+                self.upstreams[entry.id] = ConnectionPool(self.node, entry)
                 self.upstreams[entry.id].begin()
         self.listed = self.listed or bool(self.upstreams)
         self.runner.listed(news, [entry.listing() for entry in entries])
@@ -128,50 +143,52 @@
 
     # The door.
 
-    def send(self, ho: HandOff, limit: float) -> None:
-        job = self.jobs[ho.wi]
-        carrier = self.upstreams.get(ho.upstream.address) if self.node.gate.may_repeat(job) else None
-        until = ho.sent + limit
-        if job.coming:
+    def send(self, attempt: Attempt, limit: float) -> None:
+        pending = self.pending_requests[attempt.request]
+        carrier = self.upstreams.get(attempt.endpoint.address) if self.node.gate.may_repeat(pending) else None
+        until = attempt.started_at + limit
+        if pending.coming:
             # Guards against taking the time that its client needs to send it for its upstream's.
-            ho.sent = inf
-        errand = job.errands[ho] = Errand(ho.upstream, carrier, ho.sent, until, ho, job)
-        self._carry(errand)
-
-    def _carry(self, errand: Errand) -> None:
-        if errand.carrier:
-            errand.carrier.post(Carry(errand))
+            attempt.started_at = inf
+        exchange = pending.exchanges[attempt] = Exchange(
+            attempt.endpoint, carrier, attempt.started_at, until, attempt, pending
+        )
+        self._carry(exchange)
+
+    def _carry(self, exchange: Exchange) -> None:
+        if exchange.pool:
+            exchange.pool.post(StartExchange(exchange))
         else:
-            self.post(Ended(errand, Fate.UNSENT))
+            self.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
 
-    def cancel(self, ho: HandOff) -> None:
-        self._drop(self.jobs[ho.wi].errands.get(ho))
+    def cancel(self, attempt: Attempt) -> None:
+        self._drop(self.pending_requests[attempt.request].exchanges.get(attempt))
 
-    def _drop(self, errand: Errand | None) -> None:
-        if errand and errand.carrier:
-            errand.carrier.post(Drop(errand))
+    def _drop(self, exchange: Exchange | None) -> None:
+        if exchange and exchange.pool:
+            exchange.pool.post(CancelExchange(exchange))
 
-    def defer(self, wi: WorkItem, come_back: float) -> None:
-        job = self.jobs[wi]
-        if not self.node.gate.may_reject(job):
-            self.write_off(wi)
+    def defer(self, request: Request, retry_after: float) -> None:
+        pending = self.pending_requests[request]
+        if not self.node.gate.may_reject(pending):
+            self.write_off(request)
             return
         self.node.gate.note_rejected()
-        self._final(job, Final(DEFERRED, come_back=come_back), "deferred")
-        self._forget_if_closed(job)
+        self._final(pending, FinalResponse(DEFERRED, retry_after=retry_after), "deferred")
+        self._forget_if_closed(pending)
 
-    def write_off(self, wi: WorkItem) -> None:
-        job = self.jobs[wi]
-        self._final(job, Final(WRITTEN_OFF), "written_off")
-        self._forget_if_closed(job)
+    def write_off(self, request: Request) -> None:
+        pending = self.pending_requests[request]
+        self._final(pending, FinalResponse(WRITTEN_OFF), "written_off")
+        self._forget_if_closed(pending)
 
     def subscribe(self) -> None:
-        self.node.list.post(SUBSCRIBE)
+        self.node.list.post(WATCH_ENDPOINTS)
 
     def probe(self, upstream: Any) -> None:
         now = self.loop.now()
         carrier = self.upstreams.get(upstream.address)
-        self._carry(Errand(upstream, carrier, now, now + self.node.shortest / 2))
+        self._carry(Exchange(upstream, carrier, now, now + self.node.shortest / 2))
 
     def tell(self, body: bytes) -> None:
         # Guards against peers hearing two counts of one sidecar: of two processes the last one tells.
@@ -181,30 +198,34 @@
     def alarm(self, at: float) -> None:
         self.alarm_at = min(self.alarm_at, at)
 
-    def defect(self, wi: WorkItem | None, error: Exception) -> None:
+    def defect(self, request: Request | None, error: Exception) -> None:
         self.node.log.defect("module.defect", error)
-        if wi is None:
+        if request is None:
             # Guards against a defect in a standing chore leaving the list unwatched for good.
             self.restart_at = self.runner.now + self.node.shortest
-        elif job := self.jobs.get(wi):
-            self._give_up(job)
+        elif pending := self.pending_requests.get(request):
+            self._give_up(pending)
 
     # The work in hand.
 
-    def _final(self, job: Job, final: Final, how: str) -> None:
-        job.owed = False
+    def _final(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
+        pending.owed = False
         self.counts[how] += 1
-        job.client.post(final)
+        pending.client.post(final)
 
-    def _give_up(self, job: Job) -> None:
+    def _give_up(self, pending: PendingRequest) -> None:
         """Guards against a defect keeping a client waiting: what can't be decided is written off."""
-        if job.owed:
-            self.node.log("work.given_up", trace=job.trace.decode("latin-1"), category=job.wi.category.name)
-            self._final(job, Final(WRITTEN_OFF), "written_off")
-        for errand in job.errands.values():
-            self._drop(errand)
-        self._forget_if_closed(job)
-
-    def _forget_if_closed(self, job: Job) -> None:
-        if not job.owed and not job.errands and self.jobs.pop(job.wi, None):
-            job.body.release()
+        if pending.owed:
+            self.node.log(
+                "work.given_up",
+                trace=pending.trace.decode("latin-1"),
+                category=pending.request.request_class.name,
+            )
+            self._final(pending, FinalResponse(WRITTEN_OFF), "written_off")
+        for exchange in pending.exchanges.values():
+            self._drop(exchange)
+        self._forget_if_closed(pending)
+
+    def _forget_if_closed(self, pending: PendingRequest) -> None:
+        if not pending.owed and not pending.exchanges and self.pending_requests.pop(pending.request, None):
+            pending.body.release()
--- a/starlingwheel/net/wire/client.py
+++ b/starlingwheel/net/wire/client.py
@@ -10,14 +10,20 @@
 
 import h11
 
-from ...decisions.terms import Effect, WorkItem
+from ...decisions.terms import Request, RetrySafety
 from ..actor import Actor, Coroutine
 from ..loop import HANGUP, READ, WRITE, Ready
-from ..mail import CLOSE, STOP, Final, Left, Stop, Taken, Whole
-from ..memory.buffers import KEPT, LONGEST_BODY, SIZE, Body, Exhausted
-from ..memory.flow import LONGEST, Flow
-from ..memory.work import Job
-from .http import Lost, Stream, two_lengths
+from ..mail import CLOSE, STOP, ClientDisconnected, FinalResponse, RequestBodyComplete, RequestReceived, Stop
+from ..memory.buffers import (
+    BUFFER_SIZE,
+    MAX_BUFFERED_BODY,
+    MAX_REQUEST_BODY,
+    BufferedBody,
+    BuffersExhaustedError,
+)
+from ..memory.flow import MAX_STREAMED_BODY, BodyStream
+from ..memory.work import PendingRequest
+from .http import ConnectionLostError, Stream, two_lengths
 
 if TYPE_CHECKING:
     from ..lifecycle.start import Node
@@ -30,27 +36,31 @@
 SLOWEST = 48_000  # bytes of a body a second by which that takes longer
 STALL = 4.0  # seconds after which a client that takes nothing of its answer is given up
 PROMPT = 1 / 40  # times that, within which a usual client that has connected asks
-READ_AWAY = 4 * KEPT  # bytes read from a client that sends on after its answer, at most
+READ_AWAY = 4 * MAX_BUFFERED_BODY  # bytes read from a client that sends on after its answer, at most
 LONGEST_NUMBER = 15  # digits
 ABSOLUTE = re.compile(rb"^https?://[^/?]*", re.IGNORECASE)  # what a target may begin with (RFC 9112, 3.2.2)
-METHODS = {Effect.RERUNNABLE: b"GET", Effect.TICKETED: b"POST", Effect.EXCLUSIVE: b"POST"}
+METHODS = {
+    RetrySafety.IDEMPOTENT: b"GET",
+    RetrySafety.IDEMPOTENT_WITH_KEY: b"POST",
+    RetrySafety.NON_IDEMPOTENT: b"POST",
+}
 
 
-def effect_told(method: bytes, headers: dict[bytes, bytes]) -> Effect:
+def effect_told(method: bytes, headers: dict[bytes, bytes]) -> RetrySafety:
     """What the form of a request says of its effect."""
     if method == b"GET":
-        return Effect.RERUNNABLE
-    return Effect.TICKETED if headers.get(b"idempotency-key") else Effect.EXCLUSIVE
+        return RetrySafety.IDEMPOTENT
+    return RetrySafety.IDEMPOTENT_WITH_KEY if headers.get(b"idempotency-key") else RetrySafety.NON_IDEMPOTENT
 
 
-class Unfit(Exception):
+class InvalidRequestError(Exception):
     """A request that is answered without being taken up."""
 
     def __init__(self, status: int, reason: str) -> None:
         self.status, self.reason = status, reason
 
 
-class Listener(Actor):
+class ClientListener(Actor):
     def __init__(self, node: Node, sock: socket.socket) -> None:
         self.node, self.sock = node, sock
         self.more = False  # some may wait still, though all that one turn may let in have been
@@ -94,7 +104,7 @@
                     return False
                 continue
             expendable = self.node.ledger.client_to_close(self.loop.now() - PROMPT * QUIET)
-            Client(self.node, sock).begin()
+            ClientConnection(self.node, sock).begin()
             if expendable:
                 # Guards against clients that use none of their connections shutting out others.
                 expendable.post(CLOSE)
@@ -111,7 +121,7 @@
             expendable.post(CLOSE)
 
 
-class Client(Actor):
+class ClientConnection(Actor):
     """One connection of a client: one request after another, read, answered and written top to bottom."""
 
     def __init__(self, node: Node, sock: socket.socket) -> None:
@@ -124,9 +134,9 @@
         self.begun: float | None = None  # when the first byte of the request in hand was read
         self.heard = self.opened  # when the last byte was read
         self.received, self.paused = 0, 0.0  # bytes of the body in hand; seconds for which it was not read
-        self.body = Body(node.pool)
-        self.flow: Flow | None = None  # what takes the place of the body if that is too long to keep
-        self.job: Job | None = None
+        self.body = BufferedBody(node.pool)
+        self.flow: BodyStream | None = None  # what takes the place of the body if that is too long to keep
+        self.pending: PendingRequest | None = None
         self.closing = ""  # why it ends once it is idle
         node.ledger.clients[self] = None
         node.ledger.unheard[self] = None
@@ -137,7 +147,7 @@
         try:
             while not self.reason:
                 yield from self._serve()
-        except Lost as lost:
+        except ConnectionLostError as lost:
             self.reason = self.reason or str(lost)
         except GeneratorExit:
             self.reason = "stopped"
@@ -145,7 +155,7 @@
             self._close()
 
     def _serve(self) -> Coroutine[None]:
-        final: Final | None = None
+        final: FinalResponse | None = None
         taken = False
         try:
             request = yield from self._read()
@@ -154,18 +164,18 @@
             if request.target == b"/ready":
                 status = 200 if self.node.ready else 503
             else:
-                job = self._take(request)
+                pending = self._take(request)
                 if self.has_left():
                     # Guards against handing off what waited unread while its client left.
-                    job.body.release()
-                    raise Lost("client-left")
+                    pending.body.release()
+                    raise ConnectionLostError("client-left")
                 taken = True
-                final = yield from self._in_hand(job, self.flow)
+                final = yield from self._in_hand(pending, self.flow)
                 status = final.status
-        except Unfit as unfit:
+        except InvalidRequestError as unfit:
             status = unfit.status
             self.node.log("request.unfit", status=status, reason=unfit.reason)
-        except Exhausted:
+        except BuffersExhaustedError:
             status = 503
             self.node.log("request.unfit", status=status, reason="no-buffers")
         finally:
@@ -187,7 +197,7 @@
         """The next request, its body in `self.body`; None when the connection ends between requests."""
         request, length = None, None
         self.received, self.paused = 0, 0.0
-        self.stream.at_once = SIZE
+        self.stream.at_once = BUFFER_SIZE
         self.begun = self.loop.now() if self.stream.http.trailing_data[0] else None
         self.stream.want(READ)
         if self.begun is None and self.served:
@@ -195,17 +205,17 @@
         while True:
             try:
                 event = self.stream.event()
-            except Lost as lost:
-                raise Unfit(400, str(lost)) from lost
+            except ConnectionLostError as lost:
+                raise InvalidRequestError(400, str(lost)) from lost
             if isinstance(event, h11.Request):
                 request, length = event, self._framed(event)
                 self.stream.at_once = len(self.node.pool.scratch)
             elif isinstance(event, h11.Data):
                 self._count(event.data)
                 # Guards against megabytes being on their way only after their last byte has come.
-                if self.received > KEPT:
-                    self.flow = Flow(self.node.pool, self, length, self.body)
-                    self.body = Body(self.node.pool)
+                if self.received > MAX_BUFFERED_BODY:
+                    self.flow = BodyStream(self.node.pool, self, length, self.body)
+                    self.body = BufferedBody(self.node.pool)
                     self.flow.add(event.data)
                     return request
                 self.body.add(event.data)
@@ -231,15 +241,15 @@
                 continue
             if mail is None:
                 # Guards against half a request, then silence.
-                raise Unfit(408, "half a request")
+                raise InvalidRequestError(408, "half a request")
             if mail is CLOSE and not self.served and self.begun is not None and self.stream.silent():
-                raise Lost("not-needed")
+                raise ConnectionLostError("not-needed")
             if mail is STOP or mail is CLOSE:
                 self.closing = "stopping" if mail is STOP else self.closing or "not-needed"
                 continue
             try:
                 count = self.stream.read()
-            except Lost:
+            except ConnectionLostError:
                 if self.begun is not None:
                     self.reason = "client-left"
                 raise
@@ -267,10 +277,10 @@
     def _count(self, data: bytes) -> None:
         self.received += len(data)
         if self.received > self._longest():
-            raise Unfit(413, "body too long")
+            raise InvalidRequestError(413, "body too long")
 
     def _longest(self) -> int:
-        return LONGEST if self.node.terms.streams == 1 else LONGEST_BODY
+        return MAX_STREAMED_BODY if self.node.terms.streams_per_connection == 1 else MAX_REQUEST_BODY
 
     def _framed(self, request: h11.Request) -> int | None:
         """The length that a request says its body has.
@@ -278,55 +288,55 @@
         Turns away what could be read in two ways, and what is too long before it is read.
         """
         if two_lengths(request.headers):
-            raise Unfit(400, "two lengths")
+            raise InvalidRequestError(400, "two lengths")
         length = next((int(value) for name, value in request.headers if name == b"content-length"), None)
         if length is not None and length > self._longest():
-            raise Unfit(413, "body too long")
+            raise InvalidRequestError(413, "body too long")
         return length
 
-    def _take(self, request: h11.Request) -> Job:
+    def _take(self, request: h11.Request) -> PendingRequest:
         """The work item that a request stands for."""
         headers: dict[bytes, bytes] = {}
         for name, value in request.headers:
             if name in headers and (name.startswith(b"x-") or name == b"idempotency-key"):
-                raise Unfit(400, f"{name.decode()} is doubled")
+                raise InvalidRequestError(400, f"{name.decode()} is doubled")
             headers[name] = value
 
         trace = headers.get(b"x-trace-id", b"")
         if not trace:
-            raise Unfit(400, "x-trace-id is missing")
+            raise InvalidRequestError(400, "x-trace-id is missing")
         named = headers.get(b"x-qos", b"").decode("latin-1")
         category = self.node.category(named, effect_told(request.method, headers))
         if category is None:
-            raise Unfit(404, "unknown category")
+            raise InvalidRequestError(404, "unknown category")
         target = ABSOLUTE.sub(b"", request.target)
         if target.lstrip(b"/").partition(b"?")[0].partition(b"/")[0] != named.encode("latin-1"):
-            raise Unfit(400, "path and x-qos differ")
-        if request.method != METHODS[category.effect]:
-            raise Unfit(405, "the method does not fit the category")
-        if category.effect is Effect.TICKETED and not headers.get(b"idempotency-key"):
-            raise Unfit(400, "idempotency-key is missing")
+            raise InvalidRequestError(400, "path and x-qos differ")
+        if request.method != METHODS[category.retry_safety]:
+            raise InvalidRequestError(405, "the method does not fit the category")
+        if category.retry_safety is RetrySafety.IDEMPOTENT_WITH_KEY and not headers.get(b"idempotency-key"):
+            raise InvalidRequestError(400, "idempotency-key is missing")
         if trace in self.node.in_hand:
-            raise Unfit(409, "x-trace-id is in hand")
+            raise InvalidRequestError(409, "x-trace-id is in hand")
         told = headers.get(b"x-expires-in-ms", b"")
         if not told.isdigit() or len(told) > LONGEST_NUMBER:
-            raise Unfit(400, "x-expires-in-ms is missing or unreadable")
+            raise InvalidRequestError(400, "x-expires-in-ms is missing or unreadable")
         patience = int(told) / 1000
         if patience <= 0:
-            raise Unfit(408, "expired when it came")
+            raise InvalidRequestError(408, "expired when it came")
         if len(self.node.in_hand) >= self.node.ledger.most_requests:
             # Guards against clients taking the descriptors that their own work needs.
-            raise Unfit(503, "too many connections")
-        wi = WorkItem(
-            category=category,
-            arrived=inf if self.flow is not None else self.heard,
+            raise InvalidRequestError(503, "too many connections")
+        balanced_request = Request(
+            request_class=category,
+            arrived_at=inf if self.flow is not None else self.heard,
             # Guards against work kept for ever for a client that says it waits so long.
-            patience=min(patience, category.expiry),
-            customer=self.node.customers.get(headers.get(b"x-customer", b"").decode("latin-1")),
-            repeat=headers.get(b"x-second-try") == b"1",
+            time_left=min(patience, category.timeout),
+            tenant=self.node.customers.get(headers.get(b"x-customer", b"").decode("latin-1")),
+            is_retry=headers.get(b"x-second-try") == b"1",
         )
-        job = Job(
-            wi=wi,
+        pending = PendingRequest(
+            request=balanced_request,
             client=self,
             method=request.method,
             target=target,
@@ -335,33 +345,33 @@
             trace=trace,
         )
         if self.flow is None:
-            self.body = Body(self.node.pool)  # the one before is the job's from now on
-        return job
+            self.body = BufferedBody(self.node.pool)  # the one before is the job's from now on
+        return pending
 
     # Answering.
 
-    def _in_hand(self, job: Job, flow: Flow | None) -> Coroutine[Final]:
+    def _in_hand(self, pending: PendingRequest, flow: BodyStream | None) -> Coroutine[FinalResponse]:
         """Wait for the final answer; what comes behind the request waits in the kernel's buffer."""
-        self.job = job
-        self.node.in_hand.add(job.trace)
+        self.pending = pending
+        self.node.in_hand.add(pending.trace)
         self.node.ledger.whole(self)
         try:
-            self.node.module.post(Taken(job))
-            if flow is not None and (final := (yield from self._pass_on(job, flow))) is not None:
-                self.job = None
+            self.node.module.post(RequestReceived(pending))
+            if flow is not None and (final := (yield from self._pass_on(pending, flow))) is not None:
+                self.pending = None
                 return final
             self.stream.want(HANGUP)
             while True:
                 mail = yield None
-                if isinstance(mail, Final):
-                    self.job = None
+                if isinstance(mail, FinalResponse):
+                    self.pending = None
                     return mail
                 if isinstance(mail, Ready) and mail.hung_up:
-                    raise Lost("client-left")
+                    raise ConnectionLostError("client-left")
         finally:
-            self.node.in_hand.discard(job.trace)
+            self.node.in_hand.discard(pending.trace)
 
-    def _pass_on(self, job: Job, flow: Flow) -> Coroutine[Final | None]:
+    def _pass_on(self, pending: PendingRequest, flow: BodyStream) -> Coroutine[FinalResponse | None]:
         """Read the rest of a body while it is handed off; a final answer may come before its end."""
         while True:
             try:
@@ -370,56 +380,58 @@
                     self._count(event.data)
                     flow.add(event.data)
                     continue
-            except (Lost, Unfit, Exhausted) as error:
-                self._give_up(job)
-                raise Unfit(400, str(error)) from error if isinstance(error, Lost) else error
+            except (ConnectionLostError, InvalidRequestError, BuffersExhaustedError) as error:
+                self._give_up(pending)
+                raise InvalidRequestError(400, str(error)) from (
+                    error if isinstance(error, ConnectionLostError) else error
+                )
             if isinstance(event, h11.EndOfMessage):
                 flow.end()
-                self.node.module.post(Whole(job))
+                self.node.module.post(RequestBodyComplete(pending))
                 return None
             if isinstance(event, h11.ConnectionClosed):
-                raise Lost("client-left")
+                raise ConnectionLostError("client-left")
             mail = yield from self._room(flow)
-            if isinstance(mail, Final):
+            if isinstance(mail, FinalResponse):
                 return mail
             if isinstance(mail, Ready):
                 if mail.hung_up:
                     # Guards against sending on what it had written before it left.
-                    raise Lost("client-left")
+                    raise ConnectionLostError("client-left")
                 if self.stream.read():
                     self.heard = self.loop.now()
             elif mail is None and self.loop.now() >= self._until():
-                self._give_up(job)
-                raise Unfit(408, "half a request")
+                self._give_up(pending)
+                raise InvalidRequestError(408, "half a request")
 
-    def _room(self, flow: Flow) -> Coroutine[Any]:
+    def _room(self, flow: BodyStream) -> Coroutine[Any]:
         """The next mail, unread input left out while there is no room for it, but for its end."""
         while not flow.room():
             since = self.loop.now()
             self.stream.want(HANGUP)
             mail = yield None if flow.full else since + self.node.shortest / 64
             self.paused += self.loop.now() - since
-            if isinstance(mail, Final | Ready):
+            if isinstance(mail, FinalResponse | Ready):
                 return mail
         self.stream.want(READ)
         return (yield self._until())
 
-    def _give_up(self, job: Job) -> None:
+    def _give_up(self, pending: PendingRequest) -> None:
         """The rest of its body can't be had."""
-        self.job = None
-        self.node.module.post(Left(job))
+        self.pending = None
+        self.node.module.post(ClientDisconnected(pending))
 
-    def _write(self, status: int, final: Final | None, last: bool) -> Coroutine[None]:
-        answer = final.answer if final else None
-        flow = answer.body if answer and isinstance(answer.body, Flow) else None
+    def _write(self, status: int, final: FinalResponse | None, last: bool) -> Coroutine[None]:
+        answer = final.response if final else None
+        flow = answer.body if answer and isinstance(answer.body, BodyStream) else None
         length = flow.length if flow is not None else answer.body.length if answer else 0
         headers = [(b"Transfer-Encoding", b"chunked")]
         if length is not None:
             headers = [(b"Content-Length", str(length).encode())]
         if answer and answer.kind:
             headers.append((b"Content-Type", answer.kind))
-        if final and final.come_back > 0:
-            headers.append((b"Retry-After", f"{final.come_back:.3f}".encode()))
+        if final and final.retry_after > 0:
+            headers.append((b"Retry-After", f"{final.retry_after:.3f}".encode()))
         unread = self.stream.http.their_state is not h11.DONE
         node = self.node
         last = last or unread or node.stopping or node.lameduck or self.closing or node.ledger.full
@@ -444,11 +456,11 @@
             self.stream.http.start_next_cycle()
             self.quiet_since = self.loop.now()
 
-    def _pass_answer(self, flow: Flow) -> Coroutine[None]:
+    def _pass_answer(self, flow: BodyStream) -> Coroutine[None]:
         """Write an answer while it comes."""
         flow.sink = self
         # Guards against a slow reader seeming to take nothing for as long as it needs for megabytes.
-        self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KEPT)
+        self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_BUFFERED_BODY)
         while not flow.whole:
             part = flow.take()
             if part.length:
@@ -460,11 +472,11 @@
             elif flow.broken:
                 # Guards against an answer that is not whole being taken for one that is.
                 self.stream.abort()
-                raise Lost("upstream-broke")
+                raise ConnectionLostError("upstream-broke")
             else:
                 self.stream.want(HANGUP)
                 if isinstance(mail := (yield None), Ready) and mail.hung_up:
-                    raise Lost("client-left")
+                    raise ConnectionLostError("client-left")
 
     def _written(self) -> Coroutine[None]:
         until = self.loop.now() + STALL
@@ -472,15 +484,15 @@
             self.stream.want(WRITE)
             mail = yield until
             if mail is None and self.loop.now() >= until:
-                raise Lost("slow-reader")
+                raise ConnectionLostError("slow-reader")
             if isinstance(mail, Ready):
                 until = self.loop.now() + STALL  # it has taken some
 
     # The end.
 
     def _close(self) -> None:
-        if self.job is not None:
-            self.node.module.post(Left(self.job))
+        if self.pending is not None:
+            self.node.module.post(ClientDisconnected(self.pending))
         self.body.release()
         self.stream.close()
         self.node.ledger.forget_client(self)
@@ -498,5 +510,5 @@
         )
 
     def undelivered(self, mail: Any) -> None:
-        if isinstance(mail, Final) and mail.answer:
-            mail.answer.body.release()
+        if isinstance(mail, FinalResponse) and mail.response:
+            mail.response.body.release()
--- a/starlingwheel/net/wire/datagrams.py
+++ b/starlingwheel/net/wire/datagrams.py
@@ -7,7 +7,7 @@
 
 from ..actor import Actor, Coroutine
 from ..loop import READ
-from ..mail import Heard
+from ..mail import GossipReceived
 from .address import split
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
 AT_ONCE = 64  # datagrams read in one turn; the others wait in the kernel's buffer, or are dropped there
 
 
-class Peer(Actor):
+class GossipPeer(Actor):
     """One other sidecar: passes on what it says, as long as that can be what a sidecar says."""
 
     lasting = True
@@ -30,18 +30,18 @@
         while True:
             body = yield None
             if 0 < len(body) <= LONGEST:
-                self.node.module.post(Heard(self.number, body))
+                self.node.module.post(GossipReceived(self.number, body))
 
 
-class Datagrams(Actor):
+class GossipSocket(Actor):
     lasting = True
 
     def __init__(self, node: Node, sock: socket.socket) -> None:
         self.node, self.sock = node, sock
-        self.peers: dict[tuple[str, int], Peer] = {}
+        self.peers: dict[tuple[str, int], GossipPeer] = {}
         for number, address in enumerate(node.config.peers):
-            if number != node.terms.number:
-                self.peers[split(address)] = Peer(node, number)
+            if number != node.terms.sidecar_index:
+                self.peers[split(address)] = GossipPeer(node, number)
         self.all = split(node.config.peers_all) if node.config.peers_all else None
         sock.setblocking(False)
         node.loop.watch(sock.fileno(), self, READ)
--- a/starlingwheel/net/wire/discovery.py
+++ b/starlingwheel/net/wire/discovery.py
@@ -9,12 +9,20 @@
 import h11
 import msgspec
 
-from ...decisions.terms import News
+from ...decisions.terms import WatchEvent
 from ..actor import Actor, Coroutine
 from ..loop import READ, WRITE, Ready
-from ..mail import CLOSE, Answered, Listed, Relocated, Said, Subscribe, WatchEnded
-from .entries import Word
-from .http import Lost, Stream, connect
+from ..mail import (
+    CLOSE,
+    DiscoveryMoved,
+    EndpointsChanged,
+    WatchAnswered,
+    WatchEnded,
+    WatchEndpoints,
+    WatchMessage,
+)
+from .entries import DiscoveryMessage
+from .http import ConnectionLostError, Stream, connect
 
 if TYPE_CHECKING:
     from ..lifecycle.start import Node
@@ -36,7 +44,7 @@
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class Watch(Actor):
+class DiscoveryWatch(Actor):
     """One call to discovery, from its connection to its end; what it reads goes to the list's actor."""
 
     urgent = True  # a change counts as told once discovery has written it: it is read ahead of new work
@@ -58,7 +66,7 @@
     def run(self) -> Coroutine[None]:
         try:
             yield from self._follow()
-        except Lost as lost:
+        except ConnectionLostError as lost:
             self.reason = str(lost)
         except GeneratorExit:
             self.reason = "stopped"
@@ -86,9 +94,9 @@
         while True:
             mail = yield until
             if mail is None:
-                raise Lost("silent")
+                raise ConnectionLostError("silent")
             if mail is CLOSE:
-                raise Lost("replaced")
+                raise ConnectionLostError("replaced")
             if isinstance(mail, Ready):
                 return
 
@@ -116,19 +124,19 @@
                     self.read_at = self.loop.now()
             elif isinstance(event, h11.Response):
                 if event.status_code != 200:
-                    raise Lost(f"answered-{event.status_code}")
+                    raise ConnectionLostError(f"answered-{event.status_code}")
                 self.heard = True
                 self.node.log("list.answered", waited_s=round(self.loop.now() - self.begun_at, 3))
-                self.node.list.post(Answered(self))
+                self.node.list.post(WatchAnswered(self))
             elif isinstance(event, h11.Data):
                 *whole, self.line = (self.line + bytes(event.data)).split(b"\n")
                 if len(self.line) > LONGEST_LINE:
-                    raise Lost("line-too-long")
+                    raise ConnectionLostError("line-too-long")
                 for text in whole:
                     self._line(text)
                     self._end_message()
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                raise Lost("ended")
+                raise ConnectionLostError("ended")
 
     def _note_incomplete(self) -> None:
         """All that has come is read. Guards against acting on after a message that breaks off or stalls."""
@@ -159,7 +167,7 @@
         if (word := self._word(text.strip())) is not None:
             self._heed(word)
 
-    def _word(self, text: bytes) -> Word | None:
+    def _word(self, text: bytes) -> DiscoveryMessage | None:
         """What a line ends: an object lies on one, or, indented, over several. None: nothing yet.
 
         Raises `Lost` for what can't be read.
@@ -170,7 +178,7 @@
             return None
         if text.startswith(b"{") and text.endswith(b"}"):
             try:
-                word = msgspec.json.decode(text, type=Word)
+                word = msgspec.json.decode(text, type=DiscoveryMessage)
             except (msgspec.DecodeError, UnicodeDecodeError):
                 pass  # a part of an object that is indented, or spoilt: told below
             else:
@@ -181,32 +189,32 @@
         self.depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
         self.part += text
         if len(self.part) > LONGEST_LINE:
-            raise Lost("line-too-long")
+            raise ConnectionLostError("line-too-long")
         if self.depth > 0:
             return None
         whole, self.part, self.depth = self.part, b"", 0
         try:
-            return msgspec.json.decode(whole, type=Word)
+            return msgspec.json.decode(whole, type=DiscoveryMessage)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise self._unreadable(str(error)) from error
 
-    def _unreadable(self, why: str) -> Lost:
+    def _unreadable(self, why: str) -> ConnectionLostError:
         """The last good list stays in force; the whole of it is asked for again."""
         self.version = 0
         self.node.log("list.unreadable", error=why)
-        return Lost("unreadable")
+        return ConnectionLostError("unreadable")
 
-    def _heed(self, word: Word) -> None:
+    def _heed(self, word: DiscoveryMessage) -> None:
         if word.version < self.version and not word.full:
             # Guards against changes out of order putting back what has left: the whole is asked for.
             self.version = 0
-            raise Lost("went-back")
+            raise ConnectionLostError("went-back")
         self.version = word.version
         self.node.log("list.news", version=word.version, full=word.full, entries=len(word.servers))
-        self.node.list.post(Said(self, word))
+        self.node.list.post(WatchMessage(self, word))
 
 
-class List(Actor):
+class DiscoveryClient(Actor):
     """Keeps one watch in force, and moves to another discovery when a new configuration names one.
 
     While none is answered, two calls begin within `TWICE`, whatever became of those before: one begins beside
@@ -216,20 +224,22 @@
     urgent = True
     lasting = True
 
-    def __init__(self, node: Node, known: Word | None) -> None:
+    def __init__(self, node: Node, known: DiscoveryMessage | None) -> None:
         self.node, self.known = node, known
         self.version = known.version if known else 0
         self.address = node.config.discovery
-        self.current: Watch | None = None  # the one whose word is taken
-        self.coming: Watch | None = None  # at the address of a new configuration; it has not spoken yet
-        self.beside: Watch | None = None  # a second call, where the one that is to be answered hangs
+        self.current: DiscoveryWatch | None = None  # the one whose word is taken
+        self.coming: DiscoveryWatch | None = (
+            None  # at the address of a new configuration; it has not spoken yet
+        )
+        self.beside: DiscoveryWatch | None = None  # a second call, where the one that is to be answered hangs
         self.moving = False
         self.move_at, self.pause = inf, 0.0
         self.since = inf  # when the call before began, or a watch was last known to be in force
         self.due = inf  # when the next call begins at the latest
         self.hangs = HANGS * EMPTY_LINE  # how long a call has to be without an answer to be taken to hang
         # Where the list comes unasked it is kept close by, and what is there counts as told at once.
-        self.pushed = not node.terms.must_subscribe
+        self.pushed = not node.terms.must_watch_endpoints
         self.first = AGENT if self.pushed else PATIENT
         self.patience = self.first
         # What pauses between calls grow to; for what is pushed well within the grace, if that is said.
@@ -249,13 +259,13 @@
                     self._begin_with(self.known)
                 case None:
                     self._call()
-                case Subscribe() if self.current is None and not self.moving and self.move_at == inf:
+                case WatchEndpoints() if self.current is None and not self.moving and self.move_at == inf:
                     self._call()
-                case Relocated(address):
+                case DiscoveryMoved(address):
                     self._relocated(address)
-                case Answered(watch):
+                case WatchAnswered(watch):
                     self._answered(watch)
-                case Said(watch, word):
+                case WatchMessage(watch, word):
                     self._said(watch, word)
                 case WatchEnded(watch):
                     self._ended(watch)
@@ -271,19 +281,19 @@
             self._begin_with(self.known)
         super().begin()
 
-    def _begin_with(self, known: Word | None) -> None:
+    def _begin_with(self, known: DiscoveryMessage | None) -> None:
         """What was known last may be old, or nothing; the decisions begin with it."""
         if known is not None:
             self.without_at = inf
         entries = self.node.out.listed(True, known.servers if known else [])
-        self.node.module.post(Listed(News.WHOLE, entries))
+        self.node.module.post(EndpointsChanged(WatchEvent.SNAPSHOT, entries))
 
     @property
-    def _asked(self) -> Watch | None:
+    def _asked(self) -> DiscoveryWatch | None:
         """The call that is to be answered. A new discovery is asked while the old watch still serves."""
         return self.coming if self.moving else self.current
 
-    def _put(self, watch: Watch | None) -> None:
+    def _put(self, watch: DiscoveryWatch | None) -> None:
         if self.moving:
             self.coming = watch
         else:
@@ -300,7 +310,7 @@
         second = max(before + self._soon(TWICE), now + self.hangs)
         self.due = min(second, now + self._soon(FIRST))
         # A new discovery is asked for the whole list: its versions need not be those of the old one.
-        watch = Watch(self.node, self.address, 0 if self.moving else self.version, self.patience)
+        watch = DiscoveryWatch(self.node, self.address, 0 if self.moving else self.version, self.patience)
         self.node.log("list.call", address=self.address, version=watch.version)
         if self._asked is None:
             self._put(watch)
@@ -311,11 +321,11 @@
             self.node.log("list.beside", address=self.address)
         watch.begin()
 
-    def _close(self, watch: Watch | None) -> None:
+    def _close(self, watch: DiscoveryWatch | None) -> None:
         if watch is not None:
             watch.post(CLOSE)
 
-    def _answered(self, watch: Watch) -> None:
+    def _answered(self, watch: DiscoveryWatch) -> None:
         if watch is self.beside:
             self._close(self._asked)
             self._put(watch)
@@ -326,7 +336,7 @@
         self._waited(watch)
         self.beside, self.due = None, inf
 
-    def _waited(self, watch: Watch) -> None:
+    def _waited(self, watch: DiscoveryWatch) -> None:
         """Guards against a discovery that is busy being called twice for it: what waits does not hang."""
         waited = self.loop.now() - watch.begun_at
         self.hangs = min(max(HANGS * EMPTY_LINE, 2 * waited), PATIENT * EMPTY_LINE)
@@ -340,7 +350,7 @@
         self.coming = self.beside = None
         self._call()
 
-    def _said(self, watch: Watch, word: Word) -> None:
+    def _said(self, watch: DiscoveryWatch, word: DiscoveryMessage) -> None:
         if watch is self.coming:
             self.node.lease.moved_source()
             # The old watch serves until the new one has spoken.
@@ -353,9 +363,9 @@
             if self.without_at < inf and not word.full:
                 self._begin_with(self.known)  # it says what has changed since, be it nothing
             self.without_at = inf
-            self.node.module.post(Listed(word.news, self.node.out.listed(word.full, word.servers)))
+            self.node.module.post(EndpointsChanged(word.news, self.node.out.listed(word.full, word.servers)))
 
-    def _ended(self, watch: Watch) -> None:
+    def _ended(self, watch: DiscoveryWatch) -> None:
         now = self.loop.now()
         self._note_lost(watch, now)
         if watch in (self.beside, self._asked) and (watch.heard or watch.reason == "refused"):
@@ -376,7 +386,7 @@
             self._put(None)
             self._again(watch)
 
-    def _note_lost(self, watch: Watch, now: float) -> None:
+    def _note_lost(self, watch: DiscoveryWatch, now: float) -> None:
         """What the end of a call or a watch says of how long the list may be acted on."""
         lease = self.node.lease
         unreachable = watch.reason == "refused" or (self.pushed and watch.reason == "answered-503")
@@ -389,7 +399,7 @@
                 lease.end_watch(now, reset=watch.reason == "reset")
         self.node.gate.note_state()
 
-    def _again(self, watch: Watch) -> None:
+    def _again(self, watch: DiscoveryWatch) -> None:
         """No call is on its way now."""
         now = self.loop.now()
         if self.moving:
@@ -400,7 +410,7 @@
                 self.patience = min(2 * self.patience, PATIENT)
             return
         self.version = watch.version
-        self.node.module.post(Listed(News.FAILED, []))
+        self.node.module.post(EndpointsChanged(WatchEvent.FAILED, []))
         if self.pushed:
             self.patience = min(2 * self.patience, PATIENT)
             # Guards against all sidecars calling again in the same moment.
--- a/starlingwheel/net/wire/entries.py
+++ b/starlingwheel/net/wire/entries.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from ...decisions.terms import Condition, Listing, News
+from ...decisions.terms import Endpoint, EndpointState, WatchEvent
 
-CONDITIONS = {"active": Condition.READY, "leaving": Condition.DRAINING, "left": Condition.GONE}
+CONDITIONS = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 
 
-class Entry(msgspec.Struct, frozen=True):
+class DiscoveredEndpoint(msgspec.Struct, frozen=True):
     """One upstream as discovery gives it."""
 
     id: str
@@ -22,9 +22,9 @@
     weight: float = 1.0
     started_ms: float | None = 0
 
-    def listing(self) -> Listing:
+    def listing(self) -> Endpoint:
         # The id is the same at every sidecar, the address is not: the decisions know the id alone.
-        return Listing(
+        return Endpoint(
             address=self.id,
             zone=self.zone,
             cell=self.cell,
@@ -34,13 +34,13 @@
         )
 
 
-class Word(msgspec.Struct, frozen=True):
+class DiscoveryMessage(msgspec.Struct, frozen=True):
     """One line of a watch."""
 
     version: int
     full: bool = False
-    servers: list[Entry] = []
+    servers: list[DiscoveredEndpoint] = []
 
     @property
-    def news(self) -> News:
-        return News.WHOLE if self.full else News.CHANGES
+    def news(self) -> WatchEvent:
+        return WatchEvent.SNAPSHOT if self.full else WatchEvent.DELTA
--- a/starlingwheel/net/wire/http.py
+++ b/starlingwheel/net/wire/http.py
@@ -12,13 +12,13 @@
 
 from ..loop import HANGUP, READ, Loop, Ready
 from ..mail import CLOSE
-from ..memory.buffers import SIZE, Pool
+from ..memory.buffers import BUFFER_SIZE, BufferPool
 from .address import split
 
 LONGEST_HEAD = 16384
 
 
-class Lost(Exception):
+class ConnectionLostError(Exception):
     """The connection can't be used any more; the text is its reason code."""
 
 
@@ -31,11 +31,11 @@
 class Stream:
     """One connection of an actor: its socket, what h11 makes of it, and what is still to be written."""
 
-    def __init__(self, loop: Loop, actor: Any, sock: socket.socket, role: type, pool: Pool) -> None:
+    def __init__(self, loop: Loop, actor: Any, sock: socket.socket, role: type, pool: BufferPool) -> None:
         self.loop, self.actor, self.sock, self.pool = loop, actor, sock, pool
         self.http = h11.Connection(role, max_incomplete_event_size=LONGEST_HEAD)
         # Clients are read in small pieces: h11 measures only heads that are not whole yet.
-        self.at_once = SIZE if role is h11.SERVER else len(pool.scratch)
+        self.at_once = BUFFER_SIZE if role is h11.SERVER else len(pool.scratch)
         self.unwritten: list[Any] = []
         self.mask = 0
         self.over = False  # the other side has ended
@@ -56,7 +56,7 @@
 
     def came_up(self) -> None:
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            raise Lost("refused")
+            raise ConnectionLostError("refused")
 
     def read(self) -> int | None:
         """Give h11 what has come; None: nothing yet, 0: the other side has ended."""
@@ -68,13 +68,13 @@
         except BlockingIOError:
             return None
         except OSError as error:
-            raise Lost("reset") from error
+            raise ConnectionLostError("reset") from error
 
     def event(self) -> Any:
         try:
             return self.http.next_event()
         except h11.RemoteProtocolError as error:
-            raise Lost("cut-short" if self.over else "malformed") from error
+            raise ConnectionLostError("cut-short" if self.over else "malformed") from error
 
     def put(self, *events: Any) -> None:
         for event in events:
@@ -102,7 +102,7 @@
             except BlockingIOError:
                 return False
             except OSError as error:
-                raise Lost("reset") from error
+                raise ConnectionLostError("reset") from error
             while self.unwritten and count >= len(self.unwritten[0]):
                 count -= len(self.unwritten.pop(0))
             if count:
@@ -169,7 +169,7 @@
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:  # no descriptor is left
-        raise Lost("refused") from error
+        raise ConnectionLostError("refused") from error
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -179,5 +179,5 @@
             sock.connect(split(address))
     except (OSError, ValueError, OverflowError) as error:
         sock.close()
-        raise Lost("refused") from error
+        raise ConnectionLostError("refused") from error
     return sock
--- a/starlingwheel/net/wire/operators.py
+++ b/starlingwheel/net/wire/operators.py
@@ -12,8 +12,8 @@
 from ..actor import Actor, Coroutine
 from ..loop import READ, WRITE, Ready
 from ..mail import CLOSE
-from ..memory.out import Busy
-from .http import Lost, Stream, two_lengths
+from ..memory.out import OverridesLockedError
+from .http import ConnectionLostError, Stream, two_lengths
 
 if TYPE_CHECKING:
     from ..lifecycle.start import Node
@@ -24,30 +24,30 @@
 QUIET = 2.0  # seconds after which a call that is not whole ends
 DUE = 1.0  # seconds within which an answer is due
 LONGEST = 4096
-Done = tuple[str, bytes]  # the id that a call names, and the body of its answer
+AdminResult = tuple[str, bytes]  # the id that a call names, and the body of its answer
 OK, BAD, UNKNOWN, METHOD, LATE, CONFLICT, LONG, NOT_NOW = 200, 400, 404, 405, 408, 409, 413, 503
 
 
-class Named(msgspec.Struct):
+class EndpointName(msgspec.Struct):
     id: str
 
 
-class Refused(Exception):
+class CallRejectedError(Exception):
     """The call gets a no."""
 
     def __init__(self, status: int, reason: str, told: bytes = b"") -> None:
         self.status, self.reason, self.told = status, reason, told
 
 
-class Known(NamedTuple):
+class AdminRoute(NamedTuple):
     """A call that is known. `carry_out` may wait: it yields until when, as an actor does."""
 
     method: bytes
-    carry_out: Callable[[Node, bytes], Done | Coroutine[Done]]
+    carry_out: Callable[[Node, bytes], AdminResult | Coroutine[AdminResult]]
     longest: int = LONGEST  # bytes of its body
 
 
-class Operators(Actor):
+class AdminListener(Actor):
     """The second address. It also looks at what another process of this sidecar was told."""
 
     urgent = True
@@ -55,7 +55,7 @@
 
     def __init__(self, node: Node, sock: socket.socket) -> None:
         self.node, self.sock = node, sock
-        self.calls: dict[Call, None] = {}
+        self.calls: dict[AdminCall, None] = {}
         self.known = CALLS | (node.fleet.calls if node.fleet is not None else {})
         sock.setblocking(False)
         node.loop.watch(sock.fileno(), self, READ)
@@ -85,15 +85,15 @@
                 oldest = next(iter(self.calls))
                 del self.calls[oldest]
                 oldest.post(CLOSE)
-            Call(self.node, self, sock).begin()
+            AdminCall(self.node, self, sock).begin()
 
 
-class Call(Actor):
+class AdminCall(Actor):
     """One connection of an operator: one call, read, carried out and answered."""
 
     urgent = True
 
-    def __init__(self, node: Node, operators: Operators, sock: socket.socket) -> None:
+    def __init__(self, node: Node, operators: AdminListener, sock: socket.socket) -> None:
         self.node, self.operators = node, operators
         self.stream = Stream(node.loop, self, sock, h11.SERVER, node.pool)
         operators.calls[self] = None
@@ -108,12 +108,12 @@
                 target = f"{request.method.decode()} {request.target.decode('latin-1')}"
                 name, told = yield from self._carry_out(request, body, self.loop.now() + DUE * 0.9)
                 status = OK
-            except Refused as refused:
+            except CallRejectedError as refused:
                 status, reason, told = refused.status, refused.reason, refused.told
             took = round((self.loop.now() - opened) * 1000, 1)
             self.node.log("operator.call", call=target, id=name, status=status, reason=reason, took_ms=took)
             yield from self._write(status, told)
-        except Lost as lost:
+        except ConnectionLostError as lost:
             self.node.log("operator.left", call=target, reason=str(lost))
         except GeneratorExit:
             pass
@@ -127,51 +127,51 @@
         while True:
             try:
                 event = self.stream.event()
-            except Lost as lost:
-                raise Refused(BAD, str(lost)) from lost
+            except ConnectionLostError as lost:
+                raise CallRejectedError(BAD, str(lost)) from lost
             if isinstance(event, h11.Request):
                 request = event
                 if two_lengths(event.headers):
-                    raise Refused(BAD, "two lengths")
+                    raise CallRejectedError(BAD, "two lengths")
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
                 known = self.operators.known.get(request.target.partition(b"?")[0])
                 if len(body) > (known.longest if known else LONGEST):
-                    raise Refused(LONG, "body too long")
+                    raise CallRejectedError(LONG, "body too long")
             elif isinstance(event, h11.EndOfMessage):
                 if self.stream.http.trailing_data[0].strip():
-                    raise Refused(BAD, "more than one call")
+                    raise CallRejectedError(BAD, "more than one call")
                 return request, body
             elif isinstance(event, h11.ConnectionClosed):
-                raise Lost("caller-left")
+                raise ConnectionLostError("caller-left")
             else:
                 self.stream.invite()
                 mail = yield until
                 if mail is CLOSE:
-                    raise Lost("not-needed")
+                    raise ConnectionLostError("not-needed")
                 if mail is None:
-                    raise Refused(LATE, "half a call" if request else "no call")
+                    raise CallRejectedError(LATE, "half a call" if request else "no call")
                 self.stream.read()
 
-    def _carry_out(self, request: h11.Request, body: bytes, until: float) -> Coroutine[Done]:
+    def _carry_out(self, request: h11.Request, body: bytes, until: float) -> Coroutine[AdminResult]:
         """Does what the call says."""
         path = request.target.partition(b"?")[0]
         if path not in self.operators.known:
-            raise Refused(UNKNOWN, "unknown path")
+            raise CallRejectedError(UNKNOWN, "unknown path")
         known = self.operators.known[path]
         if request.method != known.method:
-            raise Refused(METHOD, "wrong method")
+            raise CallRejectedError(METHOD, "wrong method")
         while True:
             try:
                 done = known.carry_out(self.node, body)
                 return done if isinstance(done, tuple) else (yield from done)
-            except Busy:
+            except OverridesLockedError:
                 # Guards against waiting for a lock with the loop standing still.
                 if self.loop.now() >= until:
-                    raise Refused(NOT_NOW, "the other process holds the file") from None
+                    raise CallRejectedError(NOT_NOW, "the other process holds the file") from None
                 yield self.loop.now() + DUE / 100
             except OSError as error:
-                raise Refused(NOT_NOW, f"not written: {error.strerror}") from error
+                raise CallRejectedError(NOT_NOW, f"not written: {error.strerror}") from error
 
     def _write(self, status: int, told: bytes) -> Coroutine[None]:
         headers = [(b"Content-Length", str(len(told)).encode()), (b"Connection", b"close")]
@@ -185,7 +185,7 @@
         while not self.stream.write():
             self.stream.want(WRITE)
             if (yield until) is None:
-                raise Lost("slow-reader")
+                raise ConnectionLostError("slow-reader")
         # Answered: it makes room before those that have not said anything yet.
         self.operators.calls.pop(self, None)
         self.operators.calls = {self: None, **self.operators.calls}
@@ -195,37 +195,37 @@
 def named(body: bytes) -> str:
     """The id that a call's body names. Raises `Refused`."""
     try:
-        name = msgspec.json.decode(body, type=Named).id
+        name = msgspec.json.decode(body, type=EndpointName).id
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Refused(BAD, str(error)) from error
+        raise CallRejectedError(BAD, str(error)) from error
     if not name:
-        raise Refused(BAD, "id is empty")
+        raise CallRejectedError(BAD, "id is empty")
     return name
 
 
-def _ready(node: Node, body: bytes) -> Done:
+def _ready(node: Node, body: bytes) -> AdminResult:
     if not node.takes_clients:
-        raise Refused(NOT_NOW, "no list yet, or stopping")
+        raise CallRejectedError(NOT_NOW, "no list yet, or stopping")
     return "", b""
 
 
-def _detach(node: Node, body: bytes) -> Done:
+def _detach(node: Node, body: bytes) -> AdminResult:
     return _moved(node, named(body), node.out.take_out)
 
 
-def _attach(node: Node, body: bytes) -> Done:
+def _attach(node: Node, body: bytes) -> AdminResult:
     return _moved(node, named(body), node.out.put_back)
 
 
-def _moved(node: Node, name: str, move: Callable[[str], list[Any] | None]) -> Done:
+def _moved(node: Node, name: str, move: Callable[[str], list[Any] | None]) -> AdminResult:
     if (changed := move(name)) is None:
-        raise Refused(UNKNOWN, f"{name!r} was never listed")
+        raise CallRejectedError(UNKNOWN, f"{name!r} was never listed")
     node.changed(changed)
     return name, b""
 
 
-def _lameduck(on: bool) -> Callable[[Node, bytes], Done]:
-    def said(node: Node, body: bytes) -> Done:
+def _lameduck(on: bool) -> Callable[[Node, bytes], AdminResult]:
+    def said(node: Node, body: bytes) -> AdminResult:
         node.out.lameduck(on)
         node.changed([])
         return "", b""
@@ -234,9 +234,9 @@
 
 
 CALLS = {
-    b"/_ready": Known(b"GET", _ready),
-    b"/_upstreams/detach": Known(b"PUT", _detach),
-    b"/_upstreams/attach": Known(b"PUT", _attach),
-    b"/_lameduck/on": Known(b"PUT", _lameduck(True)),
-    b"/_lameduck/off": Known(b"PUT", _lameduck(False)),
+    b"/_ready": AdminRoute(b"GET", _ready),
+    b"/_upstreams/detach": AdminRoute(b"PUT", _detach),
+    b"/_upstreams/attach": AdminRoute(b"PUT", _attach),
+    b"/_lameduck/on": AdminRoute(b"PUT", _lameduck(True)),
+    b"/_lameduck/off": AdminRoute(b"PUT", _lameduck(False)),
 }
--- a/starlingwheel/net/wire/streams.py
+++ b/starlingwheel/net/wire/streams.py
@@ -18,43 +18,43 @@
 import h2.settings
 import h11
 
-from ...decisions.terms import Fate
+from ...decisions.terms import AttemptOutcome
 from ..actor import Actor, Coroutine
 from ..loop import READ, WRITE, Ready
-from ..mail import CLOSE, Carry, Closed, Drop, Ended
-from ..memory.buffers import Body, Exhausted
-from ..memory.work import Answer, Errand
-from .http import Lost, Stream, connect
+from ..mail import CLOSE, CancelExchange, ConnectionClosed, ExchangeEnded, StartExchange
+from ..memory.buffers import BufferedBody, BuffersExhaustedError
+from ..memory.work import Exchange, UpstreamResponse
+from .http import ConnectionLostError, Stream, connect
 from .upstream import EARLY, UP, fate_of, request_of, told_load
 
 if TYPE_CHECKING:
     from ..lifecycle.start import Node
-    from .upstream import Upstream
+    from .upstream import ConnectionPool
 
 SETTINGS_FRAME = b"\x04"  # the type that the first frame has
 NO_STATUS = 1  # for one that is no number; read as an error that may have run
 WINDOW = 1 << 20  # bytes that an upstream may send ahead on one connection
 
 
-class Exchange:
+class StreamExchange:
     """One errand on its stream."""
 
-    __slots__ = ("errand", "number", "unsent", "status", "headers", "body")
+    __slots__ = ("exchange", "number", "unsent", "status", "headers", "body")
 
-    def __init__(self, errand: Errand, number: int, body: Body) -> None:
-        self.errand, self.number, self.body = errand, number, body
-        self.unsent = [bytes(view) for view in errand.job.body.views()] if errand.job else []
+    def __init__(self, exchange: Exchange, number: int, body: BufferedBody) -> None:
+        self.exchange, self.number, self.body = exchange, number, body
+        self.unsent = [bytes(view) for view in exchange.pending.body.views()] if exchange.pending else []
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
 
 
-class Shared(Actor):
+class Http2Connection(Actor):
     """One connection from its first errand to its end. A defect or a break ends every errand on it."""
 
-    def __init__(self, node: Node, upstream: Upstream, errand: Errand) -> None:
+    def __init__(self, node: Node, upstream: ConnectionPool, exchange: Exchange) -> None:
         self.node, self.upstream = node, upstream
-        self.waiting: dict[Errand, None] = {errand: None}  # until it is up and can be written to
-        self.streams: dict[int, Exchange] = {}
+        self.waiting: dict[Exchange, None] = {exchange: None}  # until it is up and can be written to
+        self.streams: dict[int, StreamExchange] = {}
         self.up = self.leaving = False
         self.stream: Stream | None = None
         self.http = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
@@ -68,7 +68,7 @@
 
     def takes(self) -> bool:
         """Another errand may be given to it."""
-        most = self.node.terms.streams
+        most = self.node.terms.streams_per_connection
         if self.up:
             most = min(most, self.http.remote_settings.max_concurrent_streams)
         return not self.ended and not self.leaving and len(self.streams) + len(self.waiting) < most
@@ -79,7 +79,7 @@
             yield from self._connect()
             while True:
                 yield from self._turn()
-        except Lost as lost:
+        except ConnectionLostError as lost:
             reason = str(lost)
         except GeneratorExit:
             reason = "stopped"
@@ -90,16 +90,16 @@
         sock = connect(self.entry.addr)
         self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.node.pool)
         self.stream.want(WRITE)
-        until = self.loop.now() + min(self.node.terms.connect_within, UP * self.node.shortest)
+        until = self.loop.now() + min(self.node.terms.connect_timeout, UP * self.node.shortest)
         while True:
             self._overdue()
             if not self.waiting:
-                raise Lost("not-needed")
+                raise ConnectionLostError("not-needed")
             mail = yield min(until, self._next_due())
             if isinstance(mail, Ready):
                 break
             if mail is None and self.loop.now() >= until:
-                raise Lost("never-came-up")
+                raise ConnectionLostError("never-came-up")
             self._take(mail)
         self.stream.came_up()
         self.up = True
@@ -107,21 +107,21 @@
         self.http.initiate_connection()
         self.http.update_settings({h2.settings.SettingCodes.ENABLE_PUSH: 0})
         self.http.increment_flow_control_window(WINDOW)
-        for errand in list(self.waiting):
-            del self.waiting[errand]
-            self._begin(errand)
+        for exchange in list(self.waiting):
+            del self.waiting[exchange]
+            self._begin(exchange)
 
     def _turn(self) -> Coroutine[None]:
         """Write what is to be written, then one word of the socket or one mail."""
         while (written := self._flush()) and self.waiting:
             # Guards against beginning a stream while nothing can be written, for a client that leaves then.
-            errand = next(iter(self.waiting))
-            del self.waiting[errand]
-            self._begin(errand)
+            exchange = next(iter(self.waiting))
+            del self.waiting[exchange]
+            self._begin(exchange)
         self.stream.want(READ if written else READ | WRITE)
         if self.leaving and not self.streams:
-            raise Lost("upstream-closes")
-        idle = inf if self.streams else self.idle_since + EARLY * self.node.terms.keep_idle
+            raise ConnectionLostError("upstream-closes")
+        idle = inf if self.streams else self.idle_since + EARLY * self.node.terms.idle_timeout
         mail = yield min(idle, self._next_due())
         if isinstance(mail, Ready):
             self._read()
@@ -129,7 +129,7 @@
             self._take(mail)
         self._overdue()
         if not self.streams and self.loop.now() >= idle:
-            raise Lost("idle")
+            raise ConnectionLostError("idle")
 
     def _flush(self) -> bool:
         """Write on; True when nothing is left."""
@@ -139,49 +139,51 @@
 
     def _take(self, mail: Any) -> None:
         match mail:
-            case Carry(errand) if not self.up or self.stream.unwritten:
-                self.waiting[errand] = None
-            case Carry(errand):
-                self._begin(errand)
-            case Drop(errand):
-                self._give_up(errand, Fate.CANCELLED)
+            case StartExchange(exchange) if not self.up or self.stream.unwritten:
+                self.waiting[exchange] = None
+            case StartExchange(exchange):
+                self._begin(exchange)
+            case CancelExchange(exchange):
+                self._give_up(exchange, AttemptOutcome.CANCELLED)
             case _ if mail is CLOSE:
                 # What is out is still waited for; an idle one ends at once.
                 self.leaving = True
 
     def _next_due(self) -> float:
-        errands = [*self.waiting, *(exchange.errand for exchange in self.streams.values())]
-        return min((errand.until for errand in errands), default=inf)
+        exchanges = [*self.waiting, *(stream_exchange.exchange for stream_exchange in self.streams.values())]
+        return min((exchange.deadline for exchange in exchanges), default=inf)
 
     def _overdue(self) -> None:
         now = self.loop.now()
-        for exchange in [e for e in self.streams.values() if e.errand.until <= now]:
-            self._give_up(exchange.errand, Fate.OVERDUE)
-        for errand in [e for e in self.waiting if e.until <= now]:
-            self._give_up(errand, Fate.UNREACHED)
+        for stream_exchange in [e for e in self.streams.values() if e.exchange.deadline <= now]:
+            self._give_up(stream_exchange.exchange, AttemptOutcome.TIMED_OUT)
+        for exchange in [e for e in self.waiting if e.deadline <= now]:
+            self._give_up(exchange, AttemptOutcome.CONNECT_FAILED)
 
-    def _give_up(self, errand: Errand, fate: Fate) -> None:
-        if errand in self.waiting:
-            del self.waiting[errand]
-            self._settle(errand, Fate.UNREACHED if fate is Fate.OVERDUE else fate)
+    def _give_up(self, exchange: Exchange, fate: AttemptOutcome) -> None:
+        if exchange in self.waiting:
+            del self.waiting[exchange]
+            self._settle(
+                exchange, AttemptOutcome.CONNECT_FAILED if fate is AttemptOutcome.TIMED_OUT else fate
+            )
             return
-        for exchange in [e for e in self.streams.values() if e.errand is errand]:
+        for stream_exchange in [e for e in self.streams.values() if e.exchange is exchange]:
             # Only this stream is reset: the others on the connection go on.
-            self.http.reset_stream(exchange.number, h2.errors.ErrorCodes.CANCEL)
-            self._end(exchange, fate)
+            self.http.reset_stream(stream_exchange.number, h2.errors.ErrorCodes.CANCEL)
+            self._end(stream_exchange, fate)
 
-    def _begin(self, errand: Errand) -> None:
+    def _begin(self, exchange: Exchange) -> None:
         if (
             self.leaving
             or not self.http.open_outbound_streams < self.http.remote_settings.max_concurrent_streams
-            or self.node.gate.refusal(self.entry, errand)
+            or self.node.gate.refusal(self.entry, exchange)
         ):
-            self._settle(errand, Fate.UNSENT)
+            self._settle(exchange, AttemptOutcome.NOT_SENT)
             return
-        self.upstream.note_begun(errand, self.loop.now())
+        self.upstream.note_begun(exchange, self.loop.now())
         try:
             number = self.http.get_next_available_stream_id()
-            method, target, headers = request_of(errand, self.node, self.loop.now())
+            method, target, headers = request_of(exchange, self.node, self.loop.now())
             authority = next((value for name, value in headers if name.lower() == b"host"), b"")
             pseudo = [
                 (b":method", method),
@@ -190,30 +192,30 @@
                 (b":path", target),
             ]
             rest = [(name.lower(), value) for name, value in headers if name.lower() != b"host"]
-            exchange = Exchange(errand, number, Body(self.node.pool))
-            self.http.send_headers(number, [*pseudo, *rest], end_stream=not exchange.unsent)
+            stream_exchange = StreamExchange(exchange, number, BufferedBody(self.node.pool))
+            self.http.send_headers(number, [*pseudo, *rest], end_stream=not stream_exchange.unsent)
         except h2.exceptions.ProtocolError:
             # Guards against one request that h2 won't send, or stream numbers used up, ending the others.
             self.leaving = True
-            self._settle(errand, Fate.UNSENT)
+            self._settle(exchange, AttemptOutcome.NOT_SENT)
             return
-        self.streams[number] = exchange
+        self.streams[number] = stream_exchange
         self.node.ledger.idle.pop(self, None)
-        errand.written = True
+        exchange.written = True
         self.carried += 1
-        self._send(exchange)
+        self._send(stream_exchange)
 
-    def _send(self, exchange: Exchange) -> None:
+    def _send(self, stream_exchange: StreamExchange) -> None:
         """As much of the body as the upstream has room for."""
-        while exchange.unsent:
+        while stream_exchange.unsent:
             most = min(
-                self.http.local_flow_control_window(exchange.number), self.http.max_outbound_frame_size
+                self.http.local_flow_control_window(stream_exchange.number), self.http.max_outbound_frame_size
             )
             if most <= 0:
                 return
-            piece, rest = exchange.unsent[0][:most], exchange.unsent[0][most:]
-            exchange.unsent[:1] = [rest] if rest else []
-            self.http.send_data(exchange.number, piece, end_stream=not exchange.unsent)
+            piece, rest = stream_exchange.unsent[0][:most], stream_exchange.unsent[0][most:]
+            stream_exchange.unsent[:1] = [rest] if rest else []
+            self.http.send_data(stream_exchange.number, piece, end_stream=not stream_exchange.unsent)
 
     def _read(self) -> None:
         try:
@@ -221,97 +223,105 @@
         except BlockingIOError:
             return
         except OSError as error:
-            raise Lost("reset") from error
+            raise ConnectionLostError("reset") from error
         if not count:
-            raise Lost("upstream-closed")
+            raise ConnectionLostError("upstream-closed")
         data = bytes(memoryview(self.node.pool.scratch)[:count])
         if len(self.first) < 4:
             self.first += data[:4]
             if self.first[3:4] not in (b"", SETTINGS_FRAME):
                 # Guards against waiting for the end of a frame in what is no HTTP/2.
-                raise Lost("malformed")
+                raise ConnectionLostError("malformed")
         try:
             events = self.http.receive_data(data)
         except h2.exceptions.ProtocolError as error:
-            raise Lost("malformed") from error
+            raise ConnectionLostError("malformed") from error
         for event in events:
             self._heed(event)
 
     def _heed(self, event: Any) -> None:
         match event:
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
-                for exchange in [e for e in self.streams.values() if e.unsent]:
-                    if self.node.gate.unwanted(exchange.errand):
+                for stream_exchange in [e for e in self.streams.values() if e.unsent]:
+                    if self.node.gate.unwanted(stream_exchange.exchange):
                         # Guards against sending on for a client that has left, where no `Drop` may come.
-                        self._give_up(exchange.errand, Fate.CANCELLED)
+                        self._give_up(stream_exchange.exchange, AttemptOutcome.CANCELLED)
                     else:
-                        self._send(exchange)
+                        self._send(stream_exchange)
             case h2.events.ConnectionTerminated():
                 self.leaving = True
                 last = event.last_stream_id if event.last_stream_id is not None else 0
-                for exchange in [e for e in self.streams.values() if e.number > last]:
-                    self._end(exchange, Fate.TURNED_DOWN)
+                for stream_exchange in [e for e in self.streams.values() if e.number > last]:
+                    self._end(stream_exchange, AttemptOutcome.REJECTED)
             case h2.events.DataReceived():
                 self.http.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
-        exchange = self.streams.get(getattr(event, "stream_id", None) or 0)
-        if exchange is None:
+        stream_exchange = self.streams.get(getattr(event, "stream_id", None) or 0)
+        if stream_exchange is None:
             return
         match event:
             case h2.events.ResponseReceived():
                 headers = dict(event.headers)
                 status = headers[b":status"]
-                exchange.status = int(status) if status.isdigit() else NO_STATUS
-                exchange.headers = [(n, v) for n, v in event.headers if not n.startswith(b":")]
+                stream_exchange.status = int(status) if status.isdigit() else NO_STATUS
+                stream_exchange.headers = [(n, v) for n, v in event.headers if not n.startswith(b":")]
             case h2.events.DataReceived():
                 try:
-                    if exchange.body.length + len(event.data) > self.node.pool.large:
-                        raise Exhausted
-                    exchange.body.add(event.data)
-                except Exhausted:
-                    self._give_up(exchange.errand, Fate.BROKEN)
+                    if stream_exchange.body.length + len(event.data) > self.node.pool.large:
+                        raise BuffersExhaustedError
+                    stream_exchange.body.add(event.data)
+                except BuffersExhaustedError:
+                    self._give_up(stream_exchange.exchange, AttemptOutcome.RESET)
             case h2.events.StreamReset():
                 refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-                self._end(exchange, Fate.TURNED_DOWN if refused else Fate.BROKEN)
+                self._end(stream_exchange, AttemptOutcome.REJECTED if refused else AttemptOutcome.RESET)
             case h2.events.StreamEnded():
-                if exchange.unsent:
+                if stream_exchange.unsent:
                     # Answered before it was whole: the rest is not wanted.
-                    self.http.reset_stream(exchange.number, h2.errors.ErrorCodes.CANCEL)
-                self._end(exchange, fate_of(exchange.status, dict(exchange.headers)))
+                    self.http.reset_stream(stream_exchange.number, h2.errors.ErrorCodes.CANCEL)
+                self._end(stream_exchange, fate_of(stream_exchange.status, dict(stream_exchange.headers)))
 
-    def _end(self, exchange: Exchange, fate: Fate) -> None:
-        del self.streams[exchange.number]
+    def _end(self, stream_exchange: StreamExchange, fate: AttemptOutcome) -> None:
+        del self.streams[stream_exchange.number]
         self.idle_since = self.loop.now()
         if not self.streams and not self.leaving:
             # Where descriptors run short, one that carries nothing makes room.
             self.node.ledger.idle[self] = None
-        report = told_load(exchange.headers, exchange.errand, exchange.body) if exchange.status else {}
-        if fate is Fate.FINISHED and exchange.errand.job is not None:
-            kind = dict(exchange.headers).get(b"content-type", b"")
-            self._settle(exchange.errand, fate, report, Answer(exchange.body, kind))
+        report = (
+            told_load(stream_exchange.headers, stream_exchange.exchange, stream_exchange.body)
+            if stream_exchange.status
+            else {}
+        )
+        if fate is AttemptOutcome.SUCCESS and stream_exchange.exchange.pending is not None:
+            kind = dict(stream_exchange.headers).get(b"content-type", b"")
+            self._settle(stream_exchange.exchange, fate, report, UpstreamResponse(stream_exchange.body, kind))
             return
-        exchange.body.release()
-        self._settle(exchange.errand, fate, report)
+        stream_exchange.body.release()
+        self._settle(stream_exchange.exchange, fate, report)
 
     def _settle(
-        self, errand: Errand, fate: Fate, report: dict[str, float] | None = None, answer: Answer | None = None
+        self,
+        exchange: Exchange,
+        fate: AttemptOutcome,
+        report: dict[str, float] | None = None,
+        answer: UpstreamResponse | None = None,
     ) -> None:
-        self.node.module.post(Ended(errand, fate, report or {}, answer))
+        self.node.module.post(ExchangeEnded(exchange, fate, report or {}, answer))
 
     def _close(self, reason: str) -> None:
-        for exchange in list(self.streams.values()):
-            self._end(exchange, Fate.BROKEN)
-        for errand in self.waiting:
-            self._settle(errand, Fate.UNSENT if self.up else Fate.UNREACHED)
+        for stream_exchange in list(self.streams.values()):
+            self._end(stream_exchange, AttemptOutcome.RESET)
+        for exchange in self.waiting:
+            self._settle(exchange, AttemptOutcome.NOT_SENT if self.up else AttemptOutcome.CONNECT_FAILED)
         self.waiting.clear()
         if self.stream is not None:
             self.stream.close()
         self.node.ledger.upstream.pop(self, None)
         self.node.ledger.idle.pop(self, None)
-        self.upstream.post(Closed(self))
+        self.upstream.post(ConnectionClosed(self))
         name = self.upstream.entry.id
         self.node.log("upstream.end", reason=reason, upstream=name, carried=self.carried)
 
     def undelivered(self, mail: Any) -> None:
         # Guards against an errand lost because the connection ended before it got there; it was not begun.
-        if isinstance(mail, Carry):
-            self._settle(mail.errand, Fate.UNSENT)
+        if isinstance(mail, StartExchange):
+            self._settle(mail.exchange, AttemptOutcome.NOT_SENT)
--- a/starlingwheel/net/wire/upstream.py
+++ b/starlingwheel/net/wire/upstream.py
@@ -12,16 +12,24 @@
 
 import h11
 
-from ...decisions.terms import Fate
+from ...decisions.terms import AttemptOutcome
 from ...settings import REPORTED, SCALE
 from ..actor import Actor, Coroutine
 from ..gate import Refusal
 from ..loop import INPUT, READ, WRITE, Ready
-from ..mail import CLOSE, Carry, Closed, Drop, Ended, Free, Moved
-from ..memory.buffers import KEPT, Body, Exhausted
-from ..memory.flow import LONGEST, Flow
-from ..memory.work import Answer, Errand
-from .http import Lost, Stream, connect
+from ..mail import (
+    CLOSE,
+    CancelExchange,
+    ConnectionClosed,
+    ConnectionIdle,
+    EndpointMoved,
+    ExchangeEnded,
+    StartExchange,
+)
+from ..memory.buffers import MAX_BUFFERED_BODY, BufferedBody, BuffersExhaustedError
+from ..memory.flow import MAX_STREAMED_BODY, BodyStream
+from ..memory.work import Exchange, UpstreamResponse
+from .http import ConnectionLostError, Stream, connect
 
 if TYPE_CHECKING:
     from ..lifecycle.start import Node
@@ -38,7 +46,7 @@
 FIGURE = re.compile(r"\d{1,9}(\.\d{1,9})?")
 BEGINNING = b"HTTP/1."
 UNSENT_REASONS = {"no-buffers", *(refusal.value for refusal in Refusal)}
-End = tuple[Fate, dict[str, float], Answer | None]  # how an errand ended
+End = tuple[AttemptOutcome, dict[str, float], UpstreamResponse | None]  # how an errand ended
 HOP_BY_HOP = {
     b"connection", b"keep-alive", b"te", b"trailer", b"transfer-encoding", b"upgrade", b"expect",
     b"proxy-authorization", b"proxy-authenticate", b"content-length", b"host", b"x-expires-in-ms",
@@ -71,54 +79,60 @@
     said = [value.lower() for name, value in response.headers if name == b"connection"]
     closes = b"close" in said or response.http_version == b"1.0"
     if len(lengths) + chunked != 1 and not (closes and not lengths and not chunked):
-        raise Lost("unframed")
-    if lengths and int(lengths[0]) > LONGEST:
-        raise Lost("answer-too-long")
+        raise ConnectionLostError("unframed")
+    if lengths and int(lengths[0]) > MAX_STREAMED_BODY:
+        raise ConnectionLostError("answer-too-long")
     return int(lengths[0]) if lengths else None
 
 
-def request_of(errand: Errand, node: Node, now: float) -> tuple[bytes, bytes, list[tuple[bytes, bytes]]]:
+def request_of(exchange: Exchange, node: Node, now: float) -> tuple[bytes, bytes, list[tuple[bytes, bytes]]]:
     """Method, target and headers of what an errand sends; the framing is the protocol's."""
     host = (b"Host", b"backend.local")
-    if errand.job is None:
+    if exchange.pending is None:
         return b"GET", b"/status/load" if node.terms.load_reported else b"/health", [host]
-    job = errand.job
-    kept = [(name, value) for name, value in job.headers if name.lower() not in HOP_BY_HOP]
-    host = next(((name, value) for name, value in job.headers if name.lower() == b"host"), host)
-    flow = errand.flow
-    left = max(1, int((errand.until - now if errand.until < inf else job.wi.patience + COMING) * 1000))
+    pending = exchange.pending
+    kept = [(name, value) for name, value in pending.headers if name.lower() not in HOP_BY_HOP]
+    host = next(((name, value) for name, value in pending.headers if name.lower() == b"host"), host)
+    flow = exchange.flow
+    left = max(
+        1,
+        int(
+            (exchange.deadline - now if exchange.deadline < inf else pending.request.time_left + COMING)
+            * 1000
+        ),
+    )
     headers = [host, *kept, (b"X-Expires-In-Ms", str(left).encode())]
     if flow is not None and flow.length is None:
         headers.append((b"Transfer-Encoding", b"chunked"))
-    elif job.body.length or job.method != b"GET":
-        headers.append((b"Content-Length", str(job.body.length).encode()))
-    return job.method, job.target, headers
+    elif pending.body.length or pending.method != b"GET":
+        headers.append((b"Content-Length", str(pending.body.length).encode()))
+    return pending.method, pending.target, headers
 
 
-def fate_of(status: int, headers: dict[bytes, bytes]) -> Fate:
+def fate_of(status: int, headers: dict[bytes, bytes]) -> AttemptOutcome:
     if status == 200:
-        return Fate.FINISHED
+        return AttemptOutcome.SUCCESS
     if status in (503, 504) and headers.get(b"x-never-ran") == b"1":
-        return Fate.TURNED_DOWN
-    return Fate.ERROR
+        return AttemptOutcome.REJECTED
+    return AttemptOutcome.ERROR
 
 
-def told_load(headers: Any, errand: Errand, body: Body) -> dict[str, float]:
+def told_load(headers: Any, exchange: Exchange, body: BufferedBody) -> dict[str, float]:
     texts = [value for name, value in headers if name == b"endpoint-load-metrics"]
     text = texts[0].decode("latin-1") if len(texts) == 1 else ""
-    if not texts and errand.job is None and body.length <= LONGEST_REPORT:
+    if not texts and exchange.pending is None and body.length <= LONGEST_REPORT:
         text = b"".join(body.views()).decode("latin-1")
     return figures(text) if text else {}
 
 
-class Upstream(Actor):
+class ConnectionPool(Actor):
     """Gives errands to its connections: of those that have rested the one used last, else a new one."""
 
     lasting = True
 
     def __init__(self, node: Node, entry: Any) -> None:
         self.node, self.entry = node, entry
-        self.idle: list[Connection] = []
+        self.idle: list[Http1Connection] = []
         self.shared: list[Any] = []  # connections that carry many at once, where the settings say so
         self.last_begun_at, self.last_trace = 0.0, b""  # of the last attempt begun here; 0: none
         super().__init__(node.loop)
@@ -126,25 +140,25 @@
     def run(self) -> Coroutine[None]:
         while True:
             match (yield None):
-                case Carry(errand):
+                case StartExchange(exchange):
                     try:
-                        self._carry(errand)
+                        self._carry(exchange)
                     except Exception:
                         # Guards against a hand-off that never ends: its upstream would seem silent for good.
-                        self.node.module.post(Ended(errand, Fate.UNSENT))
+                        self.node.module.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
                         raise
-                case Drop(errand) as drop:
-                    if errand.connection:
-                        errand.connection.post(drop)
-                case Free(connection):
+                case CancelExchange(exchange) as drop:
+                    if exchange.connection:
+                        exchange.connection.post(drop)
+                case ConnectionIdle(connection):
                     self.idle.append(connection)
                     self.node.ledger.idle[connection] = None
-                case Closed(connection):
+                case ConnectionClosed(connection):
                     self._no_longer_idle(connection)
-                case Moved(entry):
+                case EndpointMoved(entry):
                     self._moved(entry)
 
-    def _no_longer_idle(self, connection: Connection) -> None:
+    def _no_longer_idle(self, connection: Http1Connection) -> None:
         self.node.ledger.idle.pop(connection, None)
         for held in (self.idle, self.shared):
             if connection in held:
@@ -174,43 +188,43 @@
             last_trace=self.last_trace.decode("latin-1"),
         )
 
-    def _carry(self, errand: Errand) -> None:
+    def _carry(self, exchange: Exchange) -> None:
         for connection in self.shared:
             if connection.takes():
-                errand.connection = connection
-                connection.post(Carry(errand))
+                exchange.connection = connection
+                connection.post(StartExchange(exchange))
                 return
         room = self.node.ledger.room_for_upstream()
         # Guards against a second answer that comes late being taken for that of the next request.
         if connection := self.rested() or (None if room else self._longest_idle()):
-            errand.connection = connection
-            connection.post(Carry(errand))
+            exchange.connection = connection
+            connection.post(StartExchange(exchange))
             return
         if not room:
             longest_idle = self.node.ledger.longest_idle()
             if longest_idle is None:
-                self.node.module.post(Ended(errand, Fate.UNSENT))
+                self.node.module.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
                 return
             longest_idle.upstream._no_longer_idle(longest_idle)
             longest_idle.post(CLOSE)
-        errand.connection = self.node.connection(self.node, self, errand)
-        if self.node.terms.streams > 1:
-            self.shared.append(errand.connection)
-        errand.connection.begin()
+        exchange.connection = self.node.connection(self.node, self, exchange)
+        if self.node.terms.streams_per_connection > 1:
+            self.shared.append(exchange.connection)
+        exchange.connection.begin()
 
-    def note_begun(self, errand: Errand, now: float) -> None:
+    def note_begun(self, exchange: Exchange, now: float) -> None:
         """The first byte of an attempt is about to be written."""
         self.last_begun_at = now
-        self.last_trace = errand.job.trace if errand.job is not None else b""
+        self.last_trace = exchange.pending.trace if exchange.pending is not None else b""
 
-    def rested(self) -> Connection | None:
+    def rested(self) -> Http1Connection | None:
         """Of the idle connections on which no second answer is expected the one used last; it is taken."""
         return self._first_usable([c for c in reversed(self.idle) if c.rested()])
 
-    def _longest_idle(self) -> Connection | None:
+    def _longest_idle(self) -> Http1Connection | None:
         return self._first_usable(self.idle.copy())
 
-    def _first_usable(self, idle: list[Connection]) -> Connection | None:
+    def _first_usable(self, idle: list[Http1Connection]) -> Http1Connection | None:
         for connection in idle:
             self._no_longer_idle(connection)
             # Guards against a request written to a connection that the upstream has closed or soon will.
@@ -220,14 +234,14 @@
         return None
 
 
-class Connection(Actor):
+class Http1Connection(Actor):
     """One connection to an upstream, from its first errand to its end."""
 
-    def __init__(self, node: Node, upstream: Upstream, errand: Errand) -> None:
+    def __init__(self, node: Node, upstream: ConnectionPool, exchange: Exchange) -> None:
         self.node, self.upstream = node, upstream
-        self.errand: Errand | None = errand
+        self.exchange: Exchange | None = exchange
         self.stream: Stream | None = None
-        self.body = Body(node.pool)
+        self.body = BufferedBody(node.pool)
         self.reason = ""
         self.carried = 0
         self.idle_since = self.written_at = 0.0  # nothing: not yet
@@ -238,7 +252,7 @@
         super().__init__(node.loop)
 
     def usable(self) -> bool:
-        fresh = self.loop.now() < self.idle_since + EARLY * self.node.terms.keep_idle
+        fresh = self.loop.now() < self.idle_since + EARLY * self.node.terms.idle_timeout
         return fresh and not self.ended and self.stream.silent()
 
     def rested(self) -> bool:
@@ -254,17 +268,17 @@
     def run(self) -> Coroutine[None]:
         try:
             yield from self._connect()
-            if self.errand is None:
-                self.upstream.post(Free(self))
+            if self.exchange is None:
+                self.upstream.post(ConnectionIdle(self))
                 yield from self._rest()
             while True:
                 fate, report, answer = yield from self._exchange()
                 if self.reason:
                     break
                 self._settle(fate, report, answer)
-                self.upstream.post(Free(self))
+                self.upstream.post(ConnectionIdle(self))
                 yield from self._rest()
-        except Lost as lost:
+        except ConnectionLostError as lost:
             fate, report, answer = self._fate(str(lost)), {}, None
         except GeneratorExit:
             fate, report, answer = self._fate("stopped"), {}, None
@@ -275,26 +289,26 @@
             self._settle(fate, report, answer)
             self._close()
 
-    def _fate(self, reason: str) -> Fate:
+    def _fate(self, reason: str) -> AttemptOutcome:
         """How the errand ended when its connection can't be used any more."""
         self.reason = reason
         if reason == "dropped":
-            return Fate.CANCELLED
-        written = self.errand is not None and self.errand.written
-        if self.errand is not None and reason in ("reset", "cut-short"):
+            return AttemptOutcome.CANCELLED
+        written = self.exchange is not None and self.exchange.written
+        if self.exchange is not None and reason in ("reset", "cut-short"):
             now = self.loop.now()
             if not written or now < self.written_at + HELD * self.node.shortest:
                 self.node.resets_until = now + WARY * self.node.longest
-        if self.errand is not None and not written and self.idle_since:
+        if self.exchange is not None and not written and self.idle_since:
             # The connection was old, which says nothing of the upstream.
-            return Fate.UNSENT
+            return AttemptOutcome.NOT_SENT
         if reason == "overdue" and written:
-            return Fate.OVERDUE
+            return AttemptOutcome.TIMED_OUT
         if reason in UNSENT_REASONS and not written:
-            return Fate.UNSENT
+            return AttemptOutcome.NOT_SENT
         if reason == "answered-early":
-            return Fate.TURNED_DOWN
-        return Fate.BROKEN if written else Fate.UNREACHED
+            return AttemptOutcome.REJECTED
+        return AttemptOutcome.RESET if written else AttemptOutcome.CONNECT_FAILED
 
     def _await(self, until: float, late: str, hold: float = inf) -> Coroutine[Ready | None]:
         """The next word of the socket, unless the errand is given up before; None: `hold` has come."""
@@ -303,11 +317,11 @@
             if mail is None and hold < until:
                 return None
             if mail is None:
-                raise Lost(late)
+                raise ConnectionLostError(late)
             if isinstance(mail, Ready):
                 return mail
-            if isinstance(mail, Drop) and mail.errand is self.errand:
-                raise Lost("dropped")
+            if isinstance(mail, CancelExchange) and mail.exchange is self.exchange:
+                raise ConnectionLostError("dropped")
 
     def _connect(self) -> Coroutine[None]:
         sock = connect(self.entry.addr)
@@ -315,46 +329,46 @@
         self.stream.want(WRITE)
         # Guards against a connection that never comes up: a machine that vanished says nothing. What waits
         # has not run, so it is given up while there is time for another upstream.
-        within = self.loop.now() + min(self.node.terms.connect_within, UP * self.node.shortest)
+        within = self.loop.now() + min(self.node.terms.connect_timeout, UP * self.node.shortest)
         up = None
         while up is None:
-            errand = self.errand
-            until = within if errand is None else min(within, errand.until)
-            look = inf if errand is None else self.loop.now() + RESTED * self.node.shortest
+            exchange = self.exchange
+            until = within if exchange is None else min(within, exchange.deadline)
+            look = inf if exchange is None else self.loop.now() + RESTED * self.node.shortest
             up = yield from self._await(until, "never-came-up", look)
             if up is None and (kept := self.upstream.rested()):
                 # Guards against waiting for one that comes up late where another has rested meanwhile.
-                self.errand, errand.connection = None, kept
-                kept.post(Carry(errand))
+                self.exchange, exchange.connection = None, kept
+                kept.post(StartExchange(exchange))
         self.stream.came_up()
 
     # One errand.
 
     def _exchange(self) -> Coroutine[End]:
-        errand, stream = self.errand, self.stream
+        exchange, stream = self.exchange, self.stream
         if self.carried:
-            yield from self._listen(errand)
+            yield from self._listen(exchange)
         if self.idle_since:
             # Guards against what came behind the last answer being taken for the next one.
             self._nothing_came()
-        if why := self.node.gate.refusal(self.entry, errand):
+        if why := self.node.gate.refusal(self.entry, exchange):
             if why is Refusal.MOVED:
-                raise Lost(why.value)
-            return Fate.UNSENT, {}, None
-        self.upstream.note_begun(errand, self.loop.now())
-        self._put(errand)
-        if errand.flow is not None:
-            yield from self._pass_request(errand, errand.flow)
-        elif errand.once and self.loop.now() < self.node.resets_until:
-            yield from self._hold_back(errand)
-        yield from self._write(errand)
-        errand.written, self.written_at = True, self.loop.now()
-        if errand.flow is not None:
-            errand.count_from(self.written_at)
+                raise ConnectionLostError(why.value)
+            return AttemptOutcome.NOT_SENT, {}, None
+        self.upstream.note_begun(exchange, self.loop.now())
+        self._put(exchange)
+        if exchange.flow is not None:
+            yield from self._pass_request(exchange, exchange.flow)
+        elif exchange.non_idempotent and self.loop.now() < self.node.resets_until:
+            yield from self._hold_back(exchange)
+        yield from self._write(exchange)
+        exchange.written, self.written_at = True, self.loop.now()
+        if exchange.flow is not None:
+            exchange.count_from(self.written_at)
         stream.want(READ)
-        response = yield from self._answer(errand)
+        response = yield from self._answer(exchange)
         headers = dict(response.headers)
-        report = told_load(response.headers, errand, self.body)
+        report = told_load(response.headers, exchange, self.body)
         if stream.http.our_state is h11.DONE and stream.http.their_state is h11.DONE:
             stream.http.start_next_cycle()
             if stream.http.trailing_data[0]:
@@ -362,17 +376,17 @@
         else:
             self.reason = "upstream-closes"
         fate = fate_of(response.status_code, headers)
-        self.asked = errand.job is None
+        self.asked = exchange.pending is None
         self.carried += 1
-        if self.errand is None:
+        if self.exchange is None:
             return fate, report, None  # it has been passed on
-        if fate is Fate.FINISHED and errand.job is not None:
-            body, self.body = self.body, Body(self.node.pool)
-            return fate, report, Answer(body, headers.get(b"content-type", b""))
+        if fate is AttemptOutcome.SUCCESS and exchange.pending is not None:
+            body, self.body = self.body, BufferedBody(self.node.pool)
+            return fate, report, UpstreamResponse(body, headers.get(b"content-type", b""))
         self.body.release()
         return fate, report, None
 
-    def _listen(self, errand: Errand) -> Coroutine[None]:
+    def _listen(self, exchange: Exchange) -> Coroutine[None]:
         """Guards against a second answer to the last request, that comes late, being taken for this one's.
 
         Only while such come: a connection that has not rested is used where there is no room for another.
@@ -382,110 +396,110 @@
             mail = yield until
             if isinstance(mail, Ready):
                 self._nothing_came()
-            if isinstance(mail, Drop) and mail.errand is errand:
-                raise Lost("dropped")
+            if isinstance(mail, CancelExchange) and mail.exchange is exchange:
+                raise ConnectionLostError("dropped")
 
     def _nothing_came(self) -> None:
         """Raises `Lost` if something has come that nobody waits for, be it the end."""
         if not self.stream.silent():
-            raise Lost("upstream-closed" if self.stream.ended() else self._unasked())
+            raise ConnectionLostError("upstream-closed" if self.stream.ended() else self._unasked())
 
     def _unasked(self) -> str:
         """Bytes came that nobody had asked for: it may happen again, here or at another upstream."""
         self.node.unasked_until = self.loop.now() + WARY * self.node.longest
         return "unasked-bytes"
 
-    def _pass_request(self, errand: Errand, flow: Flow) -> Coroutine[None]:
+    def _pass_request(self, exchange: Exchange, flow: BodyStream) -> Coroutine[None]:
         """Write a body while it comes; what ends it is left to be written."""
         flow.sink = self
-        yield from self._write(errand)
+        yield from self._write(exchange)
         while not flow.whole:
             if flow.broken:
-                raise Lost("client-left")
+                raise ConnectionLostError("client-left")
             part = flow.take()
             if not part.length:
                 self.stream.want(READ)
-                mail = yield errand.until
-                if mail is None and self.loop.now() >= errand.until:
-                    raise Lost("overdue")
+                mail = yield exchange.deadline
+                if mail is None and self.loop.now() >= exchange.deadline:
+                    raise ConnectionLostError("overdue")
                 if isinstance(mail, Ready):
                     self._not_answered_early(mail)
-                if isinstance(mail, Drop) and mail.errand is errand:
-                    raise Lost("dropped")
+                if isinstance(mail, CancelExchange) and mail.exchange is exchange:
+                    raise ConnectionLostError("dropped")
                 continue
             # What has been taken is gone: this hand-off is the only one that there will be.
-            errand.job.wi.most_hand_offs = 1
+            exchange.pending.request.max_attempts = 1
             if flow.whole:
-                self._still_wanted(errand)
+                self._still_wanted(exchange)
             # With the last byte it may run: how many of these arrive is not known if the connection breaks.
-            errand.written = flow.taken == flow.length
+            exchange.written = flow.taken == flow.length
             try:
                 self.stream.put(*(h11.Data(data=view) for view in part.views()))
                 while not self.stream.write():
                     self.stream.want(READ | WRITE)
-                    self._not_answered_early((yield from self._await(errand.until, "overdue")))
+                    self._not_answered_early((yield from self._await(exchange.deadline, "overdue")))
             finally:
                 part.release()
-        if not errand.written:
-            self._still_wanted(errand)
-        errand.written = True
+        if not exchange.written:
+            self._still_wanted(exchange)
+        exchange.written = True
         self.stream.put(h11.EndOfMessage())
 
     def _not_answered_early(self, ready: Ready) -> None:
         """Guards against sending megabytes to one that has turned them down already."""
-        if ready.mask & INPUT and not self.errand.written:
-            raise Lost("reset" if ready.hung_up else "answered-early")
+        if ready.mask & INPUT and not self.exchange.written:
+            raise ConnectionLostError("reset" if ready.hung_up else "answered-early")
 
-    def _hold_back(self, errand: Errand) -> Coroutine[None]:
+    def _hold_back(self, exchange: Exchange) -> Coroutine[None]:
         """Write all but the last byte, and wait a moment for the connection to break.
 
         Guards against exclusive work lost to connections that upstreams have closed or reset already: while a
         byte is missing none can have begun it.
         """
         last = self.stream.keep_last()
-        yield from self._write(errand)
+        yield from self._write(exchange)
         self.stream.want(READ)
         until = self.loop.now() + HELD * self.node.shortest
         while self.loop.now() < until:
-            mail = yield min(until, errand.until)
+            mail = yield min(until, exchange.deadline)
             if isinstance(mail, Ready):
                 self._still_unanswered(mail)
-            elif isinstance(mail, Drop) and mail.errand is errand:
-                raise Lost("dropped")
-        if self.loop.now() >= errand.until:
-            raise Lost("overdue")
+            elif isinstance(mail, CancelExchange) and mail.exchange is exchange:
+                raise ConnectionLostError("dropped")
+        if self.loop.now() >= exchange.deadline:
+            raise ConnectionLostError("overdue")
         if not self.stream.silent():
-            raise Lost("reset")
-        self._still_wanted(errand)
+            raise ConnectionLostError("reset")
+        self._still_wanted(exchange)
         self.stream.unwritten.append(last)
 
-    def _still_wanted(self, errand: Errand) -> None:
-        if why := self.node.gate.unwanted(errand):
-            raise Lost(why.value)
+    def _still_wanted(self, exchange: Exchange) -> None:
+        if why := self.node.gate.unwanted(exchange):
+            raise ConnectionLostError(why.value)
 
-    def _write(self, errand: Errand) -> Coroutine[None]:
+    def _write(self, exchange: Exchange) -> Coroutine[None]:
         done = self.stream.write()
-        self.node.gate.note_written(errand)
+        self.node.gate.note_written(exchange)
         while not done:
             self.stream.want(READ | WRITE)
-            self._still_unanswered((yield from self._await(errand.until, "overdue")))
-            self._still_wanted(errand)
+            self._still_unanswered((yield from self._await(exchange.deadline, "overdue")))
+            self._still_wanted(exchange)
             done = self.stream.write()
 
     def _still_unanswered(self, ready: Ready) -> None:
         """Guards against an answer to something else: before its request is written there is none."""
         if ready.mask & INPUT:
-            raise Lost("reset" if ready.hung_up else "early-answer")
+            raise ConnectionLostError("reset" if ready.hung_up else "early-answer")
 
-    def _put(self, errand: Errand) -> None:
-        method, target, headers = request_of(errand, self.node, self.loop.now())
+    def _put(self, exchange: Exchange) -> None:
+        method, target, headers = request_of(exchange, self.node, self.loop.now())
         self.stream.put(h11.Request(method=method, target=target, headers=headers))
-        if errand.flow is not None:
+        if exchange.flow is not None:
             return
-        body = errand.job.body.views() if errand.job is not None else []
+        body = exchange.pending.body.views() if exchange.pending is not None else []
         self.stream.put(*(h11.Data(data=view) for view in body), h11.EndOfMessage())
 
-    def _answer(self, errand: Errand) -> Coroutine[h11.Response]:
+    def _answer(self, exchange: Exchange) -> Coroutine[h11.Response]:
         """The head of the answer; its body, whole, is then in `self.body`, or it has been passed on."""
         response, length, flow = None, None, None
         try:
@@ -494,56 +508,61 @@
                 if isinstance(event, h11.Response):
                     response, length = event, framed(event)
                 elif isinstance(event, h11.Data):
-                    if flow is None and max(length or 0, self.body.length + len(event.data)) > KEPT:
-                        flow = self._begin_to_pass_on(errand, response, length)
-                    if flow is not None and flow.total + len(event.data) > LONGEST:
-                        raise Lost("answer-too-long")
+                    if (
+                        flow is None
+                        and max(length or 0, self.body.length + len(event.data)) > MAX_BUFFERED_BODY
+                    ):
+                        flow = self._begin_to_pass_on(exchange, response, length)
+                    if flow is not None and flow.total + len(event.data) > MAX_STREAMED_BODY:
+                        raise ConnectionLostError("answer-too-long")
                     try:
                         (flow or self.body).add(event.data)
-                    except Exhausted:
-                        raise Lost("no-buffers") from None
+                    except BuffersExhaustedError:
+                        raise ConnectionLostError("no-buffers") from None
                 elif isinstance(event, h11.EndOfMessage):
                     if flow is not None:
                         flow.end()
                     return response
-                elif (yield from self._read_on(event, errand, response, length, flow)):
-                    flow = self._begin_to_pass_on(errand, response, length)
+                elif (yield from self._read_on(event, exchange, response, length, flow)):
+                    flow = self._begin_to_pass_on(exchange, response, length)
         finally:
             if flow is not None:
                 flow.break_off()
 
-    def _begin_to_pass_on(self, errand: Errand, response: h11.Response, length: int | None) -> Flow:
+    def _begin_to_pass_on(self, exchange: Exchange, response: h11.Response, length: int | None) -> BodyStream:
         """The first bytes of a long answer are the final answer: from now on only its source ends it."""
         headers = dict(response.headers)
-        if errand.job is None or fate_of(response.status_code, headers) is not Fate.FINISHED:
-            raise Lost("answer-too-long")
-        body, self.body = self.body, Body(self.node.pool)
-        report = told_load(response.headers, errand, body)
-        flow = Flow(self.node.pool, self, length, body)
-        self._settle(Fate.FINISHED, report, Answer(flow, headers.get(b"content-type", b"")))
+        if exchange.pending is None or fate_of(response.status_code, headers) is not AttemptOutcome.SUCCESS:
+            raise ConnectionLostError("answer-too-long")
+        body, self.body = self.body, BufferedBody(self.node.pool)
+        report = told_load(response.headers, exchange, body)
+        flow = BodyStream(self.node.pool, self, length, body)
+        self._settle(
+            AttemptOutcome.SUCCESS, report, UpstreamResponse(flow, headers.get(b"content-type", b""))
+        )
         return flow
 
     def _read_on(
         self,
         event: Any,
-        errand: Errand,
+        exchange: Exchange,
         response: h11.Response | None,
         length: int | None,
-        flow: Flow | None,
+        flow: BodyStream | None,
     ) -> Coroutine[bool]:
         """What is neither a head, nor a body, nor the end of one. True: it is not to be kept any longer."""
         if isinstance(event, h11.ConnectionClosed):
-            raise Lost("upstream-closed")
+            raise ConnectionLostError("upstream-closed")
         if event is not h11.NEED_DATA:
             return False
         if response is None:
             begun = self.stream.http.trailing_data[0]
             if not begun.startswith(BEGINNING[: len(begun)]):
                 # Guards against waiting for the end of a head in noise that has no line in it.
-                raise Lost("malformed")
+                raise ConnectionLostError("malformed")
         if flow is None:
-            hold = self._hold_until(errand, response) if length is None else inf
-            if (yield from self._await(errand.until, "overdue", hold)) is None:
+            hold = self._hold_until(exchange, response) if length is None else inf
+            if (yield from self._await(exchange.deadline, "overdue", hold)) is None:
                 return True
             self.stream.read()
             return False
@@ -552,59 +571,69 @@
             self.stream.pause()
             yield inf if flow.full else self.loop.now() + self.node.shortest / 64
         if flow.refused:
-            raise Lost("dropped")
+            raise ConnectionLostError("dropped")
         self.stream.want(READ)
         until = self.loop.now() + STALL
         mail = yield until
         if mail is None and self.loop.now() >= until:
-            raise Lost("silent")
+            raise ConnectionLostError("silent")
         if isinstance(mail, Ready):
             self.stream.read()
         return False
 
-    def _hold_until(self, errand: Errand, response: h11.Response | None) -> float:
+    def _hold_until(self, exchange: Exchange, response: h11.Response | None) -> float:
         """How long the beginning of an answer is kept that tells no length and may be a long one.
 
         Guards against giving up, as late, one whose first bytes have come in time.
         """
-        if response is None or errand.job is None or response.status_code != 200 or not self.body.length:
+        if (
+            response is None
+            or exchange.pending is None
+            or response.status_code != 200
+            or not self.body.length
+        ):
             return inf
-        return errand.job.wi.arrived + HOLD * errand.job.wi.category.due_time
+        return (
+            exchange.pending.request.arrived_at
+            + HOLD * exchange.pending.request.request_class.latency_objective
+        )
 
     # Between errands.
 
     def _rest(self) -> Coroutine[None]:
         """Wait for the next errand, or for the end."""
         self.idle_since = self.loop.now()
-        until = self.idle_since + EARLY * self.node.terms.keep_idle
+        until = self.idle_since + EARLY * self.node.terms.idle_timeout
         while True:
             mail = yield until
-            if isinstance(mail, Carry):
-                self.errand = mail.errand
+            if isinstance(mail, StartExchange):
+                self.exchange = mail.exchange
                 return
             if mail is CLOSE or isinstance(mail, Ready):
                 self._nothing_came()
             if mail is CLOSE:
-                raise Lost("not-needed")
+                raise ConnectionLostError("not-needed")
             if mail is None:
-                raise Lost("idle")
+                raise ConnectionLostError("idle")
 
-    def _settle(self, fate: Fate, report: dict[str, float], answer: Answer | None) -> None:
-        if self.errand is not None:
-            self.node.module.post(Ended(self.errand, fate, report, answer))
-            self.errand = None
+    def _settle(
+        self, fate: AttemptOutcome, report: dict[str, float], answer: UpstreamResponse | None
+    ) -> None:
+        if self.exchange is not None:
+            self.node.module.post(ExchangeEnded(self.exchange, fate, report, answer))
+            self.exchange = None
 
     def _close(self) -> None:
         self.body.release()
         if self.stream is not None:
             self.stream.close()
         self.node.ledger.upstream.pop(self, None)
-        self.upstream.post(Closed(self))
+        self.upstream.post(ConnectionClosed(self))
         name = self.upstream.entry.id
         self.node.log("upstream.end", reason=self.reason, upstream=name, carried=self.carried)
 
     def undelivered(self, mail: Any) -> None:
         # Guards against an errand lost because the upstream closed while it was on its way to the connection,
         # which was old: that says nothing of the upstream.
-        if isinstance(mail, Carry):
-            self.node.module.post(Ended(mail.errand, Fate.UNSENT))
+        if isinstance(mail, StartExchange):
+            self.node.module.post(ExchangeEnded(mail.exchange, AttemptOutcome.NOT_SENT))
--- a/starlingwheel/settings.py
+++ b/starlingwheel/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .decisions.terms import Terms
+from .decisions.terms import BalancerConfig
 
 EFFECTS = {"free": "rerunnable", "guarded": "ticketed", "single_shot": "exclusive"}
 REPORTED = {
@@ -94,7 +94,7 @@
     return default if value is None else value
 
 
-def decode(text: str) -> Terms:
+def decode(text: str) -> BalancerConfig:
     """The settings from JSON text; raises `msgspec.ValidationError` for what can't be used."""
     try:
         given = msgspec.json.decode(text)
@@ -103,7 +103,7 @@
     return terms(given)
 
 
-def terms(given: Any) -> Terms:
+def terms(given: Any) -> BalancerConfig:
     """What is absent takes the meaning that the wire page gives it."""
     if not isinstance(given, dict):
         raise msgspec.ValidationError("not an object")
@@ -112,38 +112,38 @@
         _table(given, name) for name in ("caps", "rules", "charges", "loadReport")
     )
     ours = {
-        "categories": [_category(c) for c in given.get("categories", [])],
-        "customers": [_customer(c) for c in given.get("tenants") or []],
+        "request_classes": [_category(c) for c in given.get("categories", [])],
+        "tenants": [_customer(c) for c in given.get("tenants") or []],
         "zone": given.get("locality", ""),
-        "number": given.get("slotNo", 0),
+        "sidecar_index": given.get("slotNo", 0),
         "sidecars": given.get("replicasOfMe", 1),
-        "must_subscribe": given.get("discovery") == "ask",
-        "ask_within": _span(rules, "mustAskIn"),
-        "cold_share": rules.get("coldShare", 1.0),
-        "cold_for": _span(rules, "cold"),
-        "fall_multiple": rules.get("fallMultiple", 1.0),
-        "fall_span": _span(rules, "overloadFor"),
-        "most_hand_offs": caps.get("mostHandOffs", 1),
-        "crossing_price": charges.get("crossZone", 0.0),
-        "connecting_price": charges.get("handshake", 0.0),
-        "keeping_price": charges.get("connection", 0.0),
-        "streams": caps.get("streamsPerConn", 1),
-        "sizes_move": given.get("weightKind") == "live",
-        "asking_price": charges.get("probe", 0.0),
-        "telling_price": charges.get("peer", 0.0),
-        "asking_allowed": caps.get("probing", False),
+        "must_watch_endpoints": given.get("discovery") == "ask",
+        "endpoint_list_max_age": _span(rules, "mustAskIn"),
+        "slow_start_initial_fraction": rules.get("coldShare", 1.0),
+        "slow_start_duration": _span(rules, "cold"),
+        "overload_factor": rules.get("fallMultiple", 1.0),
+        "overload_window": _span(rules, "overloadFor"),
+        "max_attempts": caps.get("mostHandOffs", 1),
+        "cross_zone_price": charges.get("crossZone", 0.0),
+        "connection_setup_price": charges.get("handshake", 0.0),
+        "open_connection_price": charges.get("connection", 0.0),
+        "streams_per_connection": caps.get("streamsPerConn", 1),
+        "weights_are_live": given.get("weightKind") == "live",
+        "health_check_price": charges.get("probe", 0.0),
+        "gossip_price": charges.get("peer", 0.0),
+        "health_checks_allowed": caps.get("probing", False),
         "load_reported": reports.get("how", "off") != "off",
-        "answers_tell": reports.get("how") == "inline",
-        "keys_known": _table(given, "specifics").get("warmKeys") or False,
-        "copies_allowed": caps.get("mayDuplicate", False),
+        "load_reported_in_responses": reports.get("how") == "inline",
+        "key_affinity": _table(given, "specifics").get("warmKeys") or False,
+        "hedging_allowed": caps.get("mayDuplicate", False),
         "cancel_allowed": caps.get("cancel", False),
-        "peers_allowed": caps.get("peers", False),
-        "connect_within": _span(caps, "connectTimeout"),
+        "gossip_allowed": caps.get("peers", False),
+        "connect_timeout": _span(caps, "connectTimeout"),
         "drain_grace": _span(rules, "drainGrace"),
-        "keep_idle": _span(caps, "keepalive"),
-        "longest_come_back": _span(caps, "maxRetryAfter") if caps.get("retryAfter") else 0.0,
+        "idle_timeout": _span(caps, "keepalive"),
+        "max_retry_after": _span(caps, "maxRetryAfter") if caps.get("retryAfter") else 0.0,
     }
-    return msgspec.convert(ours, Terms)
+    return msgspec.convert(ours, BalancerConfig)
 
 
 def _table(given: dict[str, Any], name: str) -> dict[str, Any]:
@@ -171,14 +171,14 @@
     given = _said(given)
     return {
         "name": given.get("name"),
-        "effect": EFFECTS.get(given.get("effect", "free"), "exclusive"),
-        "due_time": _span(given, "dueTime"),
-        "expiry": _span(given, "expiry"),
-        "payoff": given.get("payoff", 1.0),
-        "group": given.get("dedupScope") or "all",
-        "memory": _span(given, "window"),
-        "late_payoff": given.get("overduePayoff", 0.0),
-        "stretch": given.get("aimStretch") or 0.0,
+        "retry_safety": EFFECTS.get(given.get("effect", "free"), "exclusive"),
+        "latency_objective": _span(given, "dueTime"),
+        "timeout": _span(given, "expiry"),
+        "priority_weight": given.get("payoff", 1.0),
+        "deduplication_scope": given.get("dedupScope") or "all",
+        "deduplication_window": _span(given, "window"),
+        "late_priority_weight": given.get("overduePayoff", 0.0),
+        "objective_per_cost": given.get("aimStretch") or 0.0,
     }
 
 
--- a/starlingwheel/simhost/__main__.py
+++ b/starlingwheel/simhost/__main__.py
@@ -4,13 +4,13 @@
 import sys
 import traceback
 
-from .host import Process
-from .wire import Malformed
+from .host import SimulatorProcess
+from .wire import MalformedMessageError
 
 
 def main() -> int:
     gc.freeze()
-    process = Process()
+    process = SimulatorProcess()
     lines = iter(sys.stdin.readline, "")
     for first in lines:
         first = first.rstrip("\r\n")
@@ -19,7 +19,7 @@
             continue
         try:
             reply = process.batch(first, lines)
-        except Malformed as error:
+        except MalformedMessageError as error:
             print(f"starlingwheel: {error}", file=sys.stderr)
             return 2
         except Exception as error:
