--- a/starlingwheel/simhost/host.py
+++ b/starlingwheel/simhost/host.py
@@ -6,110 +6,114 @@
 import random
 from typing import Any
 
-from ..decisions.runner import Runner
-from ..decisions.terms import HandOff, Listing, News, Outcome, WorkItem
+from ..decisions.runner import DecisionScheduler
+from ..decisions.terms import Attempt, AttemptEnded, Endpoint, Request, WatchEvent
 from ..settings import decode
-from .wire import FATES, NEWS, Line, Malformed, flag, micros, pack, seconds, unpack
+from .wire import FATES, NEWS, MalformedMessageError, SimulatorLine, flag, micros, pack, seconds, unpack
 
 
-class Job:
+class SimulatedRequest:
     """A work item under its wire number, kept until it is answered and every hand-off has ended."""
 
-    __slots__ = ("number", "wi", "handed", "owed")
+    __slots__ = ("number", "request", "handed", "owed")
 
-    def __init__(self, number: int, wi: WorkItem) -> None:
+    def __init__(self, number: int, request: Request) -> None:
         self.number = number
-        self.wi = wi
-        self.handed: list[HandOff] = []
+        self.request = request
+        self.handed: list[Attempt] = []
         self.owed = True
 
 
-class Host:
+class SimulatedSidecar:
     """Hosts one instance; it is the `Door` of its runner. `out` takes the action lines."""
 
-    def __init__(self, line: Line, now: float) -> None:
+    def __init__(self, line: SimulatorLine, now: float) -> None:
         self.out: list[str] = []
         agreed = line.read("facts", decode)
-        self._categories = {c.name: c for c in agreed.categories}
-        self._customers = {c.name: c for c in agreed.customers}
-        self._jobs: dict[int, Job] = {}
-        self._job_of: dict[WorkItem, Job] = {}
+        self._categories = {c.name: c for c in agreed.request_classes}
+        self._customers = {c.name: c for c in agreed.tenants}
+        self._jobs: dict[int, SimulatedRequest] = {}
+        self._job_of: dict[Request, SimulatedRequest] = {}
         self._begun = False
         self._alarms: list[int] = []  # each sooner than the one before it
-        self.runner = Runner(agreed, random.Random(line.read("entropy", int)), self, now)
+        self.runner = DecisionScheduler(agreed, random.Random(line.read("entropy", int)), self, now)
 
-    def event(self, line: Line, lists: dict[int, list[Listing]]) -> None:
+    def event(self, line: SimulatorLine, lists: dict[int, list[Endpoint]]) -> None:
         handler = self._HANDLERS.get(line.name)
         if handler is None:
-            raise Malformed(f"line {line.number}: {line.name}: unknown event")
+            raise MalformedMessageError(f"line {line.number}: {line.name}: unknown event")
         handler(self, line, lists)
 
-    def _announce(self, line: Line, lists: dict[int, list[Listing]]) -> None:
+    def _announce(self, line: SimulatorLine, lists: dict[int, list[Endpoint]]) -> None:
         news = line.read("scope", NEWS.__getitem__)
-        listings: list[Listing] = [] if news is News.FAILED else line.read("bank", lambda n: lists[int(n)])
+        listings: list[Endpoint] = (
+            [] if news is WatchEvent.FAILED else line.read("bank", lambda n: lists[int(n)])
+        )
         self.runner.listed(news, listings)
         if not self._begun:
             self._begun = True
             self.runner.start()
 
-    def _query(self, line: Line, _: Any) -> None:
-        wi = WorkItem(
-            category=line.read("profile", self._categories.__getitem__),
-            arrived=self.runner.now,
-            patience=line.seconds("patienceLeft"),
-            customer=self._customers.get(line.fields.get("team", "")),
-            repeat=line.read("isRetry", flag, False),
+    def _query(self, line: SimulatorLine, _: Any) -> None:
+        request = Request(
+            request_class=line.read("profile", self._categories.__getitem__),
+            arrived_at=self.runner.now,
+            time_left=line.seconds("patienceLeft"),
+            tenant=self._customers.get(line.fields.get("team", "")),
+            is_retry=line.read("isRetry", flag, False),
             cost=line.seconds("cost", 0.0),
             key=line.fields.get("affinity", ""),
         )
-        job = Job(line.read("job", int), wi)
-        self._jobs[job.number] = self._job_of[wi] = job
-        self.runner.take(wi)
+        pending = SimulatedRequest(line.read("job", int), request)
+        self._jobs[pending.number] = self._job_of[request] = pending
+        self.runner.take(request)
 
-    def _hand_off(self, line: Line) -> HandOff | None:
+    def _hand_off(self, line: SimulatorLine) -> Attempt | None:
         """The hand-off a line speaks of; None when its work item is long settled."""
-        job = self._jobs.get(line.read("job", int))
-        if job is None:
+        pending = self._jobs.get(line.read("job", int))
+        if pending is None:
             return None
         hop = line.read("hop", int)
-        if not 0 <= hop < len(job.handed):
-            raise Malformed(f"line {line.number}: {line.name}: field hop names no hand-off: '{hop}'")
-        return job.handed[hop]
-
-    def _ended(self, line: Line, _: Any) -> None:
-        ho = self._hand_off(line)
+        if not 0 <= hop < len(pending.handed):
+            raise MalformedMessageError(
+                f"line {line.number}: {line.name}: field hop names no hand-off: '{hop}'"
+            )
+        return pending.handed[hop]
+
+    def _ended(self, line: SimulatorLine, _: Any) -> None:
+        attempt = self._hand_off(line)
         fate = line.read("code", FATES.__getitem__)
-        if ho is None or not ho.pending:
+        if attempt is None or not attempt.pending:
             return
         answered = line.read("doneFlag", flag, False)
-        job = self._job_of[ho.wi]
-        job.owed = job.owed and not answered
-        self.runner.outcome(Outcome(ho, fate, line.seconds("duration"), answered, line.report()))
-        self._forget_if_closed(job)
-
-    def _flowing(self, line: Line, _: Any) -> None:
-        ho = self._hand_off(line)
-        if ho is not None:
-            self.runner.started(ho)
-
-    def _cancelled(self, line: Line, _: Any) -> None:
-        job = self._jobs.get(line.read("job", int))
-        if job is not None and job.owed:
-            job.owed = False
-            self.runner.gone(job.wi)
-            self._forget_if_closed(job)
-
-    def _tick(self, line: Line, _: Any) -> None:
+        pending = self._job_of[attempt.request]
+        pending.owed = pending.owed and not answered
+        self.runner.outcome(AttemptEnded(attempt, fate, line.seconds("duration"), answered, line.report()))
+        self._forget_if_closed(pending)
+
+    def _flowing(self, line: SimulatorLine, _: Any) -> None:
+        attempt = self._hand_off(line)
+        if attempt is not None:
+            self.runner.started(attempt)
+
+    def _cancelled(self, line: SimulatorLine, _: Any) -> None:
+        pending = self._jobs.get(line.read("job", int))
+        if pending is not None and pending.owed:
+            pending.owed = False
+            self.runner.gone(pending.request)
+            self._forget_if_closed(pending)
+
+    def _tick(self, line: SimulatorLine, _: Any) -> None:
         line.text("mark")
         while self._alarms and self._alarms[-1] <= micros(self.runner.now):
             self._alarms.pop()
         self.runner.tick()
 
-    def _checked(self, line: Line, _: Any) -> None:
+    def _checked(self, line: SimulatorLine, _: Any) -> None:
         fate = line.read("code", FATES.__getitem__)
         self.runner.probed(line.text("upstream"), fate, line.seconds("duration"), line.report())
 
-    def _heard(self, line: Line, _: Any) -> None:
+    def _heard(self, line: SimulatorLine, _: Any) -> None:
         self.runner.heard(line.read("src", int), line.read("body", unpack))
 
     _HANDLERS = {
@@ -123,31 +127,33 @@
         "HEARD": _heard,
     }
 
-    def _forget_if_closed(self, job: Job) -> None:
-        if not job.owed and not any(ho.pending for ho in job.handed):
-            self._jobs.pop(job.number, None)
-            self._job_of.pop(job.wi, None)
+    def _forget_if_closed(self, pending: SimulatedRequest) -> None:
+        if not pending.owed and not any(attempt.pending for attempt in pending.handed):
+            self._jobs.pop(pending.number, None)
+            self._job_of.pop(pending.request, None)
 
-    def send(self, ho: HandOff, limit: float) -> None:
-        job = self._job_of[ho.wi]
-        job.handed.append(ho)
-        self.out.append(f"ROUTE job={job.number} upstream={ho.upstream.address} cap={max(micros(limit), 1)}")
+    def send(self, attempt: Attempt, limit: float) -> None:
+        pending = self._job_of[attempt.request]
+        pending.handed.append(attempt)
+        self.out.append(
+            f"ROUTE job={pending.number} upstream={attempt.endpoint.address} cap={max(micros(limit), 1)}"
+        )
 
-    def cancel(self, ho: HandOff) -> None:
-        job = self._job_of[ho.wi]
-        self.out.append(f"ABANDON job={job.number} hop={job.handed.index(ho)}")
+    def cancel(self, attempt: Attempt) -> None:
+        pending = self._job_of[attempt.request]
+        self.out.append(f"ABANDON job={pending.number} hop={pending.handed.index(attempt)}")
 
-    def defer(self, wi: WorkItem, come_back: float) -> None:
-        self._final(wi, "TURN_AWAY", f" coolDown={micros(come_back)}")
+    def defer(self, request: Request, retry_after: float) -> None:
+        self._final(request, "TURN_AWAY", f" coolDown={micros(retry_after)}")
 
-    def write_off(self, wi: WorkItem) -> None:
-        self._final(wi, "SURRENDER", "")
+    def write_off(self, request: Request) -> None:
+        self._final(request, "SURRENDER", "")
 
-    def _final(self, wi: WorkItem, word: str, rest: str) -> None:
-        job = self._job_of[wi]
-        job.owed = False
-        self.out.append(f"{word} job={job.number}{rest}")
-        self._forget_if_closed(job)
+    def _final(self, request: Request, word: str, rest: str) -> None:
+        pending = self._job_of[request]
+        pending.owed = False
+        self.out.append(f"{word} job={pending.number}{rest}")
+        self._forget_if_closed(pending)
 
     def subscribe(self) -> None:
         self.out.append("OBSERVE want=1")
@@ -158,7 +164,7 @@
     def tell(self, body: bytes) -> None:
         self.out.append(f"NOTIFY recipient=* body={pack(body)}")
 
-    def defect(self, wi: WorkItem | None, error: Exception) -> None:
+    def defect(self, request: Request | None, error: Exception) -> None:
         raise error
 
     def alarm(self, at: float) -> None:
@@ -169,27 +175,27 @@
             self.out.append(f"SET_ALARM when={when} mark=wake")
 
 
-class Process:
+class SimulatorProcess:
     """All instances of this process, fed line by line; `lines` of a reply come back at the end of a batch."""
 
     def __init__(self) -> None:
-        self.hosts: dict[str, Host | None] = {}
-        self.lists: dict[int, list[Listing]] = {}
+        self.hosts: dict[str, SimulatedSidecar | None] = {}
+        self.lists: dict[int, list[Endpoint]] = {}
         self.now = 0.0
         self.number = 0
 
-    def read(self, text: str) -> Line:
+    def read(self, text: str) -> SimulatorLine:
         self.number += 1
-        return Line(self.number, text)
+        return SimulatorLine(self.number, text)
 
     def batch(self, first: str, more: Any) -> list[str]:
         """Take one batch, from its opening line and the iterator of those that follow."""
         opening = self.read(first)
         if opening.name != "SYNC":
-            raise Malformed(f"line {self.number}: {opening.name}: a batch opens with SYNC")
+            raise MalformedMessageError(f"line {self.number}: {opening.name}: a batch opens with SYNC")
         self.now = opening.read("simTime", seconds)
         turn = opening.read("turn", int)
-        touched: dict[str, Host] = {}
+        touched: dict[str, SimulatedSidecar] = {}
         current: str | None = None
         for text in more:
             line = self.read(text.rstrip("\r\n"))
@@ -200,11 +206,11 @@
             elif line.name == "CONTEXT":
                 current = line.text("sidecar")
             elif current is None:
-                raise Malformed(f"line {line.number}: {line.name}: an event before any CONTEXT")
+                raise MalformedMessageError(f"line {line.number}: {line.name}: an event before any CONTEXT")
             else:
                 self._event(current, line, touched)
         else:
-            raise Malformed(f"line {self.number}: the input ends within a batch")
+            raise MalformedMessageError(f"line {self.number}: the input ends within a batch")
         reply = []
         for name, host in touched.items():
             if host.out:
@@ -214,28 +220,30 @@
         reply.append(f"END turn={turn}")
         return reply
 
-    def _sheet(self, line: Line, more: Any) -> None:
+    def _sheet(self, line: SimulatorLine, more: Any) -> None:
         bank, count = line.read("bank", int), line.read("entries", int)
         listings = []
         for _ in range(count):
             entry = self.read(next(more, "").rstrip("\r\n"))
             if entry.name != "UPSTREAM":
-                raise Malformed(f"line {self.number}: SHEET: UPSTREAM expected, not {entry.name!r}")
+                raise MalformedMessageError(
+                    f"line {self.number}: SHEET: UPSTREAM expected, not {entry.name!r}"
+                )
             listings.append(entry.listing())
         self.lists[bank] = listings
 
-    def _event(self, name: str, line: Line, touched: dict[str, Host]) -> None:
+    def _event(self, name: str, line: SimulatorLine, touched: dict[str, SimulatedSidecar]) -> None:
         if line.name == "DETACH":
             self.hosts[name] = None
             touched.pop(name, None)
             return
         if line.name == "CONFIGURE":
-            host = self.hosts[name] = Host(line, self.now)
+            host = self.hosts[name] = SimulatedSidecar(line, self.now)
             touched.pop(name, None)
         else:
             known = self.hosts.get(name)
             if known is None:
-                raise Malformed(
+                raise MalformedMessageError(
                     f"line {line.number}: {line.name}: for an instance that has not started: {name!r}"
                 )
             host = known
--- a/starlingwheel/simhost/wire.py
+++ b/starlingwheel/simhost/wire.py
@@ -9,32 +9,32 @@
 
 import msgspec
 
-from ..decisions.terms import Condition, Fate, Listing, News
+from ..decisions.terms import AttemptOutcome, Endpoint, EndpointState, WatchEvent
 from ..settings import REPORTED, SCALE
 
 T = TypeVar("T")
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """A line that can't be read; says which line and field."""
 
 
 FATES = {
-    "OK": Fate.FINISHED,
-    "INTERNAL": Fate.ERROR,
-    "RESOURCE_EXHAUSTED": Fate.TURNED_DOWN,
-    "DEADLINE_EXCEEDED": Fate.OVERDUE,
-    "UNAVAILABLE": Fate.UNREACHED,
-    "ABORTED": Fate.BROKEN,
-    "CANCELLED": Fate.CANCELLED,
-    "TOO_LATE": Fate.UNSENT,
+    "OK": AttemptOutcome.SUCCESS,
+    "INTERNAL": AttemptOutcome.ERROR,
+    "RESOURCE_EXHAUSTED": AttemptOutcome.REJECTED,
+    "DEADLINE_EXCEEDED": AttemptOutcome.TIMED_OUT,
+    "UNAVAILABLE": AttemptOutcome.CONNECT_FAILED,
+    "ABORTED": AttemptOutcome.RESET,
+    "CANCELLED": AttemptOutcome.CANCELLED,
+    "TOO_LATE": AttemptOutcome.NOT_SENT,
 }
-NEWS = {"0": News.CHANGES, "1": News.WHOLE, "2": News.WHOLE, "3": News.FAILED}
-CONDITIONS = {"0": Condition.GONE, "1": Condition.DRAINING, "2": Condition.READY}
+NEWS = {"0": WatchEvent.DELTA, "1": WatchEvent.SNAPSHOT, "2": WatchEvent.SNAPSHOT, "3": WatchEvent.FAILED}
+CONDITIONS = {"0": EndpointState.GONE, "1": EndpointState.DRAINING, "2": EndpointState.READY}
 TEXT_FIELDS = ("facts", "message")
 
 
-class Line:
+class SimulatorLine:
     """One line: its name and its fields, read by type on demand."""
 
     __slots__ = ("number", "name", "fields")
@@ -46,7 +46,9 @@
         while rest:
             name, equals, rest = rest.partition("=")
             if not equals or not name or " " in name:
-                raise Malformed(f"line {number}: {self.name}: a part without name=value: {name[:80]!r}")
+                raise MalformedMessageError(
+                    f"line {number}: {self.name}: a part without name=value: {name[:80]!r}"
+                )
             if name in TEXT_FIELDS:
                 self.fields[name] = rest
                 break
@@ -56,7 +58,9 @@
         try:
             return self.fields[field]
         except KeyError:
-            raise Malformed(f"line {self.number}: {self.name}: field {field} is missing") from None
+            raise MalformedMessageError(
+                f"line {self.number}: {self.name}: field {field} is missing"
+            ) from None
 
     def read(self, field: str, how: Callable[[str], T], default: T | None = None) -> T:
         if default is not None and field not in self.fields:
@@ -67,16 +71,16 @@
         except (ValueError, KeyError, binascii.Error, msgspec.ValidationError) as error:
             shown = value if len(value) < 80 else value[:77] + "..."
             why = f" ({error})" if isinstance(error, msgspec.ValidationError) else ""
-            raise Malformed(
+            raise MalformedMessageError(
                 f"line {self.number}: {self.name}: field {field} can't be read: {shown!r}{why}"
             ) from None
 
     def seconds(self, field: str, default: float | None = None) -> float:
         return self.read(field, seconds, default)
 
-    def listing(self) -> Listing:
+    def listing(self) -> Endpoint:
         started = self.read("upSince", int, 0)
-        return Listing(
+        return Endpoint(
             address=self.text("upstream"),
             zone=self.fields.get("area", ""),
             cell=self.read("bay", int, 0),
--- a/tests/characterisation/real_process.py
+++ b/tests/characterisation/real_process.py
@@ -37,14 +37,18 @@
     "discovery": "ask", "replicasOfMe": 1, "slotNo": 0,
 }  # fmt: skip
 MASKS = [
-    (re.compile(rb"127\.0\.0\.1:\d+"), b"ADDRESS"),
+    (re.compile(rb"127\.\d+\.\d+\.\d+:\d+"), b"ADDRESS"),
     (re.compile(rb"(?i)(x-expires-in-ms|retry-after|date): *[^\r]+"), rb"\1: MASKED"),
     (re.compile(rb'"started_ms":\d+(\.\d+)?'), b'"started_ms":MASKED'),
 ]
 
 
+# A loopback host of this process's own: no other test takes a port between a look and its use.
+HOST = f"127.{64 + os.getpid() % 64}.{os.getpid() // 64 % 256}.7"
+
+
 def listener() -> socket.socket:
-    sock = socket.create_server(("127.0.0.1", 0))
+    sock = socket.create_server((HOST, 0))
     sock.settimeout(PATIENCE)
     return sock
 
@@ -66,8 +70,8 @@
         self.file = folder / "config.json"
         self.configuration = {
             "name": "one",
-            "listen": f"127.0.0.1:{self.ports[0]}",
-            "mgmt": f"127.0.0.1:{self.ports[1]}",
+            "listen": f"{HOST}:{self.ports[0]}",
+            "mgmt": f"{HOST}:{self.ports[1]}",
             "discovery": address(self.discovery),
             "seed": "7",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
@@ -84,7 +88,7 @@
 
     @staticmethod
     def _free_port() -> int:
-        with socket.create_server(("127.0.0.1", 0)) as sock:
+        with socket.create_server((HOST, 0)) as sock:
             return sock.getsockname()[1]
 
     def write_configuration(self, **changed: object) -> None:
@@ -112,7 +116,7 @@
         end = time.monotonic() + PATIENCE
         while True:
             try:
-                sock = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+                sock = socket.create_connection((HOST, port), timeout=PATIENCE)
             except ConnectionRefusedError:
                 if time.monotonic() > end:
                     raise
--- a/tests/characterisation/test_frames.py
+++ b/tests/characterisation/test_frames.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from starlingwheel.net.fleet.links import Reader, framed
+from starlingwheel.net.fleet.links import FrameReader, encode_frame
 
 FRAMES = json.loads(Path(__file__).with_name("frames.json").read_text())
 TAGS = set(range(1, 16))
@@ -16,8 +16,8 @@
 @pytest.mark.parametrize("name", FRAMES)
 def test_a_recorded_frame_is_read_and_written_again_byte_for_byte(name):
     recorded = bytes.fromhex(FRAMES[name])
-    (frame,) = Reader().read(recorded)
-    assert framed(frame) == recorded
+    (frame,) = FrameReader().read(recorded)
+    assert encode_frame(frame) == recorded
 
 
 def test_the_recorded_frames_hold_every_tag():
--- a/tests/characterisation/test_stored_data.py
+++ b/tests/characterisation/test_stored_data.py
@@ -7,23 +7,32 @@
 import msgspec
 import pytest
 
-from starlingwheel.fleet.records import Change, Cut, Decision, Entry, Past, Plan, Records, Said
+from starlingwheel.fleet.records import (
+    PastProposal,
+    PolicyDecision,
+    PolicyProposal,
+    Sharding,
+    StoreEntry,
+    StoreRecords,
+    ZonePlan,
+    ZoneReport,
+)
 from starlingwheel.fleet.view import Member
-from starlingwheel.net.fleet.policy import Keep
-from starlingwheel.net.memory.out import Out
-from starlingwheel.net.wire.entries import Entry as ListedEndpoint
+from starlingwheel.net.fleet.policy import VoteStore
+from starlingwheel.net.memory.out import EndpointOverrides
+from starlingwheel.net.wire.entries import DiscoveredEndpoint as ListedEndpoint
 
 STORED = Path(__file__).with_name("stored")
 RECORDS = json.loads((STORED / "records.json").read_text())
 TYPES = {
     "members/": Member,
-    "policy/now": Decision,
-    "policy/next": Change,
+    "policy/now": PolicyDecision,
+    "policy/next": PolicyProposal,
     "policy/votes/": str,
-    "policy/past/": Past,
-    "zones/plan": Plan,
-    "zones/said/": Said,
-    "cells": Cut,
+    "policy/past/": PastProposal,
+    "zones/plan": ZonePlan,
+    "zones/said/": ZoneReport,
+    "cells": Sharding,
 }
 NOW = 1_000_000_000.0
 LISTED = ["s0", "s1", "s2", "s3"]
@@ -37,10 +46,10 @@
 
 
 def test_every_record_of_the_coordination_store_is_taken_over():
-    records = Records()
+    records = StoreRecords()
     for key, value in RECORDS.items():
         revision = 12 if key == "policy/next" else 11
-        assert records.put(key, Entry(value.encode(), create=revision, mod=revision)) == "", key
+        assert records.put(key, StoreEntry(value.encode(), create=revision, mod=revision)) == "", key
     assert list(records.members) == ["m1.a"] and list(records.names) == ["m1"]
     assert records.votes == {"m1": "no room"} and list(records.past) == [9]
     assert records.cells == 4 and records.plan_mod == 11 and list(records.said) == ["m1"]
@@ -50,7 +59,7 @@
     name = "starlingwheel-f-m1.json"
     shutil.copy(STORED / name, tmp_path / name)
     faults = []
-    stored = Keep(str(tmp_path), "f", "m1", lambda *args, **fields: faults.append((args, fields))).read()
+    stored = VoteStore(str(tmp_path), "f", "m1", lambda *args, **fields: faults.append((args, fields))).read()
     assert not faults
     assert msgspec.json.encode(stored) == (STORED / name).read_bytes()
 
@@ -59,7 +68,9 @@
     name = "starlingwheel-operators.json"
     shutil.copy(STORED / name, tmp_path / name)
     faults = []
-    overrides = Out(str(tmp_path), lambda: NOW, lambda *args, **fields: faults.append((args, fields)))
+    overrides = EndpointOverrides(
+        str(tmp_path), lambda: NOW, lambda *args, **fields: faults.append((args, fields))
+    )
     assert not faults
     given = [ListedEndpoint(id=one, addr="127.0.0.1:1", started_ms=5000.0) for one in LISTED]
     told = {entry.id: (entry.state, entry.started_ms) for entry in overrides.listed(True, given)}
@@ -74,7 +85,7 @@
 def test_the_operators_file_is_written_again_as_it_was(tmp_path):
     name = "starlingwheel-operators.json"
     shutil.copy(STORED / name, tmp_path / name)
-    overrides = Out(str(tmp_path), lambda: NOW, lambda *_, **__: None)
+    overrides = EndpointOverrides(str(tmp_path), lambda: NOW, lambda *_, **__: None)
     overrides.lameduck(False)
     overrides.lameduck(True)
     assert (tmp_path / name).read_bytes() == (STORED / name).read_bytes()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,20 +15,20 @@
 from known_red import KnownRed
 
 from standins.loopback import own_host
-from starlingwheel.decisions.runner import Runner
+from starlingwheel.decisions.runner import DecisionScheduler
 from starlingwheel.decisions.terms import (
-    Category,
-    Condition,
-    Customer,
-    Effect,
-    Fate,
-    Listing,
-    News,
-    Outcome,
-    Terms,
-    WorkItem,
+    AttemptEnded,
+    AttemptOutcome,
+    BalancerConfig,
+    Endpoint,
+    EndpointState,
+    Request,
+    RequestClass,
+    RetrySafety,
+    Tenant,
+    WatchEvent,
 )
-from starlingwheel.net.lifecycle.config import configured
+from starlingwheel.net.lifecycle.config import load_config
 from starlingwheel.net.lifecycle.start import Node
 from starlingwheel.net.wire import upstream as wire
 
@@ -37,9 +37,16 @@
     config.pluginmanager.register(KnownRed(config), "known-red")
 
 
-LOOK = Category("look", Effect.RERUNNABLE, due_time=1.0, payoff=1.0, expiry=3.0)
-BUY = Category("buy", Effect.EXCLUSIVE, due_time=1.0, payoff=8.0, expiry=3.0)
-MOVE = Category("move", Effect.TICKETED, due_time=1.0, payoff=8.0, expiry=3.0, memory=2.0)
+LOOK = RequestClass("look", RetrySafety.IDEMPOTENT, latency_objective=1.0, priority_weight=1.0, timeout=3.0)
+BUY = RequestClass("buy", RetrySafety.NON_IDEMPOTENT, latency_objective=1.0, priority_weight=8.0, timeout=3.0)
+MOVE = RequestClass(
+    "move",
+    RetrySafety.IDEMPOTENT_WITH_KEY,
+    latency_objective=1.0,
+    priority_weight=8.0,
+    timeout=3.0,
+    deduplication_window=2.0,
+)
 
 
 class FakeHost:
@@ -47,35 +54,35 @@
 
     def __init__(self, upstreams=4, seed=1, **changed):
         agreed = {
-            "categories": [LOOK, BUY, MOVE],
+            "request_classes": [LOOK, BUY, MOVE],
             "zone": "here",
             "sidecars": 1,
-            "must_subscribe": True,
-            "ask_within": 8.0,
-            "cold_share": 0.25,
-            "cold_for": 8.0,
-            "fall_multiple": 2.0,
-            "fall_span": 2.0,
-            "most_hand_offs": 3,
-            "crossing_price": 0.0,
-            "longest_come_back": 2.0,
-            "customers": [Customer("inn", 0.5), Customer("pub", 0.5)],
+            "must_watch_endpoints": True,
+            "endpoint_list_max_age": 8.0,
+            "slow_start_initial_fraction": 0.25,
+            "slow_start_duration": 8.0,
+            "overload_factor": 2.0,
+            "overload_window": 2.0,
+            "max_attempts": 3,
+            "cross_zone_price": 0.0,
+            "max_retry_after": 2.0,
+            "tenants": [Tenant("inn", 0.5), Tenant("pub", 0.5)],
         }
         self.sent, self.ended, self.cancelled, self.told, self.probes = [], [], [], [], []
         self.subscribed, self.alarms = 0, []
-        self.runner = Runner(Terms(**(agreed | changed)), random.Random(seed), self, 0.0)
+        self.runner = DecisionScheduler(BalancerConfig(**(agreed | changed)), random.Random(seed), self, 0.0)
         self.names = [f"u{i}" for i in range(upstreams)]
-        self.listed(News.WHOLE, *self.names)
+        self.listed(WatchEvent.SNAPSHOT, *self.names)
         self.runner.start()
 
-    def listed(self, news, *names, condition=Condition.READY, started=None, zone="here", cell=0):
-        entries = [Listing(name, zone, cell, 1.0, started, condition) for name in names]
+    def listed(self, news, *names, condition=EndpointState.READY, started=None, zone="here", cell=0):
+        entries = [Endpoint(name, zone, cell, 1.0, started, condition) for name in names]
         self.runner.listed(news, entries)
 
     def take(self, category=LOOK, patience=2.0, **more):
-        wi = WorkItem(category, self.runner.now, patience, **more)
-        self.runner.take(wi)
-        return wi
+        request = Request(category, self.runner.now, patience, **more)
+        self.runner.take(request)
+        return request
 
     def later(self, seconds):
         until = self.runner.now + seconds
@@ -85,43 +92,47 @@
             self.runner.tick()
         self.runner.at(until)
 
-    def end(self, ho, fate=Fate.FINISHED, report=None):
-        answered = fate is Fate.FINISHED or any(wi is ho.wi for _, wi, _ in self.ended)
-        if fate is Fate.FINISHED:
-            self.ended.append(("finished", ho.wi, 0.0))
-        self.runner.outcome(Outcome(ho, fate, self.runner.now - ho.sent, answered, report or {}))
+    def end(self, attempt, fate=AttemptOutcome.SUCCESS, report=None):
+        answered = fate is AttemptOutcome.SUCCESS or any(
+            request is attempt.request for _, request, _ in self.ended
+        )
+        if fate is AttemptOutcome.SUCCESS:
+            self.ended.append(("finished", attempt.request, 0.0))
+        self.runner.outcome(
+            AttemptEnded(attempt, fate, self.runner.now - attempt.started_at, answered, report or {})
+        )
         for other in [other for other in self.cancelled if other.pending]:
-            self.end(other, Fate.CANCELLED)
+            self.end(other, AttemptOutcome.CANCELLED)
 
     def hears(self, peer, u, count):
         self.runner.heard(peer, u.tag.to_bytes(2, "big") + bytes([count]))
 
-    def of(self, wi):
-        return [ho for ho in self.sent if ho.wi is wi]
+    def of(self, request):
+        return [attempt for attempt in self.sent if attempt.request is request]
 
-    def answers(self, wi):
-        return [word for word, ended, _ in self.ended if ended is wi]
+    def answers(self, request):
+        return [word for word, ended, _ in self.ended if ended is request]
 
     def serve(self, count, took=0.1, category=LOOK):
         """So many work items, one after another, each answered in `took`."""
         for _ in range(count):
-            ho = self.of(self.take(category))[0]
+            attempt = self.of(self.take(category))[0]
             self.later(took)
-            self.end(ho)
+            self.end(attempt)
 
     # The door.
 
-    def send(self, ho, limit):
-        self.sent.append(ho)
+    def send(self, attempt, limit):
+        self.sent.append(attempt)
 
-    def cancel(self, ho):
-        self.cancelled.append(ho)
+    def cancel(self, attempt):
+        self.cancelled.append(attempt)
 
-    def defer(self, wi, come_back):
-        self.ended.append(("deferred", wi, come_back))
+    def defer(self, request, retry_after):
+        self.ended.append(("deferred", request, retry_after))
 
-    def write_off(self, wi):
-        self.ended.append(("written off", wi, 0.0))
+    def write_off(self, request):
+        self.ended.append(("written off", request, 0.0))
 
     def subscribe(self):
         self.subscribed += 1
@@ -132,7 +143,7 @@
     def tell(self, body):
         self.told.append(body)
 
-    def defect(self, wi, error):
+    def defect(self, request, error):
         raise error
 
     def alarm(self, at):
@@ -210,7 +221,7 @@
         self.file = self.keep(tempfile.NamedTemporaryFile())  # noqa: SIM115
         self.write_configuration()
         environment = {"EDGE_CONFIG": self.file.name} | (environment or {})
-        self.node = Node(*configured(environment), environment, log_fd=self.log.fileno())
+        self.node = Node(*load_config(environment), environment, log_fd=self.log.fileno())
         self.node.begin()
         self.until(lambda: not self.node.module.mailbox)
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,12 +12,22 @@
 import msgspec
 import pytest
 
-from starlingwheel.decisions.terms import Category, Effect, Fate, News
+from starlingwheel.decisions.terms import AttemptOutcome, RequestClass, RetrySafety, WatchEvent
 
 START = 50.0  # the upstream comes back cold
 CONNECT = 0.25  # seconds within which a connection comes up
-SOON = {"cold_share": 0.25, "cold_for": 8.0, "fall_multiple": 2.0, "fall_span": 2.0}
-SLOWLY = {"cold_share": 0.13, "cold_for": 24.0, "fall_multiple": 4.0, "fall_span": 1.0}
+SOON = {
+    "slow_start_initial_fraction": 0.25,
+    "slow_start_duration": 8.0,
+    "overload_factor": 2.0,
+    "overload_window": 2.0,
+}
+SLOWLY = {
+    "slow_start_initial_fraction": 0.13,
+    "slow_start_duration": 24.0,
+    "overload_factor": 4.0,
+    "overload_window": 1.0,
+}
 
 
 class Fleet:
@@ -26,10 +36,16 @@
     def __init__(self, make_host, sidecars, work, chance, warms, late=False):
         self.make_host, self.work, self.chance = make_host, work, chance
         # A due time is some times the work, as in any deployment.
-        self.look = Category("look", Effect.RERUNNABLE, due_time=8 * work, payoff=1.0, expiry=24 * work)
+        self.look = RequestClass(
+            "look", RetrySafety.IDEMPOTENT, latency_objective=8 * work, priority_weight=1.0, timeout=24 * work
+        )
         self.connect = min(CONNECT, 2 * work) if late else 0.0
-        self.terms = warms | {"categories": [self.look], "sidecars": sidecars, "must_subscribe": False}
-        self.end = START + warms["cold_for"]
+        self.terms = warms | {
+            "request_classes": [self.look],
+            "sidecars": sidecars,
+            "must_watch_endpoints": False,
+        }
+        self.end = START + warms["slow_start_duration"]
         self.now, self.due, self.order = START, [], itertools.count()
         self.arrived, self.told = [], {}
         self.free = START
@@ -46,13 +62,13 @@
     def tell(self, host):
         """Of the start, or of the cold upstream as it is if the process has only begun."""
         self.at(host)
-        host.listed(News.CHANGES, "u0", started=START)
+        host.listed(WatchEvent.DELTA, "u0", started=START)
         self.told[host] = True
 
     def at(self, host):
         host.later(self.now - host.runner.now)
-        for ho in [ho for ho in host.cancelled if ho.pending]:
-            host.end(ho, Fate.CANCELLED)
+        for attempt in [attempt for attempt in host.cancelled if attempt.pending]:
+            host.end(attempt, AttemptOutcome.CANCELLED)
 
     def plan(self, at, happens, *given):
         heapq.heappush(self.due, (at, next(self.order), happens, given))
@@ -64,21 +80,21 @@
             return
         host.take(self.look, patience=24 * self.work)
         while host.sent:
-            ho = host.sent.pop()
+            attempt = host.sent.pop()
             # The worst that late connections can do: what was sent over a while arrives in one heap.
             at = (self.now // self.connect + 1) * self.connect if self.connect else self.now
-            self.plan(at, self.arrive, host, ho)
+            self.plan(at, self.arrive, host, attempt)
 
-    def arrive(self, host, ho):
+    def arrive(self, host, attempt):
         """It does one at a time, in the order in which they come, as slowly as the settings allow."""
         self.arrived.append(self.now)
         self.free = max(self.free, self.now) + self.work / self.warmth(self.now)
-        self.plan(self.free, self.answer, host, ho)
+        self.plan(self.free, self.answer, host, attempt)
 
-    def answer(self, host, ho):
+    def answer(self, host, attempt):
         self.at(host)
-        if ho.pending:
-            host.end(ho)
+        if attempt.pending:
+            host.end(attempt)
 
     def play(self):
         while self.due and self.due[0][0] < self.end:
@@ -87,15 +103,15 @@
 
     def allowed(self, at):
         """N: what the settings allow in a span that ends then."""
-        return self.terms["fall_multiple"] * self.warmth(at) * self.terms["fall_span"] / self.work
+        return self.terms["overload_factor"] * self.warmth(at) * self.terms["overload_window"] / self.work
 
     def warmth(self, at):
-        share = self.terms["cold_share"]
-        return share + (1 - share) * (at - START) / self.terms["cold_for"]
+        share = self.terms["slow_start_initial_fraction"]
+        return share + (1 - share) * (at - START) / self.terms["slow_start_duration"]
 
     def worst(self):
         """The most that it got in a span, as a part of what makes it fall."""
-        span, lately, worst = self.terms["fall_span"], deque(), 0.0
+        span, lately, worst = self.terms["overload_window"], deque(), 0.0
         for at in self.arrived:
             lately.append(at)
             while lately[0] <= at - span:
@@ -182,7 +198,7 @@
 
     def another(host):
         fleet.at(host)
-        two = msgspec.structs.replace(host.runner.balancer.terms, processes=2)
+        two = msgspec.structs.replace(host.runner.balancer.terms, process_count=2)
         other = fleet.process()
         for one in (host, other):
             one.runner.retune(two)
@@ -199,7 +215,7 @@
         fleet = Fleet(make_host, sidecars, work, random.Random(f"{seed} {sidecars} {work}"), **more)
         told(fleet)
         processes(fleet)
-        ask(fleet, OFTEN * fleet.allowed(fleet.end) / fleet.terms["fall_span"])
+        ask(fleet, OFTEN * fleet.allowed(fleet.end) / fleet.terms["overload_window"])
         fleet.play()
         most = max(most, fleet.worst())
     return most
@@ -230,14 +246,14 @@
 
 def test_what_waits_for_answers_to_questions_does_not_all_go_to_the_cold_one_that_answered(make_host):
     """It is asked for all while there is room for some; that is looked at again once it has answered."""
-    terms = SOON | {"cold_share": 0.1, "cold_for": 80.0, "fall_multiple": 1.0}
-    host = make_host(upstreams=1, asking_allowed=True, asking_price=0.001, **terms)
+    terms = SOON | {"slow_start_initial_fraction": 0.1, "slow_start_duration": 80.0, "overload_factor": 1.0}
+    host = make_host(upstreams=1, health_checks_allowed=True, health_check_price=0.001, **terms)
     host.later(START)
-    host.listed(News.CHANGES, "u0", started=START)
+    host.listed(WatchEvent.DELTA, "u0", started=START)
     host.later(3.0)
     waiting = [host.take() for _ in range(12)]
     assert len(host.probes) == len(waiting) and not host.sent
     for asked in host.probes:
-        host.runner.probed(asked.address, Fate.FINISHED, 0.01, {"held": 0.0})
+        host.runner.probed(asked.address, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     allowed = 1.0 * (0.1 + 0.9 * 3.0 / 80.0) * 2.0 / 0.125
     assert 0 < len(host.sent) <= allowed
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,7 +17,7 @@
 import pytest
 from conftest import SETTINGS, address, bound, categories
 
-from starlingwheel.net.memory.connections import Ledger
+from starlingwheel.net.memory.connections import ConnectionTracker
 
 WAITS = 1_000_000  # microseconds for which a due time lasts: long enough for a busy machine
 ASKED = b"GET /look/1 HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nX-Qos: look\r\nX-Expires-In-Ms: 19000\r\n"
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("sockets", [96, 128, 256])
 def test_a_flood_keeps_neither_upstreams_nor_operators_from_their_descriptors(make_process, sockets, kind):
     """Upstreams have all of their connections but a few; with each flood another one of those is needed."""
-    sidecar, ledger, few = make_process(sockets), Ledger(sockets, called=True), 4
+    sidecar, ledger, few = make_process(sockets), ConnectionTracker(sockets, called=True), 4
     asked = [sidecar.ask(b"early-%d" % i) for i in range(min(ledger.share, ledger.client_share) - few)]
     sidecar.until(lambda: len(sidecar.upstream.ran) == len(asked))
     for turn in range(few):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -52,7 +52,7 @@
 
 def in_hand(around):
     """The sidecar's end of the only client that waits."""
-    return around.until(lambda: next((c for c in around.node.ledger.clients if c.job is not None), None))
+    return around.until(lambda: next((c for c in around.node.ledger.clients if c.pending is not None), None))
 
 
 def coming_up(around):
@@ -112,7 +112,7 @@
             if heard:
                 around.until(lambda: around.logged("client.end"))
         nothing_comes(around, around.accept())
-    assert around.until(lambda: not around.node.module.jobs) and around.node.pool.in_use == 0
+    assert around.until(lambda: not around.node.module.pending_requests) and around.node.pool.in_use == 0
 
 
 def test_a_client_that_leaves_before_a_retry_ends_it(make_surroundings):
@@ -166,7 +166,7 @@
             rest = rest[client.send(rest) :]
         around.node.loop.turn(0)
     upstream = around.accept()
-    flow = around.until(lambda: next((j.body for j in around.node.module.jobs.values()), None))
+    flow = around.until(lambda: next((j.body for j in around.node.module.pending_requests.values()), None))
     around.until(lambda: flow.full)
     client.close()
     assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "client-left"
@@ -264,11 +264,11 @@
     around.until(around.node.ledger.longest_idle)
     client.sendall(around.request(x_trace_id="t2"))
     late = around.until(lambda: next((c for c in around.node.ledger.upstream if not c.carried), None))
-    looks, rested = iter([True] * vain), wire.Upstream.rested
-    monkeypatch.setattr(wire.Upstream, "rested", lambda u: None if next(looks, False) else rested(u))
+    looks, rested = iter([True] * vain), wire.ConnectionPool.rested
+    monkeypatch.setattr(wire.ConnectionPool, "rested", lambda u: None if next(looks, False) else rested(u))
     with held(around, late, WRITE):
         around.received(first)
-        assert not around.logged("upstream.end") and late.errand is None
+        assert not around.logged("upstream.end") and late.exchange is None
     around.reply(first)
     assert around.status(client) == 200
     around.until(lambda: len(around.node.ledger.idle) == 2)
@@ -292,9 +292,11 @@
     around, client, upstream = answered
     around.node.ledger.share, around.node.unasked_until = 1, float("inf")
     client.sendall(around.request(x_trace_id="t2"))
-    job = around.until(lambda: next((j for j in around.node.module.jobs.values() if j.errands), None))
-    errand = next(iter(job.errands.values()))
-    around.until(lambda: errand.connection is not None and not errand.connection.mailbox)
+    pending = around.until(
+        lambda: next((j for j in around.node.module.pending_requests.values() if j.exchanges), None)
+    )
+    exchange = next(iter(pending.exchanges.values()))
+    around.until(lambda: exchange.connection is not None and not exchange.connection.mailbox)
     nothing_comes(around, upstream)
     around.reply(upstream, body=b"one")
     assert around.status(client) == 503
@@ -401,10 +403,10 @@
     around = make_surroundings(settings=NO_CANCEL)
     client = around.ask()
     with held(around, coming_up(around), WRITE):
-        around.node.module.write_off(next(iter(around.node.module.jobs)))
+        around.node.module.write_off(next(iter(around.node.module.pending_requests)))
         assert around.status(client) == 504
     nothing_comes(around, around.accept())
-    assert around.until(lambda: not around.node.module.jobs)
+    assert around.until(lambda: not around.node.module.pending_requests)
 
 
 # The list.
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 
-from starlingwheel.fleet.cells import APART, HOLD, TURN, TURNS, Cutting
+from starlingwheel.fleet.cells import APART, HOLD, TURN, TURNS, ShardMap
 from starlingwheel.fleet.part import decode
-from starlingwheel.fleet.records import CELLS, MEMBERS, Cut, Entry, Records, Txn
-from starlingwheel.fleet.view import Member, View
+from starlingwheel.fleet.records import CELLS, MEMBERS, Sharding, StoreEntry, StoreRecords, Transaction
+from starlingwheel.fleet.view import Member, MembershipView
 from trials.broken import CELL_VARIANTS, HomeAlone, OldCells
 from trials.emulated import HARSH, REST, Request, Timetable, World, play
 from trials.model import QUIET, Bounds, explore
@@ -27,29 +27,29 @@
 
 
 def test_one_cell_is_the_view_as_it_was():
-    view = View(members(12))
-    assert view.digest == View(members(12), 1).digest != View(members(12), 2).digest
+    view = MembershipView(members(12))
+    assert view.digest == MembershipView(members(12), 1).digest != MembershipView(members(12), 2).digest
     assert len(view.ranks(b"x")) == 12 and view.peers("n3.0003") == [
         m for m in view.members if m != "n3.0003"
     ]
 
 
 def test_a_home_is_of_its_names_cell_and_few_are_asked_for_it_in_a_large_fleet():
-    view = View(members(1600), 64)
+    view = MembershipView(members(1600), 64)
     for key in KEYS:
         assert view.cell_of(view.home(key)) == view.cell(key)
         assert len(view.ranks(key)) == len(view.of_cell(view.cell(key))) <= 50
 
 
 def test_twice_as_many_cells_split_each_and_half_as_many_join_them():
-    fewer, more = View(members(200), 4), View(members(200), 8)
+    fewer, more = MembershipView(members(200), 4), MembershipView(members(200), 8)
     for cell in range(4):
         assert {*fewer.of_cell(cell)} == {*more.of_cell(cell), *more.of_cell(cell + 4)}
     assert all(more.cell(key) % 4 == fewer.cell(key) for key in KEYS)
 
 
 def test_one_that_comes_or_goes_moves_nobody_else_and_a_restart_comes_back_to_its_cell():
-    view, less = View(members(60), 4), View(members(60)[1:], 4)
+    view, less = MembershipView(members(60), 4), MembershipView(members(60)[1:], 4)
     assert all(view.cell_of(m) == less.cell_of(m) for m in less.members)
     assert view.cell_of("n0.0000") == view.cell_of("n0.ffff")
     changed = [cell for cell in range(4) if view.digest_of(cell) != less.digest_of(cell)]
@@ -57,18 +57,23 @@
 
 
 def test_the_next_cell_has_the_names_of_an_empty_one_and_follows_the_only_member_of_another():
-    view = View(members(5), 8)
+    view = MembershipView(members(5), 8)
     for key in KEYS:
         order = view.ranks(key)
         assert order and (len(order) > 1 or len(view.groups) == 1)
         if len(view.of_cell(view.cell(key))) == 1:
-            left = View([m for m in view.members.values() if m.id != order[0].id], 8)
+            left = MembershipView([m for m in view.members.values() if m.id != order[0].id], 8)
             assert left.home(key) == order[1].id
 
 
 def test_whoever_may_know_of_a_name_by_an_older_view_is_among_those_who_have_to_tell():
     everybody = members(40)
-    views = [View(everybody, 2), View(everybody[3:], 4), View(everybody[:30], 8), View(everybody[:9], 8)]
+    views = [
+        MembershipView(everybody, 2),
+        MembershipView(everybody[3:], 4),
+        MembershipView(everybody[:30], 8),
+        MembershipView(everybody[:9], 8),
+    ]
     for now in views:
         for then in views:
             for key in KEYS:
@@ -81,15 +86,15 @@
 
 def test_an_entry_that_nobody_can_read_leaves_what_was_known_and_no_view_where_nothing_was():
     for bad in (b"", b"{}", b'{"count":3}', b'{"count":0}', b'{"count":8192}', b'{"count":"4"}', b"\xff"):
-        known = Records()
-        known.put(CELLS, Entry(b'{"count":4}', 5, 5))
+        known = StoreRecords()
+        known.put(CELLS, StoreEntry(b'{"count":4}', 5, 5))
         known.revision = 5
-        assert known.put(CELLS, Entry(bad, 5, 6)) == "unreadable"
+        assert known.put(CELLS, StoreEntry(bad, 5, 6)) == "unreadable"
         assert (known.cells, known.cells_spoilt, known.cells_mod) == (4, True, 6)
-        fresh, again = Records(), Records(known.cells)
+        fresh, again = StoreRecords(), StoreRecords(known.cells)
         for records, cells in ((fresh, 0), (again, 4)):
-            records.put(MEMBERS + "a", Entry(msgspec.json.encode(Member("a", "a", "")), 3, 3))
-            assert records.put(CELLS, Entry(bad, 5, 6)) == "unreadable"
+            records.put(MEMBERS + "a", StoreEntry(msgspec.json.encode(Member("a", "a", "")), 3, 3))
+            assert records.put(CELLS, StoreEntry(bad, 5, 6)) == "unreadable"
             assert records.cells == cells and len(records.view().members) == bool(cells)
 
 
@@ -105,13 +110,13 @@
     """It applies what its compares allow, and tells all."""
 
     def __init__(self, count, size):
-        self.records = Records()
+        self.records = StoreRecords()
         self.records.revision = 1
         self.cuttings = {}
         self.now, self.written = 100.0, []
         for member in members(count):
             self.records.members[member.id] = member
-            self.cuttings[member.id] = Cutting(member.id, LEASE, size, self.now)
+            self.cuttings[member.id] = ShardMap(member.id, LEASE, size, self.now)
 
     def tell(self):
         for cutting in self.cuttings.values():
@@ -125,12 +130,12 @@
             asked = []
             for cutting in self.cuttings.values():
                 cutting.now = self.now
-                if isinstance(txn := cutting.due(), Txn):
+                if isinstance(txn := cutting.due(), Transaction):
                     asked.append(txn)
             for txn in asked:
                 if txn.compare[0].value == self.records.cells_mod:
                     self.records.revision += 1
-                    self.records.put(CELLS, Entry(txn.put[0][1], 2, self.records.revision))
+                    self.records.put(CELLS, StoreEntry(txn.put[0][1], 2, self.records.revision))
                     self.written.append((self.now, self.records.cells, len(asked)))
             self.tell()
 
@@ -147,7 +152,7 @@
 
 def test_it_is_joined_again_only_when_it_is_much_smaller():
     arbiter = Arbiter(60, 8)
-    arbiter.records.put(CELLS, Entry(msgspec.json.encode(Cut(8)), 1, 1))
+    arbiter.records.put(CELLS, StoreEntry(msgspec.json.encode(Sharding(8)), 1, 1))
     for count, cells in ((17, 8), (15, 4), (9, 4), (7, 2)):
         left = list(arbiter.records.members)[count:]
         for member in left:
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from starlingwheel.fleet.cover import Covering, Word
-from starlingwheel.fleet.frames import Asked, Cover
+from starlingwheel.fleet.cover import BeginResult, RequestReplicator
+from starlingwheel.fleet.frames import RecordedRequest, ReplicateFrame
 from trials.broken import VARIANTS, NoIntent
 from trials.emulated import HARSH, Request, World, play
 from trials.model import Bounds, explore
@@ -57,11 +57,13 @@
     world.until(1.6)
     home = one.covering.view.home
     name = next(n for n in (f"x{i}".encode() for i in range(99)) if home(n) == other.id)
-    asked = Asked(b"POST", b"/x", [], b"", b"")
-    told = Cover(name, one.id, 0, False, b"", "c", "exclusive", world.now, world.now + 1, False, asked, [])
+    asked = RecordedRequest(b"POST", b"/x", [], b"", b"")
+    told = ReplicateFrame(
+        name, one.id, 0, False, b"", "c", "exclusive", world.now, world.now + 1, False, asked, []
+    )
     request = Request(name, "exclusive", world.now, False, 0)
     word, _ = one.covering.begin(told, request, world.now + 1)
-    assert word is Word.WAIT and request.end == "503"
+    assert word is BeginResult.WAIT and request.end == "503"
 
 
 def test_two_clients_of_one_name_get_one_answer_from_one_run():
@@ -105,4 +107,4 @@
         ask_at(world, world.alive()[number % 3], b"w%d" % number)
     world.until(8.0)
     covers = [host.covering for host in world.alive()]
-    assert all(isinstance(c, Covering) and not c.items and c.kept_bytes == 0 for c in covers)
+    assert all(isinstance(c, RequestReplicator) and not c.items and c.kept_bytes == 0 for c in covers)
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -8,17 +8,27 @@
 import pytest
 
 from starlingwheel.fleet import common, frames
-from starlingwheel.fleet.policy import Following, Kept, Word
-from starlingwheel.fleet.records import Decision, Policy, Records
-from starlingwheel.fleet.view import Member, View
+from starlingwheel.fleet.policy import PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet.records import Policy, PolicyDecision, StoreRecords
+from starlingwheel.fleet.view import Member, MembershipView
 from starlingwheel.net.fleet import arbiter as client
 from starlingwheel.net.fleet import links as under_test
-from starlingwheel.net.fleet.links import Links, framed
-from starlingwheel.net.fleet.mail import WARY, Framed, LinkDown, LinkUp, Reach, Say, Strike, Unreached, Viewed
-from starlingwheel.net.fleet.policy import Asker
+from starlingwheel.net.fleet.links import LinkManager, encode_frame
+from starlingwheel.net.fleet.mail import (
+    CHECK_LINKS,
+    DialMember,
+    EvictMember,
+    FrameReceived,
+    LinkDown,
+    LinkUp,
+    MemberUnreachable,
+    SendFrame,
+    ViewChanged,
+)
+from starlingwheel.net.fleet.policy import PolicyPoller
 from starlingwheel.net.loop import Loop
 
-WORK, MORE = frames.Find(b"k", b"m"), frames.Find(b"l", b"m")  # words about work
+WORK, MORE = frames.FindOwnerFrame(b"k", b"m"), frames.FindOwnerFrame(b"l", b"m")  # words about work
 STEP = 0.001  # seconds between turns
 
 
@@ -45,21 +55,25 @@
         self.sock.listen()
         self.member = Member(self.id, name, "{}:{}".format(*self.sock.getsockname()))
         self.lines = []
-        hello = hello or frames.Hello("f", frames.VERSION, self.id)
-        self.links = Links(
+        hello = hello or frames.HelloFrame("f", frames.VERSION, self.id)
+        self.links = LinkManager(
             self.loop, self.sock, hello, self.told.append, self.beat, lambda asked: [],
             lambda event, **fields: self.lines.append((event, fields)), random.Random(name),
         )  # fmt: skip
         self.links.begin()
 
     def beat(self, member, worded):
-        return frames.Beat(1, False, None, member not in self.needed)
+        return frames.HeartbeatFrame(1, False, None, member not in self.needed)
 
     def heard(self, kind):
         return [mail for mail in self.told if isinstance(mail, kind)]
 
     def words(self):
-        return [mail.frame for mail in self.heard(Framed) if not isinstance(mail.frame, frames.Beat)]
+        return [
+            mail.frame
+            for mail in self.heard(FrameReceived)
+            if not isinstance(mail.frame, frames.HeartbeatFrame)
+        ]
 
     def up(self):
         """Members by whose links as the module knows them."""
@@ -89,7 +103,7 @@
     def see(self, cells, *who, members=None):
         members = [one.member for one in self.all] if members is None else members
         for one in who or self.all:
-            one.links.post(Viewed(View(members, cells), False))
+            one.links.post(ViewChanged(MembershipView(members, cells), False))
 
     def turn(self):
         for one in self.chance.sample(self.all, self.chance.randint(1, len(self.all))):
@@ -133,7 +147,7 @@
     """A name for each of these cells, in the order of the alphabet."""
     names, at = [], 0
     for cell in cells:
-        while View([], count).cell_of(f"n{at:03d}.00") != cell:
+        while MembershipView([], count).cell_of(f"n{at:03d}.00") != cell:
             at += 1
         names.append(f"n{at:03d}")
         at += 1
@@ -176,12 +190,12 @@
 def test_either_of_two_cells_can_reach_the_other(pair, who):
     one, other = pair.all[who], pair.all[1 - who]
     assert not one.links.links
-    one.links.post(Reach(other.id))
+    one.links.post(DialMember(other.id))
     pair.until(lambda: other.id in one.up() and one.id in other.up())
     assert connected(one, other)
-    one.links.post(Reach(other.id))
+    one.links.post(DialMember(other.id))
     pair.let_pass(0.05)
-    assert len(one.heard(LinkUp)) == 1 and not one.heard(Unreached)
+    assert len(one.heard(LinkUp)) == 1 and not one.heard(MemberUnreachable)
 
 
 def crossed(make_town, seed, within=8.0):
@@ -193,7 +207,7 @@
     one.needed.add(other.id), other.needed.add(one.id)
     town.see(2)
     town.let_pass(0.005)
-    one.links.post(Reach(other.id)), other.links.post(Reach(one.id))
+    one.links.post(DialMember(other.id)), other.links.post(DialMember(one.id))
     try:
         town.until(lambda: other.id in one.up() and one.id in other.up(), within)
     except AssertionError:
@@ -210,26 +224,26 @@
         assert same
         for one in town.all:
             assert len(one.heard(LinkUp)) == 1  # nobody was told of one that was not to be
-            assert not one.heard(LinkDown) and not one.heard(Unreached) and not one.heard(Strike)
+            assert not one.heard(LinkDown) and not one.heard(MemberUnreachable) and not one.heard(EvictMember)
         refused += town.all[0].reasons()["crossed"]
     assert refused > 10
 
 
 def test_without_that_rule_calls_that_cross_end_each_other(make_town, monkeypatch):
-    monkeypatch.setattr(Links, "_answerable", lambda self, member: None)
+    monkeypatch.setattr(LinkManager, "_answerable", lambda self, member: None)
     assert not all(crossed(make_town, seed, within=under_test.GREETING)[1] for seed in range(40))
 
 
 def test_a_link_that_neither_side_needs_rests_and_nothing_was_lost(pair):
     one, other = pair.all
-    one.links.post(Reach(other.id))
+    one.links.post(DialMember(other.id))
     pair.until(lambda: connected(one, other))
-    one.links.links[other.id].post(Say(framed(WORK)))
+    one.links.links[other.id].post(SendFrame(encode_frame(WORK)))
     pair.until(lambda: other.words())
     pair.until(lambda: not one.up() and not other.up())
     for each in pair.all:
         assert each.reasons()["at-rest"] == 1
-        assert not each.heard(Strike) and not any(event == "member.gone" for event, _ in each.lines)
+        assert not each.heard(EvictMember) and not any(event == "member.gone" for event, _ in each.lines)
     pair.let_pass(0.1)
     assert len(one.links.loop.watched) == len(other.links.loop.watched) == 1  # their listening sockets
 
@@ -238,7 +252,7 @@
 def test_a_link_that_one_side_needs_stays(pair, who):
     one, other = pair.all
     pair.all[who].needed.add(pair.all[1 - who].id)
-    one.links.post(Reach(other.id))
+    one.links.post(DialMember(other.id))
     pair.until(lambda: connected(one, other))
     pair.let_pass(under_test.REST * 2)
     assert connected(one, other) and len(one.heard(LinkUp)) == 1
@@ -254,11 +268,11 @@
     one, other = town.all
     town.see(2)
     town.let_pass(0.005)
-    one.links.post(Reach(other.id))
+    one.links.post(DialMember(other.id))
     town.until(lambda: connected(one, other))
     link = one.links.links[other.id]
     theirs = other.links.links[one.id]
-    link.post(Say(framed(WORK)))
+    link.post(SendFrame(encode_frame(WORK)))
     town.until(lambda: other.words() and all(theirs.idle))
     while town.clock() < min(theirs.worked, link.worked) + under_test.REST - 0.1:
         town.turn()
@@ -268,7 +282,7 @@
         town.clock.time += STEP
     assert not link.over
     one.needed.add(other.id)
-    link.post(Say(framed(MORE)))
+    link.post(SendFrame(encode_frame(MORE)))
     return town, one, other
 
 
@@ -278,12 +292,12 @@
         town.until(lambda one=one: one.heard(LinkDown))
         assert one.reasons()["at-rest"] == 1 and other.words() == [WORK]
         # What the cover does when a link has ended that it needs.
-        one.links.post(Reach(other.id))
+        one.links.post(DialMember(other.id))
         town.until(lambda one=one, other=other: other.id in one.up())
-        one.up()[other.id].post(Say(framed(MORE)))
+        one.up()[other.id].post(SendFrame(encode_frame(MORE)))
         town.until(lambda other=other: other.words() == [WORK, MORE])
         for each in town.all:
-            assert not each.heard(Strike) and not each.heard(Unreached)
+            assert not each.heard(EvictMember) and not each.heard(MemberUnreachable)
 
 
 def test_links_to_former_peers_rest_and_new_peers_are_called(make_town):
@@ -299,7 +313,7 @@
     assert all(one.reasons()["at-rest"] == 2 for one in town.all)
     town.see(1)
     town.until(lambda: all(len(one.up()) == 3 for one in town.all))
-    assert not any(one.heard(Strike) for one in town.all)
+    assert not any(one.heard(EvictMember) for one in town.all)
 
 
 def test_who_sees_other_cells_is_refused_and_calls_again(make_town):
@@ -311,7 +325,7 @@
     town.see(2, other)
     town.until(lambda: one.reasons()["other-cells"] and other.reasons()["other-cells"])
     town.let_pass(0.2)
-    assert not one.heard(LinkUp) and not other.heard(LinkUp) and not one.heard(Framed)
+    assert not one.heard(LinkUp) and not other.heard(LinkUp) and not one.heard(FrameReceived)
     town.see(4, other)
     town.until(lambda: connected(one, other))
 
@@ -319,13 +333,13 @@
 def test_whom_no_link_reaches_in_time_is_told_of_as_such(pair):
     one, other = pair.all
     pair.see(4, other)
-    one.links.post(Reach(other.id))
-    pair.until(lambda: one.heard(Unreached))
+    one.links.post(DialMember(other.id))
+    pair.until(lambda: one.heard(MemberUnreachable))
     assert not one.links.wanted and not one.links.calling
     pair.let_pass(0.1)
     assert not one.links.calls
-    one.links.post(Reach("nobody.00"))
-    pair.until(lambda: len(one.heard(Unreached)) == 2)
+    one.links.post(DialMember("nobody.00"))
+    pair.until(lambda: len(one.heard(MemberUnreachable)) == 2)
 
 
 def test_a_process_that_has_ended_is_told_of_at_once(pair):
@@ -333,15 +347,15 @@
     other.links.loop.forget(other.sock.fileno())
     other.sock.close()
     pair.all.remove(other)
-    one.links.post(Reach(other.id))
-    pair.until(lambda: one.heard(Unreached), within=under_test.GREETING / 2)
+    one.links.post(DialMember(other.id))
+    pair.until(lambda: one.heard(MemberUnreachable), within=under_test.GREETING / 2)
     other.loop.close()
 
 
 def test_a_call_of_who_has_lost_the_link_alone_shows_that_and_gets_one(pair):
     one, other = pair.all
     one.needed.add(other.id), other.needed.add(one.id)
-    one.links.post(Reach(other.id))
+    one.links.post(DialMember(other.id))
     pair.until(lambda: connected(one, other))
     # The greater one's side ends; the smaller one is not told, as where the network drops it.
     there = other.links.links[one.id]
@@ -349,12 +363,12 @@
     there.post(under_test.CLOSE)
     pair.until(lambda: other.heard(LinkDown))
     assert connected(one, other) is False and other.id in one.up()
-    other.links.post(Reach(one.id))
+    other.links.post(DialMember(one.id))
     pair.until(lambda: one.reasons()["crossed"])
     silent.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     silent.close()
     pair.until(lambda: connected(one, other))
-    assert not other.heard(Unreached)
+    assert not other.heard(MemberUnreachable)
 
 
 @pytest.mark.parametrize(
@@ -369,9 +383,11 @@
 )
 def test_who_greets_wrongly_is_refused_and_nothing_it_says_is_acted_on(pair, changed, reason):
     one, other = pair.all
-    hello = msgspec.structs.replace(frames.Hello("f", frames.VERSION, other.id, 2), **changed)
+    hello = msgspec.structs.replace(frames.HelloFrame("f", frames.VERSION, other.id, 2), **changed)
     with socket.create_connection(one.sock.getsockname()) as caller:
-        caller.sendall(framed(hello) + framed(WORK) + framed(frames.Beat(1, False)))
+        caller.sendall(
+            encode_frame(hello) + encode_frame(WORK) + encode_frame(frames.HeartbeatFrame(1, False))
+        )
         pair.until(lambda: one.reasons()[reason])
         assert not one.told
 
@@ -380,18 +396,18 @@
     town = make_town()
     one_name, other_name = of_cells(1, 0, 0)
     one = town.add(one_name)
-    other = town.add(other_name, hello=frames.Hello("f", frames.VERSION, "other.00"))
+    other = town.add(other_name, hello=frames.HelloFrame("f", frames.VERSION, "other.00"))
     town.see(1)
     town.until(lambda: one.reasons()["not-who-was-called"])
-    assert not one.heard(LinkUp) and not one.heard(Framed)
+    assert not one.heard(LinkUp) and not one.heard(FrameReceived)
     assert not other.up()
 
 
 def test_half_a_frame_ends_a_link_without_anything_acted_on(pair):
     one, other = pair.all
-    hello = framed(frames.Hello("f", frames.VERSION, other.id, 2))
+    hello = encode_frame(frames.HelloFrame("f", frames.VERSION, other.id, 2))
     with socket.create_connection(one.sock.getsockname()) as caller:
-        caller.sendall(hello + framed(WORK)[:-1])
+        caller.sendall(hello + encode_frame(WORK)[:-1])
         pair.until(lambda: one.up())
         pair.let_pass(0.05)
         assert not one.words()
@@ -411,10 +427,10 @@
     one, other = town.all
     town.until(lambda: connected(one, other))
     town.let_pass(under_test.STAKE + 0.5)
-    counts = Counter({each.id: len(each.heard(Framed)) for each in town.all})
+    counts = Counter({each.id: len(each.heard(FrameReceived)) for each in town.all})
     town.let_pass(3 * under_test.IDLE[0])
     for each in town.all:
-        assert 2 <= len(each.heard(Framed)) - counts[each.id] <= 4
+        assert 2 <= len(each.heard(FrameReceived)) - counts[each.id] <= 4
 
 
 @pytest.mark.parametrize(("count", "silent"), [(25, 14.4), (41, 24.0)])
@@ -426,10 +442,10 @@
     town.until(lambda: all(len(one.links.links) == count - 1 for one in town.all))
     town.step = 0.02
     town.let_pass(20.0)
-    before = [len(one.heard(Framed)) for one in town.all]
+    before = [len(one.heard(FrameReceived)) for one in town.all]
     town.let_pass(40.0)
     for one, heard in zip(town.all, before, strict=True):
-        assert len(one.heard(Framed)) - heard <= 1.1 * 40.0 * under_test.A_SECOND
+        assert len(one.heard(FrameReceived)) - heard <= 1.1 * 40.0 * under_test.A_SECOND
         assert len(one.links.links) == count - 1 and not one.heard(LinkDown)
     # One that hangs is noticed by all in three times the pause between beats, as the page says.
     hung = town.all.pop()
@@ -449,10 +465,10 @@
     town.until(lambda: connected(one, other))
     link, latest = one.links.links[other.id], []
     for _ in range(40):
-        link.post(WARY)
-        link.post(Say(framed(WORK)))
+        link.post(CHECK_LINKS)
+        link.post(SendFrame(encode_frame(WORK)))
         town.let_pass(under_test.BEAT / 2)
-        latest.append(len(other.heard(Framed)) - len(other.words()))
+        latest.append(len(other.heard(FrameReceived)) - len(other.words()))
     assert latest[-1] >= 40 // 2 - 2
 
 
@@ -493,10 +509,10 @@
         super().__init__(clock, name, hello)
         self.notes = []
         now = self.loop.now()
-        self.following = Following(self.id, name, LEASE, Quiet(self.notes), now, Kept("f"))
+        self.following = PolicyReplica(self.id, name, LEASE, Quiet(self.notes), now, StoredPolicy("f"))
         self.links.says = self.says
         self.links.tell = self.tell
-        self.asker = Asker(self.links, self.following, self.links, random.Random(name), LEASE)
+        self.asker = PolicyPoller(self.links, self.following, self.links, random.Random(name), LEASE)
         self.asker.begin()
         self.asks = 0
 
@@ -504,25 +520,25 @@
         self.following.now = self.loop.now()
         self.following.doubt()
         lapsed = self.following.uneasy
-        return frames.Beat(1, lapsed, self.following.word() if worded or lapsed else None, True)
+        return frames.HeartbeatFrame(1, lapsed, self.following.word() if worded or lapsed else None, True)
 
     def says(self, asked):
         self.asks += 1
         self.following.now = self.loop.now()
         others = self.following.lately(self.links.links, frames.RELAYED)
-        says = [frames.Says(self.following.word(), others)]
+        says = [frames.PolicyStatusFrame(self.following.word(), others)]
         if self.following.known > asked.known:
-            says.append(frames.Given(msgspec.json.encode(self.following.decision)))
+            says.append(frames.DecisionFrame(msgspec.json.encode(self.following.decision)))
         return says
 
     def tell(self, mail):
         self.following.now = self.loop.now()
-        if isinstance(mail, Framed) and isinstance(mail.frame, frames.Says):
+        if isinstance(mail, FrameReceived) and isinstance(mail.frame, frames.PolicyStatusFrame):
             for word in (mail.frame.word, *mail.frame.others):
                 self.following.heard(word)
-        elif isinstance(mail, Framed) and isinstance(mail.frame, frames.Given):
-            self.following.told(msgspec.json.decode(mail.frame.decision, type=Decision))
-        elif isinstance(mail, Framed) and getattr(mail.frame, "word", None):
+        elif isinstance(mail, FrameReceived) and isinstance(mail.frame, frames.DecisionFrame):
+            self.following.told(msgspec.json.decode(mail.frame.decision, type=PolicyDecision))
+        elif isinstance(mail, FrameReceived) and getattr(mail.frame, "word", None):
             self.following.heard(mail.frame.word)
 
     def doubt(self):
@@ -537,7 +553,7 @@
         super().__init__(seed)
         for number in range(count):
             self.all.append(Ruled(self.clock, f"n{number:03d}"))
-        records = Records()
+        records = StoreRecords()
         records.revision = 1
         records.members = {one.id: one.member for one in self.all}
         records.names = {one.member.name: 1 for one in self.all}
@@ -593,7 +609,7 @@
 
 
 def test_words_that_were_made_younger_on_their_way_would_show(make_realm, monkeypatch):
-    lately = Following.lately
+    lately = PolicyReplica.lately
 
     def younger(self, members, most):
         known = {**self.words}
@@ -602,7 +618,7 @@
         self.words = known
         return passed
 
-    monkeypatch.setattr(Following, "lately", younger)
+    monkeypatch.setattr(PolicyReplica, "lately", younger)
     assert not lost_half(make_realm(2, 24, 8))
 
 
@@ -622,7 +638,7 @@
     realm.let_pass(1.5 * LEASE)
     body = {"settings": {}}
     policy = Policy(1, common.digest(body), body)
-    realm.all[5].following.told(Decision(policy, realm.clock() + 60.0, 7, Policy()))
+    realm.all[5].following.told(PolicyDecision(policy, realm.clock() + 60.0, 7, Policy()))
     unlinked = [one for one in realm.all if realm.all[5].id not in one.links.links]
     assert len(unlinked) > 12
     realm.until(lambda: all(one.following.known == 1 for one in unlinked), within=1.25 * LEASE)
@@ -630,13 +646,15 @@
 
 def test_a_word_counts_by_its_own_age_whoever_passes_it_on():
     members = {f"n{i}.00": Member(f"n{i}.00", f"n{i}", "") for i in range(3)}
-    records = Records()
+    records = StoreRecords()
     records.revision, records.members = 1, members
     records.names = dict.fromkeys(("n0", "n1", "n2"), 1)
-    one, other = (Following(f"n{i}.00", f"n{i}", LEASE, Quiet(), 0.0, Kept("f")) for i in range(2))
+    one, other = (
+        PolicyReplica(f"n{i}.00", f"n{i}", LEASE, Quiet(), 0.0, StoredPolicy("f")) for i in range(2)
+    )
     for each in (one, other):
         each.recorded(records, True)
-    third = Word("n2.00", "n2", 10.0, 0, "", 1e9, 0, 0, True)
+    third = PolicyStatus("n2.00", "n2", 10.0, 0, "", 1e9, 0, 0, True)
     other.now = 10.4
     other.heard(third)
     one.now = 10.8
@@ -654,7 +672,7 @@
 
 def onlooker(told):
     loop = Loop(lambda actor, error: None)
-    one = client.Onlooker(
+    one = client.StateWatcher(
         loop, ["127.0.0.1:1"], LEASE, None, lambda *a, **k: None, None, "f", tell=told.append
     )
     one.revision = 1
@@ -662,7 +680,7 @@
 
 
 def event(key, value, revision, type_="PUT"):
-    pair = client.Pair(client.b64(f"/f/{key}"), client.b64(msgspec.json.encode(value)))
+    pair = client.KeyValue(client.b64(f"/f/{key}"), client.b64(msgspec.json.encode(value)))
     pair.create_revision = pair.mod_revision = str(revision)
     return client.Event(pair, type_)
 
@@ -672,7 +690,7 @@
     one = onlooker(told)
     a, b, c = (Member(f"n{i}.00", f"n{i}", "") for i in range(3))
     one._seen(
-        client.Seen(
+        client.WatchEvents(
             events=[
                 event("members/n0.00", a, 2),
                 event("cells", {"count": 2}, 3),
@@ -685,9 +703,9 @@
             ]
         )
     )
-    views = [(len(m.view.members), m.view.cells) for m in told if isinstance(m, Viewed)]
+    views = [(len(m.view.members), m.view.cells) for m in told if isinstance(m, ViewChanged)]
     assert views == [(1, 1), (1, 2), (2, 2), (3, 4), (3, 1)]
-    assert len({m.view.digest for m in told if isinstance(m, Viewed)}) == 5
+    assert len({m.view.digest for m in told if isinstance(m, ViewChanged)}) == 5
     one.loop.close()
 
 
@@ -696,8 +714,8 @@
     told = []
     one = onlooker(told)
     member = Member("n0.00", "n0", "")
-    one._seen(client.Seen(events=[event("members/n0.00", member, 2), event("cells", {"count": 4}, 3)]))
-    one._seen(client.Seen(events=[event("cells", value, 4)]))
-    views = [m.view.cells for m in told if isinstance(m, Viewed)]
+    one._seen(client.WatchEvents(events=[event("members/n0.00", member, 2), event("cells", {"count": 4}, 3)]))
+    one._seen(client.WatchEvents(events=[event("cells", value, 4)]))
+    views = [m.view.cells for m in told if isinstance(m, ViewChanged)]
     assert views[-1] == 4
     one.loop.close()
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -16,9 +16,9 @@
 
 from standins.loopback import free_address
 from starlingwheel.fleet import common
-from starlingwheel.fleet.policy import Following, Kept
-from starlingwheel.fleet.records import Entry, Records
-from starlingwheel.net.fleet.policy import Keep
+from starlingwheel.fleet.policy import PolicyReplica, StoredPolicy
+from starlingwheel.fleet.records import StoreEntry, StoreRecords
+from starlingwheel.net.fleet.policy import VoteStore
 from trials import policy
 from trials.broken import POLICY_VARIANTS, LeaseTrustedOver, NoBinding, NoDoubt
 from trials.emulated_policy import QUIET, SCENES, play
@@ -132,28 +132,28 @@
         "names/a": b"1",
     }
     for _ in range(2000):
-        records = Records()
+        records = StoreRecords()
         for key, value in good.items():
             data = bytearray(value)
             for _ in range(chance.randint(0, 2)):
                 data[chance.randrange(len(data))] = chance.randrange(256)
-            records.put(key, Entry(bytes(data), 3, 3))
+            records.put(key, StoreEntry(bytes(data), 3, 3))
         for key in [*good, "policy/past/x", "policy/votes/x/y", "policy/votes/"]:
-            records.put(key, Entry(b"\xff{", 3, 3))
+            records.put(key, StoreEntry(b"\xff{", 3, 3))
             records.erase(key)
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"fleet":"other"}', b'{"fleet":3}', b"\xff\xfe"])
 def test_a_kept_file_that_cant_be_used_is_as_none_with_one_line(tmp_path, data):
     lines = []
-    keep = Keep(str(tmp_path), "f", "n0", lambda event, **fields: lines.append(event))
+    keep = VoteStore(str(tmp_path), "f", "n0", lambda event, **fields: lines.append(event))
     keep.path.write_bytes(data)
-    assert keep.read() == Kept("f") and lines == ["policy.unreadable"]
+    assert keep.read() == StoredPolicy("f") and lines == ["policy.unreadable"]
 
 
 def test_a_folder_that_cant_be_written_is_told_to_who_votes(tmp_path):
-    keep = Keep(str(tmp_path / "gone"), "f", "n0", lambda event, **fields: None)
-    keep.write(Kept("f", ended=3))
+    keep = VoteStore(str(tmp_path / "gone"), "f", "n0", lambda event, **fields: None)
+    keep.write(StoredPolicy("f", ended=3))
     while keep.state is None:
         pass
     assert "No such file" in keep.state
@@ -186,7 +186,7 @@
         return answer.status_code, json.loads(said) if said else None
 
     @property
-    def following(self) -> Following:
+    def following(self) -> PolicyReplica:
         return self.around.node.fleet.ruling.following
 
 
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -17,11 +17,11 @@
 from standins.loopback import free_address
 from starlingwheel.fleet import frames
 from starlingwheel.fleet.part import decode
-from starlingwheel.fleet.policy import Word
-from starlingwheel.fleet.view import Member, View
+from starlingwheel.fleet.policy import PolicyStatus
+from starlingwheel.fleet.view import Member, MembershipView
 from starlingwheel.net.fleet import arbiter as client
-from starlingwheel.net.fleet.links import Reader, Refused, framed
-from starlingwheel.net.fleet.mail import Strike
+from starlingwheel.net.fleet.links import FrameReader, LinkRejectedError, encode_frame
+from starlingwheel.net.fleet.mail import EvictMember
 from starlingwheel.net.mail import STOP
 from trials.emulated import World
 
@@ -63,28 +63,30 @@
 
 
 def a_word():
-    return Word("n1.ab", "n1", 3.5, 4, "0a", float("inf"), 4, 5, True)
+    return PolicyStatus("n1.ab", "n1", 3.5, 4, "0a", float("inf"), 4, 5, True)
 
 
 def some_frames():
-    asked = frames.Asked(b"POST", b"/buy/1", [(b"a", b"b")], b"x" * 30, b"t")
-    intent = frames.Intent("u1", "north", 3, 12.5)
+    asked = frames.RecordedRequest(b"POST", b"/buy/1", [(b"a", b"b")], b"x" * 30, b"t")
+    intent = frames.AttemptIntent("u1", "north", 3, 12.5)
     return [
-        frames.Hello("f", 1, "n1.ab"),
-        frames.Cover(b"k", "n1", 0, True, b"m", "buy", "exclusive", 1.0, 2.0, False, asked, [intent]),
-        frames.Intend(b"k", 0, 1, intent),
-        frames.Kept(b"k", 0, frames.NEW, 1, frames.Reply(200, 0.0, b"", b"y" * 10)),
-        frames.Beat(7, False),
-        frames.Beat(7, True, a_word(), True, True),
-        frames.Says(a_word(), [a_word(), a_word()]),
-        frames.Rest(),
+        frames.HelloFrame("f", 1, "n1.ab"),
+        frames.ReplicateFrame(
+            b"k", "n1", 0, True, b"m", "buy", "exclusive", 1.0, 2.0, False, asked, [intent]
+        ),
+        frames.AttemptIntentFrame(b"k", 0, 1, intent),
+        frames.ReplicaStateFrame(b"k", 0, frames.NEW, 1, frames.RecordedResponse(200, 0.0, b"", b"y" * 10)),
+        frames.HeartbeatFrame(7, False),
+        frames.HeartbeatFrame(7, True, a_word(), True, True),
+        frames.PolicyStatusFrame(a_word(), [a_word(), a_word()]),
+        frames.LinkIdleFrame(),
     ]
 
 
 def test_frames_arrive_as_they_were_sent_however_they_are_cut():
-    data = b"".join(map(framed, some_frames()))
+    data = b"".join(map(encode_frame, some_frames()))
     for step in (1, 7, 1000, len(data)):
-        reader, got = Reader(), []
+        reader, got = FrameReader(), []
         for at in range(0, len(data), step):
             got += reader.read(data[at : at + step])
         assert got == some_frames()
@@ -100,22 +102,22 @@
     ],
 )
 def test_what_is_no_frame_ends_a_link_with_its_reason(data, reason):
-    with pytest.raises(Refused, match=reason):
-        Reader().read(data)
+    with pytest.raises(LinkRejectedError, match=reason):
+        FrameReader().read(data)
 
 
 def test_spoilt_frames_do_nothing_worse_than_end_the_link():
     chance = random.Random(1)
-    data = b"".join(map(framed, some_frames()))
+    data = b"".join(map(encode_frame, some_frames()))
     ended = 0
     for _ in range(3000):
         spoilt = bytearray(data)
         for _ in range(chance.randint(1, 6)):
             spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
-        reader = Reader()
+        reader = FrameReader()
         try:
             reader.read(bytes(spoilt[: chance.randrange(len(spoilt))]))
-        except Refused:
+        except LinkRejectedError:
             ended += 1
         assert len(reader.held) <= len(data)
     assert ended > 100
@@ -127,7 +129,7 @@
     world.until(1.0)
     one, other, third = world.alive()
     keys = [b"a", b"b", b"c"]
-    asked = frames.Asked(b"POST", b"/x", [], b"", b"")
+    asked = frames.RecordedRequest(b"POST", b"/x", [], b"", b"")
     for _ in range(4000):
         key, epoch, number = (
             chance.choice(keys),
@@ -136,24 +138,24 @@
         )
         who = chance.choice((one.id, other.id, third.id, "stranger.00"))
         at = chance.choice((float("nan"), float("inf"), -1e300, world.now))
-        intents = [frames.Intent("u", "", 0, at)] * chance.randrange(3)
-        reply = frames.Reply(chance.choice((200, 503, 504, 0)))
+        intents = [frames.AttemptIntent("u", "", 0, at)] * chance.randrange(3)
+        reply = frames.RecordedResponse(chance.choice((200, 503, 504, 0)))
         verdict = chance.choice((frames.NEW, frames.RUNNING, frames.MOVED, frames.UNKNOWN, frames.FULL, "?"))
         effect = chance.choice(("exclusive", "ticketed", "rerunnable", "?"))
         frame = chance.choice(
             [
-                frames.Cover(key, who, epoch, True, b"", "c", effect, at, at, True, asked, intents),
-                frames.Cover(
+                frames.ReplicateFrame(key, who, epoch, True, b"", "c", effect, at, at, True, asked, intents),
+                frames.ReplicateFrame(
                     key, who, epoch, False, b"", "c", effect, world.now, world.now + 1, False, asked, []
                 ),
-                frames.Intend(key, epoch, number, frames.Intent("u", "", 0, at)),
-                frames.Ended(key, epoch, number, "unsent"),
-                frames.Answered(key, epoch, reply),
-                frames.Kept(key, epoch, verdict, number, reply, who),
-                frames.Over(key, who, b"", "c", effect, at, reply),
-                frames.Find(key, b""),
-                frames.Told(number),
-                frames.Beat(number, False),
+                frames.AttemptIntentFrame(key, epoch, number, frames.AttemptIntent("u", "", 0, at)),
+                frames.AttemptNotRunFrame(key, epoch, number, "unsent"),
+                frames.ResponseFrame(key, epoch, reply),
+                frames.ReplicaStateFrame(key, epoch, verdict, number, reply, who),
+                frames.RequestFinishedFrame(key, who, b"", "c", effect, at, reply),
+                frames.FindOwnerFrame(key, b""),
+                frames.ViewSyncedFrame(number),
+                frames.HeartbeatFrame(number, False),
             ]
         )
         one.covering.now = world.now
@@ -166,7 +168,7 @@
 
 def test_a_home_moves_only_with_the_members_that_change():
     members = [Member(f"n{i}", f"n{i}", "", "ab"[i % 2]) for i in range(12)]
-    view, less = View(members), View(members[1:])
+    view, less = MembershipView(members), MembershipView(members[1:])
     keys = [b"%d" % i for i in range(600)]
     assert all(less.home(k) == view.home(k) for k in keys if view.home(k) != "n0")
     assert all(less.home(k) == view.home(k, but="n0") for k in keys)
@@ -177,22 +179,25 @@
         assert "n0" not in keepers and any(view.members[k].zone == "b" for k in keepers)
 
 
-@pytest.mark.parametrize("kind", [client.Ranged, client.Granted, client.Kept, client.Decided, client.Line])
+@pytest.mark.parametrize(
+    "kind",
+    [client.RangeReply, client.LeaseGranted, client.LeaseRenewed, client.TransactionReply, client.WatchLine],
+)
 def test_an_arbiter_that_talks_nonsense_is_turned_away_with_a_reason(kind):
     chance = random.Random(2)
     whole = json.dumps({"header": {"revision": "3"}, "kvs": [{"key": "YQ==", "mod_revision": 4}], "ID": [1]})
     for text in ("", "{", "[]", "null", "1e999", '{"result":{"events":[{"kv":3}]}}', "[" * 5000, whole[:-5]):
-        with pytest.raises(client.Unfit):
+        with pytest.raises(client.UnusableReplyError):
             client.read(text.encode(), kind)
     for _ in range(1000):
         data = bytes(chance.randrange(256) for _ in range(chance.randrange(60)))
-        with pytest.raises(client.Unfit):
+        with pytest.raises(client.UnusableReplyError):
             client.read(data, kind)
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.5", "x", "9" * 30, "١"])
 def test_what_is_no_64_bit_number_is_none(text):
-    with pytest.raises((client.Unfit, ValueError)):
+    with pytest.raises((client.UnusableReplyError, ValueError)):
         assert client.number(text) < 0
 
 
@@ -294,7 +299,7 @@
         served.call(served.arbiter._put, put)
     member.until(lambda: len(view.view.members) == 3)
     for gone in [m for m in view.view.members.values() if m.name != "n0"]:
-        member.node.fleet.clerk.post(Strike(gone))
+        member.node.fleet.clerk.post(EvictMember(gone))
     member.until(lambda: len(view.view.members) == 1)
 
 
@@ -435,7 +440,7 @@
     client.close()
     around.until(lambda: around.logged("client.end"))
     around.reply(upstream, status=500)
-    around.until(lambda: not around.node.module.jobs)
+    around.until(lambda: not around.node.module.pending_requests)
     around.quiet(1 - i)
 
 
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -6,11 +6,11 @@
 from test_fleet_policy import Operated, b64
 from test_fleet_wire import NAMES, PART, Served
 
-from starlingwheel.decisions.terms import Fate
-from starlingwheel.fleet.part import ZonesPart, decode
-from starlingwheel.fleet.records import Said
-from starlingwheel.fleet.zones import Noting
-from starlingwheel.net.fleet.zones import Zoning
+from starlingwheel.decisions.terms import AttemptOutcome
+from starlingwheel.fleet.part import ZonesConfig, decode
+from starlingwheel.fleet.records import ZoneReport
+from starlingwheel.fleet.zones import ZoneHealthTracker
+from starlingwheel.net.fleet.zones import ZoneController
 from trials import zones
 from trials.broken import ZONE_VARIANTS
 from trials.emulated_zones import CASES, play
@@ -59,7 +59,7 @@
 
 
 def noted(answers=20):
-    noting = Noting(2.0, 100.0)
+    noting = ZoneHealthTracker(2.0, 100.0)
     for number in range(answers):
         for zone in ("here", "there"):
             noting.began((zone, number), zone)
@@ -122,9 +122,9 @@
 
 
 def test_without_a_part_nothing_is_seen_nor_planned():
-    zoning = Zoning("n0", 1.0, None, 1.0, 0.0, lambda: None, lambda event, **fields: None)
+    zoning = ZoneController("n0", 1.0, None, 1.0, 0.0, lambda: None, lambda event, **fields: None)
     zoning.began("x", "here", 1.0)
-    zoning.ended("x", Fate.OVERDUE, 2.0)
+    zoning.ended("x", AttemptOutcome.TIMED_OUT, 2.0)
     assert not zoning.noting.zones and zoning.due(3.0, True) == float("inf")
 
 
@@ -134,7 +134,7 @@
         decode(wrong, NAMES, 1)
     for key in ("fleet.zones.regions:", "fleet.zones.bears.a:", "fleet.zones.bears.b:", "fleet.zones.spare:"):
         assert key in str(caught.value), key
-    assert decode(PART | {"zones": {}}, NAMES, 1).zones == ZonesPart()
+    assert decode(PART | {"zones": {}}, NAMES, 1).zones == ZonesConfig()
 
 
 # One real sidecar.
@@ -175,7 +175,7 @@
 def test_a_member_that_has_gone_is_in_no_ones_way(operated, served):
     planning = operated.around.node.fleet.module.zoning.planning
     me = operated.around.node.fleet.me
-    planning.said = {"n9.ff": Said(0.0, {}), me: Said(0.0, {})}
+    planning.said = {"n9.ff": ZoneReport(0.0, {}), me: ZoneReport(0.0, {})}
     status, told = operated.say("GET /_zones")
     assert status == 200 and set(told["said"]) == {"n0"}
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import categories
 
-from starlingwheel.net.memory.buffers import KEPT, SIZE, Body, Pool
-from starlingwheel.net.memory.flow import FLOWING, LONGEST, WINDOW, Flow
+from starlingwheel.net.memory.buffers import BUFFER_SIZE, MAX_BUFFERED_BODY, BufferedBody, BufferPool
+from starlingwheel.net.memory.flow import BODY_STREAM_CHANGED, MAX_STREAMED_BODY, STREAM_WINDOW, BodyStream
 
 MB = 1 << 20
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -62,7 +62,7 @@
 
 def empty(around):
     """All buffers are back, nothing is in hand."""
-    around.until(lambda: around.node.pool.in_use == 0 and not around.node.module.jobs)
+    around.until(lambda: around.node.pool.in_use == 0 and not around.node.module.pending_requests)
     assert not around.logged("defect") and not around.logged("module.defect")
 
 
@@ -70,14 +70,14 @@
 
 
 def test_the_first_bytes_of_a_long_answer_are_passed_on_before_its_last(around):
-    client, body = around.ask(), content(KEPT + 1000)
+    client, body = around.ask(), content(MAX_BUFFERED_BODY + 1000)
     upstream = around.accept()
     around.received(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body[:1000])
     head, got = head_and(around, client)
     assert b"200" in head and b"%d" % len(body) in head
     # Its work item is done with: a long answer keeps no place at its upstream, and nothing cuts it.
-    around.until(lambda: not around.node.module.jobs)
+    around.until(lambda: not around.node.module.pending_requests)
     upstream.sendall(body[1000:])
     assert got + read_all(around, client, len(body) - len(got)) == body
     # The connection goes on.
@@ -91,13 +91,13 @@
 
 def test_an_answer_past_the_due_time_is_not_cut(make_surroundings):
     around = make_surroundings(settings={"categories": categories(150000)})
-    client, body = around.ask(), content(3 * KEPT)
+    client, body = around.ask(), content(3 * MAX_BUFFERED_BODY)
     upstream = around.accept()
     around.received(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body))
     got = b""
-    for start in range(0, len(body), KEPT // 2):
-        upstream.sendall(body[start : start + KEPT // 2])
+    for start in range(0, len(body), MAX_BUFFERED_BODY // 2):
+        upstream.sendall(body[start : start + MAX_BUFFERED_BODY // 2])
         around.let_pass(0.1)
     head, got = head_and(around, client)
     assert got + read_all(around, client, len(body) - len(got)) == body
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 def test_a_long_answer_in_each_framing_arrives_as_it_was(around, framing):
-    client, body = around.ask(), content(5 * KEPT)
+    client, body = around.ask(), content(5 * MAX_BUFFERED_BODY)
     upstream = around.accept()
     around.received(upstream)
     if framing == "length":
@@ -157,7 +157,7 @@
         upstream = around.accept()
         around.received(upstream)
         upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(bodies[number]) + bodies[number][:100])
-        around.until(lambda: not around.node.module.jobs)
+        around.until(lambda: not around.node.module.pending_requests)
         clients.append(client)
         upstreams.append(upstream)
     left, got = [memoryview(b)[100:] for b in bodies], [bytearray() for _ in bodies]
@@ -179,7 +179,7 @@
     for body, one in zip(bodies, got, strict=True):
         assert bytes(one).partition(b"\r\n\r\n")[2] == body
     # Between a source and its sink lies a window and what is being written; never a whole answer.
-    assert most * SIZE <= len(bodies) * 3 * (WINDOW + KEPT)
+    assert most * BUFFER_SIZE <= len(bodies) * 3 * (STREAM_WINDOW + MAX_BUFFERED_BODY)
     empty(around)
 
 
@@ -202,12 +202,12 @@
         return len(got) > len(body)
 
     around.until(some, 60.0)
-    assert got.endswith(body[-1000:]) and len(got.partition(b"\r\n\r\n")[2]) == LONGEST == len(body)
+    assert got.endswith(body[-1000:]) and len(got.partition(b"\r\n\r\n")[2]) == MAX_STREAMED_BODY == len(body)
     empty(around)
     around.rested()
     other = around.ask(x_trace_id="t2")
     around.received(upstream)
-    upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\nx" % (LONGEST + 1))
+    upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\nx" % (MAX_STREAMED_BODY + 1))
     around.until(lambda: around.read(upstream) == b"end")
     assert around.logged("upstream.end")[-1]["reason"] == "answer-too-long"
     other.close()
@@ -246,12 +246,12 @@
 def test_of_two_long_answers_the_first_one_is_passed_on_and_the_other_ends(make_surroundings):
     around = make_surroundings(upstreams=2)
     client = around.ask()
-    around.node.module.runner.balancer._delay = lambda wi: 0.01
+    around.node.module.runner.balancer._delay = lambda request: 0.01
     i, one = around.until(around.accept_any)
     around.received(one)
     other = around.accept(1 - i)
     around.received(other)
-    body = content(2 * KEPT)
+    body = content(2 * MAX_BUFFERED_BODY)
     other.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
     assert around.answer(client)[1] == body
     assert around.until(lambda: around.read(one)) == b"end"
@@ -287,8 +287,8 @@
     # The upstream has it already, before its last byte has come.
     upstream = around.accept()
     assert around.until(lambda: around.read(upstream)).startswith(b"POST /buy/1?q=2")
-    [wi] = [job.wi for job in around.node.module.jobs.values()]
-    assert wi.arrived > around.node.loop.now() + 1e6 and wi.most_hand_offs == 1
+    [request] = [pending.request for pending in around.node.module.pending_requests.values()]
+    assert request.arrived_at > around.node.loop.now() + 1e6 and request.max_attempts == 1
     got, left = bytearray(), memoryview(text)[MB:]
 
     def some():
@@ -297,13 +297,13 @@
         with contextlib.suppress(BlockingIOError):
             left = left[client.send(left[:100000]) :] if left else left
         got.extend(around.read(upstream) or b"")
-        assert around.node.pool.in_use * SIZE < 24 * MB / 3
+        assert around.node.pool.in_use * BUFFER_SIZE < 24 * MB / 3
         return len(got) >= len(body) - 65536 * 2 and not left
 
     around.until(some, 30.0)
     around.let_pass(0.1)
     got.extend(around.read(upstream) or b"")
-    around.until(lambda: wi.arrived < around.node.loop.now() + 1)
+    around.until(lambda: request.arrived_at < around.node.loop.now() + 1)
     around.reply(upstream)
     assert around.status(client) == 200
     empty(around)
@@ -336,9 +336,11 @@
         with contextlib.suppress(BlockingIOError):
             left -= client.send(b"x" * min(left, 100000)) if left else 0
         around.read(upstream)
-        return not left and all(e.written for job in jobs.values() for e in job.errands.values())
+        return not left and all(
+            e.written for pending in pending_requests.values() for e in pending.exchanges.values()
+        )
 
-    jobs = around.node.module.jobs
+    pending_requests = around.node.module.pending_requests
     around.until(some, 20.0)
     around.reset(upstream)
     assert around.status(client) == 504
@@ -435,14 +437,14 @@
 
 
 def test_a_flow_tells_its_ends_once_and_gives_back_what_it_holds():
-    pool, source, sink = Pool(64), End(), End()
-    flow = Flow(pool, source, None, Body(pool))
+    pool, source, sink = BufferPool(64), End(), End()
+    flow = BodyStream(pool, source, None, BufferedBody(pool))
     flow.sink = sink
     for _ in range(17):
-        flow.add(b"x" * SIZE)
-    assert sink.mail == [FLOWING] and flow.full and not flow.room()
+        flow.add(b"x" * BUFFER_SIZE)
+    assert sink.mail == [BODY_STREAM_CHANGED] and flow.full and not flow.room()
     part = flow.take()
-    assert part.length == 17 * SIZE and source.mail == [FLOWING] and flow.room()
+    assert part.length == 17 * BUFFER_SIZE and source.mail == [BODY_STREAM_CHANGED] and flow.room()
     flow.add(b"x")
     flow.release()
     part.release()
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -62,7 +62,7 @@
     @contextlib.contextmanager
     def unheard(self):
         """The end of no client is read meanwhile."""
-        loop, actors = self.node.loop, [c for c in self.node.ledger.clients if c.job is not None]
+        loop, actors = self.node.loop, [c for c in self.node.ledger.clients if c.pending is not None]
         descriptors = [actor.stream.sock.fileno() for actor in actors]
         for descriptor in descriptors:
             loop.forget(descriptor)
@@ -181,7 +181,7 @@
 def test_no_second_attempt_is_begun_for_a_burst_that_has_left(crowd, cancel, heard):
     many, crowded = crowd(cancel, upstreams=2), True
     balancer = many.node.module.runner.balancer
-    balancer._delay, balancer._crowded = lambda wi: 0.1, lambda: crowded
+    balancer._delay, balancer._crowded = lambda request: 0.1, lambda: crowded
     clients = many.ask()
     many.until_begun(MANY)
     crowded = False
@@ -228,8 +228,8 @@
     many = shared(cancel)
     with connections_come_up_late(many.around) as kept:
         clients = many.ask(90)
-        jobs = many.node.module.jobs
-        many.around.until(lambda: sum(len(job.errands) for job in jobs.values()) == 90)
+        pending_requests = many.node.module.pending_requests
+        many.around.until(lambda: sum(len(pending.exchanges) for pending in pending_requests.values()) == 90)
         if heard:
             many.leave(clients)
             many.around.until(lambda: not many.node.ledger.clients)
@@ -266,7 +266,7 @@
         peer.flush()
         peer.until(lambda: stream in peer.resets)
     assert not peer.ended and len(peer.bodies[stream]) == WINDOW
-    around.until(lambda: not many.node.module.jobs)
+    around.until(lambda: not many.node.module.pending_requests)
     assert many.node.pool.in_use == 0
 
 
@@ -281,7 +281,9 @@
     (connection,) = many.node.ledger.upstream
     connection.stream.write = lambda: not connection.stream.unwritten  # the kernel takes nothing
     stays, leaves = around.ask(x_trace_id="stays"), around.ask(x_trace_id="leaves")
-    around.until(lambda: sum(len(job.errands) for job in many.node.module.jobs.values()) == 2)
+    around.until(
+        lambda: sum(len(pending.exchanges) for pending in many.node.module.pending_requests.values()) == 2
+    )
     around.let_pass(0.05)
     with many.unheard():
         many.leave([leaves])
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,19 +2,19 @@
 
 from conftest import BUY
 
-from starlingwheel.decisions.terms import Fate
+from starlingwheel.decisions.terms import AttemptOutcome
 
 
 def fail(host, name, times=2):
     host.serve(40)
     u = host.runner.balancer.upstreams[name]
     while times and u.aside_until <= host.runner.now:
-        for ho in [host.of(host.take())[0] for _ in range(4)]:
-            bad = ho.upstream is u and times
-            host.end(ho, Fate.ERROR if bad else Fate.FINISHED)
+        for attempt in [host.of(host.take())[0] for _ in range(4)]:
+            bad = attempt.endpoint is u and times
+            host.end(attempt, AttemptOutcome.ERROR if bad else AttemptOutcome.SUCCESS)
             times -= bool(bad)
-    for ho in [ho for ho in host.sent if ho.pending]:
-        host.end(ho)
+    for attempt in [attempt for attempt in host.sent if attempt.pending]:
+        host.end(attempt)
     return u
 
 
@@ -22,16 +22,16 @@
     u = fail(host, "u0")
     before = len(host.sent)
     host.serve(8)
-    assert u not in {ho.upstream for ho in host.sent[before:]}
+    assert u not in {attempt.endpoint for attempt in host.sent[before:]}
 
 
 def test_an_upstream_set_aside_comes_back_by_a_trickle_without_exclusive_work(host):
     u = fail(host, "u0")
     host.later(1.5)
     host.serve(40, took=0.01, category=BUY)
-    assert u not in {ho.upstream for ho in host.sent[-40:]}
+    assert u not in {attempt.endpoint for attempt in host.sent[-40:]}
     host.serve(60)
-    assert u in {ho.upstream for ho in host.sent[-20:]}
+    assert u in {attempt.endpoint for attempt in host.sent[-20:]}
 
 
 def test_an_upstream_that_answers_nothing_is_left_alone(host):
@@ -39,39 +39,39 @@
     u = host.runner.balancer.upstreams["u0"]
     hung = []
     for _ in range(40):
-        ho = host.of(host.take())[0]
+        attempt = host.of(host.take())[0]
         host.later(0.1)
-        if ho.upstream is u:
-            hung.append(ho)
+        if attempt.endpoint is u:
+            hung.append(attempt)
         else:
-            host.end(ho)
+            host.end(attempt)
     assert 0 < len(hung) < 6
 
 
 def test_a_sidecar_that_saw_only_full_upstreams_tries_again(host):
     for _ in range(8):
-        for ho in host.of(host.take()):
+        for attempt in host.of(host.take()):
             host.later(0.1)
-            host.end(ho, report={"held": 50.0})
+            host.end(attempt, report={"held": 50.0})
     host.later(0.5)
     assert host.of(host.take()) and host.answers(host.take()) == ["deferred"]
 
 
 def test_a_fault_common_to_all_sets_nobody_aside(host):
     for i in range(60):
-        ho = host.of(host.take(BUY))[0]
+        attempt = host.of(host.take(BUY))[0]
         host.later(0.05)
-        host.end(ho, Fate.ERROR if i % 5 else Fate.FINISHED)
+        host.end(attempt, AttemptOutcome.ERROR if i % 5 else AttemptOutcome.SUCCESS)
     host.serve(40)
-    assert len({ho.upstream for ho in host.sent[-40:]}) == 4
+    assert len({attempt.endpoint for attempt in host.sent[-40:]}) == 4
 
 
 def test_an_upstream_that_refuses_connections_still_serves_over_open_ones(make_host):
-    host = make_host(upstreams=1, keep_idle=5.0)
+    host = make_host(upstreams=1, idle_timeout=5.0)
     host.serve(20)
     over_open, refused, again = [host.take(BUY) for _ in range(3)]
     for one in (refused, again):  # at this pace one alone may be chance
-        host.end(host.of(one)[0], Fate.UNREACHED)
+        host.end(host.of(one)[0], AttemptOutcome.CONNECT_FAILED)
     host.end(host.of(over_open)[0])
     after = host.take(BUY)
     assert host.answers(refused) == ["deferred"] and host.of(after)
@@ -82,22 +82,25 @@
 def test_a_slow_upstream_is_given_less(host):
     slow = host.runner.balancer.upstreams["u0"]
     for _ in range(120):
-        ho = host.of(host.take())[0]
-        host.later(0.25 if ho.upstream is slow else 0.05)
-        host.end(ho)
-    assert sum(ho.upstream is slow for ho in host.sent[-80:]) < 16
+        attempt = host.of(host.take())[0]
+        host.later(0.25 if attempt.endpoint is slow else 0.05)
+        host.end(attempt)
+    assert sum(attempt.endpoint is slow for attempt in host.sent[-80:]) < 16
 
 
 def test_faults_that_any_upstream_has_alike_keep_nothing_from_anyone(make_host):
-    host = make_host(upstreams=8, peers_allowed=True)
+    host = make_host(upstreams=8, gossip_allowed=True)
     balancer = host.runner.balancer
     most = 0
     host.serve(400, took=0.002)
     for i in range(2400):  # at a pace at which two failures in a row are bound to come up by chance
-        wi = host.take()
+        request = host.take()
         host.later(0.004)
-        host.end(host.of(wi)[0], Fate.BROKEN if i % 16 == 0 or i % 80 == 1 else Fate.FINISHED)
-        for again in host.of(wi)[1:]:
+        host.end(
+            host.of(request)[0],
+            AttemptOutcome.RESET if i % 16 == 0 or i % 80 == 1 else AttemptOutcome.SUCCESS,
+        )
+        for again in host.of(request)[1:]:
             host.end(again)
         if i > 1400:  # what came as a surprise at first has been forgotten
             known = list(balancer.upstreams.values())
@@ -106,27 +109,30 @@
 
 
 def test_a_failing_upstream_is_warned_of_at_any_pace(make_host):
-    host = make_host(peers_allowed=True)
+    host = make_host(gossip_allowed=True)
     sick = host.runner.balancer.upstreams["u0"]
     for i in range(800):
-        wi = host.take()
+        request = host.take()
         host.later(0.002)
-        for ho in host.of(wi):
-            host.end(ho, Fate.BROKEN if ho.upstream is sick and i > 400 else Fate.FINISHED)
+        for attempt in host.of(request):
+            host.end(
+                attempt,
+                AttemptOutcome.RESET if attempt.endpoint is sick and i > 400 else AttemptOutcome.SUCCESS,
+            )
     assert host.runner.balancer._suspect(sick) or sick.trickle < float("inf")
 
 
 def test_after_an_outage_of_all_upstreams_work_is_answered_again(host):
     def ask(fate):
-        wi = host.take()
-        while pending := [ho for ho in host.of(wi) if ho.pending]:
+        request = host.take()
+        while pending := [attempt for attempt in host.of(request) if attempt.pending]:
             host.end(pending[0], fate)
         host.later(0.01)
-        return host.answers(wi) == ["finished"]
+        return host.answers(request) == ["finished"]
 
     host.serve(40)
     for _ in range(200):
-        ask(Fate.ERROR)
+        ask(AttemptOutcome.ERROR)
     host.later(4.0)  # twice the longest pause of one that is set aside
-    finished = [ask(Fate.FINISHED) for _ in range(500)]
+    finished = [ask(AttemptOutcome.SUCCESS) for _ in range(500)]
     assert sum(finished) > 400 and all(finished[-100:])
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,9 +7,9 @@
 
 from starlingwheel.decisions import lease as module
 from starlingwheel.decisions.lease import EndpointLease, LeaseState
-from starlingwheel.decisions.terms import Fate, HandOff
+from starlingwheel.decisions.terms import Attempt, AttemptOutcome
 from starlingwheel.net.gate import Refusal
-from starlingwheel.net.memory.work import Errand
+from starlingwheel.net.memory.work import Exchange
 
 GRACE = 0.5
 NOTICE = module.MISSED_NOTICE
@@ -112,7 +112,7 @@
 
 
 def test_once_the_lease_has_expired_requests_are_rejected_at_once_and_nothing_is_sent_or_probed():
-    host = FakeHost(asking_allowed=True, load_reported=True)
+    host = FakeHost(health_checks_allowed=True, load_reported=True)
     lease = host.runner.balancer.lease
     lease.start(0.0)
     host.runner.at(100.0)
@@ -131,7 +131,7 @@
     lease.expires_at = host.runner.now
     host.later(0.5)
     assert len(host.sent) == sent
-    host.end(host.of(looked)[0], Fate.UNREACHED)
+    host.end(host.of(looked)[0], AttemptOutcome.CONNECT_FAILED)
     assert host.answers(looked) == ["deferred"] and len(host.sent) == sent
     host.end(host.of(bought)[0])
     assert host.answers(bought) == ["finished"]
@@ -185,9 +185,9 @@
     client = around.ask("buy")
     sock = around.accept()
     around.received(sock)
-    (job,) = around.node.module.jobs.values()
-    (ho,) = job.errands
-    again = HandOff(ho.wi, ho.upstream, around.node.loop.now())
+    (pending,) = around.node.module.pending_requests.values()
+    (attempt,) = pending.exchanges
+    again = Attempt(attempt.request, attempt.endpoint, around.node.loop.now())
     around.node.module.send(again, 1.0)
     around.quiet()
     assert around.node.gate.violations == 1
@@ -201,18 +201,18 @@
     client = around.ask("move")
     sock = around.accept()
     around.received(sock)
-    (job,) = around.node.module.jobs.values()
-    (first,) = job.errands.values()
+    (pending,) = around.node.module.pending_requests.values()
+    (first,) = pending.exchanges.values()
     at = around.node.loop.now()
     around.node.gate.now = lambda: at  # however long the story takes
     around.node.lease.expires_at = inf
-    repeat = Errand(first.upstream, first.carrier, at, inf, first.ho, job)
-    first.sent = at - job.wi.category.memory + left
-    assert (around.node.gate.refusal(first.carrier.entry, repeat) is Refusal.WINDOW_OVER) == refused
+    repeat = Exchange(first.endpoint, first.pool, at, inf, first.attempt, pending)
+    first.started_at = at - pending.request.request_class.deduplication_window + left
+    assert (around.node.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
     # The same once the first has ended in a way that may have run.
-    sent = first.sent
+    sent = first.started_at
     around.reply(sock, status=500)
-    around.until(lambda: job.may_have_run)
-    assert job.risky_since == sent
-    assert (around.node.gate.refusal(first.carrier.entry, repeat) is Refusal.WINDOW_OVER) == refused
+    around.until(lambda: pending.may_have_run)
+    assert pending.risky_since == sent
+    assert (around.node.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
     client.close()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -13,10 +13,10 @@
 from conftest import SETTINGS, address, bound, categories
 
 from standins.loopback import free_address
-from starlingwheel.decisions.terms import Condition
+from starlingwheel.decisions.terms import EndpointState
 from starlingwheel.net.actor import Actor
-from starlingwheel.net.lifecycle.config import Unusable, configured
-from starlingwheel.net.lifecycle.log import MOST, Log
+from starlingwheel.net.lifecycle.config import ConfigError, load_config
+from starlingwheel.net.lifecycle.log import MOST, EventLog
 from starlingwheel.net.loop import READ, Loop
 from starlingwheel.net.mail import STOP
 from starlingwheel.net.wire import discovery
@@ -177,7 +177,7 @@
         around.serve(status=500 if version % 2 else 200)  # all of them at one address
         assert around.status(client) in (200, 504)
         client.close()
-    around.until(lambda: not node.module.jobs and not node.ledger.clients)
+    around.until(lambda: not node.module.pending_requests and not node.ledger.clients)
     assert len(node.module.upstreams) == len(balancer.upstreams) == len(balancer.tagged) == 20
     assert len(balancer.suspects) <= 10 and len(balancer.told) <= 5 * 100
     node.module.runner.at(node.module.runner.now + 60)
@@ -202,7 +202,7 @@
     assert target == b"/v1/endpoints?watch=1&from=0"
     around.say(old, {"version": 8, "servers": [around.entry(0, state="leaving")]})
     drained = around.node.module.runner.balancer.upstreams["s0"]
-    around.until(lambda: drained.listing.condition is Condition.DRAINING)
+    around.until(lambda: drained.listing.condition is EndpointState.DRAINING)
     around.say(new, {"version": 1, "full": True, "servers": [around.entry(1)]})
     assert around.until(lambda: around.read(old)) == b"end"
     around.until(lambda: list(around.node.module.upstreams) == ["s1"])
@@ -305,8 +305,8 @@
 def test_a_configuration_that_can_not_be_used_is_named(tmp_path, text, named):
     path = tmp_path / "config.json"
     path.write_bytes(text)
-    with pytest.raises(Unusable) as refused:
-        configured({"EDGE_CONFIG": str(path)})
+    with pytest.raises(ConfigError) as refused:
+        load_config({"EDGE_CONFIG": str(path)})
     assert named in str(refused.value) and "\n" not in str(refused.value)
 
 
@@ -413,7 +413,7 @@
 
 def test_a_slow_reader_of_the_log_costs_lines_and_never_the_loop():
     reader, writer = os.pipe()
-    log = Log(time.time, writer)
+    log = EventLog(time.time, writer)
     for n in range(2 * MOST // 100):
         log("line", n=n, more="x" * 100)
         log.flush()
@@ -431,7 +431,7 @@
 def test_a_reader_of_the_log_that_has_gone_does_not_end_the_sidecar():
     reader, writer = os.pipe()
     os.close(reader)
-    log = Log(time.time, writer)
+    log = EventLog(time.time, writer)
     log("line")
     log.flush()
     os.close(writer)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,9 +7,9 @@
 import pytest
 from conftest import SETTINGS, bound, categories
 
-from starlingwheel.net.memory.buffers import LONGEST_BODY
-from starlingwheel.net.wire.client import READ_AWAY, Client
-from starlingwheel.net.wire.upstream import Connection, Upstream, figures
+from starlingwheel.net.memory.buffers import MAX_REQUEST_BODY
+from starlingwheel.net.wire.client import READ_AWAY, ClientConnection
+from starlingwheel.net.wire.upstream import ConnectionPool, Http1Connection, figures
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged(around):
@@ -25,7 +25,7 @@
     answer, got = around.answer(client)
     assert answer.status_code == 200 and got == body[::-1]
     assert dict(answer.headers)[b"content-type"] == b"x/y"
-    assert around.until(lambda: around.node.pool.in_use == 0 and not around.node.module.jobs)
+    assert around.until(lambda: around.node.pool.in_use == 0 and not around.node.module.pending_requests)
 
 
 def test_a_connection_is_kept_and_carries_the_next_request(around):
@@ -98,7 +98,7 @@
     served = next(iter(around.until(lambda: around.node.ledger.clients)))
     served.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.sendall(around.request())
-    around.serve(body=b"x" * LONGEST_BODY)
+    around.serve(body=b"x" * MAX_REQUEST_BODY)
     assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "slow-reader"
     assert around.until(lambda: around.node.pool.in_use == 0)
 
@@ -186,7 +186,7 @@
     around.received(upstream)
     around.reply(upstream, body=b"first")
     assert around.answer(client)[1] == b"first"
-    monkeypatch.setattr(Connection, "usable", lambda _: True)  # it comes after that look
+    monkeypatch.setattr(Http1Connection, "usable", lambda _: True)  # it comes after that look
     around.rested()
     around.reply(upstream, body=b"copy")
     client.sendall(around.request("buy", b"two"))
@@ -196,7 +196,7 @@
 
 def test_an_answer_that_begins_before_its_request_is_written_is_none(make_surroundings):
     around = make_surroundings(upstreams=2)
-    client = around.ask("buy", b"x" * LONGEST_BODY)
+    client = around.ask("buy", b"x" * MAX_REQUEST_BODY)
     i, upstream = around.until(around.accept_any)
     carrying = around.until(lambda: next(iter(around.node.ledger.upstream), None))
     carrying.stream.unwritten.append(b"more" * 4000000)  # more than the kernel takes
@@ -334,7 +334,7 @@
 
 
 def test_unread_input_does_not_reset_the_answer(around):
-    client = around.ask("buy", b"x" * (LONGEST_BODY + 1), content_length="60000000")
+    client = around.ask("buy", b"x" * (MAX_REQUEST_BODY + 1), content_length="60000000")
     assert around.status(client) == 413
     client.sendall(b"x" * 50000)
     around.let_pass(0.02)
@@ -352,7 +352,7 @@
             client.close()
         around.reply(upstream, extra="Connection: close\r\n")
         client.close()
-        around.until(lambda: not around.node.module.jobs and not around.node.ledger.clients)
+        around.until(lambda: not around.node.module.pending_requests and not around.node.ledger.clients)
     assert around.until(lambda: around.node.pool.in_use == 0)
 
 
@@ -376,7 +376,7 @@
     assert around.logged("upstream.end")[-1]["reason"] == "dropped"
     assert around.node.module.counts["left"] == 1
     around.quiet()
-    assert not around.node.module.jobs
+    assert not around.node.module.pending_requests
 
 
 BAD = [
@@ -423,7 +423,7 @@
     client.sendall(b"0\r\n\r\n" + hidden)
     assert around.status(client) == 400
     around.quiet()
-    assert not around.node.module.counts["finished"] and not around.node.module.jobs
+    assert not around.node.module.counts["finished"] and not around.node.module.pending_requests
 
 
 def test_an_id_that_is_in_hand_is_refused_and_nothing_is_kept_of_it(around):
@@ -487,7 +487,7 @@
     ledger = around.node.ledger
     ledger.client_share = ledger.most_requests = 2
     busy = [around.ask(x_trace_id=f"busy{n}") for n in range(ledger.most_requests)]
-    around.until(lambda: len(around.node.module.jobs) == len(busy))
+    around.until(lambda: len(around.node.module.pending_requests) == len(busy))
     more = [around.ask(x_trace_id=f"more{n}") for n in range(64)]  # more than there is room to say it to
     assert {around.status(one) for one in more[:8]} == {503}
     assert len(ledger.clients) <= ledger.client_share + ledger.spare
@@ -583,7 +583,7 @@
 
 def test_a_defect_in_following_the_list_does_not_leave_it_unwatched(make_surroundings, monkeypatch):
     with monkeypatch.context() as patch:
-        patch.setattr("starlingwheel.decisions.terms.Subscribe.__init__", lambda self: 1 / 0)
+        patch.setattr("starlingwheel.decisions.terms.WatchEndpoints.__init__", lambda self: 1 / 0)
         around = make_surroundings()
         around.until(lambda: around.logged("module.defect"))
     around.watch(b"")
@@ -594,12 +594,12 @@
     client = around.ask("buy", b"one")
     around.serve(status=500)
     assert around.status(client) == 504
-    assert around.logged("module.defect") and not around.node.module.jobs
+    assert around.logged("module.defect") and not around.node.module.pending_requests
 
 
 def test_a_defect_in_a_connection_ends_that_connection(around, monkeypatch):
     with monkeypatch.context() as patch:
-        patch.setattr(Client, "_take", lambda *_: 1 / 0)
+        patch.setattr(ClientConnection, "_take", lambda *_: 1 / 0)
         assert around.status(around.ask()) is None
     assert "ZeroDivisionError" in around.logged("defect")[0]["trace"]
     assert around.logged("client.end")[0]["reason"] == "defect"
@@ -611,7 +611,7 @@
     client.sendall(around.request("buy", b"one"))
     around.serve()
     assert around.status(client) == 200
-    monkeypatch.setattr(Connection, "_answer", lambda *_: 1 / 0)
+    monkeypatch.setattr(Http1Connection, "_answer", lambda *_: 1 / 0)
     client.sendall(around.request("buy", b"two"))
     assert around.status(client) == 504
     assert around.logged("upstream.end")[0]["reason"] == "defect"
@@ -619,7 +619,7 @@
 
 def test_a_defect_before_a_connection_ends_the_hand_off(around, monkeypatch):
     with monkeypatch.context() as patch:
-        patch.setattr(Upstream, "_carry", lambda *_: 1 / 0)
+        patch.setattr(ConnectionPool, "_carry", lambda *_: 1 / 0)
         assert around.status(around.ask("buy", b"one")) == 503
     client = around.ask("buy", b"one")
     around.serve()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,13 +15,18 @@
 from conftest import SETTINGS, address, bound
 
 from standins.loopback import free_address
-from starlingwheel.decisions.terms import Condition
-from starlingwheel.net.lifecycle.config import Unusable
-from starlingwheel.net.memory.beside import Beside
-from starlingwheel.net.memory.connections import Ledger
-from starlingwheel.net.memory.out import FILE, MOST_KNOWN, Busy, Out
+from starlingwheel.decisions.terms import EndpointState
+from starlingwheel.net.lifecycle.config import ConfigError
+from starlingwheel.net.memory.beside import SiblingProcesses
+from starlingwheel.net.memory.connections import ConnectionTracker
+from starlingwheel.net.memory.out import (
+    MAX_KNOWN_IDS,
+    OVERRIDES_FILE,
+    EndpointOverrides,
+    OverridesLockedError,
+)
 from starlingwheel.net.wire.address import split
-from starlingwheel.net.wire.entries import Entry
+from starlingwheel.net.wire.entries import DiscoveredEndpoint
 
 
 @pytest.fixture
@@ -84,7 +89,7 @@
     around = operated()
     assert around.call(lead, body, extra) == status
     assert not around.node.out.kept.out and not around.node.lameduck
-    assert believed(around, "s0").condition is Condition.READY
+    assert believed(around, "s0").condition is EndpointState.READY
     assert [line["status"] for line in around.logged("operator.call")] == [status]
 
 
@@ -118,14 +123,14 @@
 
 
 def test_a_second_address_that_is_in_use_ends_the_start_with_one_line(make_surroundings, around):
-    with pytest.raises(Unusable) as refused:
+    with pytest.raises(ConfigError) as refused:
         make_surroundings(mgmt=address(around.listeners[0]))
     assert "\n" not in str(refused.value)
 
 
 def test_without_a_second_address_nothing_listens(around):
     assert around.node.operators is None and around.node.ledger.calls == 0
-    assert Ledger(1024).share > Ledger(1024, called=True).share
+    assert ConnectionTracker(1024).share > ConnectionTracker(1024, called=True).share
 
 
 # Taking an upstream out.
@@ -153,9 +158,9 @@
     assert attach(around) == 200  # it was not out
     assert believed(around, "s0") == before
     assert detach(around) == 200 and detach(around) == 200
-    around.until(lambda: believed(around, "s0").condition is Condition.DRAINING)
+    around.until(lambda: believed(around, "s0").condition is EndpointState.DRAINING)
     assert attach(around) == 200
-    around.until(lambda: believed(around, "s0").condition is Condition.READY)
+    around.until(lambda: believed(around, "s0").condition is EndpointState.READY)
     # Discovery has not said yet that it was restarted.
     assert believed(around, "s0").started > around.node.loop.now() - 5
     assert (
@@ -184,11 +189,11 @@
 def test_what_is_said_to_one_process_holds_in_the_other_and_in_the_next(operated):
     one, other = operated(), operated()
     assert detach(one) == 200
-    other.until(lambda: believed(other, "s0").condition is Condition.DRAINING)
+    other.until(lambda: believed(other, "s0").condition is EndpointState.DRAINING)
     assert other.call("PUT /_lameduck/on") == 200
     one.until(lambda: one.node.lameduck)
     assert attach(other) == 200
-    one.until(lambda: believed(one, "s0").condition is Condition.READY)
+    one.until(lambda: believed(one, "s0").condition is EndpointState.READY)
     assert detach(other) == 200
     after = operated(known={"version": 7, "full": True, "servers": []})
     assert after.node.out.kept.out and after.node.lameduck
@@ -199,36 +204,36 @@
 
 @pytest.mark.parametrize("text", [b"", b"{", b'{"out":7}', b"\xff\x00"])
 def test_a_torn_file_stops_neither_start_nor_call(operated, tmp_path, text):
-    (tmp_path / FILE).write_bytes(text)
+    (tmp_path / OVERRIDES_FILE).write_bytes(text)
     around = operated()
     assert around.logged("operators.unreadable")
-    assert detach(around) == 200 and "s0" in json.loads((tmp_path / FILE).read_bytes())["out"]
+    assert detach(around) == 200 and "s0" in json.loads((tmp_path / OVERRIDES_FILE).read_bytes())["out"]
 
 
 def test_a_yes_is_said_only_when_it_is_written(operated, tmp_path):
     around = operated()
     around.until(lambda: not around.node.out.unwritten)
-    around.node.out.path = tmp_path / "gone" / FILE
+    around.node.out.path = tmp_path / "gone" / OVERRIDES_FILE
     assert detach(around) == 503
-    assert believed(around, "s0").condition is Condition.READY
+    assert believed(around, "s0").condition is EndpointState.READY
 
 
 def test_a_file_that_another_process_holds_is_waited_for(tmp_path):
-    out = Out(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
-    out.listed(True, [Entry("s0")])
-    with out._lock(), pytest.raises(Busy):
+    out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
+    out.listed(True, [DiscoveredEndpoint("s0")])
+    with out._lock(), pytest.raises(OverridesLockedError):
         out.take_out("s0")
     assert not out.kept.out
     assert out.take_out("s0")
 
 
 def test_ids_without_end_are_forgotten_but_not_those_in_use(tmp_path):
-    out = Out(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
-    out.listed(True, [Entry("first"), Entry("second")])
+    out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
+    out.listed(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
     out.take_out("second")
-    for i in range(3 * MOST_KNOWN):
-        out.listed(False, [Entry(f"s{i}"), Entry(f"s{i}", state="left")])
-    assert len(out.known) <= MOST_KNOWN + 2
+    for i in range(3 * MAX_KNOWN_IDS):
+        out.listed(False, [DiscoveredEndpoint(f"s{i}"), DiscoveredEndpoint(f"s{i}", state="left")])
+    assert len(out.known) <= MAX_KNOWN_IDS + 2
     assert out.take_out("first") and out.put_back("second") is not None
     assert out.take_out("s0") is None
 
@@ -280,12 +285,12 @@
 
 def test_another_process_is_seen_while_it_lives(tmp_path):
     text = f"""if True:
-        from starlingwheel.net.memory.beside import Beside
-        beside = Beside({str(tmp_path)!r})
+        from starlingwheel.net.memory.beside import SiblingProcesses
+        beside = SiblingProcesses({str(tmp_path)!r})
         print(beside.others(), flush=True)
         input()
     """
-    beside = Beside(str(tmp_path))
+    beside = SiblingProcesses(str(tmp_path))
     assert not beside.others()
     command = [sys.executable, "-c", text]
     process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
@@ -307,12 +312,12 @@
             return True
 
     node.beside = Another()
-    around.until(lambda: balancer.terms.processes == 2)
+    around.until(lambda: balancer.terms.process_count == 2)
     shared = node.pool.most, node.ledger.share
     assert node.ledger.client_share == clients  # they come over to the new one all at once
     assert all(half < whole * 0.6 for half, whole in zip(shared, alone, strict=True))
     node.beside = None
-    around.until(lambda: balancer.terms.processes == 1)
+    around.until(lambda: balancer.terms.process_count == 1)
     assert (node.pool.most, node.ledger.share) == alone
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -6,7 +6,7 @@
 import pytest
 from conftest import BUY, LOOK, SETTINGS, categories
 
-from starlingwheel.decisions.terms import Category, Effect, Fate
+from starlingwheel.decisions.terms import AttemptOutcome, RequestClass, RetrySafety
 
 
 def changed(path, value):
@@ -120,18 +120,18 @@
 def test_what_sockets_were_made_from_waits_for_a_restart(around):
     around.reconfigure(settings=SETTINGS | {"replicasOfMe": 3, "slotNo": 1})
     [line] = around.logged("config.read")
-    assert line["need_restart"] == ["settings: number", "settings: sidecars"]
-    assert (around.node.terms.number, around.node.terms.sidecars) == (0, 2)
+    assert line["need_restart"] == ["settings: sidecar_index", "settings: sidecars"]
+    assert (around.node.terms.sidecar_index, around.node.terms.sidecars) == (0, 2)
 
 
 def test_open_work_keeps_the_attempts_it_was_taken_with(host):
     """Two more hand-offs were allowed when it was taken; what comes later gets one."""
     terms = host.runner.balancer.terms
     before = host.take(LOOK)
-    host.runner.retune(msgspec.structs.replace(terms, most_hand_offs=1))
+    host.runner.retune(msgspec.structs.replace(terms, max_attempts=1))
     after = host.take(LOOK)
-    for wi in (before, after):
-        host.end(host.of(wi)[-1], Fate.TURNED_DOWN)
+    for request in (before, after):
+        host.end(host.of(request)[-1], AttemptOutcome.REJECTED)
     assert len(host.of(before)) == 2 and len(host.of(after)) == 1
     assert host.answers(after) == ["deferred"]
 
@@ -141,11 +141,15 @@
     balancer = host.runner.balancer
     learned = balancer._typical(LOOK)
     # The same by its name, with another effect and deadline, beside a new one.
-    look = Category("look", Effect.TICKETED, due_time=1.0, payoff=1.0, expiry=2.0)
-    gaze = Category("gaze", Effect.RERUNNABLE, due_time=0.5, payoff=2.0, expiry=1.0)
-    host.runner.retune(msgspec.structs.replace(balancer.terms, categories=[look, gaze]))
+    look = RequestClass(
+        "look", RetrySafety.IDEMPOTENT_WITH_KEY, latency_objective=1.0, priority_weight=1.0, timeout=2.0
+    )
+    gaze = RequestClass(
+        "gaze", RetrySafety.IDEMPOTENT, latency_objective=0.5, priority_weight=2.0, timeout=1.0
+    )
+    host.runner.retune(msgspec.structs.replace(balancer.terms, request_classes=[look, gaze]))
     assert balancer._typical(look) == pytest.approx(learned)
-    assert balancer._typical(gaze) == gaze.due_time / 8
+    assert balancer._typical(gaze) == gaze.latency_objective / 8
     assert balancer.shortest == 0.5 and balancer.best_payoff == 2.0
     assert set(balancer.typical) == {"look", "gaze"}
     host.serve(5, category=gaze)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -55,7 +55,7 @@
         assert size - 1 + 2 <= one["sockets"] <= size - 1 + 5
         # One or two words on each link, and a renewal of the lease and of the watch now and then.
         assert size - 1 <= one["messages_out"] * one["seconds"] <= 2 * (size - 1) + 2 * one["seconds"]
-    assert hollow["frames_in"].keys() == {"Beat"}
+    assert hollow["frames_in"].keys() == {"HeartbeatFrame"}
     assert arbiter["watch_events_s"] == 0 and arbiter["sockets"] >= 2 * size
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,9 +6,9 @@
 import pytest
 from conftest import SETTINGS, categories
 
-from starlingwheel.net.lifecycle.config import Unusable, configured
+from starlingwheel.net.lifecycle.config import ConfigError, load_config
 from starlingwheel.net.wire.upstream import figures
-from starlingwheel.simhost.wire import Line
+from starlingwheel.simhost.wire import SimulatorLine
 
 PUSHED = {
     "categories": categories(),
@@ -43,21 +43,26 @@
         path = tmp_path / "config.json"
         given = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings}
         path.write_bytes(msgspec.json.encode(given))
-        return configured({"EDGE_CONFIG": str(path)})[1]
+        return load_config({"EDGE_CONFIG": str(path)})[1]
 
     return told
 
 
 def test_the_old_shape_follows_from_settings_that_say_nothing_new(told):
     terms = told(SETTINGS)
-    assert terms.must_subscribe and terms.streams == 1 and not terms.sizes_move and not terms.keeping_price
-    assert told({k: v for k, v in SETTINGS.items() if k != "discovery"}).must_subscribe
+    assert (
+        terms.must_watch_endpoints
+        and terms.streams_per_connection == 1
+        and not terms.weights_are_live
+        and not terms.open_connection_price
+    )
+    assert told({k: v for k, v in SETTINGS.items() if k != "discovery"}).must_watch_endpoints
 
 
 def test_the_new_shape_follows_from_the_settings_alone(told):
     terms = told(PUSHED)
-    assert not terms.must_subscribe and terms.streams == 100 and terms.sizes_move
-    assert terms.keeping_price == 0.03 and terms.sidecars == 300 and terms.number == 7
+    assert not terms.must_watch_endpoints and terms.streams_per_connection == 100 and terms.weights_are_live
+    assert terms.open_connection_price == 0.03 and terms.sidecars == 300 and terms.sidecar_index == 7
 
 
 CAPS = SETTINGS["caps"] | {"streamsPerConn": 1, "mostHandOffs": 5, "connectTimeout": 200000}
@@ -85,7 +90,11 @@
 @pytest.mark.parametrize("settings", [CLAIMS, RESULTS])
 def test_a_sidecar_starts_with_the_settings_of_the_new_deployments(told, make_surroundings, settings):
     terms = told(settings)
-    assert terms.keys_known and terms.streams == 1 and terms.must_subscribe == (settings is RESULTS)
+    assert (
+        terms.key_affinity
+        and terms.streams_per_connection == 1
+        and terms.must_watch_endpoints == (settings is RESULTS)
+    )
     around = make_surroundings(
         settings=settings | {"categories": categories(), "replicasOfMe": 2, "slotNo": 0}
     )
@@ -100,12 +109,15 @@
 
 
 def test_only_a_deployment_that_says_so_looks_at_keys(told):
-    assert not told(SETTINGS).keys_known and not told(SETTINGS, specifics={"warmKeys": None}).keys_known
+    assert not told(SETTINGS).key_affinity and not told(SETTINGS, specifics={"warmKeys": None}).key_affinity
 
 
 def test_a_time_in_a_load_report_is_in_seconds():
     assert figures("TEXT inflight=3, latency_ms=120") == {"held": 3.0, "service": 0.12}
-    assert Line(1, "ENDED feedback=svc_ms:120,busy_reqs:3").report() == {"held": 3.0, "service": 0.12}
+    assert SimulatorLine(1, "ENDED feedback=svc_ms:120,busy_reqs:3").report() == {
+        "held": 3.0,
+        "service": 0.12,
+    }
 
 
 @pytest.mark.parametrize(
@@ -126,7 +138,7 @@
     ],
 )
 def test_what_is_wrong_is_refused_in_one_line_that_names_the_key(told, settings, changed, named):
-    with pytest.raises(Unusable) as refused:
+    with pytest.raises(ConfigError) as refused:
         told(settings, **changed)
     assert f"settings: {named}: " in str(refused.value) and "\n" not in str(refused.value)
 
@@ -160,7 +172,7 @@
 def test_a_mixture_read_while_it_runs_is_told_and_in_force(make_surroundings):
     around = make_surroundings()
     around.reconfigure(settings=SETTINGS | {"weightKind": "live"})
-    assert not around.logged("config.unusable") and around.node.terms.sizes_move
+    assert not around.logged("config.unusable") and around.node.terms.weights_are_live
     assert [line["key"] for line in around.logged("settings.mixed")] == ["weightKind", "caps.probing"]
     client = around.ask()
     around.serve()
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -6,7 +6,7 @@
 import pytest
 
 from starlingwheel.simhost import __main__ as simhost
-from starlingwheel.simhost.host import Process
+from starlingwheel.simhost.host import SimulatorProcess
 
 FACTS = (
     '{"categories": [{"name": "look", "effect": "free", "dueTime": 1000000, "expiry": 2000000}],'
@@ -70,7 +70,7 @@
 
 
 def test_timers_that_can_not_be_taken_back_do_not_pile_up():
-    process, alarms, ticks, answered = Process(), [], 0, 0
+    process, alarms, ticks, answered = SimulatorProcess(), [], 0, 0
     many = [f"UPSTREAM upstream=10.0.{i}.1:80 condition=2" for i in range(2000)]
     process.batch(START[0], iter([*START[1:3], "SHEET bank=0 entries=2000", *many, START[-1], "GO"]))
     for turn in range(2, 2002):
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -22,12 +22,12 @@
 
 from standins.loopback import free_address
 from starlingwheel.net.lifecycle import start
-from starlingwheel.net.lifecycle.config import configured
+from starlingwheel.net.lifecycle.config import load_config
 from starlingwheel.net.loop import Loop
-from starlingwheel.net.mail import Relocated
+from starlingwheel.net.mail import DiscoveryMoved
 from starlingwheel.net.wire import discovery
 from starlingwheel.net.wire.address import split
-from starlingwheel.net.wire.http import Lost
+from starlingwheel.net.wire.http import ConnectionLostError
 
 TOLD = 6.0
 LINE = 2.0
@@ -79,7 +79,7 @@
         way = self.way(call)
         if way == self.REFUSED:
             ours.close(), theirs.close()
-            raise Lost("refused")
+            raise ConnectionLostError("refused")
         if way == self.CUT:
             self.fill(theirs)  # it never comes up
         elif way != self.HANGS:
@@ -146,7 +146,7 @@
         self.path = tmp_path / "config.json"
         monkeypatch.setattr(start, "Loop", lambda _: self.loop)
         monkeypatch.setattr(discovery, "connect", lambda address: self.places[address].connect(self.calling))
-        monkeypatch.setattr(discovery.Watch, "begin", lambda watch: self.begin(watch))
+        monkeypatch.setattr(discovery.DiscoveryWatch, "begin", lambda watch: self.begin(watch))
 
     def defect(self, actor, error):
         raise error
@@ -171,7 +171,7 @@
         self.path.write_bytes(msgspec.json.encode(told))
         environment = {"EDGE_CONFIG": str(self.path)}
         log = self.keep(open("/dev/null", "wb"))  # noqa: SIM115
-        node = start.Node(*configured(environment), environment, log_fd=log.fileno())
+        node = start.Node(*load_config(environment), environment, log_fd=log.fileno())
         node.lines = []
         node.list.node.log = lambda event, **fields: node.lines.append((event, self.now, fields))
         self.nodes.append(node)
@@ -331,7 +331,7 @@
         back = after(w, out, *FIRST[first])
         two = w.place("b:1", lambda call, back=back, down=down: down if (way := back(call)) is None else way)
         two.version = 2
-        node.list.post(Relocated("b:1"))
+        node.list.post(DiscoveryMoved("b:1"))
         w.run(w.now + out)
         # Where it is pushed, what the new agent has counts 4 s after the word that it is another one.
         assert w.told(node, 2, 20) <= (4.0 if fleet == "pushed" and not out else TOLD)
--- a/trials/call_tree.py
+++ b/trials/call_tree.py
@@ -23,18 +23,18 @@
 from typing import Any
 
 from starlingwheel.decisions.rules import Balancer
-from starlingwheel.decisions.runner import Runner
+from starlingwheel.decisions.runner import DecisionScheduler
 from starlingwheel.decisions.terms import (
-    Category,
-    Condition,
-    Effect,
-    Fate,
-    HandOff,
-    Listing,
-    News,
-    Outcome,
-    Terms,
-    WorkItem,
+    Attempt,
+    AttemptEnded,
+    AttemptOutcome,
+    BalancerConfig,
+    Endpoint,
+    EndpointState,
+    Request,
+    RequestClass,
+    RetrySafety,
+    WatchEvent,
 )
 
 WAY = (0.0001, 0.0004)  # seconds of one way between a caller and a server: the least, and the most
@@ -65,7 +65,7 @@
     room: int = 256  # calls that wait at a server, before it turns the next away
     due: float = 1.0
     effect: str = "rerunnable"
-    most_hand_offs: int = 3
+    max_attempts: int = 3
     copies: bool = True
     budget: float | None = None
     passes_on: bool = False
@@ -84,14 +84,14 @@
         for name, least, most in (
             ("depth", 1, 12), ("services", 1, 64), ("instances", 1, 256), ("rate", 0.1, 1e5),
             ("use", 0.001, 0.95), ("part", 0.0, 1.0), ("lasts", 0.0, 600.0), ("cores", 1, 256),
-            ("most_hand_offs", 1, 16), ("due", 0.01, 60.0), ("learn", 0.0, 600.0), ("last", 0.1, 600.0),
+            ("max_attempts", 1, 16), ("due", 0.01, 60.0), ("learn", 0.0, 600.0), ("last", 0.1, 600.0),
         ):  # fmt: skip
             value = getattr(self, name)
             if not least <= value <= most:
                 wrong.append(f"{name}: {value} is not from {least} to {most}")
         if self.budget is not None and not 0 <= self.budget <= 10:
             wrong.append(f"budget: {self.budget} is not from 0 to 10")
-        if self.effect not in [effect.value for effect in Effect]:
+        if self.effect not in [effect.value for effect in RetrySafety]:
             wrong.append(f"effect: {self.effect!r} is unknown")
         calls = self.rate * self.services * self.instances * self.depth * (self.learn + self.last)
         if not wrong and 8 * calls > self.most:
@@ -121,8 +121,8 @@
 
     budget: Budget
 
-    def _may_send(self, wi: WorkItem, handed: list[HandOff]) -> bool:
-        return self.budget.left >= 1 and super()._may_send(wi, handed)
+    def _may_send(self, request: Request, handed: list[Attempt]) -> bool:
+        return self.budget.left >= 1 and super()._may_send(request, handed)
 
 
 @dataclass(frozen=True)
@@ -137,14 +137,14 @@
 class Call:
     """One hand-off at its server. `until`: by when its caller waits, as the server was told."""
 
-    ho: HandOff | None
+    attempt: Attempt | None
     caller: Caller
     server: Server
     until: float
     root: Root
     left: bool = False
     below: Caller | None = None
-    child: WorkItem | None = None
+    child: Request | None = None
     waits: bool = True
     held: bool = False
 
@@ -158,7 +158,7 @@
     told: float
     root: Root
     sends: int = 0
-    calls: dict[HandOff, Call] = field(default_factory=dict)
+    calls: dict[Attempt, Call] = field(default_factory=dict)
     answered: bool = False
 
 
@@ -168,62 +168,76 @@
     def __init__(self, tree: Tree, level: int, servers: list[Server], number: int) -> None:
         self.tree, self.level, self.servers = tree, level, {server.name: server for server in servers}
         plan = tree.plan
-        terms = Terms(
-            categories=[tree.category], zone="here", sidecars=plan.services * plan.instances,
-            must_subscribe=False, ask_within=8.0, cold_share=1.0, cold_for=0.0, fall_multiple=2.0,
-            fall_span=2.0, most_hand_offs=plan.most_hand_offs, crossing_price=0.0, longest_come_back=1.0,
-            copies_allowed=plan.copies, number=number, load_reported=plan.reports, answers_tell=plan.reports,
-        )  # fmt: skip
+        terms = BalancerConfig(
+            request_classes=[tree.category],
+            zone="here",
+            sidecars=plan.services * plan.instances,
+            must_watch_endpoints=False,
+            endpoint_list_max_age=8.0,
+            slow_start_initial_fraction=1.0,
+            slow_start_duration=0.0,
+            overload_factor=2.0,
+            overload_window=2.0,
+            max_attempts=plan.max_attempts,
+            cross_zone_price=0.0,
+            max_retry_after=1.0,
+            hedging_allowed=plan.copies,
+            sidecar_index=number,
+            load_reported=plan.reports,
+            load_reported_in_responses=plan.reports,
+        )
         chance = random.Random(f"{plan.seed} {number} {servers[0].name}")
-        self.runner = Runner(terms, chance, self, tree.now)
+        self.runner = DecisionScheduler(terms, chance, self, tree.now)
         self.budget = Budget(plan.budget) if plan.budget is not None else None
         if self.budget is not None:
             what_if = self.runner.balancer = WhatIf(terms, chance, tree.now)
             what_if.budget = self.budget
-        self.asked: dict[WorkItem, Asked] = {}
-        listings = [Listing(s.name, "here", 0, 1.0, None, Condition.READY) for s in servers]
-        self.runner.listed(News.WHOLE, listings)
+        self.asked: dict[Request, Asked] = {}
+        listings = [Endpoint(s.name, "here", 0, 1.0, None, EndpointState.READY) for s in servers]
+        self.runner.listed(WatchEvent.SNAPSHOT, listings)
         self.runner.start()
 
-    def ask(self, patience: float, root: Root, done: Callable[[str], None]) -> WorkItem:
+    def ask(self, patience: float, root: Root, done: Callable[[str], None]) -> Request:
         """Call the next level; `done` is told how that ended: finished, deferred or written off."""
         self.runner.at(self.tree.now)
-        wi = WorkItem(self.tree.category, self.tree.now, min(patience, self.tree.category.expiry))
-        self.asked[wi] = Asked(done, self.tree.now, wi.patience, root)
+        request = Request(self.tree.category, self.tree.now, min(patience, self.tree.category.timeout))
+        self.asked[request] = Asked(done, self.tree.now, request.time_left, root)
         if self.budget is not None:
             self.budget.first()
-        self.runner.take(wi)
-        return wi
+        self.runner.take(request)
+        return request
 
-    def leave(self, wi: WorkItem) -> None:
+    def leave(self, request: Request) -> None:
         """Whoever asked has gone."""
-        asked = self.asked.get(wi)
+        asked = self.asked.get(request)
         if asked is not None and not asked.answered:
             asked.answered = True
             self.runner.at(self.tree.now)
-            self.runner.gone(wi)
+            self.runner.gone(request)
 
-    def ended(self, call: Call, fate: Fate, report: dict[str, float] | None = None) -> None:
+    def ended(self, call: Call, fate: AttemptOutcome, report: dict[str, float] | None = None) -> None:
         """A hand-off has ended, as this caller sees it."""
-        ho = call.ho
-        if ho is None or not ho.pending:
+        attempt = call.attempt
+        if attempt is None or not attempt.pending:
             return
-        asked = self.asked[ho.wi]
-        del asked.calls[ho]
-        first = fate is Fate.FINISHED and not asked.answered
+        asked = self.asked[attempt.request]
+        del asked.calls[attempt]
+        first = fate is AttemptOutcome.SUCCESS and not asked.answered
         if first:
             asked.answered = True
             self.tree.answered("finished", self.level, asked)
         self.runner.at(self.tree.now)
-        self.runner.outcome(Outcome(ho, fate, self.tree.now - ho.sent, asked.answered, report or {}))
+        self.runner.outcome(
+            AttemptEnded(attempt, fate, self.tree.now - attempt.started_at, asked.answered, report or {})
+        )
         if first:
             asked.done("finished")
-        self._forget(ho.wi)
+        self._forget(attempt.request)
 
-    def _forget(self, wi: WorkItem) -> None:
-        asked = self.asked.get(wi)
+    def _forget(self, request: Request) -> None:
+        asked = self.asked.get(request)
         if asked is not None and asked.answered and not asked.calls:
-            del self.asked[wi]
+            del self.asked[request]
 
     def tick(self) -> None:
         self.runner.at(self.tree.now)
@@ -231,45 +245,45 @@
 
     # The door.
 
-    def send(self, ho: HandOff, limit: float) -> None:
-        asked = self.asked[ho.wi]
+    def send(self, attempt: Attempt, limit: float) -> None:
+        asked = self.asked[attempt.request]
         kind = "first" if not asked.sends else "copy" if asked.calls else "retry"
         asked.sends += 1
         if self.budget is not None and kind != "first":
             self.budget.second()
-        tree, server = self.tree, self.servers[ho.upstream.address]
+        tree, server = self.tree, self.servers[attempt.endpoint.address]
         tree.count(self.level, kind, asked.root.measured)
         # As the program tells it: whole milliseconds, one at least.
-        told = max(1, int(limit * 1000)) / 1000 if tree.plan.hands_down else tree.category.expiry
-        call = asked.calls[ho] = Call(ho, self, server, tree.now + told, asked.root)
+        told = max(1, int(limit * 1000)) / 1000 if tree.plan.hands_down else tree.category.timeout
+        call = asked.calls[attempt] = Call(attempt, self, server, tree.now + told, asked.root)
         if asked.root.measured:
             tree.left[self.level].append(told)
             tree.longer += told > asked.told + 0.001
         tree.after(tree.way(), lambda: server.take(call))
-        tree.after(limit, lambda: self._over(call, Fate.OVERDUE))
+        tree.after(limit, lambda: self._over(call, AttemptOutcome.TIMED_OUT))
 
-    def _over(self, call: Call, fate: Fate) -> None:
-        if call.ho is not None and call.ho.pending:
+    def _over(self, call: Call, fate: AttemptOutcome) -> None:
+        if call.attempt is not None and call.attempt.pending:
             self.ended(call, fate)
             self.tree.after(self.tree.way(), call.server.leaver(call))
 
-    def cancel(self, ho: HandOff) -> None:
-        call = self.asked[ho.wi].calls[ho]
-        self.tree.after(0.0, lambda: self._over(call, Fate.CANCELLED))
+    def cancel(self, attempt: Attempt) -> None:
+        call = self.asked[attempt.request].calls[attempt]
+        self.tree.after(0.0, lambda: self._over(call, AttemptOutcome.CANCELLED))
 
-    def _refused(self, wi: WorkItem, how: str) -> None:
-        asked = self.asked[wi]
+    def _refused(self, request: Request, how: str) -> None:
+        asked = self.asked[request]
         asked.answered = True
         self.tree.answered(how, self.level, asked)
         # Not in this turn: the decisions are in the middle of theirs.
         self.tree.after(0.0, lambda: asked.done(how))
-        self.tree.after(0.0, lambda: self._forget(wi))
+        self.tree.after(0.0, lambda: self._forget(request))
 
-    def defer(self, wi: WorkItem, come_back: float) -> None:
-        self._refused(wi, "deferred")
+    def defer(self, request: Request, retry_after: float) -> None:
+        self._refused(request, "deferred")
 
-    def write_off(self, wi: WorkItem) -> None:
-        self._refused(wi, "written off")
+    def write_off(self, request: Request) -> None:
+        self._refused(request, "written off")
 
     def alarm(self, at: float) -> None:
         self.tree.at(at, self.tick)
@@ -281,7 +295,7 @@
 
     def tell(self, body: bytes) -> None: ...
 
-    def defect(self, wi: WorkItem | None, error: Exception) -> None:
+    def defect(self, request: Request | None, error: Exception) -> None:
         raise error
 
 
@@ -299,7 +313,7 @@
             return  # its caller has gone while it was on its way
         self.held, call.held = self.held + 1, True
         if len(self.line) >= self.tree.plan.room:
-            self._answer(call, Fate.TURNED_DOWN)
+            self._answer(call, AttemptOutcome.REJECTED)
         elif not self._falls(self.hangs):
             self.line.append(call)
             self._next()
@@ -322,11 +336,11 @@
         self.busy -= 1
         if not call.left:
             if self._falls(self.fails):
-                self._answer(call, Fate.ERROR)
+                self._answer(call, AttemptOutcome.ERROR)
             elif not self.below:
-                self._answer(call, Fate.FINISHED)
+                self._answer(call, AttemptOutcome.SUCCESS)
             elif (left := call.until - self.tree.now) <= 0:
-                self._answer(call, Fate.ERROR)
+                self._answer(call, AttemptOutcome.ERROR)
             else:
                 call.below = self.below[call.root.path[self.level + 1]]
                 call.child = call.below.ask(left, call.root, lambda how, c=call: self._back(c, how))
@@ -334,10 +348,10 @@
 
     def _back(self, call: Call, how: str) -> None:
         passed_on = how == "deferred" and self.tree.plan.passes_on
-        failed = Fate.TURNED_DOWN if passed_on else Fate.ERROR
-        self._answer(call, Fate.FINISHED if how == "finished" else failed)
+        failed = AttemptOutcome.REJECTED if passed_on else AttemptOutcome.ERROR
+        self._answer(call, AttemptOutcome.SUCCESS if how == "finished" else failed)
 
-    def _answer(self, call: Call, fate: Fate) -> None:
+    def _answer(self, call: Call, fate: AttemptOutcome) -> None:
         report = None
         self.held -= not call.left
         call.left = True
@@ -366,9 +380,11 @@
         self.plan, self.now, self.number = plan, 0.0, 0
         self.chance = random.Random(f"{plan.seed} tree")
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        effect = Effect(plan.effect)
-        memory = EXPIRY * plan.due if effect is Effect.TICKETED else 0.0
-        self.category = Category("call", effect, plan.due, 1.0, EXPIRY * plan.due, memory=memory)
+        effect = RetrySafety(plan.effect)
+        memory = EXPIRY * plan.due if effect is RetrySafety.IDEMPOTENT_WITH_KEY else 0.0
+        self.category = RequestClass(
+            "call", effect, plan.due, 1.0, EXPIRY * plan.due, deduplication_window=memory
+        )
         self.usual = plan.use * plan.cores / plan.rate  # seconds of a server's own work, on the mean
         self.sent = [Counter[str]() for _ in range(plan.depth)]
         self.ran, self.late = [0] * plan.depth, [0] * plan.depth
@@ -566,8 +582,8 @@
     parser.add_argument("--seeds", type=int, default=1, help="so many seeds in a row (default: 1)")
     parser.add_argument("--scene", action="append", choices=SCENES, help="again for more; all unless told")
     parser.add_argument("--budget", action="append", help="second sends for each first one, or none; again")
-    parser.add_argument("--effect", choices=[e.value for e in Effect], default=Plan.effect)
-    for name in ("depth", "services", "instances", "cores", "most-hand-offs"):
+    parser.add_argument("--effect", choices=[e.value for e in RetrySafety], default=Plan.effect)
+    for name in ("depth", "services", "instances", "cores", "max-attempts"):
         default = getattr(Plan, name.replace("-", "_"))
         parser.add_argument(f"--{name}", type=int, default=default, help=f"(default: {default})")
     for name in ("rate", "use", "part", "due", "learn", "lasts", "last"):
--- a/trials/capacity.py
+++ b/trials/capacity.py
@@ -26,15 +26,40 @@
 import msgspec
 
 from starlingwheel.decisions.rules import HEARD, Balancer
-from starlingwheel.decisions.terms import Category, Condition, Effect, Listing, News, Terms
+from starlingwheel.decisions.terms import (
+    BalancerConfig,
+    Endpoint,
+    EndpointState,
+    RequestClass,
+    RetrySafety,
+    WatchEvent,
+)
 from starlingwheel.fleet import policy, zones
-from starlingwheel.fleet.frames import Answered, Asked, Beat, Cover, Frame, Intend, Intent, Kept, Reply, Told
-from starlingwheel.fleet.policy import Following, Word
-from starlingwheel.fleet.records import Change, Decision, Policy, Records, Said, Seen
-from starlingwheel.fleet.view import Member, View
+from starlingwheel.fleet.frames import (
+    AttemptIntent,
+    AttemptIntentFrame,
+    Frame,
+    HeartbeatFrame,
+    RecordedRequest,
+    RecordedResponse,
+    ReplicaStateFrame,
+    ReplicateFrame,
+    ResponseFrame,
+    ViewSyncedFrame,
+)
+from starlingwheel.fleet.policy import PolicyReplica, PolicyStatus
+from starlingwheel.fleet.records import (
+    Policy,
+    PolicyDecision,
+    PolicyProposal,
+    StoreRecords,
+    ZoneHealth,
+    ZoneReport,
+)
+from starlingwheel.fleet.view import Member, MembershipView
 from starlingwheel.net.fleet import arbiter, links
 from starlingwheel.net.loop import Loop
-from starlingwheel.net.memory.buffers import Pool
+from starlingwheel.net.memory.buffers import BufferPool
 
 from . import call_tree
 
@@ -75,7 +100,7 @@
     policy: int = 4096  # bytes of a policy as text: assumed
     in_hand: float = 0.25  # seconds that a named call is in hand: assumed
     due: float = 1.0  # shortest due time, seconds: assumed
-    ask_within: float = 8.0  # seconds within which the list must be asked for again: assumed
+    endpoint_list_max_age: float = 8.0  # seconds within which the list must be asked for again: assumed
 
     @property
     def rate(self) -> float:
@@ -133,8 +158,8 @@
     ]  # fmt: skip
 
 
-def word(member: Member) -> Word:
-    return Word(
+def word(member: Member) -> PolicyStatus:
+    return PolicyStatus(
         member.id, member.name, 1780000000.123456, 41, "0123456789abcdef", float("inf"), 41, 123456, True
     )
 
@@ -145,17 +170,17 @@
     key, mark = b"order\x00" + b"k" * 32, b"m" * 8
     headers = [(b"host", b"orders.internal"), (b"x-qos", b"order"), (b"x-expires-in-ms", b"1900")]
     headers += [(b"x-work-name", b"k" * 32), (b"x-trace-id", b"t" * 32), (b"content-type", b"text/plain")]
-    asked = Asked(b"POST", b"/order/1", headers, b"b" * 256, b"t" * 32)
-    rules = Category("order", Effect.EXCLUSIVE, 1.0, 8.0, 2.0)
+    asked = RecordedRequest(b"POST", b"/order/1", headers, b"b" * 256, b"t" * 32)
+    rules = RequestClass("order", RetrySafety.NON_IDEMPOTENT, 1.0, 8.0, 2.0)
     return {
-        "beat": Beat(1 << 54, False, word(me)),
-        "told": Told(1 << 54),
-        "cover": Cover(
+        "beat": HeartbeatFrame(1 << 54, False, word(me)),
+        "told": ViewSyncedFrame(1 << 54),
+        "cover": ReplicateFrame(
             key, me.id, 0, True, mark, "order", "exclusive", at, at, False, asked, [], False, rules
         ),
-        "intend": Intend(key, 0, 0, Intent("10.0.0.1:8080", "zone-1", 3, at)),
-        "kept": Kept(key, 0, "new", 1),
-        "answered": Answered(key, 0, Reply(200, 0.0, b"application/json", b"a" * 256)),
+        "intend": AttemptIntentFrame(key, 0, 0, AttemptIntent("10.0.0.1:8080", "zone-1", 3, at)),
+        "kept": ReplicaStateFrame(key, 0, "new", 1),
+        "answered": ResponseFrame(key, 0, RecordedResponse(200, 0.0, b"application/json", b"a" * 256)),
     }
 
 
@@ -204,16 +229,16 @@
     return json.dumps(told, separators=(",", ":")).encode()
 
 
-def seen(chance: random.Random) -> Seen:
-    return Seen(round(chance.uniform(1, 60), 2), round(chance.uniform(1, 60), 2), counted=90, row=0)
+def seen(chance: random.Random) -> ZoneHealth:
+    return ZoneHealth(round(chance.uniform(1, 60), 2), round(chance.uniform(1, 60), 2), counted=90, row=0)
 
 
 SEES = 5  # zones that a member hands off to: a service has five upstreams on the mean
 
 
-def said(member: int, zones_: int = SEES) -> Said:
+def said(member: int, zones_: int = SEES) -> ZoneReport:
     chance = random.Random(member)
-    return Said(1780000000.123456, {f"zone-{z}": seen(chance) for z in range(zones_)})
+    return ZoneReport(1780000000.123456, {f"zone-{z}": seen(chance) for z in range(zones_)})
 
 
 class Bench:
@@ -224,28 +249,28 @@
         self.now = 1780000000.0
         loop = Loop(lambda *_: None)
         self.recorded: Any = None
-        self.onlooker = arbiter.Onlooker(
-            loop, ["127.0.0.1:1"], LEASE, Pool(0), lambda *_, **__: None, random.Random(1), FLEET,
+        self.onlooker = arbiter.StateWatcher(
+            loop, ["127.0.0.1:1"], LEASE, BufferPool(0), lambda *_, **__: None, random.Random(1), FLEET,
             tell=self._tell,
         )  # fmt: skip
         me = self.members[0]
         self.me = me.id
         body = {"settings": {"categories": []}, "cover": {}}
         held = Policy(41, "d" * 16, body)
-        change = Change(Policy(42, "e" * 16, body), self.now + 9, self.now, me.id)
-        records = self.onlooker.records = Records()
+        change = PolicyProposal(Policy(42, "e" * 16, body), self.now + 9, self.now, me.id)
+        records = self.onlooker.records = StoreRecords()
         records.members = {m.id: m for m in self.members}
         records.names = {m.name: m.term for m in self.members}
-        records.now, records.now_mod = Decision(held, self.now, 5, held), 6
+        records.now, records.now_mod = PolicyDecision(held, self.now, 5, held), 6
         records.next, records.next_mod = msgspec.structs.replace(change, number=7), 7
         records.votes = {m.id: "" for m in self.members[: count // 2]}
         records.said = {m.id: said(i) for i, m in enumerate(self.members)}
         self.onlooker.revision = records.revision = 10_000
-        self.following = Following(me.id, me.name, LEASE, Quiet(), self.now, policy.Kept(FLEET))
+        self.following = PolicyReplica(me.id, me.name, LEASE, Quiet(), self.now, policy.StoredPolicy(FLEET))
         self.following.sure, self.following.vote = True, (7, "")
         self.following.renewed(self.now + LEASE, 1)
-        noting = zones.Noting(2.0, self.now)
-        self.planning = zones.Planning(me.id, LEASE, {}, {}, Quiet(), noting)
+        noting = zones.ZoneHealthTracker(2.0, self.now)
+        self.planning = zones.ZonePlanner(me.id, LEASE, {}, {}, Quiet(), noting)
         self.revision = 10_000
         loop.close()
 
@@ -257,7 +282,7 @@
             self.following.due()
 
     def _heard(self, text: bytes) -> None:
-        self.onlooker._seen(arbiter.read(text, arbiter.Line).result)
+        self.onlooker._seen(arbiter.read(text, arbiter.WatchLine).result)
 
     def vote(self) -> None:
         self.revision += 1
@@ -295,31 +320,39 @@
         return json.dumps(told, separators=(",", ":")).encode()
 
     def read_whole(self, data: bytes) -> None:
-        ranged = arbiter.read(data, arbiter.Ranged)
-        self.onlooker.records = Records()
+        ranged = arbiter.read(data, arbiter.RangeReply)
+        self.onlooker.records = StoreRecords()
         for pair in ranged.kvs:
             self.onlooker._put(pair)
 
 
 def balancer(count: int) -> Balancer:
-    terms = Terms(
-        categories=[Category("look", Effect.RERUNNABLE, 1.0, 1.0, 2.0)], zone="here", sidecars=5,
-        must_subscribe=False, ask_within=8.0, cold_share=1.0, cold_for=0.0, fall_multiple=2.0, fall_span=2.0,
-        most_hand_offs=3, crossing_price=0.0,
-    )  # fmt: skip
+    terms = BalancerConfig(
+        request_classes=[RequestClass("look", RetrySafety.IDEMPOTENT, 1.0, 1.0, 2.0)],
+        zone="here",
+        sidecars=5,
+        must_watch_endpoints=False,
+        endpoint_list_max_age=8.0,
+        slow_start_initial_fraction=1.0,
+        slow_start_duration=0.0,
+        overload_factor=2.0,
+        overload_window=2.0,
+        max_attempts=3,
+        cross_zone_price=0.0,
+    )
     made = Balancer(terms, random.Random(1), 0.0)
-    made.listed(News.WHOLE, [listing(i) for i in range(count)])
+    made.listed(WatchEvent.SNAPSHOT, [listing(i) for i in range(count)])
     return made
 
 
-def listing(i: int, condition: Condition = Condition.READY) -> Listing:
-    return Listing(f"10.0.{i // 250}.{i % 250}:8080", "here", 0, 1.0, None, condition)
+def listing(i: int, condition: EndpointState = EndpointState.READY) -> Endpoint:
+    return Endpoint(f"10.0.{i // 250}.{i % 250}:8080", "here", 0, 1.0, None, condition)
 
 
 def measure(sizes: Iterable[int] = SIZES, least: float = 0.15) -> Iterator[dict[str, Any]]:
     """Each figure at each size; microseconds of processor time, or bytes."""
     for name, frame in frames().items():
-        yield {"figure": f"frame {name}", "size": 0, "bytes": len(links.framed(frame))}
+        yield {"figure": f"frame {name}", "size": 0, "bytes": len(links.encode_frame(frame))}
     me = members(1)[0]
     for name, told in (
         ("evidence", {me.name: msgspec.to_builtins(said(0).zones)}),
@@ -335,28 +368,28 @@
         tracemalloc.stop()
         yield {"figure": "memory of view and records", "size": count, "bytes": memory}
         everybody = bench.members
-        view = View(everybody)
+        view = MembershipView(everybody)
         ids = {m.id for m in everybody}
 
-        def home(view: View = view, chance: random.Random = chance) -> None:
+        def home(view: MembershipView = view, chance: random.Random = chance) -> None:
             view.home(chance.randbytes(32))
 
         cells = 1
         while count > cells * CELL:
             cells *= 2
-        cut = View(everybody, cells)
+        cut = MembershipView(everybody, cells)
 
-        def home_in_cell(view: View = cut, chance: random.Random = chance) -> None:
+        def home_in_cell(view: MembershipView = cut, chance: random.Random = chance) -> None:
             view.home(chance.randbytes(32))
 
-        def keepers(view: View = view, chance: random.Random = chance, ids: set[str] = ids) -> None:
+        def keepers(view: MembershipView = view, chance: random.Random = chance, ids: set[str] = ids) -> None:
             view.keepers(chance.randbytes(32), everybody[0].id, 1, ids)  # noqa: B023
 
         made = balancer(count)
 
         def change(made: Balancer = made, chance: random.Random = chance, count: int = count) -> None:
-            condition = chance.choice((Condition.READY, Condition.DRAINING))
-            made.listed(News.CHANGES, [listing(chance.randrange(count), condition)])
+            condition = chance.choice((EndpointState.READY, EndpointState.DRAINING))
+            made.listed(WatchEvent.DELTA, [listing(chance.randrange(count), condition)])
             made._plan_afresh()
 
         whole = bench.whole()
@@ -364,8 +397,8 @@
             ("home", home),
             (f"home, in cells of {CELL} at most", home_in_cell),
             ("keepers", keepers),
-            ("view", lambda everybody=everybody: View(everybody)),
-            (f"view, in cells of {CELL} at most", lambda e=everybody, c=cells: View(e, c)),
+            ("view", lambda everybody=everybody: MembershipView(everybody)),
+            (f"view, in cells of {CELL} at most", lambda e=everybody, c=cells: MembershipView(e, c)),
             ("list change, decided", change),
             ("vote event", bench.vote),
             ("evidence event", bench.evidence),
@@ -628,9 +661,9 @@
 def discovery_rows(size: Size, entry: float = 76.0) -> list[tuple[str, str, float, str]]:
     """What discovery bears by our calls. `entry`: bytes of one upstream in a whole list, as measured."""
     n, service = size.sidecars, size.sidecars / size.services
-    often = max(size.ask_within / 32, size.due / 4)
-    spread = min(often * max(1.0, service / 16), max(often, size.ask_within / 2))
-    by_all = min(often * max(1.0, n / 16), max(often, size.ask_within / 2))
+    often = max(size.endpoint_list_max_age / 32, size.due / 4)
+    spread = min(often * max(1.0, service / 16), max(often, size.endpoint_list_max_age / 2))
+    by_all = min(often * max(1.0, n / 16), max(often, size.endpoint_list_max_age / 2))
     return [
         ("watches open", "one each", float(n), "connections"),
         ("empty lines", "one in 2 s each", n / 2, "lines/s"),
--- a/trials/emulated.py
+++ b/trials/emulated.py
@@ -15,9 +15,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from starlingwheel.fleet.cover import UNSENT, Covering, Item, Word
-from starlingwheel.fleet.frames import Asked, Beat, Cover, Frame, Intent, Reply, Told
-from starlingwheel.fleet.view import Member, View
+from starlingwheel.fleet.cover import UNSENT, BeginResult, ReplicatedRequest, RequestReplicator
+from starlingwheel.fleet.frames import (
+    AttemptIntent,
+    Frame,
+    HeartbeatFrame,
+    RecordedRequest,
+    RecordedResponse,
+    ReplicateFrame,
+    ViewSyncedFrame,
+)
+from starlingwheel.fleet.view import Member, MembershipView
 
 EXPIRY, SERVICE, LEASE, SILENCE, BEAT = 2.0, 0.08, 2.0, 0.3, 0.1
 GREETING = 0.3  # seconds within which a link that was reached for comes up, or counts as failed
@@ -82,7 +90,7 @@
         self.links: dict[str, Link] = {}
         self.alive, self.paused_until = True, 0.0
         self.deferred: list[Callable[[], None]] = []
-        self.tries: dict[Item, int] = {}
+        self.tries: dict[ReplicatedRequest, int] = {}
         self.renewed_at = world.now
 
     # What happens to a process.
@@ -121,12 +129,12 @@
         self.later(self.world.chance.uniform(0.0005, 0.004), lambda: self.world.call(self, member, until))
         return member in self.covering.view
 
-    def go(self, item: Item, number: int) -> None:
+    def go(self, item: ReplicatedRequest, number: int) -> None:
         # A pause may fall between the word and the write.
         asked = item.intents[number].at
         self.later(0.0002, lambda: self._write(item, number, asked))
 
-    def _write(self, item: Item, number: int, asked: float) -> None:
+    def _write(self, item: ReplicatedRequest, number: int, asked: float) -> None:
         if self.world.now > asked + SILENCE:
             # As the program does: a pause has fallen between the intent and the write.
             self.covering.ended(item, number, UNSENT)
@@ -136,20 +144,20 @@
         took = self.world.chance.lognormvariate(0, 0.4) * SERVICE
         self.later(took, lambda: self._finished(item))
 
-    def _finished(self, item: Item) -> None:
-        given = self.covering.answered(item, Reply(200, body=item.key))
+    def _finished(self, item: ReplicatedRequest) -> None:
+        given = self.covering.answered(item, RecordedResponse(200, body=item.key))
         if given is not None:
             self._answer_main(item, given)
 
-    def _answer_main(self, item: Item, reply: Reply) -> None:
+    def _answer_main(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         if item.main is not None and not item.main.end:
             self.world.answered(item.main, reply)
         item.clients.pop(item.main, None)
 
-    def stop(self, item: Item, number: int) -> None:
+    def stop(self, item: ReplicatedRequest, number: int) -> None:
         self.later(0.001, lambda: self._again(item))
 
-    def _again(self, item: Item) -> None:
+    def _again(self, item: ReplicatedRequest) -> None:
         if not item.running:
             return
         self.tries[item] = self.tries.get(item, 0) + 1
@@ -158,33 +166,33 @@
             return
         self.tries.pop(item)
         client, until = item.main, item.clients.pop(item.main, 0.0)
-        given = self.covering.answered(item, Reply(503, 0.05))
+        given = self.covering.answered(item, RecordedResponse(503, 0.05))
         if given is not None:
             if client is not None and not client.end:
                 self.world.answered(client, given)
         elif client is not None:
             self.covering.wait_on(item, client, until)
 
-    def decide(self, item: Item) -> None:
+    def decide(self, item: ReplicatedRequest) -> None:
         if not self._may_send(item):
-            given = self.covering.answered(item, Reply(504))
+            given = self.covering.answered(item, RecordedResponse(504))
             if given is not None:
                 self._answer_main(item, given)
             return
         self._hand_off(item)
 
-    def _may_send(self, item: Item) -> bool:
+    def _may_send(self, item: ReplicatedRequest) -> bool:
         """Rule 2 and the expiry, as the program's decisions have them."""
         risky = [i for i in item.intents if not i.fate]
         if self.world.now >= item.until or (risky and item.effect == "exclusive"):
             return False
         return not risky or item.effect != "ticketed" or self.world.now < risky[0].at + MEMORY * 0.98
 
-    def _hand_off(self, item: Item) -> None:
-        number = self.covering.intend(item, Intent("u1", "north", 0, self.world.now))
+    def _hand_off(self, item: ReplicatedRequest) -> None:
+        number = self.covering.intend(item, AttemptIntent("u1", "north", 0, self.world.now))
         self.covering.hand_on(item, number)
 
-    def answer(self, item: Item, client: Request, reply: Reply) -> None:
+    def answer(self, item: ReplicatedRequest, client: Request, reply: RecordedResponse) -> None:
         if not client.end:
             self.world.answered(client, reply)
 
@@ -196,15 +204,15 @@
 
     def take(self, request: Request) -> None:
         request.member = self
-        asked = Asked(b"POST", b"/x", [], b"", b"")
-        told = Cover(
+        asked = RecordedRequest(b"POST", b"/x", [], b"", b"")
+        told = ReplicateFrame(
             request.name, self.id, 0, False, b"", "c", request.effect, self.world.now, request.until,
             request.repeat, asked, [],
         )  # fmt: skip
         word, item = self.covering.begin(told, request, request.until)
-        if word is Word.RUN:
+        if word is BeginResult.RUN:
             self.decide(item)
-        elif word is Word.ANSWER:
+        elif word is BeginResult.ANSWER:
             self.world.answered(request, item.reply)
 
 
@@ -215,7 +223,7 @@
         self,
         seed: int,
         members: int = 8,
-        kind: Callable[..., Any] = Covering,
+        kind: Callable[..., Any] = RequestReplicator,
         trace: bytes | None = None,
         cells: int = 1,
     ) -> None:
@@ -300,7 +308,7 @@
 
     def send(self, link: Link, sender: Host, frame: Frame) -> None:
         self.frames[type(frame).__name__] += 1
-        if not isinstance(frame, Told):
+        if not isinstance(frame, ViewSyncedFrame):
             link.used = self.now
         if self.trace is not None and getattr(frame, "key", None) == self.trace:
             print(f"{self.now:.4f} {sender.id} -> {link.other(sender).id} {frame}")
@@ -338,7 +346,7 @@
 
     def _watch_links(self) -> None:
         alive = self.alive()
-        beats: dict[Host, Beat] = {}
+        beats: dict[Host, HeartbeatFrame] = {}
         for host in alive:
             if self.now < host.paused_until:
                 continue
@@ -349,7 +357,9 @@
                     link.heard[host.id] = self.now
                     beat = beats.get(other)
                     if beat is None:
-                        beat = beats[other] = Beat(other.covering.digest, not other.covering.may_decide())
+                        beat = beats[other] = HeartbeatFrame(
+                            other.covering.digest, not other.covering.may_decide()
+                        )
                     host.covering.now = self.now
                     host.covering.heard(other.id, beat)
                     if self._at_rest(link, host, other):
@@ -436,7 +446,7 @@
             host.covering.lease_until = host.renewed_at + LEASE
         for member in [m for m, (_, until) in self.leases.items() if until <= self.now]:
             del self.leases[member]
-        view = View((member for member, _ in self.leases.values()), self.cells, self.cut_at)
+        view = MembershipView((member for member, _ in self.leases.values()), self.cells, self.cut_at)
         if view.digest == self.last_view:
             return
         self.last_view = view.digest
@@ -447,7 +457,7 @@
 
     # Upstreams and clients.
 
-    def run(self, host: Host, item: Item, number: int, epoch: int) -> None:
+    def run(self, host: Host, item: ReplicatedRequest, number: int, epoch: int) -> None:
         self.runs[item.key].append((self.now, host.id, epoch))
         known = self.holders.get(item.key)
         if known is not None and not any(member in self.leases for member in known):
@@ -481,7 +491,7 @@
             request.end = "late"
             self.open.discard(request.number)
 
-    def answered(self, request: Request, reply: Reply) -> None:
+    def answered(self, request: Request, reply: RecordedResponse) -> None:
         if request.end:
             if request.end.isdigit():
                 self.twice.append(request)
@@ -492,7 +502,7 @@
             print(f"{self.now:.4f} answer {reply.status} for try {request.number}")
         self.answers[request.name].append((self.now, reply.status, request.number))
         if reply.status == 503:
-            self._come_again(request, "503", max(reply.come_back, 0.02))
+            self._come_again(request, "503", max(reply.retry_after, 0.02))
 
     def _come_again(self, request: Request, end: str, after: float = 0.02) -> None:
         request.end = request.end or end
@@ -601,7 +611,7 @@
     seconds: float = 6.0,
     rate: float = 150.0,
     faults: Timetable | None = None,
-    kind: Callable[..., Any] = Covering,
+    kind: Callable[..., Any] = RequestReplicator,
     trace: bytes | None = None,
     twins: float = 0.05,
     cells: int = 1,
@@ -618,7 +628,7 @@
     counts["all lost"] = len(world.lost)
     counts |= {"frames": sum(world.frames.values())} | dict(sorted(world.notes.items()))
     if cells > 1 or recuts:
-        counts |= {"links, most": world.most_links, "told": world.frames["Told"]}
+        counts |= {"links, most": world.most_links, "told": world.frames["ViewSyncedFrame"]}
         covers = [host.covering for host in world.alive()]
         for name in ("given_up", "stood_in", "uncovered", "waited_out", "not_sure", "superseded", "held"):
             counts[name] = sum(cover.counts[name] for cover in covers)
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -18,8 +18,17 @@
 
 import msgspec
 
-from starlingwheel.fleet.policy import AHEAD, Following, Kept, Word
-from starlingwheel.fleet.records import MEMBERS, NAMES, NOW, Decision, Entry, Policy, Records, Txn
+from starlingwheel.fleet.policy import AHEAD, PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet.records import (
+    MEMBERS,
+    NAMES,
+    NOW,
+    Policy,
+    PolicyDecision,
+    StoreEntry,
+    StoreRecords,
+    Transaction,
+)
 from starlingwheel.fleet.view import Member
 
 LEASE = 2.0
@@ -34,17 +43,17 @@
 
     def __init__(self) -> None:
         self.revision = 1
-        self.entries: dict[str, Entry] = {}
-        self.events: list[tuple[int, str, Entry | None]] = []
-        self.decided: list[Decision] = []
+        self.entries: dict[str, StoreEntry] = {}
+        self.events: list[tuple[int, str, StoreEntry | None]] = []
+        self.decided: list[PolicyDecision] = []
         self.calls = 0
 
-    def holds(self, txn: Txn) -> bool:
+    def holds(self, txn: Transaction) -> bool:
         for one in txn.compare:
             found = (
                 [e for key, e in self.entries.items() if key.startswith(one.key)]
                 if one.prefix
-                else [self.entries.get(one.key, Entry(b"", 0, 0))]
+                else [self.entries.get(one.key, StoreEntry(b"", 0, 0))]
             )
             for entry in found:
                 has = entry.create if one.target == "CREATE" else entry.mod
@@ -52,7 +61,7 @@
                     return False
         return True
 
-    def write(self, txn: Txn) -> bool:
+    def write(self, txn: Transaction) -> bool:
         self.calls += 1
         if not self.holds(txn):
             return False
@@ -66,10 +75,10 @@
 
     def put(self, key: str, value: bytes) -> None:
         before = self.entries.get(key)
-        self.entries[key] = Entry(value, before.create if before else self.revision, self.revision)
+        self.entries[key] = StoreEntry(value, before.create if before else self.revision, self.revision)
         self.events.append((self.revision, key, self.entries[key]))
         if key == NOW:
-            self.decided.append(msgspec.json.decode(value, type=Decision))
+            self.decided.append(msgspec.json.decode(value, type=PolicyDecision))
 
     def erase(self, key: str) -> None:
         del self.entries[key]
@@ -83,15 +92,15 @@
         self.world, self.name, self.id = world, name, f"{name}.{number:06d}"
         self.skew = world.chance.uniform(-SKEW, SKEW)
         kept = world.files.get(name)
-        kept = copy.deepcopy(kept) if kept else Kept("f")
+        kept = copy.deepcopy(kept) if kept else StoredPolicy("f")
         self.following: Any = world.kind(self.id, name, LEASE, self, world.now + self.skew, kept)
-        self.records, self.seen = Records(), 0
-        self.watch: list[tuple[int, Records]] = []
+        self.records, self.seen = StoreRecords(), 0
+        self.watch: list[tuple[int, StoreRecords]] = []
         self.alive, self.paused_until = True, 0.0
         self.lease_asked, self.term = -inf, 0
         self.wrote_at = -inf
         self.said_at = 0.0
-        self.pending: dict[str, Word] = {}
+        self.pending: dict[str, PolicyStatus] = {}
         self.gap = True
         self.following.begin()
 
@@ -100,7 +109,7 @@
     def check(self, body: Any) -> str:
         return "not here" if self.name in body["settings"].get("not", []) else ""
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: StoredPolicy) -> None:
         self.world.files[self.name] = copy.copy(kept)
 
     def kept(self) -> str | None:
@@ -154,7 +163,7 @@
             return
         arbiter = world.arbiter
         if self.gap:
-            self.records = Records()
+            self.records = StoreRecords()
             for key in sorted(arbiter.entries):
                 self.records.put(key, arbiter.entries[key])
             self.seen = len(arbiter.events)
@@ -223,7 +232,7 @@
         if world.now < self.wrote_at + PAUSE or not world.asks(self):
             return
         due = self.following.due()
-        if isinstance(due, Txn):
+        if isinstance(due, Transaction):
             self.wrote_at = world.now
             # It may reach the arbiter late, when what it was made from is over.
             delay = 0.002 if world.chance.random() < 0.9 else world.chance.uniform(0, LEASE / 3)
@@ -254,12 +263,12 @@
     """A fleet, its arbiter and links, from one seed."""
 
     def __init__(
-        self, seed: int, members: int = 8, kind: Callable[..., Any] = Following, trace: bool = False
+        self, seed: int, members: int = 8, kind: Callable[..., Any] = PolicyReplica, trace: bool = False
     ) -> None:
         self.chance, self.kind, self.trace = random.Random(seed), kind, trace
         self.now, self.count, self.started, self.words = 0.0, 0, 0, 0
         self.queue: list[tuple[float, int, Callable[[], Any]]] = []
-        self.files: dict[str, Kept] = {}
+        self.files: dict[str, StoredPolicy] = {}
         self.arbiter = Arbiter()
         self.leases: dict[str, float] = {}
         self.down_until = 0.0
@@ -446,7 +455,7 @@
                 world.apart[one.name, other.name] = world.apart[other.name, one.name] = until
 
 
-def minority(kind: Callable[..., Any] = Following, trace: bool = False) -> World:
+def minority(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
     """Most are cut off and go on; the few that are left have the arbiter."""
     world, hosts = _begun(8, kind, trace)
     _lone(world, hosts[:5], 20.0)
@@ -455,7 +464,7 @@
     return world
 
 
-def unseen(kind: Callable[..., Any] = Following, trace: bool = False) -> World:
+def unseen(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
     """One says yes and hears no more of it, though its lease goes on."""
     world, hosts = _begun(5, kind, trace)
     at = _proposed(world, hosts[0])
@@ -467,7 +476,7 @@
     return world
 
 
-def slept(kind: Callable[..., Any] = Following, trace: bool = False) -> World:
+def slept(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
     """One is stopped before its vote, until after the switch time."""
     world, hosts = _begun(5, kind, trace)
     hosts[3].paused_until = 3.0 + AHEAD * LEASE + 1.0
@@ -475,7 +484,7 @@
     return world
 
 
-def alone(kind: Callable[..., Any] = Following, trace: bool = False) -> World:
+def alone(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
     """One hears enough of the others once its lease is over, then nothing."""
     world, hosts = _begun(5, kind, trace)
     world.cut[hosts[3].name] = 40.0
@@ -485,7 +494,7 @@
     return world
 
 
-def late(kind: Callable[..., Any] = Following, trace: bool = False) -> World:
+def late(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
     """A decision is on its way while another member comes, which can't follow it and is cut off."""
     world, hosts = _begun(5, kind, trace)
     world.late["decide"] = 0.4
@@ -511,7 +520,7 @@
     members: int = 8,
     changes: int = 6,
     faults: Timetable | None = None,
-    kind: Callable[..., Any] = Following,
+    kind: Callable[..., Any] = PolicyReplica,
     trace: bool = False,
 ) -> tuple[dict[str, Any], list[str]]:
     """Counts, and what was broken."""
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from starlingwheel.fleet.records import MEMBERS, Plan, Records, Txn
+from starlingwheel.fleet.records import MEMBERS, StoreRecords, Transaction, ZonePlan
 from starlingwheel.fleet.view import Member
-from starlingwheel.fleet.zones import Noting, Planning
+from starlingwheel.fleet.zones import ZoneHealthTracker, ZonePlanner
 
 from .emulated_policy import Arbiter
 
@@ -69,7 +69,7 @@
     def __init__(self, world: World, number: int) -> None:
         self.world, self.zone = world, ZONES[number % len(ZONES)]
         self.id = f"n{number}.0"
-        self.noting = Noting(DUE, world.now)
+        self.noting = ZoneHealthTracker(DUE, world.now)
         self.planning = world.kind(self.id, LEASE, REGIONS, world.known, self, self.noting)
         self.share: dict[str, float] = {}
         self.row: Counter[str] = Counter()
@@ -115,7 +115,7 @@
         members: int,
         case: Case,
         how: str = "plan",
-        kind: Callable[..., Any] = Planning,
+        kind: Callable[..., Any] = ZonePlanner,
         lasts: float = LASTS,
     ) -> None:
         """`how`: plan, alone, or known (leaves and returns with full knowledge)."""
@@ -132,13 +132,13 @@
         for host in self.hosts:
             member = Member(host.id, host.id, "", host.zone)
             self.arbiter.put(MEMBERS + host.id, msgspec.json.encode(member))
-        self.records, self.upto = Records(), 0
+        self.records, self.upto = StoreRecords(), 0
         self.arrivals: dict[str, list[float]] = {zone: [] for zone in ZONES}
         self.taken: dict[str, list[float]] = {zone: [] for zone in ZONES}  # not turned away
         self.lost: list[float] = []  # hand-offs lost to a zone that fails, when
         self.served = self.work = self.turned = self.gone_served = self.gone_work = 0
         self.fell = 0
-        self.plans: list[tuple[float, Plan]] = []
+        self.plans: list[tuple[float, ZonePlan]] = []
         self.asked = 0
 
     def at(self, when: float, what: Callable[[], Any]) -> None:
@@ -246,7 +246,7 @@
                 self.records.put(key, entry)
         if self.upto != len(events):
             self.upto = len(events)
-            before = self.plans[-1][1] if self.plans else Plan()
+            before = self.plans[-1][1] if self.plans else ZonePlan()
             if self.records.plan is not None and self.records.plan.epoch != before.epoch:
                 self.plans.append((self.now, self.records.plan))
             snapshot = self.records.copy()
@@ -260,7 +260,7 @@
             return
         host.noting.now = self.now
         due = host.planning.due()
-        if isinstance(due, Txn):
+        if isinstance(due, Transaction):
             self.asked += 1
             self.arbiter.write(due)
             host.wrote_at = self.now + STEP
@@ -333,7 +333,11 @@
 
 
 def play(
-    seed: int, members: int = 30, case: str = "hang", how: str = "plan", kind: Callable[..., Any] = Planning
+    seed: int,
+    members: int = 30,
+    case: str = "hang",
+    how: str = "plan",
+    kind: Callable[..., Any] = ZonePlanner,
 ) -> tuple[dict[str, Any], list[str]]:
     """Counts, and what was broken."""
     world = World(seed, members, CASES[case], how, kind)
--- a/trials/endpoint_list.py
+++ b/trials/endpoint_list.py
@@ -419,7 +419,7 @@
     async def outage(self, seconds: float) -> None:
         self.trial.discovery.go_down()
         await asyncio.sleep(seconds)
-        self.trial.discovery.come_back()
+        self.trial.discovery.retry_after()
 
     async def silence(self, seconds: float) -> None:
         self.trial.discovery.fall_silent()
--- a/trials/model.py
+++ b/trials/model.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from starlingwheel.fleet.cover import Covering, Item, Word
-from starlingwheel.fleet.frames import Asked, Cover, Frame, Intent, Reply
-from starlingwheel.fleet.view import Member, View
+from starlingwheel.fleet.cover import BeginResult, ReplicatedRequest, RequestReplicator
+from starlingwheel.fleet.frames import AttemptIntent, Frame, RecordedRequest, RecordedResponse, ReplicateFrame
+from starlingwheel.fleet.view import Member, MembershipView
 
 MEMBERS = ("a", "b", "c")
 EXPIRY = 100.0
@@ -68,19 +68,19 @@
     clients: list[Client] = field(default_factory=list)
     homes: dict[str, str] = field(default_factory=dict)  # which client waits where: by its number
     left: dict[str, int] = field(default_factory=dict)
-    views: list[View] = field(default_factory=list)  # one after another
+    views: list[MembershipView] = field(default_factory=list)  # one after another
     told_view: dict[str, int] = field(default_factory=dict)  # which of them each has seen last
     reaching: set[tuple[str, str]] = field(default_factory=set)
     last: str = ""
     fall: tuple[str, ...] = ()
 
     @property
-    def view(self) -> View:
+    def view(self) -> MembershipView:
         return self.views[-1]
 
     def begin(self, bounds: Bounds) -> Model:
         members = [Member(name, name, "", name) for name in bounds.members]
-        self.views, self.last = [View(members, bounds.cells)], bounds.members[-1]
+        self.views, self.last = [MembershipView(members, bounds.cells)], bounds.members[-1]
         self.fall = bounds.fall
         bounded = ("crashes", "cuts", "again", "twins", "recuts", "misses", "rests")
         self.left = {name: getattr(bounds, name) for name in bounded}
@@ -195,7 +195,7 @@
                 name = self.running.pop(int(place))
                 if name in self.covers:
                     for item in list(self.covers[name].items.values()):
-                        self._answered(name, item, Reply(200))
+                        self._answered(name, item, RecordedResponse(200))
             case ("asks", name):
                 self.left["again"] -= bool(self.clients)
                 self._ask(name, repeat=bool(self.clients))
@@ -207,7 +207,9 @@
                 self.covers[name].viewed(self.views[self.told_view[name]], False)
             case ("recuts",):
                 self.left["recuts"] -= 1
-                self.views.append(View(self.view.members.values(), 1 if self.view.cells == 2 else 2))
+                self.views.append(
+                    MembershipView(self.view.members.values(), 1 if self.view.cells == 2 else 2)
+                )
             case ("reaches", one, other) if other in self.covers:
                 self._link(one, other)
             case ("links", one, other):
@@ -231,7 +233,7 @@
                         self.queues[one, other].append("end")
                 self.reaching = {way for way in self.reaching if way[0] != name}
                 left = (m for m in self.view.members.values() if m.id in self.covers)
-                self.views.append(View(left, self.view.cells))
+                self.views.append(MembershipView(left, self.view.cells))
                 self.told_view = {n: self.told_view[n] for n in self.covers}
             case ("cuts", one, other):
                 # Both sides find out by silence, each by itself; nothing in between arrives.
@@ -249,24 +251,24 @@
         client = Client(len(self.clients))
         self.clients.append(client)
         self.homes[str(client.number)] = name
-        asked = Asked(b"", b"", [], b"", b"")
-        told = Cover(b"x", name, 0, False, b"", "c", self.effect, 0.0, EXPIRY, repeat, asked, [])
+        asked = RecordedRequest(b"", b"", [], b"", b"")
+        told = ReplicateFrame(b"x", name, 0, False, b"", "c", self.effect, 0.0, EXPIRY, repeat, asked, [])
         word, item = self.covers[name].begin(told, client, EXPIRY)
-        if word is Word.RUN:
+        if word is BeginResult.RUN:
             self.hand_off(name, item)
-        elif word is Word.ANSWER:
+        elif word is BeginResult.ANSWER:
             client.end = item.reply.status
 
     # The hosts.
 
-    def hand_off(self, name: str, item: Item) -> None:
+    def hand_off(self, name: str, item: ReplicatedRequest) -> None:
         if self.effect == "exclusive" and any(not i.fate for i in item.intents):
-            self._answered(name, item, Reply(504))
+            self._answered(name, item, RecordedResponse(504))
             return
         cover = self.covers[name]
-        cover.hand_on(item, cover.intend(item, Intent("u", "", 0, 0.0)))
+        cover.hand_on(item, cover.intend(item, AttemptIntent("u", "", 0, 0.0)))
 
-    def _answered(self, name: str, item: Item, reply: Reply) -> None:
+    def _answered(self, name: str, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         cover = self.covers[name]
         client, until = item.main, item.clients.pop(item.main, 0.0)
         given = cover.answered(item, reply)
@@ -319,16 +321,16 @@
         self.model.queues[self.name, member].append(copy.deepcopy(frame))
         return True
 
-    def go(self, item: Item, number: int) -> None:
+    def go(self, item: ReplicatedRequest, number: int) -> None:
         self.model.writes.append((self.name, number))
 
-    def stop(self, item: Item, number: int) -> None:
+    def stop(self, item: ReplicatedRequest, number: int) -> None:
         pass
 
-    def decide(self, item: Item) -> None:
+    def decide(self, item: ReplicatedRequest) -> None:
         self.model.hand_off(self.name, item)
 
-    def answer(self, item: Item, client: Client, reply: Reply) -> None:
+    def answer(self, item: ReplicatedRequest, client: Client, reply: RecordedResponse) -> None:
         client.end = client.end or reply.status
 
     def note(self, event: str, **fields: Any) -> None:
@@ -342,7 +344,7 @@
     broken: list[tuple[str, list[Event]]]
 
 
-def explore(effect: str, bounds: Bounds, kind: Callable[..., Any] = Covering) -> Explored:
+def explore(effect: str, bounds: Bounds, kind: Callable[..., Any] = RequestReplicator) -> Explored:
     """All orders, breadth first; the first history that breaks a promise is the shortest."""
     first = Model(effect, kind).begin(bounds)
     seen = {first.key()}
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from starlingwheel.fleet.policy import Following, Kept, Word
-from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, Records, Txn
+from starlingwheel.fleet.policy import PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
 from starlingwheel.fleet.view import Member
 
 from .emulated_policy import Arbiter
@@ -50,7 +50,7 @@
     def check(self, body: Any) -> str:
         return ""
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: StoredPolicy) -> None:
         if self.model is not None:
             self.model.files[self.name] = copy.copy(kept)
 
@@ -83,14 +83,14 @@
     kind: Callable[..., Any]
     arbiter: Arbiter = field(default_factory=Arbiter)
     hosts: dict[str, Any] = field(default_factory=dict)
-    records: dict[str, Records] = field(default_factory=dict)
+    records: dict[str, StoreRecords] = field(default_factory=dict)
     seen: dict[str, int] = field(default_factory=dict)
-    files: dict[str, Kept] = field(default_factory=dict)
+    files: dict[str, StoredPolicy] = field(default_factory=dict)
     leases: dict[str, float] = field(default_factory=dict)  # at the arbiter, by name
     cut: set[str] = field(default_factory=set)
     stopped: set[str] = field(default_factory=set)
     stalled: set[str] = field(default_factory=set)
-    late: list[tuple[str, Txn]] = field(default_factory=list)
+    late: list[tuple[str, Transaction]] = field(default_factory=list)
     left: dict[str, int] = field(default_factory=dict)
     asked: list[tuple[str, str]] = field(default_factory=list)
     now: float = 0.0
@@ -112,10 +112,10 @@
 
     def _start(self, name: str) -> None:
         self.number += 1
-        kept = copy.copy(self.files.get(name)) or Kept("f")
+        kept = copy.copy(self.files.get(name)) or StoredPolicy("f")
         host = self.kind(f"{name}.{self.number}", name, LEASE, Door(self, name), self.now, kept)
         self.hosts[name] = host
-        self.records[name], self.seen[name] = Records(), -1
+        self.records[name], self.seen[name] = StoreRecords(), -1
         host.begin()
 
     def _enter(self, name: str) -> None:
@@ -159,7 +159,7 @@
             if name not in self.cut:
                 host.now = self.now
                 # Asked of a copy: a member may consider the change when it is asked.
-                if isinstance(twin(host, Door(None, name)).due(), Txn):
+                if isinstance(twin(host, Door(None, name)).due(), Transaction):
                     yield ("writes", name)
                     if self.left["late"]:
                         yield ("writes_late", name)
@@ -204,12 +204,12 @@
                 self.stopped.discard(name)
             case ("writes", name):
                 due = self.hosts[name].due()
-                assert isinstance(due, Txn)
+                assert isinstance(due, Transaction)
                 self.arbiter.write(due)
             case ("writes_late", name):
                 self.left["late"] -= 1
                 due = self.hosts[name].due()
-                assert isinstance(due, Txn)
+                assert isinstance(due, Transaction)
                 self.late.append((name, due))
             case ("arrives", place):
                 self.arbiter.write(self.late.pop(int(place))[1])
@@ -225,7 +225,7 @@
                 self.cut.add(name)
             case ("says", one, other):
                 self.left["words"] -= 1
-                word: Word = self.hosts[one].word()
+                word: PolicyStatus = self.hosts[one].word()
                 self.hosts[other].heard(word)
                 for asker, member in self.asked:
                     host = self.hosts.get(asker)
@@ -322,7 +322,7 @@
     dropped: int = 0
 
 
-def explore(bounds: Bounds, kind: Callable[..., Any] = Following) -> Explored:
+def explore(bounds: Bounds, kind: Callable[..., Any] = PolicyReplica) -> Explored:
     """Breadth first; the first history that breaks a promise is the shortest."""
     first = Model(kind).begin(bounds)
     seen = {first.key()}
