--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -14,20 +14,28 @@
 
 import msgspec
 
-from starlingwheel.decisions.terms import Terms
-from starlingwheel.fleet.cover import DEFERRED, FINISHED, RERUNNABLE, UNSENT, WRITTEN_OFF, Item, Word
-from starlingwheel.fleet.frames import Asked, Cover, Intent, Reply
-from starlingwheel.fleet.part import CoverPart, FleetPart
+from starlingwheel.decisions.terms import BalancerConfig
+from starlingwheel.fleet.cover import (
+    DEFERRED,
+    FINISHED,
+    RERUNNABLE,
+    UNSENT,
+    WRITTEN_OFF,
+    BeginResult,
+    ReplicatedRequest,
+)
+from starlingwheel.fleet.frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame
+from starlingwheel.fleet.part import FleetConfig, ReplicationConfig
 from starlingwheel.net.actor import Actor, Coroutine
-from starlingwheel.net.fleet.hosting import Hosting
-from starlingwheel.net.fleet.links import Refused
-from starlingwheel.net.fleet.mail import Lapsed
-from starlingwheel.net.fleet.policy import Ruling
-from starlingwheel.net.fleet.start import Fleet, Who
-from starlingwheel.net.lifecycle.config import Config, terms_of
+from starlingwheel.net.fleet.hosting import FleetHost
+from starlingwheel.net.fleet.links import LinkRejectedError
+from starlingwheel.net.fleet.mail import EntryLost
+from starlingwheel.net.fleet.policy import PolicyController
+from starlingwheel.net.fleet.start import FleetMember, MemberIdentity
+from starlingwheel.net.lifecycle.config import SidecarConfig, balancer_config_of
 from starlingwheel.net.loop import READ
 from starlingwheel.net.mail import CLOSE
-from starlingwheel.net.memory.buffers import Pool
+from starlingwheel.net.memory.buffers import BufferPool
 from starlingwheel.net.wire.client import BACKLOG
 
 from .metered import Meter, MeteredLoop
@@ -41,7 +49,7 @@
 class Handed:
     """One hand-off of an item, to an upstream that is none."""
 
-    item: Item
+    item: ReplicatedRequest
     at: float
 
 
@@ -59,7 +67,7 @@
     handed: Handed
 
 
-class Deciding(Hosting, Actor):
+class Deciding(FleetHost, Actor):
     """The module of a hollow member: one hand-off an item, answered after its service time."""
 
     lasting = True
@@ -69,17 +77,17 @@
         self,
         loop: MeteredLoop,
         me: str,
-        part: FleetPart,
-        lapsed: Callable[[Lapsed], None],
-        ruling: Ruling,
-        terms: Terms,
+        part: FleetConfig,
+        lapsed: Callable[[EntryLost], None],
+        ruling: PolicyController,
+        terms: BalancerConfig,
         log: Callable[..., None],
     ) -> None:
         self.counts: Counter[str] = Counter()
         self.frames: Counter[str] = Counter()
-        self.category = next(c for c in terms.categories if c.name == part.cover.categories[-1])
-        shortest = min(c.due_time for c in terms.categories)
-        longest = max(c.expiry for c in terms.categories)
+        self.category = next(c for c in terms.request_classes if c.name == part.cover.categories[-1])
+        shortest = min(c.latency_objective for c in terms.request_classes)
+        longest = max(c.timeout for c in terms.request_classes)
         self.services: list[tuple[float, int, Handed]] = []
         self.number, self.alarm_at = 0, inf
         self.covered_s = 0.0  # seconds from a client's coming to its hand-off's release, all together
@@ -109,63 +117,63 @@
         if self.following.doubt():
             self.counts["in_doubt"] += 1
             return
-        category, effect = self.category, self.category.effect.value
-        asked = Asked(b"POST", b"/" + name, [], b"", name)
+        category, effect = self.category, self.category.retry_safety.value
+        asked = RecordedRequest(b"POST", b"/" + name, [], b"", name)
         key = category.name.encode() + b"\0" + name
         mark = hashlib.blake2b(name, digest_size=8).digest()
-        until = now + category.expiry
-        told = Cover(
+        until = now + category.timeout
+        told = ReplicateFrame(
             key, self.me, 0, False, mark, category.name, effect, now, until, False, asked, [], rules=category
         )
         word, item = self.covering.begin(told, object(), until)
         self.counts[word.value] += 1
-        if word is Word.RUN:
+        if word is BeginResult.RUN:
             self._hand(item, now)
 
-    def _hand(self, item: Item, now: float) -> None:
-        self.hold(Handed(item, now), item, Intent("u0", "", 0, now))
+    def _hand(self, item: ReplicatedRequest, now: float) -> None:
+        self.hold(Handed(item, now), item, AttemptIntent("u0", "", 0, now))
 
     def _serve(self, now: float) -> None:
         while self.services and self.services[0][0] <= now:
             handed = heapq.heappop(self.services)[2]
             if self.unhold(handed) is not None:
-                self._answered(handed.item, Reply(FINISHED))
+                self._answered(handed.item, RecordedResponse(FINISHED))
 
     def _drop(self, handed: Handed) -> None:
         gate = self.unhold(handed)
         if gate is not None:
             self.covering.ended(gate.item, gate.number, UNSENT)
-            self._answered(handed.item, Reply(DEFERRED))
+            self._answered(handed.item, RecordedResponse(DEFERRED))
 
-    def _answered(self, item: Item, reply: Reply) -> None:
+    def _answered(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         given = self.covering.answered(item, reply)
         self.counts["later" if given is None else f"answered_{given.status}"] += 1
 
     # The deciding part.
 
-    def decide(self, item: Item) -> None:
+    def decide(self, item: ReplicatedRequest) -> None:
         if item.effect != RERUNNABLE and item.may_have_run:
-            self._answered(item, Reply(WRITTEN_OFF))
+            self._answered(item, RecordedResponse(WRITTEN_OFF))
         else:
             self._hand(item, self.loop.now())
 
-    def answer(self, item: Item, client: Any, reply: Reply) -> None:
+    def answer(self, item: ReplicatedRequest, client: Any, reply: RecordedResponse) -> None:
         self.counts[f"told_{reply.status}"] += 1
 
-    def released(self, errand: Handed) -> None:
+    def released(self, exchange: Handed) -> None:
         now = self.loop.now()
-        self.covered_s += now - errand.at
+        self.covered_s += now - exchange.at
         self.counts["released"] += 1
         self.number += 1
-        heapq.heappush(self.services, (now + SERVICE, self.number, errand))
+        heapq.heappush(self.services, (now + SERVICE, self.number, exchange))
 
-    def dropped(self, errand: Handed) -> None:
-        self.post(Dropped(errand))
+    def dropped(self, exchange: Handed) -> None:
+        self.post(Dropped(exchange))
 
-    def cover_by(self, part: CoverPart) -> None:
+    def cover_by(self, part: ReplicationConfig) -> None:
         self.covering.count = part.keepers
 
-    def retuned(self, terms: Terms) -> None:
+    def retuned(self, terms: BalancerConfig) -> None:
         self.counts["retuned"] += 1
 
     def share(self, shares: Any, back: Any) -> None:
@@ -192,17 +200,19 @@
     """One hollow member, from its start to its end; the same name and address as often as it is started."""
 
     def __init__(
-        self, loop: MeteredLoop, pool: Pool, name: str, host: str, port: int, told: dict[str, Any]
+        self, loop: MeteredLoop, pool: BufferPool, name: str, host: str, port: int, told: dict[str, Any]
     ) -> None:
         self.loop, self.pool, self.name, self.host, self.port = loop, pool, name, host, port
         settings = told["settings"]
-        self.config = Config(f"{host}:1", f"{host}:1", settings, name=name, seed=f"{told['seed']}-{name}")
-        self.terms = terms_of(self.config, "scale")
+        self.config = SidecarConfig(
+            f"{host}:1", f"{host}:1", settings, name=name, seed=f"{told['seed']}-{name}"
+        )
+        self.terms = balancer_config_of(self.config, "scale")
         fleet = told["fleet"] | {"listen": f"{host}:{port}", "advertise": ""}
-        self.part = msgspec.convert(fleet, FleetPart)
+        self.part = msgspec.convert(fleet, FleetConfig)
         self.chance = random.Random(f"{told['seed']}-{name}")
         self.meter = Meter()
-        self.fleet: Fleet | None = None
+        self.fleet: FleetMember | None = None
         self.work: Work | None = None
         self.side: dict[str, int] = {}  # by name, where links are cut
         self.started = self.ready_s = 0.0
@@ -219,17 +229,19 @@
         sock.bind((self.host, self.port))
         sock.listen(BACKLOG)
         loop, part, terms = self.loop, self.part, self.terms
-        who = Who(self.name, terms.zone, self.config.seed)
+        who = MemberIdentity(self.name, terms.zone, self.config.seed)
         counting = Counting(loop, self.meter)
 
-        def ruling(me: str) -> Ruling:
-            return Ruling(self.config, part, me, loop.now(), lambda: self.terms, self.retune, self.log)
+        def ruling(me: str) -> PolicyController:
+            return PolicyController(
+                self.config, part, me, loop.now(), lambda: self.terms, self.retune, self.log
+            )
 
-        def module(me: str, ruling: Ruling, lapsed: Callable[[Lapsed], None]) -> Deciding:
+        def module(me: str, ruling: PolicyController, lapsed: Callable[[EntryLost], None]) -> Deciding:
             return Deciding(loop, me, part, lapsed, ruling, terms, self.log)
 
         with counting:
-            self.fleet = fleet = Fleet(loop, self.pool, self.log, part, sock, who, ruling, module)
+            self.fleet = fleet = FleetMember(loop, self.pool, self.log, part, sock, who, ruling, module)
         self.actors = [
             fleet.module, fleet.lessee, fleet.onlooker, fleet.clerk, fleet.scribe, fleet.links, fleet.asker,
         ]  # fmt: skip
@@ -286,7 +298,7 @@
             if getattr(actor, "stream", None) is not None:
                 actor.hang_up()
 
-    def retune(self, terms: Terms) -> None:
+    def retune(self, terms: BalancerConfig) -> None:
         self.terms = terms
 
     def set_work(self, rate: float) -> None:
@@ -304,7 +316,7 @@
     def _named(self, link: Any, hello: Any) -> str:
         member = self.named(link, hello)
         if self._cut_from(member):
-            raise Refused("cut")
+            raise LinkRejectedError("cut")
         return member
 
     def _cut_from(self, member: str) -> bool:
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from starlingwheel.net.actor import Actor
-from starlingwheel.net.fleet.links import Links
+from starlingwheel.net.fleet.links import LinkManager
 from starlingwheel.net.loop import Loop
 
 from .counts import Sample, Traffic, traffic
@@ -45,7 +45,7 @@
         if meter is None:
             # A link belongs to whom its links do.
             links = getattr(actor, "links", None)
-            owner = links if isinstance(links, Links) else actor
+            owner = links if isinstance(links, LinkManager) else actor
             meter = actor.meter = owner.__dict__.get("meter") or self.nobody
         return meter
 
--- a/trials/scale/run.py
+++ b/trials/scale/run.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from starlingwheel.fleet.records import Cut
+from starlingwheel.fleet.records import Sharding
 
 from ..policy import body
 from ..rig import CAPS, CATEGORIES, ROOT, ZONES, cells_of
@@ -86,7 +86,7 @@
         if given.cell_size:
             part["cell_size"] = given.cell_size
             # As the arbiter has it of a fleet that has grown to this size: it would double step by step.
-            cut = Cut(cells_of(plan.size, given.cell_size))
+            cut = Sharding(cells_of(plan.size, given.cell_size))
             await self.arbiter.ask("put", key="/scale/cells", value=msgspec.json.encode(cut).decode())
         number = 0
         most = int(counts.machine_memory()[0] * MEMORY / plan.processes)
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -17,7 +17,7 @@
 from starlingwheel.net.actor import Actor, Coroutine
 from starlingwheel.net.lifecycle.start import COLLECT
 from starlingwheel.net.loop import READ
-from starlingwheel.net.memory.buffers import Pool
+from starlingwheel.net.memory.buffers import BufferPool
 
 from .counts import resident
 from .member import LOOKED, Member
@@ -30,7 +30,7 @@
 class Worker:
     def __init__(self) -> None:
         self.loop = MeteredLoop(self._defect)
-        self.pool = Pool(POOL)
+        self.pool = BufferPool(POOL)
         self.members: dict[str, Member] = {}
         self.defects: list[str] = []
         # Of members that have ended.
