--- /dev/null
+++ b/starlingwheel/decisions/commands.py
@@ -0,0 +1,87 @@
+"""What decision coroutines yield to their scheduler. Times are seconds.
+
+`StartAttempt` is answered at once with the `Attempt`, `Wait` with the event that ended the wait, every other
+command with None.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Generator
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from .model import Attempt
+
+if TYPE_CHECKING:
+    from .endpoint_stats import EndpointStats
+
+
+@dataclass(slots=True, frozen=True)
+class StartAttempt:
+    """Send the request to an endpoint, with a timeout; `load` is noted in the attempt."""
+
+    endpoint: EndpointStats
+    timeout: float
+    load: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class CancelAttempt:
+    """Stop waiting for an attempt."""
+
+    attempt: Attempt
+
+
+@dataclass(slots=True, frozen=True)
+class Wait:
+    """Sleep until an event of the request, or of the endpoint watch, arrives.
+
+    Resumed by an `AttemptEnded`, `ResponseStarted`, `HealthCheckEnded`, `CLIENT_DISCONNECTED` or, for a
+    background task that watches the endpoints, a `WatchEvent`; by None when `until` has come (None: never).
+    """
+
+    until: float | None
+
+
+@dataclass(slots=True, frozen=True)
+class RejectRequest:
+    """Final answer: not executed, a retry is harmless after `retry_after`."""
+
+    retry_after: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class FailRequest:
+    """Final answer: failed, perhaps after it had an effect."""
+
+
+@dataclass(slots=True, frozen=True)
+class WatchEndpoints:
+    """Open the watch of the endpoint list; each of its events resumes the `Wait` of who asked."""
+
+
+@dataclass(slots=True, frozen=True)
+class StartHealthCheck:
+    """Ask an endpoint for its load; a `HealthCheckEnded` resumes the `Wait` of who asked."""
+
+    endpoint: EndpointStats
+
+
+@dataclass(slots=True, frozen=True)
+class SendGossip:
+    """Send a message to all peers."""
+
+    body: bytes
+
+
+Command = (
+    StartAttempt
+    | CancelAttempt
+    | Wait
+    | RejectRequest
+    | FailRequest
+    | WatchEndpoints
+    | StartHealthCheck
+    | SendGossip
+)
+DecisionCoroutine = Generator[Command, Any, Any]
--- /dev/null
+++ b/starlingwheel/decisions/endpoint_set.py
@@ -0,0 +1,129 @@
+"""The endpoints of the list by id, zone and cell, and the subset that this sidecar sends to."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Callable
+from math import log
+
+from .clock import Clock
+from .config import BalancerConfig
+from .endpoint_stats import EndpointStats
+from .events import WatchEvent
+from .model import Endpoint, EndpointState
+
+SUBSET_SIZE = 2  # endpoints of a side to choose from, where open connections have a price and carry many
+SUBSET_SPARE_FACTOR = 3  # times as many, from which those are taken while some are not ready
+INDEX_MULTIPLIER = 2654435761  # spreads sidecar indices over 32 bits
+CELL_HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads a 32-bit hash over 64 bits
+
+
+class EndpointSet:
+    """Owns the endpoint list. `local` and `remote` are the ready endpoints, as of the last `refresh`."""
+
+    def __init__(self, clock: Clock) -> None:
+        self.clock = clock
+        self.by_id: dict[str, EndpointStats] = {}
+        self.by_tag: dict[int, EndpointStats] = {}
+        self.local: list[EndpointStats] = []
+        self.remote: list[EndpointStats] = []
+        self.remote_zones: list[EndpointStats] = []  # one endpoint of each
+        self.cell_weights: dict[int, float] = {}
+        self.mean_weight = 1.0
+        self.stale = True
+        self.on_refresh: Callable[[], None] = lambda: None
+
+    def reload(self, config: BalancerConfig) -> None:
+        """Take over a configuration."""
+        self.config, self.stale = config, True
+        subsetting = config.open_connection_price and config.streams_per_connection > 1
+        self.subset_size = SUBSET_SIZE if subsetting else 0
+        self.subset_width = SUBSET_SPARE_FACTOR * self.subset_size
+        self.salt = config.sidecar_index * INDEX_MULTIPLIER & 0xFFFFFFFF
+
+    def apply(self, event: WatchEvent, entries: list[Endpoint]) -> None:
+        """Take over a snapshot or a delta of the endpoint list."""
+        if event is WatchEvent.SNAPSHOT:
+            listed = {entry.endpoint_id for entry in entries}
+            for endpoint_id in [known for known in self.by_id if known not in listed]:
+                del self.by_id[endpoint_id]
+        live = self.config.weights_are_live
+        self.stale = self.stale or not live or event is WatchEvent.SNAPSHOT
+        for entry in entries:
+            self._apply_entry(entry, live)
+
+    def _apply_entry(self, entry: Endpoint, live: bool) -> None:
+        known = self.by_id.get(entry.endpoint_id)
+        if known is None or entry.state is EndpointState.GONE:
+            self.stale = True
+            self.by_id.pop(entry.endpoint_id, None)
+            if entry.state is not EndpointState.GONE:
+                self.by_id[entry.endpoint_id] = EndpointStats(entry, self.clock.now, self.config.sidecars)
+            return
+        before = known.entry.state, known.started_at
+        self.stale |= (entry.state, entry.started_at) != before
+        known.update(entry, self.clock.now, live)
+
+    def refresh(self) -> None:
+        """Derive zones, cells and the subset anew if the list has changed."""
+        if not self.stale:
+            return
+        self.stale = False
+        # A subset keeps the number of connections to each endpoint within what it accepts.
+        ordered = sorted(self.by_id.values(), key=self._order)
+        ready = [stats for stats in ordered if stats.entry.state is EndpointState.READY]
+        self.by_tag = {stats.gossip_tag: stats for stats in self.by_id.values()}
+        self.on_refresh()
+        self.local = [stats for stats in ready if stats.entry.zone == self.config.zone]
+        self.remote = [stats for stats in ready if stats.entry.zone != self.config.zone]
+        self.cell_weights = {}
+        for stats in ready:
+            cell = stats.entry.cell
+            self.cell_weights[cell] = self.cell_weights.get(cell, 0.0) + stats.capacity_weight
+        for side in (self.local, self.remote) if self.subset_size else ():
+            self._rank(side)
+        self.remote_zones = list({stats.entry.zone: stats for stats in self.remote}.values())
+        weights = sum(stats.capacity_weight for stats in ordered)
+        self.mean_weight = weights / len(ordered) if ordered else 1.0
+
+    def _order(self, stats: EndpointStats) -> tuple[int, str]:
+        endpoint_id = stats.endpoint_id
+        return zlib.crc32(endpoint_id.encode(), self.salt) if self.subset_size else 0, endpoint_id
+
+    def _rank(self, side: list[EndpointStats]) -> None:
+        # Of all sidecars these may send to one endpoint of the side: the mean, and chance beyond it.
+        sharing = self.config.sidecars * min(1.0, self.subset_width / max(1, len(side)))
+        sharing = min(self.config.sidecars, sharing + 3 * sharing**0.5)
+        for rank, stats in enumerate(side):
+            stats.rank, stats.sharing_sidecars = rank, sharing
+
+    def ready_count(self) -> int:
+        """How many endpoints are ready."""
+        self.refresh()
+        return len(self.local) + len(self.remote)
+
+    def is_ready(self, stats: EndpointStats) -> bool:
+        """It is still listed and ready."""
+        return self.by_id.get(stats.endpoint_id) is stats and stats.entry.state is EndpointState.READY
+
+    def relative_cost(self, stats: EndpointStats) -> float:
+        """How many times the work of one of mean weight a request is there."""
+        exponent = 0.5 if self.config.weights_are_live else 1
+        return (self.mean_weight / max(stats.capacity_weight, 1e-9)) ** exponent
+
+    def preferred_cell(self, key: str) -> int | None:
+        """The cell that all sidecars choose for a key, by rendezvous hashing; None: any will do.
+
+        Requests with one key go to one cell, which has less work with them. When a cell goes only its
+        keys move.
+        """
+        self.refresh()
+        if not (key and self.config.key_affinity and self.cell_weights):
+            return None
+        key_hash = zlib.crc32(key.encode())
+
+        def priority(cell: int) -> float:
+            mixed = ((key_hash ^ zlib.crc32(b"%d" % cell)) * CELL_HASH_MULTIPLIER >> 24) & 0xFFFFFFFF
+            return -log((mixed + 1) / 2**32) / max(self.cell_weights[cell], 1e-9)
+
+        return min(self.cell_weights, key=priority)
--- /dev/null
+++ b/starlingwheel/decisions/endpoint_watch.py
@@ -0,0 +1,37 @@
+"""The background task that keeps a watch of the endpoint list open, where discovery does not push it."""
+
+from __future__ import annotations
+
+import random
+
+from .clock import Clock
+from .commands import DecisionCoroutine, Wait, WatchEndpoints
+from .config import BalancerConfig
+from .events import WatchEvent
+
+SIDECARS_PER_INTERVAL = 16  # sidecars whose calls are spread over the shortest backoff
+MAX_BACKOFF = 8  # times the shortest backoff
+
+
+def watch_endpoints(clock: Clock, chance: random.Random, config: BalancerConfig) -> DecisionCoroutine:
+    """Open the watch, and again with exponential backoff after each failure.
+
+    Calls are spread over the sidecars, which would otherwise all come at once at the start and after an
+    outage.
+    """
+    max_age = config.endpoint_list_max_age
+    shortest = max(max_age / 32, clock.shortest_objective / 4)
+    spread = min(
+        shortest * max(1.0, config.sidecars / SIDECARS_PER_INTERVAL),
+        max(shortest, max_age / 2),
+    )
+    backoff = spread
+    until = clock.now + chance.random() * spread
+    while True:
+        while clock.now < until:
+            yield Wait(until)
+        yield WatchEndpoints()
+        while (yield Wait(None)) is not WatchEvent.FAILED:
+            backoff = spread
+        until = clock.now + backoff * (0.5 + chance.random())
+        backoff = min(2 * backoff, max(MAX_BACKOFF * shortest, spread))
--- a/starlingwheel/decisions/estimators.py
+++ b/starlingwheel/decisions/estimators.py
@@ -5,7 +5,8 @@
 
 from __future__ import annotations
 
-DOUBT = 32  # observations that weigh as much as the prior of a line's slope
+SLOPE_PRIOR_WEIGHT = 32  # observations that weigh as much as the prior of a slope
+QUEUED_REQUEST_COST = 0.5  # time that a queued request adds to a response, as a part of that time
 
 
 class Histogram:
@@ -65,14 +66,16 @@
         self.n = self.x = self.y = self.xx = self.xy = 0.0
 
     def add(self, x: float, y: float) -> None:
-        keep = 0.5 if self.n > 8 * DOUBT else 1.0
+        keep = 0.5 if self.n > 8 * SLOPE_PRIOR_WEIGHT else 1.0
         self.n, self.x, self.y = self.n * keep + 1, self.x * keep + x, self.y * keep + y
         self.xx, self.xy = self.xx * keep + x * x, self.xy * keep + x * y
 
     def growth(self, prior: float) -> float:
         """By how much it grows with each, as a part of what it is at none."""
         x, y = self.x / self.n, self.y / self.n
-        slope = (self.xy - self.n * x * y + DOUBT * prior * y) / (self.xx - self.n * x * x + DOUBT)
+        slope = (self.xy - self.n * x * y + SLOPE_PRIOR_WEIGHT * prior * y) / (
+            self.xx - self.n * x * x + SLOPE_PRIOR_WEIGHT
+        )
         return max(slope / max(y - slope * x, y / 8, 1e-9), 1 / 16)
 
 
--- /dev/null
+++ b/starlingwheel/decisions/gossip.py
@@ -0,0 +1,178 @@
+"""What sidecars tell each other: attempts in flight by endpoint, failures, attempts left unanswered.
+
+A message is a row of records of three bytes: two of an endpoint's tag, one of a count or a code.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from math import inf
+from typing import TYPE_CHECKING
+
+from .clock import HALF_LIFE, Clock
+from .commands import DecisionCoroutine, SendGossip
+from .config import BalancerConfig
+from .endpoint_set import EndpointSet
+from .endpoint_stats import EndpointStats
+from .estimators import QUEUED_REQUEST_COST, InFlightEstimator
+from .slow_start import slow_start_fraction
+
+if TYPE_CHECKING:
+    from .outlier_detection import OutlierDetector
+
+MAX_MESSAGE_SIZE = 256  # bytes, which is also what the price of a message is for
+BILLED_MESSAGE_SIZE = 16  # bytes of a usual message
+RECORD_SIZE = 3  # bytes
+FAILURE = 255  # code: an attempt there has failed
+UNANSWERED = 254  # code beside a count: an attempt there was left unanswered
+ENDED_BY_SENDER = (
+    253  # code beside a count: an attempt has ended of itself, which tells nothing of the endpoint
+)
+MESSAGES_PER_OBJECTIVE = 512.0  # messages from all peers in the shortest latency objective, at most
+BURST = 4.0  # messages sent without a pause
+PRIOR_RESPONSES = 4.0  # responses elsewhere that weigh as much as the doubt about an endpoint's pace
+
+
+class Gossip:
+    """Owns what peers have told and what is still to be told to them."""
+
+    def __init__(self, clock: Clock, endpoints: EndpointSet) -> None:
+        self.clock, self.endpoints = clock, endpoints
+        self.enabled = False
+        self.counts: dict[int, int] = {}  # attempts in flight at peers, by tag
+        self.total = 0.0
+        self._by_peer: dict[tuple[int, int], tuple[float, int]] = {}  # (peer, tag): when, count; oldest first
+        self._received_at = -inf
+        self._in_flight = InFlightEstimator(clock.now)
+        self._pending_counts: dict[EndpointStats, None] = {}
+        self._pending_failures: dict[EndpointStats, None] = {}
+        self._pending_codes: dict[EndpointStats, int] = {}
+        self._tokens, self._refilled_at = BURST, clock.now
+        endpoints.on_refresh = self._drop_zero_counts
+
+    def reload(self, config: BalancerConfig, enabled: bool) -> None:
+        """Take over a configuration. `enabled`: whether in-flight counts are told at all."""
+        self.config, self.enabled = config, enabled
+
+    def _drop_zero_counts(self) -> None:
+        self.counts = {tag: count for tag, count in self.counts.items() if count}
+
+    def is_current(self) -> bool:
+        """A peer was heard within the shortest latency objective."""
+        return self._received_at > self.clock.now - self.clock.shortest_objective
+
+    # Sending.
+
+    def note_count(self, stats: EndpointStats) -> None:
+        """The number of attempts in flight at an endpoint has changed."""
+        if self.enabled:
+            self._pending_counts[stats] = None
+
+    def note_failure(self, stats: EndpointStats) -> None:
+        """An attempt has failed in a way that peers should know of at once."""
+        self._pending_failures[stats] = None
+
+    def note_end_without_response(self, stats: EndpointStats, unanswered: bool) -> None:
+        """An attempt has ended without a response; a peer that was told so need not find out by itself."""
+        self._pending_codes[stats] = (
+            UNANSWERED if unanswered else self._pending_codes.get(stats, ENDED_BY_SENDER)
+        )
+
+    def flush(self) -> DecisionCoroutine:
+        """Send what has changed, within this sidecar's part of what each peer may receive."""
+        if not self._pending_counts and not self._pending_failures and not self._pending_codes:
+            return
+        now = self.clock.now
+        rate = MESSAGES_PER_OBJECTIVE / self.clock.shortest_objective / self.config.sidecars
+        self._tokens = min(BURST, self._tokens + (now - self._refilled_at) * rate)
+        self._refilled_at = now
+        if self._tokens >= 1:
+            self._tokens -= 1
+            records = list(self._pending_records())[: MAX_MESSAGE_SIZE // RECORD_SIZE]
+            for pending in (self._pending_failures, self._pending_codes, self._pending_counts):
+                pending.clear()
+            yield SendGossip(b"".join(tag.to_bytes(2, "big") + bytes([value]) for tag, value in records))
+
+    def _pending_records(self) -> Iterator[tuple[int, int]]:
+        """Tags with their codes or counts, the most urgent first."""
+        for stats in self._pending_failures:
+            yield stats.gossip_tag, FAILURE
+        for stats, code in self._pending_codes.items():
+            yield stats.gossip_tag, code
+        for stats in self._pending_counts:
+            yield stats.gossip_tag, min(len(stats.in_flight), ENDED_BY_SENDER - 1)
+
+    # Receiving.
+
+    def receive(self, peer: int, body: bytes, outliers: OutlierDetector) -> None:
+        """Take over a message; one from an unknown peer is ignored."""
+        if not 0 <= peer < self.config.sidecars:
+            return
+        self.endpoints.refresh()
+        ended_by_sender: set[int] = set()
+        for start in range(0, len(body) - RECORD_SIZE + 1, RECORD_SIZE):
+            tag, value = int.from_bytes(body[start : start + 2], "big"), body[start + 2]
+            stats = self.endpoints.by_tag.get(tag)
+            if value < ENDED_BY_SENDER:
+                self._receive_count(peer, tag, value, stats, tag in ended_by_sender, outliers)
+                continue
+            if value != FAILURE:
+                ended_by_sender.add(tag)
+            if stats is not None:
+                self._receive_code(value, stats, outliers)
+
+    def _receive_code(self, code: int, stats: EndpointStats, outliers: OutlierDetector) -> None:
+        if code == FAILURE:
+            outliers.suspect(stats)
+        # One that is slow or full goes on answering somebody.
+        lately = self.clock.now - self.clock.shortest_objective / 2
+        if code == UNANSWERED and stats.last_response_at < lately:
+            outliers.eject(stats, unresponsive=True)
+
+    def _receive_count(
+        self,
+        peer: int,
+        tag: int,
+        count: int,
+        stats: EndpointStats | None,
+        ended_by_sender: bool,
+        outliers: OutlierDetector,
+    ) -> None:
+        _, before = self._by_peer.pop((peer, tag), (0.0, 0))
+        if count < before and not ended_by_sender and stats is not None:
+            outliers.note_response_elsewhere(stats)
+        if count:
+            self._by_peer[peer, tag] = (self.clock.now, count)
+        if stats is not None:
+            self._note_in_flight(stats, 0 if ended_by_sender else max(0, before - count))
+        self.counts[tag] = self.counts.get(tag, 0) + count - before
+        self.total, self._received_at = self.total + count - before, self.clock.now
+
+    def forget_old_counts(self) -> None:
+        """Stop counting what a sidecar that was killed or cut off last had in flight."""
+        while self._by_peer:
+            (peer, tag), (at, count) = next(iter(self._by_peer.items()))
+            if at > self.clock.now - self.clock.longest_objective:
+                return
+            del self._by_peer[peer, tag]
+            self.counts[tag] -= count
+            self.total -= count
+
+    def _note_in_flight(self, stats: EndpointStats, responses: float = 0.0) -> None:
+        now, half_life = self.clock.now, HALF_LIFE * self.clock.shortest_objective
+        stats.gossip_in_flight.add(now, half_life, self.counts.get(stats.gossip_tag, 0), responses)
+        self._in_flight.add(now, half_life, self.total, responses)
+
+    def pace(self, stats: EndpointStats) -> float:
+        """Response time of an endpoint against that of all, by peers' counts; 1 where they tell nothing."""
+        if not self.is_current() or self._in_flight.answers < PRIOR_RESPONSES:
+            return 1.0
+        self._note_in_flight(stats)
+        here, everywhere = stats.gossip_in_flight, self._in_flight
+        mean = everywhere.out / everywhere.answers
+        time = (here.out + PRIOR_RESPONSES * mean) / (here.answers + PRIOR_RESPONSES)
+        queue = here.out / (here.span or 1.0)
+        usual = everywhere.out / everywhere.span / max(1, self.endpoints.ready_count())
+        alone = time / mean * (1 + QUEUED_REQUEST_COST * usual) / (1 + QUEUED_REQUEST_COST * queue)
+        warm = slow_start_fraction(stats, self.config, self.clock.now)
+        return alone * warm / self.endpoints.relative_cost(stats)
--- /dev/null
+++ b/starlingwheel/decisions/outcomes.py
@@ -0,0 +1,96 @@
+"""What the end of an attempt or of a health check tells each part."""
+
+from __future__ import annotations
+
+from .clock import Clock
+from .config import BalancerConfig
+from .endpoint_stats import EndpointStats
+from .events import AttemptEnded
+from .gossip import Gossip
+from .latency import LatencyModel
+from .load import LoadTracker
+from .model import Attempt, AttemptOutcome
+from .outlier_detection import OutlierDetector
+
+FAILING_FRACTION = 0.2  # of the requests that an endpoint reports, that fail there and make it an outlier
+RESPONDED = (AttemptOutcome.SUCCESS, AttemptOutcome.ERROR, AttemptOutcome.REJECTED)
+CONNECTION_LOST = (AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED)
+UNFINISHED = (AttemptOutcome.CANCELLED, AttemptOutcome.TIMED_OUT)
+
+
+class OutcomeRecorder:
+    """Passes outcomes on to the parts, in one order. It keeps no state but the configuration."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        load: LoadTracker,
+        latency: LatencyModel,
+        gossip: Gossip,
+        outliers: OutlierDetector,
+    ) -> None:
+        self.clock, self.load, self.latency = clock, load, latency
+        self.gossip, self.outliers = gossip, outliers
+
+    def reload(self, config: BalancerConfig) -> None:
+        """Take over a configuration."""
+        self.config = config
+
+    def record_attempt(self, event: AttemptEnded) -> None:
+        """An attempt has ended."""
+        attempt, outcome = event.attempt, event.outcome
+        stats = attempt.endpoint
+        self.load.note_ended(attempt)
+        if outcome is AttemptOutcome.REJECTED:
+            self.load.note_full(stats)
+        self._note_connection(stats, outcome)
+        self.load.note_report(stats, event.load_report)
+        # A sidecar with little traffic need not see for itself the failures that others have seen.
+        failing = event.load_report.get("failing", 0.0)
+        reports_failures = failing > FAILING_FRACTION * event.load_report.get("served", 0.0)
+        silent = outcome in UNFINISHED and self.outliers.silence(attempt) > 0
+        if self.gossip.enabled and outcome not in RESPONDED:
+            self.gossip.note_end_without_response(stats, silent or outcome in CONNECTION_LOST)
+        if outcome is AttemptOutcome.SUCCESS:
+            self._record_success(attempt, event.duration, reports_failures)
+        elif outcome is AttemptOutcome.ERROR or outcome in CONNECTION_LOST:
+            self._record_failure(stats, outcome, reports_failures)
+        elif outcome in UNFINISHED:
+            self.latency.learn(attempt, event.duration, unfinished=True)
+            if silent:
+                self.outliers.note_outcome(stats, failed=True, unresponsive=True)
+
+    def _note_connection(self, stats: EndpointStats, outcome: AttemptOutcome) -> None:
+        single = self.config.streams_per_connection == 1
+        if outcome in RESPONDED:
+            # A connection that carries many requests is open for whatever comes next.
+            stats.idle_connections = [*(stats.idle_connections if single else ()), self.clock.now]
+        elif not single and outcome in CONNECTION_LOST:
+            stats.idle_connections = []
+        success = outcome is AttemptOutcome.SUCCESS
+        failed = outcome is AttemptOutcome.CONNECT_FAILED
+        stats.connect_failing = failed or (stats.connect_failing and success)
+
+    def _record_success(self, attempt: Attempt, duration: float, reports_failures: bool) -> None:
+        stats = attempt.endpoint
+        self.latency.learn(attempt, duration)
+        stats.last_response_at = self.clock.now
+        stats.latest_finished_start = max(stats.latest_finished_start, attempt.started_at)
+        self.outliers.note_outcome(stats, failed=reports_failures, told=reports_failures)
+
+    def _record_failure(self, stats: EndpointStats, outcome: AttemptOutcome, reports_failures: bool) -> None:
+        connect_failed = outcome is AttemptOutcome.CONNECT_FAILED
+        self.outliers.note_outcome(stats, failed=True, unresponsive=connect_failed, told=reports_failures)
+        self.outliers.announce_failure(stats, connect_failed)
+
+    def record_health_check(
+        self, stats: EndpointStats, outcome: AttemptOutcome, report: dict[str, float]
+    ) -> None:
+        """A health check has ended."""
+        self.load.note_report(stats, report)
+        if outcome is AttemptOutcome.SUCCESS:
+            stats.last_response_at = self.clock.now
+        elif outcome is AttemptOutcome.REJECTED:
+            self.load.note_full(stats)
+        else:
+            self.outliers.note_outcome(stats, failed=True)
--- /dev/null
+++ b/starlingwheel/decisions/retry_policy.py
@@ -0,0 +1,65 @@
+"""Rule 2, no effect twice: what may be sent again, and what may be rejected as harmless."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from .clock import Clock
+from .config import BalancerConfig, DeduplicationScope, RetrySafety
+from .model import Attempt, Endpoint, Request
+
+WINDOW_FRACTION = 0.98  # of the deduplication window, after which nothing is sent again
+
+
+def first_risky_attempt(attempts: Sequence[Attempt]) -> Attempt | None:
+    """The first attempt that may have had an effect."""
+    return next((attempt for attempt in attempts if attempt.may_have_run), None)
+
+
+class RetryPolicy:
+    """Decides what may be sent again. It keeps no state but the configuration."""
+
+    def __init__(self, clock: Clock) -> None:
+        self.clock = clock
+
+    def reload(self, config: BalancerConfig) -> None:
+        """Take over a configuration."""
+        self.config = config
+
+    def may_send(self, request: Request, attempts: Sequence[Attempt]) -> bool:
+        """A further attempt may start now, at some endpoint of `scope`."""
+        if len(attempts) >= request.max_attempts:
+            return False
+        risky = first_risky_attempt(attempts)
+        safety = request.request_class.retry_safety
+        if risky is None or safety is RetrySafety.IDEMPOTENT:
+            return True
+        window = request.request_class.deduplication_window * WINDOW_FRACTION
+        return safety is RetrySafety.IDEMPOTENT_WITH_KEY and self.clock.now < risky.started_at + window
+
+    def may_hedge(self, request: Request, attempts: Sequence[Attempt]) -> bool:
+        """A second attempt may run beside the last one."""
+        non_idempotent = request.request_class.retry_safety is RetrySafety.NON_IDEMPOTENT
+        if not self.config.hedging_allowed or non_idempotent:
+            return False
+        return bool(attempts) and attempts[-1].pending and self.may_send(request, attempts)
+
+    def may_reject(self, request: Request, attempts: Sequence[Attempt]) -> bool:
+        """The client may be told that a retry is harmless."""
+        request_class = request.request_class
+        safety = request_class.retry_safety
+        if safety is RetrySafety.IDEMPOTENT or first_risky_attempt(attempts) is None:
+            return True
+        everywhere = request_class.deduplication_scope is DeduplicationScope.ALL
+        return safety is RetrySafety.IDEMPOTENT_WITH_KEY and everywhere
+
+    def scope(
+        self, request: Request, attempts: Sequence[Attempt]
+    ) -> tuple[DeduplicationScope, Endpoint | None]:
+        """Where a further attempt may go: the scope, and the endpoint whose scope that is."""
+        risky = first_risky_attempt(attempts)
+        if risky is None:
+            return DeduplicationScope.ALL, None
+        with_key = request.request_class.retry_safety is RetrySafety.IDEMPOTENT_WITH_KEY
+        scope = request.request_class.deduplication_scope if with_key else DeduplicationScope.ALL
+        return scope, risky.endpoint.entry
--- a/starlingwheel/decisions/runner.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -11,29 +11,23 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Protocol
 
-from .lease import EndpointLease
-from .rules import Balancer, EndpointStats
-from .terms import (
-    CLIENT_DISCONNECTED,
-    Attempt,
-    AttemptEnded,
-    AttemptOutcome,
-    BalancerConfig,
+from .balancer import Balancer
+from .commands import (
     CancelAttempt,
     DecisionCoroutine,
-    Endpoint,
     FailRequest,
-    HealthCheckEnded,
     RejectRequest,
-    Request,
-    ResponseStarted,
     SendGossip,
     StartAttempt,
     StartHealthCheck,
     Wait,
     WatchEndpoints,
-    WatchEvent,
 )
+from .config import BalancerConfig
+from .endpoint_stats import EndpointStats
+from .events import CLIENT_DISCONNECTED, AttemptEnded, HealthCheckEnded, ResponseStarted, WatchEvent
+from .lease import EndpointLease
+from .model import Attempt, AttemptOutcome, Endpoint, Request
 
 
 class DecisionHost(Protocol):
@@ -83,7 +77,7 @@
 
     def start(self) -> None:
         """Begin the standing chores; the first list must have been given."""
-        for steps in self.balancer.chores():
+        for steps in self.balancer.background_tasks():
             self._due.append((ScheduledCoroutine(steps, None), None))
         self._run()
 
@@ -101,22 +95,22 @@
 
     def take(self, request: Request, before: Sequence[tuple[Endpoint, float, bool]] = ()) -> None:
         """`before`: the hand-offs that a lost sidecar made for it: where, when, whether it may have run."""
-        request.max_attempts = request.max_attempts or self.balancer.terms.max_attempts
+        request.max_attempts = request.max_attempts or self.balancer.config.max_attempts
         if before:
             request.earlier_attempts = [self._former(request, *told) for told in before]
-        task = self._tasks[request] = ScheduledCoroutine(self.balancer.work(request), request)
+        task = self._tasks[request] = ScheduledCoroutine(self.balancer.dispatch(request), request)
         self._due.append((task, None))
         self._run()
 
     def _former(self, request: Request, listing: Endpoint, sent: float, risky: bool) -> Attempt:
-        known = self.balancer.upstreams.get(listing.address) or EndpointStats(listing, self.now, 1)
+        known = self.balancer.endpoints.by_id.get(listing.endpoint_id) or EndpointStats(listing, self.now, 1)
         fate = None if risky else AttemptOutcome.NOT_SENT
         return Attempt(request, known, min(sent, self.now), pending=False, outcome=fate)
 
     def whole(self, request: Request, out: list[Attempt]) -> None:
         """Its `arrived` has been set: it was taken, and handed off, while it was still coming."""
         for attempt in out:
-            self.balancer.begun(attempt)
+            self.balancer.note_sent(attempt)
         if task := self._tasks.get(request):
             self._due.append((task, None))
             self._run()
@@ -125,7 +119,7 @@
         attempt = outcome.attempt
         attempt.pending = False
         attempt.outcome = outcome.outcome
-        self.balancer.settle(outcome)
+        self.balancer.attempt_ended(outcome)
         task = self._tasks.get(attempt.request)
         if task is None:
             return
@@ -146,13 +140,13 @@
             self._run()
 
     def listed(self, news: WatchEvent, listings: list[Endpoint]) -> None:
-        self.balancer.listed(news, listings)
+        self.balancer.update_endpoints(news, listings)
         if self._follower is not None:
             self._due.append((self._follower, news))
             self._run()
 
     def probed(self, address: str, fate: AttemptOutcome, took: float, report: dict[str, float]) -> None:
-        self.balancer.probed(address, fate, took, report)
+        self.balancer.health_check_ended(address, fate, report)
         asking = self._asking.get(address)
         if asking is None:
             return
@@ -163,16 +157,14 @@
         self._run()
 
     def retune(self, terms: BalancerConfig) -> None:
-        self.balancer.retune(terms)
+        self.balancer.reload(terms)
 
     def heard(self, peer: int, body: bytes) -> None:
-        self.balancer.heard(peer, body)
+        self.balancer.receive_gossip(peer, body)
 
     def share(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
         """The part of the draws that each zone is in, all unless named; `back`: zones that return."""
-        self.balancer.shares = dict(shares)
-        for zone in back:
-            self.balancer.returned(zone)
+        self.balancer.set_zone_shares(shares, back)
 
     def _run(self) -> None:
         while self._due:
@@ -224,7 +216,7 @@
                 self._follower = task
                 self.door.subscribe()
             case StartHealthCheck(upstream):
-                self._asking.setdefault(upstream.address, deque()).append((task, upstream))
+                self._asking.setdefault(upstream.endpoint_id, deque()).append((task, upstream))
                 self.door.probe(upstream)
             case SendGossip(body):
                 self.door.tell(body)
--- /dev/null
+++ b/starlingwheel/decisions/selection.py
@@ -0,0 +1,252 @@
+"""Which endpoint a request goes to: a weighted draw among near ones that should answer in time."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Collection, Sequence
+from dataclasses import dataclass
+from math import inf, log
+from typing import NamedTuple
+
+from .clock import Clock
+from .config import BalancerConfig, DeduplicationScope
+from .endpoint_set import EndpointSet
+from .endpoint_stats import EndpointStats
+from .gossip import Gossip
+from .latency import LatencyModel
+from .lease import EndpointLease
+from .load import LoadTracker
+from .model import Attempt, Endpoint, Request
+from .outlier_detection import PROBATION_FRACTION, OutlierDetector
+from .retry_policy import RetryPolicy
+from .slow_start import SlowStart
+
+ACCEPTABLE_LATENCY_FRACTION = 0.42  # of the objective that the expected response may take, at full priority
+LIVE_WEIGHT_LATENCY_FACTOR = 2.0  # times that, where only the endpoint list tells of load
+MAX_CANDIDATES = 12  # endpoints that are examined, in the own zone and beyond it
+IDLE_TIMEOUT_FRACTION = 0.75  # of the idle timeout for which an idle connection is counted on
+
+
+class Candidate(NamedTuple):
+    """An endpoint that may be chosen, its weight in the draw and the expected response time in seconds."""
+
+    endpoint: EndpointStats
+    weight: float
+    expected: float
+
+
+@dataclass(slots=True)
+class Search:
+    """What one selection goes by. Times are seconds."""
+
+    request: Request
+    excluded: set[EndpointStats]
+    scope: DeduplicationScope
+    scope_of: Endpoint | None
+    require_fit: bool
+    max_expected: float
+    typical: float
+    near_enough: float = 0.0  # expected time up to which no other zone is looked at
+    open_enough: float = 0.0  # expected time up to which an open connection is preferred
+    excluded_zones: Collection[str] = ()
+
+
+class EndpointSelector:
+    """Owns the shares of zones in the draws; the rest is asked of the other parts."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        chance: random.Random,
+        lease: EndpointLease,
+        endpoints: EndpointSet,
+        gossip: Gossip,
+        load: LoadTracker,
+        latency: LatencyModel,
+        slow_start: SlowStart,
+        outliers: OutlierDetector,
+        retry_policy: RetryPolicy,
+    ) -> None:
+        self.clock, self.chance, self.lease = clock, chance, lease
+        self.endpoints, self.gossip, self.load, self.latency = endpoints, gossip, load, latency
+        self.slow_start, self.outliers, self.retry_policy = slow_start, outliers, retry_policy
+        self.zone_shares: dict[str, float] = {}  # part of the draws that a zone is in, where that is not all
+
+    def reload(self, config: BalancerConfig) -> None:
+        """Take over a configuration."""
+        self.config = config
+        classes = config.request_classes
+        self._mean_weight = sum(one.priority_weight for one in classes) / len(classes)
+        live_factor = LIVE_WEIGHT_LATENCY_FACTOR if config.weights_are_live else 1
+        self.latency_fraction = ACCEPTABLE_LATENCY_FRACTION * live_factor
+
+    def select_endpoint(
+        self,
+        request: Request,
+        attempts: Sequence[Attempt],
+        objective: float,
+        priority: float,
+        excluded: Sequence[EndpointStats] = (),
+        require_fit: bool = True,
+    ) -> EndpointStats | None:
+        """The endpoint for the next attempt; None: none is free, or the endpoint list may not be acted on.
+
+        `objective`: seconds since the arrival, `priority`: 0 to 1, as the request's objective says.
+        `require_fit`: whether one that is too slow or too full may not be chosen.
+        """
+        if not self.lease.allows(self.clock.now):
+            return None
+        if priority == 0 and self.load.is_overloaded():
+            return None  # a request of no weight takes no capacity of others
+        search = self._search(request, attempts, objective, priority, excluded, require_fit)
+        candidates = self._candidates(search)
+        if not candidates:
+            self.outliers.earn_probation()
+            return None
+        candidates = self._prefer_cell(candidates, search)
+        candidates = self._prefer_open_connections(candidates, search)
+        chosen = self.chance.choices([one.endpoint for one in candidates], [one.weight for one in candidates])
+        return chosen[0]
+
+    def _search(
+        self,
+        request: Request,
+        attempts: Sequence[Attempt],
+        objective: float,
+        priority: float,
+        excluded: Sequence[EndpointStats],
+        require_fit: bool,
+    ) -> Search:
+        scope, scope_of = self.retry_policy.scope(request, attempts)
+        remaining = objective - (self.clock.now - request.arrived_at)
+        search = Search(
+            request=request,
+            excluded={*excluded, *(attempt.endpoint for attempt in attempts)},
+            scope=scope,
+            scope_of=scope_of,
+            require_fit=require_fit,
+            max_expected=remaining * self.latency_fraction * priority,
+            typical=self.latency.typical(request.request_class),
+        )
+        worth = request.request_class.priority_weight / self._mean_weight
+        search.near_enough = self._worth_avoiding(objective, self.config.cross_zone_price, worth)
+        search.open_enough = self._worth_avoiding(objective, self.config.connection_setup_price, worth)
+        self.endpoints.refresh()
+        if self.endpoints.local and self.endpoints.remote:
+            # Another zone is no gain where its responses come no sooner.
+            nearest = min(map(self.latency.zone_factor, self.endpoints.remote_zones))
+            search.near_enough = max(search.near_enough, search.typical * nearest)
+        self.gossip.forget_old_counts()
+        search.excluded_zones = {
+            zone for zone, share in self.zone_shares.items() if self.chance.random() >= share
+        }
+        return search
+
+    @staticmethod
+    def _worth_avoiding(objective: float, price: float, worth: float) -> float:
+        """The expected response time up to which it does not pay to accept that price, seconds."""
+        return objective / -log(min(max(price / worth, 1e-9), 0.5))
+
+    def _candidates(self, search: Search) -> list[Candidate]:
+        """Candidates of the own zone, and of the others unless some are near enough."""
+        candidates: list[Candidate] = []
+        cell = search.request.preferred_cell
+        for side in (self.endpoints.local, self.endpoints.remote):
+            candidates += self._candidates_of(side, search)
+            if side is not self.endpoints.local:
+                continue
+            near = [one for one in candidates if one.expected <= search.near_enough]
+            if near and (cell is None or any(one.endpoint.entry.cell == cell for one in near)):
+                return near
+        return candidates
+
+    def _candidates_of(self, side: list[EndpointStats], search: Search) -> list[Candidate]:
+        pool = self._pool(side, search)
+        subset_size = self.endpoints.subset_size
+        examined = self._examined(pool, search)
+        found: list[Candidate] = []
+        seen = 0
+        for stats in examined:
+            if subset_size and (seen == subset_size or stats.rank >= self.endpoints.subset_width):
+                break
+            if not self._may_be_chosen(stats, search):
+                continue
+            seen += 1
+            if (candidate := self._rate(stats, search)) is not None:
+                found.append(candidate)
+        if not found:
+            return found
+        scale = len(pool) / (len(found) if subset_size else len(examined))
+        return [Candidate(one.endpoint, one.weight * scale, one.expected) for one in found]
+
+    def _pool(self, side: list[EndpointStats], search: Search) -> list[EndpointStats]:
+        if search.excluded_zones:
+            side = [stats for stats in side if stats.entry.zone not in search.excluded_zones]
+        if search.scope is DeduplicationScope.ALL:
+            return side
+        scope = search.scope.value
+        wanted = getattr(search.scope_of, scope)
+        return [stats for stats in side if getattr(stats.entry, scope) == wanted]
+
+    def _examined(self, pool: list[EndpointStats], search: Search) -> list[EndpointStats]:
+        """The endpoints of a pool that are looked at, those of the preferred cell among them."""
+        if self.endpoints.subset_size or len(pool) <= MAX_CANDIDATES:
+            return pool
+        sample = self.chance.sample(pool, MAX_CANDIDATES)
+        cell = search.request.preferred_cell
+        if cell is None:
+            return sample
+        return list(dict.fromkeys([stats for stats in pool if stats.entry.cell == cell] + sample))
+
+    def _may_be_chosen(self, stats: EndpointStats, search: Search) -> bool:
+        if stats in search.excluded or not self.outliers.admits(stats, search.request):
+            return False
+        return self.slow_start.within_budget(stats)
+
+    def _rate(self, stats: EndpointStats, search: Search) -> Candidate | None:
+        load = self.load.of(stats)
+        # A sidecar that rejects everything hears of nothing: it goes on with what it knows once nothing of
+        # its own is in flight, unless the endpoint list tells of load by itself.
+        informed = self.load.in_flight or self.config.weights_are_live
+        strict = load >= 1 and informed and search.require_fit
+        relative_cost = self.endpoints.relative_cost(stats)
+        fits = load < self.load.queue_limit * max(1.0, 1 / relative_cost) ** 0.5
+        factor = self.latency.endpoint_factor(stats, search.request)
+        expected = search.typical * factor * self.latency.load_factor(stats, load)
+        fits = fits and expected <= search.max_expected
+        if strict and not fits:
+            return None
+        # One that is slow, or loses responses for this sidecar alone, is tried now and then while others fit.
+        tried = 1 if fits else PROBATION_FRACTION
+        weight = self.slow_start.fraction(stats) / ((1 + load * self.load.concurrency) * factor) * tried
+        return Candidate(stats, weight, expected)
+
+    def _prefer_cell(self, candidates: list[Candidate], search: Search) -> list[Candidate]:
+        """Those of the key's cell, unless a popular key fills it and the others take less time."""
+        cell = search.request.preferred_cell
+        known = [one for one in candidates if one.endpoint.entry.cell == cell]
+        if not known:
+            return candidates
+        others = [one for one in candidates if one.endpoint.entry.cell != cell]
+        near = [
+            one
+            for one in others
+            if one.endpoint.entry.zone == self.config.zone and one.expected <= search.near_enough
+        ]
+        others = near or others
+        usual = sum(one.expected for one in others) / len(others) if others else inf
+        return [one for one in known if one.expected <= usual] or others
+
+    def _prefer_open_connections(self, candidates: list[Candidate], search: Search) -> list[Candidate]:
+        if not self.config.connection_setup_price or self.endpoints.subset_size:
+            return candidates
+        preferred = [
+            one
+            for one in candidates
+            if self._has_open_connection(one.endpoint) and one.expected <= search.open_enough
+        ]
+        return preferred or candidates
+
+    def _has_open_connection(self, stats: EndpointStats) -> bool:
+        oldest = self.clock.now - IDLE_TIMEOUT_FRACTION * self.config.idle_timeout
+        return bool(stats.idle_connections) and stats.idle_connections[-1] > oldest
--- a/starlingwheel/fleet/frames.py
+++ b/starlingwheel/fleet/frames.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..decisions.terms import DeduplicationScope, RequestClass, RetrySafety
+from ..decisions.config import DeduplicationScope, RequestClass, RetrySafety
 from .policy import PolicyStatus
 
 VERSION = 2
--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ...decisions.terms import AttemptOutcome
+from ...decisions.model import AttemptOutcome
 from ..actor import Coroutine
 from ..loop import READ, Ready
 from ..mail import CancelExchange
--- a/starlingwheel/net/fleet/hosting.py
+++ b/starlingwheel/net/fleet/hosting.py
@@ -9,8 +9,8 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from ...decisions.runner import DecisionScheduler
-from ...decisions.terms import BalancerConfig
+from ...decisions.config import BalancerConfig
+from ...decisions.scheduler import DecisionScheduler
 from ...fleet.cover import ReplicatedRequest, RequestReplicator
 from ...fleet.frames import (
     AttemptIntent,
--- a/starlingwheel/net/fleet/module.py
+++ b/starlingwheel/net/fleet/module.py
@@ -7,15 +7,8 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from ...decisions.terms import (
-    Attempt,
-    AttemptOutcome,
-    BalancerConfig,
-    Endpoint,
-    EndpointState,
-    Request,
-    RetrySafety,
-)
+from ...decisions.config import BalancerConfig, RetrySafety
+from ...decisions.model import Attempt, AttemptOutcome, Endpoint, EndpointState, Request
 from ...fleet.cover import DEFERRED, FINISHED, MIXED_UP, UNSENT, WRITTEN_OFF, BeginResult, ReplicatedRequest
 from ...fleet.frames import (
     AttemptIntent,
@@ -281,13 +274,15 @@
         super().send(attempt, limit)
         exchange, listing = (
             self.pending_requests[attempt.request].exchanges[attempt],
-            attempt.endpoint.listing,
+            attempt.endpoint.entry,
         )
         self.zoning.began(exchange, listing.zone, self.runner.now)
         item = self.items.get(attempt.request)
         if item is None:
             return
-        self.hold(exchange, item, AttemptIntent(listing.address, listing.zone, listing.cell, self.runner.now))
+        self.hold(
+            exchange, item, AttemptIntent(listing.endpoint_id, listing.zone, listing.cell, self.runner.now)
+        )
 
     def _ended(self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any) -> None:
         self.zoning.ended(exchange, fate, self.runner.now)
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ...decisions.terms import BalancerConfig
+from ...decisions.config import BalancerConfig
 from ...fleet import common
 from ...fleet.frames import (
     RELAYED,
--- a/starlingwheel/net/fleet/start.py
+++ b/starlingwheel/net/fleet/start.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ...decisions.terms import BalancerConfig
+from ...decisions.config import BalancerConfig
 from ...fleet.cells import ShardMap
 from ...fleet.frames import VERSION, HelloFrame
 from ...fleet.part import FleetConfig
--- a/starlingwheel/net/fleet/zones.py
+++ b/starlingwheel/net/fleet/zones.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ...decisions.runner import DecisionScheduler
-from ...decisions.terms import AttemptOutcome
+from ...decisions.model import AttemptOutcome
+from ...decisions.scheduler import DecisionScheduler
 from ...fleet.part import ZonesConfig
 from ...fleet.records import StoreRecords, Transaction
 from ...fleet.zones import WINDOW, ZoneHealthTracker, ZonePlanner
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -13,8 +13,8 @@
 from math import inf
 from typing import Any
 
+from ..decisions.config import RetrySafety
 from ..decisions.lease import HELD_UP, EndpointLease, LeaseState
-from ..decisions.terms import RetrySafety
 from .memory.out import DRAINING_STATE, EndpointOverrides
 from .memory.work import Exchange, PendingRequest
 
--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ... import settings
-from ...decisions.terms import BalancerConfig
+from ...decisions.config import BalancerConfig
 from ..wire.address import split
 from ..wire.entries import DiscoveryMessage
 
--- a/starlingwheel/net/lifecycle/start.py
+++ b/starlingwheel/net/lifecycle/start.py
@@ -14,8 +14,9 @@
 
 import msgspec
 
+from ...decisions.config import BalancerConfig, RequestClass, RetrySafety
+from ...decisions.events import WatchEvent
 from ...decisions.lease import EndpointLease
-from ...decisions.terms import BalancerConfig, RequestClass, RetrySafety, WatchEvent
 from ...settings import mixed
 from ..actor import Actor
 from ..gate import AttemptGate
--- a/starlingwheel/net/mail.py
+++ b/starlingwheel/net/mail.py
@@ -5,7 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..decisions.terms import AttemptOutcome, BalancerConfig, WatchEvent
+from ..decisions.config import BalancerConfig
+from ..decisions.events import WatchEvent
+from ..decisions.model import AttemptOutcome
 from .memory.work import Exchange, PendingRequest, UpstreamResponse
 
 
--- a/starlingwheel/net/memory/work.py
+++ b/starlingwheel/net/memory/work.py
@@ -6,7 +6,8 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from ...decisions.terms import Attempt, Request, RetrySafety
+from ...decisions.config import RetrySafety
+from ...decisions.model import Attempt, Request
 from .buffers import BufferedBody
 from .flow import BodyStream
 
--- a/starlingwheel/net/module.py
+++ b/starlingwheel/net/module.py
@@ -8,8 +8,9 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from ..decisions.runner import DecisionScheduler
-from ..decisions.terms import Attempt, AttemptEnded, AttemptOutcome, Request, WatchEvent
+from ..decisions.events import AttemptEnded, WatchEvent
+from ..decisions.model import Attempt, AttemptOutcome, Request
+from ..decisions.scheduler import DecisionScheduler
 from .actor import Actor, Coroutine
 from .mail import (
     WATCH_ENDPOINTS,
@@ -103,7 +104,7 @@
     def _ended(self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any) -> None:
         took = self.loop.now() - exchange.started_at
         if exchange.attempt is None:
-            self.runner.probed(exchange.endpoint.address, fate, took, report)
+            self.runner.probed(exchange.endpoint.endpoint_id, fate, took, report)
             return
         pending = exchange.pending
         del pending.exchanges[exchange.attempt]
@@ -145,7 +146,9 @@
 
     def send(self, attempt: Attempt, limit: float) -> None:
         pending = self.pending_requests[attempt.request]
-        carrier = self.upstreams.get(attempt.endpoint.address) if self.node.gate.may_repeat(pending) else None
+        carrier = (
+            self.upstreams.get(attempt.endpoint.endpoint_id) if self.node.gate.may_repeat(pending) else None
+        )
         until = attempt.started_at + limit
         if pending.coming:
             # Guards against taking the time that its client needs to send it for its upstream's.
@@ -187,7 +190,7 @@
 
     def probe(self, upstream: Any) -> None:
         now = self.loop.now()
-        carrier = self.upstreams.get(upstream.address)
+        carrier = self.upstreams.get(upstream.endpoint_id)
         self._carry(Exchange(upstream, carrier, now, now + self.node.shortest / 2))
 
     def tell(self, body: bytes) -> None:
--- a/starlingwheel/net/wire/client.py
+++ b/starlingwheel/net/wire/client.py
@@ -10,7 +10,8 @@
 
 import h11
 
-from ...decisions.terms import Request, RetrySafety
+from ...decisions.config import RetrySafety
+from ...decisions.model import Request
 from ..actor import Actor, Coroutine
 from ..loop import HANGUP, READ, WRITE, Ready
 from ..mail import CLOSE, STOP, ClientDisconnected, FinalResponse, RequestBodyComplete, RequestReceived, Stop
--- a/starlingwheel/net/wire/discovery.py
+++ b/starlingwheel/net/wire/discovery.py
@@ -9,7 +9,7 @@
 import h11
 import msgspec
 
-from ...decisions.terms import WatchEvent
+from ...decisions.events import WatchEvent
 from ..actor import Actor, Coroutine
 from ..loop import READ, WRITE, Ready
 from ..mail import (
--- a/starlingwheel/net/wire/entries.py
+++ b/starlingwheel/net/wire/entries.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from ...decisions.terms import Endpoint, EndpointState, WatchEvent
+from ...decisions.events import WatchEvent
+from ...decisions.model import Endpoint, EndpointState
 
 CONDITIONS = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 
@@ -25,12 +26,12 @@
     def listing(self) -> Endpoint:
         # The id is the same at every sidecar, the address is not: the decisions know the id alone.
         return Endpoint(
-            address=self.id,
+            endpoint_id=self.id,
             zone=self.zone,
             cell=self.cell,
-            size=self.weight,
-            started=self.started_ms / 1000 if self.started_ms else None,
-            condition=CONDITIONS[self.state],
+            capacity_weight=self.weight,
+            started_at=self.started_ms / 1000 if self.started_ms else None,
+            state=CONDITIONS[self.state],
         )
 
 
--- a/starlingwheel/net/wire/streams.py
+++ b/starlingwheel/net/wire/streams.py
@@ -18,7 +18,7 @@
 import h2.settings
 import h11
 
-from ...decisions.terms import AttemptOutcome
+from ...decisions.model import AttemptOutcome
 from ..actor import Actor, Coroutine
 from ..loop import READ, WRITE, Ready
 from ..mail import CLOSE, CancelExchange, ConnectionClosed, ExchangeEnded, StartExchange
--- a/starlingwheel/net/wire/upstream.py
+++ b/starlingwheel/net/wire/upstream.py
@@ -12,7 +12,7 @@
 
 import h11
 
-from ...decisions.terms import AttemptOutcome
+from ...decisions.model import AttemptOutcome
 from ...settings import REPORTED, SCALE
 from ..actor import Actor, Coroutine
 from ..gate import Refusal
--- a/starlingwheel/settings.py
+++ b/starlingwheel/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .decisions.terms import BalancerConfig
+from .decisions.config import BalancerConfig
 
 EFFECTS = {"free": "rerunnable", "guarded": "ticketed", "single_shot": "exclusive"}
 REPORTED = {
--- a/starlingwheel/simhost/host.py
+++ b/starlingwheel/simhost/host.py
@@ -6,8 +6,9 @@
 import random
 from typing import Any
 
-from ..decisions.runner import DecisionScheduler
-from ..decisions.terms import Attempt, AttemptEnded, Endpoint, Request, WatchEvent
+from ..decisions.events import AttemptEnded, WatchEvent
+from ..decisions.model import Attempt, Endpoint, Request
+from ..decisions.scheduler import DecisionScheduler
 from ..settings import decode
 from .wire import FATES, NEWS, MalformedMessageError, SimulatorLine, flag, micros, pack, seconds, unpack
 
@@ -136,7 +137,7 @@
         pending = self._job_of[attempt.request]
         pending.handed.append(attempt)
         self.out.append(
-            f"ROUTE job={pending.number} upstream={attempt.endpoint.address} cap={max(micros(limit), 1)}"
+            f"ROUTE job={pending.number} upstream={attempt.endpoint.endpoint_id} cap={max(micros(limit), 1)}"
         )
 
     def cancel(self, attempt: Attempt) -> None:
@@ -159,7 +160,7 @@
         self.out.append("OBSERVE want=1")
 
     def probe(self, upstream: Any) -> None:
-        self.out.append(f"HEALTH_CHECK upstream={upstream.address}")
+        self.out.append(f"HEALTH_CHECK upstream={upstream.endpoint_id}")
 
     def tell(self, body: bytes) -> None:
         self.out.append(f"NOTIFY recipient=* body={pack(body)}")
--- a/starlingwheel/simhost/wire.py
+++ b/starlingwheel/simhost/wire.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from ..decisions.terms import AttemptOutcome, Endpoint, EndpointState, WatchEvent
+from ..decisions.events import WatchEvent
+from ..decisions.model import AttemptOutcome, Endpoint, EndpointState
 from ..settings import REPORTED, SCALE
 
 T = TypeVar("T")
@@ -81,12 +82,12 @@
     def listing(self) -> Endpoint:
         started = self.read("upSince", int, 0)
         return Endpoint(
-            address=self.text("upstream"),
+            endpoint_id=self.text("upstream"),
             zone=self.fields.get("area", ""),
             cell=self.read("bay", int, 0),
-            size=self.read("nominal", float, 1.0),
-            started=started / 1e6 if started else None,
-            condition=self.read("condition", CONDITIONS.__getitem__),
+            capacity_weight=self.read("nominal", float, 1.0),
+            started_at=started / 1e6 if started else None,
+            state=self.read("condition", CONDITIONS.__getitem__),
         )
 
     def report(self) -> dict[str, float]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,19 +15,10 @@
 from known_red import KnownRed
 
 from standins.loopback import own_host
-from starlingwheel.decisions.runner import DecisionScheduler
-from starlingwheel.decisions.terms import (
-    AttemptEnded,
-    AttemptOutcome,
-    BalancerConfig,
-    Endpoint,
-    EndpointState,
-    Request,
-    RequestClass,
-    RetrySafety,
-    Tenant,
-    WatchEvent,
-)
+from starlingwheel.decisions.config import BalancerConfig, RequestClass, RetrySafety, Tenant
+from starlingwheel.decisions.events import AttemptEnded, WatchEvent
+from starlingwheel.decisions.model import AttemptOutcome, Endpoint, EndpointState, Request
+from starlingwheel.decisions.scheduler import DecisionScheduler
 from starlingwheel.net.lifecycle.config import load_config
 from starlingwheel.net.lifecycle.start import Node
 from starlingwheel.net.wire import upstream as wire
@@ -105,7 +96,7 @@
             self.end(other, AttemptOutcome.CANCELLED)
 
     def hears(self, peer, u, count):
-        self.runner.heard(peer, u.tag.to_bytes(2, "big") + bytes([count]))
+        self.runner.heard(peer, u.gossip_tag.to_bytes(2, "big") + bytes([count]))
 
     def of(self, request):
         return [attempt for attempt in self.sent if attempt.request is request]
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,7 +12,9 @@
 import msgspec
 import pytest
 
-from starlingwheel.decisions.terms import AttemptOutcome, RequestClass, RetrySafety, WatchEvent
+from starlingwheel.decisions.config import RequestClass, RetrySafety
+from starlingwheel.decisions.events import WatchEvent
+from starlingwheel.decisions.model import AttemptOutcome
 
 START = 50.0  # the upstream comes back cold
 CONNECT = 0.25  # seconds within which a connection comes up
@@ -198,7 +200,7 @@
 
     def another(host):
         fleet.at(host)
-        two = msgspec.structs.replace(host.runner.balancer.terms, process_count=2)
+        two = msgspec.structs.replace(host.runner.balancer.config, process_count=2)
         other = fleet.process()
         for one in (host, other):
             one.runner.retune(two)
@@ -254,6 +256,6 @@
     waiting = [host.take() for _ in range(12)]
     assert len(host.probes) == len(waiting) and not host.sent
     for asked in host.probes:
-        host.runner.probed(asked.address, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+        host.runner.probed(asked.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     allowed = 1.0 * (0.1 + 0.9 * 3.0 / 80.0) * 2.0 / 0.125
     assert 0 < len(host.sent) <= allowed
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -576,7 +576,7 @@
     client.sendall(around.request(x_trace_id="t2"))
     around.until(lambda: mailed)
     around.until(lambda: around.logged("upstream.end"))
-    assert not next(iter(around.node.module.runner.balancer.upstreams.values())).unreached
+    assert not next(iter(around.node.module.runner.balancer.endpoints.by_id.values())).connect_failing
     assert around.status(client) == 503
     nothing_comes(around, upstream)
 
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -6,7 +6,7 @@
 from test_fleet_policy import Operated, b64
 from test_fleet_wire import NAMES, PART, Served
 
-from starlingwheel.decisions.terms import AttemptOutcome
+from starlingwheel.decisions.model import AttemptOutcome
 from starlingwheel.fleet.part import ZonesConfig, decode
 from starlingwheel.fleet.records import ZoneReport
 from starlingwheel.fleet.zones import ZoneHealthTracker
@@ -153,7 +153,7 @@
 
 
 def shares(operated):
-    return operated.around.node.module.runner.balancer.shares
+    return operated.around.node.module.runner.balancer.selector.zone_shares
 
 
 def test_operators_leave_hold_and_return(operated):
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -246,7 +246,7 @@
 def test_of_two_long_answers_the_first_one_is_passed_on_and_the_other_ends(make_surroundings):
     around = make_surroundings(upstreams=2)
     client = around.ask()
-    around.node.module.runner.balancer._delay = lambda request: 0.01
+    around.node.module.runner.balancer.hedging.delay = lambda request: 0.01
     i, one = around.until(around.accept_any)
     around.received(one)
     other = around.accept(1 - i)
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -42,7 +42,9 @@
         for listener in around.listeners:
             listener.listen(2 * MANY)
         balancer = self.node.module.runner.balancer
-        balancer.fit = balancer.line = 1e9  # as many upstreams would take as many
+        balancer.selector.latency_fraction = balancer.load.queue_limit = (
+            1e9  # as many upstreams would take as many
+        )
 
     def ask(self, count=MANY, category="look", **headers):
         body = b"" if category == "look" else b"one"
@@ -181,7 +183,7 @@
 def test_no_second_attempt_is_begun_for_a_burst_that_has_left(crowd, cancel, heard):
     many, crowded = crowd(cancel, upstreams=2), True
     balancer = many.node.module.runner.balancer
-    balancer._delay, balancer._crowded = lambda request: 0.1, lambda: crowded
+    balancer.hedging.delay, balancer.load.is_overloaded = lambda request: 0.1, lambda: crowded
     clients = many.ask()
     many.until_begun(MANY)
     crowded = False
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,13 +2,13 @@
 
 from conftest import BUY
 
-from starlingwheel.decisions.terms import AttemptOutcome
+from starlingwheel.decisions.model import AttemptOutcome
 
 
 def fail(host, name, times=2):
     host.serve(40)
-    u = host.runner.balancer.upstreams[name]
-    while times and u.aside_until <= host.runner.now:
+    u = host.runner.balancer.endpoints.by_id[name]
+    while times and u.ejected_until <= host.runner.now:
         for attempt in [host.of(host.take())[0] for _ in range(4)]:
             bad = attempt.endpoint is u and times
             host.end(attempt, AttemptOutcome.ERROR if bad else AttemptOutcome.SUCCESS)
@@ -36,7 +36,7 @@
 
 def test_an_upstream_that_answers_nothing_is_left_alone(host):
     host.serve(40)
-    u = host.runner.balancer.upstreams["u0"]
+    u = host.runner.balancer.endpoints.by_id["u0"]
     hung = []
     for _ in range(40):
         attempt = host.of(host.take())[0]
@@ -80,7 +80,7 @@
 
 
 def test_a_slow_upstream_is_given_less(host):
-    slow = host.runner.balancer.upstreams["u0"]
+    slow = host.runner.balancer.endpoints.by_id["u0"]
     for _ in range(120):
         attempt = host.of(host.take())[0]
         host.later(0.25 if attempt.endpoint is slow else 0.05)
@@ -103,14 +103,23 @@
         for again in host.of(request)[1:]:
             host.end(again)
         if i > 1400:  # what came as a surprise at first has been forgotten
-            known = list(balancer.upstreams.values())
-            most = max(most, len([u for u in known if u.trickle < float("inf") or balancer._suspect(u)]))
+            known = list(balancer.endpoints.by_id.values())
+            most = max(
+                most,
+                len(
+                    [
+                        u
+                        for u in known
+                        if u.probation_limit < float("inf") or balancer.outliers.is_suspected(u)
+                    ]
+                ),
+            )
     assert most <= 2
 
 
 def test_a_failing_upstream_is_warned_of_at_any_pace(make_host):
     host = make_host(gossip_allowed=True)
-    sick = host.runner.balancer.upstreams["u0"]
+    sick = host.runner.balancer.endpoints.by_id["u0"]
     for i in range(800):
         request = host.take()
         host.later(0.002)
@@ -119,7 +128,7 @@
                 attempt,
                 AttemptOutcome.RESET if attempt.endpoint is sick and i > 400 else AttemptOutcome.SUCCESS,
             )
-    assert host.runner.balancer._suspect(sick) or sick.trickle < float("inf")
+    assert host.runner.balancer.outliers.is_suspected(sick) or sick.probation_limit < float("inf")
 
 
 def test_after_an_outage_of_all_upstreams_work_is_answered_again(host):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -4,7 +4,8 @@
 
 from conftest import BUY
 
-from starlingwheel.decisions.terms import AttemptOutcome, EndpointState, WatchEvent
+from starlingwheel.decisions.events import WatchEvent
+from starlingwheel.decisions.model import AttemptOutcome, EndpointState
 
 KEYS = [f"race/{i}" for i in range(400)]
 
@@ -22,7 +23,7 @@
     attempt = host.of(host.take(key=key))[0]
     host.later(0.05)
     host.end(attempt)
-    return attempt.endpoint.listing.cell
+    return attempt.endpoint.entry.cell
 
 
 def test_all_sidecars_pick_the_same_cell_for_a_key_and_spread_the_keys(make_host):
@@ -34,16 +35,18 @@
 
 def test_when_a_cell_is_lost_only_its_keys_move(make_host):
     host = celled(make_host)
-    homes = {key: host.runner.balancer._home(key) for key in KEYS}
+    homes = {key: host.runner.balancer.endpoints.preferred_cell(key) for key in KEYS}
     host.listed(WatchEvent.DELTA, *host.names[:3], condition=EndpointState.GONE)
-    assert 0 not in {c for key in KEYS for c in [host.runner.balancer._home(key)]}
-    assert all(host.runner.balancer._home(key) == home for key, home in homes.items() if home != 0)
+    assert 0 not in {c for key in KEYS for c in [host.runner.balancer.endpoints.preferred_cell(key)]}
+    assert all(
+        host.runner.balancer.endpoints.preferred_cell(key) == home for key, home in homes.items() if home != 0
+    )
 
 
 def test_a_popular_key_does_not_fill_its_cell(make_host):
     host = celled(make_host, cells=3)
     sent = [
-        attempt.endpoint.listing.cell for _ in range(30) for attempt in host.of(host.take(BUY, key="race/0"))
+        attempt.endpoint.entry.cell for _ in range(30) for attempt in host.of(host.take(BUY, key="race/0"))
     ]
     assert len(set(sent[:3])) == 1 and len(set(sent)) == 3
 
@@ -64,7 +67,7 @@
             host.later(0.01)
             host.end(
                 attempt,
-                AttemptOutcome.ERROR if attempt.endpoint.listing.cell == home else AttemptOutcome.SUCCESS,
+                AttemptOutcome.ERROR if attempt.endpoint.entry.cell == home else AttemptOutcome.SUCCESS,
             )
     assert {cell_of(host, "race/7") for _ in range(4)} - {home}
 
@@ -73,8 +76,10 @@
     """Answers of upstreams that hold now more, now less, and do `alike` of them at a time."""
     for i in range(answers):
         held = float(i % 8)
-        for u in host.runner.balancer.upstreams.values():
-            host.runner.probed(u.address, AttemptOutcome.SUCCESS, 0.01, {"held": held, "service": service})
+        for u in host.runner.balancer.endpoints.by_id.values():
+            host.runner.probed(
+                u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held, "service": service}
+            )
         for attempt in host.of(host.take()):
             host.later(service * (1 + max(0.0, held - alike + 0.5) / alike))
             host.end(attempt)
@@ -84,8 +89,8 @@
     one, four = make_host(), make_host()
     crowd(one, alike=1)
     crowd(four, alike=4)
-    assert one.runner.balancer.at_once < 1.4
-    assert 2.5 < four.runner.balancer.at_once < 6
+    assert one.runner.balancer.load.concurrency < 1.4
+    assert 2.5 < four.runner.balancer.load.concurrency < 6
 
 
 def test_what_an_upstream_does_at_once_stays_within_bounds_whatever_is_told(make_host):
@@ -94,17 +99,17 @@
         for attempt in host.of(host.take()):
             host.later(0.05)
             host.end(attempt, report={"held": held, "service": service})
-    assert 1 <= host.runner.balancer.at_once <= 8
+    assert 1 <= host.runner.balancer.load.concurrency <= 8
 
 
 def test_one_that_loses_answers_for_us_alone_gets_trials_while_others_fit(make_host):
     host = make_host(8, cancel_allowed=True)
     for i in range(600):
         for attempt in host.of(host.take(patience=2.0)):
-            lost = attempt.endpoint.address in host.names[:4] and i % 5 < 3
+            lost = attempt.endpoint.endpoint_id in host.names[:4] and i % 5 < 3
             host.later(1.0 if lost else 0.1)
             host.end(attempt, AttemptOutcome.TIMED_OUT if lost else AttemptOutcome.SUCCESS)
-    last = [attempt.endpoint.address for attempt in host.sent[-300:]]
+    last = [attempt.endpoint.endpoint_id for attempt in host.sent[-300:]]
     assert 0 < sum(address in host.names[:4] for address in last) < 30
 
 
@@ -112,17 +117,17 @@
     host = make_host(12)
     for i, name in enumerate(host.names):
         host.listed(WatchEvent.DELTA, name, zone=("here", "there", "yonder")[i % 3])
-    u, v = (host.runner.balancer.upstreams[name] for name in host.names[1:3])
+    u, v = (host.runner.balancer.endpoints.by_id[name] for name in host.names[1:3])
     took = {"here": 0.1, "yonder": 0.12, "there": 0.4}
     for _ in range(60):
         out = [attempt for _ in range(8) for attempt in host.of(host.take())]  # more than are near by
         for zone, before in (("here", 0.0), ("yonder", 0.1), ("there", 0.12)):
             host.later(took[zone] - before)
             for attempt in [
-                attempt for attempt in out if attempt.endpoint.listing.zone == zone and attempt.pending
+                attempt for attempt in out if attempt.endpoint.entry.zone == zone and attempt.pending
             ]:
                 host.end(attempt)
-    assert host.runner.balancer._way(u) > 1.5 * host.runner.balancer._way(v)
+    assert host.runner.balancer.latency.zone_factor(u) > 1.5 * host.runner.balancer.latency.zone_factor(v)
 
 
 ASKING = {"health_checks_allowed": True, "health_check_price": 0.001}
@@ -135,7 +140,7 @@
     host.end(attempt, report={"service": 0.1})  # from which it is learned
     host.take()
     assert host.probes
-    host.runner.balancer.at_once, asked = 3.0, len(host.probes)
+    host.runner.balancer.load.concurrency, asked = 3.0, len(host.probes)
     assert host.of(host.take()) and len(host.probes) == asked
 
 
@@ -172,4 +177,4 @@
     for _ in range(20):
         for attempt in host.of(host.take()):
             host.end(attempt, report={"held": 0.0, "service": 0.1})
-    assert host.runner.balancer.at_once >= 1
+    assert host.runner.balancer.load.concurrency >= 1
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,7 +7,7 @@
 
 from starlingwheel.decisions import lease as module
 from starlingwheel.decisions.lease import EndpointLease, LeaseState
-from starlingwheel.decisions.terms import Attempt, AttemptOutcome
+from starlingwheel.decisions.model import Attempt, AttemptOutcome
 from starlingwheel.net.gate import Refusal
 from starlingwheel.net.memory.work import Exchange
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -13,7 +13,7 @@
 from conftest import SETTINGS, address, bound, categories
 
 from standins.loopback import free_address
-from starlingwheel.decisions.terms import EndpointState
+from starlingwheel.decisions.model import EndpointState
 from starlingwheel.net.actor import Actor
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
 from starlingwheel.net.lifecycle.log import MOST, EventLog
@@ -73,7 +73,7 @@
     around = make_surroundings(upstreams=2)
     around.watch({"version": 9, "full": True, "servers": [around.entry(1)]})
     around.until(lambda: list(around.node.module.upstreams) == ["s1"])
-    assert list(around.node.module.runner.balancer.upstreams) == ["s1"]
+    assert list(around.node.module.runner.balancer.endpoints.by_id) == ["s1"]
 
 
 def test_an_address_may_change_under_a_known_id(around):
@@ -171,20 +171,20 @@
         around.say(watch, {"version": version, "servers": gone + new})
         around.until(lambda: node.list.version == version)  # noqa: B023
         around.until(lambda: not node.module.mailbox)
-        for u in list(balancer.upstreams.values())[:5]:
-            node.module.runner.heard(1, u.tag.to_bytes(2, "big") + b"\x03")
+        for u in list(balancer.endpoints.by_id.values())[:5]:
+            node.module.runner.heard(1, u.gossip_tag.to_bytes(2, "big") + b"\x03")
         client = around.ask("buy", b"one", x_trace_id=f"t{version}", connection="close")
         around.serve(status=500 if version % 2 else 200)  # all of them at one address
         assert around.status(client) in (200, 504)
         client.close()
     around.until(lambda: not node.module.pending_requests and not node.ledger.clients)
-    assert len(node.module.upstreams) == len(balancer.upstreams) == len(balancer.tagged) == 20
-    assert len(balancer.suspects) <= 10 and len(balancer.told) <= 5 * 100
+    assert len(node.module.upstreams) == len(balancer.endpoints.by_id) == len(balancer.endpoints.by_tag) == 20
+    assert len(balancer.outliers.suspects) <= 10 and len(balancer.gossip._by_peer) <= 5 * 100
     node.module.runner.at(node.module.runner.now + 60)
-    balancer._forget_old_counts()
-    balancer.stale_plan = True
-    balancer._plan_afresh()
-    assert not balancer.told and not balancer.counted
+    balancer.gossip.forget_old_counts()
+    balancer.endpoints.stale = True
+    balancer.endpoints.refresh()
+    assert not balancer.gossip._by_peer and not balancer.gossip.counts
     assert len(node.ledger.upstream) <= 1 and not node.in_hand  # those to the last ones are kept
     gc.collect()
     assert len([actor for _, _, held in node.loop.timers if (actor := held())]) < 10
@@ -201,8 +201,8 @@
     new, target = around.watch()
     assert target == b"/v1/endpoints?watch=1&from=0"
     around.say(old, {"version": 8, "servers": [around.entry(0, state="leaving")]})
-    drained = around.node.module.runner.balancer.upstreams["s0"]
-    around.until(lambda: drained.listing.condition is EndpointState.DRAINING)
+    drained = around.node.module.runner.balancer.endpoints.by_id["s0"]
+    around.until(lambda: drained.entry.state is EndpointState.DRAINING)
     around.say(new, {"version": 1, "full": True, "servers": [around.entry(1)]})
     assert around.until(lambda: around.read(old)) == b"end"
     around.until(lambda: list(around.node.module.upstreams) == ["s1"])
@@ -282,8 +282,8 @@
     upstream = around.accept()
     around.received(upstream)
     body = around.until(lambda: around.read(around.peer))
-    known = around.node.module.runner.balancer.upstreams["s0"]
-    assert body == known.tag.to_bytes(2, "big") + b"\x01"
+    known = around.node.module.runner.balancer.endpoints.by_id["s0"]
+    assert body == known.gossip_tag.to_bytes(2, "big") + b"\x01"
 
 
 # Start.
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -243,7 +243,7 @@
     assert around.until(lambda: around.read(upstream)).endswith(b"tw")
     around.reset(upstream)
     assert around.status(client) == 503
-    assert around.node.module.runner.balancer.upstreams["s0"].failures == 0
+    assert around.node.module.runner.balancer.endpoints.by_id["s0"].consecutive_failures == 0
 
 
 @pytest.mark.parametrize(("status", "extra"), [(500, ""), (503, ""), (400, "X-Never-Ran: 1\r\n")])
@@ -575,7 +575,9 @@
 
 
 def test_a_defect_in_deciding_writes_the_work_item_off_and_is_told(around, monkeypatch):
-    monkeypatch.setattr("starlingwheel.decisions.rules.Balancer._draw", lambda *_: 1 / 0)
+    monkeypatch.setattr(
+        "starlingwheel.decisions.selection.EndpointSelector.select_endpoint", lambda *_: 1 / 0
+    )
     assert around.status(around.ask()) == 504
     assert "ZeroDivisionError" in around.logged("module.defect")[0]["trace"]
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 200
@@ -583,14 +585,14 @@
 
 def test_a_defect_in_following_the_list_does_not_leave_it_unwatched(make_surroundings, monkeypatch):
     with monkeypatch.context() as patch:
-        patch.setattr("starlingwheel.decisions.terms.WatchEndpoints.__init__", lambda self: 1 / 0)
+        patch.setattr("starlingwheel.decisions.commands.WatchEndpoints.__init__", lambda self: 1 / 0)
         around = make_surroundings()
         around.until(lambda: around.logged("module.defect"))
     around.watch(b"")
 
 
 def test_a_defect_while_an_outcome_is_learned_still_answers(around, monkeypatch):
-    monkeypatch.setattr("starlingwheel.decisions.rules.Balancer.settle", lambda *_: 1 / 0)
+    monkeypatch.setattr("starlingwheel.decisions.balancer.Balancer.attempt_ended", lambda *_: 1 / 0)
     client = around.ask("buy", b"one")
     around.serve(status=500)
     assert around.status(client) == 504
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,7 +15,7 @@
 from conftest import SETTINGS, address, bound
 
 from standins.loopback import free_address
-from starlingwheel.decisions.terms import EndpointState
+from starlingwheel.decisions.model import EndpointState
 from starlingwheel.net.lifecycle.config import ConfigError
 from starlingwheel.net.memory.beside import SiblingProcesses
 from starlingwheel.net.memory.connections import ConnectionTracker
@@ -42,7 +42,7 @@
 
 
 def believed(around, name):
-    return around.node.module.runner.balancer.upstreams[name].listing
+    return around.node.module.runner.balancer.endpoints.by_id[name].entry
 
 
 def detach(around, name="s0"):
@@ -89,7 +89,7 @@
     around = operated()
     assert around.call(lead, body, extra) == status
     assert not around.node.out.kept.out and not around.node.lameduck
-    assert believed(around, "s0").condition is EndpointState.READY
+    assert believed(around, "s0").state is EndpointState.READY
     assert [line["status"] for line in around.logged("operator.call")] == [status]
 
 
@@ -158,13 +158,16 @@
     assert attach(around) == 200  # it was not out
     assert believed(around, "s0") == before
     assert detach(around) == 200 and detach(around) == 200
-    around.until(lambda: believed(around, "s0").condition is EndpointState.DRAINING)
+    around.until(lambda: believed(around, "s0").state is EndpointState.DRAINING)
     assert attach(around) == 200
-    around.until(lambda: believed(around, "s0").condition is EndpointState.READY)
+    around.until(lambda: believed(around, "s0").state is EndpointState.READY)
     # Discovery has not said yet that it was restarted.
-    assert believed(around, "s0").started > around.node.loop.now() - 5
+    assert believed(around, "s0").started_at > around.node.loop.now() - 5
     assert (
-        around.node.module.runner.balancer._warmth(around.node.module.runner.balancer.upstreams["s0"]) < 0.5
+        around.node.module.runner.balancer.slow_start.fraction(
+            around.node.module.runner.balancer.endpoints.by_id["s0"]
+        )
+        < 0.5
     )
 
 
@@ -174,7 +177,7 @@
     assert detach(around) == 200 and attach(around) == 200
     started = (time.time() - 1) * 1000
     around.say(watch, {"version": 8, "servers": [around.entry(0, started_ms=started)]})
-    around.until(lambda: believed(around, "s0").started == started / 1000)
+    around.until(lambda: believed(around, "s0").started_at == started / 1000)
 
 
 def test_idle_connections_to_what_is_taken_out_are_closed(operated):
@@ -189,11 +192,11 @@
 def test_what_is_said_to_one_process_holds_in_the_other_and_in_the_next(operated):
     one, other = operated(), operated()
     assert detach(one) == 200
-    other.until(lambda: believed(other, "s0").condition is EndpointState.DRAINING)
+    other.until(lambda: believed(other, "s0").state is EndpointState.DRAINING)
     assert other.call("PUT /_lameduck/on") == 200
     one.until(lambda: one.node.lameduck)
     assert attach(other) == 200
-    one.until(lambda: believed(one, "s0").condition is EndpointState.READY)
+    one.until(lambda: believed(one, "s0").state is EndpointState.READY)
     assert detach(other) == 200
     after = operated(known={"version": 7, "full": True, "servers": []})
     assert after.node.out.kept.out and after.node.lameduck
@@ -215,7 +218,7 @@
     around.until(lambda: not around.node.out.unwritten)
     around.node.out.path = tmp_path / "gone" / OVERRIDES_FILE
     assert detach(around) == 503
-    assert believed(around, "s0").condition is EndpointState.READY
+    assert believed(around, "s0").state is EndpointState.READY
 
 
 def test_a_file_that_another_process_holds_is_waited_for(tmp_path):
@@ -312,12 +315,12 @@
             return True
 
     node.beside = Another()
-    around.until(lambda: balancer.terms.process_count == 2)
+    around.until(lambda: balancer.config.process_count == 2)
     shared = node.pool.most, node.ledger.share
     assert node.ledger.client_share == clients  # they come over to the new one all at once
     assert all(half < whole * 0.6 for half, whole in zip(shared, alone, strict=True))
     node.beside = None
-    around.until(lambda: balancer.terms.process_count == 1)
+    around.until(lambda: balancer.config.process_count == 1)
     assert (node.pool.most, node.ledger.share) == alone
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -6,7 +6,8 @@
 import pytest
 from conftest import BUY, LOOK, SETTINGS, categories
 
-from starlingwheel.decisions.terms import AttemptOutcome, RequestClass, RetrySafety
+from starlingwheel.decisions.config import RequestClass, RetrySafety
+from starlingwheel.decisions.model import AttemptOutcome
 
 
 def changed(path, value):
@@ -53,7 +54,7 @@
     [line] = around.logged("config.unusable")
     assert named in line["error"] and not around.logged("config.read")
     assert (around.node.config, around.node.terms, around.node.list.address) == before
-    assert around.node.module.runner.balancer.terms is before[1]
+    assert around.node.module.runner.balancer.config is before[1]
 
 
 @pytest.mark.parametrize("text", [b" ", b"{", b"{}", b"[]", b'{"listen":"127.0.0.1:0"}'])
@@ -111,7 +112,7 @@
         only = [c for c in categories(due_time) if c["name"] == "buy"]
         around.reconfigure(settings=SETTINGS | {"categories": only})
         assert around.node.shortest == due_time / 1e6
-        around.until(lambda: around.node.module.runner.balancer.shortest == due_time / 1e6)  # noqa: B023
+        around.until(lambda: around.node.module.runner.balancer.clock.shortest_objective == due_time / 1e6)  # noqa: B023
     # Its category has gone twice over; it is answered all the same.
     around.reply(upstream)
     assert around.status(client) == 200 and not around.logged("module.defect")
@@ -126,7 +127,7 @@
 
 def test_open_work_keeps_the_attempts_it_was_taken_with(host):
     """Two more hand-offs were allowed when it was taken; what comes later gets one."""
-    terms = host.runner.balancer.terms
+    terms = host.runner.balancer.config
     before = host.take(LOOK)
     host.runner.retune(msgspec.structs.replace(terms, max_attempts=1))
     after = host.take(LOOK)
@@ -139,7 +140,7 @@
 def test_what_was_learned_stays_and_a_new_category_begins_afresh(host):
     host.serve(40, took=0.2)
     balancer = host.runner.balancer
-    learned = balancer._typical(LOOK)
+    learned = balancer.latency.typical(LOOK)
     # The same by its name, with another effect and deadline, beside a new one.
     look = RequestClass(
         "look", RetrySafety.IDEMPOTENT_WITH_KEY, latency_objective=1.0, priority_weight=1.0, timeout=2.0
@@ -147,11 +148,11 @@
     gaze = RequestClass(
         "gaze", RetrySafety.IDEMPOTENT, latency_objective=0.5, priority_weight=2.0, timeout=1.0
     )
-    host.runner.retune(msgspec.structs.replace(balancer.terms, request_classes=[look, gaze]))
-    assert balancer._typical(look) == pytest.approx(learned)
-    assert balancer._typical(gaze) == gaze.latency_objective / 8
-    assert balancer.shortest == 0.5 and balancer.best_payoff == 2.0
-    assert set(balancer.typical) == {"look", "gaze"}
+    host.runner.retune(msgspec.structs.replace(balancer.config, request_classes=[look, gaze]))
+    assert balancer.latency.typical(look) == pytest.approx(learned)
+    assert balancer.latency.typical(gaze) == gaze.latency_objective / 8
+    assert balancer.clock.shortest_objective == 0.5 and balancer.admission._best_weight == 2.0
+    assert set(balancer.latency._by_class) == {"look", "gaze"}
     host.serve(5, category=gaze)
     host.serve(1, category=BUY)  # dropped; still open somewhere
     assert all(word == "finished" for word, _, _ in host.ended)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,13 +5,9 @@
 import pytest
 from conftest import BUY, LOOK, MOVE
 
-from starlingwheel.decisions.terms import (
-    AttemptOutcome,
-    DeduplicationScope,
-    EndpointState,
-    Request,
-    WatchEvent,
-)
+from starlingwheel.decisions.config import DeduplicationScope
+from starlingwheel.decisions.events import WatchEvent
+from starlingwheel.decisions.model import AttemptOutcome, EndpointState, Request
 
 
 def test_an_answer_ends_the_work_item_and_nothing_more_is_sent(host):
@@ -87,7 +83,7 @@
     first = host.of(request)[0]
     host.end(first, AttemptOutcome.ERROR)
     second = host.of(request)[1]
-    assert second.endpoint.listing.cell == first.endpoint.listing.cell
+    assert second.endpoint.entry.cell == first.endpoint.entry.cell
     host.end(second, AttemptOutcome.ERROR)
     assert host.answers(request) == ["written off"] and len(host.of(request)) == 2
 
@@ -131,7 +127,7 @@
     host.listed(WatchEvent.SNAPSHOT, "u0", condition=EndpointState.DRAINING)
     host.listed(WatchEvent.DELTA, "u2", "u3")
     host.serve(20)
-    assert {attempt.endpoint.address for attempt in host.sent} == {"u2", "u3"}
+    assert {attempt.endpoint.endpoint_id for attempt in host.sent} == {"u2", "u3"}
 
 
 def test_the_list_is_asked_for_again_after_a_failure(host):
@@ -167,7 +163,7 @@
     for _ in range(2):
         host = make_host(seed=7)
         host.serve(30)
-        ways.append([attempt.endpoint.address for attempt in host.sent])
+        ways.append([attempt.endpoint.endpoint_id for attempt in host.sent])
     assert ways[0] == ways[1] and len(set(ways[0])) > 1
 
 
@@ -218,19 +214,19 @@
     coming = [Request(BUY, inf, 2.0) for _ in range(12)]
     for request in coming:
         host.runner.take(request)
-    assert [len(host.of(request)) for request in coming] == [1] * 12 and balancer.out == 0
+    assert [len(host.of(request)) for request in coming] == [1] * 12 and balancer.load.in_flight == 0
     host.later(10.0)  # no time limit counts yet
     assert not host.ended and not host.cancelled
     host.serve(4)
     request, attempt = coming[0], host.of(coming[0])[0]
     request.arrived_at = attempt.started_at = host.runner.now
     host.runner.whole(request, [attempt])
-    assert balancer.out == 1 and list(attempt.endpoint.pending) == [attempt]
+    assert balancer.load.in_flight == 1 and list(attempt.endpoint.in_flight) == [attempt]
     host.end(attempt)
-    assert balancer.out == 0 and not attempt.endpoint.pending
+    assert balancer.load.in_flight == 0 and not attempt.endpoint.in_flight
     # One that is given up before it was whole takes nothing away that it did not add.
     host.end(host.of(coming[1])[0], AttemptOutcome.NOT_SENT)
-    assert balancer.out == sum(len(u.pending) for u in balancer.upstreams.values())
+    assert balancer.load.in_flight == sum(len(u.in_flight) for u in balancer.endpoints.by_id.values())
     # Another's time begins with its last byte.
     request, attempt = coming[2], host.of(coming[2])[0]
     request.arrived_at = attempt.started_at = host.runner.now
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -63,7 +63,9 @@
 
 
 def test_an_exception_in_the_decisions_is_told_as_a_fault(monkeypatch, capsys):
-    monkeypatch.setattr("starlingwheel.decisions.rules.Balancer._draw", lambda *_: 1 / 0)
+    monkeypatch.setattr(
+        "starlingwheel.decisions.selection.EndpointSelector.select_endpoint", lambda *_: 1 / 0
+    )
     assert play(monkeypatch, [*START, QUERY, "GO"]) != 0
     seen = capsys.readouterr()
     assert seen.out.startswith("DIE message=ZeroDivisionError") and "Traceback" in seen.err
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -3,8 +3,10 @@
 import pytest
 from conftest import BUY, LOOK
 
-from starlingwheel.decisions.rules import LOST, UNSAID, Histogram
-from starlingwheel.decisions.terms import AttemptOutcome, Endpoint, EndpointState, WatchEvent
+from starlingwheel.decisions.estimators import Histogram
+from starlingwheel.decisions.events import WatchEvent
+from starlingwheel.decisions.gossip import ENDED_BY_SENDER, UNANSWERED
+from starlingwheel.decisions.model import AttemptOutcome, Endpoint, EndpointState
 
 TELLING = {"sidecars": 3, "gossip_allowed": True}
 ASKING = {"sidecars": 400, "health_checks_allowed": True, "health_check_price": 0.01}
@@ -46,21 +48,21 @@
     request = host.take(BUY)
     for held in (3.0, 1.0, 2.0):
         assert not host.of(request)
-        host.runner.probed(host.probes[-1].address, AttemptOutcome.SUCCESS, 0.01, {"held": held})
+        host.runner.probed(host.probes[-1].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held})
     assert [attempt.endpoint for attempt in host.of(request)] == [host.probes[1]]
 
 
 def test_no_more_are_asked_once_one_is_free(make_host):
     host = make_host(**ASKING)
     request = host.take(BUY)
-    host.runner.probed(host.probes[0].address, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+    host.runner.probed(host.probes[0].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     assert host.of(request)[0].endpoint is host.probes[0] and len(host.probes) == 1
 
 
 def test_upstreams_that_do_not_answer_when_asked_are_passed_over(make_host):
     host = make_host(**ASKING)
     request = host.take(BUY)
-    host.runner.probed(host.probes[0].address, AttemptOutcome.CONNECT_FAILED, 0.01, {})
+    host.runner.probed(host.probes[0].endpoint_id, AttemptOutcome.CONNECT_FAILED, 0.01, {})
     host.later(0.3)
     assert host.of(request) and host.of(request)[0].endpoint not in host.probes
 
@@ -70,7 +72,7 @@
     request = host.take(BUY)
     host.runner.gone(request)
     for u in host.probes:
-        host.runner.probed(u.address, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+        host.runner.probed(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     host.later(3.0)
     assert not host.sent and not host.ended
 
@@ -92,7 +94,7 @@
 
 def test_a_peers_warning_keeps_exclusive_work_away_for_a_while(make_host):
     host = make_host(sidecars=3, gossip_allowed=True)
-    bad = host.runner.balancer.upstreams["u0"]
+    bad = host.runner.balancer.endpoints.by_id["u0"]
     host.hears(1, bad, 255)
     host.serve(30, took=0.02, category=BUY)
     assert bad not in {attempt.endpoint for attempt in host.sent}
@@ -113,7 +115,7 @@
 def test_warnings_of_all_upstreams_leave_exclusive_work_somewhere_to_go(make_host):
     host = make_host(sidecars=3, gossip_allowed=True)
     host.take()
-    for u in host.runner.balancer.upstreams.values():
+    for u in host.runner.balancer.endpoints.by_id.values():
         host.hears(1, u, 255)
     assert host.of(host.take(BUY))
 
@@ -146,7 +148,7 @@
 
 def test_a_silent_peers_counts_are_dropped(make_host):
     host = make_host(upstreams=1, sidecars=3, gossip_allowed=True)
-    host.hears(1, host.runner.balancer.upstreams["u0"], 100)
+    host.hears(1, host.runner.balancer.endpoints.by_id["u0"], 100)
     ahead = host.take()
     full = host.take()
     host.end(host.of(ahead)[0])
@@ -158,7 +160,7 @@
 def test_a_count_stands_as_long_as_the_hand_off_can_be_out(make_host):
     slow = type(LOOK)("slow", LOOK.retry_safety, latency_objective=4.0, priority_weight=1.0, timeout=8.0)
     host = make_host(upstreams=1, request_classes=[LOOK, slow], sidecars=3, gossip_allowed=True)
-    host.hears(1, host.runner.balancer.upstreams["u0"], 100)
+    host.hears(1, host.runner.balancer.endpoints.by_id["u0"], 100)
     host.later(1.9)
     host.runner.heard(2, bytes(3))
     host.take(slow)
@@ -171,7 +173,7 @@
     asked = list(host.probes)
     host.listed(WatchEvent.DELTA, *host.names, condition=EndpointState.GONE)
     for u in [*asked, asked[0]]:
-        host.runner.probed(u.address, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+        host.runner.probed(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     host.later(1.0)
     assert host.answers(request) == ["deferred"] and not host.sent
 
@@ -190,7 +192,7 @@
     for _ in range(4):
         host.take(BUY)
         for u in host.probes[-3:]:
-            host.runner.probed(u.address, AttemptOutcome.SUCCESS, 0.01, {"held": 6.0})
+            host.runner.probed(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 6.0})
     before = len(host.probes)
     host.take(LOOK)
     assert len(host.probes) == before + 1
@@ -211,8 +213,8 @@
 def test_an_upstream_that_a_peer_lost_a_hand_off_to_is_left_alone(make_host):
     host = make_host(**TELLING)
     host.later(2.0)
-    u = host.runner.balancer.upstreams["u0"]
-    host.hears(1, u, LOST)
+    u = host.runner.balancer.endpoints.by_id["u0"]
+    host.hears(1, u, UNANSWERED)
     host.serve(12, took=0.01)
     assert u not in {attempt.endpoint for attempt in host.sent}
 
@@ -220,11 +222,11 @@
 def test_a_peers_lost_hand_off_says_nothing_of_an_upstream_that_answers_others(make_host):
     host = make_host(**TELLING)
     host.later(2.0)
-    u = host.runner.balancer.upstreams["u0"]
+    u = host.runner.balancer.endpoints.by_id["u0"]
     host.hears(2, u, 2)
     host.hears(2, u, 1)  # one of them has been answered
-    host.hears(1, u, LOST)
-    assert u.trickle == float("inf")
+    host.hears(1, u, UNANSWERED)
+    assert u.probation_limit == float("inf")
 
 
 def test_a_hand_off_that_ends_unanswered_is_told_to_peers(make_host):
@@ -233,7 +235,7 @@
     lose(host, attempt)
     host.take()
     said = b"".join(host.told)
-    assert attempt.endpoint.tag.to_bytes(2, "big") + bytes([LOST]) in [
+    assert attempt.endpoint.gossip_tag.to_bytes(2, "big") + bytes([UNANSWERED]) in [
         said[i : i + 3] for i in range(0, len(said), 3)
     ]
 
@@ -242,7 +244,7 @@
 def test_where_half_of_a_fleet_is_gone_few_hand_offs_are_trials_of_it(make_host, sidecars, part):
     host = make_host(upstreams=40, sidecars=sidecars, gossip_allowed=True)
     host.serve(60, took=0.01)
-    gone = set(list(host.runner.balancer.upstreams.values())[:20])
+    gone = set(list(host.runner.balancer.endpoints.by_id.values())[:20])
     refused = 0
     for i in range(400):
         request = host.take()
@@ -270,10 +272,10 @@
 def test_an_upstream_left_alone_for_silence_is_back_with_the_first_answer_a_peer_has_there(make_host):
     host = make_host(**TELLING)
     host.later(2.0)
-    u = host.runner.balancer.upstreams["u0"]
+    u = host.runner.balancer.endpoints.by_id["u0"]
     host.hears(1, u, 1)
-    host.hears(2, u, LOST)
-    assert u.trickle == 1
+    host.hears(2, u, UNANSWERED)
+    assert u.probation_limit == 1
     host.hears(1, u, 0)
     host.serve(40, took=0.01, category=BUY)
     assert u in {attempt.endpoint for attempt in host.sent}
@@ -281,25 +283,25 @@
 
 def test_an_upstream_set_aside_for_errors_is_not_back_for_a_peers_answer(make_host):
     host = make_host(**TELLING)
-    u = host.runner.balancer.upstreams["u0"]
+    u = host.runner.balancer.endpoints.by_id["u0"]
     host.serve(40, took=0.01)
-    while u.trickle == float("inf"):
+    while u.probation_limit == float("inf"):
         for attempt in [host.of(host.take())[0] for _ in range(4)]:
             host.end(attempt, AttemptOutcome.ERROR if attempt.endpoint is u else AttemptOutcome.SUCCESS)
     host.hears(1, u, 1)
     host.hears(1, u, 0)
-    assert u.trickle == 1
+    assert u.probation_limit == 1
 
 
 def test_a_count_that_falls_with_nothing_answered_is_not_taken_for_an_answer(make_host):
     host = make_host(**TELLING)
     host.later(2.0)
-    u = host.runner.balancer.upstreams["u0"]
-    tag = u.tag.to_bytes(2, "big")
+    u = host.runner.balancer.endpoints.by_id["u0"]
+    tag = u.gossip_tag.to_bytes(2, "big")
     host.hears(1, u, 1)
-    host.runner.heard(1, tag + bytes([UNSAID]) + tag + bytes([0]))
-    host.hears(2, u, LOST)
-    assert u.trickle == 1
+    host.runner.heard(1, tag + bytes([ENDED_BY_SENDER]) + tag + bytes([0]))
+    host.hears(2, u, UNANSWERED)
+    assert u.probation_limit == 1
 
 
 def test_hand_offs_cancelled_in_good_health_say_so_to_peers(make_host):
@@ -310,7 +312,10 @@
     first, copy = host.of(request)
     host.end(copy)
     host.take()
-    assert first.endpoint.tag.to_bytes(2, "big") + bytes([UNSAID]) in host.told[-1] + host.told[-2]
+    assert (
+        first.endpoint.gossip_tag.to_bytes(2, "big") + bytes([ENDED_BY_SENDER])
+        in host.told[-1] + host.told[-2]
+    )
 
 
 def test_where_new_connections_have_a_price_open_ones_are_used_first(make_host):
@@ -334,9 +339,9 @@
     host.listed(WatchEvent.DELTA, "u2", "u3", zone="there")
     for _ in range(60):
         for attempt in [host.of(host.take(BUY))[0] for _ in range(4)]:
-            host.later(0.05 if attempt.endpoint.listing.zone == "here" else 0.25)
+            host.later(0.05 if attempt.endpoint.entry.zone == "here" else 0.25)
             host.end(attempt)
-    taken = [host.of(host.take(BUY))[0].endpoint.listing.zone for _ in range(4)]
+    taken = [host.of(host.take(BUY))[0].endpoint.entry.zone for _ in range(4)]
     assert taken[:3] == ["here"] * 3
 
 
@@ -365,15 +370,15 @@
     host.listed(WatchEvent.DELTA, "u0", started=host.runner.now)
     host.later(0.02)
     host.end(old, AttemptOutcome.TIMED_OUT)
-    assert host.of(host.take(BUY)) and u.failures == 0
-    assert u.tag.to_bytes(2, "big") + bytes([LOST]) not in b"".join(host.told)
+    assert host.of(host.take(BUY)) and u.consecutive_failures == 0
+    assert u.gossip_tag.to_bytes(2, "big") + bytes([UNANSWERED]) not in b"".join(host.told)
 
 
 def test_words_about_an_upstream_not_yet_listed_are_no_reason_to_leave_it_alone(make_host):
     host = make_host(upstreams=2, **TELLING)
     later = make_host(upstreams=0, **TELLING)
-    u = host.runner.balancer.upstreams["u1"]
-    later.hears(1, u, LOST)
+    u = host.runner.balancer.endpoints.by_id["u1"]
+    later.hears(1, u, UNANSWERED)
     later.hears(1, u, 255)
     later.hears(2, u, 1)
     later.listed(WatchEvent.SNAPSHOT, "u1")
@@ -393,14 +398,14 @@
     begin = host.runner.now
     for at, name, n in sorted(ends):
         host.later(max(0.0, begin + at - host.runner.now))
-        host.hears(1, balancer.upstreams[name], n)
+        host.hears(1, balancer.endpoints.by_id[name], n)
 
 
 def test_a_slow_upstream_is_known_by_the_counts_that_peers_tell(make_host):
     host = make_host(upstreams=6, **TELLING)
     tell_of(host, {"u0": 0.5} | {f"u{i}": 0.1 for i in range(1, 6)})
-    slow = host.runner.balancer.upstreams["u0"]
-    assert host.runner.balancer._told_pace(slow) > 2
+    slow = host.runner.balancer.endpoints.by_id["u0"]
+    assert host.runner.balancer.gossip.pace(slow) > 2
     sent = len(host.sent)
     for _ in range(60):
         host.end(host.of(host.take())[0])
@@ -430,7 +435,7 @@
     for number in range(60):
         host = make_host(upstreams=30, seed=number, sidecar_index=number, **POOL)
         host.serve(12)
-        used = {attempt.endpoint.address for attempt in host.sent}
+        used = {attempt.endpoint.endpoint_id for attempt in host.sent}
         assert len(used) <= 2
         for name in used:
             users[name] += 1
@@ -460,7 +465,7 @@
             for attempt in host.of(host.take()):
                 host.end(attempt)
             host.later(0.1)
-        sent += sum(attempt.endpoint.address == cold for attempt in host.sent)
+        sent += sum(attempt.endpoint.endpoint_id == cold for attempt in host.sent)
     could_do = 7.5 * (0.25 + 0.95) / 2 / 0.125  # while it warms
     assert 0 < sent <= 2.0 * could_do
 
@@ -469,9 +474,11 @@
     host = make_host(upstreams=2, weights_are_live=True, **POOL)
     weighed(host, u0=0.25, u1=1.0)
     balancer = host.runner.balancer
-    full, free = balancer.upstreams["u0"], balancer.upstreams["u1"]
-    assert full.size == free.size == 1.0 and balancer._small(full) == 1.0
-    assert balancer._load(full) > balancer._load(free) and balancer._mean_elsewhere() > 1
+    full, free = balancer.endpoints.by_id["u0"], balancer.endpoints.by_id["u1"]
+    assert (
+        full.capacity_weight == free.capacity_weight == 1.0 and balancer.endpoints.relative_cost(full) == 1.0
+    )
+    assert balancer.load.of(full) > balancer.load.of(free) and balancer.load.mean_elsewhere() > 1
 
 
 def test_what_the_list_does_not_name_anew_has_not_changed(make_host):
@@ -479,17 +486,17 @@
     for _ in range(10):
         host.later(0.5)
         weighed(host, u0=0.1)
-    idle = host.runner.balancer.upstreams["u5"]
-    assert host.runner.balancer._load(idle) < 2 and host.of(host.take())
+    idle = host.runner.balancer.endpoints.by_id["u5"]
+    assert host.runner.balancer.load.of(idle) < 2 and host.of(host.take())
 
 
 def test_a_moving_weight_is_no_change_of_membership(make_host):
     host = make_host(upstreams=8, weights_are_live=True, **POOL)
     host.take()
     weighed(host, u0=0.5)
-    assert not host.runner.balancer.stale_plan
+    assert not host.runner.balancer.endpoints.stale
     host.listed(WatchEvent.DELTA, "u0", condition=EndpointState.DRAINING)
-    assert host.runner.balancer.stale_plan
+    assert host.runner.balancer.endpoints.stale
 
 
 @pytest.mark.parametrize("cores", [1, 3])
@@ -500,18 +507,18 @@
         host.runner.probed(
             "u0", AttemptOutcome.SUCCESS, 0.01, {"held": held, "busy": min(held, cores) / cores}
         )
-    assert abs(host.runner.balancer.at_once - cores) < 0.35
+    assert abs(host.runner.balancer.load.concurrency - cores) < 0.35
 
 
 def test_an_upstream_that_tells_of_errors_is_set_aside_at_the_first(make_host):
     host = make_host(upstreams=2, **POOL)
     attempt = host.of(host.take())[0]
     host.end(attempt, AttemptOutcome.ERROR, {"failing": 4.0, "served": 9.0})
-    assert not host.runner.balancer._trusted(attempt.endpoint, attempt.request)
+    assert not host.runner.balancer.outliers.admits(attempt.endpoint, attempt.request)
     other = make_host(upstreams=2, **POOL)
     attempt = other.of(other.take())[0]
     other.end(attempt, AttemptOutcome.ERROR, {"failing": 0.1, "served": 9.0})
-    assert other.runner.balancer._trusted(attempt.endpoint, attempt.request)
+    assert other.runner.balancer.outliers.admits(attempt.endpoint, attempt.request)
 
 
 def test_late_answers_are_not_waited_for_where_they_are_worth_a_part(make_host):
@@ -525,7 +532,7 @@
 def test_one_is_asked_and_where_it_is_full_another_is_drawn(make_host):
     host = make_host(upstreams=6, **(ASKING | POOL))
     request = host.take(BUY)
-    host.runner.probed(host.probes[0].address, AttemptOutcome.REJECTED, 0.01, {})
+    host.runner.probed(host.probes[0].endpoint_id, AttemptOutcome.REJECTED, 0.01, {})
     assert len(host.probes) == 1 and host.of(request)[0].endpoint is not host.probes[0]
 
 
@@ -539,8 +546,8 @@
 def test_an_unfinished_hand_off_tells_that_its_upstream_is_slow(make_host):
     host = make_host(upstreams=1)
     host.serve(8)
-    u, before = host.sent[0].endpoint, host.runner.balancer._slowness(host.sent[0].endpoint)
+    u, before = host.sent[0].endpoint, host.runner.balancer.latency.slowness(host.sent[0].endpoint)
     host.take()
     host.later(0.9)
     host.end(host.sent[-1], AttemptOutcome.CANCELLED)
-    assert host.runner.balancer._slowness(u) > 1.5 * before
+    assert host.runner.balancer.latency.slowness(u) > 1.5 * before
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -212,7 +212,7 @@
     def told(self, node, version, within):
         """How long from now on until the decisions have it."""
         began = self.now
-        while f"v{version}" not in node.module.runner.balancer.upstreams:
+        while f"v{version}" not in node.module.runner.balancer.endpoints.by_id:
             assert self.now < began + within, f"not told within {within} s"
             self.run(self.now + 0.01)
         return self.now - began
--- a/trials/call_tree.py
+++ b/trials/call_tree.py
@@ -17,25 +17,17 @@
 import random
 import sys
 from collections import Counter, deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 from typing import Any
 
-from starlingwheel.decisions.rules import Balancer
-from starlingwheel.decisions.runner import DecisionScheduler
-from starlingwheel.decisions.terms import (
-    Attempt,
-    AttemptEnded,
-    AttemptOutcome,
-    BalancerConfig,
-    Endpoint,
-    EndpointState,
-    Request,
-    RequestClass,
-    RetrySafety,
-    WatchEvent,
-)
+from starlingwheel.decisions.balancer import Balancer
+from starlingwheel.decisions.config import BalancerConfig, RequestClass, RetrySafety
+from starlingwheel.decisions.events import AttemptEnded, WatchEvent
+from starlingwheel.decisions.model import Attempt, AttemptOutcome, Endpoint, EndpointState, Request
+from starlingwheel.decisions.retry_policy import RetryPolicy
+from starlingwheel.decisions.scheduler import DecisionScheduler
 
 WAY = (0.0001, 0.0004)  # seconds of one way between a caller and a server: the least, and the most
 SPREAD = 0.6  # of the logarithm of a server's own work
@@ -116,13 +108,13 @@
         self.left -= 1
 
 
-class WhatIf(Balancer):
-    """The program's rules, and a second send only while the budget allows one: not in the program."""
+class BudgetedRetryPolicy(RetryPolicy):
+    """The program's retry policy, and further attempts only within a budget: not in the program."""
 
     budget: Budget
 
-    def _may_send(self, request: Request, handed: list[Attempt]) -> bool:
-        return self.budget.left >= 1 and super()._may_send(request, handed)
+    def may_send(self, request: Request, attempts: Sequence[Attempt]) -> bool:
+        return self.budget.left >= 1 and super().may_send(request, attempts)
 
 
 @dataclass(frozen=True)
@@ -190,8 +182,9 @@
         self.runner = DecisionScheduler(terms, chance, self, tree.now)
         self.budget = Budget(plan.budget) if plan.budget is not None else None
         if self.budget is not None:
-            what_if = self.runner.balancer = WhatIf(terms, chance, tree.now)
-            what_if.budget = self.budget
+            balancer = Balancer(terms, chance, tree.now, retry_policy=BudgetedRetryPolicy)
+            balancer.retry_policy.budget = self.budget
+            self.runner.balancer = balancer
         self.asked: dict[Request, Asked] = {}
         listings = [Endpoint(s.name, "here", 0, 1.0, None, EndpointState.READY) for s in servers]
         self.runner.listed(WatchEvent.SNAPSHOT, listings)
@@ -251,7 +244,7 @@
         asked.sends += 1
         if self.budget is not None and kind != "first":
             self.budget.second()
-        tree, server = self.tree, self.servers[attempt.endpoint.address]
+        tree, server = self.tree, self.servers[attempt.endpoint.endpoint_id]
         tree.count(self.level, kind, asked.root.measured)
         # As the program tells it: whole milliseconds, one at least.
         told = max(1, int(limit * 1000)) / 1000 if tree.plan.hands_down else tree.category.timeout
--- a/trials/capacity.py
+++ b/trials/capacity.py
@@ -25,15 +25,11 @@
 
 import msgspec
 
-from starlingwheel.decisions.rules import HEARD, Balancer
-from starlingwheel.decisions.terms import (
-    BalancerConfig,
-    Endpoint,
-    EndpointState,
-    RequestClass,
-    RetrySafety,
-    WatchEvent,
-)
+from starlingwheel.decisions.balancer import Balancer
+from starlingwheel.decisions.config import BalancerConfig, RequestClass, RetrySafety
+from starlingwheel.decisions.events import WatchEvent
+from starlingwheel.decisions.gossip import MESSAGES_PER_OBJECTIVE
+from starlingwheel.decisions.model import Endpoint, EndpointState
 from starlingwheel.fleet import policy, zones
 from starlingwheel.fleet.frames import (
     AttemptIntent,
@@ -341,7 +337,7 @@
         cross_zone_price=0.0,
     )
     made = Balancer(terms, random.Random(1), 0.0)
-    made.listed(WatchEvent.SNAPSHOT, [listing(i) for i in range(count)])
+    made.update_endpoints(WatchEvent.SNAPSHOT, [listing(i) for i in range(count)])
     return made
 
 
@@ -389,8 +385,8 @@
 
         def change(made: Balancer = made, chance: random.Random = chance, count: int = count) -> None:
             condition = chance.choice((EndpointState.READY, EndpointState.DRAINING))
-            made.listed(WatchEvent.DELTA, [listing(chance.randrange(count), condition)])
-            made._plan_afresh()
+            made.update_endpoints(WatchEvent.DELTA, [listing(chance.randrange(count), condition)])
+            made.endpoints.refresh()
 
         whole = bench.whole()
         for figure, what in (
@@ -619,9 +615,10 @@
         ),
         Row(
             "words to peers", "messages heard, where `caps.peers` is on",
-            f"at most {HEARD:.0f} in the shortest due time, {size.due:.0f} s",
-            min(HEARD / size.due, 2 * size.rate * (n / size.services - 1)) * (28 + 9), "B/s", BYTES, "read",
-            "HEARD, HTTP unaffected; of one service's replicas only",
+            f"at most {MESSAGES_PER_OBJECTIVE:.0f} in the shortest due time, {size.due:.0f} s",
+            min(MESSAGES_PER_OBJECTIVE / size.due, 2 * size.rate * (n / size.services - 1)) * (28 + 9),
+            "B/s", BYTES, "read",
+            "MESSAGES_PER_OBJECTIVE, HTTP unaffected; of one service's replicas only",
         ),
     ]  # fmt: skip
 
--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from starlingwheel.decisions.terms import BalancerConfig
+from starlingwheel.decisions.config import BalancerConfig
 from starlingwheel.fleet.cover import (
     DEFERRED,
     FINISHED,
