--- a/starlingwheel/decisions/scheduler.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -1,6 +1,7 @@
-"""Steps the generators of one sidecar's decisions and owns their timers. It decides nothing.
+"""Runs the decision coroutines of one sidecar and owns their timers. It decides nothing.
 
-A host gives it events and a `Door` through which commands leave.
+A host reports events to the `DecisionScheduler`, and carries out commands as a `DecisionHost`. Times are
+seconds on the host's clock.
 """
 
 from __future__ import annotations
@@ -14,6 +15,7 @@
 from .balancer import Balancer
 from .commands import (
     CancelAttempt,
+    Command,
     DecisionCoroutine,
     FailRequest,
     RejectRequest,
@@ -31,208 +33,264 @@
 
 
 class DecisionHost(Protocol):
-    def send(self, attempt: Attempt, limit: float) -> None: ...
-    def cancel(self, attempt: Attempt) -> None: ...
-    def defer(self, request: Request, retry_after: float) -> None: ...
-    def write_off(self, request: Request) -> None: ...
-    def subscribe(self) -> None: ...
-    def probe(self, upstream: Any) -> None: ...
-    def tell(self, body: bytes) -> None: ...
-    def alarm(self, at: float) -> None: ...
-    def defect(self, request: Request | None, error: Exception) -> None: ...
+    """Carries out what decisions ask for."""
+
+    def start_attempt(self, attempt: Attempt, limit: float) -> None:
+        """Send the request to the attempt's endpoint, with a timeout of `limit` seconds."""
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Stop waiting for an attempt; its end is still reported."""
+
+    def reject_request(self, request: Request, retry_after: float) -> None:
+        """Final answer: not executed, a retry is harmless after that many seconds."""
+
+    def fail_request(self, request: Request) -> None:
+        """Final answer: failed, perhaps after it had an effect."""
+
+    def watch_endpoints(self) -> None:
+        """Open the watch of the endpoint list."""
+
+    def start_health_check(self, upstream: EndpointStats) -> None:
+        """Ask an endpoint for its load."""
+
+    def send_gossip(self, body: bytes) -> None:
+        """Send a message to all peers."""
+
+    def set_alarm(self, at: float) -> None:
+        """Call `DecisionScheduler.tick` at that time."""
+
+    def report_defect(self, request: Request | None, error: Exception) -> None:
+        """An exception in deciding a request, or in a background task (None), which has ended by it."""
 
 
 class ScheduledCoroutine:
-    """One generator, with the work item it answers for (None for a standing chore)."""
+    """One decision coroutine, with the request that it answers for (None: a background task)."""
 
     __slots__ = ("coroutine", "request", "turn", "answered", "ended")
 
-    def __init__(self, steps: DecisionCoroutine, request: Request | None) -> None:
-        self.coroutine = steps
+    def __init__(self, coroutine: DecisionCoroutine, request: Request | None) -> None:
+        self.coroutine = coroutine
         self.request = request
-        self.turn = 0
+        self.turn = 0  # how often it was resumed; an alarm of an earlier turn is void
         self.answered = False
         self.ended = False
 
 
 class DecisionScheduler:
+    """Resumes coroutines with events and passes their commands to the host."""
+
     def __init__(
         self,
-        terms: BalancerConfig,
+        config: BalancerConfig,
         chance: random.Random,
-        door: DecisionHost,
+        host: DecisionHost,
         now: float,
         lease: EndpointLease | None = None,
     ) -> None:
-        self.door = door
+        """`lease`: how long the endpoint list may be acted on, see `Balancer`."""
+        self.host = host
         self.now = now
-        self.balancer = Balancer(terms, chance, now, lease)
-        self._tasks: dict[Request, ScheduledCoroutine] = {}
-        self._alarms: list[tuple[float, int, ScheduledCoroutine, int]] = []
-        self._count = 0
-        self._armed: float | None = None
-        self._due: deque[tuple[ScheduledCoroutine, Any]] = deque()
-        self._asking: dict[str, deque[tuple[ScheduledCoroutine, Any]]] = {}
-        self._follower: ScheduledCoroutine | None = None
+        self.balancer = Balancer(config, chance, now, lease)
+        self._by_request: dict[Request, ScheduledCoroutine] = {}
+        self._alarms: list[tuple[float, int, ScheduledCoroutine, int]] = []  # when, order, whose, its turn
+        self._alarm_count = 0
+        self._armed_for: float | None = None
+        self._runnable: deque[tuple[ScheduledCoroutine, Any]] = deque()
+        self._health_checks: dict[str, deque[tuple[ScheduledCoroutine, EndpointStats]]] = {}
+        self._watcher: ScheduledCoroutine | None = None
 
     def start(self) -> None:
-        """Begin the standing chores; the first list must have been given."""
-        for steps in self.balancer.background_tasks():
-            self._due.append((ScheduledCoroutine(steps, None), None))
+        """Start the background tasks; the first endpoint list must have been given."""
+        for coroutine in self.balancer.background_tasks():
+            self._runnable.append((ScheduledCoroutine(coroutine, None), None))
         self._run()
 
-    def at(self, now: float) -> None:
+    def set_time(self, now: float) -> None:
+        """The time of the events that follow."""
         self.now = self.balancer.now = now
 
     def tick(self) -> None:
-        self._armed = None
+        """The time of an alarm has come."""
+        self._armed_for = None
         while self._alarms and self._alarms[0][0] <= self.now:
-            _, _, task, turn = heapq.heappop(self._alarms)
-            if task.turn == turn and not task.ended:
-                self._due.append((task, None))
-                self._run()
+            _, _, scheduled, turn = heapq.heappop(self._alarms)
+            if scheduled.turn == turn and not scheduled.ended:
+                self._resume(scheduled, None)
         self._arm()
 
-    def take(self, request: Request, before: Sequence[tuple[Endpoint, float, bool]] = ()) -> None:
-        """`before`: the hand-offs that a lost sidecar made for it: where, when, whether it may have run."""
+    # Events of requests.
+
+    def accept_request(self, request: Request, before: Sequence[tuple[Endpoint, float, bool]] = ()) -> None:
+        """A request has arrived.
+
+        `before`: attempts of a lost sidecar: where, when, whether it may have run.
+        """
         request.max_attempts = request.max_attempts or self.balancer.config.max_attempts
         if before:
-            request.earlier_attempts = [self._former(request, *told) for told in before]
-        task = self._tasks[request] = ScheduledCoroutine(self.balancer.dispatch(request), request)
-        self._due.append((task, None))
-        self._run()
+            request.earlier_attempts = [self._earlier_attempt(request, *one) for one in before]
+        scheduled = ScheduledCoroutine(self.balancer.dispatch(request), request)
+        self._by_request[request] = scheduled
+        self._resume(scheduled, None)
 
-    def _former(self, request: Request, listing: Endpoint, sent: float, risky: bool) -> Attempt:
-        known = self.balancer.endpoints.by_id.get(listing.endpoint_id) or EndpointStats(listing, self.now, 1)
-        fate = None if risky else AttemptOutcome.NOT_SENT
-        return Attempt(request, known, min(sent, self.now), pending=False, outcome=fate)
+    def _earlier_attempt(
+        self, request: Request, entry: Endpoint, started_at: float, may_have_run: bool
+    ) -> Attempt:
+        stats = self.balancer.endpoints.by_id.get(entry.endpoint_id) or EndpointStats(entry, self.now, 1)
+        outcome = None if may_have_run else AttemptOutcome.NOT_SENT
+        return Attempt(request, stats, min(started_at, self.now), pending=False, outcome=outcome)
 
-    def whole(self, request: Request, out: list[Attempt]) -> None:
-        """Its `arrived` has been set: it was taken, and handed off, while it was still coming."""
-        for attempt in out:
+    def request_body_complete(self, request: Request, attempts: list[Attempt]) -> None:
+        """The last byte of a request has come that was accepted before; its `arrived_at` has been set."""
+        for attempt in attempts:
             self.balancer.note_sent(attempt)
-        if task := self._tasks.get(request):
-            self._due.append((task, None))
-            self._run()
+        self._resume_request(request, None)
 
-    def outcome(self, outcome: AttemptEnded) -> None:
-        attempt = outcome.attempt
+    def attempt_ended(self, event: AttemptEnded) -> None:
+        """An attempt has ended."""
+        attempt = event.attempt
         attempt.pending = False
-        attempt.outcome = outcome.outcome
-        self.balancer.attempt_ended(outcome)
-        task = self._tasks.get(attempt.request)
-        if task is None:
+        attempt.outcome = event.outcome
+        self.balancer.attempt_ended(event)
+        scheduled = self._by_request.get(attempt.request)
+        if scheduled is None:
             return
-        if outcome.request_answered:
-            task.answered = True
-        self._due.append((task, outcome))
-        self._run()
+        if event.request_answered:
+            scheduled.answered = True
+        self._resume(scheduled, event)
 
-    def started(self, attempt: Attempt) -> None:
-        if task := self._tasks.get(attempt.request):
-            self._due.append((task, ResponseStarted(attempt)))
-            self._run()
-
-    def gone(self, request: Request) -> None:
-        if task := self._tasks.get(request):
-            task.answered = True
-            self._due.append((task, CLIENT_DISCONNECTED))
-            self._run()
-
-    def listed(self, news: WatchEvent, listings: list[Endpoint]) -> None:
-        self.balancer.update_endpoints(news, listings)
-        if self._follower is not None:
-            self._due.append((self._follower, news))
-            self._run()
-
-    def probed(self, address: str, fate: AttemptOutcome, took: float, report: dict[str, float]) -> None:
-        self.balancer.health_check_ended(address, fate, report)
-        asking = self._asking.get(address)
-        if asking is None:
+    def response_started(self, attempt: Attempt) -> None:
+        """A streamed response has begun."""
+        self._resume_request(attempt.request, ResponseStarted(attempt))
+
+    def client_disconnected(self, request: Request) -> None:
+        """The client has left."""
+        if scheduled := self._by_request.get(request):
+            scheduled.answered = True
+            self._resume(scheduled, CLIENT_DISCONNECTED)
+
+    # Other events.
+
+    def endpoints_changed(self, event: WatchEvent, entries: list[Endpoint]) -> None:
+        """The endpoint watch has told something, or has failed."""
+        self.balancer.update_endpoints(event, entries)
+        if self._watcher is not None:
+            self._resume(self._watcher, event)
+
+    def health_check_ended(
+        self, endpoint_id: str, outcome: AttemptOutcome, took: float, load_report: dict[str, float]
+    ) -> None:
+        """A health check has ended, after `took` seconds."""
+        self.balancer.health_check_ended(endpoint_id, outcome, load_report)
+        waiting = self._health_checks.get(endpoint_id)
+        if waiting is None:
             return
-        task, upstream = asking.popleft()
-        if not asking:
-            del self._asking[address]
-        self._due.append((task, HealthCheckEnded(upstream, fate)))
-        self._run()
+        scheduled, stats = waiting.popleft()
+        if not waiting:
+            del self._health_checks[endpoint_id]
+        self._resume(scheduled, HealthCheckEnded(stats, outcome))
 
-    def retune(self, terms: BalancerConfig) -> None:
-        self.balancer.reload(terms)
+    def reload(self, config: BalancerConfig) -> None:
+        """Another configuration is in force; requests in hand keep what they were accepted with."""
+        self.balancer.reload(config)
 
-    def heard(self, peer: int, body: bytes) -> None:
+    def gossip_received(self, peer: int, body: bytes) -> None:
+        """A peer's message has come."""
         self.balancer.receive_gossip(peer, body)
 
-    def share(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
-        """The part of the draws that each zone is in, all unless named; `back`: zones that return."""
-        self.balancer.set_zone_shares(shares, back)
+    def set_zone_shares(self, shares: Mapping[str, float], returned: Iterable[str]) -> None:
+        """The part of the draws that each zone is in, all unless named; `returned`: zones that work again."""
+        self.balancer.set_zone_shares(shares, returned)
+
+    # Running.
+
+    def _resume_request(self, request: Request, event: Any) -> None:
+        if scheduled := self._by_request.get(request):
+            self._resume(scheduled, event)
+
+    def _resume(self, scheduled: ScheduledCoroutine, event: Any) -> None:
+        self._runnable.append((scheduled, event))
+        self._run()
 
     def _run(self) -> None:
-        while self._due:
-            task, result = self._due.popleft()
-            if not task.ended:
-                self._step(task, result)
+        while self._runnable:
+            scheduled, event = self._runnable.popleft()
+            if not scheduled.ended:
+                self._step(scheduled, event)
 
-    def _step(self, task: ScheduledCoroutine, result: Any) -> None:
-        task.turn += 1
+    def _step(self, scheduled: ScheduledCoroutine, result: Any) -> None:
+        scheduled.turn += 1
         while True:
             try:
-                command = task.coroutine.send(result)
+                command = scheduled.coroutine.send(result)
             except StopIteration:
-                self._close(task)
+                self._close(scheduled)
                 return
             except Exception as error:
-                # Guards against one work item that can't be decided ending all others: the host answers it.
-                task.ended = True
-                self._tasks.pop(task.request, None)
-                self.door.defect(task.request, error)
+                # One request that can't be decided must not end all others: the host answers it.
+                scheduled.ended = True
+                if scheduled.request is not None:
+                    self._by_request.pop(scheduled.request, None)
+                self.host.report_defect(scheduled.request, error)
                 return
             if isinstance(command, Wait):
-                if command.until is not None:
-                    self._count += 1
-                    heapq.heappush(self._alarms, (command.until, self._count, task, task.turn))
-                    self._arm()
+                self._sleep(scheduled, command.until)
                 return
-            result = self._carry_out(task, command)
+            result = self._carry_out(scheduled, command)
 
-    def _carry_out(self, task: ScheduledCoroutine, command: Any) -> Attempt | None:
+    def _sleep(self, scheduled: ScheduledCoroutine, until: float | None) -> None:
+        if until is not None:
+            self._alarm_count += 1
+            heapq.heappush(self._alarms, (until, self._alarm_count, scheduled, scheduled.turn))
+            self._arm()
+
+    def _carry_out(self, scheduled: ScheduledCoroutine, command: Command) -> Attempt | None:
+        request = scheduled.request
         match command:
-            case StartAttempt(upstream, limit, load) if task.request is not None:
-                if task.answered:
-                    raise RuntimeError("a hand-off for a work item that has its final answer")
-                attempt = Attempt(task.request, upstream, self.now, load)
-                self.door.send(attempt, limit)
-                return attempt
+            case StartAttempt() if request is not None:
+                return self._start_attempt(scheduled, request, command)
             case CancelAttempt(attempt):
-                self.door.cancel(attempt)
-            case RejectRequest() | FailRequest() if task.request is not None:
-                if task.answered:
-                    raise RuntimeError("a second final answer for one work item")
-                task.answered = True
-                if isinstance(command, RejectRequest):
-                    self.door.defer(task.request, command.retry_after)
-                else:
-                    self.door.write_off(task.request)
+                self.host.cancel_attempt(attempt)
+            case RejectRequest(retry_after) if request is not None:
+                self._mark_answered(scheduled)
+                self.host.reject_request(request, retry_after)
+            case FailRequest() if request is not None:
+                self._mark_answered(scheduled)
+                self.host.fail_request(request)
             case WatchEndpoints():
-                self._follower = task
-                self.door.subscribe()
-            case StartHealthCheck(upstream):
-                self._asking.setdefault(upstream.endpoint_id, deque()).append((task, upstream))
-                self.door.probe(upstream)
+                self._watcher = scheduled
+                self.host.watch_endpoints()
+            case StartHealthCheck(stats):
+                self._health_checks.setdefault(stats.endpoint_id, deque()).append((scheduled, stats))
+                self.host.start_health_check(stats)
             case SendGossip(body):
-                self.door.tell(body)
+                self.host.send_gossip(body)
             case _:
                 raise RuntimeError(f"a command out of place: {command!r}")
         return None
 
-    def _close(self, task: ScheduledCoroutine) -> None:
-        task.ended = True
-        if task.request is None:
+    def _start_attempt(
+        self, scheduled: ScheduledCoroutine, request: Request, command: StartAttempt
+    ) -> Attempt:
+        if scheduled.answered:
+            raise RuntimeError("an attempt of a request that has its final answer")
+        attempt = Attempt(request, command.endpoint, self.now, command.load)
+        self.host.start_attempt(attempt, command.timeout)
+        return attempt
+
+    def _mark_answered(self, scheduled: ScheduledCoroutine) -> None:
+        if scheduled.answered:
+            raise RuntimeError("a second final answer for one request")
+        scheduled.answered = True
+
+    def _close(self, scheduled: ScheduledCoroutine) -> None:
+        scheduled.ended = True
+        if scheduled.request is None:
             return
-        del self._tasks[task.request]
-        if not task.answered:
-            raise RuntimeError("a work item ended without a final answer")
+        del self._by_request[scheduled.request]
+        if not scheduled.answered:
+            raise RuntimeError("a request ended without a final answer")
 
     def _arm(self) -> None:
-        if self._alarms and (self._armed is None or self._alarms[0][0] < self._armed):
-            self._armed = self._alarms[0][0]
-            self.door.alarm(self._armed)
+        if self._alarms and (self._armed_for is None or self._alarms[0][0] < self._armed_for):
+            self._armed_for = self._alarms[0][0]
+            self.host.set_alarm(self._armed_for)
--- a/starlingwheel/decisions/selection.py
+++ b/starlingwheel/decisions/selection.py
@@ -177,6 +177,8 @@
         if not found:
             return found
         scale = len(pool) / (len(found) if subset_size else len(examined))
+        if scale == 1:
+            return found
         return [Candidate(one.endpoint, one.weight * scale, one.expected) for one in found]
 
     def _pool(self, side: list[EndpointStats], search: Search) -> list[EndpointStats]:
--- a/starlingwheel/net/fleet/module.py
+++ b/starlingwheel/net/fleet/module.py
@@ -80,7 +80,7 @@
         self.covering.longest = max(self.covering.longest, self.node.longest)
 
     def retuned(self, terms: BalancerConfig) -> None:
-        self.runner.retune(terms)  # in this turn: what comes next is taken under it
+        self.runner.reload(terms)  # in this turn: what comes next is taken under it
 
     def _handle(self, mail: Any) -> None:
         if not self.hosted(mail, self.runner.now):
@@ -170,7 +170,7 @@
     def _run_job(self, item: ReplicatedRequest, pending: PendingRequest) -> None:
         self.items[pending.request] = item
         self.pending_requests[pending.request] = pending
-        self.runner.take(pending.request)
+        self.runner.accept_request(pending.request)
 
     def _left(self, pending: PendingRequest, item: ReplicatedRequest) -> None:
         over = self.covering.left(item, pending)
@@ -235,7 +235,7 @@
             for i in item.intents
             if i.fate != UNSENT
         ]
-        self.runner.take(request, before)
+        self.runner.accept_request(request, before)
 
     def _settled(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         """What can't even be decided on."""
@@ -254,7 +254,7 @@
             pending.body.release()
         self._give(pending, self._made(reply), KINDS.get(reply.status, "written_off"))
         if deciding:
-            self.runner.gone(pending.request)
+            self.runner.client_disconnected(pending.request)
             self._forget_if_closed(pending)
 
     def _made(self, reply: RecordedResponse) -> FinalResponse:
@@ -270,8 +270,8 @@
 
     # What the decisions want.
 
-    def send(self, attempt: Attempt, limit: float) -> None:
-        super().send(attempt, limit)
+    def start_attempt(self, attempt: Attempt, limit: float) -> None:
+        super().start_attempt(attempt, limit)
         exchange, listing = (
             self.pending_requests[attempt.request].exchanges[attempt],
             attempt.endpoint.entry,
--- a/starlingwheel/net/fleet/zones.py
+++ b/starlingwheel/net/fleet/zones.py
@@ -95,7 +95,7 @@
     # The door.
 
     def shares(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
-        self.runner().share(shares, back)
+        self.runner().set_zone_shares(shares, back)
 
     def note(self, event: str, **fields: Any) -> None:
         self.log(event, **fields)
--- a/starlingwheel/net/module.py
+++ b/starlingwheel/net/module.py
@@ -56,7 +56,7 @@
         while True:
             mail = yield min(self.alarm_at, self.restart_at)
             now = self.loop.now()
-            self.runner.at(now)
+            self.runner.set_time(now)
             try:
                 self._handle(mail)
             except Exception as error:
@@ -73,25 +73,25 @@
                 self._due()
             case RequestReceived(pending):
                 self.pending_requests[pending.request] = pending
-                self.runner.take(pending.request)
+                self.runner.accept_request(pending.request)
             case RequestBodyComplete(pending):
                 # Its time counts from now on.
                 pending.request.arrived_at = self.runner.now
-                self.runner.whole(pending.request, list(pending.exchanges))
+                self.runner.request_body_complete(pending.request, list(pending.exchanges))
             case ExchangeEnded(exchange, fate, report, answer):
                 self._ended(exchange, fate, report, answer)
             case ClientDisconnected(pending):
                 if pending.owed:
                     pending.owed = False
                     self.counts["left"] += 1
-                    self.runner.gone(pending.request)
+                    self.runner.client_disconnected(pending.request)
                     self._forget_if_closed(pending)
             case EndpointsChanged(news, entries):
                 self._listed(news, entries)
             case ConfigReloaded(terms):
-                self.runner.retune(terms)
+                self.runner.reload(terms)
             case GossipReceived(peer, body):
-                self.runner.heard(peer, body)
+                self.runner.gossip_received(peer, body)
 
     def _due(self) -> None:
         if self.restart_at <= self.runner.now:
@@ -104,7 +104,7 @@
     def _ended(self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any) -> None:
         took = self.loop.now() - exchange.started_at
         if exchange.attempt is None:
-            self.runner.probed(exchange.endpoint.endpoint_id, fate, took, report)
+            self.runner.health_check_ended(exchange.endpoint.endpoint_id, fate, took, report)
             return
         pending = exchange.pending
         del pending.exchanges[exchange.attempt]
@@ -117,7 +117,7 @@
             else:
                 answer.body.release()
         try:
-            self.runner.outcome(AttemptEnded(exchange.attempt, fate, took, not pending.owed, report))
+            self.runner.attempt_ended(AttemptEnded(exchange.attempt, fate, took, not pending.owed, report))
         finally:
             self._forget_if_closed(pending)
 
@@ -136,7 +136,7 @@
                 self.upstreams[entry.id] = ConnectionPool(self.node, entry)
                 self.upstreams[entry.id].begin()
         self.listed = self.listed or bool(self.upstreams)
-        self.runner.listed(news, [entry.listing() for entry in entries])
+        self.runner.endpoints_changed(news, [entry.listing() for entry in entries])
         if not self.begun:
             # Guards against a list that nobody watches: the standing chores begin with the first word of it.
             self.begun = True
@@ -144,7 +144,7 @@
 
     # The door.
 
-    def send(self, attempt: Attempt, limit: float) -> None:
+    def start_attempt(self, attempt: Attempt, limit: float) -> None:
         pending = self.pending_requests[attempt.request]
         carrier = (
             self.upstreams.get(attempt.endpoint.endpoint_id) if self.node.gate.may_repeat(pending) else None
@@ -164,44 +164,44 @@
         else:
             self.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
 
-    def cancel(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         self._drop(self.pending_requests[attempt.request].exchanges.get(attempt))
 
     def _drop(self, exchange: Exchange | None) -> None:
         if exchange and exchange.pool:
             exchange.pool.post(CancelExchange(exchange))
 
-    def defer(self, request: Request, retry_after: float) -> None:
+    def reject_request(self, request: Request, retry_after: float) -> None:
         pending = self.pending_requests[request]
         if not self.node.gate.may_reject(pending):
-            self.write_off(request)
+            self.fail_request(request)
             return
         self.node.gate.note_rejected()
         self._final(pending, FinalResponse(DEFERRED, retry_after=retry_after), "deferred")
         self._forget_if_closed(pending)
 
-    def write_off(self, request: Request) -> None:
+    def fail_request(self, request: Request) -> None:
         pending = self.pending_requests[request]
         self._final(pending, FinalResponse(WRITTEN_OFF), "written_off")
         self._forget_if_closed(pending)
 
-    def subscribe(self) -> None:
+    def watch_endpoints(self) -> None:
         self.node.list.post(WATCH_ENDPOINTS)
 
-    def probe(self, upstream: Any) -> None:
+    def start_health_check(self, upstream: Any) -> None:
         now = self.loop.now()
         carrier = self.upstreams.get(upstream.endpoint_id)
         self._carry(Exchange(upstream, carrier, now, now + self.node.shortest / 2))
 
-    def tell(self, body: bytes) -> None:
+    def send_gossip(self, body: bytes) -> None:
         # Guards against peers hearing two counts of one sidecar: of two processes the last one tells.
         if self.node.datagrams is not None and not (self.node.stopping and self.node.passed):
             self.node.datagrams.tell(body)
 
-    def alarm(self, at: float) -> None:
+    def set_alarm(self, at: float) -> None:
         self.alarm_at = min(self.alarm_at, at)
 
-    def defect(self, request: Request | None, error: Exception) -> None:
+    def report_defect(self, request: Request | None, error: Exception) -> None:
         self.node.log.defect("module.defect", error)
         if request is None:
             # Guards against a defect in a standing chore leaving the list unwatched for good.
--- a/starlingwheel/simhost/host.py
+++ b/starlingwheel/simhost/host.py
@@ -50,7 +50,7 @@
         listings: list[Endpoint] = (
             [] if news is WatchEvent.FAILED else line.read("bank", lambda n: lists[int(n)])
         )
-        self.runner.listed(news, listings)
+        self.runner.endpoints_changed(news, listings)
         if not self._begun:
             self._begun = True
             self.runner.start()
@@ -67,7 +67,7 @@
         )
         pending = SimulatedRequest(line.read("job", int), request)
         self._jobs[pending.number] = self._job_of[request] = pending
-        self.runner.take(request)
+        self.runner.accept_request(request)
 
     def _hand_off(self, line: SimulatorLine) -> Attempt | None:
         """The hand-off a line speaks of; None when its work item is long settled."""
@@ -89,19 +89,21 @@
         answered = line.read("doneFlag", flag, False)
         pending = self._job_of[attempt.request]
         pending.owed = pending.owed and not answered
-        self.runner.outcome(AttemptEnded(attempt, fate, line.seconds("duration"), answered, line.report()))
+        self.runner.attempt_ended(
+            AttemptEnded(attempt, fate, line.seconds("duration"), answered, line.report())
+        )
         self._forget_if_closed(pending)
 
     def _flowing(self, line: SimulatorLine, _: Any) -> None:
         attempt = self._hand_off(line)
         if attempt is not None:
-            self.runner.started(attempt)
+            self.runner.response_started(attempt)
 
     def _cancelled(self, line: SimulatorLine, _: Any) -> None:
         pending = self._jobs.get(line.read("job", int))
         if pending is not None and pending.owed:
             pending.owed = False
-            self.runner.gone(pending.request)
+            self.runner.client_disconnected(pending.request)
             self._forget_if_closed(pending)
 
     def _tick(self, line: SimulatorLine, _: Any) -> None:
@@ -112,10 +114,10 @@
 
     def _checked(self, line: SimulatorLine, _: Any) -> None:
         fate = line.read("code", FATES.__getitem__)
-        self.runner.probed(line.text("upstream"), fate, line.seconds("duration"), line.report())
+        self.runner.health_check_ended(line.text("upstream"), fate, line.seconds("duration"), line.report())
 
     def _heard(self, line: SimulatorLine, _: Any) -> None:
-        self.runner.heard(line.read("src", int), line.read("body", unpack))
+        self.runner.gossip_received(line.read("src", int), line.read("body", unpack))
 
     _HANDLERS = {
         "ANNOUNCE": _announce,
@@ -133,21 +135,21 @@
             self._jobs.pop(pending.number, None)
             self._job_of.pop(pending.request, None)
 
-    def send(self, attempt: Attempt, limit: float) -> None:
+    def start_attempt(self, attempt: Attempt, limit: float) -> None:
         pending = self._job_of[attempt.request]
         pending.handed.append(attempt)
         self.out.append(
             f"ROUTE job={pending.number} upstream={attempt.endpoint.endpoint_id} cap={max(micros(limit), 1)}"
         )
 
-    def cancel(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         pending = self._job_of[attempt.request]
         self.out.append(f"ABANDON job={pending.number} hop={pending.handed.index(attempt)}")
 
-    def defer(self, request: Request, retry_after: float) -> None:
+    def reject_request(self, request: Request, retry_after: float) -> None:
         self._final(request, "TURN_AWAY", f" coolDown={micros(retry_after)}")
 
-    def write_off(self, request: Request) -> None:
+    def fail_request(self, request: Request) -> None:
         self._final(request, "SURRENDER", "")
 
     def _final(self, request: Request, word: str, rest: str) -> None:
@@ -156,19 +158,19 @@
         self.out.append(f"{word} job={pending.number}{rest}")
         self._forget_if_closed(pending)
 
-    def subscribe(self) -> None:
+    def watch_endpoints(self) -> None:
         self.out.append("OBSERVE want=1")
 
-    def probe(self, upstream: Any) -> None:
+    def start_health_check(self, upstream: Any) -> None:
         self.out.append(f"HEALTH_CHECK upstream={upstream.endpoint_id}")
 
-    def tell(self, body: bytes) -> None:
+    def send_gossip(self, body: bytes) -> None:
         self.out.append(f"NOTIFY recipient=* body={pack(body)}")
 
-    def defect(self, request: Request | None, error: Exception) -> None:
+    def report_defect(self, request: Request | None, error: Exception) -> None:
         raise error
 
-    def alarm(self, at: float) -> None:
+    def set_alarm(self, at: float) -> None:
         when = math.ceil(at * 1e6)
         # Guards against timers that can't be taken back piling up: one that comes sooner asks for the next.
         if not self._alarms or when < self._alarms[-1]:
@@ -250,6 +252,6 @@
             host = known
         if name not in touched:
             touched[name] = host
-            host.runner.at(self.now)
+            host.runner.set_time(self.now)
         if line.name != "CONFIGURE":
             host.event(line, self.lists)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -68,20 +68,20 @@
 
     def listed(self, news, *names, condition=EndpointState.READY, started=None, zone="here", cell=0):
         entries = [Endpoint(name, zone, cell, 1.0, started, condition) for name in names]
-        self.runner.listed(news, entries)
+        self.runner.endpoints_changed(news, entries)
 
     def take(self, category=LOOK, patience=2.0, **more):
         request = Request(category, self.runner.now, patience, **more)
-        self.runner.take(request)
+        self.runner.accept_request(request)
         return request
 
     def later(self, seconds):
         until = self.runner.now + seconds
         while due := [at for at in self.alarms if at <= until]:
             self.alarms.remove(min(due))
-            self.runner.at(max(self.runner.now, min(due)))
+            self.runner.set_time(max(self.runner.now, min(due)))
             self.runner.tick()
-        self.runner.at(until)
+        self.runner.set_time(until)
 
     def end(self, attempt, fate=AttemptOutcome.SUCCESS, report=None):
         answered = fate is AttemptOutcome.SUCCESS or any(
@@ -89,14 +89,14 @@
         )
         if fate is AttemptOutcome.SUCCESS:
             self.ended.append(("finished", attempt.request, 0.0))
-        self.runner.outcome(
+        self.runner.attempt_ended(
             AttemptEnded(attempt, fate, self.runner.now - attempt.started_at, answered, report or {})
         )
         for other in [other for other in self.cancelled if other.pending]:
             self.end(other, AttemptOutcome.CANCELLED)
 
     def hears(self, peer, u, count):
-        self.runner.heard(peer, u.gossip_tag.to_bytes(2, "big") + bytes([count]))
+        self.runner.gossip_received(peer, u.gossip_tag.to_bytes(2, "big") + bytes([count]))
 
     def of(self, request):
         return [attempt for attempt in self.sent if attempt.request is request]
@@ -113,31 +113,31 @@
 
     # The door.
 
-    def send(self, attempt, limit):
+    def start_attempt(self, attempt, limit):
         self.sent.append(attempt)
 
-    def cancel(self, attempt):
+    def cancel_attempt(self, attempt):
         self.cancelled.append(attempt)
 
-    def defer(self, request, retry_after):
+    def reject_request(self, request, retry_after):
         self.ended.append(("deferred", request, retry_after))
 
-    def write_off(self, request):
+    def fail_request(self, request):
         self.ended.append(("written off", request, 0.0))
 
-    def subscribe(self):
+    def watch_endpoints(self):
         self.subscribed += 1
 
-    def probe(self, upstream):
+    def start_health_check(self, upstream):
         self.probes.append(upstream)
 
-    def tell(self, body):
+    def send_gossip(self, body):
         self.told.append(body)
 
-    def defect(self, request, error):
+    def report_defect(self, request, error):
         raise error
 
-    def alarm(self, at):
+    def set_alarm(self, at):
         self.alarms.append(at)
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -203,7 +203,7 @@
         two = msgspec.structs.replace(host.runner.balancer.config, process_count=2)
         other = fleet.process()
         for one in (host, other):
-            one.runner.retune(two)
+            one.runner.reload(two)
         fleet.tell(other)
         steadily(fleet, other, 20 / fleet.work / len(fleet.hosts))
 
@@ -256,6 +256,6 @@
     waiting = [host.take() for _ in range(12)]
     assert len(host.probes) == len(waiting) and not host.sent
     for asked in host.probes:
-        host.runner.probed(asked.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+        host.runner.health_check_ended(asked.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     allowed = 1.0 * (0.1 + 0.9 * 3.0 / 80.0) * 2.0 / 0.125
     assert 0 < len(host.sent) <= allowed
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -403,7 +403,7 @@
     around = make_surroundings(settings=NO_CANCEL)
     client = around.ask()
     with held(around, coming_up(around), WRITE):
-        around.node.module.write_off(next(iter(around.node.module.pending_requests)))
+        around.node.module.fail_request(next(iter(around.node.module.pending_requests)))
         assert around.status(client) == 504
     nothing_comes(around, around.accept())
     assert around.until(lambda: not around.node.module.pending_requests)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -77,7 +77,7 @@
     for i in range(answers):
         held = float(i % 8)
         for u in host.runner.balancer.endpoints.by_id.values():
-            host.runner.probed(
+            host.runner.health_check_ended(
                 u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held, "service": service}
             )
         for attempt in host.of(host.take()):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -115,7 +115,7 @@
     host = FakeHost(health_checks_allowed=True, load_reported=True)
     lease = host.runner.balancer.lease
     lease.start(0.0)
-    host.runner.at(100.0)
+    host.runner.set_time(100.0)
     for category in (LOOK, BUY):
         assert host.answers(host.take(category)) == ["deferred"]
     assert not host.sent and not host.probes
@@ -188,7 +188,7 @@
     (pending,) = around.node.module.pending_requests.values()
     (attempt,) = pending.exchanges
     again = Attempt(attempt.request, attempt.endpoint, around.node.loop.now())
-    around.node.module.send(again, 1.0)
+    around.node.module.start_attempt(again, 1.0)
     around.quiet()
     assert around.node.gate.violations == 1
     around.reply(sock)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -172,7 +172,7 @@
         around.until(lambda: node.list.version == version)  # noqa: B023
         around.until(lambda: not node.module.mailbox)
         for u in list(balancer.endpoints.by_id.values())[:5]:
-            node.module.runner.heard(1, u.gossip_tag.to_bytes(2, "big") + b"\x03")
+            node.module.runner.gossip_received(1, u.gossip_tag.to_bytes(2, "big") + b"\x03")
         client = around.ask("buy", b"one", x_trace_id=f"t{version}", connection="close")
         around.serve(status=500 if version % 2 else 200)  # all of them at one address
         assert around.status(client) in (200, 504)
@@ -180,7 +180,7 @@
     around.until(lambda: not node.module.pending_requests and not node.ledger.clients)
     assert len(node.module.upstreams) == len(balancer.endpoints.by_id) == len(balancer.endpoints.by_tag) == 20
     assert len(balancer.outliers.suspects) <= 10 and len(balancer.gossip._by_peer) <= 5 * 100
-    node.module.runner.at(node.module.runner.now + 60)
+    node.module.runner.set_time(node.module.runner.now + 60)
     balancer.gossip.forget_old_counts()
     balancer.endpoints.stale = True
     balancer.endpoints.refresh()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -129,7 +129,7 @@
     """Two more hand-offs were allowed when it was taken; what comes later gets one."""
     terms = host.runner.balancer.config
     before = host.take(LOOK)
-    host.runner.retune(msgspec.structs.replace(terms, max_attempts=1))
+    host.runner.reload(msgspec.structs.replace(terms, max_attempts=1))
     after = host.take(LOOK)
     for request in (before, after):
         host.end(host.of(request)[-1], AttemptOutcome.REJECTED)
@@ -148,7 +148,7 @@
     gaze = RequestClass(
         "gaze", RetrySafety.IDEMPOTENT, latency_objective=0.5, priority_weight=2.0, timeout=1.0
     )
-    host.runner.retune(msgspec.structs.replace(balancer.config, request_classes=[look, gaze]))
+    host.runner.reload(msgspec.structs.replace(balancer.config, request_classes=[look, gaze]))
     assert balancer.latency.typical(look) == pytest.approx(learned)
     assert balancer.latency.typical(gaze) == gaze.latency_objective / 8
     assert balancer.clock.shortest_objective == 0.5 and balancer.admission._best_weight == 2.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -116,7 +116,7 @@
 
 def test_no_final_answer_after_the_client_has_left(host):
     request = host.take()
-    host.runner.gone(request)
+    host.runner.client_disconnected(request)
     host.later(5.0)
     assert host.answers(request) == [] and host.cancelled == host.of(request)
 
@@ -133,7 +133,7 @@
 def test_the_list_is_asked_for_again_after_a_failure(host):
     host.later(1.0)
     assert host.subscribed == 1
-    host.runner.listed(WatchEvent.FAILED, [])
+    host.runner.endpoints_changed(WatchEvent.FAILED, [])
     host.later(2.0)
     assert host.subscribed == 2
 
@@ -191,7 +191,7 @@
 
 def test_a_started_stream_is_the_clients_and_has_no_due_time(host):
     request = host.take()
-    host.runner.started(host.of(request)[0])
+    host.runner.response_started(host.of(request)[0])
     host.later(5.0)
     assert host.answers(request) == [] and not host.cancelled
     host.end(host.of(request)[0])
@@ -213,14 +213,14 @@
     balancer = host.runner.balancer
     coming = [Request(BUY, inf, 2.0) for _ in range(12)]
     for request in coming:
-        host.runner.take(request)
+        host.runner.accept_request(request)
     assert [len(host.of(request)) for request in coming] == [1] * 12 and balancer.load.in_flight == 0
     host.later(10.0)  # no time limit counts yet
     assert not host.ended and not host.cancelled
     host.serve(4)
     request, attempt = coming[0], host.of(coming[0])[0]
     request.arrived_at = attempt.started_at = host.runner.now
-    host.runner.whole(request, [attempt])
+    host.runner.request_body_complete(request, [attempt])
     assert balancer.load.in_flight == 1 and list(attempt.endpoint.in_flight) == [attempt]
     host.end(attempt)
     assert balancer.load.in_flight == 0 and not attempt.endpoint.in_flight
@@ -230,7 +230,7 @@
     # Another's time begins with its last byte.
     request, attempt = coming[2], host.of(coming[2])[0]
     request.arrived_at = attempt.started_at = host.runner.now
-    host.runner.whole(request, [attempt])
+    host.runner.request_body_complete(request, [attempt])
     host.later(0.5)
     assert not host.cancelled
     host.later(0.5)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -48,21 +48,23 @@
     request = host.take(BUY)
     for held in (3.0, 1.0, 2.0):
         assert not host.of(request)
-        host.runner.probed(host.probes[-1].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held})
+        host.runner.health_check_ended(
+            host.probes[-1].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held}
+        )
     assert [attempt.endpoint for attempt in host.of(request)] == [host.probes[1]]
 
 
 def test_no_more_are_asked_once_one_is_free(make_host):
     host = make_host(**ASKING)
     request = host.take(BUY)
-    host.runner.probed(host.probes[0].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+    host.runner.health_check_ended(host.probes[0].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     assert host.of(request)[0].endpoint is host.probes[0] and len(host.probes) == 1
 
 
 def test_upstreams_that_do_not_answer_when_asked_are_passed_over(make_host):
     host = make_host(**ASKING)
     request = host.take(BUY)
-    host.runner.probed(host.probes[0].endpoint_id, AttemptOutcome.CONNECT_FAILED, 0.01, {})
+    host.runner.health_check_ended(host.probes[0].endpoint_id, AttemptOutcome.CONNECT_FAILED, 0.01, {})
     host.later(0.3)
     assert host.of(request) and host.of(request)[0].endpoint not in host.probes
 
@@ -70,9 +72,9 @@
 def test_a_client_that_leaves_while_upstreams_are_asked_gets_no_answer(make_host):
     host = make_host(**ASKING)
     request = host.take(BUY)
-    host.runner.gone(request)
+    host.runner.client_disconnected(request)
     for u in host.probes:
-        host.runner.probed(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+        host.runner.health_check_ended(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     host.later(3.0)
     assert not host.sent and not host.ended
 
@@ -87,7 +89,7 @@
 def test_what_has_just_said_that_it_is_free_is_not_asked_again(make_host):
     host = make_host(upstreams=1, **ASKING)
     first = host.take(BUY)
-    host.runner.probed("u0", AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+    host.runner.health_check_ended("u0", AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     host.end(host.of(first)[0])
     assert host.of(host.take(BUY)) and len(host.probes) == 1
 
@@ -142,7 +144,7 @@
 def test_a_peers_message_cut_short_or_from_nobody_harms_nothing(make_host, body):
     host = make_host(sidecars=3, gossip_allowed=True)
     for peer in (-1, 1, 2, 99):
-        host.runner.heard(peer, body)
+        host.runner.gossip_received(peer, body)
     assert host.of(host.take())
 
 
@@ -162,7 +164,7 @@
     host = make_host(upstreams=1, request_classes=[LOOK, slow], sidecars=3, gossip_allowed=True)
     host.hears(1, host.runner.balancer.endpoints.by_id["u0"], 100)
     host.later(1.9)
-    host.runner.heard(2, bytes(3))
+    host.runner.gossip_received(2, bytes(3))
     host.take(slow)
     assert host.answers(host.take(slow)) == ["deferred"]
 
@@ -173,7 +175,7 @@
     asked = list(host.probes)
     host.listed(WatchEvent.DELTA, *host.names, condition=EndpointState.GONE)
     for u in [*asked, asked[0]]:
-        host.runner.probed(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+        host.runner.health_check_ended(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     host.later(1.0)
     assert host.answers(request) == ["deferred"] and not host.sent
 
@@ -192,7 +194,7 @@
     for _ in range(4):
         host.take(BUY)
         for u in host.probes[-3:]:
-            host.runner.probed(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 6.0})
+            host.runner.health_check_ended(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 6.0})
     before = len(host.probes)
     host.take(LOOK)
     assert len(host.probes) == before + 1
@@ -299,7 +301,7 @@
     u = host.runner.balancer.endpoints.by_id["u0"]
     tag = u.gossip_tag.to_bytes(2, "big")
     host.hears(1, u, 1)
-    host.runner.heard(1, tag + bytes([ENDED_BY_SENDER]) + tag + bytes([0]))
+    host.runner.gossip_received(1, tag + bytes([ENDED_BY_SENDER]) + tag + bytes([0]))
     host.hears(2, u, UNANSWERED)
     assert u.probation_limit == 1
 
@@ -424,7 +426,7 @@
 
 def weighed(host, **sizes):
     """The list gives sizes anew, as it does when they move with load."""
-    host.runner.listed(
+    host.runner.endpoints_changed(
         WatchEvent.DELTA,
         [Endpoint(n, "here", 0, size, None, EndpointState.READY) for n, size in sizes.items()],
     )
@@ -504,7 +506,7 @@
     host = make_host(**ASKING)
     for i in range(400):
         held = i % (2 * cores + 1)
-        host.runner.probed(
+        host.runner.health_check_ended(
             "u0", AttemptOutcome.SUCCESS, 0.01, {"held": held, "busy": min(held, cores) / cores}
         )
     assert abs(host.runner.balancer.load.concurrency - cores) < 0.35
@@ -532,7 +534,7 @@
 def test_one_is_asked_and_where_it_is_full_another_is_drawn(make_host):
     host = make_host(upstreams=6, **(ASKING | POOL))
     request = host.take(BUY)
-    host.runner.probed(host.probes[0].endpoint_id, AttemptOutcome.REJECTED, 0.01, {})
+    host.runner.health_check_ended(host.probes[0].endpoint_id, AttemptOutcome.REJECTED, 0.01, {})
     assert len(host.probes) == 1 and host.of(request)[0].endpoint is not host.probes[0]
 
 
--- a/trials/call_tree.py
+++ b/trials/call_tree.py
@@ -187,17 +187,17 @@
             self.runner.balancer = balancer
         self.asked: dict[Request, Asked] = {}
         listings = [Endpoint(s.name, "here", 0, 1.0, None, EndpointState.READY) for s in servers]
-        self.runner.listed(WatchEvent.SNAPSHOT, listings)
+        self.runner.endpoints_changed(WatchEvent.SNAPSHOT, listings)
         self.runner.start()
 
     def ask(self, patience: float, root: Root, done: Callable[[str], None]) -> Request:
         """Call the next level; `done` is told how that ended: finished, deferred or written off."""
-        self.runner.at(self.tree.now)
+        self.runner.set_time(self.tree.now)
         request = Request(self.tree.category, self.tree.now, min(patience, self.tree.category.timeout))
         self.asked[request] = Asked(done, self.tree.now, request.time_left, root)
         if self.budget is not None:
             self.budget.first()
-        self.runner.take(request)
+        self.runner.accept_request(request)
         return request
 
     def leave(self, request: Request) -> None:
@@ -205,8 +205,8 @@
         asked = self.asked.get(request)
         if asked is not None and not asked.answered:
             asked.answered = True
-            self.runner.at(self.tree.now)
-            self.runner.gone(request)
+            self.runner.set_time(self.tree.now)
+            self.runner.client_disconnected(request)
 
     def ended(self, call: Call, fate: AttemptOutcome, report: dict[str, float] | None = None) -> None:
         """A hand-off has ended, as this caller sees it."""
@@ -219,8 +219,8 @@
         if first:
             asked.answered = True
             self.tree.answered("finished", self.level, asked)
-        self.runner.at(self.tree.now)
-        self.runner.outcome(
+        self.runner.set_time(self.tree.now)
+        self.runner.attempt_ended(
             AttemptEnded(attempt, fate, self.tree.now - attempt.started_at, asked.answered, report or {})
         )
         if first:
@@ -233,12 +233,12 @@
             del self.asked[request]
 
     def tick(self) -> None:
-        self.runner.at(self.tree.now)
+        self.runner.set_time(self.tree.now)
         self.runner.tick()
 
     # The door.
 
-    def send(self, attempt: Attempt, limit: float) -> None:
+    def start_attempt(self, attempt: Attempt, limit: float) -> None:
         asked = self.asked[attempt.request]
         kind = "first" if not asked.sends else "copy" if asked.calls else "retry"
         asked.sends += 1
@@ -260,7 +260,7 @@
             self.ended(call, fate)
             self.tree.after(self.tree.way(), call.server.leaver(call))
 
-    def cancel(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         call = self.asked[attempt.request].calls[attempt]
         self.tree.after(0.0, lambda: self._over(call, AttemptOutcome.CANCELLED))
 
@@ -272,23 +272,23 @@
         self.tree.after(0.0, lambda: asked.done(how))
         self.tree.after(0.0, lambda: self._forget(request))
 
-    def defer(self, request: Request, retry_after: float) -> None:
+    def reject_request(self, request: Request, retry_after: float) -> None:
         self._refused(request, "deferred")
 
-    def write_off(self, request: Request) -> None:
+    def fail_request(self, request: Request) -> None:
         self._refused(request, "written off")
 
-    def alarm(self, at: float) -> None:
+    def set_alarm(self, at: float) -> None:
         self.tree.at(at, self.tick)
 
-    def subscribe(self) -> None: ...
+    def watch_endpoints(self) -> None: ...
 
-    def probe(self, upstream: Any) -> None:
+    def start_health_check(self, upstream: Any) -> None:
         raise AssertionError("nobody may ask here")
 
-    def tell(self, body: bytes) -> None: ...
+    def send_gossip(self, body: bytes) -> None: ...
 
-    def defect(self, request: Request | None, error: Exception) -> None:
+    def report_defect(self, request: Request | None, error: Exception) -> None:
         raise error
 
 
