--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -250,7 +250,9 @@
 
 def test_a_peer_is_heard_and_a_stranger_is_not(around, monkeypatch):
     heard = []
-    monkeypatch.setattr(around.node.module.runner, "heard", lambda peer, body: heard.append((peer, body)))
+    monkeypatch.setattr(
+        around.node.module.runner, "gossip_received", lambda peer, body: heard.append((peer, body))
+    )
     assert list(around.node.datagrams.peers) == [around.peer.getsockname()]  # not itself
     to = around.node.datagrams.sock.getsockname()
     stranger = around.keep(bound(socket.SOCK_DGRAM))
