--- a/standins/__main__.py
+++ b/fakes/__main__.py
@@ -1,4 +1,4 @@
-"""python -m standins arbiter|upstreams --port N: a stand-in by itself, to try a sidecar with by hand."""
+"""python -m fakes arbiter|upstreams --port N: a stand-in by itself, to try a sidecar with by hand."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import contextlib
 import random
 
-from .arbiter import Arbiter
-from .listing import Listing
+from .endpoint_list import Listing
+from .etcd import Arbiter
 from .upstream import Run, Upstream
 
 LOCAL = "127.0.0.1"
@@ -44,7 +44,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m standins", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m fakes", description=__doc__)
     parser.add_argument("what", choices=["arbiter", "upstreams"])
     parser.add_argument("--port", type=int, required=True)
     given = parser.parse_args()
--- a/standins/clients.py
+++ b/fakes/clients.py
@@ -45,9 +45,9 @@
 class Clients:
     """All clients of a trial. `addresses` tells where the sidecars listen."""
 
-    def __init__(self, addresses: dict[str, str], chance: random.Random, waits: float = 2.0) -> None:
+    def __init__(self, addresses: dict[str, str], rng: random.Random, waits: float = 2.0) -> None:
         self.callers = {name: Caller(address) for name, address in addresses.items()}
-        self.names, self.chance, self.waits = list(addresses), chance, waits
+        self.names, self.rng, self.waits = list(addresses), rng, waits
         self.done: list[Work] = []
         self.open: set[asyncio.Task[None]] = set()
         self.body: Callable[[Work], bytes] = lambda work: work.name.encode()
@@ -67,10 +67,10 @@
         for number in range(int(rate * seconds)):
             due = start + number / rate
             await asyncio.sleep(max(0.0, due - loop.time()))
-            category = self.chance.choices([*categories], [*categories.values()])[0]
+            category = self.rng.choices([*categories], [*categories.values()])[0]
             able = [n for n in self.names if n not in self.avoid] or self.names
-            home = self.chance.choice(able)
-            twin = self.chance.choice(able) if self.chance.random() < twins else ""
+            home = self.rng.choice(able)
+            twin = self.rng.choice(able) if self.rng.random() < twins else ""
             self.begin(f"w{len(self.done)}", category, home, named, twin)
 
     def begin(self, name: str, category: str, sidecar: str, named: bool = True, twin: str = "") -> Work:
@@ -123,7 +123,7 @@
                 return
             number += 1
             others = [n for n in self.names if n != sidecar and n not in self.avoid]
-            sidecar = self.chance.choice(others or self.names)
+            sidecar = self.rng.choice(others or self.names)
             await asyncio.sleep(wait)
 
     async def rest(self, within: float) -> None:
--- a/standins/discovery.py
+++ b/fakes/discovery.py
@@ -122,8 +122,8 @@
 class Discovery:
     """The service. Its attributes are its state and its faults; a trial sets them as it goes."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changed_at: dict[str, tuple[int, float]] = {}  # version and time of an entry's last change
--- a/standins/relay.py
+++ b/fakes/relay.py
@@ -32,11 +32,11 @@
     def __init__(
         self,
         target: Callable[[], tuple[str, int]],
-        chance: random.Random,
+        rng: random.Random,
         host: str = "",
         said: Callable[[tuple[str, int], tuple[str, int]], None] | None = None,
     ) -> None:
-        self.target, self.chance, self.host, self.said = target, chance, host or own_host(), said
+        self.target, self.rng, self.host, self.said = target, rng, host or own_host(), said
         self.port = 0
         self.ways: dict[str, tuple[Way, Way]] = {}  # by the host that connects
         self.refusing: set[str] = set()
@@ -117,7 +117,7 @@
             while data := await reader.read(CHUNK):
                 self.pieces += 1
                 now = self._ways(source)[way]
-                wait = now.delay + (now.again if now.loss and self.chance.random() < now.loss else 0.0)
+                wait = now.delay + (now.again if now.loss and self.rng.random() < now.loss else 0.0)
                 if wait:
                     await asyncio.sleep(wait)
                 while self._ways(source)[way].cut:
--- a/standins/upstream.py
+++ b/fakes/upstream.py
@@ -26,8 +26,8 @@
 class Upstream:
     """One server. `mode`: ok, hang, error, refuse (turns work away), lose (works, but resets its answer)."""
 
-    def __init__(self, name: str, zone: str, chance: random.Random, service: float, notes: list[Run]) -> None:
-        self.name, self.zone, self.chance, self.service, self.notes = name, zone, chance, service, notes
+    def __init__(self, name: str, zone: str, rng: random.Random, service: float, notes: list[Run]) -> None:
+        self.name, self.zone, self.rng, self.service, self.notes = name, zone, rng, service, notes
         self.mode, self.slower = "ok", 1.0
         self.origins: dict[tuple[str, int], str] = {}  # whose a connection is, as the relays say
         self.server = Server(self._answer)
@@ -49,7 +49,7 @@
         try:
             if self.mode == "hang":
                 await asyncio.sleep(3600)
-            await asyncio.sleep(self.service * self.slower * self.chance.lognormvariate(0, 0.4))
+            await asyncio.sleep(self.service * self.slower * self.rng.lognormvariate(0, 0.4))
             if self.mode == "error":
                 return Response(500)
             if self.mode == "lose":
--- a/starlingwheel/__main__.py
+++ b/starlingwheel/__main__.py
@@ -7,7 +7,7 @@
 # heard (net/lifecycle/signals.py).
 signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
 
-from .net.lifecycle.start import main  # noqa: E402
+from .net.lifecycle.sidecar import main  # noqa: E402
 
 if __name__ == "__main__":
     sys.exit(main())
--- /dev/null
+++ b/starlingwheel/cli/__init__.py
@@ -0,0 +1,1 @@
+"""What operators type. Nothing of it is loaded by a sidecar."""
--- a/starlingwheel/command/__init__.py
+++ b/starlingwheel/command/__init__.py
@@ -1,1 +1,1 @@
-"""What operators type. Nothing of it is loaded by a sidecar."""
+"""Former name of `starlingwheel.cli`, kept for scripts that call it."""
--- a/starlingwheel/decisions/admission.py
+++ b/starlingwheel/decisions/admission.py
@@ -25,8 +25,8 @@
 class Admission:
     """Owns the longest time left that each class was seen to arrive with."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
 
     def reload(self, config: BalancerConfig) -> None:
         """Take over a configuration."""
@@ -61,5 +61,5 @@
 
     def retry_after(self, request: Request) -> float:
         """When a rejected client may return, seconds; spread, so that clients do not return together."""
-        delay = request.request_class.latency_objective * RETRY_AFTER_FRACTION * (0.5 + self.chance.random())
+        delay = request.request_class.latency_objective * RETRY_AFTER_FRACTION * (0.5 + self.rng.random())
         return min(self.config.max_retry_after, delay)
--- a/starlingwheel/decisions/balancer.py
+++ b/starlingwheel/decisions/balancer.py
@@ -37,23 +37,23 @@
     def __init__(
         self,
         config: BalancerConfig,
-        chance: random.Random,
+        rng: random.Random,
         now: float,
         lease: EndpointLease | None = None,
         retry_policy: type[RetryPolicy] = RetryPolicy,
     ) -> None:
         """`lease`: how long the endpoint list may be acted on; without one its host answers for that."""
         pushed = not config.must_watch_endpoints
-        self.chance, self.clock = chance, Clock(now)
+        self.rng, self.clock = rng, Clock(now)
         self.lease = lease or EndpointLease(config.drain_grace, pushed=pushed)
         self.endpoints = EndpointSet(self.clock)
         self.gossip = Gossip(self.clock, self.endpoints)
         self.load = LoadTracker(self.clock, self.endpoints, self.gossip)
         self.latency = LatencyModel(self.clock, self.endpoints, self.gossip, self.load)
-        self.slow_start = SlowStart(self.clock, chance, self.endpoints, self.latency, self.load)
-        self.outliers = OutlierDetector(self.clock, chance, self.endpoints, self.latency, self.gossip)
+        self.slow_start = SlowStart(self.clock, rng, self.endpoints, self.latency, self.load)
+        self.outliers = OutlierDetector(self.clock, rng, self.endpoints, self.latency, self.gossip)
         self.outcomes = OutcomeRecorder(self.clock, self.load, self.latency, self.gossip, self.outliers)
-        self.admission = Admission(chance)
+        self.admission = Admission(rng)
         self.retry_policy = retry_policy(self.clock)
         self.hedging = HedgingPolicy(self.clock, self.latency, self.load, self.retry_policy)
         self._build_dispatch()
@@ -62,7 +62,7 @@
     def _build_dispatch(self) -> None:
         self.selector = EndpointSelector(
             self.clock,
-            self.chance,
+            self.rng,
             self.lease,
             self.endpoints,
             self.gossip,
@@ -156,7 +156,7 @@
         """The coroutines that run beside those of requests."""
         if not self.config.must_watch_endpoints:
             return []
-        return [watch_endpoints(self.clock, self.chance, self.config)]
+        return [watch_endpoints(self.clock, self.rng, self.config)]
 
     def receive_gossip(self, peer: int, body: bytes) -> None:
         """Take over a peer's message."""
--- a/starlingwheel/decisions/endpoint_watch.py
+++ b/starlingwheel/decisions/endpoint_watch.py
@@ -13,7 +13,7 @@
 MAX_BACKOFF = 8  # times the shortest backoff
 
 
-def watch_endpoints(clock: Clock, chance: random.Random, config: BalancerConfig) -> DecisionCoroutine:
+def watch_endpoints(clock: Clock, rng: random.Random, config: BalancerConfig) -> DecisionCoroutine:
     """Open the watch, and again with exponential backoff after each failure.
 
     Calls are spread over the sidecars, which would otherwise all come at once at the start and after an
@@ -26,12 +26,12 @@
         max(shortest, max_age / 2),
     )
     backoff = spread
-    until = clock.now + chance.random() * spread
+    until = clock.now + rng.random() * spread
     while True:
         while clock.now < until:
             yield Wait(until)
         yield WatchEndpoints()
         while (yield Wait(None)) is not WatchEvent.FAILED:
             backoff = spread
-        until = clock.now + backoff * (0.5 + chance.random())
+        until = clock.now + backoff * (0.5 + rng.random())
         backoff = min(2 * backoff, max(MAX_BACKOFF * shortest, spread))
--- a/starlingwheel/decisions/outlier_detection.py
+++ b/starlingwheel/decisions/outlier_detection.py
@@ -26,12 +26,12 @@
     def __init__(
         self,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         endpoints: EndpointSet,
         latency: LatencyModel,
         gossip: Gossip,
     ) -> None:
-        self.clock, self.chance, self.endpoints = clock, chance, endpoints
+        self.clock, self.rng, self.endpoints = clock, rng, endpoints
         self.latency, self.gossip = latency, gossip
         self.suspects: dict[EndpointStats, None] = {}
         self._probation_budget = 1.0  # attempts at endpoints on probation that may start now
@@ -140,10 +140,10 @@
         stats.consecutive_failures += 1
         # A fault that is common to all, or our own, ejects nobody.
         common = CHANCE_THRESHOLD if stats.connect_failing else self._failures / self._outcomes
-        chance = common**stats.consecutive_failures
+        rng = common**stats.consecutive_failures
         # Rows of failures are bound to come up where one endpoint gets many attempts.
-        chance *= max(1.0, self._recent / (HALF_LIFE * self.endpoints.ready_count() + 1))
-        if chance <= CHANCE_THRESHOLD or stats.probation_limit < inf or told:
+        rng *= max(1.0, self._recent / (HALF_LIFE * self.endpoints.ready_count() + 1))
+        if rng <= CHANCE_THRESHOLD or stats.probation_limit < inf or told:
             self.eject(stats, unresponsive)
 
     def _count_outcome(self, failed: bool) -> None:
@@ -167,7 +167,7 @@
         on_probation = stats.probation_limit < inf
         stats.ejection_time = min(2 * stats.ejection_time, 2 * shortest) if on_probation else shortest / 2
         # Sidecars that heard of it together must not all try it again in the same moment.
-        stats.ejected_until = self.clock.now + stats.ejection_time * (0.5 + self.chance.random())
+        stats.ejected_until = self.clock.now + stats.ejection_time * (0.5 + self.rng.random())
         stats.probation_limit, stats.unresponsive = 1, unresponsive
 
     def note_response_elsewhere(self, stats: EndpointStats) -> None:
--- a/starlingwheel/decisions/scheduler.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -82,7 +82,7 @@
     def __init__(
         self,
         config: BalancerConfig,
-        chance: random.Random,
+        rng: random.Random,
         host: DecisionHost,
         now: float,
         lease: EndpointLease | None = None,
@@ -90,7 +90,7 @@
         """`lease`: how long the endpoint list may be acted on, see `Balancer`."""
         self.host = host
         self.now = now
-        self.balancer = Balancer(config, chance, now, lease)
+        self.balancer = Balancer(config, rng, now, lease)
         self._by_request: dict[Request, ScheduledCoroutine] = {}
         self._alarms: list[tuple[float, int, ScheduledCoroutine, int]] = []  # when, order, whose, its turn
         self._alarm_count = 0
--- a/starlingwheel/decisions/selection.py
+++ b/starlingwheel/decisions/selection.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         lease: EndpointLease,
         endpoints: EndpointSet,
         gossip: Gossip,
@@ -67,7 +67,7 @@
         outliers: OutlierDetector,
         retry_policy: RetryPolicy,
     ) -> None:
-        self.clock, self.chance, self.lease = clock, chance, lease
+        self.clock, self.rng, self.lease = clock, rng, lease
         self.endpoints, self.gossip, self.load, self.latency = endpoints, gossip, load, latency
         self.slow_start, self.outliers, self.retry_policy = slow_start, outliers, retry_policy
         self.zone_shares: dict[str, float] = {}  # part of the draws that a zone is in, where that is not all
@@ -105,7 +105,7 @@
             return None
         candidates = self._prefer_cell(candidates, search)
         candidates = self._prefer_open_connections(candidates, search)
-        chosen = self.chance.choices([one.endpoint for one in candidates], [one.weight for one in candidates])
+        chosen = self.rng.choices([one.endpoint for one in candidates], [one.weight for one in candidates])
         return chosen[0]
 
     def _search(
@@ -138,7 +138,7 @@
             search.near_enough = max(search.near_enough, search.typical * nearest)
         self.gossip.forget_old_counts()
         search.excluded_zones = {
-            zone for zone, share in self.zone_shares.items() if self.chance.random() >= share
+            zone for zone, share in self.zone_shares.items() if self.rng.random() >= share
         }
         return search
 
@@ -194,7 +194,7 @@
         """The endpoints of a pool that are looked at, those of the preferred cell among them."""
         if self.endpoints.subset_size or len(pool) <= MAX_CANDIDATES:
             return pool
-        sample = self.chance.sample(pool, MAX_CANDIDATES)
+        sample = self.rng.sample(pool, MAX_CANDIDATES)
         cell = search.request.preferred_cell
         if cell is None:
             return sample
--- a/starlingwheel/decisions/slow_start.py
+++ b/starlingwheel/decisions/slow_start.py
@@ -36,12 +36,12 @@
     def __init__(
         self,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         endpoints: EndpointSet,
         latency: LatencyModel,
         load: LoadTracker,
     ) -> None:
-        self.clock, self.chance = clock, chance
+        self.clock, self.rng = clock, rng
         self.endpoints, self.latency, self.load = endpoints, latency, load
 
     def reload(self, config: BalancerConfig) -> None:
@@ -76,7 +76,7 @@
 
     def _advance_phase(self, stats: EndpointStats, span: float) -> None:
         now = self.clock.now
-        phase = stats.slow_start_phase or -SKIPPED_TURN_FACTOR * self.chance.random()
+        phase = stats.slow_start_phase or -SKIPPED_TURN_FACTOR * self.rng.random()
         stats.slow_start_phase = phase + (now - stats.slow_start_updated_at) / span
         stats.slow_start_updated_at = now
 
--- a/starlingwheel/fleet/view.py
+++ b/starlingwheel/fleet/membership.py
@@ -99,9 +99,9 @@
             yield before
             before = (before - 1) % self.cells
 
-    def peers(self, me: str) -> list[str]:
+    def peers(self, member_id: str) -> list[str]:
         """The others of our cell."""
-        return [member for member in self.of_cell(self.cell_of(me)) if member != me]
+        return [member for member in self.of_cell(self.cell_of(member_id)) if member != member_id]
 
     def digest_of(self, cell: int) -> int:
         """Names the cell as this view has it: two that agree on it have one home for each of its names."""
--- a/starlingwheel/fleet/common.py
+++ b/starlingwheel/fleet/policy/document.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from .part import cover_faults, zones_faults
+from ..config import cover_faults, zones_faults
 
 OWN = ("locality", "slotNo", "replicasOfMe")  # keys of the settings that say which sidecar this is
 TABLES = {
@@ -155,7 +155,7 @@
         yield key, one, other
 
 
-def edited(before: Body, now: Body, ruling: Body) -> list[str]:
+def edited(before: Body, now: Body, policy_controller: Body) -> list[str]:
     """What a file that is read again says otherwise of common keys than the policy in force.
 
     What it said before already is only old, not edited: guards against a fleet whose files are as they were
@@ -164,6 +164,6 @@
     old = {key for key, _, _ in differences(now, before)}
     return [
         f"{key}: {given!r}, where the policy in force says {held!r}"
-        for key, given, held in differences(now, ruling)
+        for key, given, held in differences(now, policy_controller)
         if any(key.startswith(one) or one.startswith(key) for one in old)
     ]
--- a/starlingwheel/fleet/policy.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -22,8 +22,7 @@
 
 import msgspec
 
-from .common import Body, digest
-from .records import (
+from ..records import (
     MEMBERS,
     NAMES,
     NEXT,
@@ -39,6 +38,7 @@
     Transaction,
     equal,
 )
+from .document import Body, digest
 
 AHEAD = 3.0  # leases between a proposal and its switch time, unless told
 LEAST = 1.5  # leases between a vote and the switch time, at least
@@ -102,10 +102,10 @@
     """One member's part of the fleet's one policy."""
 
     def __init__(
-        self, me: str, name: str, lease: float, door: PolicyHost, now: float, kept: StoredPolicy
+        self, member_id: str, name: str, lease: float, host: PolicyHost, now: float, kept: StoredPolicy
     ) -> None:
         """`lease`: seconds. `kept`: what a former process of this name has left."""
-        self.me, self.name, self.lease, self.door, self.now = me, name, lease, door, now
+        self.member_id, self.name, self.lease, self.host, self.now = member_id, name, lease, host, now
         self.begun = now
         self.kept = kept
         self.records = StoreRecords()
@@ -137,10 +137,10 @@
         if bool(why) != bool(self.doubt_since):
             if why:
                 self.doubt_since = self.now
-                self.door.note("policy.doubt", reason=why, version=self.in_force.version)
+                self.host.note("policy.doubt", reason=why, version=self.in_force.version)
             else:
                 self.doubted += self.now - self.doubt_since
-                self.door.note("policy.sure", after=round(self.now - self.doubt_since, 3))
+                self.host.note("policy.sure", after=round(self.now - self.doubt_since, 3))
                 self.doubt_since = 0.0
         return why
 
@@ -158,7 +158,7 @@
 
         Guards against a lease taken anew by one that has not seen yet what was decided in between.
         """
-        seen = self.me in self.records.members and self.records.revision >= self.entered
+        seen = self.member_id in self.records.members and self.records.revision >= self.entered
         return self.lease_until if seen else -inf
 
     def next_at(self) -> float:
@@ -174,7 +174,15 @@
         until = min(self._ahead(), self.promise.at if self.promise else inf)
         ours, sure = self.in_force, self.sure or self.from_file
         return PolicyStatus(
-            self.me, self.name, self.now, ours.version, ours.digest, until, self.known, self.ended, sure
+            self.member_id,
+            self.name,
+            self.now,
+            ours.version,
+            ours.digest,
+            until,
+            self.known,
+            self.ended,
+            sure,
         )
 
     def _ahead(self) -> float:
@@ -198,12 +206,12 @@
         else:
             self.well_until = None
         if word.known > self.known:
-            self.door.ask(word.member)
+            self.host.ask(word.member)
         elif self.promise is not None and word.sure and self._dropped(self.promise, word):
             self._release("dropped, as a member says")
         if not self.sure and self.now >= self.begun + LATE * self.lease and self.now < self._well():
             self.sure = True
-            self.door.note("policy.assumed", version=self.in_force.version)
+            self.host.note("policy.assumed", version=self.in_force.version)
 
     def _dropped(self, change: PolicyProposal, word: PolicyStatus) -> bool:
         return word.ended >= change.number and word.known < change.policy.version
@@ -234,7 +242,7 @@
         """What the arbiter has. `gap`: there may have been changes between that nobody saw."""
         before, self.records = self.records, records
         change = records.next
-        if self.me in before.members and self.me not in records.members:
+        if self.member_id in before.members and self.member_id not in records.members:
             self.lease_until = -inf
         if gap:
             self.left_at = self.now
@@ -254,10 +262,10 @@
         if promise is not None and records.revision >= promise.number and not self._is_open(promise):
             self.ended = max(self.ended, promise.number)
             self._release("dropped")
-        if not self.sure and self.me in records.members:
+        if not self.sure and self.member_id in records.members:
             self.sure = True
-            self.door.note("policy.known", version=self.in_force.version)
-        if change is not None and self.me in records.members and self._unvoted(change):
+            self.host.note("policy.known", version=self.in_force.version)
+        if change is not None and self.member_id in records.members and self._unvoted(change):
             self._consider(change)
 
     def _unvoted(self, change: PolicyProposal) -> bool:
@@ -282,7 +290,7 @@
             self.promise = None
         self._keep()
         self.counts["decided"] += 1
-        self.door.note("policy.decided", version=decision.policy.version, at=round(decision.at, 3))
+        self.host.note("policy.decided", version=decision.policy.version, at=round(decision.at, 3))
         self._switch()
 
     def _release(self, why: str) -> None:
@@ -290,7 +298,7 @@
         self._keep()
         if promise is not None:
             self.counts["released"] += 1
-            self.door.note("policy.released", version=promise.policy.version, reason=why)
+            self.host.note("policy.released", version=promise.policy.version, reason=why)
 
     def _switch(self) -> None:
         if self.decision is None:
@@ -300,8 +308,8 @@
             self.in_force = policy
             self.well_until = None
             self.counts["switched"] += 1
-            self.door.note("policy.in_force", version=policy.version, digest=policy.digest)
-            self.door.rule(policy)
+            self.host.note("policy.in_force", version=policy.version, digest=policy.digest)
+            self.host.rule(policy)
 
     def _consider(self, change: PolicyProposal) -> None:
         """Say yes or no, once."""
@@ -313,7 +321,7 @@
             self._keep()
         self.vote = change.number, why[:LONGEST_WHY]
         self.counts["yes" if not why else "no"] += 1
-        self.door.note("policy.vote", version=change.policy.version, yes=not why, reason=why)
+        self.host.note("policy.vote", version=change.policy.version, yes=not why, reason=why)
 
     def _why_not(self, change: PolicyProposal) -> str:
         policy = change.policy
@@ -325,7 +333,7 @@
             return f"it holds from {change.at - self.now:.3f} s on, too soon"
         if self.decision is not None and self.now < self.decision.at:
             return "the change before it has not taken hold yet"
-        return self.door.check(policy.body)
+        return self.host.check(policy.body)
 
     def lately(self, members: Container[str], most: int) -> list[PolicyStatus]:
         """Words of these members that others may still count, the youngest first: to be passed on."""
@@ -374,14 +382,14 @@
         if addresses:
             members = self.records.members.values()
             kept.addresses = {m.name: m.address for m in members if m.name != self.name}
-        self.door.keep(kept)
+        self.host.keep(kept)
 
     # What is to be written at the arbiter.
 
     def propose(self, body: Body, span: float) -> tuple[Transaction, PolicyProposal]:
         """A change that takes hold `span` seconds from now. Its checks are the caller's."""
         policy = Policy(self.known + 1, digest(body), body)
-        change = PolicyProposal(policy, self.now + span, self.now, self.me)
+        change = PolicyProposal(policy, self.now + span, self.now, self.member_id)
         same = [equal(NEXT, "CREATE", 0), equal(NOW, "MOD", self.records.now_mod)]
         return Transaction("propose", same, [(NEXT, msgspec.json.encode(change))]), change
 
@@ -411,22 +419,22 @@
         change = records.next
         if records.spoilt:
             return self._in_turn("spoilt", records.next_mod, lambda: self.drop("nobody can read it"))
-        if change is None or self.me not in records.members:
+        if change is None or self.member_id not in records.members:
             return inf
         number = change.number
         if self._unvoted(change):
             self._consider(change)
-        if self.vote is not None and not self._unvoted(change) and self.me not in records.votes:
-            if not self.vote[1] and (fault := self.door.kept()) != "":
+        if self.vote is not None and not self._unvoted(change) and self.member_id not in records.votes:
+            if not self.vote[1] and (fault := self.host.kept()) != "":
                 if fault is None:
                     return self.now + TURN * self.lease
                 # Guards against a vote that binds nobody once this process has ended.
                 self.promise, self.vote = None, (number, f"it can't be kept here: {fault}"[:LONGEST_WHY])
-            key = f"{VOTES}{number}/{self.me}"
+            key = f"{VOTES}{number}/{self.member_id}"
             same = [
                 equal(NEXT, "MOD", records.next_mod),
                 equal(key, "CREATE", 0),
-                equal(MEMBERS + self.me, "CREATE", records.members[self.me].term),
+                equal(MEMBERS + self.member_id, "CREATE", records.members[self.member_id].term),
             ]
             return Transaction("vote", same, [(key, msgspec.json.encode(self.vote[1]))])
         votes = {member: why for member, why in records.votes.items() if member in records.members}
@@ -462,8 +470,8 @@
         change = self.records.next
         ranks = sorted(self.records.members)
         turn = 0
-        if change is None or change.author != self.me:
-            place = ranks.index(self.me) if self.me in ranks else TURNS
+        if change is None or change.author != self.member_id:
+            place = ranks.index(self.member_id) if self.member_id in ranks else TURNS
             turn = 1 + (place + number) % max(1, len(ranks))
         at = since + min(turn, TURNS) * TURN * self.lease
         return made() if self.now >= at else at
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from .common import Body
-from .view import MOST_CELLS, Member, MembershipView
+from .membership import MOST_CELLS, Member, MembershipView
+from .policy.document import Body
 
 NOW, NEXT, VOTES, PAST_AT = "policy/now", "policy/next", "policy/votes/", "policy/past/"
 MEMBERS, NAMES = "members/", "names/"
--- /dev/null
+++ b/starlingwheel/fleet/replication/__init__.py
@@ -0,0 +1,1 @@
+"""Requests in flight that survive the loss of their sidecar."""
--- a/starlingwheel/fleet/cover.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -22,7 +22,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from .frames import (
+from ..frames import (
     ANSWERED,
     ASKED,
     FULL,
@@ -48,7 +48,7 @@
     ResponseFrame,
     ViewSyncedFrame,
 )
-from .view import Member, MembershipView, place
+from ..membership import Member, MembershipView, place
 
 FINISHED, DEFERRED, MIXED_UP, WRITTEN_OFF = 200, 503, 422, 504
 RERUNNABLE = "rerunnable"
@@ -161,22 +161,22 @@
 class DialMember:
     """The members that an owner of another cell reaches; being asked, it begins to."""
 
-    def __init__(self, covering: RequestReplicator) -> None:
-        self.covering = covering
+    def __init__(self, replicator: RequestReplicator) -> None:
+        self.replicator = replicator
 
     def __contains__(self, member: str) -> bool:
-        return self.covering._reach(member)
+        return self.replicator._reach(member)
 
 
 class RequestReplicator:
     """One member's part of the cover of the whole fleet's work."""
 
     def __init__(
-        self, me: str, longest: float, count: int, room: int, door: ReplicationHost, now: float
+        self, member_id: str, longest: float, count: int, room: int, host: ReplicationHost, now: float
     ) -> None:
         """`longest`: the longest expiry, seconds; `count`: keepers an item; `room`: bytes kept for others."""
-        self.me, self.longest, self.count, self.room = me, longest, count, room
-        self.door, self.now = door, now
+        self.member_id, self.longest, self.count, self.room = member_id, longest, count, room
+        self.host, self.now = host, now
         self.items: dict[bytes, ReplicatedRequest] = {}
         self.view = MembershipView()
         self.view_at = now
@@ -204,14 +204,14 @@
         """Another set of members holds leases. `gap`: there may have been others between."""
         if view.digest == self.view.digest and not (gap and view.members):
             return
-        ours = (self.view.members.get(self.me), view.members.get(self.me))
+        ours = (self.view.members.get(self.member_id), view.members.get(self.member_id))
         anew = gap or ours[0] != ours[1]
         if anew:
             # Others may have gone on without us: what we know of their work is old.
             for item in self.items.values():
                 item.stale = item.state is RequestState.KEEPING
         before, self.view = self.view, view
-        if gap or before.digest_of(before.cell_of(self.me)) != self.digest:
+        if gap or before.digest_of(before.cell_of(self.member_id)) != self.digest:
             self.view_at = self.now
             self.settled = self.settled and not gap
             self.lately = [*self.lately, view] if self.settled else [view]
@@ -226,7 +226,7 @@
         for member in list(self.links):
             cell = view.cell_of(member)
             if gap or before.digest_of(before.cell_of(member)) != view.digest_of(cell):
-                self.door.say(member, ViewSyncedFrame(view.digest_of(cell)))
+                self.host.say(member, ViewSyncedFrame(view.digest_of(cell)))
         self._reach_holders()
         self._perhaps_settled()
 
@@ -261,7 +261,7 @@
                 # What was said on the link before may be lost, and it may have taken over meanwhile.
                 self._cover(item, member)
             self._place(item)
-        self.door.say(member, ViewSyncedFrame(self.view.digest_of(self.view.cell_of(member))))
+        self.host.say(member, ViewSyncedFrame(self.view.digest_of(self.view.cell_of(member))))
 
     def down(self, member: str) -> None:
         """The link to a member has ended, or nothing comes over it any more."""
@@ -336,7 +336,7 @@
 
     def _far(self, item: ReplicatedRequest) -> bool:
         """Its keepers, if it is ours, are not of our cell."""
-        return self._outside(self.me, item) or bool(self.view.beside(self.view.cell_at(item.place)))
+        return self._outside(self.member_id, item) or bool(self.view.beside(self.view.cell_at(item.place)))
 
     def _reach(self, member: str) -> bool:
         """There is a link to a member of another cell, or one is to come up."""
@@ -344,7 +344,7 @@
             return True
         if member not in self.view or member in self.failed:
             return False
-        if not self.door.reach(member):
+        if not self.host.reach(member):
             self.failed[member] = self.now + RETRY * self.longest
             return False
         self.reaching[member] = None
@@ -361,7 +361,7 @@
         """Who has to tell us what it knows before we grant what we are the new home of."""
         if self.view.cells == 1:
             return set(self.view.members)
-        cell = self.view.cell_of(self.me)
+        cell = self.view.cell_of(self.member_id)
         known = set().union(*(self.view.holders(cell, older) for older in self.lately))
         return {member for member in known if member in self.view}
 
@@ -374,14 +374,14 @@
                 continue
             now = self.view.home(key)
             if now == home or not self._outside(member, item):
-                self._covered(member, item.cover(asks=now == self.me, home=home))
+                self._covered(member, item.cover(asks=now == self.member_id, home=home))
             else:
                 self.early[member, key] = home
 
     @property
     def digest(self) -> int:
         """Of our cell in the view that holds: what `Beat.view` says."""
-        return self.view.digest_of(self.view.cell_of(self.me))
+        return self.view.digest_of(self.view.cell_of(self.member_id))
 
     def heard(self, member: str, frame: Frame) -> None:
         """A frame that a member has sent, of bounded size and of a known type."""
@@ -431,7 +431,7 @@
                 # Guards against one that has joined waiting for an answer that is lost.
                 del item.clients[client]
                 self.counts["waited_out"] += 1
-                self.door.answer(item, client, RecordedResponse(WRITTEN_OFF))
+                self.host.answer(item, client, RecordedResponse(WRITTEN_OFF))
         again = [member for member, until in self.failed.items() if until <= self.now]
         for member in again:
             del self.failed[member]
@@ -471,7 +471,7 @@
         self._waits(item, client, until)
         self.counts["covered"] += 1
         # Guards against connections spoilt for what another one acts on already: a repeat waits for the word.
-        if not item.repeat or self.view.home(item.key) == self.me:
+        if not item.repeat or self.view.home(item.key) == self.member_id:
             item.state, item.running = RequestState.OWNING, True
         self._seek(item)
         if item.state is RequestState.OWNING and (item.sure or not item.repeat):
@@ -491,12 +491,12 @@
         """Have the intent of that number recorded."""
         if item.state is not RequestState.OWNING:
             item.intents[number].fate = UNSENT
-            self.door.stop(item, number)
+            self.host.stop(item, number)
             return
         item.waiting[number] = None
-        home = self.view.home(item.key) if self._outside(self.me, item) else ""
+        home = self.view.home(item.key) if self._outside(self.member_id, item) else ""
         for member in list(item.keepers):
-            self.door.say(
+            self.host.say(
                 member, AttemptIntentFrame(item.key, item.epoch, number, item.intents[number], home)
             )
         self._let_go(item)
@@ -510,7 +510,7 @@
             item.intents[number].fate = fate
         if item.state is RequestState.OWNING:
             for member in item.keepers:
-                self.door.say(member, AttemptNotRunFrame(item.key, item.epoch, number, fate))
+                self.host.say(member, AttemptNotRunFrame(item.key, item.epoch, number, fate))
 
     def answered(self, item: ReplicatedRequest, reply: RecordedResponse) -> RecordedResponse | None:
         """Our decisions have a final answer. What our client gets; None: `Door.answer` follows."""
@@ -521,7 +521,7 @@
             # Another one has taken it over. A hand-off of ours that was let go before may still finish it.
             if reply.status != FINISHED:
                 return None
-            self.door.say(item.at_home, ResponseFrame(item.key, item.epoch, reply))
+            self.host.say(item.at_home, ResponseFrame(item.key, item.epoch, reply))
             self._done(item, reply)
             return reply
         if reply.status == DEFERRED and item.may_have_run and (item.adopted or item.askers):
@@ -541,7 +541,7 @@
     def wait_on(self, item: ReplicatedRequest, client: Any, until: float) -> None:
         """A client whose decisions have ended without an answer waits for another's."""
         if item.state is RequestState.DONE and item.reply is not None:
-            self.door.answer(item, client, item.reply)
+            self.host.answer(item, client, item.reply)
         else:
             self._waits(item, client, until)
 
@@ -599,7 +599,7 @@
     def _seek(self, item: ReplicatedRequest) -> None:
         """Ask the home whether it is new; where that can't be reached, whoever would stand in for it."""
         home = self.view.home(item.key)
-        if self._outside(self.me, item):
+        if self._outside(self.member_id, item):
             stands_in = next(iter(self._wanted(item)), "")
             if stands_in and stands_in not in self.links:
                 item.state, item.at_home = RequestState.ASKING, ""  # `up` or `unreached` follows
@@ -607,7 +607,7 @@
         else:
             stands_in = next((m.id for m in self.view.ranks(item.key) if m.id in self.links), "")
         item.at_home = ""
-        if home == self.me and self.may_decide():
+        if home == self.member_id and self.may_decide():
             if self._steady(item.key):
                 self._own(item)
             else:
@@ -617,7 +617,7 @@
             item.at_home = home
             self._cover_by_all(item)
             return
-        if home == self.me and stands_in:
+        if home == self.member_id and stands_in:
             # Others may have a view without us, and say who is its home now.
             item.at_home = stands_in
             self._cover(item, stands_in, asks=True)
@@ -627,7 +627,7 @@
                 self._stand_in(item, stands_in)
             else:
                 self._uncovered(item, "no-link" if home else "no-view")
-        elif stands_in and self.door.say(stands_in, FindOwnerFrame(item.key, item.mark)):
+        elif stands_in and self.host.say(stands_in, FindOwnerFrame(item.key, item.mark)):
             # Guards against doing twice what only the home may know of.
             item.state, item.at_home = RequestState.ASKING, stands_in
         elif self._must_wait(item):
@@ -643,7 +643,7 @@
         another cell keeps, of which we hear too few.
         """
         known = bool(self.view.members)
-        if known and self._outside(self.me, item):
+        if known and self._outside(self.member_id, item):
             return True
         return item.repeat or (known and (self.now < self.lease_until or not self.may_decide()))
 
@@ -653,24 +653,24 @@
         self._cover(item, member)
 
     def _cover(self, item: ReplicatedRequest, member: str, asks: bool = False) -> None:
-        item.owner = self.me
+        item.owner = self.member_id
         home = self.view.home(item.key)
-        outside = self._outside(self.me, item)
-        if self.door.say(member, item.cover(asks or home == member, home if outside else "")):
+        outside = self._outside(self.member_id, item)
+        if self.host.say(member, item.cover(asks or home == member, home if outside else "")):
             item.keepers[member] = UNSURE
 
     def _wanted(self, item: ReplicatedRequest) -> list[str]:
         """Who is to record it, home first, of those that can be reached as far as we know."""
         if not self._far(item):
-            return self.view.keepers(item.key, self.me, self.count, self.links)
-        if not self._outside(self.me, item):
-            return self.view.keepers(item.key, self.me, self.count, DialMember(self))
+            return self.view.keepers(item.key, self.member_id, self.count, self.links)
+        if not self._outside(self.member_id, item):
+            return self.view.keepers(item.key, self.member_id, self.count, DialMember(self))
         # Guards against the loss of the home before an owner that nobody there waits for has told the next.
-        return self.view.keepers(item.key, self.me, max(2, self.count), DialMember(self))
+        return self.view.keepers(item.key, self.member_id, max(2, self.count), DialMember(self))
 
     def _cover_by_all(self, item: ReplicatedRequest) -> None:
         wanted = self._wanted(item)
-        if self._outside(self.me, item):
+        if self._outside(self.member_id, item):
             home = self.view.home(item.key)
             if item.told_home != home:
                 # Guards against words under the former home, which its keepers do not acknowledge any more.
@@ -703,18 +703,18 @@
     def _uncovered(self, item: ReplicatedRequest, reason: str) -> None:
         """Recorded nowhere else: cover is lost before service is."""
         self.counts["uncovered"] += 1
-        self.door.note("cover.none", reason=reason)
+        self.host.note("cover.none", reason=reason)
         item.sure, item.state = True, RequestState.OWNING
 
     def _start(self, item: ReplicatedRequest) -> None:
         if item.state is RequestState.OWNING and not item.running:
             item.running, item.main = True, next(iter(item.clients), None)
-            self.door.decide(item)
+            self.host.decide(item)
 
     def _give_up(self, item: ReplicatedRequest, reason: str) -> None:
         """At once: nothing was sent for it by us, and whoever has it in hand goes on."""
         self.counts["given_up"] += 1
-        self.door.note("cover.given_up", reason=reason)
+        self.host.note("cover.given_up", reason=reason)
         item.reply, item.state = (
             RecordedResponse(DEFERRED, retry_after=COME_BACK * self.longest),
             RequestState.DONE,
@@ -722,13 +722,13 @@
         self._forget(item)
         clients, item.clients = item.clients, {}
         for client in clients:
-            self.door.answer(item, client, item.reply)
+            self.host.answer(item, client, item.reply)
 
     def _let_go(self, item: ReplicatedRequest) -> None:
         """Hand-offs whose intents all keepers have recorded."""
         if not item.sure or item.state is not RequestState.OWNING or not item.waiting:
             return
-        if self.view.home(item.key) == self.me and not self._steady(item.key):
+        if self.view.home(item.key) == self.member_id and not self._steady(item.key):
             return  # guards against going on while one that took it over under the view before does too
         alone = item.adopted and not item.keepers and len(self.view.members) > 1
         if alone and item.effect != RERUNNABLE:
@@ -737,13 +737,13 @@
         for number in [n for n in item.waiting if n < least]:
             del item.waiting[number]
             item.let_go = True
-            self.door.go(item, number)
+            self.host.go(item, number)
 
     def _stop_all(self, item: ReplicatedRequest) -> None:
         waiting, item.waiting = item.waiting, {}
         for number in waiting:
             item.intents[number].fate = UNSENT
-            self.door.stop(item, number)
+            self.host.stop(item, number)
 
     def _kept(self, member: str, kept: ReplicaStateFrame) -> None:
         item = self.items.get(kept.key)
@@ -791,7 +791,7 @@
                     self._cover(item, member)
         elif kept.verdict == MOVED:
             item.keepers.pop(member, None)
-            if item.sure and self._outside(self.me, item):
+            if item.sure and self._outside(self.member_id, item):
                 # Guards against going on with one keeper less while a home to come asks that one.
                 item.keepers[member], item.told_home = UNSURE, ""
             elif item.at_home == member and not item.sure:
@@ -843,17 +843,17 @@
         askers, item.askers = item.askers, {}
         clients, item.clients = item.clients, {}
         for member in askers:
-            self.door.say(member, ResponseFrame(item.key, item.epoch, reply))
+            self.host.say(member, ResponseFrame(item.key, item.epoch, reply))
         for client in clients:
-            self.door.answer(item, client, reply)
-        if passed and home != self.me:
+            self.host.answer(item, client, reply)
+        if passed and home != self.member_id:
             self._tell_home(item, home)
         if self._free(item):
             self._forget(item)
 
     def _tell_keepers(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         for member in item.keepers:
-            self.door.say(member, ResponseFrame(item.key, item.epoch, reply))
+            self.host.say(member, ResponseFrame(item.key, item.epoch, reply))
 
     # The keeper's part.
 
@@ -874,12 +874,18 @@
         outsider = member not in self.view  # only the home deals with those, and only while it hears them
         if outsider and item is not None and self._same(member, item, told.home):
             outsider = False  # as the home does, so do we
-        asks = told.asks and (home == self.me or not told.granted)
-        if home != self.me and asks and told.home == self.me and not outsider and (item is None or unsure):
+        asks = told.asks and (home == self.member_id or not told.granted)
+        if (
+            home != self.member_id
+            and asks
+            and told.home == self.member_id
+            and not outsider
+            and (item is None or unsure)
+        ):
             self.held.append((member, told))  # its view is ahead of ours
             return
-        if home != self.me and (outsider or (asks and (item is None or unsure))):
-            self.door.say(member, ReplicaStateFrame(told.key, told.epoch, MOVED, where=home))
+        if home != self.member_id and (outsider or (asks and (item is None or unsure))):
+            self.host.say(member, ReplicaStateFrame(told.key, told.epoch, MOVED, where=home))
             return
         # Of two that ask at once the home grants it to one, and any other keeper follows.
         contested = item is not None and self._contested(item, member, told.epoch)
@@ -914,7 +920,7 @@
                 item.intents.clear()  # none of those was let go
             self._keep(item, told)
             self._say_recorded(member, told, granted)
-        elif contested and home != self.me:
+        elif contested and home != self.member_id:
             self._say_kept(member, told, ASKED)
         else:
             item.askers[member] = None
@@ -986,7 +992,7 @@
     def _say_kept(
         self, member: str, told: ReplicateFrame, verdict: str, reply: RecordedResponse | None = None
     ) -> None:
-        self.door.say(member, ReplicaStateFrame(told.key, told.epoch, verdict, len(told.intents), reply))
+        self.host.say(member, ReplicaStateFrame(told.key, told.epoch, verdict, len(told.intents), reply))
 
     def _find(self, member: str, key: bytes, mark: bytes) -> None:
         item = self.items.get(key)
@@ -1001,8 +1007,8 @@
                 item.askers[member] = None
         # Whether somebody hears its home: nobody is to stand in for that then.
         home = self.view.home(key)
-        where = home if home in self.links or home == self.me else ""
-        self.door.say(member, ReplicaStateFrame(key, 0, verdict, 0, reply, where))
+        where = home if home in self.links or home == self.member_id else ""
+        self.host.say(member, ReplicaStateFrame(key, 0, verdict, 0, reply, where))
 
     def _intends(
         self, member: str, key: bytes, epoch: int, number: int, intent: AttemptIntent, home: str = ""
@@ -1011,25 +1017,27 @@
         if item is None:
             return  # what was said of it was turned away, or is over
         if item.state is RequestState.DONE:
-            self.door.say(member, ReplicaStateFrame(key, epoch, ANSWERED, 0, item.reply))
+            self.host.say(member, ReplicaStateFrame(key, epoch, ANSWERED, 0, item.reply))
         elif (
-            member not in self.view and self.view.home(key) != self.me and not self._same(member, item, home)
+            member not in self.view
+            and self.view.home(key) != self.member_id
+            and not self._same(member, item, home)
         ):
             # Its lease has ended, and whoever is home now may have taken it over.
-            self.door.say(member, ReplicaStateFrame(key, epoch, STALE, where=self.view.home(key)))
-        elif self._contested(item, member, epoch) and self.view.home(key) != self.me:
+            self.host.say(member, ReplicaStateFrame(key, epoch, STALE, where=self.view.home(key)))
+        elif self._contested(item, member, epoch) and self.view.home(key) != self.member_id:
             pass  # it has been told
         elif item.state is not RequestState.KEEPING or (item.owner, item.epoch) != (member, epoch):
             item.askers[member] = None
-            self.door.say(member, ReplicaStateFrame(key, epoch, STALE))
+            self.host.say(member, ReplicaStateFrame(key, epoch, STALE))
         elif 0 <= number <= len(item.intents):
             item.intents[number:] = [intent]
             if self._outside(member, item) and home != self.view.home(key):
                 self.early[member, key] = home
-            elif self.view.home(key) == self.me and not self._steady(key):
+            elif self.view.home(key) == self.member_id and not self._steady(key):
                 self.held.append((member, item.cover(asks=True, home=home)))
             else:
-                self.door.say(member, ReplicaStateFrame(key, epoch, KEPT, number + 1))
+                self.host.say(member, ReplicaStateFrame(key, epoch, KEPT, number + 1))
 
     def _answered(self, member: str, key: bytes, epoch: int, reply: RecordedResponse) -> None:
         item = self.items.get(key)
@@ -1037,10 +1045,10 @@
         # Guards against recording, once all have told, what its owner has given up meanwhile.
         self.held = [(who, cover) for who, cover in self.held if (who, cover.key) != (member, key)]
         if item is None or item.state is RequestState.DONE:
-            self.door.say(member, noted)
+            self.host.say(member, noted)
         elif item.state is RequestState.KEEPING and (item.owner, item.epoch) == (member, epoch):
             self._done(item, reply)
-            self.door.say(member, noted)
+            self.host.say(member, noted)
         elif item.state in (RequestState.JOINED, RequestState.ASKING):
             self._done(item, reply)
         elif reply.status == FINISHED:
@@ -1049,7 +1057,7 @@
             self._done(item, reply)
         else:
             item.askers[member] = None
-            self.door.say(member, ReplicaStateFrame(key, epoch, STALE))
+            self.host.say(member, ReplicaStateFrame(key, epoch, STALE))
 
     # Owners lost, keepers lost, views.
 
@@ -1066,12 +1074,12 @@
                 if not item.keepers:
                     self._done(item, item.unnoted)
                 return
-            item.sure = item.sure or (home == self.me and self._steady(item.key))
+            item.sure = item.sure or (home == self.member_id and self._steady(item.key))
             self._cover_by_all(item)
             if not item.sure and home and item.effect == RERUNNABLE:
                 if not item.keepers:
                     self._uncovered(item, "keepers-lost")
-                elif home not in item.keepers and self._outside(self.me, item):
+                elif home not in item.keepers and self._outside(self.member_id, item):
                     self.counts["stood_in"] += 1
                     item.sure = True
             self._let_go(item)
@@ -1079,10 +1087,10 @@
             outside = self._outside(item.owner, item)
             if (item.owner not in self.view or outside) and home in self.links:
                 if not outside or item.told_home != home:
-                    self.door.say(home, item.cover(asks=False))
+                    self.host.say(home, item.cover(asks=False))
                     item.told_home = home if outside else ""
             # A member whose lease has ended but that we, its home, still hear goes on with what it owns.
-            elif item.owner not in self.links and self.view.home(item.key, but=item.owner) == self.me:
+            elif item.owner not in self.links and self.view.home(item.key, but=item.owner) == self.member_id:
                 # Nobody waits for the word of an owner of another cell: it is asked for.
                 if not lost and outside and self._reach(item.owner):
                     return
@@ -1100,15 +1108,15 @@
 
     def _tell_home(self, item: ReplicatedRequest, home: str) -> None:
         """Guards against a new home taking for new what was answered before it became that."""
-        if home in (item.at_home, self.me) or home not in self.links or item.reply is None:
+        if home in (item.at_home, self.member_id) or home not in self.links or item.reply is None:
             return
-        if item.owner == self.me or item.owner not in self.links or self._outside(item.owner, item):
+        if item.owner == self.member_id or item.owner not in self.links or self._outside(item.owner, item):
             item.at_home = home
             self._say_over(item, home)
 
     def _tell_next(self, item: ReplicatedRequest, home: str) -> None:
         """Guards against the loss of one keeper after another, where the owner is of another cell."""
-        if home != self.me or item.reply is None or not self._outside(item.owner, item):
+        if home != self.member_id or item.reply is None or not self._outside(item.owner, item):
             return
         member = self.view.home(item.key, but=home)
         if member in self.links and member != item.told_home:
@@ -1120,7 +1128,7 @@
             over = RequestFinishedFrame(
                 item.key, item.owner, item.mark, item.category, item.effect, item.until, item.reply
             )
-            self.door.say(member, over)
+            self.host.say(member, over)
 
     def _heard_over(self, over: RequestFinishedFrame) -> None:
         item = self.items.get(over.key)
@@ -1142,11 +1150,11 @@
 
     def _take_over(self, item: ReplicatedRequest) -> None:
         """Its owner is lost. Waits until all have told, where others may know more of it than we do."""
-        known = not item.stale and (self.view.home(item.key) != self.me or self._steady(item.key))
+        known = not item.stale and (self.view.home(item.key) != self.member_id or self._steady(item.key))
         if not self.may_decide() or not (known or self.settled_now):
             self.counts["not_sure"] += 1
             return
-        former, item.owner = item.owner, self.me
+        former, item.owner = item.owner, self.member_id
         item.epoch += 1
         item.state, item.sure, item.adopted = RequestState.OWNING, True, True
         self.counts["taken_over"] += 1
@@ -1156,7 +1164,7 @@
             "may_have_run": sum(not i.fate for i in item.intents),
             "left": left,
         }
-        self.door.note("cover.taken_over", former=former, **told)
+        self.host.note("cover.taken_over", former=former, **told)
         self._cover_by_all(item)
         if left <= 0:
             self._done(item, RecordedResponse(WRITTEN_OFF))
@@ -1165,7 +1173,9 @@
 
     def _untold(self, item: ReplicatedRequest) -> None:
         """Its owner, of another cell, has told us all that it owns, and this was not among it."""
-        ours = self.view.home(item.key) == self.me != item.at_home and item.state is RequestState.KEEPING
+        ours = (
+            self.view.home(item.key) == self.member_id != item.at_home and item.state is RequestState.KEEPING
+        )
         waited = item.clients or item.askers or (item.owner, item.key) in self.early
         if ours and self._outside(item.owner, item) and not waited:
             self._forget(item)
@@ -1174,7 +1184,7 @@
         """Another keeper's record of what a lost member owned; we are its home, or will be in its view."""
         self._record(self.items.get(told.key), told)
         item = self.items.get(told.key)
-        if item is not None and self.view.home(told.key) == self.me:
+        if item is not None and self.view.home(told.key) == self.member_id:
             self._place(item)
 
     def may_decide(self) -> bool:
@@ -1194,11 +1204,15 @@
 
     def _cell(self) -> dict[str, Member]:
         """Those of our cell."""
-        return self.view.of_cell(self.view.cell_of(self.me))
+        return self.view.of_cell(self.view.cell_of(self.member_id))
 
     def _steady(self, key: bytes) -> bool:
         """No other member can have granted that name: we were its home all along, or all have told."""
-        return self.may_decide() and self.settled and all(view.home(key) == self.me for view in self.lately)
+        return (
+            self.may_decide()
+            and self.settled
+            and all(view.home(key) == self.member_id for view in self.lately)
+        )
 
     def _perhaps_settled(self) -> None:
         """All have told us what they own under this view, or it is over."""
@@ -1206,7 +1220,7 @@
             return
         # Also those that we have a link to though their lease has ended: guards against a view without
         # members that live and own, after the arbiter was gone.
-        need = {*self._holders(), *(m for m in self.links if m not in self.view)} - {self.me}
+        need = {*self._holders(), *(m for m in self.links if m not in self.view)} - {self.member_id}
         told = all(self.told.get(member) == self.digest for member in need)
         if not told and self.now < self.view_at + self.longest:
             return
@@ -1219,7 +1233,7 @@
                     self._forget(item)  # its owner lives and has not told it to us
                 else:
                     self._place(item)
-            if self.view.home(item.key) != self.me or not self._steady(item.key):
+            if self.view.home(item.key) != self.member_id or not self._steady(item.key):
                 continue
             if item.sure:
                 self._let_go(item)
--- a/starlingwheel/fleet/cells.py
+++ b/starlingwheel/fleet/shards.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
+from .membership import MOST_CELLS
 from .records import CELLS, MEMBERS, Sharding, StoreRecords, Transaction, equal
-from .view import MOST_CELLS
 
 HALVED = 1 / 4  # of what a cell may have on the mean: with less, half as many cells
 HOLD = 2.0  # leases for which the size has to stay beyond a bound
@@ -25,9 +25,9 @@
 class ShardMap:
     """One member's part of the fleet's decision into how many cells it is cut."""
 
-    def __init__(self, me: str, lease: float, size: int, now: float) -> None:
+    def __init__(self, member_id: str, lease: float, size: int, now: float) -> None:
         """`lease`: seconds. `size`: members a cell has on the mean at most; 0: never proposes."""
-        self.me, self.lease, self.size, self.now = me, lease, size, now
+        self.member_id, self.lease, self.size, self.now = member_id, lease, size, now
         self.records = StoreRecords()
         self.changed_at = now  # when the entry was last seen to change, at the latest
         self.wanted = 0
@@ -45,7 +45,7 @@
     def _wanted(self) -> int:
         """How many cells there should be; 0: as many as there are."""
         records = self.records
-        if not self.size or not records.cells or self.me not in records.members:
+        if not self.size or not records.cells or self.member_id not in records.members:
             return 0
         members, cells = len(records.members), records.cells
         if members > cells * self.size and cells < MOST_CELLS:
@@ -61,7 +61,7 @@
             return inf
         records = self.records
         ranks = sorted(records.members)
-        turn = (ranks.index(self.me) + records.cells_mod) % len(ranks)
+        turn = (ranks.index(self.member_id) + records.cells_mod) % len(ranks)
         at = max(self.since + HOLD * self.lease, self.changed_at + APART * self.lease)
         at += min(turn, TURNS) * TURN * self.lease
         if self.now < at:
@@ -69,6 +69,6 @@
         # A change of the cells that was made meanwhile, or our own loss, makes it void.
         same = [
             equal(CELLS, "MOD", records.cells_mod),
-            equal(MEMBERS + self.me, "CREATE", records.members[self.me].term),
+            equal(MEMBERS + self.member_id, "CREATE", records.members[self.member_id].term),
         ]
         return Transaction("cut", same, [(CELLS, msgspec.json.encode(Sharding(self.wanted, self.now)))])
--- a/starlingwheel/fleet/zones.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from .records import (
+from ..records import (
     MEMBERS,
     PLAN,
     SAID,
@@ -232,16 +232,16 @@
 
     def __init__(
         self,
-        me: str,
+        member_id: str,
         lease: float,
         regions: Mapping[str, str],
         bears: Mapping[str, float],
-        door: ZoneHost,
-        noting: ZoneHealthTracker,
+        host: ZoneHost,
+        zone_health: ZoneHealthTracker,
     ) -> None:
         """`regions`: of each zone, by configuration; `bears`: hand-offs a second, where that is known."""
-        self.me, self.lease, self.regions, self.bears = me, lease, dict(regions), dict(bears)
-        self.door, self.noting = door, noting
+        self.member_id, self.lease, self.regions, self.bears = member_id, lease, dict(regions), dict(bears)
+        self.host, self.zone_health = host, zone_health
         self.records = StoreRecords()
         self.plan = ZonePlan()
         self.plan_mod = 0
@@ -261,7 +261,7 @@
     @property
     def now(self) -> float:
         """As the host has told it."""
-        return self.noting.now
+        return self.zone_health.now
 
     def recorded(self, records: StoreRecords) -> None:
         self.records = records
@@ -271,7 +271,7 @@
 
     def _follow(self, plan: ZonePlan) -> None:
         before, self.plan = self.plan, plan
-        self.noting.follow(plan)
+        self.zone_health.follow(plan)
         self.recent.append((self.now, {name: zone.share for name, zone in before.zones.items()}))
         back = [
             name
@@ -285,7 +285,7 @@
             if zone != was:
                 state, share = (zone.state, zone.share) if zone else ("whole", 1.0)
                 why = zone.why if zone else ""
-                self.door.note("zone.plan", zone=name, state=state, share=round(share, 3), reason=why)
+                self.host.note("zone.plan", zone=name, state=state, share=round(share, 3), reason=why)
 
     def hears(self, well: bool) -> None:
         """Whether our lease holds: past it, another plan may be in force that we don't hear of."""
@@ -300,7 +300,7 @@
         if self.cut_off:
             for _, was in self.recent:
                 shares = {name: min(shares.get(name, 1.0), was.get(name, 1.0)) for name in shares | was}
-        self.door.shares(shares, back)
+        self.host.shares(shares, back)
 
     # Evidence.
 
@@ -353,7 +353,7 @@
             if (
                 (home == zone) == bool(inside)
                 and zone in said.zones
-                and said.at > self.now - self.noting.window
+                and said.at > self.now - self.zone_health.window
             ):
                 counts = seen.setdefault(home, [0, 0])
                 counts[0] += said.zones[zone].counted
@@ -386,7 +386,7 @@
 
     def due(self) -> Transaction | float:
         """What to write now, or when to ask again."""
-        if self.me not in self.records.members:
+        if self.member_id not in self.records.members:
             return inf
         left = [n for n, z in self.plan.zones.items() if z.state == "left" and z.share <= TRIAL]
         if left and self.now >= self.forget_at:
@@ -401,7 +401,7 @@
 
     def _word(self) -> Transaction | None:
         """What we see, where it differs from what we have said."""
-        seen = self.noting.look()
+        seen = self.zone_health.look()
         if self.now < self.mine_at + SAY * self.lease or not seen:
             return None
         old = self.now > self.mine_at + AGAIN * self.lease
@@ -418,8 +418,8 @@
         if not (old or changed or (more and self.now >= self.mine_at + wait)):
             return None
         self.mine, self.mine_at = seen, self.now
-        key = SAID + self.me
-        there = [equal(MEMBERS + self.me, "CREATE", self.records.members[self.me].term)]
+        key = SAID + self.member_id
+        there = [equal(MEMBERS + self.member_id, "CREATE", self.records.members[self.member_id].term)]
         return Transaction(
             "zones.said", there, [(key, msgspec.json.encode(ZoneReport(self.now, seen)))], leased=True
         )
@@ -436,16 +436,16 @@
         # Guards against weighing what all have said anew with each word of a large fleet.
         if self.now < self.look_at:
             return self.look_at
-        self.look_at = self.now + self.noting.window / 16
+        self.look_at = self.now + self.zone_health.window / 16
         members = self.records.members
         self.said = {member: said for member, said in self.records.said.items() if member in members}
         if self.now >= self.most_at:
-            self.most_at = self.now + self.noting.window
+            self.most_at = self.now + self.zone_health.window
             for name, (rate, bad) in self._fleet().items():
                 if bad < FAILING * APART:
                     self.most[name] = max(self.most.get(name, 0.0) * FADES, rate)
         if not self.plan.zones and not any(z.failing for s in self.said.values() for z in s.zones.values()):
-            return self.now + self.noting.window / 8
+            return self.now + self.zone_health.window / 8
         known = self._fleet()
         zones, bears = dict(self.plan.zones), dict(self.plan.bears)
         again = inf
@@ -476,7 +476,7 @@
             if 2 * full > len(self.said) and name not in bears and zones:
                 bears[name] = rate
         if zones == self.plan.zones and bears == self.plan.bears:
-            return min(again, self.now + self.noting.window / 8)
+            return min(again, self.now + self.zone_health.window / 8)
         return self._in_turn(ZonePlan(epoch, zones, bears))
 
     def _returning(self, zone: ZoneState, share: float, epoch: int, why: str) -> ZoneState:
@@ -511,7 +511,7 @@
         failing = [name for name in failing if best <= APART * known[name][1]]
         if not stay or not failing:
             # Guards against leaving the one that is slowest to be well again once a fault of all is over.
-            self.nowhere_until = self.now + 2 * KEPT * self.noting.window
+            self.nowhere_until = self.now + 2 * KEPT * self.zone_health.window
         if self.now < self.nowhere_until:
             return {}
         parts = {name: self._part(name, failing, known) for name in failing}
@@ -567,7 +567,7 @@
     def _in_turn(self, plan: ZonePlan) -> Transaction | float:
         """Anybody may write it: one after another, so that they don't all do it at once."""
         ranks = sorted(self.records.members)
-        turn = (ranks.index(self.me) + plan.epoch) % len(ranks)
+        turn = (ranks.index(self.member_id) + plan.epoch) % len(ranks)
         since = self.since.setdefault(plan.epoch, self.now)
         if len(self.since) > 8:
             del self.since[next(iter(self.since))]
--- a/starlingwheel/net/actor.py
+++ b/starlingwheel/net/actor.py
@@ -1,4 +1,4 @@
-"""An actor: one coroutine with a mailbox. Whoever wants something of it posts mail; nobody else calls it."""
+"""Actors: a coroutine with a mailbox each. Other actors post messages to it and do not call it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,14 @@
 
 
 class Actor:
-    urgent = False  # its mail goes before that of others
-    lasting = False  # begins anew after a defect
-    at_once = 1  # mail that it is given in one turn, at most
+    """Base class: a subclass writes `run`, which receives messages by `yield`."""
+
+    priority = False  # its messages are delivered before those of others
+    daemon = False  # starts anew after an error
+    messages_per_turn = 1
 
     def __init__(self, loop: Loop) -> None:
+        """Prepare the coroutine; `begin` starts it."""
         self.loop = loop
         self.mailbox: deque[Any] = deque()
         self.queued = self.ended = False
@@ -28,30 +31,32 @@
         self.ref = ref(self)
 
     def run(self) -> Coroutine[None]:
+        """The actor's coroutine: yields the time until which it waits, or None, and is sent messages."""
         raise NotImplementedError
 
     def begin(self) -> None:
-        """Runs up to the first `yield`."""
-        self.loop.begin(self)
+        """Run up to the first `yield`."""
+        self.loop.start(self)
 
-    def post(self, mail: Any) -> None:
+    def post(self, message: object) -> None:
+        """Queue a message; one for an actor that has ended goes to `undelivered`."""
         if self.ended:
-            self.undelivered(mail)
+            self.undelivered(message)
             return
-        self.mailbox.append(mail)
+        self.mailbox.append(message)
         self.loop.queue(self)
 
     def end(self) -> None:
-        """The coroutine has ended, of itself or by a defect."""
+        """The coroutine has returned or failed."""
         self.until = inf
-        if self.lasting:
+        if self.daemon:
             self.coroutine = self.run()
-            self.loop.begin(self)
+            self.loop.start(self)
             return
         self.ended = True
-        left, self.mailbox = self.mailbox, deque()
-        for mail in left:
-            self.undelivered(mail)
+        messages, self.mailbox = self.mailbox, deque()
+        for message in messages:
+            self.undelivered(message)
 
-    def undelivered(self, mail: Any) -> None:
-        """Mail that came too late; guards against what it holds being lost with it."""
+    def undelivered(self, message: object) -> None:
+        """Called with each message that came too late, to release what it holds."""
--- /dev/null
+++ b/starlingwheel/net/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The admin address: operators' calls over HTTP/1.1."""
--- a/starlingwheel/net/wire/operators.py
+++ b/starlingwheel/net/admin/listener.py
@@ -4,19 +4,17 @@
 
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import Any, NamedTuple
 
 import h11
 import msgspec
 
 from ..actor import Actor, Coroutine
-from ..loop import READ, WRITE, Ready
-from ..mail import CLOSE
-from ..memory.out import OverridesLockedError
-from .http import ConnectionLostError, Stream, two_lengths
-
-if TYPE_CHECKING:
-    from ..lifecycle.start import Node
+from ..context import SidecarContext
+from ..http.stream import ConnectionLostError, Stream, two_lengths
+from ..loop import READ, WRITE, SocketReady
+from ..messages import CLOSE
+from ..state.overrides import OverridesLockedError
 
 BACKLOG = 128
 AT_ONCE = 16  # calls accepted in one turn
@@ -43,61 +41,61 @@
     """A call that is known. `carry_out` may wait: it yields until when, as an actor does."""
 
     method: bytes
-    carry_out: Callable[[Node, bytes], AdminResult | Coroutine[AdminResult]]
+    carry_out: Callable[[SidecarContext, bytes], AdminResult | Coroutine[AdminResult]]
     longest: int = LONGEST  # bytes of its body
 
 
 class AdminListener(Actor):
     """The second address. It also looks at what another process of this sidecar was told."""
 
-    urgent = True
-    lasting = True
+    priority = True
+    daemon = True
 
-    def __init__(self, node: Node, sock: socket.socket) -> None:
-        self.node, self.sock = node, sock
+    def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
+        self.context, self.sock = context, sock
         self.calls: dict[AdminCall, None] = {}
-        self.known = CALLS | (node.fleet.calls if node.fleet is not None else {})
+        self.known = CALLS | (context.fleet.calls if context.fleet is not None else {})
         sock.setblocking(False)
-        node.loop.watch(sock.fileno(), self, READ)
-        super().__init__(node.loop)
+        context.loop.register(sock.fileno(), self, READ)
+        super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         while True:
-            mail = yield self.loop.now() + LOOK
-            if isinstance(mail, Ready):
+            message = yield self.loop.now() + LOOK
+            if isinstance(message, SocketReady):
                 self._accept()
-            self.node.changed(self.node.out.read())
-            self.node.out.keep()
-            self.node.look_beside()
+            self.context.overrides_changed(self.context.overrides.read())
+            self.context.overrides.keep()
+            self.context.check_siblings()
 
     def _accept(self) -> None:
         # Those that make room give their descriptors back by the next turn: until then both are kept.
-        for _ in range(min(AT_ONCE, self.node.ledger.calls)):
+        for _ in range(min(AT_ONCE, self.context.connections.calls)):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 return
             except OSError as error:
-                self.node.log("accept.failed", error=str(error))
+                self.context.log("accept.failed", error=str(error))
                 return
-            if len(self.calls) >= self.node.ledger.calls:
+            if len(self.calls) >= self.context.connections.calls:
                 # Guards against callers that say nothing keeping out those who call: the oldest one goes.
                 oldest = next(iter(self.calls))
                 del self.calls[oldest]
                 oldest.post(CLOSE)
-            AdminCall(self.node, self, sock).begin()
+            AdminCall(self.context, self, sock).begin()
 
 
 class AdminCall(Actor):
     """One connection of an operator: one call, read, carried out and answered."""
 
-    urgent = True
+    priority = True
 
-    def __init__(self, node: Node, operators: AdminListener, sock: socket.socket) -> None:
-        self.node, self.operators = node, operators
-        self.stream = Stream(node.loop, self, sock, h11.SERVER, node.pool)
+    def __init__(self, context: SidecarContext, operators: AdminListener, sock: socket.socket) -> None:
+        self.context, self.operators = context, operators
+        self.stream = Stream(context.loop, self, sock, h11.SERVER, context.buffer_pool)
         operators.calls[self] = None
-        super().__init__(node.loop)
+        super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         target, name, reason, told = "", "", "", b""
@@ -111,10 +109,12 @@
             except CallRejectedError as refused:
                 status, reason, told = refused.status, refused.reason, refused.told
             took = round((self.loop.now() - opened) * 1000, 1)
-            self.node.log("operator.call", call=target, id=name, status=status, reason=reason, took_ms=took)
+            self.context.log(
+                "operator.call", call=target, id=name, status=status, reason=reason, took_ms=took
+            )
             yield from self._write(status, told)
         except ConnectionLostError as lost:
-            self.node.log("operator.left", call=target, reason=str(lost))
+            self.context.log("operator.left", call=target, reason=str(lost))
         except GeneratorExit:
             pass
         finally:
@@ -146,10 +146,10 @@
                 raise ConnectionLostError("caller-left")
             else:
                 self.stream.invite()
-                mail = yield until
-                if mail is CLOSE:
+                message = yield until
+                if message is CLOSE:
                     raise ConnectionLostError("not-needed")
-                if mail is None:
+                if message is None:
                     raise CallRejectedError(LATE, "half a call" if request else "no call")
                 self.stream.read()
 
@@ -163,7 +163,7 @@
             raise CallRejectedError(METHOD, "wrong method")
         while True:
             try:
-                done = known.carry_out(self.node, body)
+                done = known.carry_out(self.context, body)
                 return done if isinstance(done, tuple) else (yield from done)
             except OverridesLockedError:
                 # Guards against waiting for a lock with the loop standing still.
@@ -203,31 +203,31 @@
     return name
 
 
-def _ready(node: Node, body: bytes) -> AdminResult:
-    if not node.takes_clients:
+def _ready(context: SidecarContext, body: bytes) -> AdminResult:
+    if not context.accepts_clients:
         raise CallRejectedError(NOT_NOW, "no list yet, or stopping")
     return "", b""
 
 
-def _detach(node: Node, body: bytes) -> AdminResult:
-    return _moved(node, named(body), node.out.take_out)
+def _detach(context: SidecarContext, body: bytes) -> AdminResult:
+    return _moved(context, named(body), context.overrides.take_out)
 
 
-def _attach(node: Node, body: bytes) -> AdminResult:
-    return _moved(node, named(body), node.out.put_back)
+def _attach(context: SidecarContext, body: bytes) -> AdminResult:
+    return _moved(context, named(body), context.overrides.put_back)
 
 
-def _moved(node: Node, name: str, move: Callable[[str], list[Any] | None]) -> AdminResult:
+def _moved(context: SidecarContext, name: str, move: Callable[[str], list[Any] | None]) -> AdminResult:
     if (changed := move(name)) is None:
         raise CallRejectedError(UNKNOWN, f"{name!r} was never listed")
-    node.changed(changed)
+    context.overrides_changed(changed)
     return name, b""
 
 
-def _lameduck(on: bool) -> Callable[[Node, bytes], AdminResult]:
-    def said(node: Node, body: bytes) -> AdminResult:
-        node.out.lameduck(on)
-        node.changed([])
+def _lameduck(on: bool) -> Callable[[SidecarContext, bytes], AdminResult]:
+    def said(context: SidecarContext, body: bytes) -> AdminResult:
+        context.overrides.lameduck(on)
+        context.overrides_changed([])
         return "", b""
 
     return said
--- /dev/null
+++ b/starlingwheel/net/context.py
@@ -0,0 +1,215 @@
+"""What the actors of one sidecar share: configuration, clock, log, limits and each other's mailboxes.
+
+`lifecycle/sidecar.py` builds the actors and sets them here before the first turn of the loop. Times are
+seconds on the loop's clock.
+"""
+
+from __future__ import annotations
+
+import random
+import resource
+from collections.abc import Callable, Collection, Mapping
+from math import inf
+from typing import Any, Protocol
+
+import msgspec
+
+from ..decisions.config import BalancerConfig, RequestClass, RetrySafety
+from ..decisions.events import WatchEvent
+from ..decisions.lease import EndpointLease
+from ..settings import mixed
+from .actor import Actor
+from .gate import AttemptGate
+from .lifecycle.config import SidecarConfig
+from .lifecycle.log import EventLog
+from .loop import Loop
+from .messages import DRAIN, ConfigReloaded, EndpointsChanged
+from .state.buffers import BUFFER_SIZE, BufferPool
+from .state.connections import ConnectionTracker
+from .state.overrides import EndpointOverrides
+from .state.siblings import SiblingProcesses
+
+FORMER_CLASS_RETENTION = 3.0  # seconds for which clients may still use a request class that was dropped
+BUFFER_MEMORY_SHARE = 1 / 3  # of the memory limit
+
+
+class MessageReceiver(Protocol):
+    """An actor as others see it."""
+
+    ended: bool
+
+    def post(self, message: object) -> None:
+        """Queue a message."""
+
+
+class Coordinator(MessageReceiver, Protocol):
+    """The actor that hosts the decisions, as the others see it."""
+
+    has_endpoints: bool  # the endpoint list has been heard
+    pending_requests: Collection[Any]
+    pools: Mapping[str, Any]
+    counts: dict[str, int]
+    slowest_turn: float  # seconds, since it was last reported
+    mailbox: Collection[Any]
+
+
+class Discovery(MessageReceiver, Protocol):
+    """The discovery client, as the others see it."""
+
+    current: Any  # the watch in use
+
+
+class GossipSender(Protocol):
+    """Sends gossip to the peers."""
+
+    def tell(self, body: bytes) -> None:
+        """Send it to each peer."""
+
+
+class Drainer(MessageReceiver, Protocol):
+    """Sends clients away while operators want the sidecar drained."""
+
+    on: bool
+
+
+class SidecarContext:
+    """State that the actors of one sidecar share."""
+
+    coordinator: Coordinator
+    discovery: Discovery
+    listener: Any
+    shutdown: MessageReceiver
+    client_drainer: Drainer
+    stats_reporter: MessageReceiver
+    signals: Any
+    gossip_socket: GossipSender | None = None
+    admin_listener: Any = None
+    fleet: Any = None  # `SidecarFleet`, where the configuration has a `fleet` part
+    connection_type: Callable[..., Any]  # of connections to endpoints
+    siblings: SiblingProcesses | None = None
+
+    def __init__(
+        self,
+        config: SidecarConfig,
+        balancer_config: BalancerConfig,
+        environment: Mapping[str, str],
+        log_fd: int = 1,
+    ) -> None:
+        """`log_fd`: the descriptor that the log is written to."""
+        self.config = config
+        self.environment = environment
+        self.loop = Loop(self._log_error)
+        self.former_request_classes: list[tuple[float, RequestClass]] = []  # with the time of their end
+        self.process_count = 1
+        self._apply_config(balancer_config)
+        self.log = EventLog(self.loop.now, log_fd)
+        self.loop.after_turn = self.log.flush
+        self.passed_socket = environment.get("EDGE_PASSED_SOCKET", "")
+        self.buffer_pool = BufferPool(0)
+        self.connections = ConnectionTracker(config.limits.sockets, bool(config.mgmt))
+        self.set_process_count(1)
+        overrides_folder = environment.get("TMPDIR") if config.mgmt else None
+        self.overrides = EndpointOverrides(overrides_folder, self.loop.now, self.log)
+        self.lease = EndpointLease(
+            balancer_config.drain_grace, pushed=not balancer_config.must_watch_endpoints
+        )
+        self.gate = AttemptGate(self.lease, self.overrides, self.loop.now, self.log)
+        self.active_traces: set[bytes] = set()  # of the requests that clients wait for
+        self.resets_expected_until = -inf  # until then connections to endpoints may break at any time
+        self.unsolicited_until = -inf  # until then unsolicited responses may come at any time
+        self.stopping = False
+        self.rng = random.Random(config.seed)
+
+    # Processes of one sidecar.
+
+    def set_process_count(self, processes: int) -> None:
+        """Share the limits, and the slow-start budgets, between so many processes of this sidecar."""
+        limits = self.config.limits
+        self.process_count = processes
+        buffers = int(limits.memory_mb * BUFFER_MEMORY_SHARE * 2**20 / BUFFER_SIZE / processes)
+        self.buffer_pool.limit(buffers)
+        soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+        # Where the system allows fewer descriptors than were configured, discovery must still get its own.
+        sockets = limits.sockets if soft == resource.RLIM_INFINITY else min(limits.sockets, soft)
+        self.connections.limit(sockets, processes)
+
+    def check_siblings(self) -> None:
+        """Look whether another process of this sidecar runs, and share the limits accordingly."""
+        processes = 1 + (self.siblings is not None and self.siblings.others())
+        if processes != self.process_count:
+            self.log("processes", count=processes)
+            self.set_process_count(processes)
+            self.reload(self.balancer_config)
+
+    # Configuration.
+
+    def reload(self, balancer_config: BalancerConfig) -> None:
+        """Put a new configuration in force for all requests that come from now on."""
+        now = self.loop.now()
+        self.former_request_classes = [(end, c) for end, c in self.former_request_classes if end > now]
+        # Clients that have not heard of the new configuration yet go on using the request classes before it.
+        end = now + FORMER_CLASS_RETENTION
+        self.former_request_classes += [(end, c) for c in self.balancer_config.request_classes]
+        self._apply_config(balancer_config)
+        self.coordinator.post(ConfigReloaded(self.balancer_config))
+
+    def log_mixed_settings(self) -> None:
+        """Log settings that contradict each other: no start is refused for them."""
+        for key, why in mixed(self.config.settings):
+            self.log("settings.mixed", key=key, why=why)
+
+    def _apply_config(self, balancer_config: BalancerConfig) -> None:
+        """Derive all that depends on the configuration."""
+        self.balancer_config = msgspec.structs.replace(balancer_config, process_count=self.process_count)
+        classes = balancer_config.request_classes
+        former = [request_class for _, request_class in self.former_request_classes]
+        self.request_classes = {c.name: c for c in classes}
+        self.tenants = {tenant.name: tenant for tenant in balancer_config.tenants}
+        self.shortest_objective = min(c.latency_objective for c in classes)
+        self.longest_timeout = max(c.timeout for c in [*classes, *former])
+
+    def request_class_for(self, name: str, retry_safety: RetrySafety) -> RequestClass | None:
+        """Return the class of that name and retry safety; failing that, the one of that name in force.
+
+        One that was dropped, or whose retry safety changed, is served by its former rules for a while.
+        """
+        current = self.request_classes.get(name)
+        # Members of a fleet accept no request under a policy that is over.
+        no_former = not self.former_request_classes or self.fleet is not None
+        if no_former or (current is not None and current.retry_safety is retry_safety):
+            return current
+        now = self.loop.now()
+        former = (c for end, c in self.former_request_classes if end > now and c.name == name)
+        return next((c for c in former if c.retry_safety is retry_safety), current)
+
+    # State of the sidecar.
+
+    @property
+    def accepts_clients(self) -> bool:
+        """Requests are accepted: the endpoint list is known, and the process does not stop."""
+        return self.coordinator.has_endpoints and not self.stopping and self._fleet_joined
+
+    @property
+    def ready(self) -> bool:
+        """The answer to a readiness check; one that is being replaced does not speak for its sidecar."""
+        stays = not (self.stopping and not self.passed_socket) and not self.draining
+        return self.coordinator.has_endpoints and stays and self._fleet_joined
+
+    @property
+    def _fleet_joined(self) -> bool:
+        return self.fleet is None or self.fleet.joined
+
+    @property
+    def draining(self) -> bool:
+        """Operators want clients sent away, while the process stays."""
+        return self.overrides.kept.lameduck
+
+    def overrides_changed(self, entries: list[Any]) -> None:
+        """Operators have changed endpoints, or draining, by this process or by another of this sidecar."""
+        if entries:
+            self.coordinator.post(EndpointsChanged(WatchEvent.DELTA, entries))
+        if self.draining != self.client_drainer.on:
+            self.client_drainer.post(DRAIN)
+
+    def _log_error(self, actor: Actor, error: Exception) -> None:
+        self.log.defect("defect", error, actor=type(actor).__name__)
--- /dev/null
+++ b/starlingwheel/net/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoint list: the client that watches discovery and the messages of that watch."""
--- a/starlingwheel/net/wire/discovery.py
+++ b/starlingwheel/net/discovery/client.py
@@ -4,15 +4,16 @@
 
 import re
 from math import inf
-from typing import TYPE_CHECKING
 
 import h11
 import msgspec
 
 from ...decisions.events import WatchEvent
 from ..actor import Actor, Coroutine
-from ..loop import READ, WRITE, Ready
-from ..mail import (
+from ..context import SidecarContext
+from ..http.stream import ConnectionLostError, Stream, connect
+from ..loop import READ, WRITE, SocketReady
+from ..messages import (
     CLOSE,
     DiscoveryMoved,
     EndpointsChanged,
@@ -21,11 +22,7 @@
     WatchEndpoints,
     WatchMessage,
 )
-from .entries import DiscoveryMessage
-from .http import ConnectionLostError, Stream, connect
-
-if TYPE_CHECKING:
-    from ..lifecycle.start import Node
+from .messages import DiscoveryMessage
 
 EMPTY_LINE = 2.0  # a watch says at least this often that it is alive
 SILENT = 1.5  # times that, after which it is taken for dead
@@ -47,21 +44,23 @@
 class DiscoveryWatch(Actor):
     """One call to discovery, from its connection to its end; what it reads goes to the list's actor."""
 
-    urgent = True  # a change counts as told once discovery has written it: it is read ahead of new work
+    priority = True  # a change counts as told once discovery has written it: it is read ahead of new work
 
-    def __init__(self, node: Node, address: str, version: int, patience: float = PATIENT) -> None:
-        self.node, self.address, self.version, self.patience = node, address, version, patience
+    def __init__(
+        self, context: SidecarContext, address: str, version: int, patience: float = PATIENT
+    ) -> None:
+        self.context, self.address, self.version, self.patience = context, address, version, patience
         self.stream: Stream | None = None
         self.reason = "defect"  # why it has ended
         self.heard = False  # its answer has begun
         self.message_at = 0.0  # when the first bytes came of a message that is not whole yet; 0: none
         self.whole_since = 0.0  # when those came of the last message that is whole
         self.proven = False  # what it says counts as proof of the list
-        self.begun_at = self.read_at = node.loop.now()  # the latter: when something was read last
+        self.begun_at = self.read_at = context.loop.now()  # the latter: when something was read last
         self.line = b""  # what has come of a line that is not whole yet
         self.part = b""  # of an object that lies over several lines
         self.depth = 0  # its brackets that are open
-        super().__init__(node.loop)
+        super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         try:
@@ -75,11 +74,11 @@
             if self.stream is not None:
                 self.stream.close()
             self._log_end()
-            self.node.list.post(WatchEnded(self))
+            self.context.discovery.post(WatchEnded(self))
 
     def _log_end(self) -> None:
         now = self.loop.now()
-        self.node.log(
+        self.context.log(
             "list.end",
             reason=self.reason,
             address=self.address,
@@ -92,18 +91,18 @@
 
     def _await(self, until: float) -> Coroutine[None]:
         while True:
-            mail = yield until
-            if mail is None:
+            message = yield until
+            if message is None:
                 raise ConnectionLostError("silent")
-            if mail is CLOSE:
+            if message is CLOSE:
                 raise ConnectionLostError("replaced")
-            if isinstance(mail, Ready):
+            if isinstance(message, SocketReady):
                 return
 
     def _follow(self) -> Coroutine[None]:
         """Ends by `Lost` only."""
         sock = connect(self.address)
-        self.stream = stream = Stream(self.loop, self, sock, h11.CLIENT, self.node.pool)
+        self.stream = stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
         stream.want(WRITE)
         given_up = self.loop.now() + EMPTY_LINE * self.patience
         yield from self._await(given_up)
@@ -126,8 +125,8 @@
                 if event.status_code != 200:
                     raise ConnectionLostError(f"answered-{event.status_code}")
                 self.heard = True
-                self.node.log("list.answered", waited_s=round(self.loop.now() - self.begun_at, 3))
-                self.node.list.post(WatchAnswered(self))
+                self.context.log("list.answered", waited_s=round(self.loop.now() - self.begun_at, 3))
+                self.context.discovery.post(WatchAnswered(self))
             elif isinstance(event, h11.Data):
                 *whole, self.line = (self.line + bytes(event.data)).split(b"\n")
                 if len(self.line) > LONGEST_LINE:
@@ -144,7 +143,7 @@
             self.message_at = 0.0
         elif not self.message_at:
             self.message_at = self.read_at
-            self.node.lease.begin_message(self.read_at)
+            self.context.lease.begin_message(self.read_at)
 
     def _end_message(self) -> None:
         """A line has come whole: all that discovery has told up to now is known."""
@@ -152,16 +151,16 @@
             return
         # What follows in the same read is another message, which may break off by itself.
         self.whole_since, self.message_at = self.message_at or self.read_at, 0.0
-        if self is self.node.list.current:
+        if self is self.context.discovery.current:
             self.prove()
 
     def prove(self) -> None:
         """This watch is in force, and the last line that has come of it is whole."""
         self.proven = True
-        self.node.lease.prove(self.read_at, self.whole_since)
+        self.context.lease.prove(self.read_at, self.whole_since)
         if self.message_at:
-            self.node.lease.begin_message(self.message_at)
-        self.node.gate.note_state()
+            self.context.lease.begin_message(self.message_at)
+        self.context.gate.note_state()
 
     def _line(self, text: bytes) -> None:
         if (word := self._word(text.strip())) is not None:
@@ -201,7 +200,7 @@
     def _unreadable(self, why: str) -> ConnectionLostError:
         """The last good list stays in force; the whole of it is asked for again."""
         self.version = 0
-        self.node.log("list.unreadable", error=why)
+        self.context.log("list.unreadable", error=why)
         return ConnectionLostError("unreadable")
 
     def _heed(self, word: DiscoveryMessage) -> None:
@@ -210,8 +209,8 @@
             self.version = 0
             raise ConnectionLostError("went-back")
         self.version = word.version
-        self.node.log("list.news", version=word.version, full=word.full, entries=len(word.servers))
-        self.node.list.post(WatchMessage(self, word))
+        self.context.log("list.news", version=word.version, full=word.full, entries=len(word.servers))
+        self.context.discovery.post(WatchMessage(self, word))
 
 
 class DiscoveryClient(Actor):
@@ -221,13 +220,13 @@
     another only where that hangs, and of the two the first that is answered stays.
     """
 
-    urgent = True
-    lasting = True
+    priority = True
+    daemon = True
 
-    def __init__(self, node: Node, known: DiscoveryMessage | None) -> None:
-        self.node, self.known = node, known
+    def __init__(self, context: SidecarContext, known: DiscoveryMessage | None) -> None:
+        self.context, self.known = context, known
         self.version = known.version if known else 0
-        self.address = node.config.discovery
+        self.address = context.config.discovery
         self.current: DiscoveryWatch | None = None  # the one whose word is taken
         self.coming: DiscoveryWatch | None = (
             None  # at the address of a new configuration; it has not spoken yet
@@ -239,14 +238,14 @@
         self.due = inf  # when the next call begins at the latest
         self.hangs = HANGS * EMPTY_LINE  # how long a call has to be without an answer to be taken to hang
         # Where the list comes unasked it is kept close by, and what is there counts as told at once.
-        self.pushed = not node.terms.must_watch_endpoints
+        self.pushed = not context.balancer_config.must_watch_endpoints
         self.first = AGENT if self.pushed else PATIENT
         self.patience = self.first
         # What pauses between calls grow to; for what is pushed well within the grace, if that is said.
-        grace = node.terms.drain_grace / 4 if self.pushed else 0.0
+        grace = context.balancer_config.drain_grace / 4 if self.pushed else 0.0
         self.longest_pause = min(EMPTY_LINE, grace or EMPTY_LINE)
         self.without_at = inf  # when what was known is taken for want of a word
-        super().__init__(node.loop)
+        super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         if self.pushed and self.current is None and self.coming is None:
@@ -255,7 +254,7 @@
         while True:
             match (yield min(self.move_at, self.due, self.without_at)):
                 case None if self.loop.now() >= self.without_at:
-                    self.node.lease.do_without()
+                    self.context.lease.do_without()
                     self._begin_with(self.known)
                 case None:
                     self._call()
@@ -271,7 +270,7 @@
                     self._ended(watch)
 
     def begin(self) -> None:
-        self.node.lease.start(self.loop.now())
+        self.context.lease.start(self.loop.now())
         if self.pushed and self.known is not None:
             # Guards against handing off to what has long been told to go: what is there counts as told from
             # the first moment, so what was known, which may be old, is not begun with while it may yet speak.
@@ -285,8 +284,8 @@
         """What was known last may be old, or nothing; the decisions begin with it."""
         if known is not None:
             self.without_at = inf
-        entries = self.node.out.listed(True, known.servers if known else [])
-        self.node.module.post(EndpointsChanged(WatchEvent.SNAPSHOT, entries))
+        entries = self.context.overrides.listed(True, known.servers if known else [])
+        self.context.coordinator.post(EndpointsChanged(WatchEvent.SNAPSHOT, entries))
 
     @property
     def _asked(self) -> DiscoveryWatch | None:
@@ -301,7 +300,7 @@
 
     def _soon(self, times: float) -> float:
         """So many empty lines, or a little less."""
-        return EMPTY_LINE * (times - SPREAD * self.node.chance.random())
+        return EMPTY_LINE * (times - SPREAD * self.context.rng.random())
 
     def _call(self) -> None:
         now = self.loop.now()
@@ -310,15 +309,15 @@
         second = max(before + self._soon(TWICE), now + self.hangs)
         self.due = min(second, now + self._soon(FIRST))
         # A new discovery is asked for the whole list: its versions need not be those of the old one.
-        watch = DiscoveryWatch(self.node, self.address, 0 if self.moving else self.version, self.patience)
-        self.node.log("list.call", address=self.address, version=watch.version)
+        watch = DiscoveryWatch(self.context, self.address, 0 if self.moving else self.version, self.patience)
+        self.context.log("list.call", address=self.address, version=watch.version)
         if self._asked is None:
             self._put(watch)
         else:
             # Guards against what an answer that never comes holds back counting as told meanwhile.
             self._close(self.beside)
             self.beside = watch
-            self.node.log("list.beside", address=self.address)
+            self.context.log("list.beside", address=self.address)
         watch.begin()
 
     def _close(self, watch: DiscoveryWatch | None) -> None:
@@ -344,7 +343,7 @@
     def _relocated(self, address: str) -> None:
         self.address, self.moving, self.pause = address, True, FIRST_PAUSE * EMPTY_LINE
         self.since, self.patience = inf, self.first
-        self.node.lease.move_source(self.loop.now())
+        self.context.lease.move_source(self.loop.now())
         for watch in (self.coming, self.beside):
             self._close(watch)
         self.coming = self.beside = None
@@ -352,7 +351,7 @@
 
     def _said(self, watch: DiscoveryWatch, word: DiscoveryMessage) -> None:
         if watch is self.coming:
-            self.node.lease.moved_source()
+            self.context.lease.moved_source()
             # The old watch serves until the new one has spoken.
             before, self.current, self.coming, self.moving = self.current, watch, None, False
             self._close(before)
@@ -363,7 +362,9 @@
             if self.without_at < inf and not word.full:
                 self._begin_with(self.known)  # it says what has changed since, be it nothing
             self.without_at = inf
-            self.node.module.post(EndpointsChanged(word.news, self.node.out.listed(word.full, word.servers)))
+            self.context.coordinator.post(
+                EndpointsChanged(word.news, self.context.overrides.listed(word.full, word.servers))
+            )
 
     def _ended(self, watch: DiscoveryWatch) -> None:
         now = self.loop.now()
@@ -388,7 +389,7 @@
 
     def _note_lost(self, watch: DiscoveryWatch, now: float) -> None:
         """What the end of a call or a watch says of how long the list may be acted on."""
-        lease = self.node.lease
+        lease = self.context.lease
         unreachable = watch.reason == "refused" or (self.pushed and watch.reason == "answered-503")
         if unreachable:
             lease.miss_source(now)
@@ -397,7 +398,7 @@
                 lease.fall_silent(now)
             else:
                 lease.end_watch(now, reset=watch.reason == "reset")
-        self.node.gate.note_state()
+        self.context.gate.note_state()
 
     def _again(self, watch: DiscoveryWatch) -> None:
         """No call is on its way now."""
@@ -410,15 +411,15 @@
                 self.patience = min(2 * self.patience, PATIENT)
             return
         self.version = watch.version
-        self.node.module.post(EndpointsChanged(WatchEvent.FAILED, []))
+        self.context.coordinator.post(EndpointsChanged(WatchEvent.FAILED, []))
         if self.pushed:
             self.patience = min(2 * self.patience, PATIENT)
             # Guards against all sidecars calling again in the same moment.
             self.pause = min(2 * self.pause or FIRST_PAUSE * EMPTY_LINE, self.longest_pause)
-            self.move_at = now + self.pause * (0.5 + self.node.chance.random())
+            self.move_at = now + self.pause * (0.5 + self.context.rng.random())
         elif watch.heard:
             # Guards against what it misses counting as told while the decisions still spread their calls
             # over the fleet. A silent watch is found at times spread by themselves; one that ended may have
             # ended instead of telling.
             times = ANEW if watch.reason == "silent" else ENDED_ANEW
-            self.move_at = now + times * EMPTY_LINE * self.node.chance.random()
+            self.move_at = now + times * EMPTY_LINE * self.context.rng.random()
--- a/starlingwheel/net/fleet/calls.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -3,18 +3,16 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Generator
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
-from ...fleet import common
-from ...fleet.policy import AHEAD, LEAST
+from ...fleet.policy import document as common
+from ...fleet.policy.replica import AHEAD, LEAST
 from ...fleet.records import NAMES, NEXT, Transaction, equal
-from ..wire.operators import BAD, CONFLICT, NOT_NOW, AdminResult, AdminRoute, CallRejectedError, named
-from .mail import WriteTransaction
-
-if TYPE_CHECKING:
-    from ..lifecycle.start import Node
+from ..admin.listener import BAD, CONFLICT, NOT_NOW, AdminResult, AdminRoute, CallRejectedError, named
+from ..context import SidecarContext
+from .messages import WriteTransaction
 
 WITHIN = 0.85  # seconds for which a call waits for the arbiter
 LOOK = 0.01
@@ -35,62 +33,65 @@
     base: int | None = None
 
 
-def fleet(node: Node, body: bytes) -> AdminResult:
-    return "", msgspec.json.encode(node.fleet.told()) + b"\n"
+def fleet(context: SidecarContext, body: bytes) -> AdminResult:
+    return "", msgspec.json.encode(context.fleet.told()) + b"\n"
 
 
-def policy(node: Node, body: bytes) -> AdminResult:
-    return "", msgspec.json.encode(node.fleet.policy_told()) + b"\n"
+def policy(context: SidecarContext, body: bytes) -> AdminResult:
+    return "", msgspec.json.encode(context.fleet.policy_told()) + b"\n"
 
 
-def propose(node: Node, body: bytes) -> Generator[float, Any, AdminResult]:
-    following, ruling = node.fleet.ruling.following, node.fleet.ruling
+def propose(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
+    policy_replica, policy_controller = (
+        context.fleet.policy_controller.policy_replica,
+        context.fleet.policy_controller,
+    )
     try:
         given = msgspec.json.decode(body, type=ProposalCommand)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise _no(BAD, str(error)) from error
-    lease = following.lease
+    lease = policy_replica.lease
     span = AHEAD * lease if given.switch_s is None else given.switch_s
     if not LEAST * lease < span <= FURTHEST:
         why = f"switch_s: {span} is not between {LEAST * lease} and {FURTHEST}"
         raise _no(BAD, why)
-    if why := ruling.check(given.policy):
+    if why := policy_controller.check(given.policy):
         raise _no(BAD, why)
-    following.now = node.loop.now()
-    if doubt := following.doubt():
+    policy_replica.now = context.loop.now()
+    if doubt := policy_replica.doubt():
         raise _no(NOT_NOW, f"which policy holds is not known here: {doubt}", doubt)
-    known = following.known
+    known = policy_replica.known
     if given.base is not None and given.base != known:
         why = f"made from version {given.base}; {known} is in force or decided"
         raise _no(CONFLICT, why)
-    if following.decision is not None and following.now < following.decision.at:
+    if policy_replica.decision is not None and policy_replica.now < policy_replica.decision.at:
         why = f"version {known} is decided and does not hold yet"
         raise _no(CONFLICT, why)
-    if following.records.next is not None:
-        why = f"version {following.records.next.policy.version} is proposed already"
+    if policy_replica.records.next is not None:
+        why = f"version {policy_replica.records.next.policy.version} is proposed already"
         raise _no(CONFLICT, why)
-    txn, change = following.propose(given.policy, span)
-    yield from _written(node, txn)
+    txn, change = policy_replica.propose(given.policy, span)
+    yield from _written(context, txn)
     told = {"version": change.policy.version, "digest": change.policy.digest, "at": change.at}
     return str(change.policy.version), msgspec.json.encode(told) + b"\n"
 
 
-def drop(node: Node, body: bytes) -> Generator[float, Any, AdminResult]:
-    following = node.fleet.ruling.following
-    following.now = node.loop.now()
+def drop(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
+    policy_replica = context.fleet.policy_controller.policy_replica
+    policy_replica.now = context.loop.now()
     name = named(body)
-    change = following.records.next
+    change = policy_replica.records.next
     if change is None or str(change.policy.version) != name:
         raise _no(CONFLICT, f"version {name} is not an open proposal", "not open")
-    txn = following.drop("operators have said so")
+    txn = policy_replica.drop("operators have said so")
     assert txn is not None
-    yield from _written(node, txn)
+    yield from _written(context, txn)
     return name, b""
 
 
-def retire(node: Node, body: bytes) -> Generator[float, Any, AdminResult]:
+def retire(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
     """That name will not come back: more than half is counted without it from now on."""
-    records = node.fleet.ruling.following.records
+    records = context.fleet.policy_controller.policy_replica.records
     name = named(body)
     if name not in records.names:
         raise _no(CONFLICT, f"{name!r} is not registered", "not registered")
@@ -100,44 +101,44 @@
         # Guards against a decision by more than half of what it was when votes were given.
         raise _no(CONFLICT, "a change of the policy is open", "a change is open")
     same = [equal(NAMES + name, "CREATE", records.names[name]), equal(NEXT, "CREATE", 0)]
-    yield from _written(node, Transaction("retire", same, [], [NAMES + name]))
+    yield from _written(context, Transaction("retire", same, [], [NAMES + name]))
     return name, b""
 
 
-def zones(node: Node, body: bytes) -> AdminResult:
-    return "", msgspec.json.encode(node.fleet.module.zoning.told()) + b"\n"
+def zones(context: SidecarContext, body: bytes) -> AdminResult:
+    return "", msgspec.json.encode(context.fleet.module.zone_controller.told()) + b"\n"
 
 
-def zone(what: str) -> Callable[[Node, bytes], Generator[float, Any, AdminResult]]:
-    def said(node: Node, body: bytes) -> Generator[float, Any, AdminResult]:
-        zoning = node.fleet.module.zoning
+def zone(what: str) -> Callable[[SidecarContext, bytes], Generator[float, Any, AdminResult]]:
+    def said(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
+        zone_controller = context.fleet.module.zone_controller
         try:
             word = msgspec.json.decode(body, type=ZoneCommand)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise _no(BAD, str(error)) from error
-        if not zoning.on:
+        if not zone_controller.on:
             raise _no(CONFLICT, "there is no zones part, so no plan", "no plan")
-        if word.zone not in {u.entry.zone for u in node.module.upstreams.values()}:
+        if word.zone not in {u.entry.zone for u in context.coordinator.pools.values()}:
             raise _no(BAD, f"no upstream of a zone {word.zone!r} is listed", "unknown zone")
-        zoning.noting.now = node.loop.now()
-        txn = zoning.planning.say(word.zone, what, word.why)
+        zone_controller.zone_health.now = context.loop.now()
+        txn = zone_controller.zone_planner.say(word.zone, what, word.why)
         if txn is None:
             raise _no(CONFLICT, f"zone {word.zone!r} is not left", "whole")
-        yield from _written(node, txn)
+        yield from _written(context, txn)
         return word.zone, b""
 
     return said
 
 
-def _written(node: Node, txn: Transaction) -> Generator[float, Any, None]:
-    mail = WriteTransaction(txn)
-    node.fleet.scribe.post(mail)
-    until = node.loop.now() + WITHIN
-    while mail.done is None:
-        if node.loop.now() >= until:
+def _written(context: SidecarContext, txn: Transaction) -> Generator[float, Any, None]:
+    message = WriteTransaction(txn)
+    context.fleet.state_writer.post(message)
+    until = context.loop.now() + WITHIN
+    while message.done is None:
+        if context.loop.now() >= until:
             raise _no(NOT_NOW, "the arbiter has not answered")
-        yield node.loop.now() + LOOK
-    if not mail.done:
+        yield context.loop.now() + LOOK
+    if not message.done:
         raise _no(CONFLICT, "something changed meanwhile")
 
 
--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -6,13 +6,13 @@
 
 from ...decisions.model import AttemptOutcome
 from ..actor import Coroutine
-from ..loop import READ, Ready
-from ..mail import CancelExchange
-from ..memory.work import Exchange
-from ..wire.http import ConnectionLostError
-from ..wire.upstream import Http1Connection
+from ..http.pool import Http1Connection
+from ..http.stream import ConnectionLostError
+from ..loop import READ, SocketReady
+from ..messages import CancelExchange
+from ..state.requests import Exchange
 from .links import BEAT, SILENCE
-from .mail import ExchangeReleased
+from .messages import ExchangeReleased
 
 WITHHELD = "withheld"
 # Seconds for which an intent is good: so long a silent member is waited for.
@@ -28,7 +28,7 @@
         return super()._fate(reason)
 
     def _write(self, exchange: Exchange) -> Coroutine[None]:
-        gate = self.node.module.gates.get(exchange)
+        gate = self.context.coordinator.gates.get(exchange)
         if gate is not None and not gate.open and exchange.flow is None:
             last = self.stream.keep_last()
             yield from super()._write(exchange)
@@ -40,13 +40,13 @@
         """Guards against an effect that nobody else knows of once its sidecar is lost."""
         self.stream.want(READ)
         while not gate.open:
-            mail = yield exchange.deadline
-            if isinstance(mail, ExchangeReleased) and mail.exchange is exchange:
+            message = yield exchange.deadline
+            if isinstance(message, ExchangeReleased) and message.exchange is exchange:
                 break
-            if isinstance(mail, Ready):
-                self._still_unanswered(mail)
+            if isinstance(message, SocketReady):
+                self._still_unanswered(message)
             elif (
-                isinstance(mail, CancelExchange) and mail.exchange is exchange
+                isinstance(message, CancelExchange) and message.exchange is exchange
             ) or self.loop.now() >= exchange.deadline:
                 raise ConnectionLostError(WITHHELD)
         if self.loop.now() > gate.asked + PROMPT:
--- a/starlingwheel/net/fleet/module.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -9,7 +9,7 @@
 
 from ...decisions.config import BalancerConfig, RetrySafety
 from ...decisions.model import Attempt, AttemptOutcome, Endpoint, EndpointState, Request
-from ...fleet.cover import DEFERRED, FINISHED, MIXED_UP, UNSENT, WRITTEN_OFF, BeginResult, ReplicatedRequest
+from ...fleet.config import FleetConfig, ReplicationConfig
 from ...fleet.frames import (
     AttemptIntent,
     RecordedRequest,
@@ -17,17 +17,25 @@
     ReplicateFrame,
     RequestClassRecord,
 )
-from ...fleet.part import FleetConfig, ReplicationConfig
-from ..mail import ClientDisconnected, FinalResponse, RequestReceived
-from ..memory.buffers import BufferedBody, BuffersExhaustedError
-from ..memory.flow import BodyStream
-from ..memory.work import Exchange, PendingRequest, UpstreamResponse
-from ..module import RequestCoordinator
-from .hosting import FleetHost
-from .mail import EntryLost, ExchangeReleased
+from ...fleet.replication.replicator import (
+    DEFERRED,
+    FINISHED,
+    MIXED_UP,
+    UNSENT,
+    WRITTEN_OFF,
+    BeginResult,
+    ReplicatedRequest,
+)
+from ..context import SidecarContext
+from ..coordinator import RequestCoordinator
+from ..messages import ClientDisconnected, FinalResponse, RequestReceived
+from ..state.body_stream import BodyStream
+from ..state.buffers import BufferedBody, BuffersExhaustedError
+from ..state.requests import Exchange, PendingRequest, UpstreamResponse
+from .host import FleetHost
+from .messages import EntryLost, ExchangeReleased
 
 if TYPE_CHECKING:
-    from ..lifecycle.start import Node
     from .policy import PolicyController
 
 COME_BACK = 1 / 8  # of a lease: when one is to come again who came while the policy was in doubt
@@ -42,9 +50,11 @@
 class DisconnectedClient:
     """Stands where a client stood whose sidecar is lost: its answer is recorded, not written."""
 
-    def post(self, mail: Any) -> None:
-        if isinstance(mail, FinalResponse) and mail.response:
-            mail.response.body.release()
+    pending: PendingRequest | None = None
+
+    def post(self, message: Any) -> None:
+        if isinstance(message, FinalResponse) and message.response:
+            message.response.body.release()
 
     def has_left(self) -> bool:
         return False  # what goes on for it does so with nobody waiting
@@ -56,35 +66,45 @@
 class ReplicatingCoordinator(FleetHost, RequestCoordinator):
     def __init__(
         self,
-        node: Node,
-        me: str,
+        context: SidecarContext,
+        member_id: str,
         part: FleetConfig,
         lapsed: Callable[[EntryLost], None],
-        ruling: PolicyController,
+        policy_controller: PolicyController,
     ) -> None:
         """`lapsed` is told when our own entry has gone from the view."""
         self.deferred = 0  # while it was not known which policy holds
         self.items: dict[Request, ReplicatedRequest] = {}
-        room = int(node.config.limits.memory_mb * ROOM * 2**20)
-        times = node.shortest, node.longest
-        self.host(node.loop, me, part, ruling, lapsed, lambda: self.runner, times, room, node.log)
-        RequestCoordinator.__init__(self, node)
+        room = int(context.config.limits.memory_mb * ROOM * 2**20)
+        times = context.shortest_objective, context.longest_timeout
+        self.host(
+            context.loop,
+            member_id,
+            part,
+            policy_controller,
+            lapsed,
+            lambda: self.scheduler,
+            times,
+            room,
+            context.log,
+        )
+        RequestCoordinator.__init__(self, context)
         self.cover_by(part.cover)
 
     def cover_by(self, part: ReplicationConfig) -> None:
         """What is covered from now on; items that there are stay so."""
         self.categories = frozenset(part.categories)
         self.header = part.name_header.encode()
-        self.covering.count = part.keepers
+        self.replicator.count = part.keepers
         # Guards against forgetting what was taken under a longer expiry.
-        self.covering.longest = max(self.covering.longest, self.node.longest)
+        self.replicator.longest = max(self.replicator.longest, self.context.longest_timeout)
 
     def retuned(self, terms: BalancerConfig) -> None:
-        self.runner.reload(terms)  # in this turn: what comes next is taken under it
+        self.scheduler.reload(terms)  # in this turn: what comes next is taken under it
 
-    def _handle(self, mail: Any) -> None:
-        if not self.hosted(mail, self.runner.now):
-            match mail:
+    def _handle(self, message: Any) -> None:
+        if not self.hosted(message, self.scheduler.now):
+            match message:
                 case RequestReceived(pending) if self._unruled(pending):
                     pass
                 case RequestReceived(pending) if (name := self._name(pending)) is not None:
@@ -93,18 +113,18 @@
                     self._left(pending, item)
                 case None:
                     self.tick()
-                    super()._handle(mail)
+                    super()._handle(message)
                 case _:
-                    super()._handle(mail)
-        self.alarm_at = min(self.alarm_at, self.next_at(self.runner.now))
+                    super()._handle(message)
+        self.alarm_at = min(self.alarm_at, self.next_at(self.scheduler.now))
 
     def _unruled(self, pending: PendingRequest) -> bool:
         """True: answered here, since it is not known which policy holds. Else it is taken under that one."""
         # A clock read in this turn may be from before a pause.
-        self.following.now = self.loop.now()
-        why = self.following.doubt()
+        self.policy_replica.now = self.loop.now()
+        why = self.policy_replica.doubt()
         request = pending.request
-        category = self.node.categories.get(request.request_class.name)
+        category = self.context.request_classes.get(request.request_class.name)
         if not why and category is not request.request_class:
             # It was read under a policy that is over since.
             if category is None or category.retry_safety is not request.request_class.retry_safety:
@@ -113,7 +133,7 @@
                 request.request_class, request.time_left = category, min(request.time_left, category.timeout)
         if why:
             self.deferred += 1
-            self._answer_job(pending, RecordedResponse(DEFERRED, COME_BACK * self.following.lease))
+            self._answer_job(pending, RecordedResponse(DEFERRED, COME_BACK * self.policy_replica.lease))
         return bool(why)
 
     # Requests with a name.
@@ -125,10 +145,10 @@
         given = {header.lower(): value for header, value in reversed(pending.headers)}
         name = given.get(TICKET, given.get(self.header))
         if name is None:
-            self.covering.counts["unnamed"] += 1
+            self.replicator.counts["unnamed"] += 1
         elif isinstance(pending.body, BodyStream):
             # A body that is passed on while it comes is kept nowhere.
-            self.covering.counts["too_long"] += 1
+            self.replicator.counts["too_long"] += 1
             name = None
         return name
 
@@ -136,7 +156,7 @@
         if not 0 < len(name) <= LONGEST_NAME:
             self._answer_job(pending, RecordedResponse(BAD))
             return
-        request, now = pending.request, self.runner.now
+        request, now = pending.request, self.scheduler.now
         category = request.request_class
         body = b"".join(pending.body.views())
         key = category.name.encode() + b"\0" + name
@@ -151,17 +171,18 @@
         until = now + request.time_left
         effect = category.retry_safety.value
         told = ReplicateFrame(
-            key, self.me, 0, False, mark, category.name, effect, now, until, request.is_retry, asked, [],
+            key, self.member_id, 0, False, mark, category.name, effect, now, until, request.is_retry, asked,
+            [],
             rules=RequestClassRecord.of(category),
         )  # fmt: skip
-        word, item = self.covering.begin(told, pending, now + LATEST * request.time_left)
+        word, item = self.replicator.begin(told, pending, now + LATEST * request.time_left)
         match word:
             case BeginResult.RUN:
                 self._run_job(item, pending)
             case BeginResult.ANSWER:
                 self._answer_job(pending, item.reply)
             case BeginResult.OTHER:
-                self.node.log("cover.other", category=category.name)
+                self.context.log("cover.other", category=category.name)
                 self._answer_job(pending, RecordedResponse(MIXED_UP))
             case BeginResult.WAIT:
                 if pending.owed:
@@ -170,17 +191,17 @@
     def _run_job(self, item: ReplicatedRequest, pending: PendingRequest) -> None:
         self.items[pending.request] = item
         self.pending_requests[pending.request] = pending
-        self.runner.accept_request(pending.request)
+        self.scheduler.accept_request(pending.request)
 
     def _left(self, pending: PendingRequest, item: ReplicatedRequest) -> None:
-        over = self.covering.left(item, pending)
+        over = self.replicator.left(item, pending)
         if not over and pending.request in self.pending_requests and pending.owed:
             # Whoever comes again under its name gets its answer: what is out goes on with nobody waiting.
             # Guards against sending on for one that has left: nothing more is begun, nor what is unwritten.
             pending.client = DISCONNECTED_CLIENT
             pending.request.max_attempts = 1
             for exchange in [exchange for exchange in pending.exchanges.values() if not exchange.written]:
-                self._drop(exchange)
+                self._cancel_exchange(exchange)
             return
         self.items.pop(pending.request, None)
         if pending.request in self.pending_requests:
@@ -196,21 +217,23 @@
             exchange.connection.post(ExchangeReleased(exchange))
 
     def dropped(self, exchange: Exchange) -> None:
-        self._drop(exchange)
+        self._cancel_exchange(exchange)
 
     def decide(self, item: ReplicatedRequest) -> None:
         pending = item.main
         rules = item.rules
         category = (
-            rules.request_class() if rules else self.node.category(item.category, RetrySafety(item.effect))
+            rules.request_class()
+            if rules
+            else self.context.request_class_for(item.category, RetrySafety(item.effect))
         )
         if category is None:
             self._settled(item, RecordedResponse(WRITTEN_OFF))
             return
-        now = self.runner.now
+        now = self.scheduler.now
         request = Request(category, now, max(0.0, item.until - now), is_retry=item.repeat)
         asked = item.asked
-        body = BufferedBody(self.node.pool)
+        body = BufferedBody(self.context.buffer_pool)
         try:
             body.add(asked.body)
         except BuffersExhaustedError:
@@ -225,7 +248,7 @@
             self.items.pop(pending.request, None)
             pending.owed = False
             pending.body.release()
-            if getattr(client, "job", None) is pending:
+            if client.pending is pending:
                 client.pending = new
         item.main = new
         self.items[request] = item
@@ -235,14 +258,14 @@
             for i in item.intents
             if i.fate != UNSENT
         ]
-        self.runner.accept_request(request, before)
+        self.scheduler.accept_request(request, before)
 
     def _settled(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         """What can't even be decided on."""
         for client in list(item.clients):
             self._answer_job(client, reply)
         item.clients.clear()
-        self.covering.answered(item, reply)
+        self.replicator.answered(item, reply)
 
     def answer(self, item: ReplicatedRequest, client: PendingRequest, reply: RecordedResponse) -> None:
         self._answer_job(client, reply)
@@ -254,13 +277,13 @@
             pending.body.release()
         self._give(pending, self._made(reply), KINDS.get(reply.status, "written_off"))
         if deciding:
-            self.runner.client_disconnected(pending.request)
-            self._forget_if_closed(pending)
+            self.scheduler.client_disconnected(pending.request)
+            self._forget_if_finished(pending)
 
     def _made(self, reply: RecordedResponse) -> FinalResponse:
         if reply.status != FINISHED:
             return FinalResponse(reply.status, retry_after=reply.retry_after)
-        body = BufferedBody(self.node.pool)
+        body = BufferedBody(self.context.buffer_pool)
         try:
             body.add(reply.body)
         except BuffersExhaustedError:
@@ -276,22 +299,24 @@
             self.pending_requests[attempt.request].exchanges[attempt],
             attempt.endpoint.entry,
         )
-        self.zoning.began(exchange, listing.zone, self.runner.now)
+        self.zone_controller.began(exchange, listing.zone, self.scheduler.now)
         item = self.items.get(attempt.request)
         if item is None:
             return
         self.hold(
-            exchange, item, AttemptIntent(listing.endpoint_id, listing.zone, listing.cell, self.runner.now)
+            exchange, item, AttemptIntent(listing.endpoint_id, listing.zone, listing.cell, self.scheduler.now)
         )
 
-    def _ended(self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any) -> None:
-        self.zoning.ended(exchange, fate, self.runner.now)
+    def _exchange_ended(
+        self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any
+    ) -> None:
+        self.zone_controller.ended(exchange, fate, self.scheduler.now)
         gate = self.unhold(exchange)
         if gate is not None and (fate.never_ran or not (gate.open and exchange.written)):
-            self.covering.ended(gate.item, gate.number, fate.value)
-        super()._ended(exchange, fate, report, answer)
+            self.replicator.ended(gate.item, gate.number, fate.value)
+        super()._exchange_ended(exchange, fate, report, answer)
 
-    def _final(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
+    def _send_final_response(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
         item = self.items.pop(pending.request, None)
         if item is None:
             self._give(pending, final, how)
@@ -305,11 +330,11 @@
             reply = RecordedResponse(
                 WRITTEN_OFF if isinstance(body, BodyStream) else FINISHED, 0.0, final.response.kind, whole
             )
-        given = self.covering.answered(item, reply)
+        given = self.replicator.answered(item, reply)
         if given is None:
             pending.owed = False
             if pending.client is not DISCONNECTED_CLIENT:
-                self.covering.wait_on(item, pending, until)
+                self.replicator.wait_on(item, pending, until)
                 self.items[pending.request] = item
             return
         if given is not reply and final.response is None:
@@ -318,6 +343,6 @@
         self._give(pending, final, how)
 
     def _give(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
-        super()._final(pending, final, how)
+        super()._send_final_response(pending, final, how)
         # Guards against a second answer being taken for that of the next request on its connection.
         pending.client = DISCONNECTED_CLIENT
--- a/starlingwheel/net/fleet/arbiter.py
+++ b/starlingwheel/net/fleet/etcd.py
@@ -19,13 +19,13 @@
 import h11
 import msgspec
 
+from ...fleet.membership import Member
 from ...fleet.records import CELLS, MEMBERS, NAMES, Compare, StoreEntry, StoreRecords, Transaction, equal
-from ...fleet.view import Member
 from ..actor import Actor, Coroutine
-from ..loop import READ, WRITE, Loop, Ready
-from ..memory.buffers import BufferPool
-from ..wire.http import ConnectionLostError, Stream, connect
-from .mail import (
+from ..http.stream import ConnectionLostError, Stream, connect
+from ..loop import READ, WRITE, Loop, SocketReady
+from ..state.buffers import BufferPool
+from .messages import (
     REGISTER_AGAIN,
     EntryLost,
     EvictMember,
@@ -123,7 +123,7 @@
 class EtcdSession(Actor):
     """What they have in common: calls over one kept connection, and pauses between tries."""
 
-    lasting = True
+    daemon = True
 
     def __init__(
         self,
@@ -132,10 +132,10 @@
         lease: float,
         pool: BufferPool,
         log: Callable[..., None],
-        chance: random.Random,
+        rng: random.Random,
         fleet: str,
     ) -> None:
-        self.addresses, self.lease, self.pool, self.log, self.chance = addresses, lease, pool, log, chance
+        self.addresses, self.lease, self.pool, self.log, self.rng = addresses, lease, pool, log, rng
         self.fleet = f"/{fleet}/"
         self.prefix = f"{self.fleet}{MEMBERS}"
         self.stream: Stream | None = None
@@ -155,7 +155,7 @@
                     self.log("arbiter.failed", reason=str(error), address=self.at, actor=type(self).__name__)
                 self.turn += 1  # another one may be up
                 self.pause = min(max(2 * self.pause, PAUSES[0]), PAUSES[1])
-                until = self.loop.now() + self.pause * (0.5 + self.chance.random())
+                until = self.loop.now() + self.pause * (0.5 + self.rng.random())
                 while self.loop.now() < until:
                     yield until
 
@@ -175,21 +175,21 @@
 
     def wait(self, until: float) -> Coroutine[None]:
         while self.loop.now() < until:
-            mail = yield until
-            if isinstance(mail, EntryLost):
+            message = yield until
+            if isinstance(message, EntryLost):
                 raise UnusableReplyError("entry-gone")
-            if isinstance(mail, Ready) and self.stream is not None:
+            if isinstance(message, SocketReady) and self.stream is not None:
                 # Nothing was asked for: it has ended.
                 self.hang_up()
 
     def _ready(self, until: float, late: str = "slow") -> Coroutine[None]:
         while True:
-            mail = yield until
-            if isinstance(mail, Ready):
+            message = yield until
+            if isinstance(message, SocketReady):
                 return
-            if isinstance(mail, EntryLost):
+            if isinstance(message, EntryLost):
                 raise UnusableReplyError("entry-gone")
-            if mail is REGISTER_AGAIN:
+            if message is REGISTER_AGAIN:
                 raise ConnectionLostError("quiet")
             if self.loop.now() >= until:
                 raise ConnectionLostError(late)
@@ -332,19 +332,19 @@
         self.gone: dict[str, Member] = {}  # whose entries are to end
         super().__init__(*given)
 
-    def post(self, mail: Any) -> None:
-        if isinstance(mail, EvictMember):
+    def post(self, message: Any) -> None:
+        if isinstance(message, EvictMember):
             # Guards against losing one that comes while another is waited for: many may end at once.
-            self.gone[mail.member.id] = mail.member
-        super().post(mail)
+            self.gone[message.member.id] = message.member
+        super().post(message)
 
     def work(self) -> Coroutine[None]:
         while True:
             while self.gone:
                 # Guards against all members asking in the same moment; the first one does.
-                yield from self.wait(self.loop.now() + self.chance.random() * PAUSES[0])
+                yield from self.wait(self.loop.now() + self.rng.random() * PAUSES[0])
                 yield from self._strike(self.gone.popitem()[1])
-            if isinstance((yield None), Ready):
+            if isinstance((yield None), SocketReady):
                 self.hang_up()
 
     def _strike(self, member: Member) -> Coroutine[None]:
@@ -374,12 +374,12 @@
                 # What it did is seen by the watch; it is tried again where that shows nothing.
                 until = self.loop.now() + self.lease * WITHIN / 4
                 continue
-            mail = yield what
-            if isinstance(mail, Ready):
+            message = yield what
+            if isinstance(message, SocketReady):
                 self.hang_up()
-            elif isinstance(mail, WriteTransaction):
-                mail.done = yield from self.write(mail.txn)
-            elif mail is not None:
+            elif isinstance(message, WriteTransaction):
+                message.done = yield from self.write(message.txn)
+            elif message is not None:
                 until = 0.0  # something is known anew
 
 
--- a/starlingwheel/net/fleet/hosting.py
+++ b/starlingwheel/net/fleet/host.py
@@ -11,7 +11,7 @@
 
 from ...decisions.config import BalancerConfig
 from ...decisions.scheduler import DecisionScheduler
-from ...fleet.cover import ReplicatedRequest, RequestReplicator
+from ...fleet.config import FleetConfig, ReplicationConfig
 from ...fleet.frames import (
     AttemptIntent,
     DecisionFrame,
@@ -21,11 +21,11 @@
     PolicyStatusFrame,
     RecordedResponse,
 )
-from ...fleet.part import FleetConfig, ReplicationConfig
+from ...fleet.replication.replicator import ReplicatedRequest, RequestReplicator
 from ..loop import Loop
-from ..mail import CLOSE
+from ..messages import CLOSE
 from .links import encode_frame
-from .mail import (
+from .messages import (
     CHECK_LINKS,
     EntryLost,
     FrameReceived,
@@ -61,9 +61,9 @@
     def host(
         self,
         loop: Loop,
-        me: str,
+        member_id: str,
         part: FleetConfig,
-        ruling: PolicyController,
+        policy_controller: PolicyController,
         lapsed: Callable[[EntryLost], None],
         runner: Callable[[], DecisionScheduler],
         times: tuple[float, float],
@@ -74,16 +74,18 @@
 
         `runner`: whose decisions the plan for zones concerns. `room`: bytes kept for others.
         """
-        self.me, self.lapsed, self.log = me, lapsed, log
-        self.ruling, self.following = ruling, ruling.following
+        self.member_id, self.lapsed, self.log = member_id, lapsed, log
+        self.policy_controller, self.policy_replica = policy_controller, policy_controller.policy_replica
         now, (shortest, longest) = loop.now(), times
-        self.zoning = ZoneController(me, float(part.lease_s), part.zones, shortest, now, runner, log)
+        self.zone_controller = ZoneController(
+            member_id, float(part.lease_s), part.zones, shortest, now, runner, log
+        )
         self.links: dict[str, Any] = {}
         self.reaching: Callable[[str], None] = lambda member: None  # has a link to it come up
         self.gates: dict[Any, AttemptHold] = {}
         self.errands: dict[tuple[ReplicatedRequest, int], Any] = {}
-        self.covering = RequestReplicator(me, longest, part.cover.keepers, room, self, now)
-        ruling.module = self
+        self.replicator = RequestReplicator(member_id, longest, part.cover.keepers, room, self, now)
+        policy_controller.module = self
 
     # The deciding part.
 
@@ -113,48 +115,48 @@
 
     # What the fleet's actors tell.
 
-    def hosted(self, mail: Any, now: float) -> bool:
+    def hosted(self, message: Any, now: float) -> bool:
         """Take the fleet's mail; False: it is none of that."""
-        self.covering.now = self.following.now = now
-        match mail:
+        self.replicator.now = self.policy_replica.now = now
+        match message:
             case FrameReceived(_, PolicyStatusFrame() | DecisionRequestFrame() | DecisionFrame() as frame):
-                for answer in self.ruling.heard(frame):
-                    self.say(mail.member, answer)
+                for answer in self.policy_controller.heard(frame):
+                    self.say(message.member, answer)
             case FrameReceived(member, frame):
                 if isinstance(frame, HeartbeatFrame) and frame.word is not None:
-                    self.following.heard(frame.word)
-                self.covering.heard(member, frame)
+                    self.policy_replica.heard(frame.word)
+                self.replicator.heard(member, frame)
             case StoreRead(records, gap):
-                self.following.recorded(records, gap)
+                self.policy_replica.recorded(records, gap)
                 self._wary()
-                self.zoning.recorded(records, now)
+                self.zone_controller.recorded(records, now)
             case LinkUp(member, link):
                 self.links[member] = link
-                self.covering.up(member)
+                self.replicator.up(member)
             case LinkDown(member, link):
                 if self.links.get(member) is link:
                     del self.links[member]
-                    self.covering.down(member)
+                    self.replicator.down(member)
             case ViewChanged(view, gap):
                 self.log(
                     "view",
                     members=len(view.members),
                     cells=view.cells,
                     digest=view.digest,
-                    ours=self.me in view,
+                    ours=self.member_id in view,
                 )
-                if self.me in self.covering.view and self.me not in view:
+                if self.member_id in self.replicator.view and self.member_id not in view:
                     self.lapsed(EntryLost())
                 if gap:
                     # Guards against words said under a view between that nobody saw: all is told anew.
                     for link in self.links.values():
                         link.post(CLOSE)
-                self.covering.viewed(view, gap)
+                self.replicator.viewed(view, gap)
             case MemberUnreachable(member):
-                self.covering.unreached(member)
+                self.replicator.unreached(member)
             case LeaseRenewed(until, entered):
-                self.covering.lease_until = until
-                self.following.renewed(until, entered)
+                self.replicator.lease_until = until
+                self.policy_replica.renewed(until, entered)
                 self._wary()
             case _:
                 return False
@@ -162,32 +164,34 @@
 
     def tick(self) -> None:
         """Something may be due."""
-        self.following.doubt()
+        self.policy_replica.doubt()
         self._wary()
-        self.covering.tick()
+        self.replicator.tick()
 
     def _wary(self) -> None:
         """Guards against doubt until the next beat, which says no word while nobody needs it."""
-        if self.following.uneasy:
+        if self.policy_replica.uneasy:
             for link in self.links.values():
                 link.post(CHECK_LINKS)
 
     def next_at(self, now: float) -> float:
         """When to call `tick`, whatever comes."""
-        at = self.following.next_at()
-        return min(self.covering.next_at(), at if at > now else inf)
+        at = self.policy_replica.next_at()
+        return min(self.replicator.next_at(), at if at > now else inf)
 
     def beat(self, member: str, worded: bool) -> HeartbeatFrame:
         """What to say to a member. `worded`: it may need our word on the policy."""
-        self.covering.now = self.following.now = self.loop.now()
-        self.following.doubt()
-        lapsed = not self.covering.may_decide() or self.following.uneasy
-        word = self.following.word() if worded or lapsed else None
-        view = self.covering.view
+        self.replicator.now = self.policy_replica.now = self.loop.now()
+        self.policy_replica.doubt()
+        lapsed = not self.replicator.may_decide() or self.policy_replica.uneasy
+        word = self.policy_replica.word() if worded or lapsed else None
+        view = self.replicator.view
         outside = view.cell_of(member) != view.cell_of(
-            self.me
+            self.member_id
         )  # in our own cell links stay, whatever is said
-        return HeartbeatFrame(self.covering.digest, lapsed, word, outside and not self.covering.needs(member))
+        return HeartbeatFrame(
+            self.replicator.digest, lapsed, word, outside and not self.replicator.needs(member)
+        )
 
     # The door of the cover.
 
@@ -200,7 +204,7 @@
 
     def reach(self, member: str) -> bool:
         self.reaching(member)
-        return member in self.covering.view
+        return member in self.replicator.view
 
     def go(self, item: ReplicatedRequest, number: int) -> None:
         if (exchange := self.errands.get((item, number))) is not None:
@@ -218,10 +222,10 @@
 
     def hold(self, exchange: Any, item: ReplicatedRequest, intent: AttemptIntent) -> None:
         """A hand-off is to be made: `released` or `dropped` follows, perhaps at once."""
-        number = self.covering.intend(item, intent)
+        number = self.replicator.intend(item, intent)
         self.gates[exchange] = AttemptHold(item, number, intent.at)
         self.errands[item, number] = exchange
-        self.covering.hand_on(item, number)
+        self.replicator.hand_on(item, number)
 
     def unhold(self, exchange: Any) -> AttemptHold | None:
         """It has ended."""
--- a/starlingwheel/net/fleet/links.py
+++ b/starlingwheel/net/fleet/links.py
@@ -27,12 +27,12 @@
     PolicyQueryFrame,
     PolicyStatusFrame,
 )
-from ...fleet.view import Member, MembershipView
+from ...fleet.membership import Member, MembershipView
 from ..actor import Actor, Coroutine
-from ..loop import READ, WRITE, Loop, Ready
-from ..mail import CLOSE
-from ..wire.http import ConnectionLostError, connect
-from .mail import (
+from ..http.stream import ConnectionLostError, connect
+from ..loop import READ, WRITE, Loop, SocketReady
+from ..messages import CLOSE
+from .messages import (
     CHECK_LINKS,
     PROBE_LINK,
     RESUME_DIALING,
@@ -110,25 +110,32 @@
     that cross, both keep the one of the member with the smaller id.
     """
 
-    lasting = True
+    daemon = True
 
     def __init__(
         self,
         loop: Loop,
         sock: socket.socket,
-        me: HelloFrame,
+        member_id: HelloFrame,
         tell: Callable[[Any], None],
         beat: Callable[[str, bool], HeartbeatFrame],
         says: Callable[[PolicyQueryFrame], list[Frame]],
         log: Callable[..., None],
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         """`tell` takes mail for who decides; `beat`: what to say to a member when there is nothing else.
 
         Its second argument: that member may need our word on the policy. `says`: what one is told that has
         no link with us and asks which policy holds.
         """
-        self.sock, self.me, self.tell, self.beat, self.log, self.chance = sock, me, tell, beat, log, chance
+        self.sock, self.member_id, self.tell, self.beat, self.log, self.rng = (
+            sock,
+            member_id,
+            tell,
+            beat,
+            log,
+            rng,
+        )
         self.says = says
         self.source = sock.getsockname()[0]
         self.view = MembershipView()
@@ -141,25 +148,25 @@
         self.roused_at = -inf
         self.reasons: Counter[str] = Counter()
         sock.setblocking(False)
-        loop.watch(sock.fileno(), self, READ)
+        loop.register(sock.fileno(), self, READ)
         super().__init__(loop)
 
     def run(self) -> Coroutine[None]:
         while True:
             times = [at for at, _ in self.calling.values()]
-            mail = yield min([*times, *self.wanted.values()], default=None)
-            if isinstance(mail, Ready):
+            message = yield min([*times, *self.wanted.values()], default=None)
+            if isinstance(message, SocketReady):
                 self._accept()
-            elif isinstance(mail, ViewChanged):
-                self._viewed(mail.view)
-            elif isinstance(mail, DialMember):
-                self._reach(mail.member)
+            elif isinstance(message, ViewChanged):
+                self._viewed(message.view)
+            elif isinstance(message, DialMember):
+                self._reach(message.member)
             self._call()
             for member in [m for m, until in self.wanted.items() if until <= self.loop.now()]:
                 self._unreached(member)
 
     def _viewed(self, view: MembershipView) -> None:
-        self.view, self.peers = view, frozenset(view.peers(self.me.member))
+        self.view, self.peers = view, frozenset(view.peers(self.member_id.member))
         for member in [member for member in self.wanted if member not in view]:
             self._unreached(member)
         now = self.loop.now()
@@ -172,10 +179,10 @@
 
     def _calls(self, member: str) -> bool:
         """Whether it is us who call."""
-        return member > self.me.member if member in self.peers else member in self.wanted
+        return member > self.member_id.member if member in self.peers else member in self.wanted
 
     def _reach(self, member: str) -> None:
-        if member in self.links or member == self.me.member:
+        if member in self.links or member == self.member_id.member:
             return
         now = self.loop.now()
         self.wanted.setdefault(member, now + GREETING)
@@ -239,9 +246,9 @@
 
     def named(self, link: PeerLink, hello: HelloFrame) -> str:
         """Whose it is; raises `Refused` for whom we have no link with."""
-        if hello.fleet != self.me.fleet:
+        if hello.fleet != self.member_id.fleet:
             raise LinkRejectedError("other-fleet")
-        if hello.version != self.me.version:
+        if hello.version != self.member_id.version:
             raise LinkRejectedError("other-version")
         if link.member and hello.member != link.member:
             raise LinkRejectedError("not-who-was-called")
@@ -251,7 +258,7 @@
         if hello.member not in self.view:
             # It may be in a view that we have not seen yet; it calls again.
             raise LinkRejectedError("stranger")
-        if not link.called and hello.member > self.me.member:
+        if not link.called and hello.member > self.member_id.member:
             self._answerable(hello.member)
         return hello.member
 
@@ -308,7 +315,7 @@
             self._unreached(member)
         elif self._calls(member):
             _, pause = self.calling.get(member, (0.0, PAUSE[0]))
-            self.calling[member] = (self.loop.now() + pause * (0.5 + self.chance.random()), pause)
+            self.calling[member] = (self.loop.now() + pause * (0.5 + self.rng.random()), pause)
             self.post(None)  # it waits for a time anew
 
 
@@ -331,14 +338,14 @@
                 self._strike()  # on one machine a refusal comes at once
             return
         try:
-            self.loop.watch(sock.fileno(), self, WRITE)
+            self.loop.register(sock.fileno(), self, WRITE)
             until = self.loop.now() + GREETING
             if (yield until) is not None:
-                self.loop.change(sock.fileno(), READ)
+                self.loop.modify(sock.fileno(), READ)
                 if (yield until) is not None and self._ended(sock):
                     self._strike()
         finally:
-            self.loop.forget(sock.fileno())
+            self.loop.unregister(sock.fileno())
             sock.close()
 
     def _strike(self) -> None:
@@ -360,7 +367,7 @@
 
     def __init__(self, links: LinkManager, address: str, known: int) -> None:
         self.links, self.address = links, address
-        self.asks = PolicyQueryFrame(links.me.fleet, links.me.version, known)
+        self.asks = PolicyQueryFrame(links.member_id.fleet, links.member_id.version, known)
         super().__init__(links.loop)
 
     def run(self) -> Coroutine[None]:
@@ -370,11 +377,11 @@
             return
         reader, until = FrameReader(), self.loop.now() + GREETING
         try:
-            self.loop.watch(sock.fileno(), self, WRITE)
+            self.loop.register(sock.fileno(), self, WRITE)
             if (yield until) is None:
                 return
             sock.send(encode_frame(self.asks))  # less than any buffer
-            self.loop.change(sock.fileno(), READ)
+            self.loop.modify(sock.fileno(), READ)
             while (yield until) is not None:
                 with contextlib.suppress(BlockingIOError):
                     if not (data := sock.recv(CHUNK)):
@@ -385,15 +392,15 @@
         except (OSError, LinkRejectedError):
             pass
         finally:
-            self.loop.forget(sock.fileno())
+            self.loop.unregister(sock.fileno())
             sock.close()
 
 
 class PeerLink(Actor):
     """One connection to a member, from its first byte to its end."""
 
-    urgent = True
-    at_once = 32
+    priority = True
+    messages_per_turn = 32
 
     def __init__(self, links: LinkManager, sock: socket.socket, member: str) -> None:
         self.links, self.sock, self.member = links, sock, member
@@ -433,7 +440,7 @@
             reason = "defect"
             raise
         finally:
-            self.loop.forget(self.sock.fileno())
+            self.loop.unregister(self.sock.fileno())
             self.sock.close()
             if not self.over:
                 self.over = True
@@ -444,17 +451,17 @@
         until = self.loop.now() + GREETING
         if self.called:
             self._want(WRITE)
-            while not isinstance(mail := (yield until), Ready):
-                self._still_wanted(mail, until, "never-came-up")
+            while not isinstance(message := (yield until), SocketReady):
+                self._still_wanted(message, until, "never-came-up")
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 raise LinkRejectedError("refused")
-        hello = msgspec.structs.replace(self.links.me, cells=self.cells)
+        hello = msgspec.structs.replace(self.links.member_id, cells=self.cells)
         self._send(encode_frame(hello))
         self._want(READ)
         while not self.greeted or (self.called and not self.early):
-            mail = yield until
-            if not isinstance(mail, Ready):
-                self._still_wanted(mail, until, "no-greeting")
+            message = yield until
+            if not isinstance(message, SocketReady):
+                self._still_wanted(message, until, "no-greeting")
                 continue
             for frame in self._receive():
                 if self.greeted:
@@ -467,17 +474,17 @@
                 self.greeted = True
                 self.member = self.links.named(self, frame)
 
-    def _still_wanted(self, mail: Any, until: float, late: str) -> None:
-        if mail is CLOSE:
+    def _still_wanted(self, message: Any, until: float, late: str) -> None:
+        if message is CLOSE:
             raise LinkRejectedError("replaced" if self.member in self.links.links else "not-needed")
-        if mail is None and self.loop.now() >= until:
+        if message is None and self.loop.now() >= until:
             raise LinkRejectedError(late)
 
     def _say(self, asked: PolicyQueryFrame, until: float) -> Coroutine[None]:
         """What one that is in no view may know: which policy we follow, others say, and what is decided."""
-        if asked.fleet != self.links.me.fleet:
+        if asked.fleet != self.links.member_id.fleet:
             raise LinkRejectedError("other-fleet")
-        if asked.version != self.links.me.version:
+        if asked.version != self.links.member_id.version:
             raise LinkRejectedError("other-version")
         if self.links.rouse():
             at = self.loop.now() + BEAT
@@ -486,7 +493,7 @@
         for frame in self.links.says(asked):
             self._send(encode_frame(frame))
         while self.unsent and self.loop.now() < until:
-            if isinstance((yield until), Ready):
+            if isinstance((yield until), SocketReady):
                 self._flush()
         raise LinkRejectedError("asked")
 
@@ -507,20 +514,20 @@
             rest_at = self.worked + REST if self._resting else inf
             if now >= rest_at and not self.mailbox:
                 self._rest(now)
-            mail = yield min(self._beat_at(now), lost_at, rest_at)
-            if isinstance(mail, SendFrame):
+            message = yield min(self._beat_at(now), lost_at, rest_at)
+            if isinstance(message, SendFrame):
                 self._quicken()
-                self._send(mail.data)
-            elif mail is CHECK_LINKS:
+                self._send(message.data)
+            elif message is CHECK_LINKS:
                 self.wary_until = self.loop.now() + STAKE
-            elif mail is PROBE_LINK or mail is RESUME_DIALING:
-                self._beat(self.loop.now(), asks=mail is RESUME_DIALING)
-            elif isinstance(mail, Ready):
-                if mail.mask & WRITE:
+            elif message is PROBE_LINK or message is RESUME_DIALING:
+                self._beat(self.loop.now(), asks=message is RESUME_DIALING)
+            elif isinstance(message, SocketReady):
+                if message.mask & WRITE:
                     self._flush()
-                if mail.mask & ~WRITE:
+                if message.mask & ~WRITE:
                     self._take(self._receive())
-            elif mail is CLOSE:
+            elif message is CLOSE:
                 raise LinkRejectedError("replaced")
 
     def _beat(self, now: float, worded: bool = False, asks: bool = False) -> None:
@@ -568,7 +575,7 @@
                 yield until
                 self._flush()
             self.sock.shutdown(socket.SHUT_WR)
-            while isinstance((yield until), Ready) or self.loop.now() < until:
+            while isinstance((yield until), SocketReady) or self.loop.now() < until:
                 with contextlib.suppress(BlockingIOError):
                     if not self.sock.recv(CHUNK):
                         return
@@ -626,7 +633,7 @@
 
     def _want(self, mask: int) -> None:
         if not self.mask:
-            self.loop.watch(self.sock.fileno(), self, mask)
+            self.loop.register(self.sock.fileno(), self, mask)
         elif mask != self.mask:
-            self.loop.change(self.sock.fileno(), mask)
+            self.loop.modify(self.sock.fileno(), mask)
         self.mask = mask
--- a/starlingwheel/net/fleet/start.py
+++ b/starlingwheel/net/fleet/member.py
@@ -12,18 +12,18 @@
 import msgspec
 
 from ...decisions.config import BalancerConfig
-from ...fleet.cells import ShardMap
+from ...fleet.config import FleetConfig
 from ...fleet.frames import VERSION, HelloFrame
-from ...fleet.part import FleetConfig
+from ...fleet.membership import Member
 from ...fleet.records import Transaction
-from ...fleet.view import Member
+from ...fleet.shards import ShardMap
 from ..actor import Coroutine
 from ..loop import Loop
-from ..memory.buffers import BufferPool
-from .arbiter import LeaseKeeper, MemberEvictor, StateWatcher, StateWriter
-from .hosting import FleetHost
+from ..state.buffers import BufferPool
+from .etcd import LeaseKeeper, MemberEvictor, StateWatcher, StateWriter
+from .host import FleetHost
 from .links import LinkManager
-from .mail import WRITE_PENDING, DialMember, EntryLost, EvictMember, StoreRead, ViewChanged
+from .messages import WRITE_PENDING, DialMember, EntryLost, EvictMember, StoreRead, ViewChanged
 from .policy import PolicyController, PolicyPoller
 
 if TYPE_CHECKING:
@@ -53,35 +53,35 @@
         part: FleetConfig,
         sock: socket.socket,
         who: MemberIdentity,
-        ruling: Callable[[str], PolicyController],
+        policy_controller: Callable[[str], PolicyController],
         module: Callable[[str, PolicyController, Callable[[EntryLost], None]], FleetHost],
     ) -> None:
         """`sock`: listens for links. `ruling`, `module`: make those, for the member of that id.
 
         `module` is also given whom to tell when our own entry has gone from the view.
         """
-        chance = random.Random(f"{who.seed} fleet")
+        rng = random.Random(f"{who.seed} fleet")
         address = part.advertise or "{}:{}".format(*sock.getsockname())
         # New with each start, also where two starts are given the same seed.
-        self.me = f"{who.name or 'sidecar'}.{random.SystemRandom().getrandbits(48):012x}"
-        member = Member(self.me, who.name, address, who.zone)
-        given = (loop, part.arbiter, float(part.lease_s), pool, log, chance, part.name)
-        self.lessee = LeaseKeeper(*given, member=member, tell=self._tell)
-        self.onlooker = StateWatcher(*given, tell=self._tell)
+        self.member_id = f"{who.name or 'sidecar'}.{random.SystemRandom().getrandbits(48):012x}"
+        member = Member(self.member_id, who.name, address, who.zone)
+        given = (loop, part.arbiter, float(part.lease_s), pool, log, rng, part.name)
+        self.lease_keeper = LeaseKeeper(*given, member=member, tell=self._tell)
+        self.state_watcher = StateWatcher(*given, tell=self._tell)
         self.leaving = False
         self.loop, self.lease, self.late_at = loop, part.lease_s, inf
-        self.clerk = MemberEvictor(*given)
-        self.ruling = ruling(self.me)
-        self.module = module(self.me, self.ruling, self._lapsed)
-        self.cutting = ShardMap(self.me, float(part.lease_s), part.cell_size, loop.now())
-        self.scribe = StateWriter(*given, due=self._due, lease_id=lambda: self.lessee.held)
-        hello = HelloFrame(part.name, VERSION, self.me)
+        self.member_evictor = MemberEvictor(*given)
+        self.policy_controller = policy_controller(self.member_id)
+        self.module = module(self.member_id, self.policy_controller, self._lapsed)
+        self.shard_map = ShardMap(self.member_id, float(part.lease_s), part.cell_size, loop.now())
+        self.state_writer = StateWriter(*given, due=self._due, lease_id=lambda: self.lease_keeper.held)
+        hello = HelloFrame(part.name, VERSION, self.member_id)
         self.links = LinkManager(
-            loop, sock, hello, self._tell, self.module.beat, self.ruling.says, log, chance
+            loop, sock, hello, self._tell, self.module.beat, self.policy_controller.says, log, rng
         )
         self.module.reaching = lambda member: self.links.post(DialMember(member))
-        self.asker = PolicyPoller(
-            self.links, self.ruling.following, self.onlooker, chance, float(part.lease_s)
+        self.policy_poller = PolicyPoller(
+            self.links, self.policy_controller.policy_replica, self.state_watcher, rng, float(part.lease_s)
         )
 
     @property
@@ -91,22 +91,22 @@
         Guards against a sidecar that starts while the arbiter is gone doing what is in hand elsewhere, or
         under a policy that is over.
         """
-        there = self.me in self.module.covering.view or self.loop.now() > self.late_at
-        return there and self.ruling.following.sure
+        there = self.member_id in self.module.replicator.view or self.loop.now() > self.late_at
+        return there and self.policy_controller.policy_replica.sure
 
     def renewed(self, config: SidecarConfig) -> BalancerConfig:
         """The terms by a file that was read again. Raises `Unusable`: it changes what is the fleet's."""
-        return self.ruling.renewed(config)
+        return self.policy_controller.renewed(config)
 
     def _due(self) -> Any:
         """What there is to write at the arbiter, or when to ask again."""
-        following = self.ruling.following
-        now = following.now = self.loop.now()
-        due = following.due()
+        policy_replica = self.policy_controller.policy_replica
+        now = policy_replica.now = self.loop.now()
+        due = policy_replica.due()
         if isinstance(due, Transaction):
             return due
-        self.cutting.now = now
-        for other in (self.module.zoning.due(now, following.leased), self.cutting.due()):
+        self.shard_map.now = now
+        for other in (self.module.zone_controller.due(now, policy_replica.leased), self.shard_map.due()):
             if isinstance(other, Transaction):
                 return other
             due = min(due, other)
@@ -114,9 +114,9 @@
 
     def policy_told(self) -> dict[str, Any]:
         """For operators: what holds, what is proposed and who has said what, what was before."""
-        following = self.ruling.following
-        following.now = self.loop.now()
-        doubt, records = following.doubt(), following.records
+        policy_replica = self.policy_controller.policy_replica
+        policy_replica.now = self.loop.now()
+        doubt, records = policy_replica.doubt(), policy_replica.records
         open_ = None
         if (change := records.next) is not None:
             votes = {m.name: records.votes.get(m.id) for m in records.members.values()}
@@ -125,42 +125,42 @@
             }
             open_ = msgspec.to_builtins(change) | {"votes": said}
         return {
-            "in_force": msgspec.to_builtins(following.in_force),
-            "decided": following.decision and following.decision.policy.version,
-            "decided_at": following.decision and following.decision.at,
+            "in_force": msgspec.to_builtins(policy_replica.in_force),
+            "decided": policy_replica.decision and policy_replica.decision.policy.version,
+            "decided_at": policy_replica.decision and policy_replica.decision.at,
             "doubt": doubt,
-            "doubted_s": round(following.doubted, 3),
+            "doubted_s": round(policy_replica.doubted, 3),
             "open": open_,
             "past": [msgspec.to_builtins(records.past[number]) for number in sorted(records.past)],
-            "registered": following.names,
+            "registered": policy_replica.names,
             "words": {
-                w.name: {"version": w.version, "age_s": round(following.now - w.at, 3)}
-                for w in following.words.values()
+                w.name: {"version": w.version, "age_s": round(policy_replica.now - w.at, 3)}
+                for w in policy_replica.words.values()
             },
-            "counts": following.counts,
+            "counts": policy_replica.counts,
         }
 
     def told(self) -> dict[str, Any]:
         """For operators: who is in, who is heard, what is covered, and why not."""
-        covering, now = self.module.covering, self.loop.now()
-        view = covering.view
-        ours = view.of_cell(view.cell_of(self.me))
+        replicator, now = self.module.replicator, self.loop.now()
+        view = replicator.view
+        ours = view.of_cell(view.cell_of(self.member_id))
         return {
-            "member": self.me,
-            "in_view": self.me in covering.view,
-            "lease_s": round(max(0.0, covering.lease_until - now), 3),
-            "settled": covering.settled_now,
+            "member": self.member_id,
+            "in_view": self.member_id in replicator.view,
+            "lease_s": round(max(0.0, replicator.lease_until - now), 3),
+            "settled": replicator.settled_now,
             "cells": {
                 "count": view.cells,
-                "ours": view.cell_of(self.me),
+                "ours": view.cell_of(self.member_id),
                 "members": list(ours),
                 "fleet_members": len(view.members),
             },
             "view": [msgspec.structs.asdict(member) for member in ours.values()],
-            "links": sorted(covering.links),
-            "items": Counter(item.state.value for item in covering.items.values()),
-            "kept_bytes": covering.kept_bytes,
-            "counts": covering.counts,
+            "links": sorted(replicator.links),
+            "items": Counter(item.state.value for item in replicator.items.values()),
+            "kept_bytes": replicator.kept_bytes,
+            "counts": replicator.counts,
             "reasons": self.reasons,
         }
 
@@ -169,43 +169,50 @@
 
         What we still own without a client, its keepers take over once our links close.
         """
-        member = self.module.covering.view.members.get(self.me)
+        member = self.module.replicator.view.members.get(self.member_id)
         self.leaving = True
         if member is not None:
-            self.clerk.post(EvictMember(member))
+            self.member_evictor.post(EvictMember(member))
             until = self.loop.now() + LEAVING * self.lease
-            while self.me in self.module.covering.view and self.loop.now() < until:
+            while self.member_id in self.module.replicator.view and self.loop.now() < until:
                 yield self.loop.now() + LEAVING * self.lease / 32
 
-    def _lapsed(self, mail: EntryLost) -> None:
+    def _lapsed(self, message: EntryLost) -> None:
         if not self.leaving:
-            self.lessee.post(mail)
+            self.lease_keeper.post(message)
 
     @property
     def reasons(self) -> Counter[str]:
         """Why calls of the arbiter and links have ended, so often each."""
         return (
-            self.lessee.reasons
-            + self.onlooker.reasons
-            + self.clerk.reasons
+            self.lease_keeper.reasons
+            + self.state_watcher.reasons
+            + self.member_evictor.reasons
             + self.links.reasons
-            + self.scribe.reasons
+            + self.state_writer.reasons
         )
 
-    def _tell(self, mail: Any) -> None:
-        if isinstance(mail, EvictMember):
-            self.clerk.post(mail)
+    def _tell(self, message: Any) -> None:
+        if isinstance(message, EvictMember):
+            self.member_evictor.post(message)
             return
-        self.module.post(mail)
-        if isinstance(mail, ViewChanged):
-            self.links.post(mail)
-        elif isinstance(mail, StoreRead):
-            self.cutting.now = self.loop.now()
-            self.cutting.recorded(mail.records)
-            self.scribe.post(WRITE_PENDING)
+        self.module.post(message)
+        if isinstance(message, ViewChanged):
+            self.links.post(message)
+        elif isinstance(message, StoreRead):
+            self.shard_map.now = self.loop.now()
+            self.shard_map.recorded(message.records)
+            self.state_writer.post(WRITE_PENDING)
 
     def begin(self) -> None:
         self.late_at = self.loop.now() + LATE * self.lease
-        self.ruling.following.begin()
-        for actor in (self.links, self.lessee, self.onlooker, self.clerk, self.scribe, self.asker):
+        self.policy_controller.policy_replica.begin()
+        for actor in (
+            self.links,
+            self.lease_keeper,
+            self.state_watcher,
+            self.member_evictor,
+            self.state_writer,
+            self.policy_poller,
+        ):
             actor.begin()
--- a/starlingwheel/net/fleet/mail.py
+++ b/starlingwheel/net/fleet/messages.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ...fleet.membership import Member, MembershipView
 from ...fleet.records import StoreRecords, Transaction
-from ...fleet.view import Member, MembershipView
 
 
 @dataclass(slots=True, eq=False)
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ...decisions.config import BalancerConfig
-from ...fleet import common
+from ...fleet.config import FleetConfig, ReplicationConfig, ZonesConfig
 from ...fleet.frames import (
     RELAYED,
     DecisionFrame,
@@ -23,13 +23,13 @@
     PolicyQueryFrame,
     PolicyStatusFrame,
 )
-from ...fleet.part import FleetConfig, ReplicationConfig, ZonesConfig
-from ...fleet.policy import WORD, PolicyReplica, StoredPolicy
+from ...fleet.policy import document as common
+from ...fleet.policy.replica import WORD, PolicyReplica, StoredPolicy
 from ...fleet.records import Policy, PolicyDecision
 from ..actor import Actor, Coroutine
 from ..lifecycle.config import ConfigError, SidecarConfig, balancer_config_of, keep_start_only_fields
 from .links import LinkManager, MemberQuery
-from .mail import CHECK_LINKS, REGISTER_AGAIN
+from .messages import CHECK_LINKS, REGISTER_AGAIN
 
 AT_ONCE = 16  # members asked in one go
 EACH = 1 / 16  # of the time for which a word counts: how often it is seen who is to be asked
@@ -114,7 +114,7 @@
         self,
         config: SidecarConfig,
         part: FleetConfig,
-        me: str,
+        member_id: str,
         now: float,
         terms: Callable[[], BalancerConfig],
         retune: Callable[[BalancerConfig], None],
@@ -123,7 +123,9 @@
         """`terms`: those in force; `retune`: puts others in force, in one turn."""
         self.config, self.part, self.terms, self.retune, self.log = config, part, terms, retune, log
         self.keeper = VoteStore(part.keep, part.name, config.name, log)
-        self.following = PolicyReplica(me, config.name, float(part.lease_s), self, now, self.keeper.read())
+        self.policy_replica = PolicyReplica(
+            member_id, config.name, float(part.lease_s), self, now, self.keeper.read()
+        )
         self.file = common.common(config.settings, part.cover, part.zones)
         self.module: Any = None  # whose links the words go over
 
@@ -152,7 +154,7 @@
         self.module.retuned(self.terms())
         self.module.cover_by(msgspec.convert(policy.body["cover"], ReplicationConfig))
         zones = policy.body.get("zones")
-        self.module.zoning.plan_by(None if zones is None else msgspec.convert(zones, ZonesConfig))
+        self.module.zone_controller.plan_by(None if zones is None else msgspec.convert(zones, ZonesConfig))
         differ = [key for key, _, _ in common.differences(self.file, policy.body)]
         if differ:
             self.log("policy.file_differs", version=policy.version, keys=differ[:TOLD])
@@ -174,27 +176,27 @@
         """The terms by a file that was read again. Raises `Unusable`: it changes what is the fleet's."""
         part = config.fleet or self.part
         now = common.common(config.settings, part.cover, part.zones)
-        policy = self.following.in_force
-        ruling = policy.body if policy.body is not None else self.file
-        if edited := common.edited(self.file, now, ruling):
+        policy = self.policy_replica.in_force
+        policy_controller = policy.body if policy.body is not None else self.file
+        if edited := common.edited(self.file, now, policy_controller):
             raise ConfigError(
                 f"version {policy.version} of the fleet's policy holds, a change is to be proposed: "
                 + "; ".join(edited)
             )
         self.file, self.config = now, msgspec.structs.replace(self.config, settings=config.settings)
-        return self._terms(ruling, config)
+        return self._terms(policy_controller, config)
 
     def says(self, asked: PolicyQueryFrame) -> list[Frame]:
         """To one that we have no link with: our word, and those that we have heard over our links."""
-        following = self.following
-        following.now = self.module.loop.now()
+        policy_replica = self.policy_replica
+        policy_replica.now = self.module.loop.now()
         frames: list[Frame] = [
-            PolicyStatusFrame(following.word(), following.lately(self.module.links, RELAYED))
+            PolicyStatusFrame(policy_replica.word(), policy_replica.lately(self.module.links, RELAYED))
         ]
-        return [*frames, *self.given()] if following.known > asked.known else frames
+        return [*frames, *self.given()] if policy_replica.known > asked.known else frames
 
     def given(self) -> list[Frame]:
-        decision = self.following.decision
+        decision = self.policy_replica.decision
         return [] if decision is None else [DecisionFrame(msgspec.json.encode(decision))]
 
     def heard(self, frame: Frame) -> list[Frame]:
@@ -202,12 +204,12 @@
         match frame:
             case PolicyStatusFrame(word, others):
                 for one in (word, *others[:RELAYED]):
-                    self.following.heard(one)
+                    self.policy_replica.heard(one)
             case DecisionRequestFrame():
                 return self.given()
             case DecisionFrame(data):
                 try:
-                    self.following.told(msgspec.json.decode(data, type=PolicyDecision))
+                    self.policy_replica.told(msgspec.json.decode(data, type=PolicyDecision))
                 except (msgspec.DecodeError, UnicodeDecodeError) as error:
                     self.log("policy.unreadable", error=str(error))
         return []
@@ -219,50 +221,50 @@
     Of each other cell one member is asked in turn, which passes on what it has heard of its own.
     """
 
-    lasting = True
+    daemon = True
 
     def __init__(
         self,
         links: LinkManager,
-        following: PolicyReplica,
-        onlooker: Actor,
-        chance: random.Random,
+        policy_replica: PolicyReplica,
+        state_watcher: Actor,
+        rng: random.Random,
         lease: float,
     ) -> None:
-        self.links, self.following, self.onlooker = links, following, onlooker
-        self.chance, self.counts = chance, WORD * lease
+        self.links, self.policy_replica, self.state_watcher = links, policy_replica, state_watcher
+        self.rng, self.counts = rng, WORD * lease
         self.anew_at = -inf
         self.asked: dict[int | str, float] = {}  # when each cell, or each name by itself, was asked last
         super().__init__(links.loop)
 
     def run(self) -> Coroutine[None]:
         while True:
-            following, now = self.following, self.loop.now()
-            until = now + EACH * self.counts * (0.75 + 0.5 * self.chance.random())
-            at = following.uneasy_at()
-            if at > now and not following.doubt_since:
+            policy_replica, now = self.policy_replica, self.loop.now()
+            until = now + EACH * self.counts * (0.75 + 0.5 * self.rng.random())
+            at = policy_replica.uneasy_at()
+            if at > now and not policy_replica.doubt_since:
                 until = max(until, min(at, now + self.counts))
             while self.loop.now() < until:
                 yield until
-            now = following.now = self.loop.now()
-            if not following.uneasy:
+            now = policy_replica.now = self.loop.now()
+            if not policy_replica.uneasy:
                 continue
             for link in self.links.links.values():
                 link.post(CHECK_LINKS)
             for address in self._addresses(now):
-                MemberQuery(self.links, address, following.known).begin()
-            if following.promise is not None and now >= max(following.promise.at, self.anew_at):
+                MemberQuery(self.links, address, policy_replica.known).begin()
+            if policy_replica.promise is not None and now >= max(policy_replica.promise.at, self.anew_at):
                 # Guards against a watch that has gone quiet just when what it would tell is waited for.
-                self.anew_at = now + following.lease
-                self.onlooker.post(REGISTER_AGAIN)
+                self.anew_at = now + policy_replica.lease
+                self.state_watcher.post(REGISTER_AGAIN)
 
     def _addresses(self, now: float) -> list[str]:
         """Whom to ask now: of those whose words are the oldest."""
-        view, words = self.links.view, self.following.words
+        view, words = self.links.view, self.policy_replica.words
         there = {m.name: m.address for m in view.members.values()}
         heard = {view.members[m].name for m in self.links.links if m in view}
-        known = {name: at for name, at in self.following.kept.addresses.items() if name not in there}
-        mine, ours = there.get(self.following.name, ""), view.cell_of(self.following.me)
+        known = {name: at for name, at in self.policy_replica.kept.addresses.items() if name not in there}
+        mine, ours = there.get(self.policy_replica.name, ""), view.cell_of(self.policy_replica.member_id)
         groups: dict[int | str, list[str]] = {}
         for name, address in (known | there).items():
             if name not in heard and address and address != mine:
@@ -281,8 +283,8 @@
             and now >= self.asked.get(group, -inf) + SLOW * self.counts
         ]
         # Guards against all asking the same ones: in an order of our own.
-        self.chance.shuffle(due)
+        self.rng.shuffle(due)
         due.sort(key=lambda group: max(latest.get(group, -inf), self.asked.get(group, -inf)))
         chosen = due[:AT_ONCE]
         self.asked |= dict.fromkeys(chosen, now)
-        return [self.chance.choice(groups[group]) for group in chosen]
+        return [self.rng.choice(groups[group]) for group in chosen]
--- a/starlingwheel/net/fleet/sidecar.py
+++ b/starlingwheel/net/fleet/sidecar.py
@@ -4,18 +4,15 @@
 
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
-from ...fleet.part import FleetConfig
-from .calls import CALLS
+from ...fleet.config import FleetConfig
+from ..context import SidecarContext
+from .admin import CALLS
 from .connection import ReplicatedHttp1Connection
-from .mail import EntryLost
-from .module import ReplicatingCoordinator
+from .coordinator import ReplicatingCoordinator
+from .member import FleetMember, MemberIdentity
+from .messages import EntryLost
 from .policy import PolicyController
-from .start import FleetMember, MemberIdentity
-
-if TYPE_CHECKING:
-    from ..lifecycle.start import Node
 
 
 class SidecarFleet(FleetMember):
@@ -24,17 +21,25 @@
     module: ReplicatingCoordinator
     calls = CALLS
 
-    def __init__(self, node: Node, part: FleetConfig, sock: socket.socket) -> None:
-        def ruling(me: str) -> PolicyController:
+    def __init__(self, context: SidecarContext, part: FleetConfig, sock: socket.socket) -> None:
+        def policy_controller(member_id: str) -> PolicyController:
             return PolicyController(
-                node.config, part, me, node.loop.now(), lambda: node.terms, node.retune, node.log
+                context.config,
+                part,
+                member_id,
+                context.loop.now(),
+                lambda: context.balancer_config,
+                context.reload,
+                context.log,
             )
 
         def module(
-            me: str, ruling: PolicyController, lapsed: Callable[[EntryLost], None]
+            member_id: str, policy_controller: PolicyController, lapsed: Callable[[EntryLost], None]
         ) -> ReplicatingCoordinator:
-            return ReplicatingCoordinator(node, me, part, lapsed, ruling)
+            return ReplicatingCoordinator(context, member_id, part, lapsed, policy_controller)
 
-        who = MemberIdentity(node.config.name, node.terms.zone, node.config.seed)
-        super().__init__(node.loop, node.pool, node.log, part, sock, who, ruling, module)
-        node.connection = ReplicatedHttp1Connection
+        who = MemberIdentity(context.config.name, context.balancer_config.zone, context.config.seed)
+        super().__init__(
+            context.loop, context.buffer_pool, context.log, part, sock, who, policy_controller, module
+        )
+        context.connection_type = ReplicatedHttp1Connection
--- a/starlingwheel/net/fleet/zones.py
+++ b/starlingwheel/net/fleet/zones.py
@@ -10,9 +10,9 @@
 
 from ...decisions.model import AttemptOutcome
 from ...decisions.scheduler import DecisionScheduler
-from ...fleet.part import ZonesConfig
+from ...fleet.config import ZonesConfig
 from ...fleet.records import StoreRecords, Transaction
-from ...fleet.zones import WINDOW, ZoneHealthTracker, ZonePlanner
+from ...fleet.zones.planner import WINDOW, ZoneHealthTracker, ZonePlanner
 
 HOW = {
     AttemptOutcome.SUCCESS: "good",
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        me: str,
+        member_id: str,
         lease: float,
         part: ZonesConfig | None,
         shortest: float,
@@ -39,15 +39,15 @@
     ) -> None:
         """`shortest`: the shortest due time, seconds."""
         self.runner, self.log = runner, log
-        self.noting = ZoneHealthTracker(WINDOW * shortest, now)
+        self.zone_health = ZoneHealthTracker(WINDOW * shortest, now)
         part_ = part or ZonesConfig()
-        self.planning = ZonePlanner(me, lease, part_.regions, part_.bears, self, self.noting)
+        self.zone_planner = ZonePlanner(member_id, lease, part_.regions, part_.bears, self, self.zone_health)
         self.on = part is not None
 
     def plan_by(self, part: ZonesConfig | None) -> None:
         """What the policy says of zones, from now on."""
         if part is not None:
-            self.planning.regions, self.planning.bears = dict(part.regions), dict(part.bears)
+            self.zone_planner.regions, self.zone_planner.bears = dict(part.regions), dict(part.bears)
         if self.on and part is None:
             self.shares({}, [])
         self.on = part is not None
@@ -56,40 +56,40 @@
 
     def began(self, exchange: Any, zone: str, now: float) -> None:
         if self.on:
-            self.noting.now = now
-            self.noting.began(exchange, zone)
+            self.zone_health.now = now
+            self.zone_health.began(exchange, zone)
 
     def ended(self, exchange: Any, fate: AttemptOutcome, now: float) -> None:
         if self.on:
-            self.noting.now = now
-            self.noting.ended(exchange, HOW.get(fate, "none"))
+            self.zone_health.now = now
+            self.zone_health.ended(exchange, HOW.get(fate, "none"))
 
     def recorded(self, records: StoreRecords, now: float) -> None:
         if self.on:
-            self.noting.now = now
-            self.planning.recorded(records)
+            self.zone_health.now = now
+            self.zone_planner.recorded(records)
 
     def due(self, now: float, leased: bool) -> Transaction | float:
         """What is to be written at the arbiter, or when to ask again."""
         if not self.on:
             return inf
-        self.noting.now = now
-        self.planning.hears(leased)
-        return self.planning.due()
+        self.zone_health.now = now
+        self.zone_planner.hears(leased)
+        return self.zone_planner.due()
 
     def told(self) -> dict[str, Any]:
         """For operators."""
-        planning = self.planning
+        zone_planner = self.zone_planner
         return {
-            "plan": msgspec.to_builtins(planning.plan),
-            "seen": msgspec.to_builtins(self.noting.look()) if self.on else {},
+            "plan": msgspec.to_builtins(zone_planner.plan),
+            "seen": msgspec.to_builtins(self.zone_health.look()) if self.on else {},
             "said": {
-                planning.records.members[member].name: msgspec.to_builtins(said.zones)
-                for member, said in planning.said.items()
-                if member in planning.records.members  # it may have gone since
+                zone_planner.records.members[member].name: msgspec.to_builtins(said.zones)
+                for member, said in zone_planner.said.items()
+                if member in zone_planner.records.members  # it may have gone since
             },
-            "most": planning.most,
-            "cut_off": planning.cut_off,
+            "most": zone_planner.most,
+            "cut_off": zone_planner.cut_off,
         }
 
     # The door.
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -15,8 +15,8 @@
 
 from ..decisions.config import RetrySafety
 from ..decisions.lease import HELD_UP, EndpointLease, LeaseState
-from .memory.out import DRAINING_STATE, EndpointOverrides
-from .memory.work import Exchange, PendingRequest
+from .state.overrides import DRAINING_STATE, EndpointOverrides
+from .state.requests import Exchange, PendingRequest
 
 
 class Refusal(enum.Enum):
--- /dev/null
+++ b/starlingwheel/net/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Gossip between sidecars over UDP."""
--- a/starlingwheel/net/wire/datagrams.py
+++ b/starlingwheel/net/gossip/socket.py
@@ -3,15 +3,12 @@
 from __future__ import annotations
 
 import socket
-from typing import TYPE_CHECKING
 
 from ..actor import Actor, Coroutine
+from ..address import split
+from ..context import SidecarContext
 from ..loop import READ
-from ..mail import GossipReceived
-from .address import split
-
-if TYPE_CHECKING:
-    from ..lifecycle.start import Node
+from ..messages import GossipReceived
 
 LONGEST = 256
 AT_ONCE = 64  # datagrams read in one turn; the others wait in the kernel's buffer, or are dropped there
@@ -20,32 +17,32 @@
 class GossipPeer(Actor):
     """One other sidecar: passes on what it says, as long as that can be what a sidecar says."""
 
-    lasting = True
+    daemon = True
 
-    def __init__(self, node: Node, number: int) -> None:
-        self.node, self.number = node, number
-        super().__init__(node.loop)
+    def __init__(self, context: SidecarContext, number: int) -> None:
+        self.context, self.number = context, number
+        super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         while True:
             body = yield None
             if 0 < len(body) <= LONGEST:
-                self.node.module.post(GossipReceived(self.number, body))
+                self.context.coordinator.post(GossipReceived(self.number, body))
 
 
 class GossipSocket(Actor):
-    lasting = True
+    daemon = True
 
-    def __init__(self, node: Node, sock: socket.socket) -> None:
-        self.node, self.sock = node, sock
+    def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
+        self.context, self.sock = context, sock
         self.peers: dict[tuple[str, int], GossipPeer] = {}
-        for number, address in enumerate(node.config.peers):
-            if number != node.terms.sidecar_index:
-                self.peers[split(address)] = GossipPeer(node, number)
-        self.all = split(node.config.peers_all) if node.config.peers_all else None
+        for number, address in enumerate(context.config.peers):
+            if number != context.balancer_config.sidecar_index:
+                self.peers[split(address)] = GossipPeer(context, number)
+        self.all = split(context.config.peers_all) if context.config.peers_all else None
         sock.setblocking(False)
-        node.loop.watch(sock.fileno(), self, READ)
-        super().__init__(node.loop)
+        context.loop.register(sock.fileno(), self, READ)
+        super().__init__(context.loop)
 
     def begin(self) -> None:
         for peer in self.peers.values():
@@ -56,7 +53,7 @@
         while True:
             yield None
             # Guards against a flood: what the decisions can't keep up with is left to the kernel to drop.
-            for _ in range(max(0, AT_ONCE - len(self.node.module.mailbox))):
+            for _ in range(max(0, AT_ONCE - len(self.context.coordinator.mailbox))):
                 try:
                     body, sender = self.sock.recvfrom(LONGEST + 1)
                 except OSError:
@@ -71,4 +68,4 @@
         try:
             self.sock.sendto(body, self.all)
         except OSError as error:
-            self.node.log("tell.failed", error=str(error))
+            self.context.log("tell.failed", error=str(error))
