--- a/starlingwheel/net/wire/client.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -6,30 +6,35 @@
 import re
 import socket
 from math import inf
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import h11
 
 from ...decisions.config import RetrySafety
 from ...decisions.model import Request
 from ..actor import Actor, Coroutine
-from ..loop import HANGUP, READ, WRITE, Ready
-from ..mail import CLOSE, STOP, ClientDisconnected, FinalResponse, RequestBodyComplete, RequestReceived, Stop
-from ..memory.buffers import (
+from ..context import SidecarContext
+from ..loop import HANGUP, READ, WRITE, SocketReady
+from ..messages import (
+    CLOSE,
+    STOP,
+    ClientDisconnected,
+    FinalResponse,
+    RequestBodyComplete,
+    RequestReceived,
+    Stop,
+)
+from ..state.body_stream import MAX_STREAMED_BODY, BodyStream
+from ..state.buffers import (
     BUFFER_SIZE,
     MAX_BUFFERED_BODY,
     MAX_REQUEST_BODY,
     BufferedBody,
     BuffersExhaustedError,
 )
-from ..memory.flow import MAX_STREAMED_BODY, BodyStream
-from ..memory.work import PendingRequest
-from .http import ConnectionLostError, Stream, two_lengths
-
-if TYPE_CHECKING:
-    from ..lifecycle.start import Node
+from ..state.requests import PendingRequest
+from .stream import ConnectionLostError, Stream, two_lengths
 
-BACKLOG = 512
 AT_ONCE = 64  # connections accepted in one turn
 QUIET = 2.0  # seconds after which a connection with no request open may be closed, as the protocol says
 PATIENT = 1.1  # times that, after which it is
@@ -62,36 +67,36 @@
 
 
 class ClientListener(Actor):
-    def __init__(self, node: Node, sock: socket.socket) -> None:
-        self.node, self.sock = node, sock
+    def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
+        self.context, self.sock = context, sock
         self.more = False  # some may wait still, though all that one turn may let in have been
-        super().__init__(node.loop)
+        super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         self.sock.setblocking(False)
-        self.loop.watch(self.sock.fileno(), self, READ)
-        mail = yield None
-        while not isinstance(mail, Stop):
+        self.loop.register(self.sock.fileno(), self, READ)
+        message = yield None
+        while not isinstance(message, Stop):
             # Guards against spinning on a full table of descriptors: one that ends makes room.
             if not self._accept():
-                self.loop.forget(self.sock.fileno())
-                mail = yield self.loop.now() + self.node.shortest / 64
-                self.loop.watch(self.sock.fileno(), self, READ)
+                self.loop.unregister(self.sock.fileno())
+                message = yield self.loop.now() + self.context.shortest_objective / 64
+                self.loop.register(self.sock.fileno(), self, READ)
             else:
-                mail = yield None
+                message = yield None
         # What waits at a socket that another process of this sidecar has too is left to that one.
         # Guards against resetting, with the socket, connections that wait behind those of one turn.
-        while not self.node.passed and (not self._accept() or self.more):
-            yield self.loop.now() + (0 if self.more else self.node.shortest / 64)
-        self.loop.forget(self.sock.fileno())
+        while not self.context.passed_socket and (not self._accept() or self.more):
+            yield self.loop.now() + (0 if self.more else self.context.shortest_objective / 64)
+        self.loop.unregister(self.sock.fileno())
         self.sock.close()
-        self.node.log("listener.closed")
+        self.context.log("listener.closed")
 
     def _accept(self) -> bool:
         """True when all that wait have been let in, or as many as one turn may (`more`)."""
         self.more = False
         for _ in range(AT_ONCE):
-            if self.node.ledger.closed:
+            if self.context.connections.closed:
                 # Guards against those that are of no use keeping the others waiting until their time is up.
                 self._make_room()
                 return False
@@ -101,22 +106,22 @@
                 return True
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    self.node.log("accept.failed", error=str(error))
+                    self.context.log("accept.failed", error=str(error))
                     return False
                 continue
-            expendable = self.node.ledger.client_to_close(self.loop.now() - PROMPT * QUIET)
-            ClientConnection(self.node, sock).begin()
+            expendable = self.context.connections.client_to_close(self.loop.now() - PROMPT * QUIET)
+            ClientConnection(self.context, sock).begin()
             if expendable:
                 # Guards against clients that use none of their connections shutting out others.
                 expendable.post(CLOSE)
-                if self.node.ledger.closed:
+                if self.context.connections.closed:
                     break  # its descriptor is free by the next turn
         self.more = True
         return True
 
     def _make_room(self) -> None:
         for _ in range(AT_ONCE // 4):
-            expendable = self.node.ledger.client_to_close(self.loop.now() - PROMPT * QUIET)
+            expendable = self.context.connections.client_to_close(self.loop.now() - PROMPT * QUIET)
             if expendable is None:
                 return
             expendable.post(CLOSE)
@@ -125,24 +130,24 @@
 class ClientConnection(Actor):
     """One connection of a client: one request after another, read, answered and written top to bottom."""
 
-    def __init__(self, node: Node, sock: socket.socket) -> None:
-        self.node = node
+    def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
+        self.context = context
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.stream = Stream(node.loop, self, sock, h11.SERVER, node.pool)
+        self.stream = Stream(context.loop, self, sock, h11.SERVER, context.buffer_pool)
         self.reason = ""
         self.served = 0
-        self.opened = self.quiet_since = node.loop.now()
+        self.opened = self.quiet_since = context.loop.now()
         self.begun: float | None = None  # when the first byte of the request in hand was read
         self.heard = self.opened  # when the last byte was read
         self.received, self.paused = 0, 0.0  # bytes of the body in hand; seconds for which it was not read
-        self.body = BufferedBody(node.pool)
+        self.body = BufferedBody(context.buffer_pool)
         self.flow: BodyStream | None = None  # what takes the place of the body if that is too long to keep
         self.pending: PendingRequest | None = None
         self.closing = ""  # why it ends once it is idle
-        node.ledger.clients[self] = None
-        node.ledger.unheard[self] = None
-        node.ledger.note()
-        super().__init__(node.loop)
+        context.connections.clients[self] = None
+        context.connections.unheard[self] = None
+        context.connections.note()
+        super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         try:
@@ -163,7 +168,7 @@
             if request is None:
                 return
             if request.target == b"/ready":
-                status = 200 if self.node.ready else 503
+                status = 200 if self.context.ready else 503
             else:
                 pending = self._take(request)
                 if self.has_left():
@@ -175,10 +180,10 @@
                 status = final.status
         except InvalidRequestError as unfit:
             status = unfit.status
-            self.node.log("request.unfit", status=status, reason=unfit.reason)
+            self.context.log("request.unfit", status=status, reason=unfit.reason)
         except BuffersExhaustedError:
             status = 503
-            self.node.log("request.unfit", status=status, reason="no-buffers")
+            self.context.log("request.unfit", status=status, reason="no-buffers")
         finally:
             self.body.release()
             if self.flow is not None:
@@ -187,7 +192,7 @@
                     # Guards against buffers lost with a long request that is not taken up.
                     self.flow.release()
                 self.flow = None
-            self.node.ledger.whole(self)
+            self.context.connections.whole(self)
         # Guards against one that asks again at full speed what is turned away each time.
         yield from self._write(status, final, last=final is None and status != 200)
         self.served += 1
@@ -202,7 +207,7 @@
         self.begun = self.loop.now() if self.stream.http.trailing_data[0] else None
         self.stream.want(READ)
         if self.begun is None and self.served:
-            self.node.ledger.idle_clients[self] = None
+            self.context.connections.idle_clients[self] = None
         while True:
             try:
                 event = self.stream.event()
@@ -210,13 +215,13 @@
                 raise InvalidRequestError(400, str(lost)) from lost
             if isinstance(event, h11.Request):
                 request, length = event, self._framed(event)
-                self.stream.at_once = len(self.node.pool.scratch)
+                self.stream.at_once = len(self.context.buffer_pool.scratch)
             elif isinstance(event, h11.Data):
                 self._count(event.data)
                 # Guards against megabytes being on their way only after their last byte has come.
                 if self.received > MAX_BUFFERED_BODY:
-                    self.flow = BodyStream(self.node.pool, self, length, self.body)
-                    self.body = BufferedBody(self.node.pool)
+                    self.flow = BodyStream(self.context.buffer_pool, self, length, self.body)
+                    self.body = BufferedBody(self.context.buffer_pool)
                     self.flow.add(event.data)
                     return request
                 self.body.add(event.data)
@@ -236,17 +241,17 @@
             if self.closing and self.begun is None and self.stream.silent():
                 self.reason = self.closing
                 return True
-            mail = yield self._until()
-            if mail is None and self.begun is None:
+            message = yield self._until()
+            if message is None and self.begun is None:
                 self.closing = self.closing or "idle"
                 continue
-            if mail is None:
+            if message is None:
                 # Guards against half a request, then silence.
                 raise InvalidRequestError(408, "half a request")
-            if mail is CLOSE and not self.served and self.begun is not None and self.stream.silent():
+            if message is CLOSE and not self.served and self.begun is not None and self.stream.silent():
                 raise ConnectionLostError("not-needed")
-            if mail is STOP or mail is CLOSE:
-                self.closing = "stopping" if mail is STOP else self.closing or "not-needed"
+            if message is STOP or message is CLOSE:
+                self.closing = "stopping" if message is STOP else self.closing or "not-needed"
                 continue
             try:
                 count = self.stream.read()
@@ -259,10 +264,10 @@
             if count:
                 self.heard = self.loop.now()
                 if not self.served:
-                    self.node.ledger.heard(self)
+                    self.context.connections.heard(self)
             if self.begun is None and count:
                 self.begun = self.heard
-                self.node.ledger.idle_clients.pop(self, None)
+                self.context.connections.idle_clients.pop(self, None)
             if count == 0 and self.begun is not None:
                 self.reason = "client-left"
                 return True
@@ -281,7 +286,11 @@
             raise InvalidRequestError(413, "body too long")
 
     def _longest(self) -> int:
-        return MAX_STREAMED_BODY if self.node.terms.streams_per_connection == 1 else MAX_REQUEST_BODY
+        return (
+            MAX_STREAMED_BODY
+            if self.context.balancer_config.streams_per_connection == 1
+            else MAX_REQUEST_BODY
+        )
 
     def _framed(self, request: h11.Request) -> int | None:
         """The length that a request says its body has.
@@ -307,7 +316,7 @@
         if not trace:
             raise InvalidRequestError(400, "x-trace-id is missing")
         named = headers.get(b"x-qos", b"").decode("latin-1")
-        category = self.node.category(named, effect_told(request.method, headers))
+        category = self.context.request_class_for(named, effect_told(request.method, headers))
         if category is None:
             raise InvalidRequestError(404, "unknown category")
         target = ABSOLUTE.sub(b"", request.target)
@@ -317,7 +326,7 @@
             raise InvalidRequestError(405, "the method does not fit the category")
         if category.retry_safety is RetrySafety.IDEMPOTENT_WITH_KEY and not headers.get(b"idempotency-key"):
             raise InvalidRequestError(400, "idempotency-key is missing")
-        if trace in self.node.in_hand:
+        if trace in self.context.active_traces:
             raise InvalidRequestError(409, "x-trace-id is in hand")
         told = headers.get(b"x-expires-in-ms", b"")
         if not told.isdigit() or len(told) > LONGEST_NUMBER:
@@ -325,7 +334,7 @@
         patience = int(told) / 1000
         if patience <= 0:
             raise InvalidRequestError(408, "expired when it came")
-        if len(self.node.in_hand) >= self.node.ledger.most_requests:
+        if len(self.context.active_traces) >= self.context.connections.most_requests:
             # Guards against clients taking the descriptors that their own work needs.
             raise InvalidRequestError(503, "too many connections")
         balanced_request = Request(
@@ -333,7 +342,7 @@
             arrived_at=inf if self.flow is not None else self.heard,
             # Guards against work kept for ever for a client that says it waits so long.
             time_left=min(patience, category.timeout),
-            tenant=self.node.customers.get(headers.get(b"x-customer", b"").decode("latin-1")),
+            tenant=self.context.tenants.get(headers.get(b"x-customer", b"").decode("latin-1")),
             is_retry=headers.get(b"x-second-try") == b"1",
         )
         pending = PendingRequest(
@@ -346,7 +355,7 @@
             trace=trace,
         )
         if self.flow is None:
-            self.body = BufferedBody(self.node.pool)  # the one before is the job's from now on
+            self.body = BufferedBody(self.context.buffer_pool)  # the one before is the job's from now on
         return pending
 
     # Answering.
@@ -354,23 +363,23 @@
     def _in_hand(self, pending: PendingRequest, flow: BodyStream | None) -> Coroutine[FinalResponse]:
         """Wait for the final answer; what comes behind the request waits in the kernel's buffer."""
         self.pending = pending
-        self.node.in_hand.add(pending.trace)
-        self.node.ledger.whole(self)
+        self.context.active_traces.add(pending.trace)
+        self.context.connections.whole(self)
         try:
-            self.node.module.post(RequestReceived(pending))
+            self.context.coordinator.post(RequestReceived(pending))
             if flow is not None and (final := (yield from self._pass_on(pending, flow))) is not None:
                 self.pending = None
                 return final
             self.stream.want(HANGUP)
             while True:
-                mail = yield None
-                if isinstance(mail, FinalResponse):
+                message = yield None
+                if isinstance(message, FinalResponse):
                     self.pending = None
-                    return mail
-                if isinstance(mail, Ready) and mail.hung_up:
+                    return message
+                if isinstance(message, SocketReady) and message.hung_up:
                     raise ConnectionLostError("client-left")
         finally:
-            self.node.in_hand.discard(pending.trace)
+            self.context.active_traces.discard(pending.trace)
 
     def _pass_on(self, pending: PendingRequest, flow: BodyStream) -> Coroutine[FinalResponse | None]:
         """Read the rest of a body while it is handed off; a final answer may come before its end."""
@@ -388,20 +397,20 @@
                 )
             if isinstance(event, h11.EndOfMessage):
                 flow.end()
-                self.node.module.post(RequestBodyComplete(pending))
+                self.context.coordinator.post(RequestBodyComplete(pending))
                 return None
             if isinstance(event, h11.ConnectionClosed):
                 raise ConnectionLostError("client-left")
-            mail = yield from self._room(flow)
-            if isinstance(mail, FinalResponse):
-                return mail
-            if isinstance(mail, Ready):
-                if mail.hung_up:
+            message = yield from self._room(flow)
+            if isinstance(message, FinalResponse):
+                return message
+            if isinstance(message, SocketReady):
+                if message.hung_up:
                     # Guards against sending on what it had written before it left.
                     raise ConnectionLostError("client-left")
                 if self.stream.read():
                     self.heard = self.loop.now()
-            elif mail is None and self.loop.now() >= self._until():
+            elif message is None and self.loop.now() >= self._until():
                 self._give_up(pending)
                 raise InvalidRequestError(408, "half a request")
 
@@ -410,17 +419,17 @@
         while not flow.room():
             since = self.loop.now()
             self.stream.want(HANGUP)
-            mail = yield None if flow.full else since + self.node.shortest / 64
+            message = yield None if flow.full else since + self.context.shortest_objective / 64
             self.paused += self.loop.now() - since
-            if isinstance(mail, FinalResponse | Ready):
-                return mail
+            if isinstance(message, FinalResponse | SocketReady):
+                return message
         self.stream.want(READ)
         return (yield self._until())
 
     def _give_up(self, pending: PendingRequest) -> None:
         """The rest of its body can't be had."""
         self.pending = None
-        self.node.module.post(ClientDisconnected(pending))
+        self.context.coordinator.post(ClientDisconnected(pending))
 
     def _write(self, status: int, final: FinalResponse | None, last: bool) -> Coroutine[None]:
         answer = final.response if final else None
@@ -434,8 +443,10 @@
         if final and final.retry_after > 0:
             headers.append((b"Retry-After", f"{final.retry_after:.3f}".encode()))
         unread = self.stream.http.their_state is not h11.DONE
-        node = self.node
-        last = last or unread or node.stopping or node.lameduck or self.closing or node.ledger.full
+        context = self.context
+        last = (
+            last or unread or context.stopping or context.draining or self.closing or context.connections.full
+        )
         if last:
             headers.append((b"Connection", b"close"))
         try:
@@ -451,7 +462,7 @@
                 answer.body.release()
         if last or self.stream.http.our_state is not h11.DONE:
             self.reason = "told-to-close" if final or status == 200 else f"answered-{status}"
-            self.node.ledger.leaving[self] = None
+            self.context.connections.leaving[self] = None
             yield from self.stream.finish(self.loop.now() + QUIET / 4, READ_AWAY)
         else:
             self.stream.http.start_next_cycle()
@@ -476,28 +487,28 @@
                 raise ConnectionLostError("upstream-broke")
             else:
                 self.stream.want(HANGUP)
-                if isinstance(mail := (yield None), Ready) and mail.hung_up:
+                if isinstance(message := (yield None), SocketReady) and message.hung_up:
                     raise ConnectionLostError("client-left")
 
     def _written(self) -> Coroutine[None]:
         until = self.loop.now() + STALL
         while not self.stream.write():
             self.stream.want(WRITE)
-            mail = yield until
-            if mail is None and self.loop.now() >= until:
+            message = yield until
+            if message is None and self.loop.now() >= until:
                 raise ConnectionLostError("slow-reader")
-            if isinstance(mail, Ready):
+            if isinstance(message, SocketReady):
                 until = self.loop.now() + STALL  # it has taken some
 
     # The end.
 
     def _close(self) -> None:
         if self.pending is not None:
-            self.node.module.post(ClientDisconnected(self.pending))
+            self.context.coordinator.post(ClientDisconnected(self.pending))
         self.body.release()
         self.stream.close()
-        self.node.ledger.forget_client(self)
-        self.node.log("client.end", reason=self.reason or "defect", served=self.served)
+        self.context.connections.forget_client(self)
+        self.context.log("client.end", reason=self.reason or "defect", served=self.served)
 
     def has_left(self) -> bool:
         """Its end has come, also one that it has not been resumed with yet.
@@ -506,10 +517,10 @@
         """
         return (
             self.ended
-            or any(isinstance(mail, Ready) and mail.hung_up for mail in self.mailbox)
+            or any(isinstance(message, SocketReady) and message.hung_up for message in self.mailbox)
             or self.stream.ended()
         )
 
-    def undelivered(self, mail: Any) -> None:
-        if isinstance(mail, FinalResponse) and mail.response:
-            mail.response.body.release()
+    def undelivered(self, message: Any) -> None:
+        if isinstance(message, FinalResponse) and message.response:
+            message.response.body.release()
--- a/starlingwheel/net/wire/streams.py
+++ b/starlingwheel/net/http/http2.py
@@ -20,16 +20,16 @@
 
 from ...decisions.model import AttemptOutcome
 from ..actor import Actor, Coroutine
-from ..loop import READ, WRITE, Ready
-from ..mail import CLOSE, CancelExchange, ConnectionClosed, ExchangeEnded, StartExchange
-from ..memory.buffers import BufferedBody, BuffersExhaustedError
-from ..memory.work import Exchange, UpstreamResponse
-from .http import ConnectionLostError, Stream, connect
-from .upstream import EARLY, UP, fate_of, request_of, told_load
+from ..context import SidecarContext
+from ..loop import READ, WRITE, SocketReady
+from ..messages import CLOSE, CancelExchange, ConnectionClosed, ExchangeEnded, StartExchange
+from ..state.buffers import BufferedBody, BuffersExhaustedError
+from ..state.requests import Exchange, UpstreamResponse
+from .pool import EARLY, UP, fate_of, request_of, told_load
+from .stream import ConnectionLostError, Stream, connect
 
 if TYPE_CHECKING:
-    from ..lifecycle.start import Node
-    from .upstream import ConnectionPool
+    from .pool import ConnectionPool
 
 SETTINGS_FRAME = b"\x04"  # the type that the first frame has
 NO_STATUS = 1  # for one that is no number; read as an error that may have run
@@ -51,8 +51,8 @@
 class Http2Connection(Actor):
     """One connection from its first errand to its end. A defect or a break ends every errand on it."""
 
-    def __init__(self, node: Node, upstream: ConnectionPool, exchange: Exchange) -> None:
-        self.node, self.upstream = node, upstream
+    def __init__(self, context: SidecarContext, upstream: ConnectionPool, exchange: Exchange) -> None:
+        self.context, self.upstream = context, upstream
         self.waiting: dict[Exchange, None] = {exchange: None}  # until it is up and can be written to
         self.streams: dict[int, StreamExchange] = {}
         self.up = self.leaving = False
@@ -62,13 +62,13 @@
         self.entry = upstream.entry  # as it was when this connection was begun
         self.first = b""
         self.carried = 0
-        node.ledger.upstream[self] = None
-        node.ledger.note()
-        super().__init__(node.loop)
+        context.connections.upstream[self] = None
+        context.connections.note()
+        super().__init__(context.loop)
 
     def takes(self) -> bool:
         """Another errand may be given to it."""
-        most = self.node.terms.streams_per_connection
+        most = self.context.balancer_config.streams_per_connection
         if self.up:
             most = min(most, self.http.remote_settings.max_concurrent_streams)
         return not self.ended and not self.leaving and len(self.streams) + len(self.waiting) < most
@@ -88,19 +88,21 @@
 
     def _connect(self) -> Coroutine[None]:
         sock = connect(self.entry.addr)
-        self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.node.pool)
+        self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
         self.stream.want(WRITE)
-        until = self.loop.now() + min(self.node.terms.connect_timeout, UP * self.node.shortest)
+        until = self.loop.now() + min(
+            self.context.balancer_config.connect_timeout, UP * self.context.shortest_objective
+        )
         while True:
             self._overdue()
             if not self.waiting:
                 raise ConnectionLostError("not-needed")
-            mail = yield min(until, self._next_due())
-            if isinstance(mail, Ready):
+            message = yield min(until, self._next_due())
+            if isinstance(message, SocketReady):
                 break
-            if mail is None and self.loop.now() >= until:
+            if message is None and self.loop.now() >= until:
                 raise ConnectionLostError("never-came-up")
-            self._take(mail)
+            self._take(message)
         self.stream.came_up()
         self.up = True
         self.idle_since = self.loop.now()
@@ -121,12 +123,12 @@
         self.stream.want(READ if written else READ | WRITE)
         if self.leaving and not self.streams:
             raise ConnectionLostError("upstream-closes")
-        idle = inf if self.streams else self.idle_since + EARLY * self.node.terms.idle_timeout
-        mail = yield min(idle, self._next_due())
-        if isinstance(mail, Ready):
+        idle = inf if self.streams else self.idle_since + EARLY * self.context.balancer_config.idle_timeout
+        message = yield min(idle, self._next_due())
+        if isinstance(message, SocketReady):
             self._read()
         else:
-            self._take(mail)
+            self._take(message)
         self._overdue()
         if not self.streams and self.loop.now() >= idle:
             raise ConnectionLostError("idle")
@@ -137,15 +139,15 @@
             self.stream.unwritten.append(data)
         return self.stream.write()
 
-    def _take(self, mail: Any) -> None:
-        match mail:
+    def _take(self, message: Any) -> None:
+        match message:
             case StartExchange(exchange) if not self.up or self.stream.unwritten:
                 self.waiting[exchange] = None
             case StartExchange(exchange):
                 self._begin(exchange)
             case CancelExchange(exchange):
                 self._give_up(exchange, AttemptOutcome.CANCELLED)
-            case _ if mail is CLOSE:
+            case _ if message is CLOSE:
                 # What is out is still waited for; an idle one ends at once.
                 self.leaving = True
 
@@ -176,14 +178,14 @@
         if (
             self.leaving
             or not self.http.open_outbound_streams < self.http.remote_settings.max_concurrent_streams
-            or self.node.gate.refusal(self.entry, exchange)
+            or self.context.gate.refusal(self.entry, exchange)
         ):
             self._settle(exchange, AttemptOutcome.NOT_SENT)
             return
         self.upstream.note_begun(exchange, self.loop.now())
         try:
             number = self.http.get_next_available_stream_id()
-            method, target, headers = request_of(exchange, self.node, self.loop.now())
+            method, target, headers = request_of(exchange, self.context, self.loop.now())
             authority = next((value for name, value in headers if name.lower() == b"host"), b"")
             pseudo = [
                 (b":method", method),
@@ -192,7 +194,7 @@
                 (b":path", target),
             ]
             rest = [(name.lower(), value) for name, value in headers if name.lower() != b"host"]
-            stream_exchange = StreamExchange(exchange, number, BufferedBody(self.node.pool))
+            stream_exchange = StreamExchange(exchange, number, BufferedBody(self.context.buffer_pool))
             self.http.send_headers(number, [*pseudo, *rest], end_stream=not stream_exchange.unsent)
         except h2.exceptions.ProtocolError:
             # Guards against one request that h2 won't send, or stream numbers used up, ending the others.
@@ -200,7 +202,7 @@
             self._settle(exchange, AttemptOutcome.NOT_SENT)
             return
         self.streams[number] = stream_exchange
-        self.node.ledger.idle.pop(self, None)
+        self.context.connections.idle.pop(self, None)
         exchange.written = True
         self.carried += 1
         self._send(stream_exchange)
@@ -219,14 +221,14 @@
 
     def _read(self) -> None:
         try:
-            count = self.stream.sock.recv_into(self.node.pool.scratch)
+            count = self.stream.sock.recv_into(self.context.buffer_pool.scratch)
         except BlockingIOError:
             return
         except OSError as error:
             raise ConnectionLostError("reset") from error
         if not count:
             raise ConnectionLostError("upstream-closed")
-        data = bytes(memoryview(self.node.pool.scratch)[:count])
+        data = bytes(memoryview(self.context.buffer_pool.scratch)[:count])
         if len(self.first) < 4:
             self.first += data[:4]
             if self.first[3:4] not in (b"", SETTINGS_FRAME):
@@ -243,7 +245,7 @@
         match event:
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
                 for stream_exchange in [e for e in self.streams.values() if e.unsent]:
-                    if self.node.gate.unwanted(stream_exchange.exchange):
+                    if self.context.gate.unwanted(stream_exchange.exchange):
                         # Guards against sending on for a client that has left, where no `Drop` may come.
                         self._give_up(stream_exchange.exchange, AttemptOutcome.CANCELLED)
                     else:
@@ -266,7 +268,7 @@
                 stream_exchange.headers = [(n, v) for n, v in event.headers if not n.startswith(b":")]
             case h2.events.DataReceived():
                 try:
-                    if stream_exchange.body.length + len(event.data) > self.node.pool.large:
+                    if stream_exchange.body.length + len(event.data) > self.context.buffer_pool.large:
                         raise BuffersExhaustedError
                     stream_exchange.body.add(event.data)
                 except BuffersExhaustedError:
@@ -285,7 +287,7 @@
         self.idle_since = self.loop.now()
         if not self.streams and not self.leaving:
             # Where descriptors run short, one that carries nothing makes room.
-            self.node.ledger.idle[self] = None
+            self.context.connections.idle[self] = None
         report = (
             told_load(stream_exchange.headers, stream_exchange.exchange, stream_exchange.body)
             if stream_exchange.status
@@ -305,7 +307,7 @@
         report: dict[str, float] | None = None,
         answer: UpstreamResponse | None = None,
     ) -> None:
-        self.node.module.post(ExchangeEnded(exchange, fate, report or {}, answer))
+        self.context.coordinator.post(ExchangeEnded(exchange, fate, report or {}, answer))
 
     def _close(self, reason: str) -> None:
         for stream_exchange in list(self.streams.values()):
@@ -315,13 +317,13 @@
         self.waiting.clear()
         if self.stream is not None:
             self.stream.close()
-        self.node.ledger.upstream.pop(self, None)
-        self.node.ledger.idle.pop(self, None)
+        self.context.connections.upstream.pop(self, None)
+        self.context.connections.idle.pop(self, None)
         self.upstream.post(ConnectionClosed(self))
         name = self.upstream.entry.id
-        self.node.log("upstream.end", reason=reason, upstream=name, carried=self.carried)
+        self.context.log("upstream.end", reason=reason, upstream=name, carried=self.carried)
 
-    def undelivered(self, mail: Any) -> None:
+    def undelivered(self, message: Any) -> None:
         # Guards against an errand lost because the connection ended before it got there; it was not begun.
-        if isinstance(mail, StartExchange):
-            self._settle(mail.exchange, AttemptOutcome.NOT_SENT)
+        if isinstance(message, StartExchange):
+            self._settle(message.exchange, AttemptOutcome.NOT_SENT)
--- a/starlingwheel/net/wire/upstream.py
+++ b/starlingwheel/net/http/pool.py
@@ -8,16 +8,17 @@
 
 import re
 from math import inf
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import h11
 
 from ...decisions.model import AttemptOutcome
 from ...settings import REPORTED, SCALE
 from ..actor import Actor, Coroutine
+from ..context import SidecarContext
 from ..gate import Refusal
-from ..loop import INPUT, READ, WRITE, Ready
-from ..mail import (
+from ..loop import INPUT, READ, WRITE, SocketReady
+from ..messages import (
     CLOSE,
     CancelExchange,
     ConnectionClosed,
@@ -26,13 +27,10 @@
     ExchangeEnded,
     StartExchange,
 )
-from ..memory.buffers import MAX_BUFFERED_BODY, BufferedBody, BuffersExhaustedError
-from ..memory.flow import MAX_STREAMED_BODY, BodyStream
-from ..memory.work import Exchange, UpstreamResponse
-from .http import ConnectionLostError, Stream, connect
-
-if TYPE_CHECKING:
-    from ..lifecycle.start import Node
+from ..state.body_stream import MAX_STREAMED_BODY, BodyStream
+from ..state.buffers import MAX_BUFFERED_BODY, BufferedBody, BuffersExhaustedError
+from ..state.requests import Exchange, UpstreamResponse
+from .stream import ConnectionLostError, Stream, connect
 
 EARLY = 0.8  # part of the time after which an upstream closes an idle connection, at which we do
 UP = 1 / 4  # part of the shortest due time within which a connection comes up, or is given up
@@ -85,11 +83,13 @@
     return int(lengths[0]) if lengths else None
 
 
-def request_of(exchange: Exchange, node: Node, now: float) -> tuple[bytes, bytes, list[tuple[bytes, bytes]]]:
+def request_of(
+    exchange: Exchange, context: SidecarContext, now: float
+) -> tuple[bytes, bytes, list[tuple[bytes, bytes]]]:
     """Method, target and headers of what an errand sends; the framing is the protocol's."""
     host = (b"Host", b"backend.local")
     if exchange.pending is None:
-        return b"GET", b"/status/load" if node.terms.load_reported else b"/health", [host]
+        return b"GET", b"/status/load" if context.balancer_config.load_reported else b"/health", [host]
     pending = exchange.pending
     kept = [(name, value) for name, value in pending.headers if name.lower() not in HOP_BY_HOP]
     host = next(((name, value) for name, value in pending.headers if name.lower() == b"host"), host)
@@ -128,14 +128,14 @@
 class ConnectionPool(Actor):
     """Gives errands to its connections: of those that have rested the one used last, else a new one."""
 
-    lasting = True
+    daemon = True
 
-    def __init__(self, node: Node, entry: Any) -> None:
-        self.node, self.entry = node, entry
+    def __init__(self, context: SidecarContext, entry: Any) -> None:
+        self.context, self.entry = context, entry
         self.idle: list[Http1Connection] = []
         self.shared: list[Any] = []  # connections that carry many at once, where the settings say so
         self.last_begun_at, self.last_trace = 0.0, b""  # of the last attempt begun here; 0: none
-        super().__init__(node.loop)
+        super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         while True:
@@ -145,21 +145,21 @@
                         self._carry(exchange)
                     except Exception:
                         # Guards against a hand-off that never ends: its upstream would seem silent for good.
-                        self.node.module.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
+                        self.context.coordinator.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
                         raise
                 case CancelExchange(exchange) as drop:
                     if exchange.connection:
                         exchange.connection.post(drop)
                 case ConnectionIdle(connection):
                     self.idle.append(connection)
-                    self.node.ledger.idle[connection] = None
+                    self.context.connections.idle[connection] = None
                 case ConnectionClosed(connection):
                     self._no_longer_idle(connection)
                 case EndpointMoved(entry):
                     self._moved(entry)
 
     def _no_longer_idle(self, connection: Http1Connection) -> None:
-        self.node.ledger.idle.pop(connection, None)
+        self.context.connections.idle.pop(connection, None)
         for held in (self.idle, self.shared):
             if connection in held:
                 held.remove(connection)
@@ -180,7 +180,7 @@
 
     def _log_moved(self, entry: Any) -> None:
         """What was begun here last, and when: shows whether anything was begun after the notice."""
-        self.node.log(
+        self.context.log(
             "upstream.moved",
             upstream=self.entry.id,
             state=entry.state if entry is not None else "left",
@@ -194,21 +194,21 @@
                 exchange.connection = connection
                 connection.post(StartExchange(exchange))
                 return
-        room = self.node.ledger.room_for_upstream()
+        room = self.context.connections.room_for_upstream()
         # Guards against a second answer that comes late being taken for that of the next request.
         if connection := self.rested() or (None if room else self._longest_idle()):
             exchange.connection = connection
             connection.post(StartExchange(exchange))
             return
         if not room:
-            longest_idle = self.node.ledger.longest_idle()
+            longest_idle = self.context.connections.longest_idle()
             if longest_idle is None:
-                self.node.module.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
+                self.context.coordinator.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
                 return
             longest_idle.upstream._no_longer_idle(longest_idle)
             longest_idle.post(CLOSE)
-        exchange.connection = self.node.connection(self.node, self, exchange)
-        if self.node.terms.streams_per_connection > 1:
+        exchange.connection = self.context.connection_type(self.context, self, exchange)
+        if self.context.balancer_config.streams_per_connection > 1:
             self.shared.append(exchange.connection)
         exchange.connection.begin()
 
@@ -237,22 +237,22 @@
 class Http1Connection(Actor):
     """One connection to an upstream, from its first errand to its end."""
 
-    def __init__(self, node: Node, upstream: ConnectionPool, exchange: Exchange) -> None:
-        self.node, self.upstream = node, upstream
+    def __init__(self, context: SidecarContext, upstream: ConnectionPool, exchange: Exchange) -> None:
+        self.context, self.upstream = context, upstream
         self.exchange: Exchange | None = exchange
         self.stream: Stream | None = None
-        self.body = BufferedBody(node.pool)
+        self.body = BufferedBody(context.buffer_pool)
         self.reason = ""
         self.carried = 0
         self.idle_since = self.written_at = 0.0  # nothing: not yet
         self.asked = False  # its last errand was a question
         self.entry = upstream.entry  # as it was when this connection was begun
-        node.ledger.upstream[self] = None
-        node.ledger.note()
-        super().__init__(node.loop)
+        context.connections.upstream[self] = None
+        context.connections.note()
+        super().__init__(context.loop)
 
     def usable(self) -> bool:
-        fresh = self.loop.now() < self.idle_since + EARLY * self.node.terms.idle_timeout
+        fresh = self.loop.now() < self.idle_since + EARLY * self.context.balancer_config.idle_timeout
         return fresh and not self.ended and self.stream.silent()
 
     def rested(self) -> bool:
@@ -262,8 +262,8 @@
         connection for each costs upstreams work.
         """
         now = self.loop.now()
-        quiet = self.asked and now >= self.node.unasked_until
-        return not self.carried or quiet or now >= self.idle_since + RESTED * self.node.shortest
+        quiet = self.asked and now >= self.context.unsolicited_until
+        return not self.carried or quiet or now >= self.idle_since + RESTED * self.context.shortest_objective
 
     def run(self) -> Coroutine[None]:
         try:
@@ -297,8 +297,8 @@
         written = self.exchange is not None and self.exchange.written
         if self.exchange is not None and reason in ("reset", "cut-short"):
             now = self.loop.now()
-            if not written or now < self.written_at + HELD * self.node.shortest:
-                self.node.resets_until = now + WARY * self.node.longest
+            if not written or now < self.written_at + HELD * self.context.shortest_objective:
+                self.context.resets_expected_until = now + WARY * self.context.longest_timeout
         if self.exchange is not None and not written and self.idle_since:
             # The connection was old, which says nothing of the upstream.
             return AttemptOutcome.NOT_SENT
@@ -310,31 +310,33 @@
             return AttemptOutcome.REJECTED
         return AttemptOutcome.RESET if written else AttemptOutcome.CONNECT_FAILED
 
-    def _await(self, until: float, late: str, hold: float = inf) -> Coroutine[Ready | None]:
+    def _await(self, until: float, late: str, hold: float = inf) -> Coroutine[SocketReady | None]:
         """The next word of the socket, unless the errand is given up before; None: `hold` has come."""
         while True:
-            mail = yield min(until, hold)
-            if mail is None and hold < until:
+            message = yield min(until, hold)
+            if message is None and hold < until:
                 return None
-            if mail is None:
+            if message is None:
                 raise ConnectionLostError(late)
-            if isinstance(mail, Ready):
-                return mail
-            if isinstance(mail, CancelExchange) and mail.exchange is self.exchange:
+            if isinstance(message, SocketReady):
+                return message
+            if isinstance(message, CancelExchange) and message.exchange is self.exchange:
                 raise ConnectionLostError("dropped")
 
     def _connect(self) -> Coroutine[None]:
         sock = connect(self.entry.addr)
-        self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.node.pool)
+        self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
         self.stream.want(WRITE)
         # Guards against a connection that never comes up: a machine that vanished says nothing. What waits
         # has not run, so it is given up while there is time for another upstream.
-        within = self.loop.now() + min(self.node.terms.connect_timeout, UP * self.node.shortest)
+        within = self.loop.now() + min(
+            self.context.balancer_config.connect_timeout, UP * self.context.shortest_objective
+        )
         up = None
         while up is None:
             exchange = self.exchange
             until = within if exchange is None else min(within, exchange.deadline)
-            look = inf if exchange is None else self.loop.now() + RESTED * self.node.shortest
+            look = inf if exchange is None else self.loop.now() + RESTED * self.context.shortest_objective
             up = yield from self._await(until, "never-came-up", look)
             if up is None and (kept := self.upstream.rested()):
                 # Guards against waiting for one that comes up late where another has rested meanwhile.
@@ -351,7 +353,7 @@
         if self.idle_since:
             # Guards against what came behind the last answer being taken for the next one.
             self._nothing_came()
-        if why := self.node.gate.refusal(self.entry, exchange):
+        if why := self.context.gate.refusal(self.entry, exchange):
             if why is Refusal.MOVED:
                 raise ConnectionLostError(why.value)
             return AttemptOutcome.NOT_SENT, {}, None
@@ -359,7 +361,7 @@
         self._put(exchange)
         if exchange.flow is not None:
             yield from self._pass_request(exchange, exchange.flow)
-        elif exchange.non_idempotent and self.loop.now() < self.node.resets_until:
+        elif exchange.non_idempotent and self.loop.now() < self.context.resets_expected_until:
             yield from self._hold_back(exchange)
         yield from self._write(exchange)
         exchange.written, self.written_at = True, self.loop.now()
@@ -381,7 +383,7 @@
         if self.exchange is None:
             return fate, report, None  # it has been passed on
         if fate is AttemptOutcome.SUCCESS and exchange.pending is not None:
-            body, self.body = self.body, BufferedBody(self.node.pool)
+            body, self.body = self.body, BufferedBody(self.context.buffer_pool)
             return fate, report, UpstreamResponse(body, headers.get(b"content-type", b""))
         self.body.release()
         return fate, report, None
@@ -391,12 +393,14 @@
 
         Only while such come: a connection that has not rested is used where there is no room for another.
         """
-        until = min(self.idle_since + RESTED * self.node.shortest, self.node.unasked_until)
+        until = min(
+            self.idle_since + RESTED * self.context.shortest_objective, self.context.unsolicited_until
+        )
         while self.loop.now() < until:
-            mail = yield until
-            if isinstance(mail, Ready):
+            message = yield until
+            if isinstance(message, SocketReady):
                 self._nothing_came()
-            if isinstance(mail, CancelExchange) and mail.exchange is exchange:
+            if isinstance(message, CancelExchange) and message.exchange is exchange:
                 raise ConnectionLostError("dropped")
 
     def _nothing_came(self) -> None:
@@ -406,7 +410,7 @@
 
     def _unasked(self) -> str:
         """Bytes came that nobody had asked for: it may happen again, here or at another upstream."""
-        self.node.unasked_until = self.loop.now() + WARY * self.node.longest
+        self.context.unsolicited_until = self.loop.now() + WARY * self.context.longest_timeout
         return "unasked-bytes"
 
     def _pass_request(self, exchange: Exchange, flow: BodyStream) -> Coroutine[None]:
@@ -419,12 +423,12 @@
             part = flow.take()
             if not part.length:
                 self.stream.want(READ)
-                mail = yield exchange.deadline
-                if mail is None and self.loop.now() >= exchange.deadline:
+                message = yield exchange.deadline
+                if message is None and self.loop.now() >= exchange.deadline:
                     raise ConnectionLostError("overdue")
-                if isinstance(mail, Ready):
-                    self._not_answered_early(mail)
-                if isinstance(mail, CancelExchange) and mail.exchange is exchange:
+                if isinstance(message, SocketReady):
+                    self._not_answered_early(message)
+                if isinstance(message, CancelExchange) and message.exchange is exchange:
                     raise ConnectionLostError("dropped")
                 continue
             # What has been taken is gone: this hand-off is the only one that there will be.
@@ -445,7 +449,7 @@
         exchange.written = True
         self.stream.put(h11.EndOfMessage())
 
-    def _not_answered_early(self, ready: Ready) -> None:
+    def _not_answered_early(self, ready: SocketReady) -> None:
         """Guards against sending megabytes to one that has turned them down already."""
         if ready.mask & INPUT and not self.exchange.written:
             raise ConnectionLostError("reset" if ready.hung_up else "answered-early")
@@ -459,12 +463,12 @@
         last = self.stream.keep_last()
         yield from self._write(exchange)
         self.stream.want(READ)
-        until = self.loop.now() + HELD * self.node.shortest
+        until = self.loop.now() + HELD * self.context.shortest_objective
         while self.loop.now() < until:
-            mail = yield min(until, exchange.deadline)
-            if isinstance(mail, Ready):
-                self._still_unanswered(mail)
-            elif isinstance(mail, CancelExchange) and mail.exchange is exchange:
+            message = yield min(until, exchange.deadline)
+            if isinstance(message, SocketReady):
+                self._still_unanswered(message)
+            elif isinstance(message, CancelExchange) and message.exchange is exchange:
                 raise ConnectionLostError("dropped")
         if self.loop.now() >= exchange.deadline:
             raise ConnectionLostError("overdue")
@@ -474,25 +478,25 @@
         self.stream.unwritten.append(last)
 
     def _still_wanted(self, exchange: Exchange) -> None:
-        if why := self.node.gate.unwanted(exchange):
+        if why := self.context.gate.unwanted(exchange):
             raise ConnectionLostError(why.value)
 
     def _write(self, exchange: Exchange) -> Coroutine[None]:
         done = self.stream.write()
-        self.node.gate.note_written(exchange)
+        self.context.gate.note_written(exchange)
         while not done:
             self.stream.want(READ | WRITE)
             self._still_unanswered((yield from self._await(exchange.deadline, "overdue")))
             self._still_wanted(exchange)
             done = self.stream.write()
 
-    def _still_unanswered(self, ready: Ready) -> None:
+    def _still_unanswered(self, ready: SocketReady) -> None:
         """Guards against an answer to something else: before its request is written there is none."""
         if ready.mask & INPUT:
             raise ConnectionLostError("reset" if ready.hung_up else "early-answer")
 
     def _put(self, exchange: Exchange) -> None:
-        method, target, headers = request_of(exchange, self.node, self.loop.now())
+        method, target, headers = request_of(exchange, self.context, self.loop.now())
         self.stream.put(h11.Request(method=method, target=target, headers=headers))
         if exchange.flow is not None:
             return
@@ -534,9 +538,9 @@
         headers = dict(response.headers)
         if exchange.pending is None or fate_of(response.status_code, headers) is not AttemptOutcome.SUCCESS:
             raise ConnectionLostError("answer-too-long")
-        body, self.body = self.body, BufferedBody(self.node.pool)
+        body, self.body = self.body, BufferedBody(self.context.buffer_pool)
         report = told_load(response.headers, exchange, body)
-        flow = BodyStream(self.node.pool, self, length, body)
+        flow = BodyStream(self.context.buffer_pool, self, length, body)
         self._settle(
             AttemptOutcome.SUCCESS, report, UpstreamResponse(flow, headers.get(b"content-type", b""))
         )
@@ -569,15 +573,15 @@
         while not flow.room() and not flow.refused:
             # Its client is slow, or buffers are short: what follows waits in the kernel.
             self.stream.pause()
-            yield inf if flow.full else self.loop.now() + self.node.shortest / 64
+            yield inf if flow.full else self.loop.now() + self.context.shortest_objective / 64
         if flow.refused:
             raise ConnectionLostError("dropped")
         self.stream.want(READ)
         until = self.loop.now() + STALL
-        mail = yield until
-        if mail is None and self.loop.now() >= until:
+        message = yield until
+        if message is None and self.loop.now() >= until:
             raise ConnectionLostError("silent")
-        if isinstance(mail, Ready):
+        if isinstance(message, SocketReady):
             self.stream.read()
         return False
 
@@ -603,37 +607,37 @@
     def _rest(self) -> Coroutine[None]:
         """Wait for the next errand, or for the end."""
         self.idle_since = self.loop.now()
-        until = self.idle_since + EARLY * self.node.terms.idle_timeout
+        until = self.idle_since + EARLY * self.context.balancer_config.idle_timeout
         while True:
-            mail = yield until
-            if isinstance(mail, StartExchange):
-                self.exchange = mail.exchange
+            message = yield until
+            if isinstance(message, StartExchange):
+                self.exchange = message.exchange
                 return
-            if mail is CLOSE or isinstance(mail, Ready):
+            if message is CLOSE or isinstance(message, SocketReady):
                 self._nothing_came()
-            if mail is CLOSE:
+            if message is CLOSE:
                 raise ConnectionLostError("not-needed")
-            if mail is None:
+            if message is None:
                 raise ConnectionLostError("idle")
 
     def _settle(
         self, fate: AttemptOutcome, report: dict[str, float], answer: UpstreamResponse | None
     ) -> None:
         if self.exchange is not None:
-            self.node.module.post(ExchangeEnded(self.exchange, fate, report, answer))
+            self.context.coordinator.post(ExchangeEnded(self.exchange, fate, report, answer))
             self.exchange = None
 
     def _close(self) -> None:
         self.body.release()
         if self.stream is not None:
             self.stream.close()
-        self.node.ledger.upstream.pop(self, None)
+        self.context.connections.upstream.pop(self, None)
         self.upstream.post(ConnectionClosed(self))
         name = self.upstream.entry.id
-        self.node.log("upstream.end", reason=self.reason, upstream=name, carried=self.carried)
+        self.context.log("upstream.end", reason=self.reason, upstream=name, carried=self.carried)
 
-    def undelivered(self, mail: Any) -> None:
+    def undelivered(self, message: Any) -> None:
         # Guards against an errand lost because the upstream closed while it was on its way to the connection,
         # which was old: that says nothing of the upstream.
-        if isinstance(mail, StartExchange):
-            self.node.module.post(ExchangeEnded(mail.exchange, AttemptOutcome.NOT_SENT))
+        if isinstance(message, StartExchange):
+            self.context.coordinator.post(ExchangeEnded(message.exchange, AttemptOutcome.NOT_SENT))
--- a/starlingwheel/net/wire/http.py
+++ b/starlingwheel/net/http/stream.py
@@ -10,10 +10,10 @@
 
 import h11
 
-from ..loop import HANGUP, READ, Loop, Ready
-from ..mail import CLOSE
-from ..memory.buffers import BUFFER_SIZE, BufferPool
-from .address import split
+from ..address import split
+from ..loop import HANGUP, READ, Loop, SocketReady
+from ..messages import CLOSE
+from ..state.buffers import BUFFER_SIZE, BufferPool
 
 LONGEST_HEAD = 16384
 
@@ -43,15 +43,15 @@
 
     def want(self, mask: int) -> None:
         if not self.mask:
-            self.loop.watch(self.sock.fileno(), self.actor, mask)
+            self.loop.register(self.sock.fileno(), self.actor, mask)
         elif mask != self.mask:
-            self.loop.change(self.sock.fileno(), mask)
+            self.loop.modify(self.sock.fileno(), mask)
         self.mask = mask
 
     def pause(self) -> None:
         """Hear nothing of it for a while, not even its end: guards against a turn for each word of that."""
         if self.mask:
-            self.loop.forget(self.sock.fileno())
+            self.loop.unregister(self.sock.fileno())
             self.mask = 0
 
     def came_up(self) -> None:
@@ -116,7 +116,7 @@
     def ended(self) -> bool:
         """The other side has ended, also behind what it has sent before and nobody has read yet."""
         waits = self._next()
-        return waits == b"" or (waits is not None and self.loop.has_ended(self.sock.fileno()))
+        return waits == b"" or (waits is not None and self.loop.peer_has_closed(self.sock.fileno()))
 
     def _next(self) -> bytes | None:
         """The next byte, left where it is; none: the other side has ended, None: it is silent."""
@@ -136,9 +136,9 @@
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
             self.want(READ)
-            while (mail := (yield until)) is not None and mail is not CLOSE:
+            while (message := (yield until)) is not None and message is not CLOSE:
                 if most <= 0:
-                    if isinstance(mail, Ready) and mail.hung_up:
+                    if isinstance(message, SocketReady) and message.hung_up:
                         return
                     continue
                 with contextlib.suppress(BlockingIOError):
--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -10,8 +10,8 @@
 
 from ... import settings
 from ...decisions.config import BalancerConfig
-from ..wire.address import split
-from ..wire.entries import DiscoveryMessage
+from ..address import split
+from ..discovery.messages import DiscoveryMessage
 
 
 class Limits(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
     peers_all: str = ""
     known: DiscoveryMessage | None = None
     mgmt: str = ""
-    fleet: Any = None  # as given; fleet/part.py knows what it may say
+    fleet: Any = None  # as given; fleet/config.py knows what it may say
     named: frozenset[str] = frozenset()  # the keys that the file has
 
 
@@ -52,7 +52,7 @@
     if config.fleet is not None:
         if not config.name:
             raise ConfigError(f"{path}: name: missing; members of a fleet are told apart by it")
-        from ...fleet.part import decode  # costs a start without it no import
+        from ...fleet.config import decode  # costs a start without it no import
 
         try:
             part = decode(config.fleet, [c.name for c in terms.request_classes], terms.streams_per_connection)
--- /dev/null
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -0,0 +1,163 @@
+"""The composition root: builds the actors of one sidecar, starts them and runs the loop."""
+
+from __future__ import annotations
+
+import gc
+import os
+import resource
+import socket
+import sys
+from collections.abc import Mapping
+
+import msgspec
+
+from ...decisions.config import BalancerConfig
+from ..context import SidecarContext
+from ..coordinator import RequestCoordinator
+from ..discovery.client import DiscoveryClient
+from ..gossip.socket import GossipSocket
+from ..http.client_connection import ClientListener
+from ..http.pool import Http1Connection
+from ..state.siblings import SiblingProcesses
+from .config import ConfigError, SidecarConfig, load_config
+from .shutdown import ClientDrainer, ShutdownController
+from .signals import SignalHandler
+from .sockets import adopt_listening_socket, bind_socket
+from .stats import StatsReporter
+
+GC_THRESHOLD = 10_000  # objects allocated more than freed, after which reference cycles are looked for
+
+
+class Sidecar:
+    """One sidecar: its context and the actors in it."""
+
+    def __init__(
+        self,
+        config: SidecarConfig,
+        balancer_config: BalancerConfig,
+        environment: Mapping[str, str],
+        log_fd: int = 1,
+    ) -> None:
+        """Build the actors and bind their sockets; raises `ConfigError` where an address can't be bound."""
+        context = self.context = SidecarContext(config, balancer_config, environment, log_fd)
+        self.passed_socket = context.passed_socket
+        # Imports inside this method: what the configuration does not ask for costs a start nothing.
+        context.connection_type = Http1Connection
+        if balancer_config.streams_per_connection > 1:
+            from ..http.http2 import Http2Connection
+
+            context.connection_type = Http2Connection
+        self.discovery = context.discovery = DiscoveryClient(context, config.known)
+        self._build_coordinator()
+        self.listener = context.listener = ClientListener(context, self._client_socket())
+        self.gossip_socket: GossipSocket | None = None
+        if config.peer_listen and balancer_config.gossip_allowed:
+            # Where a process is replaced both have the address, and the later one receives.
+            sock = bind_socket(socket.SOCK_DGRAM, config.peer_listen, reuse_address=bool(self.passed_socket))
+            self.gossip_socket = context.gossip_socket = GossipSocket(context, sock)
+        self.stats_reporter = context.stats_reporter = StatsReporter(context)
+        self.shutdown = context.shutdown = ShutdownController(context)
+        self.client_drainer = context.client_drainer = ClientDrainer(context)
+        if config.mgmt:
+            from ..admin.listener import AdminListener
+
+            context.admin_listener = AdminListener(context, bind_socket(socket.SOCK_STREAM, config.mgmt))
+        self.signals = context.signals = SignalHandler(context)
+
+    def _build_coordinator(self) -> None:
+        context = self.context
+        fleet_config = context.config.fleet
+        if fleet_config is None:
+            self.coordinator = context.coordinator = RequestCoordinator(context)
+            return
+        from ..fleet.sidecar import SidecarFleet
+
+        sock = bind_socket(socket.SOCK_STREAM, fleet_config.listen, reuse_port=bool(self.passed_socket))
+        context.fleet = SidecarFleet(context, fleet_config, sock)
+        self.coordinator = context.coordinator = context.fleet.module
+
+    def _client_socket(self) -> socket.socket:
+        if self.passed_socket:
+            return adopt_listening_socket(self.passed_socket)
+        return bind_socket(socket.SOCK_STREAM, self.context.config.listen)
+
+    def begin(self) -> None:
+        """Start the actors."""
+        context = self.context
+        if self.gossip_socket is not None:
+            self.gossip_socket.begin()
+        for actor in (
+            self.signals,
+            self.coordinator,
+            self.discovery,
+            self.listener,
+            self.stats_reporter,
+            self.shutdown,
+            self.client_drainer,
+        ):
+            actor.begin()
+        self._join_siblings()
+        if context.admin_listener is not None:
+            context.admin_listener.begin()
+        if context.fleet is not None:
+            context.fleet.begin()
+        self._log_start()
+        context.log_mixed_settings()
+
+    def _join_siblings(self) -> None:
+        context = self.context
+        if not self.passed_socket or not (folder := context.environment.get("TMPDIR")):
+            return
+        try:
+            context.siblings = SiblingProcesses(folder)
+        except OSError as error:
+            context.log("beside.failed", error=str(error))
+        context.check_siblings()
+
+    def _log_start(self) -> None:
+        context = self.context
+        context.log(
+            "start",
+            name=context.config.name,
+            listen=context.config.listen,
+            pid=os.getpid(),
+            **msgspec.structs.asdict(context.config.limits),
+            shortest_ms=context.shortest_objective * 1000,
+            longest_ms=context.longest_timeout * 1000,
+        )
+
+    def run(self) -> None:
+        """Run until the shutdown has ended."""
+        context = self.context
+        context.loop.run()
+        context.loop.close()
+        context.log("end")
+        context.log.flush()
+
+
+def _raise_descriptor_limit(wanted: int) -> int:
+    """Raise the soft limit of descriptors as far as the hard one allows; return what it is now."""
+    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
+    return soft
+
+
+def main() -> int:
+    """Run one sidecar as its environment tells; return the exit code."""
+    try:
+        config, balancer_config = load_config(os.environ)
+        wanted = config.limits.sockets
+        soft = _raise_descriptor_limit(wanted)
+        sidecar = Sidecar(config, balancer_config, os.environ)
+        if soft < wanted:
+            sidecar.context.log("limits.lower", sockets=soft, told=wanted)
+    except ConfigError as error:
+        print(f"starlingwheel: {error}", file=sys.stderr)
+        return 2
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(GC_THRESHOLD)  # nearly all memory is freed by reference counts
+    sidecar.begin()
+    sidecar.run()
+    return 0
--- /dev/null
+++ b/starlingwheel/net/lifecycle/stats.py
@@ -0,0 +1,48 @@
+"""Statistics of a sidecar, logged at a fixed interval."""
+
+from __future__ import annotations
+
+from ..actor import Actor, Coroutine
+from ..context import SidecarContext
+
+STATS_INTERVAL = 5.0  # seconds
+PAGE_SIZE = 4096  # bytes, of /proc/self/statm
+
+
+class StatsReporter(Actor):
+    """Logs how the sidecar is, every `STATS_INTERVAL`."""
+
+    daemon = True
+
+    def __init__(self, context: SidecarContext) -> None:
+        """Not started yet."""
+        self.context = context
+        super().__init__(context.loop)
+
+    def run(self) -> Coroutine[None]:
+        """Log once an interval, for ever."""
+        context = self.context
+        while True:
+            yield self.loop.now() + STATS_INTERVAL
+            with open("/proc/self/statm", "rb") as file:
+                resident = int(file.read().split()[1]) * PAGE_SIZE
+            context.log(
+                "pulse",
+                **context.coordinator.counts,
+                in_hand=len(context.coordinator.pending_requests),
+                upstreams=len(context.coordinator.pools),
+                out=len(context.overrides.kept.out),
+                lameduck=context.draining,
+                connections=len(context.connections.clients) + len(context.connections.upstream),
+                most_connections=context.connections.worst,
+                buffers=context.buffer_pool.made,
+                memory_mb=round(resident / 2**20, 1),
+                late_ms=round(self.loop.max_timer_delay * 1000, 1),
+                slowest_ms=round(context.coordinator.slowest_turn * 1000, 1),
+                lease=context.lease.state(self.loop.now()).value,
+                refused={why.value: count for why, count in context.gate.refused.items()},
+                rejected_stale=context.gate.stale_rejections,
+                gate_violations=context.gate.violations,
+                written_late=context.gate.late,
+            )
+            self.loop.max_timer_delay = context.coordinator.slowest_turn = 0.0
--- a/starlingwheel/net/mail.py
+++ b/starlingwheel/net/messages.py
@@ -8,7 +8,7 @@
 from ..decisions.config import BalancerConfig
 from ..decisions.events import WatchEvent
 from ..decisions.model import AttemptOutcome
-from .memory.work import Exchange, PendingRequest, UpstreamResponse
+from .state.requests import Exchange, PendingRequest, UpstreamResponse
 
 
 @dataclass(slots=True, eq=False)
--- a/starlingwheel/net/memory/work.py
+++ b/starlingwheel/net/state/requests.py
@@ -8,8 +8,8 @@
 
 from ...decisions.config import RetrySafety
 from ...decisions.model import Attempt, Request
+from .body_stream import BodyStream
 from .buffers import BufferedBody
-from .flow import BodyStream
 
 if TYPE_CHECKING:
     from ..actor import Actor
--- a/starlingwheel/simhost/__main__.py
+++ b/starlingwheel/simulator/__main__.py
@@ -1,10 +1,10 @@
-"""python -m starlingwheel.simhost: batches on standard input, only replies on standard output."""
+"""python -m starlingwheel.simulator: batches on standard input, only replies on standard output."""
 
 import gc
 import sys
 import traceback
 
-from .host import SimulatorProcess
+from .sidecar import SimulatorProcess
 from .wire import MalformedMessageError
 
 
--- a/tests/characterisation/test_stored_data.py
+++ b/tests/characterisation/test_stored_data.py
@@ -7,6 +7,7 @@
 import msgspec
 import pytest
 
+from starlingwheel.fleet.membership import Member
 from starlingwheel.fleet.records import (
     PastProposal,
     PolicyDecision,
@@ -17,10 +18,9 @@
     ZonePlan,
     ZoneReport,
 )
-from starlingwheel.fleet.view import Member
+from starlingwheel.net.discovery.messages import DiscoveredEndpoint as ListedEndpoint
 from starlingwheel.net.fleet.policy import VoteStore
-from starlingwheel.net.memory.out import EndpointOverrides
-from starlingwheel.net.wire.entries import DiscoveredEndpoint as ListedEndpoint
+from starlingwheel.net.state.overrides import EndpointOverrides
 
 STORED = Path(__file__).with_name("stored")
 RECORDS = json.loads((STORED / "records.json").read_text())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,14 +14,14 @@
 import pytest
 from known_red import KnownRed
 
-from standins.loopback import own_host
+from fakes.loopback import own_host
 from starlingwheel.decisions.config import BalancerConfig, RequestClass, RetrySafety, Tenant
 from starlingwheel.decisions.events import AttemptEnded, WatchEvent
 from starlingwheel.decisions.model import AttemptOutcome, Endpoint, EndpointState, Request
 from starlingwheel.decisions.scheduler import DecisionScheduler
+from starlingwheel.net.http import pool as wire
 from starlingwheel.net.lifecycle.config import load_config
-from starlingwheel.net.lifecycle.start import Node
-from starlingwheel.net.wire import upstream as wire
+from starlingwheel.net.lifecycle.sidecar import Sidecar
 
 
 def pytest_configure(config):
@@ -212,9 +212,10 @@
         self.file = self.keep(tempfile.NamedTemporaryFile())  # noqa: SIM115
         self.write_configuration()
         environment = {"EDGE_CONFIG": self.file.name} | (environment or {})
-        self.node = Node(*load_config(environment), environment, log_fd=self.log.fileno())
-        self.node.begin()
-        self.until(lambda: not self.node.module.mailbox)
+        self.sidecar = Sidecar(*load_config(environment), environment, log_fd=self.log.fileno())
+        self.context = self.sidecar.context
+        self.sidecar.begin()
+        self.until(lambda: not self.context.coordinator.mailbox)
 
     def write_configuration(self, text=b"", **changed):
         self.file.seek(0)
@@ -241,7 +242,7 @@
         for number in (signal.SIGTERM, signal.SIGHUP):
             signal.signal(number, signal.SIG_DFL)
         signal.signal(signal.SIGINT, signal.default_int_handler)
-        self.node.loop.close()
+        self.context.loop.close()
         for thing in self.open:
             thing.close()
 
@@ -251,24 +252,24 @@
         while time.monotonic() < end:
             if result := happened():
                 return result
-            self.node.loop.turn(0.01)
+            self.context.loop.run_once(0.01)
         raise AssertionError("it has not happened")
 
     def let_pass(self, seconds):
         """For what must not happen: time passes and the loop turns."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self.node.loop.turn(0.01)
+            self.context.loop.run_once(0.01)
 
     def logged(self, event):
-        self.node.log.flush()
+        self.context.log.flush()
         self.log.seek(0)
         return [line for line in map(msgspec.json.decode, self.log) if line["event"] == event]
 
     # The client.
 
     def client(self):
-        return self.keep(socket.create_connection(self.node.listener.sock.getsockname()))
+        return self.keep(socket.create_connection(self.context.listener.sock.getsockname()))
 
     def request(self, category="look", body=b"", lead="", **headers):
         method = "GET" if category == "look" else "POST"
@@ -289,7 +290,7 @@
 
     def call(self, lead, body=b"", extra=""):
         """An operator's call; the status of its answer, None for a close without one."""
-        caller = self.keep(socket.create_connection(self.node.operators.sock.getsockname()))
+        caller = self.keep(socket.create_connection(self.context.admin_listener.sock.getsockname()))
         length = f"Content-Length: {len(body)}\r\n" if body else ""
         caller.sendall(f"{lead} HTTP/1.1\r\nHost: a\r\n{length}{extra}\r\n".encode() + body)
         return self.status(caller)
@@ -362,9 +363,9 @@
 
     def rested(self):
         """Turn until the connections to upstreams are idle and no second answer is expected on them."""
-        rest = wire.RESTED * self.node.shortest
-        idle = self.node.ledger.idle
-        self.until(lambda: idle and all(c.idle_since + rest <= self.node.loop.now() for c in idle))
+        rest = wire.RESTED * self.context.shortest_objective
+        idle = self.context.connections.idle
+        self.until(lambda: idle and all(c.idle_since + rest <= self.context.loop.now() for c in idle))
 
     def all_go_to(self, i, times):
         """So many requests, each from a new client and on a new connection, reach this upstream."""
@@ -392,7 +393,7 @@
         """Where the list comes unasked: what it has is told, whole; the watch."""
         servers = [self.entry(i) for i in range(len(self.listeners))]
         watch, _ = self.watch({"version": 9, "full": True, "servers": servers})
-        self.until(lambda: self.node.ready)
+        self.until(lambda: self.context.ready)
         return watch
 
     def say(self, sock, line):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -35,8 +35,8 @@
 class Fleet:
     """So many processes and one upstream. `arrived`: when it got what those sent that had been told."""
 
-    def __init__(self, make_host, sidecars, work, chance, warms, late=False):
-        self.make_host, self.work, self.chance = make_host, work, chance
+    def __init__(self, make_host, sidecars, work, rng, warms, late=False):
+        self.make_host, self.work, self.rng = make_host, work, rng
         # A due time is some times the work, as in any deployment.
         self.look = RequestClass(
             "look", RetrySafety.IDEMPOTENT, latency_objective=8 * work, priority_weight=1.0, timeout=24 * work
@@ -54,7 +54,7 @@
         self.hosts = [self.process() for _ in range(sidecars)]
 
     def process(self, learned=True):
-        host = self.make_host(upstreams=1, seed=self.chance.getrandbits(32), **self.terms)
+        host = self.make_host(upstreams=1, seed=self.rng.getrandbits(32), **self.terms)
         if learned:
             host.serve(40, took=self.work, category=self.look)
         host.sent.clear()
@@ -141,7 +141,7 @@
 
 def steadily(fleet, host, often):
     at = fleet.now
-    while (at := at + fleet.chance.expovariate(often)) < fleet.end:
+    while (at := at + fleet.rng.expovariate(often)) < fleet.end:
         fleet.plan(at, fleet.want, host)
 
 
@@ -152,8 +152,8 @@
         for host in fleet.hosts:
             at = START + part * length
             for _ in range(max(3, int(often / len(fleet.hosts)))):
-                fleet.plan(at + fleet.chance.random() / 100, fleet.want, host)
-                at += fleet.chance.random() * length / 100
+                fleet.plan(at + fleet.rng.random() / 100, fleet.want, host)
+                at += fleet.rng.random() * length / 100
 
 
 # When they are told.
@@ -167,7 +167,7 @@
 def one_by_one(fleet):
     """Each on its own, up to 4 s late; until then it does not count and sends nothing here."""
     for host in fleet.hosts:
-        fleet.plan(START + 4 * fleet.chance.random(), fleet.tell, host)
+        fleet.plan(START + 4 * fleet.rng.random(), fleet.tell, host)
 
 
 # What becomes of the processes.
@@ -208,7 +208,7 @@
         steadily(fleet, other, 20 / fleet.work / len(fleet.hosts))
 
     for host in fleet.hosts:
-        fleet.plan(START + 3 + fleet.chance.random() / 10, another, host)
+        fleet.plan(START + 3 + fleet.rng.random() / 10, another, host)
 
 
 def worst(make_host, sidecars, work, ask, told=at_once, processes=stay, seeds=1, **more):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,7 +17,7 @@
 import pytest
 from conftest import SETTINGS, address, bound, categories
 
-from starlingwheel.net.memory.connections import ConnectionTracker
+from starlingwheel.net.state.connections import ConnectionTracker
 
 WAITS = 1_000_000  # microseconds for which a due time lasts: long enough for a busy machine
 ASKED = b"GET /look/1 HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nX-Qos: look\r\nX-Expires-In-Ms: 19000\r\n"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,13 +17,13 @@
 import pytest
 from conftest import SETTINGS, address, bound, categories
 
-from standins.loopback import free_address
-from starlingwheel.net.lifecycle import stop
-from starlingwheel.net.loop import HANGUP, READ, WRITE, ready
-from starlingwheel.net.mail import CLOSE, STOP
-from starlingwheel.net.wire import discovery
-from starlingwheel.net.wire import upstream as wire
-from starlingwheel.net.wire.client import AT_ONCE
+from fakes.loopback import free_address
+from starlingwheel.net.discovery import client as discovery
+from starlingwheel.net.http import pool as wire
+from starlingwheel.net.http.client_connection import AT_ONCE
+from starlingwheel.net.lifecycle import shutdown as stop
+from starlingwheel.net.loop import HANGUP, READ, WRITE, socket_ready
+from starlingwheel.net.messages import CLOSE, STOP
 
 NO_CANCEL = {"caps": SETTINGS["caps"] | {"cancel": False}}
 PUSHED = {"discovery": "push", "rules": {"drainGrace": 100000}}
@@ -44,22 +44,24 @@
 def held(around, actor, mask):
     """What the socket of an actor says is kept back meanwhile, as by a late turn of the loop."""
     descriptor = actor.stream.sock.fileno()
-    around.node.loop.forget(descriptor)
+    around.context.loop.unregister(descriptor)
     yield
     if not actor.ended:
-        around.node.loop.watch(descriptor, actor, mask)
+        around.context.loop.register(descriptor, actor, mask)
 
 
 def in_hand(around):
     """The sidecar's end of the only client that waits."""
-    return around.until(lambda: next((c for c in around.node.ledger.clients if c.pending is not None), None))
+    return around.until(
+        lambda: next((c for c in around.context.connections.clients if c.pending is not None), None)
+    )
 
 
 def coming_up(around):
     """A connection to an upstream that has been begun; what the socket says of it has not been read."""
-    connections = around.node.ledger.upstream
+    connections = around.context.connections.upstream
     while not connections:
-        around.node.loop.turn(0)
+        around.context.loop.run_once(0)
     return next(iter(connections))
 
 
@@ -80,7 +82,7 @@
     around.until(lambda: around.logged("client.end"))
     nothing_comes(around, kept)
     around.quiet()
-    assert around.node.module.counts["left"] == 0 and around.node.pool.in_use == 0
+    assert around.context.coordinator.counts["left"] == 0 and around.context.buffer_pool.in_use == 0
 
 
 def test_a_request_behind_another_is_not_sent_on_once_the_client_has_left(around):
@@ -88,9 +90,9 @@
     client.sendall(around.request() + around.request(x_trace_id="t2"))
     upstream = around.accept()
     around.received(upstream)
-    actor, ended = in_hand(around), ready(HANGUP)
+    actor, ended = in_hand(around), socket_ready(HANGUP)
     post = actor.post
-    actor.post = lambda mail: (post(mail), post(ended))  # the answer, and behind it the client's end
+    actor.post = lambda message: (post(message), post(ended))  # the answer, and behind it the client's end
     around.reply(upstream)
     client.close()
     around.until(lambda: actor.ended)
@@ -112,7 +114,10 @@
             if heard:
                 around.until(lambda: around.logged("client.end"))
         nothing_comes(around, around.accept())
-    assert around.until(lambda: not around.node.module.pending_requests) and around.node.pool.in_use == 0
+    assert (
+        around.until(lambda: not around.context.coordinator.pending_requests)
+        and around.context.buffer_pool.in_use == 0
+    )
 
 
 def test_a_client_that_leaves_before_a_retry_ends_it(make_surroundings):
@@ -140,8 +145,8 @@
 
 
 def test_the_last_byte_that_was_held_back_is_not_written_once_the_client_has_left(around, monkeypatch):
-    monkeypatch.setattr("starlingwheel.net.wire.upstream.HELD", 0.2)
-    around.node.resets_until = float("inf")
+    monkeypatch.setattr("starlingwheel.net.http.pool.HELD", 0.2)
+    around.context.resets_expected_until = float("inf")
     client = around.ask("buy", b"one")
     upstream = around.accept()
     got = around.until(lambda: around.read(upstream))
@@ -164,9 +169,11 @@
     while rest:
         with contextlib.suppress(BlockingIOError):
             rest = rest[client.send(rest) :]
-        around.node.loop.turn(0)
+        around.context.loop.run_once(0)
     upstream = around.accept()
-    flow = around.until(lambda: next((j.body for j in around.node.module.pending_requests.values()), None))
+    flow = around.until(
+        lambda: next((j.body for j in around.context.coordinator.pending_requests.values()), None)
+    )
     around.until(lambda: flow.full)
     client.close()
     assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "client-left"
@@ -205,7 +212,7 @@
     client.sendall(around.request())
     first = around.serve(body=b"one")
     assert around.answer(client)[1] == b"one"
-    around.until(around.node.ledger.longest_idle)
+    around.until(around.context.connections.longest_idle)
     return around, client, first
 
 
@@ -227,7 +234,7 @@
         client.sendall(around.request(x_trace_id=f"t{more}"))
         around.serve()
         assert around.status(client) == 200
-        around.until(lambda: len(around.node.ledger.idle) == more)  # noqa: B023
+        around.until(lambda: len(around.context.connections.idle) == more)  # noqa: B023
     nothing_comes(around, first)
 
 
@@ -239,8 +246,8 @@
     client.sendall(around.request(x_trace_id="t3"))
     third = around.serve()
     assert around.status(client) == 200
-    around.until(lambda: len(around.node.ledger.idle) == 3)
-    for connection, before in zip(around.node.ledger.idle, (121.0, 120.5, 0.0), strict=True):
+    around.until(lambda: len(around.context.connections.idle) == 3)
+    for connection, before in zip(around.context.connections.idle, (121.0, 120.5, 0.0), strict=True):
         connection.idle_since -= before
     client.sendall(around.request(x_trace_id="t4"))
     around.received(second)
@@ -261,9 +268,9 @@
     client.sendall(around.request())
     first = around.serve()
     assert around.status(client) == 200
-    around.until(around.node.ledger.longest_idle)
+    around.until(around.context.connections.longest_idle)
     client.sendall(around.request(x_trace_id="t2"))
-    late = around.until(lambda: next((c for c in around.node.ledger.upstream if not c.carried), None))
+    late = around.until(lambda: next((c for c in around.context.connections.upstream if not c.carried), None))
     looks, rested = iter([True] * vain), wire.ConnectionPool.rested
     monkeypatch.setattr(wire.ConnectionPool, "rested", lambda u: None if next(looks, False) else rested(u))
     with held(around, late, WRITE):
@@ -271,7 +278,7 @@
         assert not around.logged("upstream.end") and late.exchange is None
     around.reply(first)
     assert around.status(client) == 200
-    around.until(lambda: len(around.node.ledger.idle) == 2)
+    around.until(lambda: len(around.context.connections.idle) == 2)
     # What has come up in vain has nothing to rest from.
     assert late.rested()
     client.sendall(around.request(x_trace_id="t3"))
@@ -281,7 +288,7 @@
 
 def test_where_there_is_no_room_for_another_the_connection_is_used_at_once(answered):
     around, client, first = answered
-    around.node.ledger.share = 1
+    around.context.connections.share = 1
     client.sendall(around.request(x_trace_id="t2"))
     around.received(first)
     around.reply(first, body=b"two")
@@ -290,10 +297,10 @@
 
 def test_while_second_answers_come_a_connection_without_room_for_another_rests_first(answered):
     around, client, upstream = answered
-    around.node.ledger.share, around.node.unasked_until = 1, float("inf")
+    around.context.connections.share, around.context.unsolicited_until = 1, float("inf")
     client.sendall(around.request(x_trace_id="t2"))
     pending = around.until(
-        lambda: next((j for j in around.node.module.pending_requests.values() if j.exchanges), None)
+        lambda: next((j for j in around.context.coordinator.pending_requests.values() if j.exchanges), None)
     )
     exchange = next(iter(pending.exchanges.values()))
     around.until(lambda: exchange.connection is not None and not exchange.connection.mailbox)
@@ -312,7 +319,7 @@
     caps = SETTINGS["caps"] | {"peers": False}
     around = make_surroundings(settings={"caps": caps, "categories": categories(4000000)})
     if wary:
-        around.node.unasked_until = float("inf")
+        around.context.unsolicited_until = float("inf")
     client = around.ask("buy", b"one")
     asked = around.accept()
     assert around.received(asked)[0].target == b"/health"
@@ -335,7 +342,7 @@
     assert around.status(client) == 200
     if comes != "behind its answer":
         around.rested()
-        connection = around.node.ledger.longest_idle()
+        connection = around.context.connections.longest_idle()
         with held(around, connection, READ) if comes == "as it is to be used" else contextlib.nullcontext():
             around.reply(first)
             other = around.ask(x_trace_id="t2")
@@ -343,17 +350,17 @@
             assert around.status(other) == 200
     around.until(lambda: around.logged("upstream.end"))
     assert around.logged("upstream.end")[0]["reason"] == "unasked-bytes"
-    assert around.node.unasked_until > around.node.loop.now() + around.node.longest
+    assert around.context.unsolicited_until > around.context.loop.now() + around.context.longest_timeout
 
 
 def test_the_end_of_an_idle_connection_is_no_second_answer(around):
     client = around.ask()
     first = around.serve()
     assert around.status(client) == 200
-    around.until(around.node.ledger.longest_idle)
+    around.until(around.context.connections.longest_idle)
     first.close()
     assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "upstream-closed"
-    assert around.node.unasked_until < around.node.loop.now()
+    assert around.context.unsolicited_until < around.context.loop.now()
 
 
 # A hand-off that waited: for an upstream that goes, or past its time.
@@ -380,9 +387,9 @@
             around.until(lambda: around.logged("list.news"))
             around.let_pass(0.02)
         else:
-            post, around.node.module.post = around.node.module.post, lambda mail: None
+            post, around.context.coordinator.post = around.context.coordinator.post, lambda message: None
             around.until(lambda: around.logged("list.news"))
-            around.node.module.post = post
+            around.context.coordinator.post = post
     first = around.accept(i)
     around.serve(1 - i)
     assert around.status(client) == 200
@@ -403,10 +410,10 @@
     around = make_surroundings(settings=NO_CANCEL)
     client = around.ask()
     with held(around, coming_up(around), WRITE):
-        around.node.module.fail_request(next(iter(around.node.module.pending_requests)))
+        around.context.coordinator.fail_request(next(iter(around.context.coordinator.pending_requests)))
         assert around.status(client) == 504
     nothing_comes(around, around.accept())
-    assert around.until(lambda: not around.node.module.pending_requests)
+    assert around.until(lambda: not around.context.coordinator.pending_requests)
 
 
 # The list.
@@ -418,13 +425,13 @@
     odd = {"id": 's2}]"{', "addr": "127.0.0.1:1", "state": "leaving"}
     news = {"version": 9, "full": True, "servers": [around.entry(1), odd]}
     watch, _ = around.watch(msgspec.json.format(msgspec.json.encode(news), indent=indent), b"")
-    around.until(lambda: list(around.node.module.upstreams) == ["s1", 's2}]"{'])
+    around.until(lambda: list(around.context.coordinator.pools) == ["s1", 's2}]"{'])
     around.say(watch, b"")
     change = {"version": 10, "servers": [around.entry(1, state="leaving")]}
     around.say(watch, msgspec.json.format(msgspec.json.encode(change), indent=indent))
-    around.until(lambda: around.node.list.version == 10)
+    around.until(lambda: around.context.discovery.version == 10)
     around.say(watch, {"version": 11, "servers": [around.entry(0)]})
-    around.until(lambda: around.node.list.version == 11)
+    around.until(lambda: around.context.discovery.version == 11)
     assert not around.logged("list.end")
     around.all_go_to(0, 3)
 
@@ -435,17 +442,17 @@
     monkeypatch.setattr(discovery, "EMPTY_LINE", 0.1)
     around = make_surroundings(settings={"replicasOfMe": 400, "rules": {"mustAskIn": 10000000}}, seed="4")
     around.watch(b"")
-    around.until(lambda: around.node.list.current is None)
+    around.until(lambda: around.context.discovery.current is None)
     assert around.logged("list.end")[0]["reason"] == "silent"
     within = discovery.ANEW * discovery.EMPTY_LINE
-    assert around.node.list.move_at <= around.node.loop.now() + within
+    assert around.context.discovery.move_at <= around.context.loop.now() + within
     around.watch(b"")
 
 
 def test_an_agent_that_has_no_news_confirms_what_was_known(make_surroundings):
     around = make_surroundings(settings=PUSHED)
     around.watch({"version": 7, "full": False, "servers": []})
-    around.until(lambda: around.node.ready)
+    around.until(lambda: around.context.ready)
     client = around.ask()
     around.serve()
     assert around.status(client) == 200
@@ -465,7 +472,7 @@
         word = {"version": 9, "full": True, "servers": [leaving, around.entry(1)]}
     _, target = around.watch(word)
     assert target.endswith(b"from=7")
-    around.until(lambda: around.node.ready)
+    around.until(lambda: around.context.ready)
     around.all_go_to(1, 4)
     around.quiet(0)
 
@@ -473,7 +480,7 @@
 def test_an_agent_that_says_nothing_does_not_keep_a_start_waiting_for_ever(make_surroundings, monkeypatch):
     monkeypatch.setattr(discovery, "UNHEARD", 0.02)
     around = make_surroundings(settings=PUSHED)
-    around.until(lambda: around.node.ready)
+    around.until(lambda: around.context.ready)
     client = around.ask()
     around.serve()
     assert around.status(client) == 200
@@ -482,24 +489,24 @@
 def test_a_pushed_list_that_ended_is_called_again_well_within_the_grace(make_surroundings):
     around = make_surroundings(settings=PUSHED)
     watch = around.hear()
-    grace = around.node.terms.drain_grace
+    grace = around.context.balancer_config.drain_grace
     assert grace == 0.1
     around.discovery.close()
     watch.close()
     for calls in range(1, 10):
         around.until(lambda: len(around.logged("list.end")) >= calls)  # noqa: B023
-        around.until(lambda: around.node.list.current is None)
-        assert around.node.list.move_at <= around.node.loop.now() + grace / 2
+        around.until(lambda: around.context.discovery.current is None)
+        assert around.context.discovery.move_at <= around.context.loop.now() + grace / 2
 
 
 def test_a_call_that_an_agent_leaves_unanswered_is_made_anew_soon(make_surroundings, monkeypatch):
     monkeypatch.setattr(discovery, "EMPTY_LINE", 0.2)
     around = make_surroundings(settings=PUSHED)
     around.accept(listener=around.discovery)
-    around.until(lambda: around.node.list.current is None)
-    assert around.node.list.patience == 2 * discovery.AGENT
+    around.until(lambda: around.context.discovery.current is None)
+    assert around.context.discovery.patience == 2 * discovery.AGENT
     around.hear()
-    assert around.node.list.patience == discovery.AGENT
+    assert around.context.discovery.patience == discovery.AGENT
 
 
 @pytest.mark.parametrize("moved", [False, True])
@@ -508,25 +515,25 @@
     """On real sockets; when a second call begins, and how often, is played in test_told.py."""
     monkeypatch.setattr(discovery, "EMPTY_LINE", 0.1)
     around.watch(b"")
-    around.node.list.first = around.node.list.patience = 1000.0  # the story may take its time
-    around.node.list.hangs = 0.1
+    around.context.discovery.first = around.context.discovery.patience = 1000.0  # the story may take its time
+    around.context.discovery.hangs = 0.1
     if moved:
         around.discovery = around.keep(bound())
         around.reconfigure(discovery=address(around.discovery))
     calls = [around.accept(listener=around.discovery), around.accept(listener=around.discovery)]
-    around.node.list.due = float("inf")
+    around.context.discovery.due = float("inf")
     word = {"version": 9, "full": True, "servers": [around.entry(0, state="leaving")]}
     request, _ = around.received(calls[answered])
     assert request.target.endswith(b"from=0" if moved else b"from=7")
     calls[answered].sendall(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n")
     around.say(calls[answered], word)
-    around.until(lambda: around.node.list.version == 9)
+    around.until(lambda: around.context.discovery.version == 9)
     around.received(calls[1 - answered])
     assert around.until(lambda: around.read(calls[1 - answered])) == b"end"
-    assert around.node.list.current.address == address(around.discovery)
-    assert around.node.list.beside is None and len(around.logged("list.beside")) == 1
+    assert around.context.discovery.current.address == address(around.discovery)
+    assert around.context.discovery.beside is None and len(around.logged("list.beside")) == 1
     around.say(calls[answered], word | {"version": 10})
-    around.until(lambda: around.node.list.version == 10)
+    around.until(lambda: around.context.discovery.version == 10)
 
 
 # Stop, start and room.
@@ -534,17 +541,17 @@
 
 def test_all_that_wait_at_the_listener_are_let_in_before_it_closes(around):
     waiting = [around.ask(lead="GET /ready HTTP/1.1") for _ in range(AT_ONCE + 40)]
-    around.node.listener.post(STOP)
+    around.context.listener.post(STOP)
     around.until(lambda: around.logged("listener.closed"))
     assert [around.status(client) for client in waiting] == [200] * len(waiting)
 
 
 def test_a_second_word_to_stop_cuts_nothing_short(around, monkeypatch):
     monkeypatch.setattr(stop, "LINGER", 60.0)
-    around.node.stopper.post(STOP)
-    around.until(lambda: around.node.stopping)
+    around.context.shutdown.post(STOP)
+    around.until(lambda: around.context.stopping)
     for _ in range(3):
-        around.node.stopper.post(STOP)
+        around.context.shutdown.post(STOP)
         around.let_pass(0.01)
     assert not around.logged("listener.closed")
     late = around.ask()
@@ -556,7 +563,7 @@
     client = around.client()
     text = around.request()
     client.sendall(text[:40])
-    actor = around.until(lambda: next(iter(around.node.ledger.halves), None))
+    actor = around.until(lambda: next(iter(around.context.connections.halves), None))
     client.sendall(text[40:])
     actor.post(CLOSE)
     around.serve()
@@ -569,14 +576,15 @@
     upstream = around.serve()
     assert around.status(client) == 200
     around.rested()
-    connection = next(iter(around.node.ledger.idle))
+    connection = next(iter(around.context.connections.idle))
     mailed = []
     post = connection.post
-    connection.post = lambda mail: (mailed.append(mail), post(CLOSE), post(mail))
+    connection.post = lambda message: (mailed.append(message), post(CLOSE), post(message))
     client.sendall(around.request(x_trace_id="t2"))
     around.until(lambda: mailed)
     around.until(lambda: around.logged("upstream.end"))
-    assert not next(iter(around.node.module.runner.balancer.endpoints.by_id.values())).connect_failing
+    [stats] = around.context.coordinator.scheduler.balancer.endpoints.by_id.values()
+    assert not stats.connect_failing
     assert around.status(client) == 503
     nothing_comes(around, upstream)
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.discovery import Fault
+from fakes.discovery import Fault
 from trials import endpoint_list
 
 
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 
-from starlingwheel.fleet.cells import APART, HOLD, TURN, TURNS, ShardMap
-from starlingwheel.fleet.part import decode
+from starlingwheel.fleet.config import decode
+from starlingwheel.fleet.membership import Member, MembershipView
 from starlingwheel.fleet.records import CELLS, MEMBERS, Sharding, StoreEntry, StoreRecords, Transaction
-from starlingwheel.fleet.view import Member, MembershipView
+from starlingwheel.fleet.shards import APART, HOLD, TURN, TURNS, ShardMap
 from trials.broken import CELL_VARIANTS, HomeAlone, OldCells
 from trials.emulated import HARSH, REST, Request, Timetable, World, play
 from trials.model import QUIET, Bounds, explore
@@ -119,18 +119,18 @@
             self.cuttings[member.id] = ShardMap(member.id, LEASE, size, self.now)
 
     def tell(self):
-        for cutting in self.cuttings.values():
-            cutting.now = self.now
-            cutting.recorded(self.records.copy())
+        for shard_map in self.cuttings.values():
+            shard_map.now = self.now
+            shard_map.recorded(self.records.copy())
 
     def step(self, seconds):
         until = self.now + seconds
         while self.now < until:
             self.now += LEASE * TURN
             asked = []
-            for cutting in self.cuttings.values():
-                cutting.now = self.now
-                if isinstance(txn := cutting.due(), Transaction):
+            for shard_map in self.cuttings.values():
+                shard_map.now = self.now
+                if isinstance(txn := shard_map.due(), Transaction):
                     asked.append(txn)
             for txn in asked:
                 if txn.compare[0].value == self.records.cells_mod:
@@ -214,18 +214,18 @@
     world = World(1, 80, cells=8)
     world.until(1.0)
     one = world.alive()[0]
-    view = one.covering.view
+    view = one.replicator.view
     other = next(h for h in world.alive() if view.cell_of(h.id) not in (view.cell_of(one.id), 0))
-    before = one.covering.view_at
+    before = one.replicator.view_at
     world.crash(other, 0.5)
     world.until(3.0)
-    assert one.covering.view is not view and one.covering.view_at == before and one.covering.settled_now
+    assert one.replicator.view is not view and one.replicator.view_at == before and one.replicator.settled_now
 
 
 def linked_by_work(world):
     """An owner, its item's home in another cell, and the name."""
     owner = world.alive()[0]
-    view = owner.covering.view
+    view = owner.replicator.view
     names = (b"x%d" % i for i in range(99))
     name = next(n for n in names if view.cell(n) != view.cell_of(owner.id))
     world.effects[name] = "exclusive"
@@ -241,11 +241,11 @@
     owner, home, name, request = linked_by_work(world)
     assert home.id not in owner.links
     world.until(1.02)
-    assert home.id in owner.links and owner.covering.needs(home.id) and home.covering.needs(owner.id)
+    assert home.id in owner.links and owner.replicator.needs(home.id) and home.replicator.needs(owner.id)
     world.until(1.6 + REST)
     assert request.end == "200" and home.id not in owner.links
-    assert not any(h.covering.counts["taken_over"] for h in world.alive())
-    assert home.covering.items[name].reply.status == 200
+    assert not any(h.replicator.counts["taken_over"] for h in world.alive())
+    assert home.replicator.items[name].reply.status == 200
 
 
 def test_an_owner_of_another_cell_is_asked_before_a_new_home_takes_its_work_over():
@@ -255,9 +255,9 @@
     world.until(1.02)
     world.crash(home, 9.0)
     world.until(1.9)
-    after = world.hosts[owner.covering.view.home(name)]
+    after = world.hosts[owner.replicator.view.home(name)]
     assert after is not home and request.end == "200" and len(world.runs[name]) == 1
-    assert not after.covering.counts["taken_over"] and name in after.covering.items
+    assert not after.replicator.counts["taken_over"] and name in after.replicator.items
 
 
 def test_work_whose_owner_and_home_are_cells_apart_goes_on_when_its_owner_is_lost():
@@ -267,7 +267,7 @@
     world.until(1.02)
     world.crash(owner, 9.0)
     world.until(1.9)
-    assert home.covering.counts["taken_over"] == 1 and len(world.runs[name]) <= 1
+    assert home.replicator.counts["taken_over"] == 1 and len(world.runs[name]) <= 1
 
 
 # What the checks must catch.
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from starlingwheel.fleet.cover import BeginResult, RequestReplicator
 from starlingwheel.fleet.frames import RecordedRequest, ReplicateFrame
+from starlingwheel.fleet.replication.replicator import BeginResult, RequestReplicator
 from trials.broken import VARIANTS, NoIntent
 from trials.emulated import HARSH, Request, World, play
 from trials.model import Bounds, explore
@@ -55,14 +55,14 @@
     one, other = world.alive()
     world.cut[one.name, other.name] = world.cut[other.name, one.name] = 100.0
     world.until(1.6)
-    home = one.covering.view.home
+    home = one.replicator.view.home
     name = next(n for n in (f"x{i}".encode() for i in range(99)) if home(n) == other.id)
     asked = RecordedRequest(b"POST", b"/x", [], b"", b"")
     told = ReplicateFrame(
         name, one.id, 0, False, b"", "c", "exclusive", world.now, world.now + 1, False, asked, []
     )
     request = Request(name, "exclusive", world.now, False, 0)
-    word, _ = one.covering.begin(told, request, world.now + 1)
+    word, _ = one.replicator.begin(told, request, world.now + 1)
     assert word is BeginResult.WAIT and request.end == "503"
 
 
@@ -78,9 +78,9 @@
     one, other, _ = world.alive()
     ask_at(world, one, b"w")
     world.until(1.01)
-    told = one.covering.items[b"w"].cover(asks=False)
+    told = one.replicator.items[b"w"].cover(asks=False)
     asked = told.__class__(*[b"else" if f == "mark" else getattr(told, f) for f in told.__struct_fields__])
-    word, _ = one.covering.begin(asked, object(), 2.0)
+    word, _ = one.replicator.begin(asked, object(), 2.0)
     assert word.value == "other"
 
 
@@ -106,5 +106,5 @@
     for number in range(50):
         ask_at(world, world.alive()[number % 3], b"w%d" % number)
     world.until(8.0)
-    covers = [host.covering for host in world.alive()]
+    covers = [host.replicator for host in world.alive()]
     assert all(isinstance(c, RequestReplicator) and not c.items and c.kept_bytes == 0 for c in covers)
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -7,14 +7,15 @@
 import msgspec
 import pytest
 
-from starlingwheel.fleet import common, frames
-from starlingwheel.fleet.policy import PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet import frames
+from starlingwheel.fleet.membership import Member, MembershipView
+from starlingwheel.fleet.policy import document as common
+from starlingwheel.fleet.policy.replica import PolicyReplica, PolicyStatus, StoredPolicy
 from starlingwheel.fleet.records import Policy, PolicyDecision, StoreRecords
-from starlingwheel.fleet.view import Member, MembershipView
-from starlingwheel.net.fleet import arbiter as client
+from starlingwheel.net.fleet import etcd as client
 from starlingwheel.net.fleet import links as under_test
 from starlingwheel.net.fleet.links import LinkManager, encode_frame
-from starlingwheel.net.fleet.mail import (
+from starlingwheel.net.fleet.messages import (
     CHECK_LINKS,
     DialMember,
     EvictMember,
@@ -66,23 +67,23 @@
         return frames.HeartbeatFrame(1, False, None, member not in self.needed)
 
     def heard(self, kind):
-        return [mail for mail in self.told if isinstance(mail, kind)]
+        return [message for message in self.told if isinstance(message, kind)]
 
     def words(self):
         return [
-            mail.frame
-            for mail in self.heard(FrameReceived)
-            if not isinstance(mail.frame, frames.HeartbeatFrame)
+            message.frame
+            for message in self.heard(FrameReceived)
+            if not isinstance(message.frame, frames.HeartbeatFrame)
         ]
 
     def up(self):
         """Members by whose links as the module knows them."""
         there = {}
-        for mail in self.told:
-            if isinstance(mail, LinkUp):
-                there[mail.member] = mail.link
-            elif isinstance(mail, LinkDown) and there.get(mail.member) is mail.link:
-                del there[mail.member]
+        for message in self.told:
+            if isinstance(message, LinkUp):
+                there[message.member] = message.link
+            elif isinstance(message, LinkDown) and there.get(message.member) is message.link:
+                del there[message.member]
         return there
 
     def reasons(self):
@@ -93,7 +94,7 @@
     """Members whose loops turn one at a time, in an order of the story's."""
 
     def __init__(self, seed=1):
-        self.all, self.chance, self.clock = [], random.Random(seed), Clock()
+        self.all, self.rng, self.clock = [], random.Random(seed), Clock()
         self.step = STEP
 
     def add(self, name, **more):
@@ -106,8 +107,8 @@
             one.links.post(ViewChanged(MembershipView(members, cells), False))
 
     def turn(self):
-        for one in self.chance.sample(self.all, self.chance.randint(1, len(self.all))):
-            one.loop.turn(0)
+        for one in self.rng.sample(self.all, self.rng.randint(1, len(self.all))):
+            one.loop.run_once(0)
         self.clock.time += self.step
 
     def until(self, happened, within=8.0):
@@ -245,7 +246,9 @@
         assert each.reasons()["at-rest"] == 1
         assert not each.heard(EvictMember) and not any(event == "member.gone" for event, _ in each.lines)
     pair.let_pass(0.1)
-    assert len(one.links.loop.watched) == len(other.links.loop.watched) == 1  # their listening sockets
+    assert (
+        len(one.links.loop.actors_by_descriptor) == len(other.links.loop.actors_by_descriptor) == 1
+    )  # their listening sockets
 
 
 @pytest.mark.parametrize("who", [0, 1])
@@ -278,7 +281,7 @@
         town.turn()
     # The other side turns alone until it has said its last word.
     while other.links.links:
-        other.loop.turn(0)
+        other.loop.run_once(0)
         town.clock.time += STEP
     assert not link.over
     one.needed.add(other.id)
@@ -344,7 +347,7 @@
 
 def test_a_process_that_has_ended_is_told_of_at_once(pair):
     one, other = pair.all
-    other.links.loop.forget(other.sock.fileno())
+    other.links.loop.unregister(other.sock.fileno())
     other.sock.close()
     pair.all.remove(other)
     one.links.post(DialMember(other.id))
@@ -509,41 +512,45 @@
         super().__init__(clock, name, hello)
         self.notes = []
         now = self.loop.now()
-        self.following = PolicyReplica(self.id, name, LEASE, Quiet(self.notes), now, StoredPolicy("f"))
+        self.policy_replica = PolicyReplica(self.id, name, LEASE, Quiet(self.notes), now, StoredPolicy("f"))
         self.links.says = self.says
         self.links.tell = self.tell
-        self.asker = PolicyPoller(self.links, self.following, self.links, random.Random(name), LEASE)
-        self.asker.begin()
+        self.policy_poller = PolicyPoller(
+            self.links, self.policy_replica, self.links, random.Random(name), LEASE
+        )
+        self.policy_poller.begin()
         self.asks = 0
 
     def beat(self, member, worded):
-        self.following.now = self.loop.now()
-        self.following.doubt()
-        lapsed = self.following.uneasy
-        return frames.HeartbeatFrame(1, lapsed, self.following.word() if worded or lapsed else None, True)
+        self.policy_replica.now = self.loop.now()
+        self.policy_replica.doubt()
+        lapsed = self.policy_replica.uneasy
+        return frames.HeartbeatFrame(
+            1, lapsed, self.policy_replica.word() if worded or lapsed else None, True
+        )
 
     def says(self, asked):
         self.asks += 1
-        self.following.now = self.loop.now()
-        others = self.following.lately(self.links.links, frames.RELAYED)
-        says = [frames.PolicyStatusFrame(self.following.word(), others)]
-        if self.following.known > asked.known:
-            says.append(frames.DecisionFrame(msgspec.json.encode(self.following.decision)))
+        self.policy_replica.now = self.loop.now()
+        others = self.policy_replica.lately(self.links.links, frames.RELAYED)
+        says = [frames.PolicyStatusFrame(self.policy_replica.word(), others)]
+        if self.policy_replica.known > asked.known:
+            says.append(frames.DecisionFrame(msgspec.json.encode(self.policy_replica.decision)))
         return says
 
-    def tell(self, mail):
-        self.following.now = self.loop.now()
-        if isinstance(mail, FrameReceived) and isinstance(mail.frame, frames.PolicyStatusFrame):
-            for word in (mail.frame.word, *mail.frame.others):
-                self.following.heard(word)
-        elif isinstance(mail, FrameReceived) and isinstance(mail.frame, frames.DecisionFrame):
-            self.following.told(msgspec.json.decode(mail.frame.decision, type=PolicyDecision))
-        elif isinstance(mail, FrameReceived) and getattr(mail.frame, "word", None):
-            self.following.heard(mail.frame.word)
+    def tell(self, message):
+        self.policy_replica.now = self.loop.now()
+        if isinstance(message, FrameReceived) and isinstance(message.frame, frames.PolicyStatusFrame):
+            for word in (message.frame.word, *message.frame.others):
+                self.policy_replica.heard(word)
+        elif isinstance(message, FrameReceived) and isinstance(message.frame, frames.DecisionFrame):
+            self.policy_replica.told(msgspec.json.decode(message.frame.decision, type=PolicyDecision))
+        elif isinstance(message, FrameReceived) and getattr(message.frame, "word", None):
+            self.policy_replica.heard(message.frame.word)
 
     def doubt(self):
-        self.following.now = self.loop.now()
-        return self.following.doubt()
+        self.policy_replica.now = self.loop.now()
+        return self.policy_replica.doubt()
 
 
 class Realm(Town):
@@ -558,9 +565,9 @@
         records.members = {one.id: one.member for one in self.all}
         records.names = {one.member.name: 1 for one in self.all}
         for one in self.all:
-            one.following.now = one.loop.now()
-            one.following.recorded(records.copy(), True)
-            one.following.renewed(one.loop.now() + LEASE, 1)
+            one.policy_replica.now = one.loop.now()
+            one.policy_replica.recorded(records.copy(), True)
+            one.policy_replica.renewed(one.loop.now() + LEASE, 1)
             assert not one.doubt()
         self.see(cells)
 
@@ -591,7 +598,7 @@
 def lost_half(realm):
     """More than half hang. Whether each of the others comes to doubt, and stays in it."""
     realm.let_pass(2 * LEASE)
-    realm.chance.shuffle(realm.all)
+    realm.rng.shuffle(realm.all)
     hung, realm.all = realm.all[:13], realm.all[13:]
     until, doubts = realm.clock() + 2 * LEASE, set()
     while len(doubts) < len(realm.all) and realm.clock() < until:
@@ -627,10 +634,10 @@
     cut = realm.all[0]
     for _ in range(8):
         for one in realm.all[1:]:
-            one.following.renewed(one.loop.now() + LEASE, 1)
+            one.policy_replica.renewed(one.loop.now() + LEASE, 1)
         realm.let_pass(LEASE / 2)
-    assert not realm.doubted() and cut.following.uneasy
-    assert all(not one.following.uneasy for one in realm.all[1:])
+    assert not realm.doubted() and cut.policy_replica.uneasy
+    assert all(not one.policy_replica.uneasy for one in realm.all[1:])
 
 
 def test_what_a_single_member_knows_to_be_decided_all_come_to_know(make_realm):
@@ -638,10 +645,10 @@
     realm.let_pass(1.5 * LEASE)
     body = {"settings": {}}
     policy = Policy(1, common.digest(body), body)
-    realm.all[5].following.told(PolicyDecision(policy, realm.clock() + 60.0, 7, Policy()))
+    realm.all[5].policy_replica.told(PolicyDecision(policy, realm.clock() + 60.0, 7, Policy()))
     unlinked = [one for one in realm.all if realm.all[5].id not in one.links.links]
     assert len(unlinked) > 12
-    realm.until(lambda: all(one.following.known == 1 for one in unlinked), within=1.25 * LEASE)
+    realm.until(lambda: all(one.policy_replica.known == 1 for one in unlinked), within=1.25 * LEASE)
 
 
 def test_a_word_counts_by_its_own_age_whoever_passes_it_on():
@@ -670,7 +677,7 @@
 # What the arbiter tells of members and cells.
 
 
-def onlooker(told):
+def state_watcher(told):
     loop = Loop(lambda actor, error: None)
     one = client.StateWatcher(
         loop, ["127.0.0.1:1"], LEASE, None, lambda *a, **k: None, None, "f", tell=told.append
@@ -687,7 +694,7 @@
 
 def test_views_come_in_the_order_of_changes_of_members_and_of_cells():
     told = []
-    one = onlooker(told)
+    one = state_watcher(told)
     a, b, c = (Member(f"n{i}.00", f"n{i}", "") for i in range(3))
     one._seen(
         client.WatchEvents(
@@ -712,7 +719,7 @@
 @pytest.mark.parametrize("value", [None, 3, {}, {"count": 3}, {"count": 0}, {"count": 1 << 20}])
 def test_cells_that_nobody_can_read_leave_those_that_were(value):
     told = []
-    one = onlooker(told)
+    one = state_watcher(told)
     member = Member("n0.00", "n0", "")
     one._seen(client.WatchEvents(events=[event("members/n0.00", member, 2), event("cells", {"count": 4}, 3)]))
     one._seen(client.WatchEvents(events=[event("cells", value, 4)]))
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -14,9 +14,9 @@
 from conftest import SETTINGS
 from test_fleet_wire import Served, joined, part_at
 
-from standins.loopback import free_address
-from starlingwheel.fleet import common
-from starlingwheel.fleet.policy import PolicyReplica, StoredPolicy
+from fakes.loopback import free_address
+from starlingwheel.fleet.policy import document as common
+from starlingwheel.fleet.policy.replica import PolicyReplica, StoredPolicy
 from starlingwheel.fleet.records import StoreEntry, StoreRecords
 from starlingwheel.net.fleet.policy import VoteStore
 from trials import policy
@@ -114,15 +114,15 @@
 
 
 def test_only_what_was_edited_counts_against_a_file():
-    old, ruling = body(), body(rules={"mustAskIn": 5})
-    assert common.edited(old, old, ruling) == []
-    (fault,) = common.edited(old, body(rules={"mustAskIn": 7}), ruling)
+    old, policy_controller = body(), body(rules={"mustAskIn": 5})
+    assert common.edited(old, old, policy_controller) == []
+    (fault,) = common.edited(old, body(rules={"mustAskIn": 7}), policy_controller)
     assert fault == "settings.rules.mustAskIn: 7, where the policy in force says 5"
-    assert common.edited(old, ruling, ruling) == []
+    assert common.edited(old, policy_controller, policy_controller) == []
 
 
 def test_spoilt_records_hide_no_others_and_raise_nothing():
-    chance = random.Random(5)
+    rng = random.Random(5)
     good = {
         "members/a.1": b'{"id":"a.1","name":"a","address":"x"}',
         "policy/now": msgspec.json.encode({"policy": {"version": 1}, "at": 1.0, "number": 2, "before": {}}),
@@ -135,8 +135,8 @@
         records = StoreRecords()
         for key, value in good.items():
             data = bytearray(value)
-            for _ in range(chance.randint(0, 2)):
-                data[chance.randrange(len(data))] = chance.randrange(256)
+            for _ in range(rng.randint(0, 2)):
+                data[rng.randrange(len(data))] = rng.randrange(256)
             records.put(key, StoreEntry(bytes(data), 3, 3))
         for key in [*good, "policy/past/x", "policy/votes/x/y", "policy/votes/"]:
             records.put(key, StoreEntry(b"\xff{", 3, 3))
@@ -179,15 +179,15 @@
 
     def say(self, call, told=None):
         around = self.around
-        caller = around.keep(socket.create_connection(around.node.operators.sock.getsockname()))
+        caller = around.keep(socket.create_connection(around.context.admin_listener.sock.getsockname()))
         data = b"" if told is None else json.dumps(told).encode()
         caller.sendall(f"{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data)
         answer, said = around.answer(caller)
         return answer.status_code, json.loads(said) if said else None
 
     @property
-    def following(self) -> PolicyReplica:
-        return self.around.node.fleet.ruling.following
+    def policy_replica(self) -> PolicyReplica:
+        return self.around.context.fleet.policy_controller.policy_replica
 
 
 @pytest.fixture
@@ -206,10 +206,10 @@
     status, told = operated.say("PUT /_policy/propose", {"policy": longer(), "switch_s": 1.7})
     assert status == 200 and told["version"] == 1
     around = operated.around
-    around.until(lambda: operated.following.known == 1)
-    assert operated.following.in_force.version == 0 and around.node.longest < 3
-    around.until(lambda: operated.following.in_force.version == 1)
-    assert around.node.longest == 3 and around.node.loop.now() >= told["at"]
+    around.until(lambda: operated.policy_replica.known == 1)
+    assert operated.policy_replica.in_force.version == 0 and around.context.longest_timeout < 3
+    around.until(lambda: operated.policy_replica.in_force.version == 1)
+    assert around.context.longest_timeout == 3 and around.context.loop.now() >= told["at"]
     status, told = operated.say("GET /_policy")
     assert told["in_force"]["version"] == 1 and told["past"][0]["how"] == "decided" and not told["doubt"]
 
@@ -222,7 +222,7 @@
     ):  # fmt: skip
         got, told = operated.say("PUT /_policy/propose", wrong)
         assert got == status and told["error"]
-    assert operated.following.known == 0 and operated.following.records.next is None
+    assert operated.policy_replica.known == 0 and operated.policy_replica.records.next is None
 
 
 def test_a_second_proposal_waits_and_the_first_can_be_dropped(operated, served):
@@ -231,13 +231,13 @@
     put = {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))}
     served.call(served.arbiter._put, put)
     assert operated.say("PUT /_policy/propose", {"policy": longer(), "switch_s": 60})[0] == 200
-    operated.around.until(lambda: operated.following.records.next)
+    operated.around.until(lambda: operated.policy_replica.records.next)
     assert operated.say("PUT /_policy/propose", {"policy": longer(4)})[0] == 409
     _, told = operated.say("GET /_policy")
     assert told["open"]["votes"]["n9"] == "nothing"
     assert operated.say("PUT /_policy/drop", {"id": "1"})[0] == 200
-    operated.around.until(lambda: operated.following.records.next is None)
-    assert operated.following.promise is None and operated.following.in_force.version == 0
+    operated.around.until(lambda: operated.policy_replica.records.next is None)
+    assert operated.policy_replica.promise is None and operated.policy_replica.in_force.version == 0
 
 
 def b64(text):
@@ -249,15 +249,15 @@
     served.call(served.arbiter._put, {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))})
     assert operated.say("PUT /_policy/propose", {"policy": longer(), "switch_s": 1.7})[0] == 200
     around = operated.around
-    around.until(lambda: operated.following.promise and operated.following.records.votes)
+    around.until(lambda: operated.policy_replica.promise and operated.policy_replica.records.votes)
     served.do(served.arbiter.down())
-    around.until(lambda: operated.following.doubt() == "undecided")
+    around.until(lambda: operated.policy_replica.doubt() == "undecided")
     assert around.status(around.ask("buy", b"one")) == 503
     served.do(served.arbiter.begin())
-    around.until(lambda: operated.following.promise is None)
+    around.until(lambda: operated.policy_replica.promise is None)
     asked = around.ask("buy", b"one", x_trace_id="t2")
     around.serve()
-    assert around.status(asked) == 200 and operated.following.in_force.version == 0
+    assert around.status(asked) == 200 and operated.policy_replica.in_force.version == 0
 
 
 def test_sighup_changes_only_what_is_a_sidecars_own(operated):
@@ -266,18 +266,18 @@
     (line,) = around.logged("config.unusable")
     assert "settings.rules.mustAskIn: 900000" in line["error"] and "is to be proposed" in line["error"]
     around.reconfigure(settings=SETTINGS | {"locality": "elsewhere"})
-    assert around.node.terms.zone == "elsewhere"
+    assert around.context.balancer_config.zone == "elsewhere"
 
 
 def test_a_process_that_was_down_starts_under_the_policy_in_force(
     operated, make_surroundings, served, tmp_path
 ):
     assert operated.say("PUT /_policy/propose", {"policy": longer(), "switch_s": 1.6})[0] == 200
-    operated.around.until(lambda: operated.following.in_force.version == 1)
+    operated.around.until(lambda: operated.policy_replica.in_force.version == 1)
     part = part_at(served) | {"keep": str(tmp_path / "other")}
     late = make_surroundings(name="n1", fleet=part, settings=SETTINGS)
     late.until(lambda: joined(late))
-    assert late.node.longest == 3 and late.logged("policy.file_differs")
+    assert late.context.longest_timeout == 3 and late.logged("policy.file_differs")
 
 
 # The command.
@@ -285,7 +285,7 @@
 
 def command(*given):
     done = subprocess.run(
-        [sys.executable, "-m", "starlingwheel.command", *given], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-m", "starlingwheel.cli", *given], cwd=ROOT, capture_output=True, text=True
     )
     assert "Traceback" not in done.stderr
     return done.returncode, done.stdout + done.stderr
--- a/tests/test_fleet_trials.py
+++ b/tests/test_fleet_trials.py
@@ -41,7 +41,7 @@
 def test_a_sidecar_without_a_fleet_loads_nothing_of_it():
     code = (
         "import sys; from starlingwheel.net.loop import Loop; Loop.run = lambda self: None;"
-        "from starlingwheel.net.lifecycle.start import main; assert main() == 0;"
+        "from starlingwheel.net.lifecycle.sidecar import main; assert main() == 0;"
         "print([m for m in sys.modules if '.fleet' in m])"
     )
     config = ROOT / "examples" / "config.json"
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -13,16 +13,16 @@
 import pytest
 from conftest import SETTINGS
 
-from standins.arbiter import Arbiter
-from standins.loopback import free_address
+from fakes.etcd import Arbiter
+from fakes.loopback import free_address
 from starlingwheel.fleet import frames
-from starlingwheel.fleet.part import decode
-from starlingwheel.fleet.policy import PolicyStatus
-from starlingwheel.fleet.view import Member, MembershipView
-from starlingwheel.net.fleet import arbiter as client
+from starlingwheel.fleet.config import decode
+from starlingwheel.fleet.membership import Member, MembershipView
+from starlingwheel.fleet.policy.replica import PolicyStatus
+from starlingwheel.net.fleet import etcd as client
 from starlingwheel.net.fleet.links import FrameReader, LinkRejectedError, encode_frame
-from starlingwheel.net.fleet.mail import EvictMember
-from starlingwheel.net.mail import STOP
+from starlingwheel.net.fleet.messages import EvictMember
+from starlingwheel.net.messages import STOP
 from trials.emulated import World
 
 PART = {
@@ -107,16 +107,16 @@
 
 
 def test_spoilt_frames_do_nothing_worse_than_end_the_link():
-    chance = random.Random(1)
+    rng = random.Random(1)
     data = b"".join(map(encode_frame, some_frames()))
     ended = 0
     for _ in range(3000):
         spoilt = bytearray(data)
-        for _ in range(chance.randint(1, 6)):
-            spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
+        for _ in range(rng.randint(1, 6)):
+            spoilt[rng.randrange(len(spoilt))] = rng.randrange(256)
         reader = FrameReader()
         try:
-            reader.read(bytes(spoilt[: chance.randrange(len(spoilt))]))
+            reader.read(bytes(spoilt[: rng.randrange(len(spoilt))]))
         except LinkRejectedError:
             ended += 1
         assert len(reader.held) <= len(data)
@@ -124,7 +124,7 @@
 
 
 def test_frames_that_make_no_sense_hurt_nobody():
-    chance = random.Random(3)
+    rng = random.Random(3)
     world = World(1, 3)
     world.until(1.0)
     one, other, third = world.alive()
@@ -132,17 +132,17 @@
     asked = frames.RecordedRequest(b"POST", b"/x", [], b"", b"")
     for _ in range(4000):
         key, epoch, number = (
-            chance.choice(keys),
-            chance.choice((-1, 0, 1, 9)),
-            chance.choice((-5, 0, 1, 1 << 60)),
+            rng.choice(keys),
+            rng.choice((-1, 0, 1, 9)),
+            rng.choice((-5, 0, 1, 1 << 60)),
         )
-        who = chance.choice((one.id, other.id, third.id, "stranger.00"))
-        at = chance.choice((float("nan"), float("inf"), -1e300, world.now))
-        intents = [frames.AttemptIntent("u", "", 0, at)] * chance.randrange(3)
-        reply = frames.RecordedResponse(chance.choice((200, 503, 504, 0)))
-        verdict = chance.choice((frames.NEW, frames.RUNNING, frames.MOVED, frames.UNKNOWN, frames.FULL, "?"))
-        effect = chance.choice(("exclusive", "ticketed", "rerunnable", "?"))
-        frame = chance.choice(
+        who = rng.choice((one.id, other.id, third.id, "stranger.00"))
+        at = rng.choice((float("nan"), float("inf"), -1e300, world.now))
+        intents = [frames.AttemptIntent("u", "", 0, at)] * rng.randrange(3)
+        reply = frames.RecordedResponse(rng.choice((200, 503, 504, 0)))
+        verdict = rng.choice((frames.NEW, frames.RUNNING, frames.MOVED, frames.UNKNOWN, frames.FULL, "?"))
+        effect = rng.choice(("exclusive", "ticketed", "rerunnable", "?"))
+        frame = rng.choice(
             [
                 frames.ReplicateFrame(key, who, epoch, True, b"", "c", effect, at, at, True, asked, intents),
                 frames.ReplicateFrame(
@@ -158,12 +158,12 @@
                 frames.HeartbeatFrame(number, False),
             ]
         )
-        one.covering.now = world.now
-        one.covering.heard(chance.choice((other.id, third.id)), frame)
-        if chance.random() < 0.05:
+        one.replicator.now = world.now
+        one.replicator.heard(rng.choice((other.id, third.id)), frame)
+        if rng.random() < 0.05:
             world.until(world.now + 0.05)
     world.until(world.now + 8.0)
-    assert not one.covering.items and not one.covering.held
+    assert not one.replicator.items and not one.replicator.held
 
 
 def test_a_home_moves_only_with_the_members_that_change():
@@ -184,13 +184,13 @@
     [client.RangeReply, client.LeaseGranted, client.LeaseRenewed, client.TransactionReply, client.WatchLine],
 )
 def test_an_arbiter_that_talks_nonsense_is_turned_away_with_a_reason(kind):
-    chance = random.Random(2)
+    rng = random.Random(2)
     whole = json.dumps({"header": {"revision": "3"}, "kvs": [{"key": "YQ==", "mod_revision": 4}], "ID": [1]})
     for text in ("", "{", "[]", "null", "1e999", '{"result":{"events":[{"kv":3}]}}', "[" * 5000, whole[:-5]):
         with pytest.raises(client.UnusableReplyError):
             client.read(text.encode(), kind)
     for _ in range(1000):
-        data = bytes(chance.randrange(256) for _ in range(chance.randrange(60)))
+        data = bytes(rng.randrange(256) for _ in range(rng.randrange(60)))
         with pytest.raises(client.UnusableReplyError):
             client.read(data, kind)
 
@@ -255,13 +255,13 @@
 
 
 def joined(around):
-    return around.node.fleet.joined
+    return around.context.fleet.joined
 
 
 def test_a_member_enters_and_is_ready_then(member):
-    assert not member.node.ready
+    assert not member.context.ready
     member.until(lambda: joined(member))
-    assert member.node.ready and len(member.node.module.covering.view.members) == 1
+    assert member.context.ready and len(member.context.coordinator.replicator.view.members) == 1
 
 
 def test_a_reply_lost_after_it_was_applied_costs_one_more_try(member, served):
@@ -272,12 +272,14 @@
 
 def test_a_lease_that_ends_early_is_taken_anew(member, served):
     member.until(lambda: joined(member))
-    term = member.node.module.covering.view.members[member.node.fleet.me].term
+    term = member.context.coordinator.replicator.view.members[member.context.fleet.member_id].term
     (key,) = members_at(served)
     served.call(served.arbiter.end_lease_of, key.decode())
-    covering = member.node.module.covering
-    me = member.node.fleet.me
-    member.until(lambda: covering.view.members.get(me) and covering.view.members[me].term != term)
+    replicator = member.context.coordinator.replicator
+    member_id = member.context.fleet.member_id
+    member.until(
+        lambda: replicator.view.members.get(member_id) and replicator.view.members[member_id].term != term
+    )
 
 
 def test_a_watch_cut_at_a_compaction_reads_the_whole_again(member, served):
@@ -287,19 +289,19 @@
     other = Member("n9.ff", "n9", "127.0.0.1:1")
     put = {"key": client.b64("/f/members/n9.ff"), "value": client.b64(msgspec.json.encode(other))}
     served.call(served.arbiter._put, put)
-    member.until(lambda: "n9.ff" in member.node.module.covering.view)
+    member.until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
 
 
 def test_two_that_end_in_the_same_moment_are_both_struck(member, served):
     member.until(lambda: joined(member))
-    view = member.node.module.covering
+    view = member.context.coordinator.replicator
     for name in ("n8", "n9"):
         other = Member(f"{name}.ff", name, "127.0.0.1:1")
         put = {"key": client.b64(f"/f/members/{name}.ff"), "value": client.b64(msgspec.json.encode(other))}
         served.call(served.arbiter._put, put)
     member.until(lambda: len(view.view.members) == 3)
     for gone in [m for m in view.view.members.values() if m.name != "n0"]:
-        member.node.fleet.clerk.post(EvictMember(gone))
+        member.context.fleet.member_evictor.post(EvictMember(gone))
     member.until(lambda: len(view.view.members) == 1)
 
 
@@ -307,14 +309,14 @@
     member.until(lambda: joined(member))
     served.call(served.arbiter._put, {"key": client.b64("/f/members/x"), "value": client.b64("{")})
     member.until(lambda: member.logged("arbiter.entry"))
-    assert len(member.node.module.covering.view.members) == 1
+    assert len(member.context.coordinator.replicator.view.members) == 1
 
 
 @pytest.mark.parametrize("path", ["/v3/kv/range", "/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive"])
 def test_nonsense_from_the_arbiter_is_counted_and_survived(make_surroundings, served, path):
     served.call(served.arbiter.nonsense.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
     member = entering(make_surroundings, served)
-    member.until(lambda: member.node.fleet.reasons["unreadable"])
+    member.until(lambda: member.context.fleet.reasons["unreadable"])
     served.call(served.arbiter.nonsense.clear)
     member.until(lambda: joined(member))
     assert not member.logged("defect")
@@ -346,8 +348,8 @@
     asked = member.ask("buy", b"one")
     member.serve()
     assert member.status(asked) == 200
-    module = member.node.module
-    assert not module.covering.items and module.covering.counts["unnamed"] == 1
+    module = member.context.coordinator
+    assert not module.replicator.items and module.replicator.counts["unnamed"] == 1
 
 
 def test_operators_are_told_who_is_in_and_what_is_covered(make_surroundings, served):
@@ -357,11 +359,11 @@
     asked = around.ask("buy", b"one", x_work_name="w1")
     around.serve()
     assert around.status(asked) == 200
-    caller = around.keep(socket.create_connection(around.node.operators.sock.getsockname()))
+    caller = around.keep(socket.create_connection(around.context.admin_listener.sock.getsockname()))
     caller.sendall(b"GET /_fleet HTTP/1.1\r\nHost: a\r\n\r\n")
     answer, body = around.answer(caller)
     told = json.loads(body)
-    assert answer.status_code == 200 and told["in_view"] and told["member"] == around.node.fleet.me
+    assert answer.status_code == 200 and told["in_view"] and told["member"] == around.context.fleet.member_id
     cells = {"count": 1, "ours": 0, "members": [told["member"]], "fleet_members": 1}
     assert told["cells"] == cells and [one["id"] for one in told["view"]] == cells["members"]
     assert (
@@ -376,8 +378,8 @@
 
 def test_a_member_that_stops_is_out_of_the_view_before_its_process_ends(member, served):
     member.until(lambda: joined(member))
-    member.node.stopper.post(STOP)
-    member.until(lambda: not member.node.loop.running and not members_at(served))
+    member.context.shutdown.post(STOP)
+    member.until(lambda: not member.context.loop.running and not members_at(served))
 
 
 def test_two_processes_of_one_sidecar_can_both_be_linked_to(make_surroundings, served):
@@ -392,7 +394,7 @@
             made.append(make_surroundings(name="n0", fleet=part, environment=environment))
         for around in made:
             around.until(lambda around=around: joined(around))
-    assert made[0].node.fleet.me != made[1].node.fleet.me
+    assert made[0].context.fleet.member_id != made[1].context.fleet.member_id
 
 
 def calls_of_the_fleet(around, **headers):
@@ -440,15 +442,15 @@
     client.close()
     around.until(lambda: around.logged("client.end"))
     around.reply(upstream, status=500)
-    around.until(lambda: not around.node.module.pending_requests)
+    around.until(lambda: not around.context.coordinator.pending_requests)
     around.quiet(1 - i)
 
 
 def test_what_waits_for_its_keeper_is_not_sent_once_the_client_has_left(member, monkeypatch):
     member.until(lambda: joined(member))
     waiting = []
-    module = member.node.module
-    monkeypatch.setattr(module.covering, "hand_on", lambda item, number: waiting.append((item, number)))
+    module = member.context.coordinator
+    monkeypatch.setattr(module.replicator, "hand_on", lambda item, number: waiting.append((item, number)))
     client = member.ask("buy", b"one", x_work_name="w1")
     upstream = member.accept()
     assert member.until(lambda: member.read(upstream)).endswith(b"on")
@@ -457,3 +459,14 @@
     module.go(*waiting[0])  # the keeper's word comes now
     member.let_pass(0.05)
     assert member.read(upstream) in (None, b"end")
+
+
+def test_a_client_that_waits_is_given_the_request_decided_on_in_place_of_its_own(member):
+    member.until(lambda: joined(member))
+    member.ask("buy", b"one", x_work_name="w1")
+    member.accept()
+    coordinator = member.context.coordinator
+    [item] = coordinator.replicator.items.values()
+    connection = item.main.client
+    coordinator.decide(item)
+    assert connection.pending is item.main
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -7,9 +7,9 @@
 from test_fleet_wire import NAMES, PART, Served
 
 from starlingwheel.decisions.model import AttemptOutcome
-from starlingwheel.fleet.part import ZonesConfig, decode
+from starlingwheel.fleet.config import ZonesConfig, decode
 from starlingwheel.fleet.records import ZoneReport
-from starlingwheel.fleet.zones import ZoneHealthTracker
+from starlingwheel.fleet.zones.planner import ZoneHealthTracker
 from starlingwheel.net.fleet.zones import ZoneController
 from trials import zones
 from trials.broken import ZONE_VARIANTS
@@ -54,78 +54,78 @@
 # What one member sees.
 
 
-def seen(noting, zone):
-    return noting.look()[zone]
+def seen(zone_health, zone):
+    return zone_health.look()[zone]
 
 
 def noted(answers=20):
-    noting = ZoneHealthTracker(2.0, 100.0)
+    zone_health = ZoneHealthTracker(2.0, 100.0)
     for number in range(answers):
         for zone in ("here", "there"):
-            noting.began((zone, number), zone)
-        noting.now += 0.05
+            zone_health.began((zone, number), zone)
+        zone_health.now += 0.05
         for zone in ("here", "there"):
-            noting.ended((zone, number), "good")
-    return noting
+            zone_health.ended((zone, number), "good")
+    return zone_health
 
 
 def test_a_zone_that_answers_nothing_is_told_before_time_is_out():
-    noting = noted()
+    zone_health = noted()
     for number in range(20):
-        noting.began(("here", "late", number), "here")
-        noting.began(("there", "late", number), "there")
-        noting.now += 0.05
-        noting.ended(("there", "late", number), "good")
-        noting.look()
-    assert seen(noting, "here").failing and not seen(noting, "there").failing
+        zone_health.began(("here", "late", number), "here")
+        zone_health.began(("there", "late", number), "there")
+        zone_health.now += 0.05
+        zone_health.ended(("there", "late", number), "good")
+        zone_health.look()
+    assert seen(zone_health, "here").failing and not seen(zone_health, "there").failing
 
 
 def test_a_pause_of_its_own_is_no_silence_of_others():
-    noting = noted()
-    noting.look()
+    zone_health = noted()
+    zone_health.look()
     for number in range(8):
-        noting.began(("here", "x", number), "here")
-    noting.now += 3.0
-    assert not seen(noting, "here").failing
+        zone_health.began(("here", "x", number), "here")
+    zone_health.now += 3.0
+    assert not seen(zone_health, "here").failing
 
 
 def test_what_fails_everywhere_is_no_zones_own():
-    noting = noted()
+    zone_health = noted()
     for number in range(20):
         for zone in ("here", "there"):
-            noting.began((zone, "x", number), zone)
-            noting.ended((zone, "x", number), "bad")
-    assert not seen(noting, "here").failing and not seen(noting, "there").failing
+            zone_health.began((zone, "x", number), zone)
+            zone_health.ended((zone, "x", number), "bad")
+    assert not seen(zone_health, "here").failing and not seen(zone_health, "there").failing
 
 
 def test_what_is_turned_away_is_full_and_does_not_fail():
-    noting = noted()
+    zone_health = noted()
     for number in range(10):
-        noting.began(("here", "x", number), "here")
-        noting.ended(("here", "x", number), "full")
-    assert seen(noting, "here").full and not seen(noting, "here").failing
+        zone_health.began(("here", "x", number), "here")
+        zone_health.ended(("here", "x", number), "full")
+    assert seen(zone_health, "here").full and not seen(zone_health, "here").failing
 
 
 def test_an_answer_ends_it():
-    noting = noted()
+    zone_health = noted()
     for number in range(12):
-        noting.began(("here", "x", number), "here")
-        noting.ended(("here", "x", number), "bad")
-    noting.began("other", "there")
-    noting.now += 0.05
-    noting.ended("other", "good")
-    assert seen(noting, "here").failing
+        zone_health.began(("here", "x", number), "here")
+        zone_health.ended(("here", "x", number), "bad")
+    zone_health.began("other", "there")
+    zone_health.now += 0.05
+    zone_health.ended("other", "good")
+    assert seen(zone_health, "here").failing
     for number in range(30):
-        noting.began(("here", "y", number), "here")
-        noting.ended(("here", "y", number), "good")
-    assert not seen(noting, "here").failing
+        zone_health.began(("here", "y", number), "here")
+        zone_health.ended(("here", "y", number), "good")
+    assert not seen(zone_health, "here").failing
 
 
 def test_without_a_part_nothing_is_seen_nor_planned():
-    zoning = ZoneController("n0", 1.0, None, 1.0, 0.0, lambda: None, lambda event, **fields: None)
-    zoning.began("x", "here", 1.0)
-    zoning.ended("x", AttemptOutcome.TIMED_OUT, 2.0)
-    assert not zoning.noting.zones and zoning.due(3.0, True) == float("inf")
+    zone_controller = ZoneController("n0", 1.0, None, 1.0, 0.0, lambda: None, lambda event, **fields: None)
+    zone_controller.began("x", "here", 1.0)
+    zone_controller.ended("x", AttemptOutcome.TIMED_OUT, 2.0)
+    assert not zone_controller.zone_health.zones and zone_controller.due(3.0, True) == float("inf")
 
 
 def test_all_that_is_wrong_with_the_part_is_told():
@@ -153,12 +153,12 @@
 
 
 def shares(operated):
-    return operated.around.node.module.runner.balancer.selector.zone_shares
+    return operated.around.context.coordinator.scheduler.balancer.selector.zone_shares
 
 
 def test_operators_leave_hold_and_return(operated):
-    zone = operated.around.node.terms.zone or next(
-        iter(u.entry.zone for u in operated.around.node.module.upstreams.values())
+    zone = operated.around.context.balancer_config.zone or next(
+        iter(u.entry.zone for u in operated.around.context.coordinator.pools.values())
     )
     assert operated.say("PUT /_zones/leave", {"zone": "nowhere"})[0] == 400
     assert operated.say("PUT /_zones/return", {"zone": zone})[0] == 409
@@ -173,9 +173,9 @@
 
 
 def test_a_member_that_has_gone_is_in_no_ones_way(operated, served):
-    planning = operated.around.node.fleet.module.zoning.planning
-    me = operated.around.node.fleet.me
-    planning.said = {"n9.ff": ZoneReport(0.0, {}), me: ZoneReport(0.0, {})}
+    zone_planner = operated.around.context.fleet.module.zone_controller.zone_planner
+    member_id = operated.around.context.fleet.member_id
+    zone_planner.said = {"n9.ff": ZoneReport(0.0, {}), member_id: ZoneReport(0.0, {})}
     status, told = operated.say("GET /_zones")
     assert status == 200 and set(told["said"]) == {"n0"}
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -7,8 +7,13 @@
 import pytest
 from conftest import categories
 
-from starlingwheel.net.memory.buffers import BUFFER_SIZE, MAX_BUFFERED_BODY, BufferedBody, BufferPool
-from starlingwheel.net.memory.flow import BODY_STREAM_CHANGED, MAX_STREAMED_BODY, STREAM_WINDOW, BodyStream
+from starlingwheel.net.state.body_stream import (
+    BODY_STREAM_CHANGED,
+    MAX_STREAMED_BODY,
+    STREAM_WINDOW,
+    BodyStream,
+)
+from starlingwheel.net.state.buffers import BUFFER_SIZE, MAX_BUFFERED_BODY, BufferedBody, BufferPool
 
 MB = 1 << 20
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -62,7 +67,9 @@
 
 def empty(around):
     """All buffers are back, nothing is in hand."""
-    around.until(lambda: around.node.pool.in_use == 0 and not around.node.module.pending_requests)
+    around.until(
+        lambda: around.context.buffer_pool.in_use == 0 and not around.context.coordinator.pending_requests
+    )
     assert not around.logged("defect") and not around.logged("module.defect")
 
 
@@ -77,7 +84,7 @@
     head, got = head_and(around, client)
     assert b"200" in head and b"%d" % len(body) in head
     # Its work item is done with: a long answer keeps no place at its upstream, and nothing cuts it.
-    around.until(lambda: not around.node.module.pending_requests)
+    around.until(lambda: not around.context.coordinator.pending_requests)
     upstream.sendall(body[1000:])
     assert got + read_all(around, client, len(body) - len(got)) == body
     # The connection goes on.
@@ -157,7 +164,7 @@
         upstream = around.accept()
         around.received(upstream)
         upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(bodies[number]) + bodies[number][:100])
-        around.until(lambda: not around.node.module.pending_requests)
+        around.until(lambda: not around.context.coordinator.pending_requests)
         clients.append(client)
         upstreams.append(upstream)
     left, got = [memoryview(b)[100:] for b in bodies], [bytearray() for _ in bodies]
@@ -172,7 +179,7 @@
                 left[i] = left[i][upstream.send(left[i][:MB]) :] if left[i] else left[i]
             with contextlib.suppress(BlockingIOError):
                 got[i] += client.recv(30000)
-        most = max(most, around.node.pool.in_use)
+        most = max(most, around.context.buffer_pool.in_use)
         return all(one.endswith(b[-100:]) for one, b in zip(got, bodies, strict=True))
 
     around.until(some, 60.0)
@@ -246,7 +253,7 @@
 def test_of_two_long_answers_the_first_one_is_passed_on_and_the_other_ends(make_surroundings):
     around = make_surroundings(upstreams=2)
     client = around.ask()
-    around.node.module.runner.balancer.hedging.delay = lambda request: 0.01
+    around.context.coordinator.scheduler.balancer.hedging.delay = lambda request: 0.01
     i, one = around.until(around.accept_any)
     around.received(one)
     other = around.accept(1 - i)
@@ -287,8 +294,8 @@
     # The upstream has it already, before its last byte has come.
     upstream = around.accept()
     assert around.until(lambda: around.read(upstream)).startswith(b"POST /buy/1?q=2")
-    [request] = [pending.request for pending in around.node.module.pending_requests.values()]
-    assert request.arrived_at > around.node.loop.now() + 1e6 and request.max_attempts == 1
+    [request] = [pending.request for pending in around.context.coordinator.pending_requests.values()]
+    assert request.arrived_at > around.context.loop.now() + 1e6 and request.max_attempts == 1
     got, left = bytearray(), memoryview(text)[MB:]
 
     def some():
@@ -297,13 +304,13 @@
         with contextlib.suppress(BlockingIOError):
             left = left[client.send(left[:100000]) :] if left else left
         got.extend(around.read(upstream) or b"")
-        assert around.node.pool.in_use * BUFFER_SIZE < 24 * MB / 3
+        assert around.context.buffer_pool.in_use * BUFFER_SIZE < 24 * MB / 3
         return len(got) >= len(body) - 65536 * 2 and not left
 
     around.until(some, 30.0)
     around.let_pass(0.1)
     got.extend(around.read(upstream) or b"")
-    around.until(lambda: request.arrived_at < around.node.loop.now() + 1)
+    around.until(lambda: request.arrived_at < around.context.loop.now() + 1)
     around.reply(upstream)
     assert around.status(client) == 200
     empty(around)
@@ -340,7 +347,7 @@
             e.written for pending in pending_requests.values() for e in pending.exchanges.values()
         )
 
-    pending_requests = around.node.module.pending_requests
+    pending_requests = around.context.coordinator.pending_requests
     around.until(some, 20.0)
     around.reset(upstream)
     assert around.status(client) == 504
@@ -432,8 +439,8 @@
     def __init__(self):
         self.mail = []
 
-    def post(self, mail):
-        self.mail.append(mail)
+    def post(self, message):
+        self.mail.append(message)
 
 
 def test_a_flow_tells_its_ends_once_and_gives_back_what_it_holds():
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -14,10 +14,10 @@
 from test_endings import LEAVE, leave
 from test_streams import NEW, Peer
 
-from starlingwheel.net.loop import HANGUP, MOST_EVENTS, WRITE
-from starlingwheel.net.wire.upstream import RESTED
+from starlingwheel.net.http.pool import RESTED
+from starlingwheel.net.loop import HANGUP, MAX_EVENTS_PER_POLL, WRITE
 
-MANY = MOST_EVENTS + 44  # more than one turn reads the ends of
+MANY = MAX_EVENTS_PER_POLL + 44  # more than one turn reads the ends of
 WINDOW = 65_535  # bytes that an upstream takes over HTTP/2 before it says that it takes more
 ATTEMPT = re.compile(rb"(?:GET|POST) /(?:look|buy|move)/")
 HEARD = pytest.mark.parametrize("heard", [True, False], ids=["heard", "not yet heard"])
@@ -38,10 +38,10 @@
     """Many clients of one sidecar, and what upstreams get for them."""
 
     def __init__(self, around):
-        self.around, self.node, self.upstreams = around, around.node, []
+        self.around, self.context, self.upstreams = around, around.context, []
         for listener in around.listeners:
             listener.listen(2 * MANY)
-        balancer = self.node.module.runner.balancer
+        balancer = self.context.coordinator.scheduler.balancer
         balancer.selector.latency_fraction = balancer.load.queue_limit = (
             1e9  # as many upstreams would take as many
         )
@@ -56,22 +56,25 @@
         self.until_begun(MANY)
         for sock in self.upstreams:
             self.around.reply(sock)
-        self.around.until(lambda: len(self.node.ledger.idle) == MANY)
+        self.around.until(lambda: len(self.context.connections.idle) == MANY)
         self.leave(clients, late=0)
-        self.around.until(lambda: not self.node.ledger.clients)
-        self.around.let_pass(RESTED * self.node.shortest)
+        self.around.until(lambda: not self.context.connections.clients)
+        self.around.let_pass(RESTED * self.context.shortest_objective)
 
     @contextlib.contextmanager
     def unheard(self):
         """The end of no client is read meanwhile."""
-        loop, actors = self.node.loop, [c for c in self.node.ledger.clients if c.pending is not None]
+        loop, actors = (
+            self.context.loop,
+            [c for c in self.context.connections.clients if c.pending is not None],
+        )
         descriptors = [actor.stream.sock.fileno() for actor in actors]
         for descriptor in descriptors:
-            loop.forget(descriptor)
+            loop.unregister(descriptor)
         yield
         for descriptor, actor in zip(descriptors, actors, strict=True):
             if not actor.ended:
-                loop.watch(descriptor, actor, HANGUP)
+                loop.register(descriptor, actor, HANGUP)
 
     def leave(self, clients, how="closes", late=0.15):
         """All at once, while the loop is late."""
@@ -109,15 +112,15 @@
 
     def all_settled(self):
         """No client is left; the attempts that began until then and just after."""
-        self.around.until(lambda: not self.node.ledger.clients)
+        self.around.until(lambda: not self.context.connections.clients)
         return self.begun_meanwhile()
 
 
 @contextlib.contextmanager
 def connections_come_up_late(around):
     """What new connections to upstreams say is heard only at the end of it."""
-    loop, kept = around.node.loop, []
-    watch = loop.watch
+    loop, kept = around.context.loop, []
+    watch = loop.register
 
     def watched(descriptor, actor, mask):
         if mask == WRITE and hasattr(actor, "upstream"):
@@ -125,9 +128,9 @@
         else:
             watch(descriptor, actor, mask)
 
-    loop.watch = watched
+    loop.register = watched
     yield kept
-    loop.watch = watch
+    loop.register = watch
     for descriptor, actor, mask in kept:
         if not actor.ended:
             watch(descriptor, actor, mask)
@@ -154,7 +157,7 @@
         many.around.until(lambda: len(kept) == MANY)
         if heard:
             many.leave(clients, how)
-            many.around.until(lambda: not many.node.ledger.clients)
+            many.around.until(lambda: not many.context.connections.clients)
     if not heard:
         with many.unheard():
             many.leave(clients, how)
@@ -182,7 +185,7 @@
 @HEARD
 def test_no_second_attempt_is_begun_for_a_burst_that_has_left(crowd, cancel, heard):
     many, crowded = crowd(cancel, upstreams=2), True
-    balancer = many.node.module.runner.balancer
+    balancer = many.context.coordinator.scheduler.balancer
     balancer.hedging.delay, balancer.load.is_overloaded = lambda request: 0.1, lambda: crowded
     clients = many.ask()
     many.until_begun(MANY)
@@ -230,11 +233,11 @@
     many = shared(cancel)
     with connections_come_up_late(many.around) as kept:
         clients = many.ask(90)
-        pending_requests = many.node.module.pending_requests
+        pending_requests = many.context.coordinator.pending_requests
         many.around.until(lambda: sum(len(pending.exchanges) for pending in pending_requests.values()) == 90)
         if heard:
             many.leave(clients)
-            many.around.until(lambda: not many.node.ledger.clients)
+            many.around.until(lambda: not many.context.connections.clients)
     assert len(kept) == 1
     with many.unheard():
         if not heard:
@@ -262,14 +265,14 @@
     with contextlib.nullcontext() if heard else many.unheard():
         many.leave([client], how)
         if heard:
-            around.until(lambda: not many.node.ledger.clients)
+            around.until(lambda: not many.context.connections.clients)
         peer.http.increment_flow_control_window(WINDOW)
         peer.http.increment_flow_control_window(WINDOW, stream)
         peer.flush()
         peer.until(lambda: stream in peer.resets)
     assert not peer.ended and len(peer.bodies[stream]) == WINDOW
-    around.until(lambda: not many.node.module.pending_requests)
-    assert many.node.pool.in_use == 0
+    around.until(lambda: not many.context.coordinator.pending_requests)
+    assert many.context.buffer_pool.in_use == 0
 
 
 @CANCEL
@@ -280,11 +283,12 @@
     peer = Peer(around)
     peer.answer(*peer.taken(1))
     assert around.status(first) == 200
-    (connection,) = many.node.ledger.upstream
+    (connection,) = many.context.connections.upstream
     connection.stream.write = lambda: not connection.stream.unwritten  # the kernel takes nothing
     stays, leaves = around.ask(x_trace_id="stays"), around.ask(x_trace_id="leaves")
     around.until(
-        lambda: sum(len(pending.exchanges) for pending in many.node.module.pending_requests.values()) == 2
+        lambda: sum(len(pending.exchanges) for pending in many.context.coordinator.pending_requests.values())
+        == 2
     )
     around.let_pass(0.05)
     with many.unheard():
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,7 +9,7 @@
 from starlingwheel.decisions.lease import EndpointLease, LeaseState
 from starlingwheel.decisions.model import Attempt, AttemptOutcome
 from starlingwheel.net.gate import Refusal
-from starlingwheel.net.memory.work import Exchange
+from starlingwheel.net.state.requests import Exchange
 
 GRACE = 0.5
 NOTICE = module.MISSED_NOTICE
@@ -142,18 +142,18 @@
 
 def test_the_gate_refuses_by_the_lease_in_the_last_instant(around):
     watch, _ = around.watch({"version": 8, "servers": []})
-    around.until(lambda: around.node.list.version == 8)
+    around.until(lambda: around.context.discovery.version == 8)
     client = around.ask("buy")
-    around.until(lambda: around.node.ledger.upstream)
+    around.until(lambda: around.context.connections.upstream)
     # The connection is on its way up, and the list expires before the first byte.
-    around.node.lease.expires_at = around.node.loop.now()
+    around.context.lease.expires_at = around.context.loop.now()
     assert around.status(client) == 503
     sock = around.accept()
     assert around.read(sock) is None
-    refused = around.node.gate.refused
+    refused = around.context.gate.refused
     assert sum(refused.values()) == 1 and next(iter(refused)).value == "lease-expired"
     around.say(watch, {"version": 9, "servers": []})
-    around.until(lambda: around.node.lease.allows(around.node.loop.now()))
+    around.until(lambda: around.context.lease.allows(around.context.loop.now()))
     assert [line["state"] for line in around.logged("lease")] == ["expired", "fresh"]
     # The connection stays, and carries the next one.
     client = around.ask("buy")
@@ -164,8 +164,8 @@
 
 def test_a_message_that_breaks_off_behind_a_whole_one_counts_as_begun(around):
     watch, _ = around.watch({"version": 8, "servers": []})
-    around.until(lambda: around.node.list.version == 8)
-    lease = around.node.lease
+    around.until(lambda: around.context.discovery.version == 8)
+    lease = around.context.lease
 
     def chunk(text):
         return b"%x\r\n%s\r\n" % (len(text), text)
@@ -174,10 +174,10 @@
     around.until(lambda: lease.incomplete_since < inf)
     # The rest of it, and in the same bytes the beginning of the next, of which no more comes.
     watch.sendall(chunk(b'"servers": []}\n') + chunk(b'{"version": 10, '))
-    around.until(lambda: around.node.list.version == 9)
+    around.until(lambda: around.context.discovery.version == 9)
     assert lease.incomplete_since < inf
     around.say(watch, b'"servers": []}')
-    around.until(lambda: around.node.list.version == 10)
+    around.until(lambda: around.context.discovery.version == 10)
     assert lease.incomplete_since == inf
 
 
@@ -185,12 +185,12 @@
     client = around.ask("buy")
     sock = around.accept()
     around.received(sock)
-    (pending,) = around.node.module.pending_requests.values()
+    (pending,) = around.context.coordinator.pending_requests.values()
     (attempt,) = pending.exchanges
-    again = Attempt(attempt.request, attempt.endpoint, around.node.loop.now())
-    around.node.module.start_attempt(again, 1.0)
+    again = Attempt(attempt.request, attempt.endpoint, around.context.loop.now())
+    around.context.coordinator.start_attempt(again, 1.0)
     around.quiet()
-    assert around.node.gate.violations == 1
+    assert around.context.gate.violations == 1
     around.reply(sock)
     assert around.status(client) == 200
     assert [line["what"] for line in around.logged("gate.violation")]
@@ -201,18 +201,18 @@
     client = around.ask("move")
     sock = around.accept()
     around.received(sock)
-    (pending,) = around.node.module.pending_requests.values()
+    (pending,) = around.context.coordinator.pending_requests.values()
     (first,) = pending.exchanges.values()
-    at = around.node.loop.now()
-    around.node.gate.now = lambda: at  # however long the story takes
-    around.node.lease.expires_at = inf
+    at = around.context.loop.now()
+    around.context.gate.now = lambda: at  # however long the story takes
+    around.context.lease.expires_at = inf
     repeat = Exchange(first.endpoint, first.pool, at, inf, first.attempt, pending)
     first.started_at = at - pending.request.request_class.deduplication_window + left
-    assert (around.node.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
+    assert (around.context.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
     # The same once the first has ended in a way that may have run.
     sent = first.started_at
     around.reply(sock, status=500)
     around.until(lambda: pending.may_have_run)
     assert pending.risky_since == sent
-    assert (around.node.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
+    assert (around.context.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
     client.close()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -12,15 +12,15 @@
 import pytest
 from conftest import SETTINGS, address, bound, categories
 
-from standins.loopback import free_address
+from fakes.loopback import free_address
 from starlingwheel.decisions.model import EndpointState
 from starlingwheel.net.actor import Actor
+from starlingwheel.net.address import split
+from starlingwheel.net.discovery import client as discovery
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
 from starlingwheel.net.lifecycle.log import MOST, EventLog
 from starlingwheel.net.loop import READ, Loop
-from starlingwheel.net.mail import STOP
-from starlingwheel.net.wire import discovery
-from starlingwheel.net.wire.address import split
+from starlingwheel.net.messages import STOP
 
 
 def serve(around, client, i=0):
@@ -49,7 +49,7 @@
     client = around.client()
     for version in range(8, 24, 2):
         around.say(watch, {"version": version, "servers": [around.entry(0)]})
-        around.until(lambda: around.node.list.version == version)  # noqa: B023
+        around.until(lambda: around.context.discovery.version == version)  # noqa: B023
         around.let_pass(0.01)
         client.sendall(around.request())
         around.say(watch, {"version": version + 1, "servers": [around.entry(0, state="leaving")]})
@@ -64,7 +64,7 @@
     upstream = around.accept()
     around.received(upstream)
     around.say(watch, {"version": 8, "servers": [around.entry(0, state="left")]})
-    around.until(lambda: not around.node.module.upstreams)
+    around.until(lambda: not around.context.coordinator.pools)
     client.close()
     assert around.until(lambda: around.read(upstream)) == b"end"
 
@@ -72,8 +72,8 @@
 def test_a_whole_list_takes_out_what_it_does_not_name(make_surroundings):
     around = make_surroundings(upstreams=2)
     around.watch({"version": 9, "full": True, "servers": [around.entry(1)]})
-    around.until(lambda: list(around.node.module.upstreams) == ["s1"])
-    assert list(around.node.module.runner.balancer.endpoints.by_id) == ["s1"]
+    around.until(lambda: list(around.context.coordinator.pools) == ["s1"])
+    assert list(around.context.coordinator.scheduler.balancer.endpoints.by_id) == ["s1"]
 
 
 def test_an_address_may_change_under_a_known_id(around):
@@ -137,12 +137,12 @@
 def test_changes_that_go_back_in_version_are_not_believed_and_the_whole_is_asked_for(make_surroundings):
     around = make_surroundings(upstreams=2)
     watch, _ = around.watch({"version": 9, "servers": [around.entry(0, state="leaving")]})
-    around.until(lambda: around.node.list.version == 9)
+    around.until(lambda: around.context.discovery.version == 9)
     around.say(watch, {"version": 8, "servers": [around.entry(0)]})
     _, target = around.watch({"version": 3, "full": True, "servers": [around.entry(1)]})
     assert target.endswith(b"from=0") and around.logged("list.end")[0]["reason"] == "went-back"
-    around.until(lambda: around.node.list.version == 3)
-    assert list(around.node.module.upstreams) == ["s1"]
+    around.until(lambda: around.context.discovery.version == 3)
+    assert list(around.context.coordinator.pools) == ["s1"]
 
 
 def test_a_known_list_of_which_nothing_is_left_costs_prompt_deferrals_until_the_list_speaks(
@@ -156,38 +156,45 @@
     for _ in range(4):
         assert around.status(around.ask("buy", b"one", connection="close")) == 503
     around.watch({"version": 9, "full": True, "servers": [around.entry(3)]})
-    around.until(lambda: list(around.node.module.upstreams) == ["s3"])
+    around.until(lambda: list(around.context.coordinator.pools) == ["s3"])
     serve(around, around.client(), i=3)
 
 
 def test_nothing_is_kept_of_thousands_of_upstreams_that_have_left(around):
     watch, _ = around.watch(b"")
-    node, balancer = around.node, around.node.module.runner.balancer
+    context, balancer = around.context, around.context.coordinator.scheduler.balancer
     for version in range(8, 108):
         new = [around.entry(0, id=f"{version}-{i}") for i in range(20)]
         gone = [{"id": f"{version - 1}-{i}", "state": "left"} for i in range(20)] + [
             {"id": "s0", "state": "left"}
         ]
         around.say(watch, {"version": version, "servers": gone + new})
-        around.until(lambda: node.list.version == version)  # noqa: B023
-        around.until(lambda: not node.module.mailbox)
+        around.until(lambda: context.discovery.version == version)  # noqa: B023
+        around.until(lambda: not context.coordinator.mailbox)
         for u in list(balancer.endpoints.by_id.values())[:5]:
-            node.module.runner.gossip_received(1, u.gossip_tag.to_bytes(2, "big") + b"\x03")
+            context.coordinator.scheduler.gossip_received(1, u.gossip_tag.to_bytes(2, "big") + b"\x03")
         client = around.ask("buy", b"one", x_trace_id=f"t{version}", connection="close")
         around.serve(status=500 if version % 2 else 200)  # all of them at one address
         assert around.status(client) in (200, 504)
         client.close()
-    around.until(lambda: not node.module.pending_requests and not node.ledger.clients)
-    assert len(node.module.upstreams) == len(balancer.endpoints.by_id) == len(balancer.endpoints.by_tag) == 20
+    around.until(lambda: not context.coordinator.pending_requests and not context.connections.clients)
+    assert (
+        len(context.coordinator.pools)
+        == len(balancer.endpoints.by_id)
+        == len(balancer.endpoints.by_tag)
+        == 20
+    )
     assert len(balancer.outliers.suspects) <= 10 and len(balancer.gossip._by_peer) <= 5 * 100
-    node.module.runner.set_time(node.module.runner.now + 60)
+    context.coordinator.scheduler.set_time(context.coordinator.scheduler.now + 60)
     balancer.gossip.forget_old_counts()
     balancer.endpoints.stale = True
     balancer.endpoints.refresh()
     assert not balancer.gossip._by_peer and not balancer.gossip.counts
-    assert len(node.ledger.upstream) <= 1 and not node.in_hand  # those to the last ones are kept
+    assert (
+        len(context.connections.upstream) <= 1 and not context.active_traces
+    )  # those to the last ones are kept
     gc.collect()
-    assert len([actor for _, _, held in node.loop.timers if (actor := held())]) < 10
+    assert len([actor for _, _, held in context.loop.timers if (actor := held())]) < 10
 
 
 # New configurations.
@@ -201,13 +208,13 @@
     new, target = around.watch()
     assert target == b"/v1/endpoints?watch=1&from=0"
     around.say(old, {"version": 8, "servers": [around.entry(0, state="leaving")]})
-    drained = around.node.module.runner.balancer.endpoints.by_id["s0"]
+    drained = around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
     around.until(lambda: drained.entry.state is EndpointState.DRAINING)
     around.say(new, {"version": 1, "full": True, "servers": [around.entry(1)]})
     assert around.until(lambda: around.read(old)) == b"end"
-    around.until(lambda: list(around.node.module.upstreams) == ["s1"])
+    around.until(lambda: list(around.context.coordinator.pools) == ["s1"])
     around.say(new, {"version": 2, "servers": [around.entry(0)]})
-    around.until(lambda: len(around.node.module.upstreams) == 2)
+    around.until(lambda: len(around.context.coordinator.pools) == 2)
     before.close()
 
 
@@ -220,7 +227,7 @@
     old.close()
     around.discovery.listen()
     around.watch({"version": 1, "full": True, "servers": [around.entry(0)]})
-    around.until(lambda: around.node.list.version == 1)
+    around.until(lambda: around.context.discovery.version == 1)
 
 
 def test_a_configuration_that_can_not_be_used_leaves_the_one_before(around):
@@ -230,7 +237,7 @@
     assert len(around.logged("config.unusable")) == 1
     assert around.logged("config.read")[0]["taken_over"] == []
     around.say(watch, {"version": 8, "servers": []})
-    around.until(lambda: around.node.list.version == 8)
+    around.until(lambda: around.context.discovery.version == 8)
 
 
 def test_what_needs_a_restart_is_told_and_several_changes_in_a_row_end_with_the_last(around):
@@ -241,8 +248,10 @@
     assert around.logged("config.read")[-1]["need_restart"] == ["name"]
     around.discovery = last
     around.watch({"version": 3, "full": True, "servers": [around.entry(0)]})
-    around.until(lambda: around.node.list.version == 3)
-    assert around.node.list.current.address == address(last) and around.node.list.coming is None
+    around.until(lambda: around.context.discovery.version == 3)
+    assert (
+        around.context.discovery.current.address == address(last) and around.context.discovery.coming is None
+    )
 
 
 # Peers.
@@ -251,10 +260,10 @@
 def test_a_peer_is_heard_and_a_stranger_is_not(around, monkeypatch):
     heard = []
     monkeypatch.setattr(
-        around.node.module.runner, "gossip_received", lambda peer, body: heard.append((peer, body))
+        around.context.coordinator.scheduler, "gossip_received", lambda peer, body: heard.append((peer, body))
     )
-    assert list(around.node.datagrams.peers) == [around.peer.getsockname()]  # not itself
-    to = around.node.datagrams.sock.getsockname()
+    assert list(around.context.gossip_socket.peers) == [around.peer.getsockname()]  # not itself
+    to = around.context.gossip_socket.sock.getsockname()
     stranger = around.keep(bound(socket.SOCK_DGRAM))
     for sender, body in [
         (stranger, b"no"),
@@ -268,13 +277,13 @@
 
 
 def test_a_flood_of_datagrams_does_not_pile_up(around):
-    to = around.node.datagrams.sock.getsockname()
+    to = around.context.gossip_socket.sock.getsockname()
     most = 0
     for _ in range(50):
         for _ in range(200):
             around.peer.sendto(b"abc", to)
-        around.node.loop.turn(0.01)
-        most = max(most, len(around.node.module.mailbox))
+        around.context.loop.run_once(0.01)
+        most = max(most, len(around.context.coordinator.mailbox))
     assert most <= 128
     serve(around, around.client())
 
@@ -284,7 +293,7 @@
     upstream = around.accept()
     around.received(upstream)
     body = around.until(lambda: around.read(around.peer))
-    known = around.node.module.runner.balancer.endpoints.by_id["s0"]
+    known = around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
     assert body == known.gossip_tag.to_bytes(2, "big") + b"\x01"
 
 
@@ -386,13 +395,13 @@
 
 def test_at_a_stop_all_that_was_taken_is_answered_and_then_it_ends(make_surroundings):
     around = make_surroundings(settings={"categories": categories(4000000)})
-    loop = around.node.loop
+    loop = around.context.loop
     loop.running = True
     idle, busy = around.client(), around.ask("buy", b"one")
     upstream = around.accept()
     around.received(upstream)
-    around.node.stopper.post(STOP)
-    around.until(lambda: around.node.stopping)
+    around.context.shutdown.post(STOP)
+    around.until(lambda: around.context.stopping)
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
     late = around.ask(x_trace_id="t2")  # they go on coming for a while
     other = around.accept()
@@ -445,14 +454,14 @@
 
     class Waiting(Actor):
         def run(self):
-            self.loop.watch(ours.fileno(), self, READ)
+            self.loop.register(ours.fileno(), self, READ)
             seen.append((yield self.loop.now() + 0.01))
 
     loop = Loop(lambda actor, error: pytest.fail(repr(error)))
     Waiting(loop).begin()
     theirs.send(b"x")
     time.sleep(0.02)  # a late turn: both have happened
-    loop.turn()
+    loop.run_once()
     assert len(seen) == 1 and seen[0] is not None
     ours.close()
     theirs.close()
@@ -474,14 +483,14 @@
     for actor in actors:
         actor.begin()
     for _ in range(3):
-        loop.turn()
+        loop.run_once()
     assert got == [None]
     loop.close()
 
 
-def test_an_actor_that_lasts_begins_anew_after_a_defect():
+def test_a_daemon_actor_starts_anew_after_an_error():
     class Fragile(Actor):
-        lasting = True
+        daemon = True
 
         def run(self):
             while True:
@@ -494,5 +503,5 @@
     for n in (0, 2):
         actor.post(n)
     while actor.mailbox:
-        loop.turn()
+        loop.run_once()
     assert got == [0.5] and len(defects) == 1
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,9 +7,10 @@
 import pytest
 from conftest import SETTINGS, bound, categories
 
-from starlingwheel.net.memory.buffers import MAX_REQUEST_BODY
-from starlingwheel.net.wire.client import READ_AWAY, ClientConnection
-from starlingwheel.net.wire.upstream import ConnectionPool, Http1Connection, figures
+from starlingwheel.net.coordinator import RequestCoordinator
+from starlingwheel.net.http.client_connection import READ_AWAY, ClientConnection
+from starlingwheel.net.http.pool import ConnectionPool, Http1Connection, figures
+from starlingwheel.net.state.buffers import MAX_REQUEST_BODY
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged(around):
@@ -25,7 +26,9 @@
     answer, got = around.answer(client)
     assert answer.status_code == 200 and got == body[::-1]
     assert dict(answer.headers)[b"content-type"] == b"x/y"
-    assert around.until(lambda: around.node.pool.in_use == 0 and not around.node.module.pending_requests)
+    assert around.until(
+        lambda: around.context.buffer_pool.in_use == 0 and not around.context.coordinator.pending_requests
+    )
 
 
 def test_a_connection_is_kept_and_carries_the_next_request(around):
@@ -76,13 +79,13 @@
     around.let_pass(0.02)
     threading.Thread(target=upstream.sendall, args=(body[100:],)).start()
     assert around.answer(client)[1] == body
-    assert around.until(lambda: around.node.pool.in_use == 0)
+    assert around.until(lambda: around.context.buffer_pool.in_use == 0)
 
 
 def test_a_slow_reader_of_an_answer_gets_all_of_it(around):
     client = around.client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
-    served = next(iter(around.until(lambda: around.node.ledger.clients)))
+    served = next(iter(around.until(lambda: around.context.connections.clients)))
     served.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     body = bytes(range(256)) * 256
     client.sendall(around.request())
@@ -95,12 +98,12 @@
     around = make_surroundings(settings={"categories": categories(100000)})
     client = around.client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    served = next(iter(around.until(lambda: around.node.ledger.clients)))
+    served = next(iter(around.until(lambda: around.context.connections.clients)))
     served.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.sendall(around.request())
     around.serve(body=b"x" * MAX_REQUEST_BODY)
     assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "slow-reader"
-    assert around.until(lambda: around.node.pool.in_use == 0)
+    assert around.until(lambda: around.context.buffer_pool.in_use == 0)
 
 
 def test_bytes_that_nobody_asked_for_end_a_connection(around):
@@ -198,7 +201,7 @@
     around = make_surroundings(upstreams=2)
     client = around.ask("buy", b"x" * MAX_REQUEST_BODY)
     i, upstream = around.until(around.accept_any)
-    carrying = around.until(lambda: next(iter(around.node.ledger.upstream), None))
+    carrying = around.until(lambda: next(iter(around.context.connections.upstream), None))
     carrying.stream.unwritten.append(b"more" * 4000000)  # more than the kernel takes
     around.reply(upstream)
     assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "early-answer"
@@ -212,12 +215,12 @@
     around.received(upstream)
     around.reset(upstream)
     assert around.status(client) == 504
-    assert around.node.resets_until > around.node.loop.now()
+    assert around.context.resets_expected_until > around.context.loop.now()
 
 
 def test_while_connections_break_exclusive_work_is_not_whole_until_one_has_held(make_surroundings):
     around = make_surroundings(upstreams=2)
-    around.node.resets_until = float("inf")
+    around.context.resets_expected_until = float("inf")
     client = around.client()
     client.sendall(around.request("buy", b"one"))
     i, upstream = around.until(around.accept_any)
@@ -233,7 +236,7 @@
 
 
 def test_an_old_connection_that_breaks_says_nothing_of_its_upstream(around):
-    around.node.resets_until = float("inf")
+    around.context.resets_expected_until = float("inf")
     client = around.client()
     client.sendall(around.request("buy", b"one"))
     upstream = around.serve()
@@ -243,7 +246,7 @@
     assert around.until(lambda: around.read(upstream)).endswith(b"tw")
     around.reset(upstream)
     assert around.status(client) == 503
-    assert around.node.module.runner.balancer.endpoints.by_id["s0"].consecutive_failures == 0
+    assert around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"].consecutive_failures == 0
 
 
 @pytest.mark.parametrize(("status", "extra"), [(500, ""), (503, ""), (400, "X-Never-Ran: 1\r\n")])
@@ -327,7 +330,7 @@
     client = around.ask()
     upstream = around.serve()
     assert around.status(client) == 200
-    connection = around.until(around.node.ledger.longest_idle)
+    connection = around.until(around.context.connections.longest_idle)
     assert connection.usable()
     upstream.close()  # the loop has not turned since
     assert not connection.usable()
@@ -352,8 +355,10 @@
             client.close()
         around.reply(upstream, extra="Connection: close\r\n")
         client.close()
-        around.until(lambda: not around.node.module.pending_requests and not around.node.ledger.clients)
-    assert around.until(lambda: around.node.pool.in_use == 0)
+        around.until(
+            lambda: not around.context.coordinator.pending_requests and not around.context.connections.clients
+        )
+    assert around.until(lambda: around.context.buffer_pool.in_use == 0)
 
 
 def test_a_connection_soon_to_be_closed_as_idle_is_closed_by_us_first(make_surroundings):
@@ -374,9 +379,9 @@
     assert around.until(lambda: around.read(upstream)) == b"end"
     assert around.logged("client.end")[-1]["reason"] == "client-left"
     assert around.logged("upstream.end")[-1]["reason"] == "dropped"
-    assert around.node.module.counts["left"] == 1
+    assert around.context.coordinator.counts["left"] == 1
     around.quiet()
-    assert not around.node.module.pending_requests
+    assert not around.context.coordinator.pending_requests
 
 
 BAD = [
@@ -423,7 +428,9 @@
     client.sendall(b"0\r\n\r\n" + hidden)
     assert around.status(client) == 400
     around.quiet()
-    assert not around.node.module.counts["finished"] and not around.node.module.pending_requests
+    assert (
+        not around.context.coordinator.counts["finished"] and not around.context.coordinator.pending_requests
+    )
 
 
 def test_an_id_that_is_in_hand_is_refused_and_nothing_is_kept_of_it(around):
@@ -433,7 +440,7 @@
     assert around.status(around.ask("buy", b"two")) == 409
     around.reply(upstream)
     assert around.status(client) == 200
-    assert not around.node.in_hand
+    assert not around.context.active_traces
 
 
 def test_one_that_sends_on_and_on_after_its_answer_is_not_read_for_ever(around):
@@ -484,22 +491,22 @@
 
 def test_too_many_clients_are_told_so(make_surroundings):
     around = make_surroundings(limits={"sockets": 120})
-    ledger = around.node.ledger
+    ledger = around.context.connections
     ledger.client_share = ledger.most_requests = 2
     busy = [around.ask(x_trace_id=f"busy{n}") for n in range(ledger.most_requests)]
-    around.until(lambda: len(around.node.module.pending_requests) == len(busy))
+    around.until(lambda: len(around.context.coordinator.pending_requests) == len(busy))
     more = [around.ask(x_trace_id=f"more{n}") for n in range(64)]  # more than there is room to say it to
     assert {around.status(one) for one in more[:8]} == {503}
     assert len(ledger.clients) <= ledger.client_share + ledger.spare
     for client in more:
         client.close()
     around.serve()
-    assert around.until(lambda: around.node.module.counts["finished"]) == 1
+    assert around.until(lambda: around.context.coordinator.counts["finished"]) == 1
 
 
 def test_silent_clients_do_not_shut_out_the_others_and_are_closed(make_surroundings):
     around = make_surroundings(limits={"sockets": 120})
-    ledger = around.node.ledger
+    ledger = around.context.connections
     silent = [around.client() for _ in range(200)]
     half = around.client()
     half.sendall(around.request()[:40])
@@ -513,7 +520,7 @@
 
 def test_one_that_has_just_connected_is_not_closed_for_the_sake_of_the_next(make_surroundings):
     around = make_surroundings(limits={"sockets": 120})
-    around.node.ledger.client_share = 3
+    around.context.connections.client_share = 3
     kept = [around.client() for _ in range(3)]
     for client in kept:
         serve_one(around, client)
@@ -526,7 +533,7 @@
 
 def test_a_slow_client_goes_on_where_halves_of_requests_crowd_in(make_surroundings):
     around = make_surroundings(limits={"sockets": 120})
-    around.node.ledger.client_share = 6
+    around.context.connections.client_share = 6
     slow, text = around.client(), around.request(connection="keep-alive")
     for start in range(0, len(text), 8):
         slow.sendall(text[start : start + 8])
@@ -547,21 +554,21 @@
 
 def test_an_idle_connection_makes_room_for_a_new_one(make_surroundings):
     around = make_surroundings(upstreams=2)
-    around.node.ledger.share = 1
+    around.context.connections.share = 1
     client = around.client()
     upstream = None
     while "not-needed" not in [line["reason"] for line in around.logged("upstream.end")]:
         client.sendall(around.request())
         while not (request := upstream and around.read(upstream)) or request == b"end":
             upstream = (around.accept_any() or (0, upstream))[1]
-            around.node.loop.turn(0.01)
+            around.context.loop.run_once(0.01)
         around.reply(upstream)
         assert around.status(client) == 200
-    assert len(around.node.ledger.upstream) == 1
+    assert len(around.context.connections.upstream) == 1
 
 
 def test_without_room_for_a_connection_work_is_deferred(around):
-    around.node.ledger.room_for_upstream = lambda: False
+    around.context.connections.room_for_upstream = lambda: False
     client = around.ask("buy", b"one")
     answer, _ = around.answer(client)
     assert answer.status_code == 503 and float(dict(answer.headers)[b"retry-after"]) > 0
@@ -569,7 +576,7 @@
 
 
 def test_without_buffers_a_request_is_told_so(around):
-    around.node.pool.most = 0
+    around.context.buffer_pool.most = 0
     assert around.status(around.ask("buy", b"one")) == 503
     around.quiet()
 
@@ -596,7 +603,15 @@
     client = around.ask("buy", b"one")
     around.serve(status=500)
     assert around.status(client) == 504
-    assert around.logged("module.defect") and not around.node.module.pending_requests
+    assert around.logged("module.defect") and not around.context.coordinator.pending_requests
+
+
+def test_a_defect_in_handling_a_message_answers_the_request_it_is_about(around, monkeypatch):
+    monkeypatch.setattr(RequestCoordinator, "_exchange_ended", lambda *_: 1 / 0)
+    client = around.ask("buy", b"one")
+    around.serve()
+    assert around.status(client) == 504
+    assert around.logged("module.defect")
 
 
 def test_a_defect_in_a_connection_ends_that_connection(around, monkeypatch):
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,19 +14,19 @@
 import pytest
 from conftest import SETTINGS, address, bound
 
-from standins.loopback import free_address
+from fakes.loopback import free_address
 from starlingwheel.decisions.model import EndpointState
+from starlingwheel.net.address import split
+from starlingwheel.net.discovery.messages import DiscoveredEndpoint
 from starlingwheel.net.lifecycle.config import ConfigError
-from starlingwheel.net.memory.beside import SiblingProcesses
-from starlingwheel.net.memory.connections import ConnectionTracker
-from starlingwheel.net.memory.out import (
+from starlingwheel.net.state.connections import ConnectionTracker
+from starlingwheel.net.state.overrides import (
     MAX_KNOWN_IDS,
     OVERRIDES_FILE,
     EndpointOverrides,
     OverridesLockedError,
 )
-from starlingwheel.net.wire.address import split
-from starlingwheel.net.wire.entries import DiscoveredEndpoint
+from starlingwheel.net.state.siblings import SiblingProcesses
 
 
 @pytest.fixture
@@ -42,7 +42,7 @@
 
 
 def believed(around, name):
-    return around.node.module.runner.balancer.endpoints.by_id[name].entry
+    return around.context.coordinator.scheduler.balancer.endpoints.by_id[name].entry
 
 
 def detach(around, name="s0"):
@@ -88,7 +88,7 @@
 def test_what_is_no_call_gets_a_no_and_changes_nothing(operated, lead, body, extra, status):
     around = operated()
     assert around.call(lead, body, extra) == status
-    assert not around.node.out.kept.out and not around.node.lameduck
+    assert not around.context.overrides.kept.out and not around.context.draining
     assert believed(around, "s0").state is EndpointState.READY
     assert [line["status"] for line in around.logged("operator.call")] == [status]
 
@@ -98,17 +98,17 @@
     body = named("s0")
     extra = f"Content-Length: {len(body)}\r\n\r\n{body.decode()}PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\n"
     assert around.call("PUT /_upstreams/detach", extra=extra) == 400
-    assert not around.node.out.kept.out and not around.node.lameduck
+    assert not around.context.overrides.kept.out and not around.context.draining
 
 
 def test_callers_that_say_nothing_keep_nobody_out(operated):
     around = operated(limits={"sockets": 256})
-    place = around.node.operators.sock.getsockname()
+    place = around.context.admin_listener.sock.getsockname()
     silent = [around.keep(socket.create_connection(place)) for _ in range(20)]
     for one in silent[::2]:
         one.sendall(b"PUT /_upstreams/detach HTTP/1.1\r\nHost:")
     around.let_pass(0.05)
-    assert len(around.node.operators.calls) <= around.node.ledger.calls
+    assert len(around.context.admin_listener.calls) <= around.context.connections.calls
     assert detach(around) == 200
     # What has no room goes, the oldest first; what has room ends by itself.
     assert around.until(lambda: around.read(silent[0])) == b"end"
@@ -116,8 +116,8 @@
 
 def test_a_call_is_closed_only_for_one_that_has_come(operated):
     around = operated(limits={"sockets": 256})
-    place = around.node.operators.sock.getsockname()
-    silent = [around.keep(socket.create_connection(place)) for _ in range(around.node.ledger.calls)]
+    place = around.context.admin_listener.sock.getsockname()
+    silent = [around.keep(socket.create_connection(place)) for _ in range(around.context.connections.calls)]
     around.let_pass(0.1)
     assert [around.read(one) for one in silent] == [None] * len(silent)
 
@@ -129,7 +129,7 @@
 
 
 def test_without_a_second_address_nothing_listens(around):
-    assert around.node.operators is None and around.node.ledger.calls == 0
+    assert around.context.admin_listener is None and around.context.connections.calls == 0
     assert ConnectionTracker(1024).share > ConnectionTracker(1024, called=True).share
 
 
@@ -146,7 +146,7 @@
         {"version": 10, "full": True, "servers": [around.entry(0), around.entry(1)]},
     ):
         around.say(watch, word)
-        around.until(lambda: around.node.list.version == word["version"])  # noqa: B023
+        around.until(lambda: around.context.discovery.version == word["version"])  # noqa: B023
         around.all_go_to(1, 4)
     around.quiet(0)
 
@@ -162,10 +162,10 @@
     assert attach(around) == 200
     around.until(lambda: believed(around, "s0").state is EndpointState.READY)
     # Discovery has not said yet that it was restarted.
-    assert believed(around, "s0").started_at > around.node.loop.now() - 5
+    assert believed(around, "s0").started_at > around.context.loop.now() - 5
     assert (
-        around.node.module.runner.balancer.slow_start.fraction(
-            around.node.module.runner.balancer.endpoints.by_id["s0"]
+        around.context.coordinator.scheduler.balancer.slow_start.fraction(
+            around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
         )
         < 0.5
     )
@@ -194,12 +194,12 @@
     assert detach(one) == 200
     other.until(lambda: believed(other, "s0").state is EndpointState.DRAINING)
     assert other.call("PUT /_lameduck/on") == 200
-    one.until(lambda: one.node.lameduck)
+    one.until(lambda: one.context.draining)
     assert attach(other) == 200
     one.until(lambda: believed(one, "s0").state is EndpointState.READY)
     assert detach(other) == 200
     after = operated(known={"version": 7, "full": True, "servers": []})
-    assert after.node.out.kept.out and after.node.lameduck
+    assert after.context.overrides.kept.out and after.context.draining
     assert after.call("PUT /_lameduck/off") == 200
     # Nobody has listed it to this one.
     assert attach(after) == 200 and detach(after, "s9") == 404
@@ -215,8 +215,8 @@
 
 def test_a_yes_is_said_only_when_it_is_written(operated, tmp_path):
     around = operated()
-    around.until(lambda: not around.node.out.unwritten)
-    around.node.out.path = tmp_path / "gone" / OVERRIDES_FILE
+    around.until(lambda: not around.context.overrides.unwritten)
+    around.context.overrides.path = tmp_path / "gone" / OVERRIDES_FILE
     assert detach(around) == 503
     assert believed(around, "s0").state is EndpointState.READY
 
@@ -277,10 +277,10 @@
 
 def test_a_stop_within_a_drain_ends_the_process(operated):
     around = operated()
-    around.node.loop.running = True
+    around.context.loop.running = True
     assert around.call("PUT /_lameduck/on") == 200
     os.kill(os.getpid(), signal.SIGTERM)
-    around.until(lambda: not around.node.loop.running)
+    around.until(lambda: not around.context.loop.running)
 
 
 # Replacing the process.
@@ -288,7 +288,7 @@
 
 def test_another_process_is_seen_while_it_lives(tmp_path):
     text = f"""if True:
-        from starlingwheel.net.memory.beside import SiblingProcesses
+        from starlingwheel.net.state.siblings import SiblingProcesses
         beside = SiblingProcesses({str(tmp_path)!r})
         print(beside.others(), flush=True)
         input()
@@ -306,22 +306,22 @@
 
 def test_two_processes_share_what_one_may_have(operated):
     around = operated()
-    node, balancer = around.node, around.node.module.runner.balancer
-    clients = node.ledger.client_share
-    alone = node.pool.most, node.ledger.share
+    context, balancer = around.context, around.context.coordinator.scheduler.balancer
+    clients = context.connections.client_share
+    alone = context.buffer_pool.most, context.connections.share
 
     class Another:
         def others(self):
             return True
 
-    node.beside = Another()
+    context.siblings = Another()
     around.until(lambda: balancer.config.process_count == 2)
-    shared = node.pool.most, node.ledger.share
-    assert node.ledger.client_share == clients  # they come over to the new one all at once
+    shared = context.buffer_pool.most, context.connections.share
+    assert context.connections.client_share == clients  # they come over to the new one all at once
     assert all(half < whole * 0.6 for half, whole in zip(shared, alone, strict=True))
-    node.beside = None
+    context.siblings = None
     around.until(lambda: balancer.config.process_count == 1)
-    assert (node.pool.most, node.ledger.share) == alone
+    assert (context.buffer_pool.most, context.connections.share) == alone
 
 
 @pytest.mark.parametrize("value", ["x", "9999", "0"])
@@ -365,7 +365,7 @@
 @pytest.mark.xdist_group("trials-1")
 def test_under_load_a_process_is_replaced_and_no_request_is_lost_or_run_twice(tmp_path):
     """Clients with kept connections go on asking while a second process takes over the passed socket."""
-    upstream, passed, chance = Upstreams(), bound(backlog=256), random.Random(5)
+    upstream, passed, rng = Upstreams(), bound(backlog=256), random.Random(5)
     place = address(upstream.listener)
     servers = [{"id": f"s{i}", "addr": place, "state": "active"} for i in range(8)]
     settings = SETTINGS | {"caps": SETTINGS["caps"] | {"mayDuplicate": False, "mostHandOffs": 1}}
@@ -422,7 +422,7 @@
     try:
         first = start(0)
         clients = [
-            threading.Thread(target=client, args=(f"c{i}", random.Random(chance.random()))) for i in range(8)
+            threading.Thread(target=client, args=(f"c{i}", random.Random(rng.random()))) for i in range(8)
         ]
         for one in clients:
             one.start()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -49,19 +49,21 @@
 
 @pytest.mark.parametrize(("named", "path", "value"), WRONG)
 def test_nothing_is_taken_from_settings_that_are_wrong(around, named, path, value):
-    before = around.node.config, around.node.terms, around.node.list.address
+    before = around.context.config, around.context.balancer_config, around.context.discovery.address
     around.reconfigure(settings=changed(path, value), discovery="127.0.0.1:9")
     [line] = around.logged("config.unusable")
     assert named in line["error"] and not around.logged("config.read")
-    assert (around.node.config, around.node.terms, around.node.list.address) == before
-    assert around.node.module.runner.balancer.config is before[1]
+    assert (around.context.config, around.context.balancer_config, around.context.discovery.address) == before
+    assert around.context.coordinator.scheduler.balancer.config is before[1]
 
 
 @pytest.mark.parametrize("text", [b" ", b"{", b"{}", b"[]", b'{"listen":"127.0.0.1:0"}'])
 def test_nothing_is_taken_from_a_file_that_is_not_whole(around, text):
-    before = around.node.config, around.node.terms
+    before = around.context.config, around.context.balancer_config
     around.reconfigure(text)
-    assert around.logged("config.unusable") and (around.node.config, around.node.terms) == before
+    assert (
+        around.logged("config.unusable") and (around.context.config, around.context.balancer_config) == before
+    )
 
 
 @pytest.mark.parametrize("key", ["settings", "limits", "peers", "name"])
@@ -99,7 +101,9 @@
         around.reply(upstream)
         assert around.status(client) == 200
         around.rested()
-    around.node.former = [(0.0, c) for _, c in around.node.former]  # three seconds later
+    around.context.former_request_classes = [
+        (0.0, c) for _, c in around.context.former_request_classes
+    ]  # three seconds later
     assert around.status(around.ask("look", x_trace_id="e")) == 404
     assert around.status(around.ask("buy", b"one", x_trace_id="f")) == 400
 
@@ -111,8 +115,9 @@
     for due_time in (500000, 600000, 700000):
         only = [c for c in categories(due_time) if c["name"] == "buy"]
         around.reconfigure(settings=SETTINGS | {"categories": only})
-        assert around.node.shortest == due_time / 1e6
-        around.until(lambda: around.node.module.runner.balancer.clock.shortest_objective == due_time / 1e6)  # noqa: B023
+        assert around.context.shortest_objective == due_time / 1e6
+        clock = around.context.coordinator.scheduler.balancer.clock
+        around.until(lambda clock=clock, wanted=due_time / 1e6: clock.shortest_objective == wanted)
     # Its category has gone twice over; it is answered all the same.
     around.reply(upstream)
     assert around.status(client) == 200 and not around.logged("module.defect")
@@ -122,7 +127,7 @@
     around.reconfigure(settings=SETTINGS | {"replicasOfMe": 3, "slotNo": 1})
     [line] = around.logged("config.read")
     assert line["need_restart"] == ["settings: sidecar_index", "settings: sidecars"]
-    assert (around.node.terms.sidecar_index, around.node.terms.sidecars) == (0, 2)
+    assert (around.context.balancer_config.sidecar_index, around.context.balancer_config.sidecars) == (0, 2)
 
 
 def test_open_work_keeps_the_attempts_it_was_taken_with(host):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,10 +21,10 @@
 
 def test_a_members_actors_load_nothing_of_a_sidecars_start():
     code = (
-        "import sys, starlingwheel.net.fleet.start, starlingwheel.net.fleet.policy;"
+        "import sys, starlingwheel.net.fleet.member, starlingwheel.net.fleet.policy;"
         "print([m for m in sys.modules if m.startswith('starlingwheel.net.')"
         " and m.rpartition('.')[2] in ('module', 'sidecar', 'calls', 'connection', 'upstream', 'client')"
-        " or m == 'starlingwheel.net.lifecycle.start'])"
+        " or m == 'starlingwheel.net.lifecycle.sidecar'])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,9 +6,9 @@
 import pytest
 from conftest import SETTINGS, categories
 
+from starlingwheel.net.http.pool import figures
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
-from starlingwheel.net.wire.upstream import figures
-from starlingwheel.simhost.wire import SimulatorLine
+from starlingwheel.simulator.wire import SimulatorLine
 
 PUSHED = {
     "categories": categories(),
@@ -162,9 +162,9 @@
     """A refusal to start is worse than a price for what is not allowed: the deployment is served."""
     around = make_surroundings(settings=changed_settings(settings, **changed))
     assert [line["key"] for line in around.logged("settings.mixed")] == named
-    if around.node.list.pushed:
+    if around.context.discovery.pushed:
         around.hear()
-    assert around.node.ready
+    assert around.context.ready
     around.ask()
     around.accept()
 
@@ -172,7 +172,7 @@
 def test_a_mixture_read_while_it_runs_is_told_and_in_force(make_surroundings):
     around = make_surroundings()
     around.reconfigure(settings=SETTINGS | {"weightKind": "live"})
-    assert not around.logged("config.unusable") and around.node.terms.weights_are_live
+    assert not around.logged("config.unusable") and around.context.balancer_config.weights_are_live
     assert [line["key"] for line in around.logged("settings.mixed")] == ["weightKind", "caps.probing"]
     client = around.ask()
     around.serve()
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from starlingwheel.simhost import __main__ as simhost
-from starlingwheel.simhost.host import SimulatorProcess
+from starlingwheel.simulator import __main__ as simhost
+from starlingwheel.simulator.sidecar import SimulatorProcess
 
 FACTS = (
     '{"categories": [{"name": "look", "effect": "free", "dueTime": 1000000, "expiry": 2000000}],'
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -170,12 +170,12 @@
     around = make_surroundings(settings=NEW)
     sock = around.hear()
     around.say(sock, {"version": 10, "full": False, "servers": [around.entry(0, state="leaving")]})
-    around.until(lambda: around.node.list.version == 10)
+    around.until(lambda: around.context.discovery.version == 10)
     sock.close()
     sock, target = around.watch()
     assert target.endswith(b"from=10")
     around.say(sock, {"version": 11, "full": False, "servers": [around.entry(0)]})
-    around.until(lambda: around.node.list.version == 11)
+    around.until(lambda: around.context.discovery.version == 11)
     client = around.ask()
     peer = Peer(around)
     peer.answer(peer.taken(1)[0])
@@ -183,5 +183,5 @@
 
 
 def test_without_it_in_the_settings_nothing_of_http_2_is_loaded():
-    text = "import sys, starlingwheel.net.lifecycle.start; sys.exit('h2' in sys.modules)"
+    text = "import sys, starlingwheel.net.lifecycle.sidecar; sys.exit('h2' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", text]).returncode == 0
