--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -20,14 +20,14 @@
 import pytest
 from conftest import SETTINGS, address, bound
 
-from standins.loopback import free_address
-from starlingwheel.net.lifecycle import start
+from fakes.loopback import free_address
+from starlingwheel.net.address import split
+from starlingwheel.net.discovery import client as discovery
+from starlingwheel.net.http.stream import ConnectionLostError
 from starlingwheel.net.lifecycle.config import load_config
+from starlingwheel.net.lifecycle.sidecar import Sidecar
 from starlingwheel.net.loop import Loop
-from starlingwheel.net.mail import DiscoveryMoved
-from starlingwheel.net.wire import discovery
-from starlingwheel.net.wire.address import split
-from starlingwheel.net.wire.http import ConnectionLostError
+from starlingwheel.net.messages import DiscoveryMoved
 
 TOLD = 6.0
 LINE = 2.0
@@ -144,7 +144,7 @@
         self.loop = Loop(self.defect)
         self.loop.now = lambda: self.now
         self.path = tmp_path / "config.json"
-        monkeypatch.setattr(start, "Loop", lambda _: self.loop)
+        monkeypatch.setattr("starlingwheel.net.context.Loop", lambda _: self.loop)
         monkeypatch.setattr(discovery, "connect", lambda address: self.places[address].connect(self.calling))
         monkeypatch.setattr(discovery.DiscoveryWatch, "begin", lambda watch: self.begin(watch))
 
@@ -153,8 +153,8 @@
 
     def begin(self, watch):
         """A call does not tell who makes it; the story has to know."""
-        self.calling = watch.node
-        self.loop.begin(watch)
+        self.calling = watch.context
+        self.loop.start(watch)
 
     def keep(self, thing):
         self.kept.append(thing)
@@ -171,15 +171,17 @@
         self.path.write_bytes(msgspec.json.encode(told))
         environment = {"EDGE_CONFIG": str(self.path)}
         log = self.keep(open("/dev/null", "wb"))  # noqa: SIM115
-        node = start.Node(*load_config(environment), environment, log_fd=log.fileno())
-        node.lines = []
-        node.list.node.log = lambda event, **fields: node.lines.append((event, self.now, fields))
-        self.nodes.append(node)
-        for kept in (node.listener.sock, node.signals.ours, node.signals.theirs):
+        context = Sidecar(*load_config(environment), environment, log_fd=log.fileno()).context
+        context.lines = []
+        context.discovery.context.log = lambda event, **fields: context.lines.append(
+            (event, self.now, fields)
+        )
+        self.nodes.append(context)
+        for kept in (context.listener.sock, context.signals.ours, context.signals.theirs):
             kept.close()
-        node.list.begin()
-        node.module.begin()
-        return node
+        context.discovery.begin()
+        context.coordinator.begin()
+        return context
 
     def later(self, seconds, what):
         heapq.heappush(self.due, (self.now + seconds, next(self.count), what))
@@ -189,9 +191,9 @@
         quiet = 0
         while quiet < 2:
             quiet += 1
-            if self.loop.ready or self.loop.urgent or self.loop.epoll.poll(0):
+            if self.loop.run_queue or self.loop.priority_queue or self.loop.epoll.poll(0):
                 quiet = 0
-            self.loop.turn(0)
+            self.loop.run_once(0)
 
     def run(self, until):
         while True:
@@ -207,20 +209,20 @@
 
     def added(self, *nodes):
         """Calls that began beside one that hung."""
-        return sum(event == "list.beside" for node in nodes or self.nodes for event, _, _ in node.lines)
+        return sum(event == "list.beside" for context in nodes or self.nodes for event, _, _ in context.lines)
 
-    def told(self, node, version, within):
+    def told(self, context, version, within):
         """How long from now on until the decisions have it."""
         began = self.now
-        while f"v{version}" not in node.module.runner.balancer.endpoints.by_id:
+        while f"v{version}" not in context.coordinator.scheduler.balancer.endpoints.by_id:
             assert self.now < began + within, f"not told within {within} s"
             self.run(self.now + 0.01)
         return self.now - began
 
     def close(self):
-        for node in self.nodes:
-            if node.datagrams is not None:
-                node.datagrams.sock.close()
+        for context in self.nodes:
+            if context.gossip_socket is not None:
+                context.gossip_socket.sock.close()
         self.loop.close()
         for thing in self.kept:
             thing.close()
@@ -265,10 +267,10 @@
 def in_force(world, fleet, seed):
     """A sidecar whose watch is open, at any moment between two lines."""
     one = world.place("a:1", lambda _: 0.0)
-    node = world.sidecar(seed=str(seed), **FLEETS[fleet])
-    world.told(node, 1, 40)
+    context = world.sidecar(seed=str(seed), **FLEETS[fleet])
+    world.told(context, 1, 40)
     world.run(world.now + 2 * LINE + random.Random(seed).random() * LINE)
-    return one, node
+    return one, context
 
 
 @pytest.mark.parametrize("first", FIRST)
@@ -276,14 +278,14 @@
 def test_what_a_watch_that_fell_silent_misses_is_told_in_time(world, fleet, first):
     for seed in range(8):
         w = world()
-        one, node = in_force(w, fleet, seed)
+        one, context = in_force(w, fleet, seed)
         calls = len(one.calls)
         # It falls silent with its last line, at the earliest; what it misses may come at once.
         silent_at = one.answered[-1].said_at
         one.fall_silent()
         one.change()
         one.way = after(w, 0.0, *FIRST[first])
-        w.told(node, 2, 10)
+        w.told(context, 2, 10)
         took = w.now - silent_at
         assert took <= TOLD, (seed, took)
         # Where the list is asked for: a second call is made where the first hangs, and only there.
@@ -297,7 +299,7 @@
 def test_what_discovery_has_at_its_return_is_told_in_time(world, fleet, down, first):
     for seed in range(6):
         w = world()
-        one, node = in_force(w, fleet, seed)
+        one, context = in_force(w, fleet, seed)
         if down in ("refused", "503"):
             one.end_all()
         else:
@@ -309,7 +311,7 @@
         one.version += 1
         least = 0.0 if down in ("refused", "503") else 3.0  # a watch is silent no sooner than it is
         calls = len(one.calls)
-        took = w.told(node, 2, 20)
+        took = w.told(context, 2, 20)
         assert took <= max(TOLD, TOLD - out + least), (seed, took)
         # Two in the time that a call of those before may take, and the one that is answered.
         assert len(one.calls) - calls <= (6 if fleet == "pushed" or first in ("503", "reset") else 3)
@@ -322,7 +324,7 @@
 def test_what_a_new_discovery_has_is_told_in_time(world, fleet, old, down, first):
     for seed in range(3):
         w = world()
-        one, node = in_force(w, fleet, seed)
+        one, context = in_force(w, fleet, seed)
         if old != "serves":
             one.end_all()
             one.way = lambda _, old=old: Discovery.REFUSED if old == "down" else Discovery.HANGS
@@ -331,28 +333,28 @@
         back = after(w, out, *FIRST[first])
         two = w.place("b:1", lambda call, back=back, down=down: down if (way := back(call)) is None else way)
         two.version = 2
-        node.list.post(DiscoveryMoved("b:1"))
+        context.discovery.post(DiscoveryMoved("b:1"))
         w.run(w.now + out)
         # Where it is pushed, what the new agent has counts 4 s after the word that it is another one.
-        assert w.told(node, 2, 20) <= (4.0 if fleet == "pushed" and not out else TOLD)
+        assert w.told(context, 2, 20) <= (4.0 if fleet == "pushed" and not out else TOLD)
 
 
 @pytest.mark.parametrize("fleet", ["small", "large", "seldom"])
 def test_a_call_that_waits_its_turn_is_not_given_up_for_a_second_one(world, fleet):
     for seed in range(8):
         w = world()
-        one, node = in_force(w, fleet, seed)
+        one, context = in_force(w, fleet, seed)
         calls = len(one.calls)
         one.fall_silent()
         one.change()
         one.way = lambda _: 2.9
-        w.told(node, 2, 10)
+        w.told(context, 2, 10)
         assert w.now - one.calls[calls].at <= 2.9 + 0.02 and one.answered[-1] is one.calls[calls]
         # It knows now that a call may wait: the next time none is made beside one that does.
         added = w.added()
         one.fall_silent()
         one.change()
-        w.told(node, 3, 10)
+        w.told(context, 3, 10)
         assert w.added() == added <= 1
 
 
@@ -361,7 +363,7 @@
 def test_while_nobody_answers_calls_go_on_that_leave_time_for_one_to_hang_and_no_more(world, fleet, down):
     for seed in range(4):
         w = world()
-        one, node = in_force(w, fleet, seed)
+        one, context = in_force(w, fleet, seed)
         calls = len(one.calls)
         one.end_all()
         one.way = lambda _: down
@@ -393,9 +395,9 @@
         return mine.pop(0) if mine else 0.0
 
     one.way = way
-    for node in nodes:
-        w.told(node, 2, 10)
-        heard[node] = w.now
+    for context in nodes:
+        w.told(context, 2, 10)
+        heard[context] = w.now
     assert max(heard.values()) <= fell + TOLD
     assert len(one.calls) - calls == len(nodes) * (1 + added) and w.added() == len(nodes) * added
 
--- a/trials/added.py
+++ b/trials/added.py
@@ -24,8 +24,8 @@
 from pathlib import Path
 from typing import Any
 
-from standins.listing import Listing
-from standins.loopback import free_address, own_host
+from fakes.endpoint_list import Listing
+from fakes.loopback import free_address, own_host
 
 from .rig import CAPS, CATEGORIES, MEMORY, ROOT, START, _die_with_parent
 from .verdict import Verdict
@@ -49,8 +49,8 @@
     if not service:
         return 0.0
     name = TRACE.search(request)
-    chance = random.Random(zlib.crc32(name.group(1).rstrip(b"+") if name else b""))
-    return service * chance.lognormvariate(0, 0.4)
+    rng = random.Random(zlib.crc32(name.group(1).rstrip(b"+") if name else b""))
+    return service * rng.lognormvariate(0, 0.4)
 
 
 def upstreams(count: int, service: float) -> None:
@@ -152,17 +152,17 @@
     name: str, sidecar: str, direct: list[str], rate: float, until: float, since: float, pairs: list[Any]
 ) -> None:
     """Pairs of calls at random times until `until`, in random order; noted from `since` on."""
-    chance = random.Random(name)
+    rng = random.Random(name)
     through, to = Kept(sidecar), [Kept(address) for address in direct]
-    at, number = time.monotonic() + chance.expovariate(rate), 0
+    at, number = time.monotonic() + rng.expovariate(rate), 0
     while max(at, time.monotonic()) < until:
         time.sleep(max(0.0, at - time.monotonic()))
-        one = chance.choice(to)
+        one = rng.choice(to)
         trace, number = f"{name}-{number}", number + 1
         noted, took = time.monotonic() >= since, {}
         # The last sign of the direct one is not counted for the time that it takes.
         calls = [(through, trace), (one, trace + "+")]
-        for kept, its in chance.sample(calls, 2):
+        for kept, its in rng.sample(calls, 2):
             kept.look()
             if kept.sock is None:
                 with contextlib.suppress(OSError):
@@ -170,7 +170,7 @@
             took[kept is through] = kept.call(its)
         if noted:
             pairs.append((took[False], took[True]))
-        at += chance.expovariate(rate)
+        at += rng.expovariate(rate)
     for kept in (through, *to):
         kept.close()
 
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 from math import inf
 
-from starlingwheel.fleet.cover import ReplicatedRequest, RequestReplicator, RequestState
 from starlingwheel.fleet.frames import KEPT, AttemptIntent, ReplicaStateFrame
-from starlingwheel.fleet.policy import PolicyReplica
+from starlingwheel.fleet.membership import Member, MembershipView, member_place
+from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.records import Transaction
-from starlingwheel.fleet.view import Member, MembershipView, member_place
-from starlingwheel.fleet.zones import ZonePlanner
+from starlingwheel.fleet.replication.replicator import ReplicatedRequest, RequestReplicator, RequestState
+from starlingwheel.fleet.zones.planner import ZonePlanner
 
 
 class NoIntent(RequestReplicator):
@@ -21,7 +21,7 @@
             for number in list(item.waiting):
                 del item.waiting[number]
                 item.let_go = True
-                self.door.go(item, number)
+                self.host.go(item, number)
 
 
 class NoEpoch(RequestReplicator):
@@ -33,7 +33,7 @@
         item = self.items.get(key)
         if item is not None and item.state is RequestState.KEEPING:
             item.intents[number:] = [intent]
-        self.door.say(member, ReplicaStateFrame(key, epoch, KEPT, number + 1))
+        self.host.say(member, ReplicaStateFrame(key, epoch, KEPT, number + 1))
 
 
 class NoTelling(RequestReplicator):
@@ -80,7 +80,7 @@
     """Half of the members take a name's home from the cells that were."""
 
     def viewed(self, view: MembershipView, gap: bool) -> None:
-        lags = self.view.members and view.cells != self.view.cells and member_place(self.me) >> 8 & 1
+        lags = self.view.members and view.cells != self.view.cells and member_place(self.member_id) >> 8 & 1
         super().viewed(Lagging(view, self.view.cells) if lags else view, gap)
 
 
@@ -89,7 +89,7 @@
 
     def _let_go(self, item: ReplicatedRequest) -> None:
         keepers, home = item.keepers, self.view.home(item.key)
-        if self._outside(self.me, item) and home in keepers:
+        if self._outside(self.member_id, item) and home in keepers:
             item.keepers = {home: keepers[home]}
         super()._let_go(item)
         item.keepers = keepers
@@ -99,7 +99,7 @@
     """A keeper acknowledges what an owner of another cell hands on under whatever home that one names."""
 
     def _outside(self, member: str, item: ReplicatedRequest) -> bool:
-        return member == self.me and super()._outside(member, item)
+        return member == self.member_id and super()._outside(member, item)
 
 
 CELL_VARIANTS = [OldCells, HomeAlone, Unheard]
@@ -179,7 +179,7 @@
 
     def _share(self, back: Iterable[str]) -> None:
         shares = {n: 1.0 if z.state == "returning" else z.share for n, z in self.plan.zones.items()}
-        self.door.shares(shares, back)
+        self.host.shares(shares, back)
 
 
 ZONE_VARIANTS = {MinorityLeaves: "cut", CapacityIgnored: "near-full", RampNotShared: "hang"}
--- a/trials/call_tree.py
+++ b/trials/call_tree.py
@@ -178,11 +178,11 @@
             load_reported=plan.reports,
             load_reported_in_responses=plan.reports,
         )
-        chance = random.Random(f"{plan.seed} {number} {servers[0].name}")
-        self.runner = DecisionScheduler(terms, chance, self, tree.now)
+        rng = random.Random(f"{plan.seed} {number} {servers[0].name}")
+        self.runner = DecisionScheduler(terms, rng, self, tree.now)
         self.budget = Budget(plan.budget) if plan.budget is not None else None
         if self.budget is not None:
-            balancer = Balancer(terms, chance, tree.now, retry_policy=BudgetedRetryPolicy)
+            balancer = Balancer(terms, rng, tree.now, retry_policy=BudgetedRetryPolicy)
             balancer.retry_policy.budget = self.budget
             self.runner.balancer = balancer
         self.asked: dict[Request, Asked] = {}
@@ -312,7 +312,7 @@
             self._next()
 
     def _falls(self, part: float) -> bool:
-        return part > 0 and self.tree.chance.random() < part
+        return part > 0 and self.tree.rng.random() < part
 
     def _next(self) -> None:
         while self.line and self.busy < self.tree.plan.cores:
@@ -371,7 +371,7 @@
 
     def __init__(self, plan: Plan) -> None:
         self.plan, self.now, self.number = plan, 0.0, 0
-        self.chance = random.Random(f"{plan.seed} tree")
+        self.rng = random.Random(f"{plan.seed} tree")
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         effect = RetrySafety(plan.effect)
         memory = EXPIRY * plan.due if effect is RetrySafety.IDEMPOTENT_WITH_KEY else 0.0
@@ -412,10 +412,10 @@
         self.at(self.now + seconds, what)
 
     def way(self) -> float:
-        return self.chance.uniform(*WAY)
+        return self.rng.uniform(*WAY)
 
     def work(self) -> float:
-        return self.chance.lognormvariate(-(SPREAD**2) / 2, SPREAD) * self.usual
+        return self.rng.lognormvariate(-(SPREAD**2) / 2, SPREAD) * self.usual
 
     def count(self, level: int, kind: str, measured: bool) -> None:
         if measured:
@@ -434,12 +434,12 @@
         measured = self.now >= plan.learn
         self.roots += measured
         self.begun_by_second[int(self.now - plan.learn)] += measured
-        root = Root(measured, tuple(self.chance.randrange(plan.services) for _ in range(plan.depth)))
+        root = Root(measured, tuple(self.rng.randrange(plan.services) for _ in range(plan.depth)))
         callers[root.path[0]].ask(EXPIRY * plan.due, root, lambda how: None)
         self._again(callers)
 
     def _again(self, callers: list[Caller]) -> None:
-        after = self.chance.expovariate(self.plan.rate)
+        after = self.rng.expovariate(self.plan.rate)
         if self.now + after < self.plan.learn + self.plan.last:
             self.after(after, lambda: self._arrive(callers))
 
--- a/trials/capacity.py
+++ b/trials/capacity.py
@@ -30,7 +30,6 @@
 from starlingwheel.decisions.events import WatchEvent
 from starlingwheel.decisions.gossip import MESSAGES_PER_OBJECTIVE
 from starlingwheel.decisions.model import Endpoint, EndpointState
-from starlingwheel.fleet import policy, zones
 from starlingwheel.fleet.frames import (
     AttemptIntent,
     AttemptIntentFrame,
@@ -43,7 +42,9 @@
     ResponseFrame,
     ViewSyncedFrame,
 )
-from starlingwheel.fleet.policy import PolicyReplica, PolicyStatus
+from starlingwheel.fleet.membership import Member, MembershipView
+from starlingwheel.fleet.policy import replica as policy
+from starlingwheel.fleet.policy.replica import PolicyReplica, PolicyStatus
 from starlingwheel.fleet.records import (
     Policy,
     PolicyDecision,
@@ -52,10 +53,11 @@
     ZoneHealth,
     ZoneReport,
 )
-from starlingwheel.fleet.view import Member, MembershipView
-from starlingwheel.net.fleet import arbiter, links
+from starlingwheel.fleet.zones import planner as zones
+from starlingwheel.net.fleet import etcd as arbiter
+from starlingwheel.net.fleet import links
 from starlingwheel.net.loop import Loop
-from starlingwheel.net.memory.buffers import BufferPool
+from starlingwheel.net.state.buffers import BufferPool
 
 from . import call_tree
 
@@ -225,16 +227,16 @@
     return json.dumps(told, separators=(",", ":")).encode()
 
 
-def seen(chance: random.Random) -> ZoneHealth:
-    return ZoneHealth(round(chance.uniform(1, 60), 2), round(chance.uniform(1, 60), 2), counted=90, row=0)
+def seen(rng: random.Random) -> ZoneHealth:
+    return ZoneHealth(round(rng.uniform(1, 60), 2), round(rng.uniform(1, 60), 2), counted=90, row=0)
 
 
 SEES = 5  # zones that a member hands off to: a service has five upstreams on the mean
 
 
 def said(member: int, zones_: int = SEES) -> ZoneReport:
-    chance = random.Random(member)
-    return ZoneReport(1780000000.123456, {f"zone-{z}": seen(chance) for z in range(zones_)})
+    rng = random.Random(member)
+    return ZoneReport(1780000000.123456, {f"zone-{z}": seen(rng) for z in range(zones_)})
 
 
 class Bench:
@@ -245,52 +247,54 @@
         self.now = 1780000000.0
         loop = Loop(lambda *_: None)
         self.recorded: Any = None
-        self.onlooker = arbiter.StateWatcher(
+        self.state_watcher = arbiter.StateWatcher(
             loop, ["127.0.0.1:1"], LEASE, BufferPool(0), lambda *_, **__: None, random.Random(1), FLEET,
             tell=self._tell,
         )  # fmt: skip
         me = self.members[0]
-        self.me = me.id
+        self.member_id = me.id
         body = {"settings": {"categories": []}, "cover": {}}
         held = Policy(41, "d" * 16, body)
         change = PolicyProposal(Policy(42, "e" * 16, body), self.now + 9, self.now, me.id)
-        records = self.onlooker.records = StoreRecords()
+        records = self.state_watcher.records = StoreRecords()
         records.members = {m.id: m for m in self.members}
         records.names = {m.name: m.term for m in self.members}
         records.now, records.now_mod = PolicyDecision(held, self.now, 5, held), 6
         records.next, records.next_mod = msgspec.structs.replace(change, number=7), 7
         records.votes = {m.id: "" for m in self.members[: count // 2]}
         records.said = {m.id: said(i) for i, m in enumerate(self.members)}
-        self.onlooker.revision = records.revision = 10_000
-        self.following = PolicyReplica(me.id, me.name, LEASE, Quiet(), self.now, policy.StoredPolicy(FLEET))
-        self.following.sure, self.following.vote = True, (7, "")
-        self.following.renewed(self.now + LEASE, 1)
-        noting = zones.ZoneHealthTracker(2.0, self.now)
-        self.planning = zones.ZonePlanner(me.id, LEASE, {}, {}, Quiet(), noting)
+        self.state_watcher.revision = records.revision = 10_000
+        self.policy_replica = PolicyReplica(
+            me.id, me.name, LEASE, Quiet(), self.now, policy.StoredPolicy(FLEET)
+        )
+        self.policy_replica.sure, self.policy_replica.vote = True, (7, "")
+        self.policy_replica.renewed(self.now + LEASE, 1)
+        zone_health = zones.ZoneHealthTracker(2.0, self.now)
+        self.zone_planner = zones.ZonePlanner(me.id, LEASE, {}, {}, Quiet(), zone_health)
         self.revision = 10_000
         loop.close()
 
-    def _tell(self, mail: Any) -> None:
-        if hasattr(mail, "records"):
-            self.recorded = mail.records
-            self.following.recorded(mail.records, False)
-            self.planning.recorded(mail.records)
-            self.following.due()
+    def _tell(self, message: Any) -> None:
+        if hasattr(message, "records"):
+            self.recorded = message.records
+            self.policy_replica.recorded(message.records, False)
+            self.zone_planner.recorded(message.records)
+            self.policy_replica.due()
 
     def _heard(self, text: bytes) -> None:
-        self.onlooker._seen(arbiter.read(text, arbiter.WatchLine).result)
+        self.state_watcher._seen(arbiter.read(text, arbiter.WatchLine).result)
 
     def vote(self) -> None:
         self.revision += 1
         voter = self.members[self.revision % (self.count - 1)].id
-        if len(self.onlooker.records.votes) == self.count:
-            del self.onlooker.records.votes[self.members[-1].id]  # one is always missing
+        if len(self.state_watcher.records.votes) == self.count:
+            del self.state_watcher.records.votes[self.members[-1].id]  # one is always missing
         self._heard(event(f"policy/votes/7/{voter}", b'""', self.revision))
 
     def evidence(self) -> None:
         self.revision += 1
         number = self.revision % self.count
-        value = msgspec.json.encode(self.onlooker.records.said[self.members[number].id])
+        value = msgspec.json.encode(self.state_watcher.records.said[self.members[number].id])
         self._heard(event(f"zones/said/{self.members[number].id}", value, self.revision))
 
     def entry(self) -> None:
@@ -301,14 +305,14 @@
 
     def weigh(self) -> None:
         """What a member makes of all evidence, eight times a second or so, in calm."""
-        self.planning.look_at = -1.0
-        self.planning._next()
+        self.zone_planner.look_at = -1.0
+        self.zone_planner._next()
 
     def whole(self) -> bytes:
         """What a start reads: members, names, evidence of zones, policy."""
         pairs = [(f"members/{m.id}", msgspec.json.encode(m)) for m in self.members]
         pairs += [(f"names/{m.name}", b"1") for m in self.members]
-        records = self.onlooker.records
+        records = self.state_watcher.records
         pairs += [(f"zones/said/{m}", msgspec.json.encode(told)) for m, told in records.said.items()]
         pairs += [("policy/now", msgspec.json.encode(records.now))]
         kvs = [json.loads(event(key, value, 1))["result"]["events"][0]["kv"] for key, value in pairs]
@@ -317,9 +321,9 @@
 
     def read_whole(self, data: bytes) -> None:
         ranged = arbiter.read(data, arbiter.RangeReply)
-        self.onlooker.records = StoreRecords()
+        self.state_watcher.records = StoreRecords()
         for pair in ranged.kvs:
-            self.onlooker._put(pair)
+            self.state_watcher._put(pair)
 
 
 def balancer(count: int) -> Balancer:
@@ -357,7 +361,7 @@
     ):
         yield {"figure": f"{name}, as told to operators", "size": 0, "bytes": len(msgspec.json.encode(told))}
     for count in sizes:
-        chance = random.Random(count)
+        rng = random.Random(count)
         tracemalloc.start()
         bench = Bench(count)
         memory, _ = tracemalloc.get_traced_memory()
@@ -367,25 +371,25 @@
         view = MembershipView(everybody)
         ids = {m.id for m in everybody}
 
-        def home(view: MembershipView = view, chance: random.Random = chance) -> None:
-            view.home(chance.randbytes(32))
+        def home(view: MembershipView = view, rng: random.Random = rng) -> None:
+            view.home(rng.randbytes(32))
 
         cells = 1
         while count > cells * CELL:
             cells *= 2
         cut = MembershipView(everybody, cells)
 
-        def home_in_cell(view: MembershipView = cut, chance: random.Random = chance) -> None:
-            view.home(chance.randbytes(32))
+        def home_in_cell(view: MembershipView = cut, rng: random.Random = rng) -> None:
+            view.home(rng.randbytes(32))
 
-        def keepers(view: MembershipView = view, chance: random.Random = chance, ids: set[str] = ids) -> None:
-            view.keepers(chance.randbytes(32), everybody[0].id, 1, ids)  # noqa: B023
+        def keepers(view: MembershipView = view, rng: random.Random = rng, ids: set[str] = ids) -> None:
+            view.keepers(rng.randbytes(32), everybody[0].id, 1, ids)  # noqa: B023
 
         made = balancer(count)
 
-        def change(made: Balancer = made, chance: random.Random = chance, count: int = count) -> None:
-            condition = chance.choice((EndpointState.READY, EndpointState.DRAINING))
-            made.update_endpoints(WatchEvent.DELTA, [listing(chance.randrange(count), condition)])
+        def change(made: Balancer = made, rng: random.Random = rng, count: int = count) -> None:
+            condition = rng.choice((EndpointState.READY, EndpointState.DRAINING))
+            made.update_endpoints(WatchEvent.DELTA, [listing(rng.randrange(count), condition)])
             made.endpoints.refresh()
 
         whole = bench.whole()
@@ -403,16 +407,16 @@
             ("whole range read", lambda bench=bench, whole=whole: bench.read_whole(whole)),
         ):
             yield {"figure": figure, "size": count, "us": round(timed(what, least), 2)}
-        records = bench.onlooker.records
+        records = bench.state_watcher.records
         some = next(iter(records.said.values()))
         yield {"figure": "whole range", "size": count, "bytes": len(whole), "entries": 3 * count + 1}
-        one = event(f"zones/said/{bench.me}", msgspec.json.encode(some), 123456789)
+        one = event(f"zones/said/{bench.member_id}", msgspec.json.encode(some), 123456789)
         yield {"figure": "evidence line", "size": count, "bytes": len(one)}
-        one = event(f"zones/said/{bench.me}", msgspec.json.encode(said(0, 11)), 123456789)
+        one = event(f"zones/said/{bench.member_id}", msgspec.json.encode(said(0, 11)), 123456789)
         yield {"figure": "evidence line, 11 zones", "size": count, "bytes": len(one)}
-        one = event(f"policy/votes/123456/{bench.me}", b'""', 123456789)
+        one = event(f"policy/votes/123456/{bench.member_id}", b'""', 123456789)
         yield {"figure": "vote line", "size": count, "bytes": len(one)}
-        one = event(f"members/{bench.me}", msgspec.json.encode(everybody[0]), 123456789)
+        one = event(f"members/{bench.member_id}", msgspec.json.encode(everybody[0]), 123456789)
         yield {"figure": "member line", "size": count, "bytes": len(one)}
 
 
--- a/trials/emulated.py
+++ b/trials/emulated.py
@@ -15,7 +15,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from starlingwheel.fleet.cover import UNSENT, BeginResult, ReplicatedRequest, RequestReplicator
 from starlingwheel.fleet.frames import (
     AttemptIntent,
     Frame,
@@ -25,7 +24,13 @@
     ReplicateFrame,
     ViewSyncedFrame,
 )
-from starlingwheel.fleet.view import Member, MembershipView
+from starlingwheel.fleet.membership import Member, MembershipView
+from starlingwheel.fleet.replication.replicator import (
+    UNSENT,
+    BeginResult,
+    ReplicatedRequest,
+    RequestReplicator,
+)
 
 EXPIRY, SERVICE, LEASE, SILENCE, BEAT = 2.0, 0.08, 2.0, 0.3, 0.1
 GREETING = 0.3  # seconds within which a link that was reached for comes up, or counts as failed
@@ -86,7 +91,7 @@
         self.world, self.name = world, name
         self.id = f"{name}.{number:06d}"
         self.member = Member(self.id, name, "", ZONES[int(name[1:]) % len(ZONES)], term=number)
-        self.covering: Any = world.kind(self.id, EXPIRY, 1, 1 << 30, self, world.now)
+        self.replicator: Any = world.kind(self.id, EXPIRY, 1, 1 << 30, self, world.now)
         self.links: dict[str, Link] = {}
         self.alive, self.paused_until = True, 0.0
         self.deferred: list[Callable[[], None]] = []
@@ -102,7 +107,7 @@
         if self.world.now < self.paused_until:
             self.deferred.append(what)
             return
-        self.covering.now = self.world.now
+        self.replicator.now = self.world.now
         what()
 
     def later(self, after: float, what: Callable[[], None]) -> None:
@@ -126,8 +131,8 @@
 
     def reach(self, member: str) -> bool:
         until = self.world.now + GREETING
-        self.later(self.world.chance.uniform(0.0005, 0.004), lambda: self.world.call(self, member, until))
-        return member in self.covering.view
+        self.later(self.world.rng.uniform(0.0005, 0.004), lambda: self.world.call(self, member, until))
+        return member in self.replicator.view
 
     def go(self, item: ReplicatedRequest, number: int) -> None:
         # A pause may fall between the word and the write.
@@ -137,15 +142,15 @@
     def _write(self, item: ReplicatedRequest, number: int, asked: float) -> None:
         if self.world.now > asked + SILENCE:
             # As the program does: a pause has fallen between the intent and the write.
-            self.covering.ended(item, number, UNSENT)
+            self.replicator.ended(item, number, UNSENT)
             self._again(item)
             return
         self.world.run(self, item, number, item.epoch)
-        took = self.world.chance.lognormvariate(0, 0.4) * SERVICE
+        took = self.world.rng.lognormvariate(0, 0.4) * SERVICE
         self.later(took, lambda: self._finished(item))
 
     def _finished(self, item: ReplicatedRequest) -> None:
-        given = self.covering.answered(item, RecordedResponse(200, body=item.key))
+        given = self.replicator.answered(item, RecordedResponse(200, body=item.key))
         if given is not None:
             self._answer_main(item, given)
 
@@ -166,16 +171,16 @@
             return
         self.tries.pop(item)
         client, until = item.main, item.clients.pop(item.main, 0.0)
-        given = self.covering.answered(item, RecordedResponse(503, 0.05))
+        given = self.replicator.answered(item, RecordedResponse(503, 0.05))
         if given is not None:
             if client is not None and not client.end:
                 self.world.answered(client, given)
         elif client is not None:
-            self.covering.wait_on(item, client, until)
+            self.replicator.wait_on(item, client, until)
 
     def decide(self, item: ReplicatedRequest) -> None:
         if not self._may_send(item):
-            given = self.covering.answered(item, RecordedResponse(504))
+            given = self.replicator.answered(item, RecordedResponse(504))
             if given is not None:
                 self._answer_main(item, given)
             return
@@ -189,8 +194,8 @@
         return not risky or item.effect != "ticketed" or self.world.now < risky[0].at + MEMORY * 0.98
 
     def _hand_off(self, item: ReplicatedRequest) -> None:
-        number = self.covering.intend(item, AttemptIntent("u1", "north", 0, self.world.now))
-        self.covering.hand_on(item, number)
+        number = self.replicator.intend(item, AttemptIntent("u1", "north", 0, self.world.now))
+        self.replicator.hand_on(item, number)
 
     def answer(self, item: ReplicatedRequest, client: Request, reply: RecordedResponse) -> None:
         if not client.end:
@@ -209,7 +214,7 @@
             request.name, self.id, 0, False, b"", "c", request.effect, self.world.now, request.until,
             request.repeat, asked, [],
         )  # fmt: skip
-        word, item = self.covering.begin(told, request, request.until)
+        word, item = self.replicator.begin(told, request, request.until)
         if word is BeginResult.RUN:
             self.decide(item)
         elif word is BeginResult.ANSWER:
@@ -227,7 +232,7 @@
         trace: bytes | None = None,
         cells: int = 1,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now, self.count, self.kind, self.trace = 0.0, 0, kind, trace
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.hosts: dict[str, Host] = {}
@@ -295,7 +300,7 @@
             if request.member is host and not request.end and request.number in self.open:
                 self._come_again(request, "reset")
         self.at(self.now + back_after, lambda: self.start(host.name))
-        self.at(self.now + self.chance.uniform(0.02, 0.08), lambda: self._mark(host.id))
+        self.at(self.now + self.rng.uniform(0.02, 0.08), lambda: self._mark(host.id))
         del self.hosts[host.id]
 
     def _mark(self, member: str) -> None:
@@ -313,7 +318,7 @@
         if self.trace is not None and getattr(frame, "key", None) == self.trace:
             print(f"{self.now:.4f} {sender.id} -> {link.other(sender).id} {frame}")
         receiver = link.other(sender)
-        self._pass(link, sender, lambda: receiver.covering.heard(sender.id, frame))
+        self._pass(link, sender, lambda: receiver.replicator.heard(sender.id, frame))
 
     def _pass(self, link: Link, sender: Host, what: Callable[[], None], last: bool = False) -> None:
         """In order, after a delay; what is cut waits."""
@@ -327,7 +332,7 @@
             if receiver.alive and (link.open[receiver.id]):
                 receiver.does(lambda: what() if link.open[receiver.id] else None)
 
-        when = max(link.last[receiver.id], self.now + self.chance.uniform(0.0003, 0.003))
+        when = max(link.last[receiver.id], self.now + self.rng.uniform(0.0003, 0.003))
         link.last[receiver.id] = when
         self.at(when, arrives)
 
@@ -340,8 +345,8 @@
         if host.links.get(other.id) is link:
             del host.links[other.id]
             if host.alive:
-                host.covering.now = self.now
-                host.covering.down(other.id)
+                host.replicator.now = self.now
+                host.replicator.down(other.id)
         self._pass(link, host, lambda: self._close(link, other))
 
     def _watch_links(self) -> None:
@@ -358,10 +363,10 @@
                     beat = beats.get(other)
                     if beat is None:
                         beat = beats[other] = HeartbeatFrame(
-                            other.covering.digest, not other.covering.may_decide()
+                            other.replicator.digest, not other.replicator.may_decide()
                         )
-                    host.covering.now = self.now
-                    host.covering.heard(other.id, beat)
+                    host.replicator.now = self.now
+                    host.replicator.heard(other.id, beat)
                     if self._at_rest(link, host, other):
                         self._close(link, host)
                 elif self.now > link.heard[host.id] + SILENCE:
@@ -370,46 +375,46 @@
         for one, other in self._pairs(able):
             if other.id in one.links or one.id in other.links:
                 continue
-            if self._gone(one, other) or self._gone(other, one) or self.chance.random() < 0.3:
+            if self._gone(one, other) or self._gone(other, one) or self.rng.random() < 0.3:
                 continue
             if self._know(one, other):
                 self._connect(one, other)
         for host in able:
             self.most_links = max(self.most_links, len(host.links))
-            if host.covering.next_at() <= self.now:
-                host.does(host.covering.tick)
+            if host.replicator.next_at() <= self.now:
+                host.does(host.replicator.tick)
 
     def _at_rest(self, link: Link, host: Host, other: Host) -> bool:
         """A link between cells that neither side needs any more."""
-        view = host.covering.view
+        view = host.replicator.view
         if view.cells == 1 or view.cell_of(host.id) == view.cell_of(other.id) or self.now < link.used + REST:
             return False
-        return not (host.covering.needs(other.id) or other.covering.needs(host.id))
+        return not (host.replicator.needs(other.id) or other.replicator.needs(host.id))
 
     def _pairs(self, able: list[Host]) -> Iterator[tuple[Host, Host]]:
         """Who keeps a link to whom: all that are of one cell."""
-        if self.cells == 1 and all(host.covering.view.cells == 1 for host in able):
+        if self.cells == 1 and all(host.replicator.view.cells == 1 for host in able):
             for place, one in enumerate(able):
                 for other in able[place + 1 :]:
                     yield one, other
             return
         there = {host.id: host for host in able}
         for one in able:
-            view = one.covering.view
+            view = one.replicator.view
             for member in view.of_cell(view.cell_of(one.id)):
                 if member > one.id and member in there:
                     yield one, there[member]
 
     def _know(self, one: Host, other: Host) -> bool:
         """Each is in the other's view, and both have as many cells."""
-        views = one.covering.view, other.covering.view
+        views = one.replicator.view, other.replicator.view
         return other.id in views[0] and one.id in views[1] and views[0].cells == views[1].cells
 
     def _connect(self, one: Host, other: Host) -> None:
         link = Link((one, other))
         one.links[other.id] = other.links[one.id] = link
         for host, peer in ((one, other), (other, one)):
-            host.does(lambda h=host, o=peer: h.covering.up(o.id))
+            host.does(lambda h=host, o=peer: h.replicator.up(o.id))
 
     def call(self, host: Host, member: str, until: float) -> None:
         """A member reaches for one of another cell."""
@@ -423,7 +428,7 @@
             else:
                 self._connect(host, other)
             return
-        host.covering.unreached(member)
+        host.replicator.unreached(member)
 
     def recut(self, cells: int) -> None:
         """The fleet is cut into so many cells from now on."""
@@ -443,7 +448,7 @@
             elif self.now >= host.renewed_at + LEASE / 3:
                 asked = host.renewed_at = self.now
                 self.leases[host.id] = (host.member, asked + LEASE)
-            host.covering.lease_until = host.renewed_at + LEASE
+            host.replicator.lease_until = host.renewed_at + LEASE
         for member in [m for m, (_, until) in self.leases.items() if until <= self.now]:
             del self.leases[member]
         view = MembershipView((member for member, _ in self.leases.values()), self.cells, self.cut_at)
@@ -452,8 +457,8 @@
         self.last_view = view.digest
         for host in self.alive():
             # Each learns of each view, in order, in its own time.
-            delay = self.chance.uniform(0.001, 0.03)
-            self.at(self.now + delay, lambda h=host: h.does(lambda: h.covering.viewed(view, gap=False)))
+            delay = self.rng.uniform(0.001, 0.03)
+            self.at(self.now + delay, lambda h=host: h.does(lambda: h.replicator.viewed(view, gap=False)))
 
     # Upstreams and clients.
 
@@ -463,10 +468,10 @@
         if known is not None and not any(member in self.leases for member in known):
             self.lost.add(item.key)
         # An owner of another cell is not asked by a new home: what its keepers know counts.
-        view = host.covering.view
+        view = host.replicator.view
         outside = view.cells > 1 and item.keepers and view.cell(item.key) != view.cell_of(host.id)
         self.holders[item.key] = {*item.keepers, *(known or ()), *(() if outside else (host.id,))}
-        if not item.keepers and len(host.covering.view.members) != 1:
+        if not item.keepers and len(host.replicator.view.members) != 1:
             self.uncovered.add(item.key)
         if self.trace == item.key:
             print(f"{self.now:.4f} {host.id} RUNS {number} of epoch {epoch}")
@@ -475,7 +480,7 @@
         alive = self.alive()
         if not alive:
             return
-        host = self.chance.choice([h for h in alive if h.id in h.covering.view] or alive)
+        host = self.rng.choice([h for h in alive if h.id in h.replicator.view] or alive)
         self.effects[name] = effect
         request = Request(name, effect, until, repeat, len(self.requests))
         self.requests.append(request)
@@ -527,34 +532,34 @@
             at, name = start + number / rate, f"w{number}".encode()
             effect = EFFECTS[number % 3]
             self.at(at, lambda n=name, e=effect, a=at: self.ask(n, e, a + EXPIRY))
-            if self.chance.random() < twins:
+            if self.rng.random() < twins:
                 # Another client of that name, at the same moment or later.
-                when = at + self.chance.choice((0.0, self.chance.uniform(0, EXPIRY / 2)))
+                when = at + self.rng.choice((0.0, self.rng.uniform(0, EXPIRY / 2)))
                 self.at(when, lambda n=name, e=effect, a=at: self.ask(n, e, a + EXPIRY))
         for what, often in vars(faults).items():
             if what == "longest":
                 continue
-            for _ in range(int(often * seconds) + (self.chance.random() < often * seconds % 1)):
-                at = start + self.chance.uniform(0, seconds)
-                lasts = self.chance.uniform(0.05, faults.longest)
+            for _ in range(int(often * seconds) + (self.rng.random() < often * seconds % 1)):
+                at = start + self.rng.uniform(0, seconds)
+                lasts = self.rng.uniform(0.05, faults.longest)
                 self.at(at, lambda w=what, t=lasts: getattr(self, "_fault_" + w)(t))
         for number, cells in enumerate(recuts := list(recuts)):
-            at = start + (number + self.chance.random()) * seconds / len(recuts)
+            at = start + (number + self.rng.random()) * seconds / len(recuts)
             self.at(at, lambda c=cells: self.recut(c))
         self.until(start + seconds + 2 * EXPIRY)
 
     def _pair(self) -> list[Host]:
         alive = self.alive()
-        return self.chance.sample(alive, 2) if len(alive) > 2 else []
+        return self.rng.sample(alive, 2) if len(alive) > 2 else []
 
     def _fault_crash(self, lasts: float) -> None:
         alive = self.alive()
         if len(alive) > 2:
-            self.crash(self.chance.choice(alive), back_after=lasts)
+            self.crash(self.rng.choice(alive), back_after=lasts)
 
     def _fault_pause(self, lasts: float) -> None:
         if alive := self.alive():
-            host = self.chance.choice(alive)
+            host = self.rng.choice(alive)
             host.paused_until = self.now + lasts
             self.at(host.paused_until, host.goes_on)
 
@@ -570,8 +575,8 @@
     def _fault_reset(self, lasts: float) -> None:
         hosts = [h for h in self.alive() if h.links and self.now >= h.paused_until]
         if hosts:
-            host = self.chance.choice(hosts)
-            self._close(self.chance.choice(list(host.links.values())), host)
+            host = self.rng.choice(hosts)
+            self._close(self.rng.choice(list(host.links.values())), host)
 
     def _fault_arbiter(self, lasts: float) -> None:
         self.arbiter_down_until = self.now + lasts
@@ -629,7 +634,7 @@
     counts |= {"frames": sum(world.frames.values())} | dict(sorted(world.notes.items()))
     if cells > 1 or recuts:
         counts |= {"links, most": world.most_links, "told": world.frames["ViewSyncedFrame"]}
-        covers = [host.covering for host in world.alive()]
+        covers = [host.replicator for host in world.alive()]
         for name in ("given_up", "stood_in", "uncovered", "waited_out", "not_sure", "superseded", "held"):
             counts[name] = sum(cover.counts[name] for cover in covers)
     return Outcome(seed, counts, world.broken())
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -1,4 +1,4 @@
-"""Changes of the policy of a whole fleet in emulated time: the program's `fleet/policy.py`, no sockets.
+"""Changes of the policy of a whole fleet in emulated time: by `fleet/policy`, no sockets.
 
 Members are stepped in one process, each with a clock of its own. They crash and come back, with what they
 kept or without, pause, are cut from the arbiter and from each other; the arbiter goes, and loses replies once
@@ -18,7 +18,8 @@
 
 import msgspec
 
-from starlingwheel.fleet.policy import AHEAD, PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet.membership import Member
+from starlingwheel.fleet.policy.replica import AHEAD, PolicyReplica, PolicyStatus, StoredPolicy
 from starlingwheel.fleet.records import (
     MEMBERS,
     NAMES,
@@ -29,7 +30,6 @@
     StoreRecords,
     Transaction,
 )
-from starlingwheel.fleet.view import Member
 
 LEASE = 2.0
 STEP = 0.05  # seconds between the steps of a member
@@ -90,10 +90,10 @@
 
     def __init__(self, world: World, name: str, number: int) -> None:
         self.world, self.name, self.id = world, name, f"{name}.{number:06d}"
-        self.skew = world.chance.uniform(-SKEW, SKEW)
+        self.skew = world.rng.uniform(-SKEW, SKEW)
         kept = world.files.get(name)
         kept = copy.deepcopy(kept) if kept else StoredPolicy("f")
-        self.following: Any = world.kind(self.id, name, LEASE, self, world.now + self.skew, kept)
+        self.policy_replica: Any = world.kind(self.id, name, LEASE, self, world.now + self.skew, kept)
         self.records, self.seen = StoreRecords(), 0
         self.watch: list[tuple[int, StoreRecords]] = []
         self.alive, self.paused_until = True, 0.0
@@ -102,7 +102,7 @@
         self.said_at = 0.0
         self.pending: dict[str, PolicyStatus] = {}
         self.gap = True
-        self.following.begin()
+        self.policy_replica.begin()
 
     # The door.
 
@@ -120,8 +120,8 @@
 
     def ask(self, member: str) -> None:
         other = self.world.hosts.get(member)
-        if other is not None and self.world.reach(self, other) and other.following.decision is not None:
-            self.following.told(other.following.decision)
+        if other is not None and self.world.reach(self, other) and other.policy_replica.decision is not None:
+            self.policy_replica.told(other.policy_replica.decision)
 
     def note(self, event: str, **fields: Any) -> None:
         self.world.notes[event] += 1
@@ -131,29 +131,29 @@
     # Its steps.
 
     def step(self) -> None:
-        world, following = self.world, self.following
+        world, policy_replica = self.world, self.policy_replica
         if not self.alive:
             return
         if world.now >= self.paused_until:
             # What waits is met in any order: work that came meanwhile may be first.
-            following.now = world.now + self.skew
+            policy_replica.now = world.now + self.skew
             self._take()
             for word in self.pending.values():
-                following.heard(word)
+                policy_replica.heard(word)
             self.pending.clear()
             self._take()
             self._follow()
-            following.now = world.now + self.skew
+            policy_replica.now = world.now + self.skew
             self._lease()
             self._say()
             self._write()
             self._take()
-        world.at(world.now + STEP * world.chance.uniform(0.5, 1.5), self.step)
+        world.at(world.now + STEP * world.rng.uniform(0.5, 1.5), self.step)
 
     def _take(self) -> None:
         """Work that comes now."""
-        if not self.following.doubt():
-            policy = self.following.in_force
+        if not self.policy_replica.doubt():
+            policy = self.policy_replica.in_force
             self.world.observe(self, policy)
 
     def _follow(self) -> None:
@@ -168,14 +168,14 @@
                 self.records.put(key, arbiter.entries[key])
             self.seen = len(arbiter.events)
             self.records.revision = arbiter.revision
-            self.following.recorded(self.records.copy(), True)
+            self.policy_replica.recorded(self.records.copy(), True)
             self.gap = False
             return
-        upto = len(arbiter.events) if world.chance.random() < 0.7 else self.seen
+        upto = len(arbiter.events) if world.rng.random() < 0.7 else self.seen
         changed, members, last = False, False, 0
         for revision, key, entry in arbiter.events[self.seen : upto]:
             if members and revision != last:
-                self.following.recorded(self.records.copy(), False)
+                self.policy_replica.recorded(self.records.copy(), False)
                 members = False
             last, changed = revision, True
             members = members or key.startswith(MEMBERS)
@@ -186,7 +186,7 @@
                 self.records.put(key, entry)
         self.seen = upto
         if changed:
-            self.following.recorded(self.records.copy(), False)
+            self.policy_replica.recorded(self.records.copy(), False)
 
     def _lease(self) -> None:
         world = self.world
@@ -202,8 +202,8 @@
             self.term = world.arbiter.revision
         world.leases[entry] = world.now + LEASE
         self.lease_asked = world.now
-        if world.chance.random() < 0.95:  # else the reply is lost
-            self.following.renewed(world.now + self.skew + LEASE, self.term)
+        if world.rng.random() < 0.95:  # else the reply is lost
+            self.policy_replica.renewed(world.now + self.skew + LEASE, self.term)
 
     def _say(self) -> None:
         """Words over the links, and to whom we have none with."""
@@ -213,29 +213,29 @@
             return
         self.said_at = world.now
         for other in list(world.hosts.values()):
-            if other is self or not (self.following.uneasy or other.following.uneasy):
+            if other is self or not (self.policy_replica.uneasy or other.policy_replica.uneasy):
                 continue
             if not other.alive or not world.reach(self, other):
                 continue
             word = msgspec.structs.replace(
-                self.following.word(), at=world.now + self.skew - world.chance.uniform(0, 0.02)
+                self.policy_replica.word(), at=world.now + self.skew - world.rng.uniform(0, 0.02)
             )
             world.words += 1
             if world.now < other.paused_until:
                 other.pending[self.id] = word  # it is read once that goes on
             else:
-                other.following.now = world.now + other.skew
-                other.following.heard(word)
+                other.policy_replica.now = world.now + other.skew
+                other.policy_replica.heard(word)
 
     def _write(self) -> None:
         world = self.world
         if world.now < self.wrote_at + PAUSE or not world.asks(self):
             return
-        due = self.following.due()
+        due = self.policy_replica.due()
         if isinstance(due, Transaction):
             self.wrote_at = world.now
             # It may reach the arbiter late, when what it was made from is over.
-            delay = 0.002 if world.chance.random() < 0.9 else world.chance.uniform(0, LEASE / 3)
+            delay = 0.002 if world.rng.random() < 0.9 else world.rng.uniform(0, LEASE / 3)
             delay = world.late.get(due.what, delay)
             world.at(world.now + delay, lambda: world.asks(self) and world.arbiter.write(due))
 
@@ -265,7 +265,7 @@
     def __init__(
         self, seed: int, members: int = 8, kind: Callable[..., Any] = PolicyReplica, trace: bool = False
     ) -> None:
-        self.chance, self.kind, self.trace = random.Random(seed), kind, trace
+        self.rng, self.kind, self.trace = random.Random(seed), kind, trace
         self.now, self.count, self.started, self.words = 0.0, 0, 0, 0
         self.queue: list[tuple[float, int, Callable[[], Any]]] = []
         self.files: dict[str, StoredPolicy] = {}
@@ -298,7 +298,7 @@
         self.started += 1
         host = Host(self, name, self.started)
         self.hosts[host.id] = host
-        self.at(self.now + self.chance.uniform(0, STEP), host.step)
+        self.at(self.now + self.rng.uniform(0, STEP), host.step)
 
     def asks(self, host: Host) -> bool:
         """Whether it reaches the arbiter."""
@@ -332,7 +332,7 @@
         self.hosts.pop(host.id, None)
         if forget:
             self.files.pop(host.name, None)
-        if self.chance.random() < 0.7:
+        if self.rng.random() < 0.7:
             entry = f"{MEMBERS}{host.id}"
             # Others find nobody there, and have the entry ended.
             self.at(self.now + 0.1, lambda: self.now >= self.down_until and self.end(entry))
@@ -342,7 +342,7 @@
         able = [h for h in self.hosts.values() if h.alive]
         if len(able) < 2:
             return
-        one, other = self.chance.sample(able, 2)
+        one, other = self.rng.sample(able, 2)
         until = self.now + lasts
         match kind:
             case "crash" | "forget":
@@ -356,7 +356,7 @@
             case "stalled":
                 self.stalled[one.name] = until
             case "split":
-                some = {h.name for h in self.chance.sample(able, self.chance.randint(1, len(able) - 1))}
+                some = {h.name for h in self.rng.sample(able, self.rng.randint(1, len(able) - 1))}
                 rest = {h.name for h in able} - some
                 for a in some:
                     self.cut[a] = until
@@ -369,17 +369,17 @@
 
     def propose(self, number: int) -> None:
         able = [h for h in self.hosts.values() if h.alive and self.now >= h.paused_until and self.asks(h)]
-        able = [h for h in able if h.following.sure and not h.following.doubt()]
+        able = [h for h in able if h.policy_replica.sure and not h.policy_replica.doubt()]
         if not able:
             return
-        host = self.chance.choice(able)
-        if host.following.records.next is not None:
+        host = self.rng.choice(able)
+        if host.policy_replica.records.next is not None:
             return
         body = {"settings": {"number": number}, "cover": {}}
-        if self.chance.random() < 0.15:
-            body["settings"]["not"] = [self.chance.choice(able).name]
-        host.following.now = self.now + host.skew
-        if self.arbiter.write(host.following.propose(body, AHEAD * LEASE)[0]):
+        if self.rng.random() < 0.15:
+            body["settings"]["not"] = [self.rng.choice(able).name]
+        host.policy_replica.now = self.now + host.skew
+        if self.arbiter.write(host.policy_replica.propose(body, AHEAD * LEASE)[0]):
             self.notes["proposed"] += 1
 
     def play(self, changes: int, faults: Timetable, rest: float = 20.0) -> None:
@@ -388,15 +388,15 @@
         each = AHEAD * LEASE * 1.4
         for number in range(changes):
             begin = 3.0 + number * each
-            self.at(begin + self.chance.uniform(0, 0.5), lambda n=number: self.propose(n))
+            self.at(begin + self.rng.uniform(0, 0.5), lambda n=number: self.propose(n))
             for kind, often in vars(faults).items():
                 if kind == "longest":
                     continue
-                for _ in range(int(often * each) + (self.chance.random() < often * each % 1)):
-                    lasts = self.chance.uniform(0.1, self.chance.choice((2.0, faults.longest)))
+                for _ in range(int(often * each) + (self.rng.random() < often * each % 1)):
+                    lasts = self.rng.uniform(0.1, self.rng.choice((2.0, faults.longest)))
                     # Half of them near the proposal, when votes are given and counted.
-                    near = self.chance.random() < 0.5
-                    when = begin + (self.chance.gauss(0.3, 0.6) if near else self.chance.uniform(0, each))
+                    near = self.rng.random() < 0.5
+                    when = begin + (self.rng.gauss(0.3, 0.6) if near else self.rng.uniform(0, each))
                     self.at(max(self.now, when), lambda k=kind, t=lasts: self.fault(k, t))
         self.until(3.0 + changes * each + faults.longest + rest)
 
@@ -426,7 +426,7 @@
         """Who does not serve under the last one, once all is quiet."""
         last = len(self.arbiter.decided)
         able = [h for h in self.hosts.values() if h.alive]
-        return [h.id for h in able if h.following.doubt() or h.following.in_force.version != last]
+        return [h.id for h in able if h.policy_replica.doubt() or h.policy_replica.in_force.version != last]
 
 
 # Scenes: one fault each, where a timetable would meet it only by chance.
@@ -440,9 +440,9 @@
 
 def _proposed(world: World, author: Host, unfit: str = "n99") -> float:
     """A change by that one, which another one can't follow; its switch time."""
-    author.following.now = world.now + author.skew
+    author.policy_replica.now = world.now + author.skew
     body = {"settings": {"number": 1, "not": [unfit]}, "cover": {}}
-    assert world.arbiter.write(author.following.propose(body, AHEAD * LEASE)[0])
+    assert world.arbiter.write(author.policy_replica.propose(body, AHEAD * LEASE)[0])
     return world.now + AHEAD * LEASE
 
 
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -1,4 +1,4 @@
-"""A zone of a whole fleet fails and returns, in emulated time: the program's `fleet/zones.py`, no sockets.
+"""A zone of a whole fleet fails and returns, in emulated time: `fleet/zones`, no sockets.
 
 Members draw zones, their own first, and set one aside after failures in a row, each alone; with a plan its
 shares come on top. What upstreams and clients do is modelled plainly: this plays the fleet's decisions, not
@@ -17,9 +17,9 @@
 
 import msgspec
 
+from starlingwheel.fleet.membership import Member
 from starlingwheel.fleet.records import MEMBERS, StoreRecords, Transaction, ZonePlan
-from starlingwheel.fleet.view import Member
-from starlingwheel.fleet.zones import ZoneHealthTracker, ZonePlanner
+from starlingwheel.fleet.zones.planner import ZoneHealthTracker, ZonePlanner
 
 from .emulated_policy import Arbiter
 
@@ -69,8 +69,8 @@
     def __init__(self, world: World, number: int) -> None:
         self.world, self.zone = world, ZONES[number % len(ZONES)]
         self.id = f"n{number}.0"
-        self.noting = ZoneHealthTracker(DUE, world.now)
-        self.planning = world.kind(self.id, LEASE, REGIONS, world.known, self, self.noting)
+        self.zone_health = ZoneHealthTracker(DUE, world.now)
+        self.zone_planner = world.kind(self.id, LEASE, REGIONS, world.known, self, self.zone_health)
         self.share: dict[str, float] = {}
         self.row: Counter[str] = Counter()
         self.aside: dict[str, tuple[float, float]] = {}  # until when, and the pause
@@ -87,15 +87,15 @@
         pass
 
     def draw(self, but: str = "") -> str:
-        chance = self.world.chance
-        out = {zone for zone, share in self.share.items() if chance.random() >= share} | {but}
+        rng = self.world.rng
+        out = {zone for zone, share in self.share.items() if rng.random() >= share} | {but}
         out |= {zone for zone, (until, _) in self.aside.items() if self.world.now < until}
         able = [zone for zone in ZONES if zone not in out]
         if not able:
             return ""
-        if self.zone in able and chance.random() < NEAR:
+        if self.zone in able and rng.random() < NEAR:
             return self.zone
-        return chance.choice(able)
+        return rng.choice(able)
 
     def ended(self, zone: str, good: bool) -> None:
         if good:
@@ -105,7 +105,7 @@
         self.row[zone] += 1
         if self.row[zone] >= 3:
             pause = min(2 * self.aside.get(zone, (0.0, DUE / 4))[1], 2 * DUE)
-            self.aside[zone] = (self.world.now + pause * self.world.chance.uniform(0.5, 1.5), pause)
+            self.aside[zone] = (self.world.now + pause * self.world.rng.uniform(0.5, 1.5), pause)
 
 
 class World:
@@ -119,7 +119,7 @@
         lasts: float = LASTS,
     ) -> None:
         """`how`: plan, alone, or known (leaves and returns with full knowledge)."""
-        self.chance, self.case, self.how, self.kind, self.lasts = random.Random(seed), case, how, kind, lasts
+        self.rng, self.case, self.how, self.kind, self.lasts = random.Random(seed), case, how, kind, lasts
         self.now, self.count = 0.0, 0
         usual = members * RATE / len(ZONES)
         self.bears = {zone: case.bears * usual for zone in ZONES}
@@ -155,7 +155,7 @@
             return False
         if case.seen_by and host.zone != case.seen_by:
             return False
-        return self.chance.random() < case.part
+        return self.rng.random() < case.part
 
     def full(self, zone: str) -> bool:
         """Turned away: more than it bears. A cold one falls over instead."""
@@ -173,11 +173,11 @@
     # Work.
 
     def arrive(self, host: Host) -> None:
-        self.at(self.now + self.chance.expovariate(RATE), lambda: self.arrive(host))
+        self.at(self.now + self.rng.expovariate(RATE), lambda: self.arrive(host))
         self.work += 1
         during = FAILS <= self.now < FAILS + self.lasts
         self.gone_work += during
-        exclusive = self.chance.random() < 0.25
+        exclusive = self.rng.random() < 0.25
         self.send(host, exclusive, 0, "", self.now, during, [False])
 
     def send(
@@ -189,8 +189,8 @@
         if self.how == "known" and self.case.helps and zone in self.case.hurt and self.fails(zone, host):
             zone = next((z for z in ZONES if z not in self.case.hurt), zone)
         hand_off = object()
-        host.noting.now = self.now
-        host.noting.began(hand_off, zone)
+        host.zone_health.now = self.now
+        host.zone_health.began(hand_off, zone)
         fails, full = self.fails(zone, host), self.full(zone)
         self.arrivals[zone].append(self.now)
         if fails or not full:
@@ -201,8 +201,8 @@
                 self.send(host, exclusive, tries + 1, but, begun, during, done)
 
         def end(how: str) -> None:
-            host.noting.now = self.now
-            host.noting.ended(hand_off, how)
+            host.zone_health.now = self.now
+            host.zone_health.ended(hand_off, how)
             if how != "full":
                 host.ended(zone, how == "good")
             if how == "good" and not done[0]:
@@ -223,7 +223,7 @@
         elif full:
             self.at(self.now + 0.003, lambda: end("full"))
         else:
-            took = SERVICE * self.chance.lognormvariate(0, 0.4)
+            took = SERVICE * self.rng.lognormvariate(0, 0.4)
             self.at(self.now + took, lambda: end("good"))
 
     # The plan.
@@ -252,14 +252,14 @@
             snapshot = self.records.copy()
             for host in self.hosts:
                 if self.now >= host.stopped_until:
-                    host.noting.now = self.now
-                    host.planning.recorded(snapshot)
+                    host.zone_health.now = self.now
+                    host.zone_planner.recorded(snapshot)
 
     def _plan(self, host: Host) -> None:
         if self.now < host.wrote_at or self.now < host.stopped_until:
             return
-        host.noting.now = self.now
-        due = host.planning.due()
+        host.zone_health.now = self.now
+        due = host.zone_planner.due()
         if isinstance(due, Transaction):
             self.asked += 1
             self.arbiter.write(due)
@@ -269,7 +269,7 @@
 
     def play(self, after: float = AFTER) -> None:
         for host in self.hosts:
-            self.at(self.chance.expovariate(RATE), lambda h=host: self.arrive(h))
+            self.at(self.rng.expovariate(RATE), lambda h=host: self.arrive(h))
         self.at(0.0, self.step)
         until = FAILS + self.lasts + after
         while self.queue and self.queue[0][0] <= until:
--- a/trials/endpoint_list.py
+++ b/trials/endpoint_list.py
@@ -24,9 +24,9 @@
 from pathlib import Path
 from typing import Any
 
-from standins.discovery import Discovery, Fault, Front
-from standins.http1 import Broken, Caller, Request, Response, Server
-from standins.loopback import free_ports, own_host
+from fakes.discovery import Discovery, Fault, Front
+from fakes.http1 import Broken, Caller, Request, Response, Server
+from fakes.loopback import free_ports, own_host
 
 from .rig import CAPS, CATEGORIES, MEMORY, ROOT, START, _die_with_parent
 from .verdict import Verdict
@@ -126,7 +126,7 @@
     """Processes, discovery, servers and clients; use as a context, then call `verdict`."""
 
     def __init__(self, seed: int, sidecars: int, servers: int, root: Path = ROOT) -> None:
-        self.seed, self.root, self.chance = seed, root, random.Random(seed)
+        self.seed, self.root, self.rng = seed, root, random.Random(seed)
         self.sidecar_count, self.server_count = sidecars, servers
         self.sidecars: list[Process] = []
         self.servers: dict[str, Server] = {}
@@ -140,7 +140,7 @@
     async def __aenter__(self) -> Trial:
         self.stack = contextlib.AsyncExitStack()
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory(dir=MEMORY)))
-        self.discovery = Discovery(self.chance)
+        self.discovery = Discovery(self.rng)
         for number in range(self.server_count):
             name = f"s{number}"
             server = Server(self._handler(name))
@@ -240,15 +240,15 @@
 
     async def _ask(self, sidecar: Process, leave: float) -> None:
         loop = asyncio.get_running_loop()
-        category = self.chance.choices([*SHARES], [*SHARES.values()])[0]
+        category = self.rng.choices([*SHARES], [*SHARES.values()])[0]
         trace = f"r{len(self.asked)}"
         asked = Asked(trace, category, sidecar.number, sidecar.started, loop.time())
         self.asked[trace] = asked
         headers = {"X-Trace-Id": trace, "X-Qos": category, "X-Expires-In-Ms": str(int(DEADLINE * 1000))}
         if category == "move":
             headers["Idempotency-Key"] = trace
-        leaves = self.chance.random() < leave
-        within = self.chance.random() * 0.1 if leaves else DEADLINE + ANSWER_SLACK
+        leaves = self.rng.random() < leave
+        within = self.rng.random() * 0.1 if leaves else DEADLINE + ANSWER_SLACK
         kept = bool(sidecar.caller.idle)
         try:
             async with asyncio.timeout(within):
@@ -380,7 +380,7 @@
     """Random faults of discovery, servers and processes that overlap; a seed names the timetable."""
 
     def __init__(self, trial: Trial, seconds: float) -> None:
-        self.trial, self.chance = trial, trial.chance
+        self.trial, self.rng = trial, trial.rng
         self.until = asyncio.get_running_loop().time() + seconds
         self.standby = list(trial.servers)[: len(trial.servers) // 4]  # servers that come and go
         self.kinds = (
@@ -404,15 +404,15 @@
     async def _one_after_another(self) -> None:
         loop = asyncio.get_running_loop()
         while (left := self.until - loop.time()) > 4.0:
-            await asyncio.sleep(self.chance.random() * 1.5)
-            fault = self.chance.choice(self.kinds)
+            await asyncio.sleep(self.rng.random() * 1.5)
+            fault = self.rng.choice(self.kinds)
             self.trial.counts[f"fault {fault.__name__}"] += 1
-            await fault(min(left, 0.5 + self.chance.random() * 7.0))
+            await fault(min(left, 0.5 + self.rng.random() * 7.0))
 
     async def crowd(self, seconds: float) -> None:
         discovery = self.trial.discovery
-        discovery.calls_per_second = len(discovery.fronts) / (1.0 + 4.0 * self.chance.random())
-        discovery.longest_wait = self.chance.choice((1.0, 2.0, 3.0))
+        discovery.calls_per_second = len(discovery.fronts) / (1.0 + 4.0 * self.rng.random())
+        discovery.longest_wait = self.rng.choice((1.0, 2.0, 3.0))
         await asyncio.sleep(seconds)
         discovery.calls_per_second = inf
 
@@ -430,7 +430,7 @@
         await asyncio.sleep(seconds / 4)
 
     async def break_messages(self, seconds: float) -> None:
-        self.trial.discovery.push_fault = self.chance.choice(list(Fault))
+        self.trial.discovery.push_fault = self.rng.choice(list(Fault))
         await asyncio.sleep(seconds)
         self.trial.discovery.push_fault = Fault.NONE
 
@@ -447,19 +447,19 @@
         self.standby.append(name)
 
     async def hang_server(self, seconds: float) -> None:
-        name = self.chance.choice([*self.trial.servers])
+        name = self.rng.choice([*self.trial.servers])
         self.trial.hanging.add(name)
         await asyncio.sleep(seconds / 2)
         self.trial.hanging.discard(name)
 
     async def kill(self, seconds: float) -> None:
-        sidecar = self.chance.choice(self.trial.sidecars)
+        sidecar = self.rng.choice(self.trial.sidecars)
         sidecar.kill()
         await asyncio.sleep(0.2)
         sidecar.start()
 
     async def stop(self, seconds: float) -> None:
-        sidecar = self.chance.choice(self.trial.sidecars)
+        sidecar = self.rng.choice(self.trial.sidecars)
         process = sidecar.process
         sidecar.signal(signal.SIGTERM)
         until = asyncio.get_running_loop().time() + DEADLINE + STOP_TIME
@@ -471,7 +471,7 @@
 
     async def pause(self, seconds: float) -> None:
         """Held up for a little less than the 0.15 s that a process may be."""
-        sidecar = self.chance.choice(self.trial.sidecars)
+        sidecar = self.rng.choice(self.trial.sidecars)
         sidecar.signal(signal.SIGSTOP)
         await asyncio.sleep(0.12)
         sidecar.signal(signal.SIGCONT)
--- a/trials/hard.py
+++ b/trials/hard.py
@@ -16,7 +16,7 @@
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
         sending = asyncio.create_task(rig.clients.send(120.0, 4.5, MIX))
         await asyncio.sleep(1.0)
-        for sidecar in rig.chance.sample(rig.sidecars, sidecars // 2):
+        for sidecar in rig.rng.sample(rig.sidecars, sidecars // 2):
             rig.lose(sidecar)
         killed_at = asyncio.get_running_loop().time()
         verdict = await rig.judged(sending)
@@ -37,7 +37,7 @@
         rig.clients.body = lambda work: work.name.encode().ljust(60 * 1024, b".")
         sending = asyncio.create_task(rig.clients.send(60.0, 2.0, {"buy": 1.0, "move": 1.0}))
         await asyncio.sleep(1.0)
-        lost = rig.chance.choice(rig.sidecars)
+        lost = rig.rng.choice(rig.sidecars)
         hurt = rig.lose(lost)
         verdict = await rig.judged(sending)
         verdict.counts["in hand at the loss"] = len(hurt)
@@ -51,7 +51,7 @@
 async def keeper(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """A keeper that hangs holds up nothing that has no name."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
-        slow = rig.chance.choice(rig.sidecars)
+        slow = rig.rng.choice(rig.sidecars)
         rig.clients.avoid.add(slow.name)
         slow.signal(signal.SIGSTOP)
         await rig.clients.send(100.0, 1.5, {"look": 1.0, "buy": 1.0}, named=False)
@@ -73,14 +73,14 @@
         rig.clients.waits = 3.0
         sending = asyncio.create_task(rig.clients.send(150.0, 2.0, MIX))
         await asyncio.sleep(0.8)
-        owner = rig.chance.choice(rig.sidecars)
+        owner = rig.rng.choice(rig.sidecars)
         hurt = rig.in_hand(owner)
         owner.signal(signal.SIGSTOP)
         rig.clients.avoid.add(owner.name)
         for work in hurt:
             # Another client of that name does not wait until it wakes.
             others = [s.name for s in rig.sidecars if s is not owner]
-            rig.clients.join(work, rig.chance.choice(others))
+            rig.clients.join(work, rig.rng.choice(others))
         await asyncio.sleep(1.0)
         owner.signal(signal.SIGCONT)
         verdict = await rig.judged(sending)
@@ -125,7 +125,7 @@
                 away = [s for s in rig.sidecars if s.alive and count > counts[-2]][1:]
                 if not away:
                     continue
-                for sidecar in rig.chance.sample(away, 1 if count < rig.cells else len(away) - 1):
+                for sidecar in rig.rng.sample(away, 1 if count < rig.cells else len(away) - 1):
                     rig.lose(sidecar)
                     lost += 1
                     await asyncio.sleep(rig.lease)
--- a/trials/model.py
+++ b/trials/model.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from starlingwheel.fleet.cover import BeginResult, ReplicatedRequest, RequestReplicator
 from starlingwheel.fleet.frames import AttemptIntent, Frame, RecordedRequest, RecordedResponse, ReplicateFrame
-from starlingwheel.fleet.view import Member, MembershipView
+from starlingwheel.fleet.membership import Member, MembershipView
+from starlingwheel.fleet.replication.replicator import BeginResult, ReplicatedRequest, RequestReplicator
 
 MEMBERS = ("a", "b", "c")
 EXPIRY = 100.0
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from starlingwheel.fleet.policy import PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet.membership import Member
+from starlingwheel.fleet.policy.replica import PolicyReplica, PolicyStatus, StoredPolicy
 from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
-from starlingwheel.fleet.view import Member
 
 from .emulated_policy import Arbiter
 
@@ -71,7 +71,7 @@
 def twin(host: Any, door: Door) -> Any:
     """A copy of a member that shares what is never changed in place."""
     other = copy.copy(host)
-    other.door, other.kept = door, copy.copy(host.kept)
+    other.host, other.kept = door, copy.copy(host.kept)
     other.words, other.since, other.counts = dict(host.words), dict(host.since), host.counts.copy()
     return other
 
@@ -120,10 +120,10 @@
 
     def _enter(self, name: str) -> None:
         host = self.hosts[name]
-        entry = MEMBERS + host.me
+        entry = MEMBERS + host.member_id
         if entry not in self.arbiter.entries:
             self.arbiter.revision += 1
-            self.arbiter.put(entry, msgspec.json.encode(Member(host.me, name, name)))
+            self.arbiter.put(entry, msgspec.json.encode(Member(host.member_id, name, name)))
             if NAMES + name not in self.arbiter.entries:
                 self.arbiter.put(NAMES + name, b"1")
             self.leases[name] = self.now
@@ -227,9 +227,9 @@
                 self.left["words"] -= 1
                 word: PolicyStatus = self.hosts[one].word()
                 self.hosts[other].heard(word)
-                for asker, member in self.asked:
-                    host = self.hosts.get(asker)
-                    told = next((h for h in self.hosts.values() if h.me == member), None)
+                for policy_poller, member in self.asked:
+                    host = self.hosts.get(policy_poller)
+                    told = next((h for h in self.hosts.values() if h.member_id == member), None)
                     if host is not None and told is not None and told.decision is not None:
                         host.told(told.decision)
                 self.asked.clear()
@@ -282,7 +282,7 @@
         """The text of a state: two of one text go on alike."""
         told = [
             (
-                n, h.me, h.in_force.version, h.known, h.promise and h.promise.number, h.ended, h.sure,
+                n, h.member_id, h.in_force.version, h.known, h.promise and h.promise.number, h.ended, h.sure,
                 h.lease_until, h.entered, h.vote, sorted(h.words.items()), h.records.revision, h.left_at,
                 sorted(h.since.items()), self.seen[n], h.from_file,
             )
--- a/trials/policy.py
+++ b/trials/policy.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.http1 import Broken, Caller
+from fakes.http1 import Broken, Caller
 
 from .rig import CAPS, CATEGORIES, ROOT, TIMES, Rig, Sidecar
 from .verdict import Verdict
@@ -130,23 +130,23 @@
 class Faults:
     """What goes wrong while a change is made."""
 
-    def __init__(self, rig: Rig, chance: random.Random) -> None:
-        self.rig, self.chance = rig, chance
+    def __init__(self, rig: Rig, rng: random.Random) -> None:
+        self.rig, self.rng = rig, rng
         self.busy: set[str] = set()
 
     def drawn(self) -> list[Fault]:
-        kinds = [self.chance.choice(KINDS) for _ in range(self.chance.choice((1, 1, 2, 3)))]
+        kinds = [self.rng.choice(KINDS) for _ in range(self.rng.choice((1, 1, 2, 3)))]
         when = (-0.6, -0.1, 0.02, 0.1, 0.4, 1.0, 2.0, 2.7, 2.95, 3.1)
-        return [(k, self.chance.choice(when), self.chance.choice((0.2, 0.8, 1.5, 3.0, 4.0))) for k in kinds]
+        return [(k, self.rng.choice(when), self.rng.choice((0.2, 0.8, 1.5, 3.0, 4.0))) for k in kinds]
 
     async def play(self, fault: Fault, start: float) -> None:
         kind, at, lasts = fault
         await asyncio.sleep(max(0.0, start + at - asyncio.get_running_loop().time()))
         rig, arbiter = self.rig, self.rig.arbiter
         free = [s for s in rig.sidecars if s.name not in self.busy]
-        some = self.chance.sample(free, min(len(free), {"kill_two": 2}.get(kind, 1)))
+        some = self.rng.sample(free, min(len(free), {"kill_two": 2}.get(kind, 1)))
         if kind in ("half", "half_down"):
-            some = self.chance.sample(rig.sidecars, len(rig.sidecars) // 2)
+            some = self.rng.sample(rig.sidecars, len(rig.sidecars) // 2)
         match kind:
             case "stop" | "kill" | "kill_two":
                 self.busy |= {s.name for s in some}
@@ -159,7 +159,7 @@
                 await asyncio.sleep(lasts)
                 await arbiter.begin()
             case "lost":
-                arbiter.lose["/v3/kv/txn"] = self.chance.randint(1, 4)
+                arbiter.lose["/v3/kv/txn"] = self.rng.randint(1, 4)
             case "watch":
                 arbiter.compact()
                 arbiter.cut_watches()
@@ -229,8 +229,8 @@
 ) -> Verdict:
     """`count` changes, one after another, each with faults in some phase of it."""
     async with _rig(seed, sidecars, root, fleet) as rig:
-        chance = random.Random(f"{seed}-policy")
-        watch, faults = Watch(rig), Faults(rig, chance)
+        rng = random.Random(f"{seed}-policy")
+        watch, faults = Watch(rig), Faults(rig, rng)
         attempts: list[Attempt] = []
         await asyncio.sleep(0.5)
         for number in range(1, count + 1):
@@ -244,7 +244,7 @@
             await asyncio.sleep(0.7)
             large = any(one[0] == "no" for one in drawn)
             if fleet:
-                await _propose(rig, chance, attempt, 140 if large else 0)
+                await _propose(rig, rng, attempt, 140 if large else 0)
             else:
                 await _rewrite(rig, attempt)
             await asyncio.gather(*playing)
@@ -277,9 +277,9 @@
 async def quiet(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """The arbiter is gone for twenty leases: no work is deferred for it, and a change waits."""
     async with _rig(seed, sidecars, root, fleet) as rig:
-        chance, attempt = random.Random(f"{seed}-policy"), Attempt("a1")
+        rng, attempt = random.Random(f"{seed}-policy"), Attempt("a1")
         watch = Watch(rig)
-        await _change(rig, chance, attempt, 1.0)
+        await _change(rig, rng, attempt, 1.0)
         begun = asyncio.get_running_loop().time()
         await rig.arbiter.down()
         await asyncio.sleep(20.0 * LEASE)
@@ -299,9 +299,9 @@
 async def restart(seed: int, sidecars: int = 6, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """After a change all are killed while the arbiter is gone: by what they kept they follow the new one."""
     async with _rig(seed, sidecars, root, fleet) as rig:
-        chance, attempt = random.Random(f"{seed}-policy"), Attempt("a1")
+        rng, attempt = random.Random(f"{seed}-policy"), Attempt("a1")
         watch = Watch(rig)
-        await _change(rig, chance, attempt, 0.5)
+        await _change(rig, rng, attempt, 0.5)
         await rig.arbiter.down()
         for sidecar in rig.sidecars:
             sidecar.kill()
@@ -322,12 +322,12 @@
 async def replaced(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """Each is told to stop and started anew while changes are made."""
     async with _rig(seed, sidecars, root, fleet) as rig:
-        chance, watch = random.Random(f"{seed}-policy"), Watch(rig)
+        rng, watch = random.Random(f"{seed}-policy"), Watch(rig)
         attempts = [Attempt(f"a{number}") for number in range(1, 4)]
         for attempt in attempts:
             watch.follow(attempt.label)
-            await _propose(rig, chance, attempt, 0)
-            for sidecar in chance.sample(rig.sidecars, 2):
+            await _propose(rig, rng, attempt, 0)
+            for sidecar in rng.sample(rig.sidecars, 2):
                 sidecar.signal(signal.SIGTERM)
                 await asyncio.to_thread(sidecar.process.wait)
                 sidecar.start()
@@ -347,18 +347,18 @@
         await asyncio.sleep(0.05)
 
 
-async def _change(rig: Rig, chance: random.Random, attempt: Attempt, after: float) -> None:
+async def _change(rig: Rig, rng: random.Random, attempt: Attempt, after: float) -> None:
     """One change without faults, until so many seconds past its switch time."""
-    await _propose(rig, chance, attempt, 0)
+    await _propose(rig, rng, attempt, 0)
     await _until(lambda: ended(rig, attempt.label), 5.0)
     attempt.how = ended(rig, attempt.label)
     await asyncio.sleep(max(0.0, attempt.at + after - asyncio.get_running_loop().time()))
 
 
-async def _propose(rig: Rig, chance: random.Random, attempt: Attempt, pad: int) -> None:
+async def _propose(rig: Rig, rng: random.Random, attempt: Attempt, pad: int) -> None:
     """At anybody that takes it."""
     loop = asyncio.get_running_loop()
-    for sidecar in chance.sample(rig.sidecars, len(rig.sidecars))[:4]:
+    for sidecar in rng.sample(rig.sidecars, len(rig.sidecars))[:4]:
         begun = loop.time()
         with contextlib.suppress(Broken, TimeoutError, OSError):
             asked = {"policy": body(attempt.label, pad)}
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -17,13 +17,13 @@
 from pathlib import Path
 from typing import Any
 
-from standins.arbiter import Arbiter
-from standins.clients import Clients, Work
-from standins.http1 import Broken, Caller
-from standins.listing import Listing
-from standins.loopback import free_ports, own_host
-from standins.relay import Relay, Way
-from standins.upstream import Run, Upstream
+from fakes.clients import Clients, Work
+from fakes.endpoint_list import Listing
+from fakes.etcd import Arbiter
+from fakes.http1 import Broken, Caller
+from fakes.loopback import free_ports, own_host
+from fakes.relay import Relay, Way
+from fakes.upstream import Run, Upstream
 
 from .verdict import Verdict, judge
 
@@ -49,7 +49,7 @@
 MODULE = ["-m", "starlingwheel"]
 AHEAD = (
     "import sys, time; real = time.time; time.time = lambda: real() + {};"
-    "from starlingwheel.net.lifecycle.start import main; sys.exit(main())"
+    "from starlingwheel.net.lifecycle.sidecar import main; sys.exit(main())"
 )  # the program under a clock that is ahead
 
 
@@ -78,8 +78,8 @@
         self.memory_mb = 192.0
         self.ahead = 0.0  # seconds that its clock is ahead
         self.relays: list[Relay] = []
-        self.front = Relay(lambda: (self.host, self.fleet_port), rig.chance)
-        self.to_arbiter = Relay(lambda: (rig.arbiter.server.host, rig.arbiter.server.port), rig.chance)
+        self.front = Relay(lambda: (self.host, self.fleet_port), rig.rng)
+        self.to_arbiter = Relay(lambda: (rig.arbiter.server.host, rig.arbiter.server.port), rig.rng)
         self.list = Listing(self._entries)
         self.paths = {kind: rig.folder / f"{self.name}.{kind}" for kind in ("json", "log")}
 
@@ -103,7 +103,7 @@
             def note(far: tuple[str, int], near: tuple[str, int], u: Upstream = upstream) -> None:
                 u.origins[far] = self.name
 
-            relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.chance, said=note)
+            relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.rng, said=note)
             await relay.begin()
             self.relays.append(relay)
 
@@ -223,7 +223,7 @@
         self.seed, self.root, self.fleet, self.lease = seed, root, fleet, lease
         self.cell_size, self.cut = cell_size, cut
         self.arbiter = Arbiter()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.kept = tempfile.TemporaryDirectory(prefix="trial-", dir=MEMORY)
         self.folder = Path(self.kept.name)
         self.runs: list[Run] = []
--- a/trials/scale/arbiter.py
+++ b/trials/scale/arbiter.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from standins.arbiter import Arbiter
+from fakes.etcd import Arbiter
 
 from .counts import Sample, Traffic, resident, traffic
 
--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -15,7 +15,9 @@
 import msgspec
 
 from starlingwheel.decisions.config import BalancerConfig
-from starlingwheel.fleet.cover import (
+from starlingwheel.fleet.config import FleetConfig, ReplicationConfig
+from starlingwheel.fleet.frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame
+from starlingwheel.fleet.replication.replicator import (
     DEFERRED,
     FINISHED,
     RERUNNABLE,
@@ -24,19 +26,17 @@
     BeginResult,
     ReplicatedRequest,
 )
-from starlingwheel.fleet.frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame
-from starlingwheel.fleet.part import FleetConfig, ReplicationConfig
 from starlingwheel.net.actor import Actor, Coroutine
-from starlingwheel.net.fleet.hosting import FleetHost
+from starlingwheel.net.fleet.host import FleetHost
 from starlingwheel.net.fleet.links import LinkRejectedError
-from starlingwheel.net.fleet.mail import EntryLost
+from starlingwheel.net.fleet.member import FleetMember, MemberIdentity
+from starlingwheel.net.fleet.messages import EntryLost
 from starlingwheel.net.fleet.policy import PolicyController
-from starlingwheel.net.fleet.start import FleetMember, MemberIdentity
 from starlingwheel.net.lifecycle.config import SidecarConfig, balancer_config_of
+from starlingwheel.net.lifecycle.sockets import LISTEN_BACKLOG
 from starlingwheel.net.loop import READ
-from starlingwheel.net.mail import CLOSE
-from starlingwheel.net.memory.buffers import BufferPool
-from starlingwheel.net.wire.client import BACKLOG
+from starlingwheel.net.messages import CLOSE
+from starlingwheel.net.state.buffers import BufferPool
 
 from .metered import Meter, MeteredLoop
 
@@ -70,16 +70,16 @@
 class Deciding(FleetHost, Actor):
     """The module of a hollow member: one hand-off an item, answered after its service time."""
 
-    lasting = True
-    at_once = 64
+    daemon = True
+    messages_per_turn = 64
 
     def __init__(
         self,
         loop: MeteredLoop,
-        me: str,
+        member_id: str,
         part: FleetConfig,
         lapsed: Callable[[EntryLost], None],
-        ruling: PolicyController,
+        policy_controller: PolicyController,
         terms: BalancerConfig,
         log: Callable[..., None],
     ) -> None:
@@ -91,30 +91,32 @@
         self.services: list[tuple[float, int, Handed]] = []
         self.number, self.alarm_at = 0, inf
         self.covered_s = 0.0  # seconds from a client's coming to its hand-off's release, all together
-        self.host(loop, me, part, ruling, lapsed, lambda: self, (shortest, longest), ROOM, log)
+        self.host(
+            loop, member_id, part, policy_controller, lapsed, lambda: self, (shortest, longest), ROOM, log
+        )
         Actor.__init__(self, loop)
 
     def run(self) -> Coroutine[None]:
         while True:
-            mail = yield min(self.services[0][0] if self.services else inf, self.alarm_at)
+            message = yield min(self.services[0][0] if self.services else inf, self.alarm_at)
             now = self.loop.now()
-            if mail is None:
+            if message is None:
                 if self.alarm_at <= now:
                     self.alarm_at = inf
-                self.covering.now = self.following.now = now
+                self.replicator.now = self.policy_replica.now = now
                 self.tick()
                 self._serve(now)
-            elif self.hosted(mail, now):
-                if (frame := getattr(mail, "frame", None)) is not None:
+            elif self.hosted(message, now):
+                if (frame := getattr(message, "frame", None)) is not None:
                     self.frames[type(frame).__name__] += 1
-            elif isinstance(mail, Begin):
-                self._begin(mail.name, now)
-            elif isinstance(mail, Dropped):
-                self._drop(mail.handed)
+            elif isinstance(message, Begin):
+                self._begin(message.name, now)
+            elif isinstance(message, Dropped):
+                self._drop(message.handed)
             self.alarm_at = min(self.alarm_at, self.next_at(now))
 
     def _begin(self, name: bytes, now: float) -> None:
-        if self.following.doubt():
+        if self.policy_replica.doubt():
             self.counts["in_doubt"] += 1
             return
         category, effect = self.category, self.category.retry_safety.value
@@ -123,9 +125,21 @@
         mark = hashlib.blake2b(name, digest_size=8).digest()
         until = now + category.timeout
         told = ReplicateFrame(
-            key, self.me, 0, False, mark, category.name, effect, now, until, False, asked, [], rules=category
+            key,
+            self.member_id,
+            0,
+            False,
+            mark,
+            category.name,
+            effect,
+            now,
+            until,
+            False,
+            asked,
+            [],
+            rules=category,
         )
-        word, item = self.covering.begin(told, object(), until)
+        word, item = self.replicator.begin(told, object(), until)
         self.counts[word.value] += 1
         if word is BeginResult.RUN:
             self._hand(item, now)
@@ -142,11 +156,11 @@
     def _drop(self, handed: Handed) -> None:
         gate = self.unhold(handed)
         if gate is not None:
-            self.covering.ended(gate.item, gate.number, UNSENT)
+            self.replicator.ended(gate.item, gate.number, UNSENT)
             self._answered(handed.item, RecordedResponse(DEFERRED))
 
     def _answered(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
-        given = self.covering.answered(item, reply)
+        given = self.replicator.answered(item, reply)
         self.counts["later" if given is None else f"answered_{given.status}"] += 1
 
     # The deciding part.
@@ -171,7 +185,7 @@
         self.post(Dropped(exchange))
 
     def cover_by(self, part: ReplicationConfig) -> None:
-        self.covering.count = part.keepers
+        self.replicator.count = part.keepers
 
     def retuned(self, terms: BalancerConfig) -> None:
         self.counts["retuned"] += 1
@@ -183,17 +197,17 @@
 class Work(Actor):
     """Clients of one member: so many named work items a second, at drawn moments."""
 
-    def __init__(self, loop: MeteredLoop, module: Deciding, rate: float, chance: random.Random) -> None:
-        self.module, self.rate, self.chance = module, rate, chance
+    def __init__(self, loop: MeteredLoop, module: Deciding, rate: float, rng: random.Random) -> None:
+        self.module, self.rate, self.rng = module, rate, rng
         super().__init__(loop)
 
     def run(self) -> Coroutine[None]:
         at = self.loop.now()
         while True:
-            at += self.chance.expovariate(self.rate)
+            at += self.rng.expovariate(self.rate)
             while self.loop.now() < at:
                 yield at
-            self.module.post(Begin(f"{self.chance.getrandbits(64):x}".encode()))
+            self.module.post(Begin(f"{self.rng.getrandbits(64):x}".encode()))
 
 
 class Member:
@@ -210,7 +224,7 @@
         self.terms = balancer_config_of(self.config, "scale")
         fleet = told["fleet"] | {"listen": f"{host}:{port}", "advertise": ""}
         self.part = msgspec.convert(fleet, FleetConfig)
-        self.chance = random.Random(f"{told['seed']}-{name}")
+        self.rng = random.Random(f"{told['seed']}-{name}")
         self.meter = Meter()
         self.fleet: FleetMember | None = None
         self.work: Work | None = None
@@ -227,45 +241,50 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((self.host, self.port))
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         loop, part, terms = self.loop, self.part, self.terms
         who = MemberIdentity(self.name, terms.zone, self.config.seed)
         counting = Counting(loop, self.meter)
 
-        def ruling(me: str) -> PolicyController:
+        def policy_controller(member_id: str) -> PolicyController:
             return PolicyController(
-                self.config, part, me, loop.now(), lambda: self.terms, self.retune, self.log
+                self.config, part, member_id, loop.now(), lambda: self.terms, self.retune, self.log
             )
 
-        def module(me: str, ruling: PolicyController, lapsed: Callable[[EntryLost], None]) -> Deciding:
-            return Deciding(loop, me, part, lapsed, ruling, terms, self.log)
+        def module(
+            member_id: str, policy_controller: PolicyController, lapsed: Callable[[EntryLost], None]
+        ) -> Deciding:
+            return Deciding(loop, member_id, part, lapsed, policy_controller, terms, self.log)
 
         with counting:
-            self.fleet = fleet = FleetMember(loop, self.pool, self.log, part, sock, who, ruling, module)
+            self.fleet = fleet = FleetMember(
+                loop, self.pool, self.log, part, sock, who, policy_controller, module
+            )
         self.actors = [
-            fleet.module, fleet.lessee, fleet.onlooker, fleet.clerk, fleet.scribe, fleet.links, fleet.asker,
+            fleet.module, fleet.lease_keeper, fleet.state_watcher, fleet.member_evictor, fleet.state_writer,
+            fleet.links, fleet.policy_poller,
         ]  # fmt: skip
         for actor in self.actors:
             actor.meter = self.meter
         self.named, fleet.links.named = fleet.links.named, self._named
         self.started, self.ready_s = loop.now(), 0.0
         fleet.links.queued = True  # its mail waits until it has begun, and who calls waits in the kernel
-        loop.forget(sock.fileno())
+        loop.unregister(sock.fileno())
         fleet.module.begin()
-        fleet.lessee.begin()
+        fleet.lease_keeper.begin()
 
     def join(self) -> None:
         fleet = self.fleet
         assert fleet is not None
-        fleet.ruling.following.begin()
-        for actor in (fleet.onlooker, fleet.clerk, fleet.scribe, fleet.asker):
+        fleet.policy_controller.policy_replica.begin()
+        for actor in (fleet.state_watcher, fleet.member_evictor, fleet.state_writer, fleet.policy_poller):
             actor.begin()
 
     def link(self) -> None:
         assert self.fleet is not None
         links = self.fleet.links
         self.started = self.loop.now()
-        self.loop.watch(links.sock.fileno(), links, READ)
+        self.loop.register(links.sock.fileno(), links, READ)
         links.begin()
         links.queued = False
         if links.mailbox:
@@ -283,15 +302,15 @@
         """As a process ends: its sockets close, nothing is said."""
         assert self.fleet is not None
         self.set_work(0.0)
-        mine = [a for a in self.loop.watched.values() if self.loop._meter(a) is self.meter]
+        mine = [a for a in self.loop.actors_by_descriptor.values() if self.loop._meter(a) is self.meter]
         sock = self.fleet.links.sock
         fleet, self.fleet = self.fleet, None
         for actor in {*mine, *self.actors}:
-            actor.lasting = False
+            actor.daemon = False
             actor.ended = True
             actor.mailbox.clear()
         fleet.links.lost = lambda *_: None  # guards against one that has ended knocking at others
-        self.loop.forget(sock.fileno())
+        self.loop.unregister(sock.fileno())
         sock.close()
         for actor in {*mine, *self.actors}:
             actor.coroutine.close()
@@ -307,7 +326,7 @@
             self.work.coroutine.close()
             self.work = None
         if rate and self.fleet is not None:
-            self.work = Work(self.loop, self.fleet.module, rate, self.chance)
+            self.work = Work(self.loop, self.fleet.module, rate, self.rng)
             self.work.meter = self.meter
             self.work.begin()
 
@@ -336,9 +355,9 @@
     @property
     def wanted(self) -> set[str]:
         """Members that a link is kept with."""
-        view = self.fleet.module.covering.view
+        view = self.fleet.module.replicator.view
         peers = getattr(view, "peers", None)
-        wanted = set(view.members if peers is None else peers(self.fleet.me)) - {self.fleet.me}
+        wanted = set(view.members if peers is None else peers(self.fleet.member_id)) - {self.fleet.member_id}
         if self.side:
             wanted = {m for m in wanted if not self._cut_from(m)}
         return wanted
@@ -346,7 +365,7 @@
     @property
     def ready(self) -> bool:
         fleet = self.fleet
-        if fleet is None or not fleet.joined or not fleet.module.covering.settled_now:
+        if fleet is None or not fleet.joined or not fleet.module.replicator.settled_now:
             return False
         return self.wanted <= fleet.links.links.keys()
 
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -49,23 +49,23 @@
             meter = actor.meter = owner.__dict__.get("meter") or self.nobody
         return meter
 
-    def watch(self, fd: int, actor: Actor, mask: int) -> None:
-        super().watch(fd, actor, mask)
+    def register(self, fd: int, actor: Actor, mask: int) -> None:
+        super().register(fd, actor, mask)
         self._meter(actor).fds[fd] = hasattr(actor, "addresses")
 
-    def forget(self, fd: int) -> None:
-        if (actor := self.watched.get(fd)) is not None:
+    def unregister(self, fd: int) -> None:
+        if (actor := self.actors_by_descriptor.get(fd)) is not None:
             meter = self._meter(actor)
             to_arbiter = meter.fds.pop(fd, False)
             if (last := traffic(fd)) is not None:
                 (meter.arbiter if to_arbiter else meter.links).add(last)
-        super().forget(fd)
+        super().unregister(fd)
 
-    def _resume(self, actor: Actor, mail: object) -> None:
+    def _resume(self, actor: Actor, message: object) -> None:
         before, self.inside_ns = self.inside_ns, 0
         began = time.thread_time_ns()
         try:
-            super()._resume(actor, mail)
+            super()._resume(actor, message)
         finally:
             took = time.thread_time_ns() - began
             # One actor may begin another in its turn: that one's part is its own.
--- a/trials/scale/run.py
+++ b/trials/scale/run.py
@@ -60,7 +60,7 @@
     def __init__(self, given: Given, out: Callable[[dict[str, Any]], None]) -> None:
         self.given, self.out = given, out
         self.plan = given.plan
-        self.chance = random.Random(f"scale {given.seed} {given.plan.size}")
+        self.rng = random.Random(f"scale {given.seed} {given.plan.size}")
         self.arbiter = Process("trials.scale.arbiter")
         self.workers = [Process("trials.scale.worker") for _ in [*self.plan.shared, *[0] * self.plan.alone]]
         self.names: dict[str, Process] = {}
@@ -327,7 +327,7 @@
             until = time.monotonic() + max(self.given.seconds, self.given.every)
             restarts = 0
             while time.monotonic() < until:
-                await self._restarted([self.chance.choice(sorted(set(self.names) - self.alone))])
+                await self._restarted([self.rng.choice(sorted(set(self.names) - self.alone))])
                 restarts += 1
                 await asyncio.sleep(self.given.every)
             told |= {"restarts": restarts, "every_s": self.given.every}
@@ -345,7 +345,7 @@
     async def lost(self) -> None:
         """An eleventh of all ends in one moment; once that is seen by all, they come back."""
         count = max(1, self.plan.size // PART)
-        names = self.chance.sample(sorted(set(self.names) - self.alone), count)
+        names = self.rng.sample(sorted(set(self.names) - self.alone), count)
         left = self.plan.hollow - count
         async with self.phase("lost") as told:
             await self._of(names, "kill")
@@ -389,7 +389,7 @@
         The arbiter is in reach of all, and so the view stays.
         """
         names = sorted(set(self.names) - self.alone)
-        side = dict.fromkeys(self.chance.sample(names, self.plan.size // 3), 1)
+        side = dict.fromkeys(self.rng.sample(names, self.plan.size // 3), 1)
         async with self.phase("cut") as told:
             told["third"] = len(side)
             await self._all("cut", side=side)
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from starlingwheel.net.actor import Actor, Coroutine
-from starlingwheel.net.lifecycle.start import COLLECT
+from starlingwheel.net.lifecycle.sidecar import GC_THRESHOLD
 from starlingwheel.net.loop import READ
-from starlingwheel.net.memory.buffers import BufferPool
+from starlingwheel.net.state.buffers import BufferPool
 
 from .counts import resident
 from .member import LOOKED, Member
@@ -103,21 +103,21 @@
         return {
             "members": len(there),
             "ready": sum(m.ready for m in there),
-            "sizes": Counter(str(len(module.covering.view.members)) for module in modules),
-            "cells": sorted({getattr(module.covering.view, "cells", 1) for module in modules}),
-            "views": Counter(str(module.covering.view.digest) for module in modules),
+            "sizes": Counter(str(len(module.replicator.view.members)) for module in modules),
+            "cells": sorted({getattr(module.replicator.view, "cells", 1) for module in modules}),
+            "views": Counter(str(module.replicator.view.digest) for module in modules),
             "links": sum(len(m.fleet.links.links) for m in there if m.fleet is not None),
             "changes": sum(m.counts["log.link.up"] + m.counts["log.link.down"] for m in modules),
-            "versions": Counter(str(module.following.in_force.version) for module in modules),
-            "doubt": sum(bool(module.following.doubt()) for module in modules),
-            "in_hand": sum(len(module.covering.items) for module in modules),
+            "versions": Counter(str(module.policy_replica.in_force.version) for module in modules),
+            "doubt": sum(bool(module.policy_replica.doubt()) for module in modules),
+            "in_hand": sum(len(module.replicator.items) for module in modules),
         }
 
     def sample(self, given: dict[str, Any]) -> dict[str, Any]:
         counts, frames, reasons = self.counts.copy(), self.frames.copy(), self.reasons.copy()
         for member in self.members.values():
             self._count(member, counts, frames, reasons)
-        latest, self.loop.latest = self.loop.latest, 0.0
+        latest, self.loop.max_timer_delay = self.loop.max_timer_delay, 0.0
         return {
             "at": time.monotonic(),
             "members": {n: msgspec.to_builtins(m.meter.sample()) for n, m in self.members.items()},
@@ -137,7 +137,7 @@
     ) -> None:
         if (fleet := member.fleet) is not None:
             counts.update(fleet.module.counts)
-            counts.update({f"cover.{k}": v for k, v in fleet.module.covering.counts.items()})
+            counts.update({f"cover.{k}": v for k, v in fleet.module.replicator.counts.items()})
             counts["covered_us"] += round(fleet.module.covered_s * 1e6)
             frames.update(fleet.module.frames)
             reasons.update(fleet.reasons)
@@ -146,12 +146,12 @@
 class Control(Actor):
     """Standard input: a word a line, answered in the same turn. Its end is the process's."""
 
-    lasting = True
+    daemon = True
 
     def __init__(self, worker: Worker) -> None:
         self.worker = worker
         os.set_blocking(0, False)
-        worker.loop.watch(0, self, READ)
+        worker.loop.register(0, self, READ)
         super().__init__(worker.loop)
 
     def run(self) -> Coroutine[None]:
@@ -181,7 +181,7 @@
 class Looker(Actor):
     """When each member became ready."""
 
-    lasting = True
+    daemon = True
 
     def __init__(self, worker: Worker) -> None:
         self.worker = worker
@@ -197,7 +197,7 @@
 
 def main() -> None:
     worker = Worker()
-    gc.set_threshold(COLLECT)
+    gc.set_threshold(GC_THRESHOLD)
     Control(worker).begin()
     Looker(worker).begin()
     worker.loop.run()
--- a/trials/storm.py
+++ b/trials/storm.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from standins.clients import Work
+from fakes.clients import Work
 
 from .rig import ROOT, Rig
 from .timetable import ARBITER, LINKS, LOSSES, Lost, Player, drawn
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -37,13 +37,13 @@
     seed: int, count: int, every: float, kinds: dict[str, float], sidecars: int, longest: float = 1.0
 ) -> list[Fault]:
     """`count` faults, `every` so many seconds, by their weights."""
-    chance = random.Random(f"{seed}-timetable")
+    rng = random.Random(f"{seed}-timetable")
     faults = []
     for number in range(count):
-        kind = chance.choices([*kinds], [*kinds.values()])[0]
-        who = tuple(chance.sample(range(sidecars), 2))
-        at = every * (number + 0.5 + 0.4 * (chance.random() - 0.5))
-        faults.append(Fault(at, kind, who, chance.uniform(0.1, longest)))
+        kind = rng.choices([*kinds], [*kinds.values()])[0]
+        who = tuple(rng.sample(range(sidecars), 2))
+        at = every * (number + 0.5 + 0.4 * (rng.random() - 0.5))
+        faults.append(Fault(at, kind, who, rng.uniform(0.1, longest)))
     return faults
 
 
--- a/trials/verdict.py
+++ b/trials/verdict.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from standins.clients import Work
-from standins.upstream import Run
+from fakes.clients import Work
+from fakes.upstream import Run
 
 EXCLUSIVE, TICKETED = {"buy"}, {"move"}
 MEMORY = 2.0  # seconds for which upstreams drop repeats of ticketed work
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from standins.upstream import Run
+from fakes.upstream import Run
 
 from .rig import ROOT, Rig, Sidecar
 from .verdict import Verdict
