--- a/starlingwheel/__main__.py
+++ b/starlingwheel/__main__.py
@@ -1,10 +1,10 @@
-"""python -m starlingwheel: one real sidecar, told by its environment what to do."""
+"""python -m starlingwheel: one sidecar, configured by its environment."""
 
 import signal
 import sys
 
-# Guards against a signal that comes during the start ending the process, or being lost: it waits till it is
-# heard (net/lifecycle/signals.py).
+# A signal that arrives during the start would end the process or be lost: it stays blocked until the signal
+# handler is ready (net/lifecycle/signals.py).
 signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
 
 from .net.lifecycle.sidecar import main  # noqa: E402
--- a/starlingwheel/net/__init__.py
+++ b/starlingwheel/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, actors and their mail round the decisions. It decides nothing itself."""
+"""The sidecar process: sockets and actors around the decisions. It makes no decision itself."""
--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -45,12 +45,24 @@
 class Coordinator(MessageReceiver, Protocol):
     """The actor that hosts the decisions, as the others see it."""
 
-    has_endpoints: bool  # the endpoint list has been heard
-    pending_requests: Collection[Any]
-    pools: Mapping[str, Any]
     counts: dict[str, int]
     slowest_turn: float  # seconds, since it was last reported
-    mailbox: Collection[Any]
+
+    @property
+    def has_endpoints(self) -> bool:
+        """The endpoint list has been heard."""
+
+    @property
+    def pending_requests(self) -> Collection[Any]:
+        """Requests in flight."""
+
+    @property
+    def pools(self) -> Mapping[str, Any]:
+        """Connection pools by endpoint id."""
+
+    @property
+    def mailbox(self) -> Collection[Any]:
+        """Messages that are not handled yet."""
 
 
 class Discovery(MessageReceiver, Protocol):
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -1,6 +1,6 @@
-"""The module's actor, the runner's second `Door`: mail into events for the decisions, commands into mail.
+"""The actor that hosts the decisions: turns messages into events for them, and their commands into messages.
 
-It adds no decision of its own.
+It makes no decision itself.
 """
 
 from __future__ import annotations
@@ -28,10 +28,12 @@
     RequestReceived,
     StartExchange,
 )
-from .state.requests import Exchange, PendingRequest
+from .state.requests import Exchange, PendingRequest, UpstreamResponse
 
-DEFERRED = 503
-WRITTEN_OFF = 504
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
+HEALTH_CHECK_TIMEOUT = 1 / 2  # of the shortest latency objective
+LEFT_STATE = "left"  # the state of an endpoint that is gone, as discovery says it
 
 
 def _request_of(message: object) -> PendingRequest | None:
@@ -45,24 +47,30 @@
 
 
 class RequestCoordinator(Actor):
+    """Hosts the `DecisionScheduler` of one sidecar (`decisions.scheduler.DecisionHost`)."""
+
     daemon = True
-    # Guards against the mail of many peers piling up before one that is given as much a turn as each of them.
+    # Gossip of many peers would pile up before an actor that gets as little of a turn as each of them.
     messages_per_turn = 64
 
     def __init__(self, context: SidecarContext) -> None:
+        """Not started yet; no endpoint is known."""
         self.context = context
         self.scheduler = DecisionScheduler(
             context.balancer_config, context.rng, self, context.loop.now(), context.lease
         )
-        self.pools: dict[str, ConnectionPool] = {}
+        self.pools: dict[str, ConnectionPool] = {}  # by endpoint id
         self.pending_requests: dict[Request, PendingRequest] = {}
-        self.alarm_at = self.restart_at = inf
-        self.has_started = self.has_endpoints = False
-        self.counts = {"finished": 0, "deferred": 0, "written_off": 0, "left": 0}
-        self.slowest_turn = 0.0
+        self.alarm_at = inf  # when the decisions want to run next
+        self.restart_at = inf  # when the background tasks of the decisions start anew after an error
+        self.has_started = False  # the background tasks of the decisions
+        self.has_endpoints = False  # the endpoint list has been heard
+        self.counts = {"finished": 0, "deferred": 0, "written_off": 0, "left": 0}  # as they are logged
+        self.slowest_turn = 0.0  # seconds, since it was last reported
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
+        """Handle messages and alarms, for ever. An error ends the request concerned, not the actor."""
         while True:
             message = yield min(self.alarm_at, self.restart_at)
             now = self.loop.now()
@@ -75,7 +83,7 @@
                     self._abandon_request(pending)
             self.slowest_turn = max(self.slowest_turn, self.loop.now() - now)
 
-    def _handle(self, message: Any) -> None:
+    def _handle(self, message: object) -> None:
         match message:
             case None:
                 self._timer_due()
@@ -83,21 +91,17 @@
                 self.pending_requests[pending.request] = pending
                 self.scheduler.accept_request(pending.request)
             case RequestBodyComplete(pending):
-                # Its time counts from now on.
+                # Its timeout counts from now on.
                 pending.request.arrived_at = self.scheduler.now
                 self.scheduler.request_body_complete(pending.request, list(pending.exchanges))
-            case ExchangeEnded(exchange, fate, report, answer):
-                self._exchange_ended(exchange, fate, report, answer)
+            case ExchangeEnded(exchange, outcome, load_report, response):
+                self._exchange_ended(exchange, outcome, load_report, response)
             case ClientDisconnected(pending):
-                if pending.owed:
-                    pending.owed = False
-                    self.counts["left"] += 1
-                    self.scheduler.client_disconnected(pending.request)
-                    self._forget_if_finished(pending)
-            case EndpointsChanged(news, entries):
-                self._endpoints_changed(news, entries)
-            case ConfigReloaded(terms):
-                self.scheduler.reload(terms)
+                self._client_disconnected(pending)
+            case EndpointsChanged(event, endpoints):
+                self._endpoints_changed(event, endpoints)
+            case ConfigReloaded(balancer_config):
+                self.scheduler.reload(balancer_config)
             case GossipReceived(peer, body):
                 self.scheduler.gossip_received(peer, body)
 
@@ -109,63 +113,80 @@
             self.alarm_at = inf
             self.scheduler.tick()
 
+    def _client_disconnected(self, pending: PendingRequest) -> None:
+        if not pending.owed:
+            return
+        pending.owed = False
+        self.counts["left"] += 1
+        self.scheduler.client_disconnected(pending.request)
+        self._forget_if_finished(pending)
+
     def _exchange_ended(
-        self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any
+        self,
+        exchange: Exchange,
+        outcome: AttemptOutcome,
+        load_report: dict[str, float],
+        response: UpstreamResponse | None,
     ) -> None:
         took = self.loop.now() - exchange.started_at
-        if exchange.attempt is None:
-            self.scheduler.health_check_ended(exchange.endpoint.endpoint_id, fate, took, report)
+        attempt, pending = exchange.attempt, exchange.pending
+        if attempt is None or pending is None:
+            self.scheduler.health_check_ended(exchange.endpoint.endpoint_id, outcome, took, load_report)
             return
-        pending = exchange.pending
-        del pending.exchanges[exchange.attempt]
-        if not fate.never_ran:
+        del pending.exchanges[attempt]
+        if not outcome.never_ran:
             pending.may_have_run = True
             pending.risky_since = min(pending.risky_since, exchange.started_at)
-        if answer is not None:
+        if response is not None:
             if pending.owed:
-                self._send_final_response(pending, FinalResponse(200, answer), "finished")
+                self._send_final_response(pending, FinalResponse(200, response), "finished")
             else:
-                answer.body.release()
+                response.body.release()
         try:
-            self.scheduler.attempt_ended(AttemptEnded(exchange.attempt, fate, took, not pending.owed, report))
+            self.scheduler.attempt_ended(AttemptEnded(attempt, outcome, took, not pending.owed, load_report))
         finally:
             self._forget_if_finished(pending)
 
-    def _endpoints_changed(self, news: WatchEvent, entries: list[Any]) -> None:
-        if news is WatchEvent.SNAPSHOT:
-            named = {entry.id for entry in entries}
-            for gone in [known for known in self.pools if known not in named]:
-                self.pools.pop(gone).post(EndpointMoved(None))
-        for entry in entries:
-            if entry.state == "left":
-                if known := self.pools.pop(entry.id, None):
-                    known.post(EndpointMoved(None))
-            elif known := self.pools.get(entry.id):
-                known.post(EndpointMoved(entry))
-            else:
-                self.pools[entry.id] = ConnectionPool(self.context, entry)
-                self.pools[entry.id].begin()
+    def _endpoints_changed(self, event: WatchEvent, endpoints: list[Any]) -> None:
+        if event is WatchEvent.SNAPSHOT:
+            listed = {endpoint.id for endpoint in endpoints}
+            for endpoint_id in [known for known in self.pools if known not in listed]:
+                self.pools.pop(endpoint_id).post(EndpointMoved(None))
+        for endpoint in endpoints:
+            self._update_pool(endpoint)
         self.has_endpoints = self.has_endpoints or bool(self.pools)
-        self.scheduler.endpoints_changed(news, [entry.listing() for entry in entries])
+        self.scheduler.endpoints_changed(event, [endpoint.listing() for endpoint in endpoints])
         if not self.has_started:
-            # Guards against a list that nobody watches: the standing chores begin with the first word of it.
+            # From the first list on: before that there is nothing to watch, poll or check.
             self.has_started = True
             self.scheduler.start()
 
-    # The door.
+    def _update_pool(self, endpoint: Any) -> None:
+        pool = self.pools.get(endpoint.id)
+        if endpoint.state == LEFT_STATE:
+            if pool is not None:
+                del self.pools[endpoint.id]
+                pool.post(EndpointMoved(None))
+        elif pool is not None:
+            pool.post(EndpointMoved(endpoint))
+        else:
+            self.pools[endpoint.id] = ConnectionPool(self.context, endpoint)
+            self.pools[endpoint.id].begin()
+
+    # Commands of the decisions (`DecisionHost`).
 
     def start_attempt(self, attempt: Attempt, limit: float) -> None:
+        """Start an attempt; it is given up after `limit` seconds."""
         pending = self.pending_requests[attempt.request]
-        carrier = (
-            self.pools.get(attempt.endpoint.endpoint_id) if self.context.gate.may_repeat(pending) else None
-        )
-        until = attempt.started_at + limit
+        pool = None
+        if self.context.gate.may_repeat(pending):
+            pool = self.pools.get(attempt.endpoint.endpoint_id)
+        deadline = attempt.started_at + limit
         if pending.coming:
-            # Guards against taking the time that its client needs to send it for its upstream's.
+            # The time that the client takes to send the rest is not the endpoint's.
             attempt.started_at = inf
-        exchange = pending.exchanges[attempt] = Exchange(
-            attempt.endpoint, carrier, attempt.started_at, until, attempt, pending
-        )
+        exchange = Exchange(attempt.endpoint, pool, attempt.started_at, deadline, attempt, pending)
+        pending.exchanges[attempt] = exchange
         self._start_exchange(exchange)
 
     def _start_exchange(self, exchange: Exchange) -> None:
@@ -175,6 +196,7 @@
             self.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel an attempt in flight; one that has ended is ignored."""
         self._cancel_exchange(self.pending_requests[attempt.request].exchanges.get(attempt))
 
     def _cancel_exchange(self, exchange: Exchange | None) -> None:
@@ -182,65 +204,75 @@
             exchange.pool.post(CancelExchange(exchange))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
+        """Reject a request as harmless: the client may send it again after `retry_after` seconds."""
         pending = self.pending_requests[request]
         if not self.context.gate.may_reject(pending):
             self.fail_request(request)
             return
         self.context.gate.note_rejected()
-        self._send_final_response(pending, FinalResponse(DEFERRED, retry_after=retry_after), "deferred")
+        response = FinalResponse(SERVICE_UNAVAILABLE, retry_after=retry_after)
+        self._send_final_response(pending, response, "deferred")
         self._forget_if_finished(pending)
 
     def fail_request(self, request: Request) -> None:
+        """Answer a request that may have run, or whose time is over."""
         pending = self.pending_requests[request]
-        self._send_final_response(pending, FinalResponse(WRITTEN_OFF), "written_off")
+        self._send_final_response(pending, FinalResponse(GATEWAY_TIMEOUT), "written_off")
         self._forget_if_finished(pending)
 
     def watch_endpoints(self) -> None:
+        """Have the endpoint list watched."""
         self.context.discovery.post(WATCH_ENDPOINTS)
 
-    def start_health_check(self, upstream: Any) -> None:
+    def start_health_check(self, endpoint: Any) -> None:
+        """Check the health of an endpoint, given as the decisions' `EndpointStats`."""
         now = self.loop.now()
-        carrier = self.pools.get(upstream.endpoint_id)
-        self._start_exchange(Exchange(upstream, carrier, now, now + self.context.shortest_objective / 2))
+        pool = self.pools.get(endpoint.endpoint_id)
+        deadline = now + self.context.shortest_objective * HEALTH_CHECK_TIMEOUT
+        self._start_exchange(Exchange(endpoint, pool, now, deadline))
 
     def send_gossip(self, body: bytes) -> None:
-        # Guards against peers hearing two counts of one sidecar: of two processes the last one tells.
-        if self.context.gossip_socket is not None and not (
-            self.context.stopping and self.context.passed_socket
-        ):
-            self.context.gossip_socket.tell(body)
+        """Send gossip to all peers."""
+        context = self.context
+        # Of two processes of one sidecar only the later one sends: peers would count its load twice.
+        if context.gossip_socket is not None and not (context.stopping and context.passed_socket):
+            context.gossip_socket.tell(body)
 
     def set_alarm(self, at: float) -> None:
+        """Run the decisions at that time, at the latest."""
         self.alarm_at = min(self.alarm_at, at)
 
     def report_defect(self, request: Request | None, error: Exception) -> None:
+        """Log an error in the decisions, and end the request concerned; None: a background task's error."""
         self.context.log.defect("module.defect", error)
         if request is None:
-            # Guards against a defect in a standing chore leaving the list unwatched for good.
+            # The background tasks start anew: else the endpoint list would stay unwatched for good.
             self.restart_at = self.scheduler.now + self.context.shortest_objective
         elif pending := self.pending_requests.get(request):
             self._abandon_request(pending)
 
-    # The work in hand.
+    # Requests in flight.
 
-    def _send_final_response(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
+    def _send_final_response(self, pending: PendingRequest, response: FinalResponse, counted_as: str) -> None:
         pending.owed = False
-        self.counts[how] += 1
-        pending.client.post(final)
+        self.counts[counted_as] += 1
+        pending.client.post(response)
 
     def _abandon_request(self, pending: PendingRequest) -> None:
-        """Guards against a defect keeping a client waiting: what can't be decided is written off."""
+        """Answer a request that can't be decided on, because of an error, and cancel its exchanges."""
         if pending.owed:
             self.context.log(
                 "work.given_up",
                 trace=pending.trace.decode("latin-1"),
                 category=pending.request.request_class.name,
             )
-            self._send_final_response(pending, FinalResponse(WRITTEN_OFF), "written_off")
+            self._send_final_response(pending, FinalResponse(GATEWAY_TIMEOUT), "written_off")
         for exchange in pending.exchanges.values():
             self._cancel_exchange(exchange)
         self._forget_if_finished(pending)
 
     def _forget_if_finished(self, pending: PendingRequest) -> None:
-        if not pending.owed and not pending.exchanges and self.pending_requests.pop(pending.request, None):
+        if pending.owed or pending.exchanges:
+            return
+        if self.pending_requests.pop(pending.request, None) is not None:
             pending.body.release()
--- a/starlingwheel/net/lifecycle/__init__.py
+++ b/starlingwheel/net/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start, stop and the log."""
+"""Start, configuration, signals, shutdown, log and statistics of a sidecar process."""
--- a/starlingwheel/net/messages.py
+++ b/starlingwheel/net/messages.py
@@ -1,4 +1,8 @@
-"""What actors write to each other. `Ready`, a socket word, is in loop.py, `Flowing` in memory/flow.py."""
+"""Messages between the actors of one sidecar.
+
+`SocketReady` is in loop.py, `BodyStreamChanged` in state/body_stream.py, the messages of a fleet in
+fleet/messages.py.
+"""
 
 from __future__ import annotations
 
@@ -13,28 +17,28 @@
 
 @dataclass(slots=True, eq=False)
 class RequestReceived:
-    """To the module: a client's work item."""
+    """To the coordinator: a request of a client."""
 
     pending: PendingRequest
 
 
 @dataclass(slots=True, eq=False)
 class ClientDisconnected:
-    """To the module: the client of a work item has gone away."""
+    """To the coordinator: the client of a request has closed its connection."""
 
     pending: PendingRequest
 
 
 @dataclass(slots=True, eq=False)
 class RequestBodyComplete:
-    """To the module: the last byte of a work item has come that was taken before."""
+    """To the coordinator: the last byte of a request has arrived that was received before that."""
 
     pending: PendingRequest
 
 
 @dataclass(slots=True, eq=False)
 class ExchangeEnded:
-    """To the module: an errand has ended."""
+    """To the coordinator: an attempt or a health check has ended on the wire."""
 
     exchange: Exchange
     outcome: AttemptOutcome
@@ -44,7 +48,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointsChanged:
-    """To the module: word from the list of upstreams."""
+    """To the coordinator: a snapshot or a delta of the endpoint list, as `DiscoveredEndpoint`s."""
 
     event: WatchEvent
     endpoints: list[Any]
@@ -52,7 +56,7 @@
 
 @dataclass(slots=True, eq=False)
 class GossipReceived:
-    """To the module: what a peer has said."""
+    """To the coordinator: a datagram of the peer of that number."""
 
     peer: int
     body: bytes
@@ -60,7 +64,10 @@
 
 @dataclass(slots=True, eq=False)
 class FinalResponse:
-    """To a client: the final answer for its work item."""
+    """To a client connection: the one response to its request.
+
+    `retry_after`: seconds; 0: no Retry-After header.
+    """
 
     status: int
     response: UpstreamResponse | None = None
@@ -69,89 +76,92 @@
 
 @dataclass(slots=True, eq=False)
 class StartExchange:
-    """To an upstream and its connections: an errand to run."""
+    """To a connection pool and its connections: run this exchange."""
 
     exchange: Exchange
 
 
 @dataclass(slots=True, eq=False)
 class CancelExchange:
-    """To an upstream and its connections: give the errand up."""
+    """To a connection pool and its connections: cancel this exchange."""
 
     exchange: Exchange
 
 
 @dataclass(slots=True, eq=False)
 class ConnectionIdle:
-    """To an upstream: a connection of its can carry the next errand."""
+    """To a connection pool: one of its connections can run the next exchange."""
 
     connection: Any
 
 
 @dataclass(slots=True, eq=False)
 class ConnectionClosed:
-    """To an upstream: a connection of its has ended."""
+    """To a connection pool: one of its connections has ended."""
 
     connection: Any
 
 
 @dataclass(slots=True, eq=False)
 class EndpointMoved:
-    """To an upstream: what the list now says of it; None: it has left."""
+    """To a connection pool: its endpoint as it is listed now; None: it is gone."""
 
-    entry: Any
+    endpoint: Any
 
 
 @dataclass(slots=True, eq=False)
 class ConfigReloaded:
-    """To the module: new terms; work in hand keeps those it was taken with."""
+    """To the coordinator: a new configuration; requests in flight keep the one they came under."""
 
-    terms: BalancerConfig
+    balancer_config: BalancerConfig
 
 
 class WatchEndpoints:
-    """To the list: begin a watch."""
+    """To the discovery client: start a watch."""
 
 
 @dataclass(slots=True, eq=False)
 class DiscoveryMoved:
-    """To the list: a new configuration names another discovery."""
+    """To the discovery client: a new configuration names another address of discovery."""
 
     address: str
 
 
 @dataclass(slots=True, eq=False)
 class WatchMessage:
-    """To the list: a watch has read a line."""
+    """To the discovery client: a watch has read a message."""
 
     watch: Any
-    word: Any
+    message: Any
 
 
 @dataclass(slots=True, eq=False)
 class WatchAnswered:
-    """To the list: the answer to a call has begun, so it does not hang."""
+    """To the discovery client: the response to a call has begun, so the call does not hang."""
 
     watch: Any
 
 
 @dataclass(slots=True, eq=False)
 class WatchEnded:
-    """To the list: a watch has ended."""
+    """To the discovery client: a watch has ended."""
 
     watch: Any
 
 
 class Stop:
-    """To whoever listens or holds a connection: end as soon as nothing is owed."""
+    """To a listener or a connection: end as soon as every request has its response."""
 
 
 class Drain:
-    """To the one that sends clients away: operators have said so, or that it is over."""
+    """To the client drainer: operators have begun or ended a drain."""
 
 
 class Close:
-    """To an idle connection: its room is needed, or it can't be used again."""
+    """To an idle connection: its descriptor is needed, or it can't be used again."""
 
 
-WATCH_ENDPOINTS, STOP, CLOSE, DRAIN = WatchEndpoints(), Stop(), Close(), Drain()
+WATCH_ENDPOINTS = WatchEndpoints()
+STOP = Stop()
+CLOSE = Close()
+DRAIN = Drain()
--- a/starlingwheel/net/state/__init__.py
+++ b/starlingwheel/net/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept: pooled buffers, the descriptors in use, the work in hand."""
+"""State that actors share: buffers, connections, requests in flight, operators' overrides."""
--- a/starlingwheel/net/state/body_stream.py
+++ b/starlingwheel/net/state/body_stream.py
@@ -1,29 +1,33 @@
-"""A body that is passed on while it comes: a bounded number of pooled buffers between two actors."""
+"""A body that is passed on while it arrives: a bounded number of pooled buffers between two actors."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from .buffers import BUFFER_SIZE, BufferedBody, BufferPool
 
-if TYPE_CHECKING:
-    from ..actor import Actor
-
-STREAM_WINDOW = 1 << 17  # bytes that lie between source and sink, at most, but for one read
-MAX_STREAMED_BODY = 1 << 25  # of a body that is passed on
+STREAM_WINDOW = 1 << 17  # bytes between source and sink, at most, and one read more
+MAX_STREAMED_BODY = 1 << 25  # bytes of a body that is passed on
 
 
 class BodyStreamChanged:
-    """To either end of a flow: there is something to take, or room, or it has ended."""
+    """To either end of a stream: there is something to take, or room for more, or it has ended."""
 
 
 BODY_STREAM_CHANGED = BodyStreamChanged()
 
 
+class StreamEnd(Protocol):
+    """An actor at one end of a stream."""
+
+    def post(self, message: object) -> None:
+        """Queue a message."""
+
+
 class BodyStream:
-    """The source adds and ends it, or breaks off; the sink takes, and releases it when it is done with it.
+    """The source adds to it and ends it, or breaks it off; the sink takes from it and releases it at the end.
 
-    Each end looks at it again when it gets `FLOWING`.
+    Each end looks at it again when it gets `BODY_STREAM_CHANGED`.
     """
 
     __slots__ = (
@@ -40,17 +44,25 @@
         "told",
     )
 
-    def __init__(self, pool: BufferPool, source: Actor, length: int | None, begun: BufferedBody) -> None:
-        self.pool, self.source, self.length = pool, source, length
-        self.sink: Actor | None = None
-        self.coming = begun
-        self.total, self.taken = begun.length, 0
-        self.ended = self.broken = self.refused = self.told = False
-
-    # The source.
+    def __init__(self, pool: BufferPool, source: StreamEnd, length: int | None, begun: BufferedBody) -> None:
+        """`length`: of the body, if it is known; `begun`: what of it has arrived already."""
+        self.pool = pool
+        self.source = source
+        self.length = length
+        self.sink: StreamEnd | None = None
+        self.coming = begun  # arrived and not taken yet
+        self.total = begun.length  # bytes that have arrived
+        self.taken = 0  # bytes that the sink has taken
+        self.ended = False  # the source has added the last byte
+        self.broken = False  # the source has broken off
+        self.refused = False  # the sink wants nothing more
+        self.told = False  # the sink has a `BodyStreamChanged` that it has not acted on
+
+    # For the source.
 
     @property
     def full(self) -> bool:
+        """The sink has to take something before more is added."""
         return self.coming.length >= STREAM_WINDOW
 
     def room(self) -> bool:
@@ -58,34 +70,38 @@
         return not self.full and self.pool.left * BUFFER_SIZE > len(self.pool.scratch)
 
     def add(self, data: bytes | bytearray) -> None:
+        """Append bytes. Raises `BuffersExhaustedError`."""
         self.total += len(data)
         if not self.refused:
             self.coming.add(data)
-        self._wake()
+        self._notify_sink()
 
     def end(self) -> None:
+        """The body is complete."""
         self.ended = True
-        self._wake()
+        self._notify_sink()
 
     def break_off(self) -> None:
+        """The rest of the body won't arrive; ignored after `end`."""
         self.broken = not self.ended
-        self._wake()
+        self._notify_sink()
 
-    def _wake(self) -> None:
+    def _notify_sink(self) -> None:
         if self.sink is not None and not self.told:
             self.told = True
             self.sink.post(BODY_STREAM_CHANGED)
 
-    # The sink.
+    # For the sink.
 
     @property
     def whole(self) -> bool:
-        """All of it has been taken."""
+        """All of the body has been taken."""
         return not self.coming.length and (self.ended or self.taken == self.length)
 
     def take(self) -> BufferedBody:
-        """What has come since; to be released once it is written."""
-        was_full, self.told = self.full, False
+        """Return what has arrived since the last call; the sink releases it once it is written."""
+        was_full = self.full
+        self.told = False
         part, self.coming = self.coming, BufferedBody(self.pool)
         self.taken += part.length
         if was_full:
@@ -93,7 +109,7 @@
         return part
 
     def release(self) -> None:
-        """Nothing more is wanted."""
+        """Nothing more of the body is wanted."""
         self.coming.release()
         if not (self.refused or self.ended):
             self.refused = True
--- a/starlingwheel/net/state/buffers.py
+++ b/starlingwheel/net/state/buffers.py
@@ -1,11 +1,11 @@
-"""Buffers of one size from one pool, and bodies that lie in a chain of them."""
+"""A pool of buffers of one size, and message bodies stored in chains of them."""
 
 from __future__ import annotations
 
-BUFFER_SIZE = 8192
-MAX_BUFFERED_BODY = 65536  # bytes of a body up to which it is kept until it is whole
-MAX_REQUEST_BODY = MAX_BUFFERED_BODY  # of a request that can't be passed on while it comes
-MAX_BODY_SHARE = 1 / 16  # part of all buffers that one body may take
+BUFFER_SIZE = 8192  # bytes
+MAX_BUFFERED_BODY = 65536  # bytes of a body up to which it is kept until it is complete
+MAX_REQUEST_BODY = MAX_BUFFERED_BODY  # bytes, of a request that can't be passed on while it arrives
+MAX_BODY_SHARE = 1 / 16  # of all buffers that one body may take
 
 
 class BuffersExhaustedError(Exception):
@@ -13,19 +13,23 @@
 
 
 class BufferPool:
+    """Hands out buffers, at most so many at a time, and keeps those that come back."""
+
     def __init__(self, most: int) -> None:
-        self.made = 0
+        """`most`: buffers at a time."""
+        self.made = 0  # buffers that exist
         self.free: list[bytearray] = []
-        # Reading has a buffer of its own, empty again before the next turn: a full pool stops no read.
+        # Sockets are read into a buffer apart, empty again before the next turn: a full pool stops no read.
         self.scratch = bytearray(MAX_REQUEST_BODY)
         self.limit(most)
 
     def limit(self, most: int) -> None:
-        """So many buffers may be made from now on."""
+        """Allow so many buffers from now on."""
         self.most = most
-        self.large = max(MAX_BUFFERED_BODY, int(most * MAX_BODY_SHARE) * BUFFER_SIZE)
+        self.large = max(MAX_BUFFERED_BODY, int(most * MAX_BODY_SHARE) * BUFFER_SIZE)  # bytes of one body
 
     def take(self) -> bytearray:
+        """Return a buffer. Raises `BuffersExhaustedError`."""
         if self.free:
             return self.free.pop()
         if self.made >= self.most:
@@ -34,6 +38,7 @@
         return bytearray(BUFFER_SIZE)
 
     def give(self, buffer: bytearray) -> None:
+        """Take a buffer back."""
         if self.made > self.most:
             self.made -= 1
             return
@@ -41,43 +46,49 @@
 
     @property
     def in_use(self) -> int:
+        """Buffers that are handed out."""
         return self.made - len(self.free)
 
     @property
     def left(self) -> int:
+        """Buffers that may still be handed out."""
         return self.most - self.in_use
 
 
 class BufferedBody:
-    """The body of one message. Whoever has it last gives its buffers back by `release`."""
+    """The body of one message. Its last holder gives the buffers back by `release`."""
 
     __slots__ = ("pool", "buffers", "length")
 
     def __init__(self, pool: BufferPool) -> None:
+        """An empty body, whose buffers come from `pool`."""
         self.pool = pool
         self.buffers: list[bytearray] = []
-        self.length = 0
+        self.length = 0  # bytes
 
     def add(self, data: bytes | bytearray) -> None:
-        given = memoryview(data)
-        while given:
+        """Append a copy of the bytes. Raises `BuffersExhaustedError`, with a part of them appended."""
+        rest = memoryview(data)
+        while rest:
             start = self.length % BUFFER_SIZE
             if start == 0:
                 self.buffers.append(self.pool.take())
-            part = given[: BUFFER_SIZE - start]
+            part = rest[: BUFFER_SIZE - start]
             self.buffers[-1][start : start + len(part)] = part
             self.length += len(part)
-            given = given[len(part) :]
+            rest = rest[len(part) :]
 
     def views(self) -> list[memoryview]:
-        left = self.length
+        """Return the body as views of its buffers, valid until `release`."""
+        rest = self.length
         views = []
         for buffer in self.buffers:
-            views.append(memoryview(buffer)[: min(left, BUFFER_SIZE)])
-            left -= BUFFER_SIZE
+            views.append(memoryview(buffer)[: min(rest, BUFFER_SIZE)])
+            rest -= BUFFER_SIZE
         return views
 
     def release(self) -> None:
+        """Give the buffers back to the pool."""
         for buffer in self.buffers:
             self.pool.give(buffer)
         self.buffers = []
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -216,7 +216,7 @@
 def test_a_yes_is_said_only_when_it_is_written(operated, tmp_path):
     around = operated()
     around.until(lambda: not around.context.overrides.unwritten)
-    around.context.overrides.path = tmp_path / "gone" / OVERRIDES_FILE
+    around.context.overrides.file.path = tmp_path / "gone" / OVERRIDES_FILE
     assert detach(around) == 503
     assert believed(around, "s0").state is EndpointState.READY
 
@@ -224,7 +224,7 @@
 def test_a_file_that_another_process_holds_is_waited_for(tmp_path):
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.listed(True, [DiscoveredEndpoint("s0")])
-    with out._lock(), pytest.raises(OverridesLockedError):
+    with out.file.lock(), pytest.raises(OverridesLockedError):
         out.take_out("s0")
     assert not out.kept.out
     assert out.take_out("s0")
