--- a/starlingwheel/decisions/admission.py
+++ b/starlingwheel/decisions/admission.py
@@ -26,6 +26,7 @@
     """Owns the longest time left that each class was seen to arrive with."""
 
     def __init__(self, rng: random.Random) -> None:
+        """`rng`: spreads the times after which clients return."""
         self.rng = rng
 
     def reload(self, config: BalancerConfig) -> None:
--- a/starlingwheel/decisions/clock.py
+++ b/starlingwheel/decisions/clock.py
@@ -13,6 +13,7 @@
     __slots__ = ("now", "shortest_objective", "longest_objective", "renewal")
 
     def __init__(self, now: float) -> None:
+        """`now`: the time of the start; the time scales follow with `reload`."""
         self.now = now
         self.shortest_objective = self.longest_objective = self.renewal = 0.0
 
--- a/starlingwheel/decisions/commands.py
+++ b/starlingwheel/decisions/commands.py
@@ -7,17 +7,17 @@
 from __future__ import annotations
 
 from collections.abc import Generator
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+import msgspec
+
 from .model import Attempt
 
 if TYPE_CHECKING:
     from .endpoint_stats import EndpointStats
 
 
-@dataclass(slots=True, frozen=True)
-class StartAttempt:
+class StartAttempt(msgspec.Struct, frozen=True):
     """Send the request to an endpoint, with a timeout; `load` is noted in the attempt."""
 
     endpoint: EndpointStats
@@ -25,15 +25,13 @@
     load: float = 0.0
 
 
-@dataclass(slots=True, frozen=True)
-class CancelAttempt:
+class CancelAttempt(msgspec.Struct, frozen=True):
     """Stop waiting for an attempt."""
 
     attempt: Attempt
 
 
-@dataclass(slots=True, frozen=True)
-class Wait:
+class Wait(msgspec.Struct, frozen=True):
     """Sleep until an event of the request, or of the endpoint watch, arrives.
 
     Resumed by an `AttemptEnded`, `ResponseStarted`, `HealthCheckEnded`, `CLIENT_DISCONNECTED` or, for a
@@ -43,32 +41,27 @@
     until: float | None
 
 
-@dataclass(slots=True, frozen=True)
-class RejectRequest:
+class RejectRequest(msgspec.Struct, frozen=True):
     """Final answer: not executed, a retry is harmless after `retry_after`."""
 
     retry_after: float = 0.0
 
 
-@dataclass(slots=True, frozen=True)
-class FailRequest:
+class FailRequest(msgspec.Struct, frozen=True):
     """Final answer: failed, perhaps after it had an effect."""
 
 
-@dataclass(slots=True, frozen=True)
-class WatchEndpoints:
+class WatchEndpoints(msgspec.Struct, frozen=True):
     """Open the watch of the endpoint list; each of its events resumes the `Wait` of who asked."""
 
 
-@dataclass(slots=True, frozen=True)
-class StartHealthCheck:
+class StartHealthCheck(msgspec.Struct, frozen=True):
     """Ask an endpoint for its load; a `HealthCheckEnded` resumes the `Wait` of who asked."""
 
     endpoint: EndpointStats
 
 
-@dataclass(slots=True, frozen=True)
-class SendGossip:
+class SendGossip(msgspec.Struct, frozen=True):
     """Send a message to all peers."""
 
     body: bytes
--- a/starlingwheel/decisions/config.py
+++ b/starlingwheel/decisions/config.py
@@ -78,3 +78,8 @@
     sidecar_index: int = 0
     process_count: int = 1  # processes of this sidecar, which divide its slow-start budget
     tenants: list[Tenant] = []
+
+    def mean_priority_weight(self) -> float:
+        """The mean weight of a request class."""
+        weights = [request_class.priority_weight for request_class in self.request_classes]
+        return sum(weights) / len(weights)
--- a/starlingwheel/decisions/dispatch.py
+++ b/starlingwheel/decisions/dispatch.py
@@ -52,6 +52,7 @@
         selector: EndpointSelector,
         polling: LoadPolling,
     ) -> None:
+        """The parts, built by `Balancer`."""
         self.clock, self.lease, self.endpoints, self.gossip = clock, lease, endpoints, gossip
         self.load, self.slow_start, self.outliers = load, slow_start, outliers
         self.admission, self.retry_policy, self.hedging = admission, retry_policy, hedging
@@ -92,6 +93,7 @@
     )
 
     def __init__(self, parts: RequestDispatcher, request: Request) -> None:
+        """`request.earlier_attempts`: made elsewhere, by a sidecar that is lost."""
         self.parts, self.clock, self.request = parts, parts.clock, request
         self.objective = parts.admission.objective(request)
         self.attempts: list[Attempt] = [*request.earlier_attempts]
--- a/starlingwheel/decisions/endpoint_set.py
+++ b/starlingwheel/decisions/endpoint_set.py
@@ -14,6 +14,7 @@
 
 SUBSET_SIZE = 2  # endpoints of a side to choose from, where open connections have a price and carry many
 SUBSET_SPARE_FACTOR = 3  # times as many, from which those are taken while some are not ready
+MIN_WEIGHT = 1e-9  # capacity weights below count as this
 INDEX_MULTIPLIER = 2654435761  # spreads sidecar indices over 32 bits
 CELL_HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads a 32-bit hash over 64 bits
 
@@ -22,6 +23,7 @@
     """Owns the endpoint list. `local` and `remote` are the ready endpoints, as of the last `refresh`."""
 
     def __init__(self, clock: Clock) -> None:
+        """An empty list, until `apply`."""
         self.clock = clock
         self.by_id: dict[str, EndpointStats] = {}
         self.by_tag: dict[int, EndpointStats] = {}
@@ -36,6 +38,7 @@
     def reload(self, config: BalancerConfig) -> None:
         """Take over a configuration."""
         self.config, self.stale = config, True
+        self.weights_are_live = config.weights_are_live
         subsetting = config.open_connection_price and config.streams_per_connection > 1
         self.subset_size = SUBSET_SIZE if subsetting else 0
         self.subset_width = SUBSET_SPARE_FACTOR * self.subset_size
@@ -108,8 +111,9 @@
 
     def relative_cost(self, stats: EndpointStats) -> float:
         """How many times the work of one of mean weight a request is there."""
-        exponent = 0.5 if self.config.weights_are_live else 1
-        return (self.mean_weight / max(stats.capacity_weight, 1e-9)) ** exponent
+        weight = stats.capacity_weight
+        ratio = self.mean_weight / (weight if weight > MIN_WEIGHT else MIN_WEIGHT)
+        return ratio**0.5 if self.weights_are_live else ratio
 
     def preferred_cell(self, key: str) -> int | None:
         """The cell that all sidecars choose for a key, by rendezvous hashing; None: any will do.
--- a/starlingwheel/decisions/endpoint_stats.py
+++ b/starlingwheel/decisions/endpoint_stats.py
@@ -6,6 +6,7 @@
 from math import inf
 from typing import NamedTuple
 
+from .config import BalancerConfig
 from .estimators import Histogram, InFlightEstimator
 from .model import Attempt, Endpoint
 
@@ -21,6 +22,7 @@
     """One endpoint of the list and what was learned of it; times are seconds on the host's clock."""
 
     def __init__(self, entry: Endpoint, now: float, sharing_sidecars: float) -> None:
+        """`sharing_sidecars`: how many sidecars may send to it."""
         # endpoint_set
         self.endpoint_id = entry.endpoint_id
         self.started_at: float | None = None
@@ -40,6 +42,14 @@
         self.forget(now)
         self.update(entry, now)
 
+    def slow_start_fraction(self, config: BalancerConfig, now: float) -> float:
+        """The least part of its capacity that the endpoint has by now, 0 to 1."""
+        if self.started_at is None or now >= self.started_at + config.slow_start_duration:
+            return 1.0
+        age = max(0.0, now - self.started_at) / config.slow_start_duration
+        initial = config.slow_start_initial_fraction
+        return initial + (1 - initial) * age
+
     def forget(self, now: float) -> None:
         """Forget what was learned of the process, which is another one now."""
         # latency
--- a/starlingwheel/decisions/estimators.py
+++ b/starlingwheel/decisions/estimators.py
@@ -1,4 +1,4 @@
-"""What is learned of times and flows: small estimators that forget, each with a bounded state.
+"""Small estimators of times and flows that forget, each with a bounded state.
 
 They hold no clock and no randomness; times are passed in as seconds.
 """
@@ -15,12 +15,14 @@
     __slots__ = ("base", "growth", "bins", "total", "sum", "most", "halved")
 
     def __init__(self, base: float, growth: float, bins: int, most: int, now: float = 0.0) -> None:
+        """`base`: upper edge of the first bin; `most`: values after which all counts are halved."""
         self.base, self.growth, self.most = base, growth, most
         self.bins = [0.0] * bins
         self.total = self.sum = 0.0
         self.halved = now
 
     def add(self, value: float) -> None:
+        """Count a value."""
         i, edge = 0, self.base
         while value > edge and i < len(self.bins) - 1:
             i, edge = i + 1, edge * self.growth
@@ -31,11 +33,12 @@
             self.halve()
 
     def halve(self) -> None:
+        """Halve all counts, so that what was counted before weighs less."""
         self.bins = [n / 2 for n in self.bins]
         self.total, self.sum = self.total / 2, self.sum / 2
 
     def aged(self, now: float, span: float, keep: float = 0.0) -> Histogram:
-        """Halved as often as `span` has passed since it was last read, while more than `keep` are in it."""
+        """Halve the counts once for each `span` since the last call, while more than `keep` are left."""
         times = int((now - self.halved) / span)
         self.halved += times * span
         while times and self.total > keep:
@@ -44,10 +47,11 @@
         return self
 
     def mean(self, prior: float, doubt: float) -> float:
-        """Of what was seen and of `doubt` more values at `prior`."""
+        """Return the mean of the values and of `doubt` more at `prior`."""
         return (doubt * prior + self.sum) / (doubt + self.total)
 
     def percentile(self, share: float) -> float:
+        """Return the value that this part of all values does not exceed, interpolated in its bin."""
         left, edge = share * self.total, self.base
         for n in self.bins:
             if n >= left > 0:
@@ -58,20 +62,22 @@
 
 
 class LinearEstimator:
-    """A straight line through what was lately seen (least squares), with some doubt about its slope."""
+    """A straight line by least squares through recent observations, with a prior for its slope."""
 
     __slots__ = ("n", "x", "y", "xx", "xy")
 
     def __init__(self) -> None:
+        """No observation yet."""
         self.n = self.x = self.y = self.xx = self.xy = 0.0
 
     def add(self, x: float, y: float) -> None:
+        """Take an observation."""
         keep = 0.5 if self.n > 8 * SLOPE_PRIOR_WEIGHT else 1.0
         self.n, self.x, self.y = self.n * keep + 1, self.x * keep + x, self.y * keep + y
         self.xx, self.xy = self.xx * keep + x * x, self.xy * keep + x * y
 
     def growth(self, prior: float) -> float:
-        """By how much it grows with each, as a part of what it is at none."""
+        """Return the slope as a part of the value at x = 0; `prior`: of the same kind."""
         x, y = self.x / self.n, self.y / self.n
         slope = (self.xy - self.n * x * y + SLOPE_PRIOR_WEIGHT * prior * y) / (
             self.xx - self.n * x * x + SLOPE_PRIOR_WEIGHT
@@ -80,17 +86,21 @@
 
 
 class InFlightEstimator:
-    """What was out, times how long, and how many answers came; both fade. Divided, an answer's time."""
+    """Requests in flight, integrated over time, and responses; both decay. Their quotient is a time."""
 
-    __slots__ = ("out", "answers", "span", "at")
+    __slots__ = ("in_flight_time", "responses", "elapsed", "updated_at")
 
     def __init__(self, now: float) -> None:
-        self.out = self.answers = self.span = 0.0
-        self.at = now
-
-    def add(self, now: float, half: float, out: float, answers: float = 0.0) -> None:
-        gone, self.at = now - self.at, now
-        faded = 0.5 ** (gone / half)
-        self.out = self.out * faded + out * gone
-        self.answers = self.answers * faded + answers
-        self.span = self.span * faded + gone
+        """`now`: the start, seconds."""
+        self.in_flight_time = 0.0  # requests times seconds
+        self.responses = 0.0
+        self.elapsed = 0.0  # seconds
+        self.updated_at = now
+
+    def add(self, now: float, half_life: float, in_flight: float, responses: float = 0.0) -> None:
+        """Take the requests in flight since the last call, and the responses that came in that time."""
+        interval, self.updated_at = now - self.updated_at, now
+        decay = 0.5 ** (interval / half_life)
+        self.in_flight_time = self.in_flight_time * decay + in_flight * interval
+        self.responses = self.responses * decay + responses
+        self.elapsed = self.elapsed * decay + interval
--- a/starlingwheel/decisions/events.py
+++ b/starlingwheel/decisions/events.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 import enum
-from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
+import msgspec
+
 from .model import Attempt, AttemptOutcome
 
 if TYPE_CHECKING:
@@ -20,26 +21,23 @@
     FAILED = "failed"
 
 
-@dataclass(slots=True, frozen=True)
-class AttemptEnded:
+class AttemptEnded(msgspec.Struct, frozen=True):
     """An attempt has ended; `request_answered`: the client has its final answer, by this or before."""
 
     attempt: Attempt
     outcome: AttemptOutcome
     duration: float
     request_answered: bool
-    load_report: dict[str, float] = field(default_factory=dict)
+    load_report: dict[str, float] = {}
 
 
-@dataclass(slots=True, frozen=True)
-class ResponseStarted:
+class ResponseStarted(msgspec.Struct, frozen=True):
     """A streamed response has begun: from now on the attempt is the client's."""
 
     attempt: Attempt
 
 
-@dataclass(slots=True, frozen=True)
-class HealthCheckEnded:
+class HealthCheckEnded(msgspec.Struct, frozen=True):
     """An endpoint has answered a health check, or failed to."""
 
     endpoint: EndpointStats
--- a/starlingwheel/decisions/gossip.py
+++ b/starlingwheel/decisions/gossip.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterator
 from math import inf
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from .clock import HALF_LIFE, Clock
 from .commands import DecisionCoroutine, SendGossip
@@ -15,10 +15,6 @@
 from .endpoint_set import EndpointSet
 from .endpoint_stats import EndpointStats
 from .estimators import QUEUED_REQUEST_COST, InFlightEstimator
-from .slow_start import slow_start_fraction
-
-if TYPE_CHECKING:
-    from .outlier_detection import OutlierDetector
 
 MAX_MESSAGE_SIZE = 256  # bytes, which is also what the price of a message is for
 BILLED_MESSAGE_SIZE = 16  # bytes of a usual message
@@ -33,10 +29,24 @@
 PRIOR_RESPONSES = 4.0  # responses elsewhere that weigh as much as the doubt about an endpoint's pace
 
 
+class FailureObserver(Protocol):
+    """What hears of failures and responses at peers."""
+
+    def suspect(self, stats: EndpointStats) -> None:
+        """An attempt of a peer has failed there."""
+
+    def eject(self, stats: EndpointStats, unresponsive: bool) -> None:
+        """Attempts of a peer were left unanswered there."""
+
+    def note_response_elsewhere(self, stats: EndpointStats) -> None:
+        """A peer has had a response there."""
+
+
 class Gossip:
     """Owns what peers have told and what is still to be told to them."""
 
     def __init__(self, clock: Clock, endpoints: EndpointSet) -> None:
+        """Nothing has been heard yet; disabled until `reload`."""
         self.clock, self.endpoints = clock, endpoints
         self.enabled = False
         self.counts: dict[int, int] = {}  # attempts in flight at peers, by tag
@@ -104,7 +114,7 @@
 
     # Receiving.
 
-    def receive(self, peer: int, body: bytes, outliers: OutlierDetector) -> None:
+    def receive(self, peer: int, body: bytes, observer: FailureObserver) -> None:
         """Take over a message; one from an unknown peer is ignored."""
         if not 0 <= peer < self.config.sidecars:
             return
@@ -114,20 +124,20 @@
             tag, value = int.from_bytes(body[start : start + 2], "big"), body[start + 2]
             stats = self.endpoints.by_tag.get(tag)
             if value < ENDED_BY_SENDER:
-                self._receive_count(peer, tag, value, stats, tag in ended_by_sender, outliers)
+                self._receive_count(peer, tag, value, stats, tag in ended_by_sender, observer)
                 continue
             if value != FAILURE:
                 ended_by_sender.add(tag)
             if stats is not None:
-                self._receive_code(value, stats, outliers)
+                self._receive_code(value, stats, observer)
 
-    def _receive_code(self, code: int, stats: EndpointStats, outliers: OutlierDetector) -> None:
+    def _receive_code(self, code: int, stats: EndpointStats, observer: FailureObserver) -> None:
         if code == FAILURE:
-            outliers.suspect(stats)
+            observer.suspect(stats)
         # One that is slow or full goes on answering somebody.
         lately = self.clock.now - self.clock.shortest_objective / 2
         if code == UNANSWERED and stats.last_response_at < lately:
-            outliers.eject(stats, unresponsive=True)
+            observer.eject(stats, unresponsive=True)
 
     def _receive_count(
         self,
@@ -136,11 +146,11 @@
         count: int,
         stats: EndpointStats | None,
         ended_by_sender: bool,
-        outliers: OutlierDetector,
+        observer: FailureObserver,
     ) -> None:
         _, before = self._by_peer.pop((peer, tag), (0.0, 0))
         if count < before and not ended_by_sender and stats is not None:
-            outliers.note_response_elsewhere(stats)
+            observer.note_response_elsewhere(stats)
         if count:
             self._by_peer[peer, tag] = (self.clock.now, count)
         if stats is not None:
@@ -165,14 +175,14 @@
 
     def pace(self, stats: EndpointStats) -> float:
         """Response time of an endpoint against that of all, by peers' counts; 1 where they tell nothing."""
-        if not self.is_current() or self._in_flight.answers < PRIOR_RESPONSES:
+        if not self.is_current() or self._in_flight.responses < PRIOR_RESPONSES:
             return 1.0
         self._note_in_flight(stats)
         here, everywhere = stats.gossip_in_flight, self._in_flight
-        mean = everywhere.out / everywhere.answers
-        time = (here.out + PRIOR_RESPONSES * mean) / (here.answers + PRIOR_RESPONSES)
-        queue = here.out / (here.span or 1.0)
-        usual = everywhere.out / everywhere.span / max(1, self.endpoints.ready_count())
+        mean = everywhere.in_flight_time / everywhere.responses
+        time = (here.in_flight_time + PRIOR_RESPONSES * mean) / (here.responses + PRIOR_RESPONSES)
+        queue = here.in_flight_time / (here.elapsed or 1.0)
+        usual = everywhere.in_flight_time / everywhere.elapsed / max(1, self.endpoints.ready_count())
         alone = time / mean * (1 + QUEUED_REQUEST_COST * usual) / (1 + QUEUED_REQUEST_COST * queue)
-        warm = slow_start_fraction(stats, self.config, self.clock.now)
+        warm = stats.slow_start_fraction(self.config, self.clock.now)
         return alone * warm / self.endpoints.relative_cost(stats)
--- a/starlingwheel/decisions/hedging.py
+++ b/starlingwheel/decisions/hedging.py
@@ -23,6 +23,7 @@
     def __init__(
         self, clock: Clock, latency: LatencyModel, load: LoadTracker, retry_policy: RetryPolicy
     ) -> None:
+        """The delay follows `latency`; an overload by `load` forbids hedges."""
         self.clock, self.latency, self.load = clock, latency, load
         self.retry_policy = retry_policy
 
--- a/starlingwheel/decisions/latency.py
+++ b/starlingwheel/decisions/latency.py
@@ -10,7 +10,6 @@
 from .gossip import Gossip
 from .load import LoadTracker
 from .model import Attempt, Request
-from .slow_start import slow_start_fraction
 
 MIN_SAMPLES_PER_CLASS = 32  # samples that are kept however old they are
 MIN_SAMPLES_PER_ENDPOINT = 6
@@ -24,6 +23,7 @@
     """Owns the learned response times."""
 
     def __init__(self, clock: Clock, endpoints: EndpointSet, gossip: Gossip, load: LoadTracker) -> None:
+        """Nothing has been learned yet."""
         self.clock, self.endpoints, self.gossip, self.load = clock, endpoints, gossip, load
         self.relative = Histogram(0.25, 1.4, 16, 2000)  # response times against the usual ones of their class
         self._by_class: dict[str, Histogram] = {}
@@ -58,7 +58,7 @@
 
     def load_factor(self, stats: EndpointStats, load: float) -> float:
         """How many times as long a response takes as from a warm local endpoint without load."""
-        warm = slow_start_fraction(stats, self.config, self.clock.now)
+        warm = stats.slow_start_fraction(self.config, self.clock.now)
         return self.zone_factor(stats) * (1 + QUEUED_REQUEST_COST * load) / warm
 
     def slowness(self, stats: EndpointStats) -> float:
--- a/starlingwheel/decisions/lease.py
+++ b/starlingwheel/decisions/lease.py
@@ -124,6 +124,7 @@
         return now < self.ends_at
 
     def state(self, now: float) -> LeaseState:
+        """What the list is worth now."""
         if not self.allows(now):
             return LeaseState.EXPIRED
         doubtful = now >= self.doubtful_at or self.incomplete_since < inf or self.moves_by < inf
--- a/starlingwheel/decisions/load.py
+++ b/starlingwheel/decisions/load.py
@@ -26,6 +26,7 @@
     """Owns what is known of endpoints' load and concurrency, and the attempts in flight here."""
 
     def __init__(self, clock: Clock, endpoints: EndpointSet, gossip: Gossip) -> None:
+        """No load is known yet."""
         self.clock, self.endpoints, self.gossip = clock, endpoints, gossip
         self.in_flight = 0
         self.concurrency = 1.0  # requests that an endpoint does at a time
@@ -36,8 +37,7 @@
     def reload(self, config: BalancerConfig) -> None:
         """Take over a configuration."""
         self.config = config
-        classes = config.request_classes
-        self._mean_weight = sum(one.priority_weight for one in classes) / len(classes)
+        self._mean_weight = config.mean_priority_weight()
         # Where only the list tells of load all sidecars see it late and alike: queues are longer.
         self.queue_limit = QUEUE_LIMIT * (LIVE_WEIGHT_QUEUE_FACTOR if config.weights_are_live else 1)
 
--- a/starlingwheel/decisions/load_polling.py
+++ b/starlingwheel/decisions/load_polling.py
@@ -67,6 +67,7 @@
         slow_start: SlowStart,
         selector: EndpointSelector,
     ) -> None:
+        """Endpoints to check are drawn by `selector`."""
         self.clock, self.endpoints, self.gossip = clock, endpoints, gossip
         self.load, self.latency, self.slow_start = load, latency, slow_start
         self.selector = selector
--- a/starlingwheel/decisions/outcomes.py
+++ b/starlingwheel/decisions/outcomes.py
@@ -29,6 +29,7 @@
         gossip: Gossip,
         outliers: OutlierDetector,
     ) -> None:
+        """The parts that learn from outcomes."""
         self.clock, self.load, self.latency = clock, load, latency
         self.gossip, self.outliers = gossip, outliers
 
--- a/starlingwheel/decisions/outlier_detection.py
+++ b/starlingwheel/decisions/outlier_detection.py
@@ -31,6 +31,7 @@
         latency: LatencyModel,
         gossip: Gossip,
     ) -> None:
+        """No outcome is known yet."""
         self.clock, self.rng, self.endpoints = clock, rng, endpoints
         self.latency, self.gossip = latency, gossip
         self.suspects: dict[EndpointStats, None] = {}
@@ -140,10 +141,10 @@
         stats.consecutive_failures += 1
         # A fault that is common to all, or our own, ejects nobody.
         common = CHANCE_THRESHOLD if stats.connect_failing else self._failures / self._outcomes
-        rng = common**stats.consecutive_failures
+        probability = common**stats.consecutive_failures
         # Rows of failures are bound to come up where one endpoint gets many attempts.
-        rng *= max(1.0, self._recent / (HALF_LIFE * self.endpoints.ready_count() + 1))
-        if rng <= CHANCE_THRESHOLD or stats.probation_limit < inf or told:
+        probability *= max(1.0, self._recent / (HALF_LIFE * self.endpoints.ready_count() + 1))
+        if probability <= CHANCE_THRESHOLD or stats.probation_limit < inf or told:
             self.eject(stats, unresponsive)
 
     def _count_outcome(self, failed: bool) -> None:
--- a/starlingwheel/decisions/retry_policy.py
+++ b/starlingwheel/decisions/retry_policy.py
@@ -20,6 +20,7 @@
     """Decides what may be sent again. It keeps no state but the configuration."""
 
     def __init__(self, clock: Clock) -> None:
+        """`clock`: ends deduplication windows."""
         self.clock = clock
 
     def reload(self, config: BalancerConfig) -> None:
--- a/starlingwheel/decisions/scheduler.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -69,6 +69,7 @@
     __slots__ = ("coroutine", "request", "turn", "answered", "ended")
 
     def __init__(self, coroutine: DecisionCoroutine, request: Request | None) -> None:
+        """Not begun yet."""
         self.coroutine = coroutine
         self.request = request
         self.turn = 0  # how often it was resumed; an alarm of an earlier turn is void
@@ -203,11 +204,11 @@
 
     # Running.
 
-    def _resume_request(self, request: Request, event: Any) -> None:
+    def _resume_request(self, request: Request, event: object) -> None:
         if scheduled := self._by_request.get(request):
             self._resume(scheduled, event)
 
-    def _resume(self, scheduled: ScheduledCoroutine, event: Any) -> None:
+    def _resume(self, scheduled: ScheduledCoroutine, event: object) -> None:
         self._runnable.append((scheduled, event))
         self._run()
 
@@ -217,7 +218,7 @@
             if not scheduled.ended:
                 self._step(scheduled, event)
 
-    def _step(self, scheduled: ScheduledCoroutine, result: Any) -> None:
+    def _step(self, scheduled: ScheduledCoroutine, result: object) -> None:
         scheduled.turn += 1
         while True:
             try:
--- a/starlingwheel/decisions/selection.py
+++ b/starlingwheel/decisions/selection.py
@@ -67,6 +67,7 @@
         outliers: OutlierDetector,
         retry_policy: RetryPolicy,
     ) -> None:
+        """The parts that are asked; `rng` makes the draws."""
         self.clock, self.rng, self.lease = clock, rng, lease
         self.endpoints, self.gossip, self.load, self.latency = endpoints, gossip, load, latency
         self.slow_start, self.outliers, self.retry_policy = slow_start, outliers, retry_policy
@@ -75,8 +76,7 @@
     def reload(self, config: BalancerConfig) -> None:
         """Take over a configuration."""
         self.config = config
-        classes = config.request_classes
-        self._mean_weight = sum(one.priority_weight for one in classes) / len(classes)
+        self._mean_weight = config.mean_priority_weight()
         live_factor = LIVE_WEIGHT_LATENCY_FACTOR if config.weights_are_live else 1
         self.latency_fraction = ACCEPTABLE_LATENCY_FRACTION * live_factor
 
@@ -169,7 +169,9 @@
         for stats in examined:
             if subset_size and (seen == subset_size or stats.rank >= self.endpoints.subset_width):
                 break
-            if not self._may_be_chosen(stats, search):
+            if stats in search.excluded or not self.outliers.admits(stats, search.request):
+                continue
+            if not self.slow_start.within_budget(stats):
                 continue
             seen += 1
             if (candidate := self._rate(stats, search)) is not None:
@@ -200,11 +202,6 @@
             return sample
         return list(dict.fromkeys([stats for stats in pool if stats.entry.cell == cell] + sample))
 
-    def _may_be_chosen(self, stats: EndpointStats, search: Search) -> bool:
-        if stats in search.excluded or not self.outliers.admits(stats, search.request):
-            return False
-        return self.slow_start.within_budget(stats)
-
     def _rate(self, stats: EndpointStats, search: Search) -> Candidate | None:
         load = self.load.of(stats)
         # A sidecar that rejects everything hears of nothing: it goes on with what it knows once nothing of
@@ -220,7 +217,8 @@
             return None
         # One that is slow, or loses responses for this sidecar alone, is tried now and then while others fit.
         tried = 1 if fits else PROBATION_FRACTION
-        weight = self.slow_start.fraction(stats) / ((1 + load * self.load.concurrency) * factor) * tried
+        warm = stats.slow_start_fraction(self.config, self.clock.now)
+        weight = warm / ((1 + load * self.load.concurrency) * factor) * tried
         return Candidate(stats, weight, expected)
 
     def _prefer_cell(self, candidates: list[Candidate], search: Search) -> list[Candidate]:
--- a/starlingwheel/decisions/slow_start.py
+++ b/starlingwheel/decisions/slow_start.py
@@ -4,16 +4,13 @@
 
 import random
 from math import ceil
-from typing import TYPE_CHECKING
 
 from .clock import Clock
 from .config import BalancerConfig
 from .endpoint_set import EndpointSet
 from .endpoint_stats import EndpointStats
-
-if TYPE_CHECKING:
-    from .latency import LatencyModel
-    from .load import LoadTracker
+from .latency import LatencyModel
+from .load import LoadTracker
 
 BUDGET_FRACTION = 0.6  # of the budget that is used
 TURN_WINDOWS = 2.0  # overload windows for which a turn to send stays open
@@ -21,15 +18,6 @@
 ALWAYS_ALONE = 2  # sidecars fewer than share an endpoint that take turns at it
 
 
-def slow_start_fraction(stats: EndpointStats, config: BalancerConfig, now: float) -> float:
-    """The least part of its capacity that an endpoint has by now, 0 to 1."""
-    if stats.started_at is None or now >= stats.started_at + config.slow_start_duration:
-        return 1.0
-    age = max(0.0, now - stats.started_at) / config.slow_start_duration
-    initial = config.slow_start_initial_fraction
-    return initial + (1 - initial) * age
-
-
 class SlowStart:
     """Owns this sidecar's part of the budgets of endpoints that are warming up."""
 
@@ -41,6 +29,7 @@
         latency: LatencyModel,
         load: LoadTracker,
     ) -> None:
+        """`rng` spreads the turns of sidecars at an endpoint."""
         self.clock, self.rng = clock, rng
         self.endpoints, self.latency, self.load = endpoints, latency, load
 
@@ -50,11 +39,11 @@
 
     def fraction(self, stats: EndpointStats) -> float:
         """The least part of its capacity that an endpoint has by now, 0 to 1."""
-        return slow_start_fraction(stats, self.config, self.clock.now)
+        return stats.slow_start_fraction(self.config, self.clock.now)
 
     def within_budget(self, stats: EndpointStats) -> bool:
         """An attempt may start there now; always true of one that is warm."""
-        fraction = self.fraction(stats)
+        fraction = stats.slow_start_fraction(self.config, self.clock.now)
         if fraction >= 1 or stats.rank >= self.endpoints.subset_width > 0:
             return fraction >= 1
         capacity = self._capacity(stats, fraction)
