--- a/tests/test_health.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -1,7 +1,10 @@
-"""Stories of upstreams that fail."""
+"""Ejection, probation and the return of endpoints."""
 
-from conftest import BUY
+import pytest
+from decision_host import BUY, GOSSIP_SETTINGS, KEYS, SUBSET_SETTINGS, cell_of, host_with_cells
 
+from starlingwheel.decisions.events import WatchEvent
+from starlingwheel.decisions.gossip import UNANSWERED
 from starlingwheel.decisions.model import AttemptOutcome
 
 
@@ -18,14 +21,14 @@
     return u
 
 
-def test_errors_in_a_row_set_an_upstream_aside(host):
+def test_errors_in_a_row_eject_an_endpoint(host):
     u = fail(host, "u0")
     before = len(host.sent)
     host.serve(8)
     assert u not in {attempt.endpoint for attempt in host.sent[before:]}
 
 
-def test_an_upstream_set_aside_comes_back_by_a_trickle_without_exclusive_work(host):
+def test_an_ejected_endpoint_returns_by_a_probation_without_non_idempotent_requests(host):
     u = fail(host, "u0")
     host.later(1.5)
     host.serve(40, took=0.01, category=BUY)
@@ -34,7 +37,7 @@
     assert u in {attempt.endpoint for attempt in host.sent[-20:]}
 
 
-def test_an_upstream_that_answers_nothing_is_left_alone(host):
+def test_a_silent_endpoint_gets_nothing(host):
     host.serve(40)
     u = host.runner.balancer.endpoints.by_id["u0"]
     hung = []
@@ -48,7 +51,7 @@
     assert 0 < len(hung) < 6
 
 
-def test_a_sidecar_that_saw_only_full_upstreams_tries_again(host):
+def test_a_sidecar_that_saw_only_full_endpoints_tries_again(host):
     for _ in range(8):
         for attempt in host.of(host.take()):
             host.later(0.1)
@@ -57,7 +60,7 @@
     assert host.of(host.take()) and host.answers(host.take()) == ["deferred"]
 
 
-def test_a_fault_common_to_all_sets_nobody_aside(host):
+def test_a_fault_common_to_all_ejects_nobody(host):
     for i in range(60):
         attempt = host.of(host.take(BUY))[0]
         host.later(0.05)
@@ -66,7 +69,7 @@
     assert len({attempt.endpoint for attempt in host.sent[-40:]}) == 4
 
 
-def test_an_upstream_that_refuses_connections_still_serves_over_open_ones(make_host):
+def test_an_endpoint_that_refuses_connections_still_serves_over_open_ones(make_host):
     host = make_host(upstreams=1, idle_timeout=5.0)
     host.serve(20)
     over_open, refused, again = [host.take(BUY) for _ in range(3)]
@@ -79,16 +82,7 @@
     assert host.answers(beyond) == ["deferred"] and not host.of(beyond)
 
 
-def test_a_slow_upstream_is_given_less(host):
-    slow = host.runner.balancer.endpoints.by_id["u0"]
-    for _ in range(120):
-        attempt = host.of(host.take())[0]
-        host.later(0.25 if attempt.endpoint is slow else 0.05)
-        host.end(attempt)
-    assert sum(attempt.endpoint is slow for attempt in host.sent[-80:]) < 16
-
-
-def test_faults_that_any_upstream_has_alike_keep_nothing_from_anyone(make_host):
+def test_faults_that_all_endpoints_have_alike_keep_no_request_from_them(make_host):
     host = make_host(upstreams=8, gossip_allowed=True)
     balancer = host.runner.balancer
     most = 0
@@ -117,21 +111,7 @@
     assert most <= 2
 
 
-def test_a_failing_upstream_is_warned_of_at_any_pace(make_host):
-    host = make_host(gossip_allowed=True)
-    sick = host.runner.balancer.endpoints.by_id["u0"]
-    for i in range(800):
-        request = host.take()
-        host.later(0.002)
-        for attempt in host.of(request):
-            host.end(
-                attempt,
-                AttemptOutcome.RESET if attempt.endpoint is sick and i > 400 else AttemptOutcome.SUCCESS,
-            )
-    assert host.runner.balancer.outliers.is_suspected(sick) or sick.probation_limit < float("inf")
-
-
-def test_after_an_outage_of_all_upstreams_work_is_answered_again(host):
+def test_after_an_outage_of_all_endpoints_requests_succeed_again(host):
     def ask(fate):
         request = host.take()
         while pending := [attempt for attempt in host.of(request) if attempt.pending]:
@@ -145,3 +125,70 @@
     host.later(4.0)  # twice the longest pause of one that is set aside
     finished = [ask(AttemptOutcome.SUCCESS) for _ in range(500)]
     assert sum(finished) > 400 and all(finished[-100:])
+
+
+def test_a_preferred_cell_that_fails_is_left_for_the_others(make_host):
+    host = host_with_cells(make_host)
+    home = cell_of(host, "race/7")
+    for key in ["race/7", *KEYS[:20]] * 8:
+        for attempt in host.of(host.take(key=key)):
+            host.later(0.01)
+            host.end(
+                attempt,
+                AttemptOutcome.ERROR if attempt.endpoint.entry.cell == home else AttemptOutcome.SUCCESS,
+            )
+    assert {cell_of(host, "race/7") for _ in range(4)} - {home}
+
+
+@pytest.mark.parametrize(("sidecars", "part"), [(1, 1 / 4), (64, 1 / 12)])
+def test_where_half_of_the_endpoints_are_gone_few_attempts_are_on_probation(make_host, sidecars, part):
+    host = make_host(upstreams=40, sidecars=sidecars, gossip_allowed=True)
+    host.serve(60, took=0.01)
+    gone = set(list(host.runner.balancer.endpoints.by_id.values())[:20])
+    refused = 0
+    for i in range(400):
+        request = host.take()
+        host.later(0.04)
+        while attempt := next((attempt for attempt in host.of(request) if attempt.pending), None):
+            refused += attempt.endpoint in gone and i >= 100
+            host.end(
+                attempt, AttemptOutcome.CONNECT_FAILED if attempt.endpoint in gone else AttemptOutcome.SUCCESS
+            )
+    assert refused < 300 * part
+
+
+def test_endpoints_that_are_back_are_used_again_at_once(make_host):
+    host = make_host(upstreams=20)
+    host.serve(60, took=0.01)
+    for _ in range(40):
+        request = host.take()
+        while attempt := next((attempt for attempt in host.of(request) if attempt.pending), None):
+            host.end(attempt, AttemptOutcome.CONNECT_FAILED)
+    host.later(3.0)
+    host.serve(100, took=0.01)
+    assert len({attempt.endpoint for attempt in host.sent[-40:]}) > 12
+
+
+def test_attempts_unanswered_by_a_former_process_are_not_held_against_the_new_one(make_host):
+    host = make_host(upstreams=1, **GOSSIP_SETTINGS)
+    host.serve(40, took=0.01)
+    old = host.of(host.take(BUY))[0]
+    host.later(0.8)
+    u = old.endpoint
+    assert not host.of(host.take(BUY))  # silent
+    host.listed(WatchEvent.DELTA, "u0", started=host.runner.now)
+    host.later(0.02)
+    host.end(old, AttemptOutcome.TIMED_OUT)
+    assert host.of(host.take(BUY)) and u.consecutive_failures == 0
+    assert u.gossip_tag.to_bytes(2, "big") + bytes([UNANSWERED]) not in b"".join(host.told)
+
+
+def test_an_endpoint_that_reports_errors_is_ejected_at_the_first(make_host):
+    host = make_host(upstreams=2, **SUBSET_SETTINGS)
+    attempt = host.of(host.take())[0]
+    host.end(attempt, AttemptOutcome.ERROR, {"failing": 4.0, "served": 9.0})
+    assert not host.runner.balancer.outliers.admits(attempt.endpoint, attempt.request)
+    other = make_host(upstreams=2, **SUBSET_SETTINGS)
+    attempt = other.of(other.take())[0]
+    other.end(attempt, AttemptOutcome.ERROR, {"failing": 0.1, "served": 9.0})
+    assert other.runner.balancer.outliers.admits(attempt.endpoint, attempt.request)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -4,10 +4,7 @@
 
 import msgspec
 import pytest
-from conftest import BUY, LOOK, SETTINGS, categories
-
-from starlingwheel.decisions.config import RequestClass, RetrySafety
-from starlingwheel.decisions.model import AttemptOutcome
+from conftest import SETTINGS, categories
 
 
 def changed(path, value):
@@ -128,36 +125,3 @@
     [line] = around.logged("config.read")
     assert line["need_restart"] == ["settings: sidecar_index", "settings: sidecars"]
     assert (around.context.balancer_config.sidecar_index, around.context.balancer_config.sidecars) == (0, 2)
-
-
-def test_open_work_keeps_the_attempts_it_was_taken_with(host):
-    """Two more hand-offs were allowed when it was taken; what comes later gets one."""
-    terms = host.runner.balancer.config
-    before = host.take(LOOK)
-    host.runner.reload(msgspec.structs.replace(terms, max_attempts=1))
-    after = host.take(LOOK)
-    for request in (before, after):
-        host.end(host.of(request)[-1], AttemptOutcome.REJECTED)
-    assert len(host.of(before)) == 2 and len(host.of(after)) == 1
-    assert host.answers(after) == ["deferred"]
-
-
-def test_what_was_learned_stays_and_a_new_category_begins_afresh(host):
-    host.serve(40, took=0.2)
-    balancer = host.runner.balancer
-    learned = balancer.latency.typical(LOOK)
-    # The same by its name, with another effect and deadline, beside a new one.
-    look = RequestClass(
-        "look", RetrySafety.IDEMPOTENT_WITH_KEY, latency_objective=1.0, priority_weight=1.0, timeout=2.0
-    )
-    gaze = RequestClass(
-        "gaze", RetrySafety.IDEMPOTENT, latency_objective=0.5, priority_weight=2.0, timeout=1.0
-    )
-    host.runner.reload(msgspec.structs.replace(balancer.config, request_classes=[look, gaze]))
-    assert balancer.latency.typical(look) == pytest.approx(learned)
-    assert balancer.latency.typical(gaze) == gaze.latency_objective / 8
-    assert balancer.clock.shortest_objective == 0.5 and balancer.admission._best_weight == 2.0
-    assert set(balancer.latency._by_class) == {"look", "gaze"}
-    host.serve(5, category=gaze)
-    host.serve(1, category=BUY)  # dropped; still open somewhere
-    assert all(word == "finished" for word, _, _ in host.ended)
