--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -19,6 +19,7 @@
 from ..decisions.lease import EndpointLease
 from ..settings import mixed
 from .actor import Actor
+from .discovery.messages import DiscoveredEndpoint
 from .gate import AttemptGate
 from .lifecycle.config import SidecarConfig
 from .lifecycle.log import EventLog
@@ -216,7 +217,7 @@
         """Operators want clients sent away, while the process stays."""
         return self.overrides.kept.lameduck
 
-    def overrides_changed(self, entries: list[Any]) -> None:
+    def overrides_changed(self, entries: list[DiscoveredEndpoint]) -> None:
         """Operators have changed endpoints, or draining, by this process or by another of this sidecar."""
         if entries:
             self.coordinator.post(EndpointsChanged(WatchEvent.DELTA, entries))
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -6,13 +6,14 @@
 from __future__ import annotations
 
 from math import inf
-from typing import Any
 
+from ..decisions.endpoint_stats import EndpointStats
 from ..decisions.events import AttemptEnded, WatchEvent
 from ..decisions.model import Attempt, AttemptOutcome, Request
 from ..decisions.scheduler import DecisionScheduler
 from .actor import Actor, Coroutine
 from .context import SidecarContext
+from .discovery.messages import DiscoveredEndpoint
 from .http.pool import ConnectionPool
 from .messages import (
     WATCH_ENDPOINTS,
@@ -147,7 +148,7 @@
         finally:
             self._forget_if_finished(pending)
 
-    def _endpoints_changed(self, event: WatchEvent, endpoints: list[Any]) -> None:
+    def _endpoints_changed(self, event: WatchEvent, endpoints: list[DiscoveredEndpoint]) -> None:
         if event is WatchEvent.SNAPSHOT:
             listed = {endpoint.id for endpoint in endpoints}
             for endpoint_id in [known for known in self.pools if known not in listed]:
@@ -161,7 +162,7 @@
             self.has_started = True
             self.scheduler.start()
 
-    def _update_pool(self, endpoint: Any) -> None:
+    def _update_pool(self, endpoint: DiscoveredEndpoint) -> None:
         pool = self.pools.get(endpoint.id)
         if endpoint.state == LEFT_STATE:
             if pool is not None:
@@ -224,8 +225,8 @@
         """Have the endpoint list watched."""
         self.context.discovery.post(WATCH_ENDPOINTS)
 
-    def start_health_check(self, endpoint: Any) -> None:
-        """Check the health of an endpoint, given as the decisions' `EndpointStats`."""
+    def start_health_check(self, endpoint: EndpointStats) -> None:
+        """Check the health of an endpoint."""
         now = self.loop.now()
         pool = self.pools.get(endpoint.endpoint_id)
         deadline = now + self.context.shortest_objective * HEALTH_CHECK_TIMEOUT
--- a/starlingwheel/net/messages.py
+++ b/starlingwheel/net/messages.py
@@ -12,6 +12,7 @@
 from ..decisions.config import BalancerConfig
 from ..decisions.events import WatchEvent
 from ..decisions.model import AttemptOutcome
+from .discovery.messages import DiscoveredEndpoint
 from .state.requests import Exchange, PendingRequest, UpstreamResponse
 
 
@@ -48,10 +49,10 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointsChanged:
-    """To the coordinator: a snapshot or a delta of the endpoint list, as `DiscoveredEndpoint`s."""
+    """To the coordinator: a snapshot or a delta of the endpoint list."""
 
     event: WatchEvent
-    endpoints: list[Any]
+    endpoints: list[DiscoveredEndpoint]
 
 
 @dataclass(slots=True, eq=False)
@@ -106,7 +107,7 @@
 class EndpointMoved:
     """To a connection pool: its endpoint as it is listed now; None: it is gone."""
 
-    endpoint: Any
+    endpoint: DiscoveredEndpoint | None
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -592,7 +592,7 @@
 
 def test_a_defect_in_following_the_list_does_not_leave_it_unwatched(make_surroundings, monkeypatch):
     with monkeypatch.context() as patch:
-        patch.setattr("starlingwheel.decisions.commands.WatchEndpoints.__init__", lambda self: 1 / 0)
+        patch.setattr("starlingwheel.decisions.endpoint_watch.WatchEndpoints", lambda: 1 / 0)
         around = make_surroundings()
         around.until(lambda: around.logged("module.defect"))
     around.watch(b"")
