--- a/starlingwheel/fleet/policy/document.py
+++ b/starlingwheel/fleet/policy/document.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ..config import cover_faults, zones_faults
+from ..config import replication_faults, zones_faults
 
 OWN = ("locality", "slotNo", "replicasOfMe")  # keys of the settings that say which sidecar this is
 TABLES = {
@@ -88,7 +88,7 @@
     names = yield from _categories(settings.get("categories"))
     caps = settings.get("caps")
     streams = caps.get("streamsPerConn") if isinstance(caps, dict) else 1
-    yield from cover_faults(body.get("cover"), names, streams if type(streams) is int else 1, "cover")
+    yield from replication_faults(body.get("cover"), names, streams if type(streams) is int else 1, "cover")
     yield from zones_faults(body.get("zones"), "zones")
 
 
--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -395,7 +395,7 @@
 
     def drop(self, why: str) -> Transaction | None:
         """The open change is not to be; None: there is none."""
-        if self.records.next is None and not self.records.spoilt:
+        if self.records.next is None and not self.records.is_next_unreadable:
             return None
         return self._ending("drop", "dropped", why, [], [])
 
@@ -417,7 +417,7 @@
         """What to write at the arbiter now, or when to ask again."""
         records = self.records
         change = records.next
-        if records.spoilt:
+        if records.is_next_unreadable:
             return self._in_turn("spoilt", records.next_mod, lambda: self.drop("nobody can read it"))
         if change is None or self.member_id not in records.members:
             return inf
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -1,4 +1,7 @@
-"""What a fleet has at the arbiter: its entries by key, what they say, and transactions on them."""
+"""What a fleet keeps in the coordination store: entries by key, their types, and transactions on them.
+
+Field names in the store are those of the first version; `rename` maps them.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +12,7 @@
 from .membership import MOST_CELLS, Member, MembershipView
 from .policy.document import Body
 
+POLICY = "policy/"
 NOW, NEXT, VOTES, PAST_AT = "policy/now", "policy/next", "policy/votes/", "policy/past/"
 MEMBERS, NAMES = "members/", "names/"
 PLAN, SAID = "zones/plan", "zones/said/"
@@ -16,225 +20,259 @@
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """`body` None: none was decided yet, each follows its own file."""
+    """One version of the fleet's policy; without a `body` none was decided yet, each follows its own file."""
 
     version: int = 0
     digest: str = ""
     body: Body | None = None
 
 
-class PolicyProposal(msgspec.Struct, frozen=True):
-    """A proposal. Times are seconds on the wall clock; `number` is the revision that it was written at."""
+class PolicyProposal(msgspec.Struct, frozen=True, rename={"proposed_at": "made"}):
+    """A proposed change. Times are seconds on the wall clock."""
 
     policy: Policy
-    at: float
-    made: float
-    author: str
-    number: int = 0
+    at: float  # when it is to take effect
+    proposed_at: float
+    author: str  # a member
+    number: int = 0  # the revision of the store that it was written at
 
 
 class PolicyDecision(msgspec.Struct, frozen=True):
     """What is in force from `at` on, and before."""
 
     policy: Policy
-    at: float
-    number: int
+    at: float  # seconds on the wall clock
+    number: int  # of the proposal
     before: Policy
 
 
-class PastProposal(msgspec.Struct, frozen=True):
+class PastProposal(msgspec.Struct, frozen=True, rename={"outcome": "how", "reason": "why"}):
+    """How a proposal ended."""
+
     number: int
     version: int
     digest: str
-    how: str
-    why: str
-    at: float
+    outcome: str  # decided or dropped
+    reason: str
+    at: float  # seconds on the wall clock
     author: str
 
 
-class ZoneHealth(msgspec.Struct):
-    """Of one zone, by one member: hand-offs a second as usual, its part that fails there now, and trials.
-
-    `last`: when its last trials have ended, and whether well.
-    """
-
-    weight: float
-    rate: float = 0.0
+class ZoneHealth(
+    msgspec.Struct,
+    rename={
+        "usual_rate": "weight",
+        "failing_fraction": "bad",
+        "rejecting": "full",
+        "failures": "bad_counted",
+        "trial_successes": "tried_well",
+        "trial_failures": "tried_badly",
+        "recent_trials": "last",
+    },
+):
+    """What one member sees of one zone."""
+
+    usual_rate: float  # attempts a second
+    rate: float = 0.0  # attempts a second now
     failing: bool = False
-    bad: float = 0.0
-    full: bool = False
-    counted: int = 0  # hand-offs that tell something, lately
-    bad_counted: int = 0
+    failing_fraction: float = 0.0
+    rejecting: bool = False
+    counted: int = 0  # attempts with a conclusive outcome, lately
+    failures: int = 0  # of these
     row: int = 0  # failures since the last answer
-    epoch: int = 0
-    tried_well: int = 0
-    tried_badly: int = 0
-    last: list[tuple[float, bool]] = []
+    epoch: int = 0  # of the plan that trials are counted from
+    trial_successes: int = 0
+    trial_failures: int = 0
+    recent_trials: list[tuple[float, bool]] = []  # when the last of them ended, and whether they succeeded
 
 
 class ZoneReport(msgspec.Struct):
-    at: float
+    """What one member sees of all zones."""
+
+    at: float  # seconds on the wall clock
     zones: dict[str, ZoneHealth]
 
 
-class ZoneState(msgspec.Struct, frozen=True):
-    """What the plan says of one that is not whole. `next`: when it may change."""
+class ZoneState(
+    msgspec.Struct,
+    frozen=True,
+    rename={"next_change_at": "next", "reason": "why", "failed_returns": "failed"},
+):
+    """What the plan says of a zone that does not get all of its traffic. Times are on the wall clock."""
 
     share: float
     state: str  # left, returning, held
     epoch: int
     since: float
-    next: float
-    why: str
-    failed: int = 0
+    next_change_at: float
+    reason: str
+    failed_returns: int = 0
     region: str = ""
     by_operator: bool = False
 
 
-class ZonePlan(msgspec.Struct, frozen=True):
+class ZonePlan(msgspec.Struct, frozen=True, rename={"capacities": "bears"}):
+    """The fleet's plan; zones that are not in it get all of their traffic."""
+
     epoch: int = 0
     zones: dict[str, ZoneState] = {}
-    bears: dict[str, float] = {}  # hand-offs a second that a zone was seen to turn away at
+    capacities: dict[str, float] = {}  # attempts a second at which a zone was seen to reject some
 
 
 class Sharding(msgspec.Struct, frozen=True):
-    """Into how many cells the fleet is cut: a power of two. `at`: seconds on the wall clock."""
+    """Into how many cells the fleet is divided."""
 
-    count: int
-    at: float = 0.0
+    count: int  # a power of two
+    at: float = 0.0  # since when, seconds on the wall clock
 
 
 class StoreEntry(msgspec.Struct, frozen=True):
+    """The value of one key, and the revisions that it was created and last modified at."""
+
     value: bytes
     create: int
     mod: int
 
 
 class Compare(msgspec.Struct, frozen=True):
-    """`prefix`: of every key that begins so."""
+    """A condition of a transaction. `prefix`: on every key that begins so."""
 
     key: str
-    target: str
-    result: str
+    target: str  # CREATE or MOD, the revision that is compared
+    result: str  # EQUAL or LESS
     value: int
     prefix: bool = False
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """One transaction at the arbiter.
+    """What is written to the coordination store if all conditions hold."""
 
-    `erase`: a key, or all below one that ends in a stroke. `leased`: what is put goes with our entry.
-    """
-
-    what: str
+    what: str  # for the log
     compare: list[Compare]
     put: list[tuple[str, bytes]] = []
-    erase: list[str] = []
-    leased: bool = False
+    erase: list[str] = []  # a key, or all keys below one that ends in a slash
+    leased: bool = False  # what is put ends with our lease
 
 
 def equal(key: str, target: str, value: int) -> Compare:
+    """The condition that the key's revision is this one; 0: there is no such key."""
     return Compare(key, target, "EQUAL", value)
 
 
 class StoreRecords:
-    """What the arbiter has under the fleet's name, as of one revision."""
+    """What the coordination store holds under the fleet's name, as of one revision."""
 
     def __init__(self, cells: int = 0) -> None:
-        """`cells`: as in the records before, which stays where the entry can't be read; 0: not known."""
+        """`cells`: as in the records before, kept where the entry can't be read; 0: not known."""
         self.revision = 0
         self.cells_before = cells
-        self.cells = 1  # into how many the fleet is cut; 0: not known
-        self.cut_at = 0.0
+        self.cells = 1  # into how many the fleet is divided; 0: not known
+        self.cut_at = 0.0  # since when, seconds on the wall clock
         self.cells_mod = 0
-        self.cells_spoilt = False  # nobody can read it
+        self.cells_spoilt = False  # the entry can't be read
         self.members: dict[str, Member] = {}
-        self.names: dict[str, int] = {}
+        self.names: dict[str, int] = {}  # registered names, and the revisions of their entries
         self.now: PolicyDecision | None = None
         self.now_mod = 0
         self.next: PolicyProposal | None = None
         self.next_mod = 0
-        self.spoilt = False  # there is a proposal that nobody can read
-        self.votes: dict[str, str] = {}  # of the open proposal: empty is a yes
+        self.is_next_unreadable = False  # there is a proposal that nobody can read
+        self.votes: dict[str, str] = {}  # on the open proposal, by member: a reason against it, empty: yes
         self.past: dict[int, PastProposal] = {}
         self.plan: ZonePlan | None = None
         self.plan_mod = 0
-        self.said: dict[str, ZoneReport] = {}
+        self.said: dict[str, ZoneReport] = {}  # by member
 
     def copy(self) -> StoreRecords:
+        """A copy that later changes to this one leave as it is."""
         other = copy.copy(self)
         for name in ("members", "names", "votes", "past", "said"):
             setattr(other, name, dict(getattr(self, name)))
         return other
 
     def view(self) -> MembershipView:
-        """Who is in. Empty while nobody here knows into how many cells the fleet is cut."""
+        """The members; empty while it is not known here into how many cells the fleet is divided."""
         return (
             MembershipView(self.members.values(), self.cells, self.cut_at) if self.cells else MembershipView()
         )
 
     def put(self, key: str, entry: StoreEntry) -> str:
-        """Take over one entry; the reason if it can't be read."""
+        """Take over one entry; why it can't be read, or an empty string."""
         try:
-            if key.startswith(MEMBERS):
-                member = msgspec.json.decode(entry.value, type=Member)
-                if member.id != key.removeprefix(MEMBERS):
-                    raise ValueError(key)
-                self.members[member.id] = msgspec.structs.replace(member, term=entry.create)
-            elif key.startswith(NAMES):
-                self.names[key.removeprefix(NAMES)] = entry.create
-            elif key == NOW:
-                self.now_mod = entry.mod  # also of one that nobody can read: it is in the way of none
-                self.now = msgspec.json.decode(entry.value, type=PolicyDecision)
-            elif key == NEXT:
-                self.next, self.next_mod, self.spoilt = None, entry.mod, True
-                change = msgspec.json.decode(entry.value, type=PolicyProposal)
-                self.next = msgspec.structs.replace(change, number=entry.create)
-                self.spoilt = False
-            elif key.startswith(VOTES):
-                number, _, member = key.removeprefix(VOTES).partition("/")
-                if int(number) == self.next_mod:
-                    self.votes[member] = msgspec.json.decode(entry.value, type=str)
-            elif key.startswith(PAST_AT):
-                past = msgspec.json.decode(entry.value, type=PastProposal)
-                self.past[past.number] = past
-            elif key == PLAN:
-                self.plan_mod, self.plan = entry.mod, None
-                self.plan = msgspec.json.decode(entry.value, type=ZonePlan)
-            elif key.startswith(SAID):
-                self.said[key.removeprefix(SAID)] = msgspec.json.decode(entry.value, type=ZoneReport)
-            elif key == CELLS:
-                self._cut(entry)
+            self._put(key, entry)
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError):
             if key.startswith(MEMBERS):
                 self.members.pop(key.removeprefix(MEMBERS), None)
             return "unreadable"
         return ""
 
-    def _cut(self, entry: StoreEntry) -> None:
-        # Guards against taking what can't be read for one cell: homes would be others than everybody else's.
+    def _put(self, key: str, entry: StoreEntry) -> None:
+        if key.startswith(MEMBERS):
+            self._put_member(key.removeprefix(MEMBERS), entry)
+        elif key.startswith(NAMES):
+            self.names[key.removeprefix(NAMES)] = entry.create
+        elif key.startswith(POLICY):
+            self._put_policy(key, entry)
+        elif key == PLAN:
+            self.plan_mod, self.plan = entry.mod, None
+            self.plan = msgspec.json.decode(entry.value, type=ZonePlan)
+        elif key.startswith(SAID):
+            self.said[key.removeprefix(SAID)] = msgspec.json.decode(entry.value, type=ZoneReport)
+        elif key == CELLS:
+            self._put_cells(entry)
+
+    def _put_member(self, member_id: str, entry: StoreEntry) -> None:
+        member = msgspec.json.decode(entry.value, type=Member)
+        if member.id != member_id:
+            raise ValueError(member_id)
+        self.members[member.id] = msgspec.structs.replace(member, term=entry.create)
+
+    def _put_policy(self, key: str, entry: StoreEntry) -> None:
+        if key == NOW:
+            self.now_mod = entry.mod  # also of one that can't be read, so that it can be replaced
+            self.now = msgspec.json.decode(entry.value, type=PolicyDecision)
+        elif key == NEXT:
+            self.next, self.next_mod, self.is_next_unreadable = None, entry.mod, True
+            proposal = msgspec.json.decode(entry.value, type=PolicyProposal)
+            self.next = msgspec.structs.replace(proposal, number=entry.create)
+            self.is_next_unreadable = False
+        elif key.startswith(VOTES):
+            number, _, member = key.removeprefix(VOTES).partition("/")
+            if int(number) == self.next_mod:
+                self.votes[member] = msgspec.json.decode(entry.value, type=str)
+        elif key.startswith(PAST_AT):
+            past = msgspec.json.decode(entry.value, type=PastProposal)
+            self.past[past.number] = past
+
+    def _put_cells(self, entry: StoreEntry) -> None:
+        # An entry that can't be read is not taken for one cell: coordinators would be others than elsewhere.
         self.cells = self.cells if self.revision else self.cells_before
         self.cells_mod, self.cells_spoilt = entry.mod, True
-        cut = msgspec.json.decode(entry.value, type=Sharding)
-        if not 1 <= cut.count <= MOST_CELLS or cut.count & (cut.count - 1):
-            raise ValueError(f"{cut.count} cells")
-        self.cells, self.cut_at, self.cells_spoilt = cut.count, cut.at, False
+        sharding = msgspec.json.decode(entry.value, type=Sharding)
+        if not 1 <= sharding.count <= MOST_CELLS or sharding.count & (sharding.count - 1):
+            raise ValueError(f"{sharding.count} cells")
+        self.cells, self.cut_at, self.cells_spoilt = sharding.count, sharding.at, False
 
     def erase(self, key: str) -> None:
+        """Take over that a key is no more."""
         if key.startswith(MEMBERS):
             self.members.pop(key.removeprefix(MEMBERS), None)
         elif key.startswith(NAMES):
             self.names.pop(key.removeprefix(NAMES), None)
-        elif key == NOW:
-            self.now_mod = 0
-        elif key == NEXT:
-            self.next, self.next_mod, self.spoilt, self.votes = None, 0, False, {}
-        elif key.startswith(PAST_AT):
-            number = key.removeprefix(PAST_AT)
-            self.past.pop(int(number) if number.isdigit() else -1, None)
+        elif key.startswith(POLICY):
+            self._erase_policy(key)
         elif key == PLAN:
             self.plan, self.plan_mod = None, 0
         elif key.startswith(SAID):
             self.said.pop(key.removeprefix(SAID), None)
         elif key == CELLS:
             self.cells, self.cells_mod, self.cells_spoilt = 1, 0, False
+
+    def _erase_policy(self, key: str) -> None:
+        if key == NOW:
+            self.now_mod = 0
+        elif key == NEXT:
+            self.next, self.next_mod, self.is_next_unreadable, self.votes = None, 0, False, {}
+        elif key.startswith(PAST_AT):
+            number = key.removeprefix(PAST_AT)
+            self.past.pop(int(number) if number.isdigit() else -1, None)
--- /dev/null
+++ b/starlingwheel/fleet/zones/capacity.py
@@ -0,0 +1,57 @@
+"""How many attempts a second each zone can take: configured, seen to be rejected above, or estimated."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from math import inf
+
+from ..records import ZonePlan, ZoneState
+from .evidence import ZoneEvidence, ZoneLoad
+from .health import ELSEWHERE_FRACTION, FAILING_FRACTION
+
+HEADROOM = 1.5  # times the highest rate at which a zone was healthy: its estimated capacity
+RATE_DECAY = 0.99  # of that rate, with each window
+
+
+class ZoneCapacities:
+    """The capacities of all zones, in attempts a second."""
+
+    def __init__(self, configured: Mapping[str, float], window: float) -> None:
+        """`configured`: where it is known. `window`: of the health tracker, seconds."""
+        self.configured, self.window = dict(configured), window
+        self.healthy_rates: dict[str, float] = {}  # the highest of all members at which a zone was healthy
+        self.measure_at = -inf
+
+    def measure(self, now: float, evidence: ZoneEvidence) -> None:
+        """Take over the present rates of healthy zones, once a window."""
+        if now < self.measure_at:
+            return
+        self.measure_at = now + self.window
+        for name, load in evidence.loads().items():
+            if load.failing_fraction < FAILING_FRACTION * ELSEWHERE_FRACTION:
+                decayed = self.healthy_rates.get(name, 0.0) * RATE_DECAY
+                self.healthy_rates[name] = max(decayed, load.rate)
+
+    def observed(
+        self, plan: ZonePlan, zones: Mapping[str, ZoneState], evidence: ZoneEvidence
+    ) -> dict[str, float]:
+        """The capacities in the plan, and of zones that reject attempts while others are left."""
+        capacities = dict(plan.capacities)
+        for name, load in evidence.loads().items():
+            if evidence.is_rejecting(name) and name not in capacities and zones:
+                capacities[name] = load.rate
+        return capacities
+
+    def spare(self, excluded: Iterable[str], plan: ZonePlan, loads: Mapping[str, ZoneLoad]) -> float:
+        """What the healthy zones with all their traffic could take beside it."""
+        excluded, spare = set(excluded), 0.0
+        for name, load in loads.items():
+            if name in excluded or name in plan.zones or load.failing_fraction >= FAILING_FRACTION:
+                continue
+            capacity = (
+                self.configured.get(name)
+                or plan.capacities.get(name)
+                or HEADROOM * self.healthy_rates.get(name, load.rate)
+            )
+            spare += max(0.0, capacity - load.rate)
+        return spare
--- /dev/null
+++ b/starlingwheel/fleet/zones/evidence.py
@@ -0,0 +1,144 @@
+"""What the reports of all members, taken together, say of each zone. Reads, decides nothing, no I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from ..membership import Member
+from ..records import ZoneHealth, ZoneReport, ZoneState
+from .health import FAILING_FRACTION, MIN_FAILURES_IN_A_ROW, MIN_OUTCOMES, RECENT_TRIALS
+
+SIDE_FRACTION = 0.1  # of a zone's weight, below which one side's share of it is too small to count
+LOST_FRACTION = 0.8  # of the weight that sees failures only, from which on a zone counts as lost
+MIN_RATE = 1e-9  # attempts a second, against a division by zero
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneLoad:
+    """Of one zone, by all members together."""
+
+    rate: float  # attempts a second
+    failing_fraction: float
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneEvidence:
+    """The reports of the members in the view, as of `now`. Times are seconds."""
+
+    reports: Mapping[str, ZoneReport]  # by member
+    members: Mapping[str, Member]
+    now: float
+    window: float  # of the health tracker
+    max_report_age: float  # of a report that counts
+
+    def of_zone(self, zone: str) -> list[ZoneHealth]:
+        """What each member that knows the zone reports of it."""
+        return [report.zones[zone] for report in self.reports.values() if zone in report.zones]
+
+    def any_failing(self) -> bool:
+        """Whether any member reports any zone as failing."""
+        return any(health.failing for report in self.reports.values() for health in report.zones.values())
+
+    def weight(self, member: str, zone: str) -> float:
+        """Attempts a second that the member usually sends there."""
+        health = self.reports[member].zones.get(zone) if member in self.reports else None
+        return health.usual_rate if health is not None else 0.0
+
+    def usual_rate(self, zone: str) -> float:
+        """Attempts a second that all members usually send there."""
+        return sum(self.weight(member, zone) for member in self.reports)
+
+    def loads(self) -> dict[str, ZoneLoad]:
+        """Of each zone: what is sent there now, and the fraction that fails."""
+        reported: dict[str, list[tuple[float, float]]] = {}
+        for report in self.reports.values():
+            for zone, health in report.zones.items():
+                reported.setdefault(zone, []).append((health.rate, health.failing_fraction))
+        loads = {}
+        for zone, pairs in reported.items():
+            rate = sum(rate for rate, _ in pairs)
+            failing = sum(rate * fraction for rate, fraction in pairs)
+            loads[zone] = ZoneLoad(rate, failing / max(MIN_RATE, rate))
+        return loads
+
+    def is_failing(self, zone: str) -> bool:
+        """Whether more than half of the weight that reaches the zone reports it, on each side that there is.
+
+        Both sides have to agree: where only those outside see failures, the network between is at fault.
+        """
+        sides = [self._side_weights(zone, inside) for inside in (False, True)]
+        total = sum(reaching for reaching, _ in sides)
+        if sum(health.failures for health in self.of_zone(zone)) < MIN_OUTCOMES:
+            return False
+        agreements = [
+            2 * failing > reaching or self._is_failing_in_total(zone, bool(inside))
+            for inside, (reaching, failing) in enumerate(sides)
+            if reaching > SIDE_FRACTION * total
+        ]
+        return bool(agreements) and all(agreements)
+
+    def _side_weights(self, zone: str, inside: bool) -> tuple[float, float]:
+        """Of the members inside or outside the zone: the weight that reaches it, and that reports it."""
+        side = [member.id for member in self.members.values() if (member.zone == zone) == inside]
+        reaching = [m for m in side if self.weight(m, zone) > 0 and self._is_informed(m, zone)]
+        failing = [m for m in reaching if self.reports[m].zones[zone].failing]
+        return sum(self.weight(m, zone) for m in reaching), sum(self.weight(m, zone) for m in failing)
+
+    def _is_informed(self, member: str, zone: str) -> bool:
+        """Whether the member has seen anything of that zone lately."""
+        report = self.reports[member]
+        health = report.zones[zone]
+        return health.failing or (health.counted > 0 and report.at > self.now - self.max_report_age)
+
+    def _is_failing_in_total(self, zone: str, inside: bool) -> bool:
+        """Whether it fails by the sums of one side, in most home zones: each member alone sees too little."""
+        sums: dict[str, list[int]] = {}  # by home zone: conclusive attempts, failures
+        for member, report in self.reports.items():
+            home = self.members[member].zone
+            is_recent = report.at > self.now - self.window
+            if (home == zone) == inside and zone in report.zones and is_recent:
+                counts = sums.setdefault(home, [0, 0])
+                counts[0] += report.zones[zone].counted
+                counts[1] += report.zones[zone].failures
+        agreements = [
+            failures >= FAILING_FRACTION * attempts
+            for attempts, failures in sums.values()
+            if attempts >= 2 * MIN_OUTCOMES
+        ]
+        return 2 * sum(agreements) > max(1, len(sums))
+
+    def is_lost(self, zone: str) -> bool:
+        """Whether nearly all that see anything of the zone see nothing but failures."""
+        weights = [
+            (self.weight(member, zone), report.zones[zone].row >= MIN_FAILURES_IN_A_ROW)
+            for member, report in self.reports.items()
+            if zone in report.zones and self._is_informed(member, zone)
+        ]
+        counts = self.of_zone(zone)
+        failures = sum(health.failures for health in counts)
+        # Where each member has ejected the zone already, rows of failures come up by chance.
+        mostly_failures = failures >= LOST_FRACTION * sum(health.counted for health in counts)
+        lost = sum(weight for weight, is_lost in weights if is_lost)
+        return mostly_failures and lost >= LOST_FRACTION * sum(weight for weight, _ in weights) > 0
+
+    def is_rejecting(self, zone: str) -> bool:
+        """Whether more than half of the members report that the zone rejects attempts."""
+        return 2 * sum(health.rejecting for health in self.of_zone(zone)) > len(self.reports)
+
+    def trials(self, zone: str, state: ZoneState) -> tuple[int, int]:
+        """Of all members, successes and failures since the step of the plan that `state` is of."""
+        current = [health for health in self.of_zone(zone) if health.epoch == state.epoch]
+        successes = sum(health.trial_successes for health in current)
+        return successes, sum(health.trial_failures for health in current)
+
+    def recent_trials_succeeded(self, zone: str, state: ZoneState) -> bool:
+        """Whether the last trials of all did: failures from before the zone was back do not count."""
+        results = sorted(
+            result
+            for health in self.of_zone(zone)
+            if health.epoch == state.epoch
+            for result in health.recent_trials
+        )
+        recent = results[-RECENT_TRIALS:]
+        return len(recent) == RECENT_TRIALS and all(success for _, success in recent)
--- /dev/null
+++ b/starlingwheel/fleet/zones/health.py
@@ -0,0 +1,304 @@
+"""What one member sees of the attempts that it sends to each zone. No I/O; the caller sets `now`.
+
+Owns the counts of each zone over a short window, and derives from them whether the zone fails there while
+others do well. `ZonePlanner` reports this to the fleet and acts on the reports of all members.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Hashable, Mapping
+from dataclasses import dataclass, field
+from enum import Enum
+from math import inf
+
+from ..records import ZoneHealth, ZonePlan
+
+WINDOW_OBJECTIVES = 2.0  # shortest latency objectives: older outcomes are not counted
+SILENT_MULTIPLE = 4.0  # times the mean answer time after which an attempt without an answer counts as silent
+SILENT_MIN_WINDOWS = 1 / 16  # windows: lower bound of that time
+MIN_OUTCOMES = 4.0  # failures or answers below which nothing is concluded
+MIN_FAILURES_IN_A_ROW = 2  # fewer only count where they are all that was seen
+REPORTED_WINDOWS = 2.0  # windows without an answer during which a zone is still reported as failing
+FAILING_FRACTION = 1 / 4  # fraction of attempts that fail, from which on a zone counts as failing
+ELSEWHERE_FRACTION = 1 / 2  # of a zone's failing fraction: upper bound of what may fail elsewhere
+USUAL_RATE_WINDOWS = 8.0  # windows by which the weight of the usual rate halves
+MEAN_ANSWER_SAMPLES = 64  # answers that the mean answer time is taken over
+RECENT_TRIALS = 5  # trials of a zone whose results are reported one by one
+PAUSE_WINDOWS = 1 / 4  # windows between two reports above which this process counts as having paused
+
+
+class ZoneAttemptResult(Enum):
+    """What the end of an attempt says about its zone."""
+
+    ANSWERED = "answered"
+    FAILED = "failed"
+    REJECTED = "rejected"  # it never ran
+    INCONCLUSIVE = "inconclusive"
+
+
+CONCLUSIVE = (ZoneAttemptResult.ANSWERED, ZoneAttemptResult.FAILED)
+
+
+@dataclass(slots=True)
+class OutcomeCounts:
+    """Attempts by what became of them."""
+
+    begun: int = 0
+    answered: int = 0
+    answered_late: int = 0  # after they had been counted as silent
+    rejected: int = 0
+    failed: int = 0
+    silent: int = 0
+
+
+@dataclass(slots=True)
+class FailureCounts:
+    """Attempts with a conclusive outcome, and those of them that failed."""
+
+    attempts: float
+    failures: float
+
+    @property
+    def fraction(self) -> float:
+        """The fraction that failed; 0 where there were none."""
+        return self.failures / self.attempts if self.attempts else 0.0
+
+
+@dataclass(slots=True)
+class OutcomeWindow:
+    """Outcomes of one zone in the two halves of a window. Times are seconds."""
+
+    current: OutcomeCounts = field(default_factory=OutcomeCounts)
+    previous: OutcomeCounts = field(default_factory=OutcomeCounts)
+    failures_in_a_row: int = 0
+    failing_since: float = inf  # when the first of these failures was
+    rejected_at: float = -inf  # the last time
+    answered_at: float = -inf  # the last time
+    healthy_since: float = -inf  # the first answer after the last row of failures
+    failing_until: float = -inf  # until then it is reported as failing
+
+    def add_failure(self, now: float) -> None:
+        """Count one more failure without an answer in between."""
+        self.failures_in_a_row += 1
+        self.failing_since = min(self.failing_since, now)
+
+    def add_answer(self, now: float) -> None:
+        """End the row of failures."""
+        if self.failures_in_a_row >= MIN_FAILURES_IN_A_ROW:
+            self.healthy_since = now
+        self.failures_in_a_row = 0
+        self.failing_since = inf
+        self.answered_at = now
+
+    def rotate(self) -> None:
+        """Begin the next half window."""
+        self.previous, self.current = self.current, OutcomeCounts()
+
+    @property
+    def begun(self) -> int:
+        """Attempts begun in the window."""
+        return self.current.begun + self.previous.begun
+
+    @property
+    def rejected(self) -> int:
+        """Attempts rejected in the window."""
+        return self.current.rejected + self.previous.rejected
+
+    def failure_counts(self) -> FailureCounts:
+        """Conclusive outcomes in the window. A late answer means that the zone is slow, not down."""
+        now, before = self.current, self.previous
+        late = now.answered_late + before.answered_late
+        failures = now.failed + before.failed + max(0.0, now.silent + before.silent - 2 * late)
+        return FailureCounts(failures + now.answered + before.answered + late, failures)
+
+
+@dataclass(slots=True)
+class ZoneTrials:
+    """How attempts to a zone with a reduced share ended since one step of the plan."""
+
+    epoch: int  # of the plan
+    successes: int = 0
+    failures: int = 0
+    recent: deque[tuple[float, bool]] = field(default_factory=lambda: deque(maxlen=RECENT_TRIALS))
+
+    def add(self, now: float, success: bool) -> None:
+        """Count one trial."""
+        self.successes += success
+        self.failures += not success
+        self.recent.append((round(now, 3), success))
+
+
+class ZoneHealthTracker:
+    """What one member sees of its own attempts, by zone."""
+
+    def __init__(self, window: float, now: float) -> None:
+        """`window`: seconds."""
+        self.window, self.now = window, now
+        self.rotate_at, self.reported_at = now + window / 2, now
+        self.zones: dict[str, OutcomeWindow] = {}
+        self.pending: dict[Hashable, tuple[str, float]] = {}  # zone and begin of each attempt, oldest first
+        self.silent: set[Hashable] = set()  # those of them that have waited too long
+        self.mean_answer_time, self.answers = 0.0, 0.0  # seconds; over all zones
+        self.usual_rates: dict[str, float] = {}  # attempts a second
+        self.trials: dict[str, ZoneTrials] = {}
+
+    def _zone(self, zone: str) -> OutcomeWindow:
+        return self.zones.setdefault(zone, OutcomeWindow())
+
+    def began(self, attempt: Hashable, zone: str) -> None:
+        """An attempt was sent to that zone."""
+        self.pending[attempt] = (zone, self.now)
+        self._zone(zone).current.begun += 1
+
+    def ended(self, attempt: Hashable, result: ZoneAttemptResult) -> None:
+        """An attempt has ended; one that is not known is ignored."""
+        known = self.pending.pop(attempt, None)
+        if known is None:
+            return
+        zone, began_at = known
+        was_silent = attempt in self.silent
+        self.silent.discard(attempt)
+        window = self._zone(zone)
+        if result is ZoneAttemptResult.ANSWERED:
+            self._answered(window, self.now - began_at, was_silent)
+        elif result is ZoneAttemptResult.REJECTED:
+            window.current.rejected += 1
+            window.rejected_at = self.now
+        elif result is ZoneAttemptResult.FAILED and not was_silent:
+            window.current.failed += 1
+            window.add_failure(self.now)
+        if zone in self.trials and result in CONCLUSIVE:
+            self.trials[zone].add(self.now, result is ZoneAttemptResult.ANSWERED)
+
+    def _answered(self, window: OutcomeWindow, took: float, was_silent: bool) -> None:
+        # One mean over all zones, so that a slow zone stands out against the others.
+        self.mean_answer_time += (took - self.mean_answer_time) / min(self.answers + 1, MEAN_ANSWER_SAMPLES)
+        self.answers += 1
+        if was_silent:
+            window.current.answered_late += 1
+        else:
+            window.current.answered += 1
+        window.add_answer(self.now)
+
+    def follow(self, plan: ZonePlan) -> None:
+        """Count trials from this step of the plan on."""
+        for zone, state in plan.zones.items():
+            known = self.trials.get(zone)
+            if (known.epoch if known is not None else 0) != state.epoch:
+                self.trials[zone] = ZoneTrials(state.epoch)
+        for zone in [zone for zone in self.trials if zone not in plan.zones]:
+            del self.trials[zone]
+
+    def report(self) -> dict[str, ZoneHealth]:
+        """What is to be reported of each zone now; to be called every eighth of a window or sooner."""
+        self._discount_own_pause()
+        self._find_silent_attempts()
+        self._rotate_windows()
+        counts = {zone: window.failure_counts() for zone, window in self.zones.items()}
+        return {zone: self._zone_health(zone, window, counts) for zone, window in self.zones.items()}
+
+    def _discount_own_pause(self) -> None:
+        """A pause of this process is not counted as silence of the zones."""
+        gap, self.reported_at = self.now - self.reported_at, self.now
+        if gap > self.window * PAUSE_WINDOWS:
+            self.pending = {
+                attempt: (zone, min(began_at + gap, self.now))
+                for attempt, (zone, began_at) in self.pending.items()
+            }
+
+    def _find_silent_attempts(self) -> None:
+        """Count long waits as failures: a zone that answers nothing would be seen only after the timeout."""
+        if self.answers < MIN_OUTCOMES:
+            return
+        silent_after = max(SILENT_MULTIPLE * self.mean_answer_time, self.window * SILENT_MIN_WINDOWS)
+        for attempt, (zone, began_at) in self.pending.items():
+            if began_at > self.now - silent_after:
+                break
+            if attempt not in self.silent:
+                self.silent.add(attempt)
+                window = self._zone(zone)
+                window.current.silent += 1
+                window.add_failure(began_at + silent_after)
+
+    def _rotate_windows(self) -> None:
+        while self.now >= self.rotate_at:
+            self._rotate()
+            self.rotate_at += self.window / 2
+            if self.rotate_at < self.now - self.window:
+                self.rotate_at = self.now + self.window / 2  # after a pause nothing from before counts
+
+    def _rotate(self) -> None:
+        for zone, window in self.zones.items():
+            rate = window.current.begun / (self.window / 2)
+            usual = self.usual_rates.get(zone)
+            # A zone that fails, or has a reduced share, does not show what is usual.
+            if zone not in self.trials and window.failure_counts().fraction < FAILING_FRACTION:
+                self.usual_rates[zone] = (
+                    rate if usual is None else usual + (rate - usual) / (2 * USUAL_RATE_WINDOWS)
+                )
+            window.rotate()
+
+    def _zone_health(
+        self, zone: str, window: OutcomeWindow, counts: Mapping[str, FailureCounts]
+    ) -> ZoneHealth:
+        seen = counts[zone]
+        fraction = seen.fraction
+        failing = self._is_failing(zone, window, counts)
+        rejecting = window.rejected_at > self.now - self.window and window.rejected >= MIN_OUTCOMES
+        health = ZoneHealth(
+            usual_rate=round(self.usual_rates.get(zone, 0.0), 2),
+            rate=round(window.begun / self.window, 2),
+            failing=failing,
+            failing_fraction=round(max(fraction, FAILING_FRACTION) if failing else fraction, 2),
+            rejecting=rejecting,
+            counted=round(seen.attempts),
+            failures=round(seen.failures),
+            row=window.failures_in_a_row,
+        )
+        trials = self.trials.get(zone)
+        if trials is not None:
+            health.epoch = trials.epoch
+            health.trial_successes = trials.successes
+            health.trial_failures = trials.failures
+            health.recent_trials = list(trials.recent)
+        return health
+
+    def _is_failing(self, zone: str, window: OutcomeWindow, counts: Mapping[str, FailureCounts]) -> bool:
+        """Whether to report the zone as failing; a report holds on for a while without new attempts."""
+        fraction = counts[zone].fraction
+        fails = self._fails_here(window, counts[zone]) and self._answered_elsewhere(zone, window)
+        if fails and self._fraction_elsewhere(zone, counts) <= ELSEWHERE_FRACTION * fraction:
+            window.failing_until = self.now + REPORTED_WINDOWS * self.window
+        elif not window.failures_in_a_row and fraction < FAILING_FRACTION:
+            window.failing_until = -inf
+        # A member that sends nothing there any more goes on reporting what it saw.
+        return self.now < window.failing_until
+
+    @staticmethod
+    def _fails_here(window: OutcomeWindow, seen: FailureCounts) -> bool:
+        # A member sees little of a zone that is not its own; the plan needs the reports of more than half.
+        all_failed = window.failures_in_a_row and window.failures_in_a_row >= seen.attempts
+        many_failed = seen.failures >= MIN_FAILURES_IN_A_ROW and seen.fraction >= FAILING_FRACTION
+        return bool(all_failed or many_failed)
+
+    def _answered_elsewhere(self, zone: str, window: OutcomeWindow) -> bool:
+        """Whether the failures are this zone's own: not begun everywhere, nor already over elsewhere.
+
+        Another zone was healthy before this one's failures began, and has answered since.
+        """
+        if not window.failures_in_a_row:
+            return True
+        healthy = [
+            other
+            for name, other in self.zones.items()
+            if name != zone and other.healthy_since <= window.failing_since
+        ]
+        return max((other.answered_at for other in healthy), default=-inf) > window.failing_since
+
+    @staticmethod
+    def _fraction_elsewhere(zone: str, counts: Mapping[str, FailureCounts]) -> float:
+        """The fraction of attempts to all other zones that failed; 1 where there were none."""
+        others = [other for name, other in counts.items() if name != zone]
+        attempts = sum(other.attempts for other in others)
+        return sum(other.failures for other in others) / attempts if attempts else 1.0
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -10,6 +10,7 @@
 from ...fleet.policy import document as common
 from ...fleet.policy.replica import AHEAD, LEAST
 from ...fleet.records import NAMES, NEXT, Transaction, equal
+from ...fleet.zones.planner import ZonePlanner
 from ..admin.listener import BAD, CONFLICT, NOT_NOW, AdminResult, AdminRoute, CallRejectedError, named
 from ..context import SidecarContext
 from .messages import WriteTransaction
@@ -106,22 +107,24 @@
 
 
 def zones(context: SidecarContext, body: bytes) -> AdminResult:
-    return "", msgspec.json.encode(context.fleet.module.zone_controller.told()) + b"\n"
+    return "", msgspec.json.encode(context.fleet.module.zone_controller.status()) + b"\n"
 
 
-def zone(what: str) -> Callable[[SidecarContext, bytes], Generator[float, Any, AdminResult]]:
+def zone(
+    change: Callable[[ZonePlanner, str, str], Transaction | None],
+) -> Callable[[SidecarContext, bytes], Generator[float, Any, AdminResult]]:
     def said(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
         zone_controller = context.fleet.module.zone_controller
         try:
             word = msgspec.json.decode(body, type=ZoneCommand)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise _no(BAD, str(error)) from error
-        if not zone_controller.on:
+        if not zone_controller.enabled:
             raise _no(CONFLICT, "there is no zones part, so no plan", "no plan")
         if word.zone not in {u.entry.zone for u in context.coordinator.pools.values()}:
             raise _no(BAD, f"no upstream of a zone {word.zone!r} is listed", "unknown zone")
         zone_controller.zone_health.now = context.loop.now()
-        txn = zone_controller.zone_planner.say(word.zone, what, word.why)
+        txn = change(zone_controller.zone_planner, word.zone, word.why)
         if txn is None:
             raise _no(CONFLICT, f"zone {word.zone!r} is not left", "whole")
         yield from _written(context, txn)
@@ -151,9 +154,9 @@
     b"/_fleet": AdminRoute(b"GET", fleet),
     b"/_fleet/retire": AdminRoute(b"PUT", retire),
     b"/_zones": AdminRoute(b"GET", zones),
-    b"/_zones/leave": AdminRoute(b"PUT", zone("leave")),
-    b"/_zones/return": AdminRoute(b"PUT", zone("return")),
-    b"/_zones/hold": AdminRoute(b"PUT", zone("hold")),
+    b"/_zones/leave": AdminRoute(b"PUT", zone(ZonePlanner.leave)),
+    b"/_zones/return": AdminRoute(b"PUT", zone(ZonePlanner.let_return)),
+    b"/_zones/hold": AdminRoute(b"PUT", zone(ZonePlanner.hold)),
     b"/_policy": AdminRoute(b"GET", policy),
     b"/_policy/propose": AdminRoute(b"PUT", propose, LONGEST),
     b"/_policy/drop": AdminRoute(b"PUT", drop),
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -154,7 +154,7 @@
         self.module.retuned(self.terms())
         self.module.cover_by(msgspec.convert(policy.body["cover"], ReplicationConfig))
         zones = policy.body.get("zones")
-        self.module.zone_controller.plan_by(None if zones is None else msgspec.convert(zones, ZonesConfig))
+        self.module.zone_controller.configure(None if zones is None else msgspec.convert(zones, ZonesConfig))
         differ = [key for key, _, _ in common.differences(self.file, policy.body)]
         if differ:
             self.log("policy.file_differs", version=policy.version, keys=differ[:TOLD])
--- a/starlingwheel/net/fleet/zones.py
+++ b/starlingwheel/net/fleet/zones.py
@@ -1,8 +1,8 @@
-"""The host of the fleet's plan for zones: what it sees of hand-offs, and what the decisions are told."""
+"""Runs the fleet's zone plan in a sidecar: feeds it the ends of attempts, and sets zone shares."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Hashable, Iterable, Mapping
 from math import inf
 from typing import Any
 
@@ -12,90 +12,99 @@
 from ...decisions.scheduler import DecisionScheduler
 from ...fleet.config import ZonesConfig
 from ...fleet.records import StoreRecords, Transaction
-from ...fleet.zones.planner import WINDOW, ZoneHealthTracker, ZonePlanner
-
-HOW = {
-    AttemptOutcome.SUCCESS: "good",
-    AttemptOutcome.ERROR: "bad",
-    AttemptOutcome.RESET: "bad",
-    AttemptOutcome.CONNECT_FAILED: "bad",
-    AttemptOutcome.TIMED_OUT: "bad",
-    AttemptOutcome.REJECTED: "full",
+from ...fleet.zones.health import WINDOW_OBJECTIVES, ZoneAttemptResult, ZoneHealthTracker
+from ...fleet.zones.planner import ZonePlanner
+
+RESULTS = {
+    AttemptOutcome.SUCCESS: ZoneAttemptResult.ANSWERED,
+    AttemptOutcome.ERROR: ZoneAttemptResult.FAILED,
+    AttemptOutcome.RESET: ZoneAttemptResult.FAILED,
+    AttemptOutcome.CONNECT_FAILED: ZoneAttemptResult.FAILED,
+    AttemptOutcome.TIMED_OUT: ZoneAttemptResult.FAILED,
+    AttemptOutcome.REJECTED: ZoneAttemptResult.REJECTED,
 }
 
 
 class ZoneController:
-    """The door of `Planning`. Without a `zones` part it sees nothing and plans nothing."""
+    """The host of `ZonePlanner`. Without a `zones` part in the configuration it neither counts nor plans."""
 
     def __init__(
         self,
         member_id: str,
         lease: float,
-        part: ZonesConfig | None,
-        shortest: float,
+        config: ZonesConfig | None,
+        shortest_objective: float,
         now: float,
-        runner: Callable[[], DecisionScheduler],
+        scheduler: Callable[[], DecisionScheduler],
         log: Callable[..., None],
     ) -> None:
-        """`shortest`: the shortest due time, seconds."""
-        self.runner, self.log = runner, log
-        self.zone_health = ZoneHealthTracker(WINDOW * shortest, now)
-        part_ = part or ZonesConfig()
-        self.zone_planner = ZonePlanner(member_id, lease, part_.regions, part_.bears, self, self.zone_health)
-        self.on = part is not None
-
-    def plan_by(self, part: ZonesConfig | None) -> None:
-        """What the policy says of zones, from now on."""
-        if part is not None:
-            self.zone_planner.regions, self.zone_planner.bears = dict(part.regions), dict(part.bears)
-        if self.on and part is None:
+        """`lease` and `shortest_objective`, the shortest latency objective, are seconds."""
+        self.scheduler, self.log = scheduler, log
+        self.zone_health = ZoneHealthTracker(WINDOW_OBJECTIVES * shortest_objective, now)
+        self.enabled = config is not None
+        config = config or ZonesConfig()
+        self.zone_planner = ZonePlanner(
+            member_id, lease, config.regions, config.capacities, self, self.zone_health
+        )
+
+    def configure(self, config: ZonesConfig | None) -> None:
+        """Take over what the policy in force says of zones."""
+        if config is not None:
+            self.zone_planner.configure(config.regions, config.capacities)
+        if self.enabled and config is None:
             self.shares({}, [])
-        self.on = part is not None
+        self.enabled = config is not None
 
-    # What the host tells.
+    # Input from the sidecar.
 
-    def began(self, exchange: Any, zone: str, now: float) -> None:
-        if self.on:
+    def began(self, exchange: Hashable, zone: str, now: float) -> None:
+        """An attempt was sent to that zone."""
+        if self.enabled:
             self.zone_health.now = now
             self.zone_health.began(exchange, zone)
 
-    def ended(self, exchange: Any, fate: AttemptOutcome, now: float) -> None:
-        if self.on:
+    def ended(self, exchange: Hashable, outcome: AttemptOutcome, now: float) -> None:
+        """An attempt has ended."""
+        if self.enabled:
             self.zone_health.now = now
-            self.zone_health.ended(exchange, HOW.get(fate, "none"))
+            self.zone_health.ended(exchange, RESULTS.get(outcome, ZoneAttemptResult.INCONCLUSIVE))
 
     def recorded(self, records: StoreRecords, now: float) -> None:
-        if self.on:
+        """Take over what the coordination store holds."""
+        if self.enabled:
             self.zone_health.now = now
             self.zone_planner.recorded(records)
 
     def due(self, now: float, leased: bool) -> Transaction | float:
-        """What is to be written at the arbiter, or when to ask again."""
-        if not self.on:
+        """What is to be written to the coordination store, or when to ask again."""
+        if not self.enabled:
             return inf
         self.zone_health.now = now
-        self.zone_planner.hears(leased)
+        self.zone_planner.set_leased(leased)
         return self.zone_planner.due()
 
-    def told(self) -> dict[str, Any]:
-        """For operators."""
-        zone_planner = self.zone_planner
+    def status(self) -> dict[str, Any]:
+        """The plan, and what it rests on, as operators read it."""
+        planner = self.zone_planner
+        members = planner.records.members
         return {
-            "plan": msgspec.to_builtins(zone_planner.plan),
-            "seen": msgspec.to_builtins(self.zone_health.look()) if self.on else {},
+            "plan": msgspec.to_builtins(planner.plan),
+            "seen": msgspec.to_builtins(self.zone_health.report()) if self.enabled else {},
             "said": {
-                zone_planner.records.members[member].name: msgspec.to_builtins(said.zones)
-                for member, said in zone_planner.said.items()
-                if member in zone_planner.records.members  # it may have gone since
+                members[member].name: msgspec.to_builtins(report.zones)
+                for member, report in planner.said.items()
+                if member in members  # it may have gone since
             },
-            "most": zone_planner.most,
-            "cut_off": zone_planner.cut_off,
+            "most": planner.capacities.healthy_rates,
+            "cut_off": planner.cut_off,
         }
 
-    # The door.
+    # Output of the planner.
 
     def shares(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
-        self.runner().set_zone_shares(shares, back)
+        """Set the fraction of its attempts that each zone gets; see `ZoneHost`."""
+        self.scheduler().set_zone_shares(shares, back)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def note(self, event: str, **fields: object) -> None:
+        """Write a line to the log."""
         self.log(event, **fields)
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -9,7 +9,7 @@
 from starlingwheel.decisions.model import AttemptOutcome
 from starlingwheel.fleet.config import ZonesConfig, decode
 from starlingwheel.fleet.records import ZoneReport
-from starlingwheel.fleet.zones.planner import ZoneHealthTracker
+from starlingwheel.fleet.zones.health import ZoneAttemptResult, ZoneHealthTracker
 from starlingwheel.net.fleet.zones import ZoneController
 from trials import zones
 from trials.broken import ZONE_VARIANTS
@@ -55,7 +55,7 @@
 
 
 def seen(zone_health, zone):
-    return zone_health.look()[zone]
+    return zone_health.report()[zone]
 
 
 def noted(answers=20):
@@ -65,7 +65,7 @@
             zone_health.began((zone, number), zone)
         zone_health.now += 0.05
         for zone in ("here", "there"):
-            zone_health.ended((zone, number), "good")
+            zone_health.ended((zone, number), ZoneAttemptResult.ANSWERED)
     return zone_health
 
 
@@ -75,14 +75,14 @@
         zone_health.began(("here", "late", number), "here")
         zone_health.began(("there", "late", number), "there")
         zone_health.now += 0.05
-        zone_health.ended(("there", "late", number), "good")
-        zone_health.look()
+        zone_health.ended(("there", "late", number), ZoneAttemptResult.ANSWERED)
+        zone_health.report()
     assert seen(zone_health, "here").failing and not seen(zone_health, "there").failing
 
 
 def test_a_pause_of_its_own_is_no_silence_of_others():
     zone_health = noted()
-    zone_health.look()
+    zone_health.report()
     for number in range(8):
         zone_health.began(("here", "x", number), "here")
     zone_health.now += 3.0
@@ -94,7 +94,7 @@
     for number in range(20):
         for zone in ("here", "there"):
             zone_health.began((zone, "x", number), zone)
-            zone_health.ended((zone, "x", number), "bad")
+            zone_health.ended((zone, "x", number), ZoneAttemptResult.FAILED)
     assert not seen(zone_health, "here").failing and not seen(zone_health, "there").failing
 
 
@@ -102,22 +102,22 @@
     zone_health = noted()
     for number in range(10):
         zone_health.began(("here", "x", number), "here")
-        zone_health.ended(("here", "x", number), "full")
-    assert seen(zone_health, "here").full and not seen(zone_health, "here").failing
+        zone_health.ended(("here", "x", number), ZoneAttemptResult.REJECTED)
+    assert seen(zone_health, "here").rejecting and not seen(zone_health, "here").failing
 
 
 def test_an_answer_ends_it():
     zone_health = noted()
     for number in range(12):
         zone_health.began(("here", "x", number), "here")
-        zone_health.ended(("here", "x", number), "bad")
+        zone_health.ended(("here", "x", number), ZoneAttemptResult.FAILED)
     zone_health.began("other", "there")
     zone_health.now += 0.05
-    zone_health.ended("other", "good")
+    zone_health.ended("other", ZoneAttemptResult.ANSWERED)
     assert seen(zone_health, "here").failing
     for number in range(30):
         zone_health.began(("here", "y", number), "here")
-        zone_health.ended(("here", "y", number), "good")
+        zone_health.ended(("here", "y", number), ZoneAttemptResult.ANSWERED)
     assert not seen(zone_health, "here").failing
 
 
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -19,7 +19,8 @@
 
 from starlingwheel.fleet.membership import Member
 from starlingwheel.fleet.records import MEMBERS, StoreRecords, Transaction, ZonePlan
-from starlingwheel.fleet.zones.planner import ZoneHealthTracker, ZonePlanner
+from starlingwheel.fleet.zones.health import ZoneAttemptResult, ZoneHealthTracker
+from starlingwheel.fleet.zones.planner import ZonePlanner
 
 from .emulated_policy import Arbiter
 
@@ -200,31 +201,32 @@
             if tries < 2:
                 self.send(host, exclusive, tries + 1, but, begun, during, done)
 
-        def end(how: str) -> None:
+        def end(result: ZoneAttemptResult) -> None:
             host.zone_health.now = self.now
-            host.zone_health.ended(hand_off, how)
-            if how != "full":
-                host.ended(zone, how == "good")
-            if how == "good" and not done[0]:
+            host.zone_health.ended(hand_off, result)
+            answered = result is ZoneAttemptResult.ANSWERED
+            if result is not ZoneAttemptResult.REJECTED:
+                host.ended(zone, answered)
+            if answered and not done[0]:
                 done[0] = True
                 self.served += 1
                 self.gone_served += during
-            elif how == "full":
+            elif result is ZoneAttemptResult.REJECTED:
                 self.turned += 1
                 again(zone)
-            elif how == "bad" and not exclusive and not self.case.silent:
+            elif result is ZoneAttemptResult.FAILED and not exclusive and not self.case.silent:
                 again(zone)
 
         if fails:
             self.lost.append(self.now)
-            self.at(self.now + (DUE if self.case.silent else 0.005), lambda: end("bad"))
+            self.at(self.now + (DUE if self.case.silent else 0.005), lambda: end(ZoneAttemptResult.FAILED))
             if self.case.silent and not exclusive:
                 self.at(self.now + COPY, lambda: again(zone))
         elif full:
-            self.at(self.now + 0.003, lambda: end("full"))
+            self.at(self.now + 0.003, lambda: end(ZoneAttemptResult.REJECTED))
         else:
             took = SERVICE * self.rng.lognormvariate(0, 0.4)
-            self.at(self.now + took, lambda: end("good"))
+            self.at(self.now + took, lambda: end(ZoneAttemptResult.ANSWERED))
 
     # The plan.
 
