--- a/starlingwheel/fleet/frames.py
+++ b/starlingwheel/fleet/frames.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..decisions.config import DeduplicationScope, RequestClass, RetrySafety
-from .policy.replica import PolicyStatus
+from .policy.statuses import PolicyStatus
 
 VERSION = 2
 LONGEST = 1 << 18  # bytes of one frame: a body and an answer are 64 KiB at most
--- /dev/null
+++ b/starlingwheel/fleet/policy/transactions.py
@@ -0,0 +1,87 @@
+"""The transactions by which a policy is proposed, voted on, decided and dropped.
+
+Each is conditional on the records that it was made from, so that only one of them can end a proposal.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from ..records import (
+    MEMBERS,
+    NAMES,
+    NEXT,
+    NOW,
+    PAST_AT,
+    VOTES,
+    Compare,
+    PastProposal,
+    Policy,
+    PolicyDecision,
+    PolicyProposal,
+    StoreRecords,
+    Transaction,
+    equal,
+)
+
+REMEMBERED_PROPOSALS = 8  # ended ones that the store holds
+MAX_COMPARED_MEMBERS = 100  # whose entries are compared one by one: etcd takes 128 conditions
+MAX_REASON_LENGTH = 300  # characters
+
+
+def propose(records: StoreRecords, proposal: PolicyProposal) -> Transaction:
+    """Open a proposal, unless there is one or another policy was decided meanwhile."""
+    unchanged = [equal(NEXT, "CREATE", 0), equal(NOW, "MOD", records.now_mod)]
+    return Transaction("propose", unchanged, [(NEXT, msgspec.json.encode(proposal))])
+
+
+def vote(records: StoreRecords, number: int, member_id: str, reason: str) -> Transaction:
+    """Vote on the proposal of that number: against it for that reason, or yes if it is empty."""
+    key = f"{VOTES}{number}/{member_id}"
+    unchanged = [
+        equal(NEXT, "MOD", records.next_mod),
+        equal(key, "CREATE", 0),
+        equal(MEMBERS + member_id, "CREATE", records.members[member_id].term),
+    ]
+    return Transaction("vote", unchanged, [(key, msgspec.json.encode(reason))])
+
+
+def decide(records: StoreRecords, proposal: PolicyProposal, before: Policy, now: float) -> Transaction:
+    """Decide the proposal, if the view and the registered names are still those that the votes came from.
+
+    `before`: the policy that holds until then. `now`: seconds on the wall clock.
+    """
+    decision = PolicyDecision(proposal.policy, proposal.at, proposal.number, before)
+    unchanged = [
+        equal(NOW, "MOD", records.now_mod),
+        Compare(MEMBERS, "MOD", "LESS", records.revision + 1, prefix=True),
+        Compare(NAMES, "MOD", "LESS", records.revision + 1, prefix=True),
+    ]
+    # A condition on a range does not see entries that are gone: those of voters are compared one by one.
+    voters = list(records.members.values())[:MAX_COMPARED_MEMBERS]
+    unchanged += [equal(MEMBERS + voter.id, "CREATE", voter.term) for voter in voters]
+    ended = _end(records, "decide", "decided", "", now)
+    return Transaction(
+        ended.what,
+        [*ended.compare, *unchanged],
+        [(NOW, msgspec.json.encode(decision)), *ended.put],
+        ended.erase,
+    )
+
+
+def drop(records: StoreRecords, reason: str, now: float) -> Transaction:
+    """Drop the open proposal, also one that can't be read. `now`: seconds on the wall clock."""
+    return _end(records, "drop", "dropped", reason, now)
+
+
+def _end(records: StoreRecords, what: str, outcome: str, reason: str, now: float) -> Transaction:
+    """What ends a proposal either way: its entry and votes go, its end is remembered."""
+    number, proposal = records.next_mod, records.next
+    version, digest, author = 0, "", ""  # of one that can't be read
+    if proposal is not None:
+        version, digest, author = proposal.policy.version, proposal.policy.digest, proposal.author
+    past = PastProposal(number, version, digest, outcome, reason[:MAX_REASON_LENGTH], now, author)
+    oldest = sorted(records.past)[: 1 - REMEMBERED_PROPOSALS]
+    erase = [NEXT, f"{VOTES}{number}/", *(f"{PAST_AT}{old}" for old in oldest)]
+    put = [(f"{PAST_AT}{number}", msgspec.json.encode(past))]
+    return Transaction(what, [equal(NEXT, "MOD", number)], put, erase)
--- a/starlingwheel/fleet/zones/planner.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -24,6 +24,7 @@
 import msgspec
 
 from ..records import PLAN, StoreRecords, Transaction, ZonePlan, ZoneReport, ZoneState, equal
+from ..turns import WriteTurns
 from .capacity import ZoneCapacities
 from .evidence import ZoneEvidence, ZoneLoad
 from .failing import FailingZones
@@ -99,7 +100,7 @@
         self.plan_mod = 0
         self.said: dict[str, ZoneReport] = {}  # the reports of all members
         self.evidence = self._collect_evidence()
-        self.due_since: dict[int, float] = {}  # by epoch: when its plan became due
+        self.turns = WriteTurns(WRITE_DELAY * lease, MAX_WRITE_DELAYS, REMEMBERED_EPOCHS)
         self.recent_shares: list[tuple[float, dict[str, float]]] = []  # of former plans, with their end
         self.cut_off = False  # our lease has expired
         self.forget_at, self.look_at = inf, -inf
@@ -315,10 +316,7 @@
         """Any member may write it: one after another, so that they do not all do it at once."""
         members = sorted(self.records.members)
         turn = (members.index(self.member_id) + plan.epoch) % len(members)
-        since = self.due_since.setdefault(plan.epoch, self.now)
-        if len(self.due_since) > REMEMBERED_EPOCHS:
-            del self.due_since[next(iter(self.due_since))]
-        write_at = since + min(turn, MAX_WRITE_DELAYS) * WRITE_DELAY * self.lease
+        write_at = self.turns.write_at(plan.epoch, turn, self.now)
         return write_at if self.now < write_at else self._written(plan)
 
     def _written(self, plan: ZonePlan) -> Transaction:
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ...fleet.policy import document as common
-from ...fleet.policy.replica import AHEAD, LEAST
+from ...fleet.policy.replica import DEFAULT_SWITCH_DELAY, MIN_SWITCH_DELAY
 from ...fleet.records import NAMES, NEXT, Transaction, equal
 from ...fleet.zones.planner import ZonePlanner
 from ..admin.listener import BAD, CONFLICT, NOT_NOW, AdminResult, AdminRoute, CallRejectedError, named
@@ -17,7 +17,7 @@
 
 WITHIN = 0.85  # seconds for which a call waits for the arbiter
 LOOK = 0.01
-LONGEST = 2 * common.LARGEST
+LONGEST = 2 * common.MAX_SIZE
 FURTHEST = 3600.0  # seconds ahead that a change may be proposed
 
 
@@ -52,9 +52,9 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise _no(BAD, str(error)) from error
     lease = policy_replica.lease
-    span = AHEAD * lease if given.switch_s is None else given.switch_s
-    if not LEAST * lease < span <= FURTHEST:
-        why = f"switch_s: {span} is not between {LEAST * lease} and {FURTHEST}"
+    span = DEFAULT_SWITCH_DELAY * lease if given.switch_s is None else given.switch_s
+    if not MIN_SWITCH_DELAY * lease < span <= FURTHEST:
+        why = f"switch_s: {span} is not between {MIN_SWITCH_DELAY * lease} and {FURTHEST}"
         raise _no(BAD, why)
     if why := policy_controller.check(given.policy):
         raise _no(BAD, why)
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -24,7 +24,8 @@
     PolicyStatusFrame,
 )
 from ...fleet.policy import document as common
-from ...fleet.policy.replica import WORD, PolicyReplica, StoredPolicy
+from ...fleet.policy.replica import PolicyReplica, StoredPolicy
+from ...fleet.policy.statuses import STATUS_LIFETIME
 from ...fleet.records import Policy, PolicyDecision
 from ..actor import Actor, Coroutine
 from ..lifecycle.config import ConfigError, SidecarConfig, balancer_config_of, keep_start_only_fields
@@ -232,7 +233,7 @@
         lease: float,
     ) -> None:
         self.links, self.policy_replica, self.state_watcher = links, policy_replica, state_watcher
-        self.rng, self.counts = rng, WORD * lease
+        self.rng, self.counts = rng, STATUS_LIFETIME * lease
         self.anew_at = -inf
         self.asked: dict[int | str, float] = {}  # when each cell, or each name by itself, was asked last
         super().__init__(links.loop)
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -80,7 +80,7 @@
 
 
 def body(**changed):
-    settings = {k: v for k, v in SETTINGS.items() if k not in common.OWN} | changed
+    settings = {k: v for k, v in SETTINGS.items() if k not in common.OWN_KEYS} | changed
     return {"settings": settings, "cover": {"categories": ["buy"]}}
 
 
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -19,7 +19,8 @@
 import msgspec
 
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.policy.replica import AHEAD, PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY, PolicyReplica, StoredPolicy
+from starlingwheel.fleet.policy.statuses import PolicyStatus
 from starlingwheel.fleet.records import (
     MEMBERS,
     NAMES,
@@ -379,13 +380,13 @@
         if self.rng.random() < 0.15:
             body["settings"]["not"] = [self.rng.choice(able).name]
         host.policy_replica.now = self.now + host.skew
-        if self.arbiter.write(host.policy_replica.propose(body, AHEAD * LEASE)[0]):
+        if self.arbiter.write(host.policy_replica.propose(body, DEFAULT_SWITCH_DELAY * LEASE)[0]):
             self.notes["proposed"] += 1
 
     def play(self, changes: int, faults: Timetable, rest: float = 20.0) -> None:
         """`changes` one after another under faults, then quiet."""
         self.until(3.0)
-        each = AHEAD * LEASE * 1.4
+        each = DEFAULT_SWITCH_DELAY * LEASE * 1.4
         for number in range(changes):
             begin = 3.0 + number * each
             self.at(begin + self.rng.uniform(0, 0.5), lambda n=number: self.propose(n))
@@ -442,8 +443,8 @@
     """A change by that one, which another one can't follow; its switch time."""
     author.policy_replica.now = world.now + author.skew
     body = {"settings": {"number": 1, "not": [unfit]}, "cover": {}}
-    assert world.arbiter.write(author.policy_replica.propose(body, AHEAD * LEASE)[0])
-    return world.now + AHEAD * LEASE
+    assert world.arbiter.write(author.policy_replica.propose(body, DEFAULT_SWITCH_DELAY * LEASE)[0])
+    return world.now + DEFAULT_SWITCH_DELAY * LEASE
 
 
 def _lone(world: World, some: list[Host], until: float, leased: bool = False) -> None:
@@ -479,7 +480,7 @@
 def slept(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
     """One is stopped before its vote, until after the switch time."""
     world, hosts = _begun(5, kind, trace)
-    hosts[3].paused_until = 3.0 + AHEAD * LEASE + 1.0
+    hosts[3].paused_until = 3.0 + DEFAULT_SWITCH_DELAY * LEASE + 1.0
     world.until(_proposed(world, hosts[0]) + 3.0)
     return world
 
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -15,7 +15,8 @@
 import msgspec
 
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.policy.replica import PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet.policy.replica import PolicyReplica, StoredPolicy
+from starlingwheel.fleet.policy.statuses import PolicyStatus
 from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
 
 from .emulated_policy import Arbiter
@@ -72,7 +73,8 @@
     """A copy of a member that shares what is never changed in place."""
     other = copy.copy(host)
     other.host, other.kept = door, copy.copy(host.kept)
-    other.words, other.since, other.counts = dict(host.words), dict(host.since), host.counts.copy()
+    other.statuses = host.statuses.copy()
+    other.turns, other.counts = host.turns.copy(), host.counts.copy()
     return other
 
 
@@ -283,8 +285,8 @@
         told = [
             (
                 n, h.member_id, h.in_force.version, h.known, h.promise and h.promise.number, h.ended, h.sure,
-                h.lease_until, h.entered, h.vote, sorted(h.words.items()), h.records.revision, h.left_at,
-                sorted(h.since.items()), self.seen[n], h.from_file,
+                h.lease_until, h.entered, h.vote, sorted(h.words.items()), h.records.revision,
+                h.voter_left_at, sorted(h.turns.due_since.items()), self.seen[n], h.started_from_file,
             )
             for n, h in self.hosts.items()
         ]  # fmt: skip
