--- a/starlingwheel/fleet/frames.py
+++ b/starlingwheel/fleet/frames.py
@@ -1,8 +1,7 @@
-"""What sidecars of one fleet say to each other, about covered work and their policy.
+"""The frames that members of a fleet send to each other, about replicated requests and the policy.
 
-MessagePack arrays, by msgspec.
-
-Times are seconds on the wall clock, which all machines of a fleet share but for a few milliseconds.
+On the wire they are MessagePack arrays: tags and the order of fields are fixed, field names are not sent.
+Times are seconds on the wall clock, on which the machines of a fleet agree but for a few milliseconds.
 """
 
 from __future__ import annotations
@@ -12,13 +11,13 @@
 from ..decisions.config import DeduplicationScope, RequestClass, RetrySafety
 from .policy.statuses import PolicyStatus
 
-VERSION = 2
-LONGEST = 1 << 18  # bytes of one frame: a body and an answer are 64 KiB at most
-RELAYED = 64  # words of others in one answer, at most
+VERSION = 2  # of this protocol
+LONGEST = 1 << 18  # bytes of one frame; the bodies of a request and of its response are 64 KiB at most
+RELAYED = 64  # statuses of other members in one answer, at most
 
 
 class RecordedRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A request as its client sent it."""
+    """A request as its client sent it. `trace`: its trace id."""
 
     method: bytes
     target: bytes
@@ -28,7 +27,7 @@
 
 
 class AttemptIntent(msgspec.Struct, array_like=True):
-    """One hand-off that its owner means to make, or has made. No fate: it may have run."""
+    """One attempt that the owner of a request starts, or has started; without `fate` it may have run."""
 
     upstream: str
     zone: str
@@ -38,7 +37,10 @@
 
 
 class RecordedResponse(msgspec.Struct, array_like=True, frozen=True):
-    """A final answer: a status of ours, and the body and its kind where it is 200."""
+    """A final response. `kind` and `body`: its content type and body, with status 200 only.
+
+    `retry_after`: seconds.
+    """
 
     status: int
     retry_after: float = 0.0
@@ -83,7 +85,7 @@
 
 
 class HelloFrame(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """`cells`: how many its view has; two that differ have no link."""
+    """The first frame on a link. `cells`: of the sender's view; members that differ in them have no link."""
 
     fleet: str
     version: int
@@ -92,9 +94,10 @@
 
 
 class HeartbeatFrame(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Said when nothing else is: alive, under that view of its cell; `lapsed`: not sure of its lease.
+    """Sent when nothing else is: the sender is alive, under that view of its cell.
 
-    `word`: only where it may be needed, as whoever `asks` says. `idle`: nothing in hand here needs this link.
+    `lapsed`: its lease may have expired. `word`: its policy status, where it may be needed; `asks`: the
+    sender needs that of the other side. `idle`: no request of the sender needs this link.
     """
 
     view: int
@@ -105,17 +108,23 @@
 
 
 class ViewSyncedFrame(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """All that concerns you under that view of your cell has been said; nothing is granted under an older."""
+    """All state that the receiver has to know under that view of its cell was sent.
+
+    Requests are granted under no older view.
+    """
 
     view: int
 
 
 class ReplicateFrame(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """A work item in hand, with its history. `asks`: say whether it is new; else it is only to be kept.
-
-    `granted`: its owner has been told before that it is new, perhaps by a home that is lost. `rules`: its
-    category as it was when the work item was taken, which it keeps whatever the fleet's policy becomes.
-    `home`: as its owner sees it, where the owner is of another cell.
+    """A request in progress, with its history.
+
+    `asks`: the receiver is to answer whether the key is new; else it only records the request. `mark`: tells
+    requests under the same key apart. `at`, `until`: when it was received, and when its record expires.
+    `repeat`: the client says that it sends it again. `intents`: its attempts so far. `granted`: its owner was
+    told before that the key is new, perhaps by a coordinator that is gone. `rules`: the request class as it
+    was when the request was received, which holds whatever the fleet's policy becomes. `home`: the
+    coordinator as the owner sees it, where the owner is of another cell.
     """
 
     key: bytes
@@ -136,14 +145,14 @@
 
 
 class FindOwnerFrame(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """Does anybody act on this? Asked of who would take over, where the home can't be reached."""
+    """Asks a member that would take over, where the coordinator can't be reached, who handles the request."""
 
     key: bytes
     mark: bytes
 
 
 class AttemptIntentFrame(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """`home`: as with `Cover`."""
+    """The owner of a request is about to start one more attempt. `home`: as in `ReplicateFrame`."""
 
     key: bytes
     epoch: int
@@ -153,7 +162,7 @@
 
 
 class AttemptNotRunFrame(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """That hand-off is known never to have run."""
+    """An attempt of that number is known not to have run."""
 
     key: bytes
     epoch: int
@@ -162,13 +171,18 @@
 
 
 class ResponseFrame(msgspec.Struct, array_like=True, tag=8, frozen=True):
+    """The final response of a request."""
+
     key: bytes
     epoch: int
     reply: RecordedResponse
 
 
 class ReplicaStateFrame(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """The word of a keeper. `upto`: so many intents are recorded."""
+    """What a replica knows of a request.
+
+    `upto`: so many attempts are recorded. `where`: the coordinator as the replica sees it.
+    """
 
     key: bytes
     epoch: int
@@ -179,7 +193,7 @@
 
 
 class RequestFinishedFrame(msgspec.Struct, array_like=True, tag=10, frozen=True):
-    """To a new home: that item has had its final answer."""
+    """To a new coordinator: a request that has had its final response."""
 
     key: bytes
     owner: str
@@ -191,7 +205,10 @@
 
 
 class PolicyQueryFrame(msgspec.Struct, array_like=True, tag=11, frozen=True):
-    """Instead of a greeting, from one that is in no view: which policy do you follow? `known`: it does."""
+    """Sent instead of a hello: asks which policy the receiver follows.
+
+    `known`: the latest version that the sender knows to be decided.
+    """
 
     fleet: str
     version: int
@@ -199,38 +216,38 @@
 
 
 class PolicyStatusFrame(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    """Our word, and what we have heard lately over our links: each as old as it says."""
+    """The sender's policy status, and those that it has lately received over its links."""
 
     word: PolicyStatus
     others: list[PolicyStatus] = []
 
 
 class DecisionRequestFrame(msgspec.Struct, array_like=True, tag=13, frozen=True):
-    """Tell me what is decided."""
+    """Asks for the decision."""
 
 
 class DecisionFrame(msgspec.Struct, array_like=True, tag=14, frozen=True):
-    """The decision in force, or that will be, as the arbiter has it."""
+    """The decision in force, or that will be, encoded as the coordination store has it."""
 
     decision: bytes
 
 
 class LinkIdleFrame(msgspec.Struct, array_like=True, tag=15, frozen=True):
-    """The last word on a link that neither side needs: what is said to it from now on is not read."""
-
-
-# What `Kept.verdict` says.
-NEW = "new"  # nobody else acts on it: you do
-KEPT = "kept"  # recorded; who else acts is not known here
-RUNNING = "running"  # another one acts on it; its answer will come
-ANSWERED = "answered"  # here is its final answer
-OTHER = "other"  # that name stands for another request
-STALE = "stale"  # another one has taken it over from you
-MOVED = "moved"  # its home is elsewhere as seen from here; `where` names it
-UNKNOWN = "unknown"  # to `Find`: nothing is known of it here
-ASKED = "asked"  # another one asks for it too: cover it again here once its home has granted it
-FULL = "full"  # no room to keep it
-NOTED = "noted"  # the final answer is recorded
+    """The last frame on a link that neither side needs: the sender reads nothing more from it."""
+
+
+# Verdicts of `ReplicaStateFrame`.
+NEW = "new"  # no other member handles the request: the receiver does
+KEPT = "kept"  # recorded; who else handles it is not known to the sender
+RUNNING = "running"  # another member handles it; its response will follow
+ANSWERED = "answered"  # the final response is in the frame
+OTHER = "other"  # the key stands for another request
+STALE = "stale"  # another member has taken it over from the receiver
+MOVED = "moved"  # its coordinator is another member, as the sender sees it; `where` names it
+UNKNOWN = "unknown"  # to `FindOwnerFrame`: nothing is known of it
+ASKED = "asked"  # another member asks for it too: to be replicated anew once its coordinator has granted it
+FULL = "full"  # there is no room to record it
+NOTED = "noted"  # the final response is recorded
 
 About = (
     ReplicateFrame
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -1,153 +1,173 @@
-"""Operators' calls about the fleet, on the second address."""
+"""Admin calls about the fleet: its members, its policy and its zone plan."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Generator
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 
-from ...fleet.policy import document as common
-from ...fleet.policy.replica import DEFAULT_SWITCH_DELAY, MIN_SWITCH_DELAY
+from ...fleet.policy import document
+from ...fleet.policy.replica import DEFAULT_SWITCH_DELAY, MIN_SWITCH_DELAY, PolicyReplica
 from ...fleet.records import NAMES, NEXT, Transaction, equal
 from ...fleet.zones.planner import ZonePlanner
 from ..admin.listener import BAD, CONFLICT, NOT_NOW, AdminResult, AdminRoute, CallRejectedError, named
 from ..context import SidecarContext
 from .messages import WriteTransaction
 
-WITHIN = 0.85  # seconds for which a call waits for the arbiter
-LOOK = 0.01
-LONGEST = 2 * common.MAX_SIZE
-FURTHEST = 3600.0  # seconds ahead that a change may be proposed
+WRITE_TIMEOUT = 0.85  # seconds for which a call waits for the coordination store
+POLL_INTERVAL = 0.01  # seconds between two looks at whether it has answered
+MAX_PROPOSAL_SIZE = 2 * document.MAX_SIZE  # bytes of a proposal with its policy, not in its shortest encoding
+MAX_SWITCH_DELAY = 3600.0  # seconds from a proposal to its switch time
+OPERATORS_REASON = "operators have said so"
 
+CommandT = TypeVar("CommandT", bound=msgspec.Struct)
+PendingResult = Generator[float, Any, AdminResult]  # yields until when it waits
+ZoneChange = Callable[[ZonePlanner, str, str], Transaction | None]
+
+
+class ZoneCommand(msgspec.Struct, forbid_unknown_fields=True, rename={"reason": "why"}):
+    """The body of a call that changes the plan of a zone."""
 
-class ZoneCommand(msgspec.Struct, forbid_unknown_fields=True):
     zone: str
-    why: str = "operators have said so"
+    reason: str = OPERATORS_REASON
 
 
 class ProposalCommand(msgspec.Struct, forbid_unknown_fields=True):
-    """`switch_s`: seconds until it holds; `base`: the version that it was made from, if that matters."""
+    """The body of a proposal. `base`: the version that it was made from, if that matters."""
 
     policy: Any
-    switch_s: float | None = None
+    switch_s: float | None = None  # seconds until it takes effect
     base: int | None = None
 
 
 def fleet(context: SidecarContext, body: bytes) -> AdminResult:
+    """The members and links, as this sidecar sees them."""
     return "", msgspec.json.encode(context.fleet.told()) + b"\n"
 
 
 def policy(context: SidecarContext, body: bytes) -> AdminResult:
+    """The policy in force, the open proposal and its votes."""
     return "", msgspec.json.encode(context.fleet.policy_told()) + b"\n"
 
 
-def propose(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
-    policy_replica, policy_controller = (
-        context.fleet.policy_controller.policy_replica,
-        context.fleet.policy_controller,
-    )
-    try:
-        given = msgspec.json.decode(body, type=ProposalCommand)
-    except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise _no(BAD, str(error)) from error
-    lease = policy_replica.lease
-    span = DEFAULT_SWITCH_DELAY * lease if given.switch_s is None else given.switch_s
-    if not MIN_SWITCH_DELAY * lease < span <= FURTHEST:
-        why = f"switch_s: {span} is not between {MIN_SWITCH_DELAY * lease} and {FURTHEST}"
-        raise _no(BAD, why)
-    if why := policy_controller.check(given.policy):
-        raise _no(BAD, why)
-    policy_replica.now = context.loop.now()
-    if doubt := policy_replica.doubt():
-        raise _no(NOT_NOW, f"which policy holds is not known here: {doubt}", doubt)
-    known = policy_replica.known
-    if given.base is not None and given.base != known:
-        why = f"made from version {given.base}; {known} is in force or decided"
-        raise _no(CONFLICT, why)
-    if policy_replica.decision is not None and policy_replica.now < policy_replica.decision.at:
-        why = f"version {known} is decided and does not hold yet"
-        raise _no(CONFLICT, why)
-    if policy_replica.records.next is not None:
-        why = f"version {policy_replica.records.next.policy.version} is proposed already"
-        raise _no(CONFLICT, why)
-    txn, change = policy_replica.propose(given.policy, span)
-    yield from _written(context, txn)
-    told = {"version": change.policy.version, "digest": change.policy.digest, "at": change.at}
-    return str(change.policy.version), msgspec.json.encode(told) + b"\n"
-
-
-def drop(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
-    policy_replica = context.fleet.policy_controller.policy_replica
-    policy_replica.now = context.loop.now()
-    name = named(body)
-    change = policy_replica.records.next
-    if change is None or str(change.policy.version) != name:
-        raise _no(CONFLICT, f"version {name} is not an open proposal", "not open")
-    txn = policy_replica.drop("operators have said so")
-    assert txn is not None
-    yield from _written(context, txn)
-    return name, b""
-
-
-def retire(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
-    """That name will not come back: more than half is counted without it from now on."""
+def propose(context: SidecarContext, body: bytes) -> PendingResult:
+    """Propose a change of the policy; raises `CallRejectedError`."""
+    controller = context.fleet.policy_controller
+    replica = controller.policy_replica
+    command = _decode(body, ProposalCommand)
+    delay = _switch_delay(command, replica.lease)
+    if faults := controller.check(command.policy):
+        raise _rejected(BAD, faults)
+    replica.now = context.loop.now()
+    _check_may_propose(replica, command)
+    transaction, proposal = replica.propose(command.policy, delay)
+    yield from _write(context, transaction)
+    version, digest = proposal.policy.version, proposal.policy.digest
+    answer = {"version": version, "digest": digest, "at": proposal.at}
+    return str(version), msgspec.json.encode(answer) + b"\n"
+
+
+def _switch_delay(command: ProposalCommand, lease: float) -> float:
+    """Seconds until the switch time; `lease`: seconds."""
+    delay = DEFAULT_SWITCH_DELAY * lease if command.switch_s is None else command.switch_s
+    if not MIN_SWITCH_DELAY * lease < delay <= MAX_SWITCH_DELAY:
+        bounds = f"{MIN_SWITCH_DELAY * lease} and {MAX_SWITCH_DELAY}"
+        raise _rejected(BAD, f"switch_s: {delay} is not between {bounds}")
+    return delay
+
+
+def _check_may_propose(replica: PolicyReplica, command: ProposalCommand) -> None:
+    if doubt := replica.doubt():
+        raise _rejected(NOT_NOW, f"which policy holds is not known here: {doubt}", doubt)
+    known = replica.known
+    if command.base is not None and command.base != known:
+        raise _rejected(CONFLICT, f"made from version {command.base}; {known} is in force or decided")
+    if replica.decision is not None and replica.now < replica.decision.at:
+        raise _rejected(CONFLICT, f"version {known} is decided and does not hold yet")
+    if replica.records.next is not None:
+        version = replica.records.next.policy.version
+        raise _rejected(CONFLICT, f"version {version} is proposed already")
+
+
+def drop(context: SidecarContext, body: bytes) -> PendingResult:
+    """Drop the open proposal, whose version the call names; raises `CallRejectedError`."""
+    replica = context.fleet.policy_controller.policy_replica
+    replica.now = context.loop.now()
+    version = named(body)
+    proposal = replica.records.next
+    if proposal is None or str(proposal.policy.version) != version:
+        raise _rejected(CONFLICT, f"version {version} is not an open proposal", "not open")
+    transaction = replica.drop(OPERATORS_REASON)
+    assert transaction is not None
+    yield from _write(context, transaction)
+    return version, b""
+
+
+def retire(context: SidecarContext, body: bytes) -> PendingResult:
+    """Take a name off the registered ones, of which a majority is counted; raises `CallRejectedError`."""
     records = context.fleet.policy_controller.policy_replica.records
     name = named(body)
     if name not in records.names:
-        raise _no(CONFLICT, f"{name!r} is not registered", "not registered")
+        raise _rejected(CONFLICT, f"{name!r} is not registered", "not registered")
     if any(member.name == name for member in records.members.values()):
-        raise _no(CONFLICT, f"{name!r} is there", "in the view")
+        raise _rejected(CONFLICT, f"{name!r} is there", "in the view")
     if records.next is not None:
-        # Guards against a decision by more than half of what it was when votes were given.
-        raise _no(CONFLICT, "a change of the policy is open", "a change is open")
-    same = [equal(NAMES + name, "CREATE", records.names[name]), equal(NEXT, "CREATE", 0)]
-    yield from _written(context, Transaction("retire", same, [], [NAMES + name]))
+        # Does not change of how many names a majority is while votes are given.
+        raise _rejected(CONFLICT, "a change of the policy is open", "a change is open")
+    unchanged = [equal(NAMES + name, "CREATE", records.names[name]), equal(NEXT, "CREATE", 0)]
+    yield from _write(context, Transaction("retire", unchanged, [], [NAMES + name]))
     return name, b""
 
 
 def zones(context: SidecarContext, body: bytes) -> AdminResult:
+    """The zone plan, and what it rests on."""
     return "", msgspec.json.encode(context.fleet.module.zone_controller.status()) + b"\n"
 
 
-def zone(
-    change: Callable[[ZonePlanner, str, str], Transaction | None],
-) -> Callable[[SidecarContext, bytes], Generator[float, Any, AdminResult]]:
-    def said(context: SidecarContext, body: bytes) -> Generator[float, Any, AdminResult]:
-        zone_controller = context.fleet.module.zone_controller
-        try:
-            word = msgspec.json.decode(body, type=ZoneCommand)
-        except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise _no(BAD, str(error)) from error
-        if not zone_controller.enabled:
-            raise _no(CONFLICT, "there is no zones part, so no plan", "no plan")
-        if word.zone not in {u.entry.zone for u in context.coordinator.pools.values()}:
-            raise _no(BAD, f"no upstream of a zone {word.zone!r} is listed", "unknown zone")
-        zone_controller.zone_health.now = context.loop.now()
-        txn = change(zone_controller.zone_planner, word.zone, word.why)
-        if txn is None:
-            raise _no(CONFLICT, f"zone {word.zone!r} is not left", "whole")
-        yield from _written(context, txn)
-        return word.zone, b""
-
-    return said
-
-
-def _written(context: SidecarContext, txn: Transaction) -> Generator[float, Any, None]:
-    message = WriteTransaction(txn)
+def zone(change: ZoneChange) -> Callable[[SidecarContext, bytes], PendingResult]:
+    """The call that makes this change of the plan for a zone."""
+
+    def carry_out(context: SidecarContext, body: bytes) -> PendingResult:
+        controller = context.fleet.module.zone_controller
+        command = _decode(body, ZoneCommand)
+        if not controller.enabled:
+            raise _rejected(CONFLICT, "there is no zones part, so no plan", "no plan")
+        if command.zone not in {pool.entry.zone for pool in context.coordinator.pools.values()}:
+            raise _rejected(BAD, f"no upstream of a zone {command.zone!r} is listed", "unknown zone")
+        controller.zone_health.now = context.loop.now()
+        transaction = change(controller.zone_planner, command.zone, command.reason)
+        if transaction is None:
+            raise _rejected(CONFLICT, f"zone {command.zone!r} is not left", "whole")
+        yield from _write(context, transaction)
+        return command.zone, b""
+
+    return carry_out
+
+
+def _decode(body: bytes, kind: type[CommandT]) -> CommandT:
+    try:
+        return msgspec.json.decode(body, type=kind)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise _rejected(BAD, str(error)) from error
+
+
+def _write(context: SidecarContext, transaction: Transaction) -> Generator[float, Any, None]:
+    """Write to the coordination store; raises `CallRejectedError` if it fails or takes too long."""
+    message = WriteTransaction(transaction)
     context.fleet.state_writer.post(message)
-    until = context.loop.now() + WITHIN
+    until = context.loop.now() + WRITE_TIMEOUT
     while message.done is None:
         if context.loop.now() >= until:
-            raise _no(NOT_NOW, "the arbiter has not answered")
-        yield context.loop.now() + LOOK
+            raise _rejected(NOT_NOW, "the arbiter has not answered")
+        yield context.loop.now() + POLL_INTERVAL
     if not message.done:
-        raise _no(CONFLICT, "something changed meanwhile")
+        raise _rejected(CONFLICT, "something changed meanwhile")
 
 
-def _no(status: int, why: str, reason: str = "") -> CallRejectedError:
-    """`reason`: for the log, where `why` says more."""
-    return CallRejectedError(status, reason or why, msgspec.json.encode({"error": why}) + b"\n")
+def _rejected(status: int, error: str, reason: str = "") -> CallRejectedError:
+    """The error to raise. `reason`: for the log, where `error` says more."""
+    return CallRejectedError(status, reason or error, msgspec.json.encode({"error": error}) + b"\n")
 
 
 CALLS = {
@@ -158,6 +178,6 @@
     b"/_zones/return": AdminRoute(b"PUT", zone(ZonePlanner.let_return)),
     b"/_zones/hold": AdminRoute(b"PUT", zone(ZonePlanner.hold)),
     b"/_policy": AdminRoute(b"GET", policy),
-    b"/_policy/propose": AdminRoute(b"PUT", propose, LONGEST),
+    b"/_policy/propose": AdminRoute(b"PUT", propose, MAX_PROPOSAL_SIZE),
     b"/_policy/drop": AdminRoute(b"PUT", drop),
 }
--- /dev/null
+++ b/starlingwheel/net/fleet/policy_poller.py
@@ -0,0 +1,117 @@
+"""Asks other members for their policy status, where it is needed and no link brings it."""
+
+from __future__ import annotations
+
+import random
+from math import inf
+
+from ...fleet.policy.replica import PolicyReplica
+from ...fleet.policy.statuses import STATUS_LIFETIME
+from ..actor import Actor, Coroutine
+from .links import LinkManager, MemberQuery
+from .messages import CHECK_LINKS, REGISTER_AGAIN
+
+MAX_QUERIES = 16  # members asked at a time
+POLL_INTERVAL = 1 / 16  # of the lifetime of a status
+REFRESH_AGE = 3 / 4  # of the lifetime: so old is the latest status of a group when it is asked for again
+QUERY_TIMEOUT = 1 / 4  # of the lifetime: so long an answer is waited for before another member is asked
+JITTER_MIN, JITTER_RANGE = 0.75, 0.5  # of the poll interval
+
+Group = int | str  # another cell, or a member of our own cell by its name
+
+
+class PolicyPoller(Actor):
+    """Asks one member of each other cell, which relays the statuses of its cell, and all of our own.
+
+    While a decision is waited for, it has the watch of the coordination store registered again as well.
+    """
+
+    daemon = True
+
+    def __init__(
+        self,
+        links: LinkManager,
+        policy_replica: PolicyReplica,
+        state_watcher: Actor,
+        rng: random.Random,
+        lease: float,
+    ) -> None:
+        """`lease`: seconds."""
+        self.links, self.policy_replica, self.state_watcher = links, policy_replica, state_watcher
+        self.rng, self.status_lifetime = rng, STATUS_LIFETIME * lease
+        self.register_at = -inf
+        self.asked_at: dict[Group, float] = {}  # the last time, by group
+        super().__init__(links.loop)
+
+    def run(self) -> Coroutine[None]:
+        """Polls whenever the statuses of others are needed."""
+        while True:
+            until = self._next_poll_at()
+            while self.loop.now() < until:
+                yield until
+            now = self.policy_replica.now = self.loop.now()
+            if self.policy_replica.uneasy:
+                self._poll(now)
+
+    def _next_poll_at(self) -> float:
+        replica, now = self.policy_replica, self.loop.now()
+        jitter = JITTER_MIN + JITTER_RANGE * self.rng.random()
+        until = now + POLL_INTERVAL * self.status_lifetime * jitter
+        uneasy_at = replica.uneasy_at()
+        if uneasy_at > now and not replica.doubt_since:
+            until = max(until, min(uneasy_at, now + self.status_lifetime))
+        return until
+
+    def _poll(self, now: float) -> None:
+        replica = self.policy_replica
+        for link in self.links.links.values():
+            link.post(CHECK_LINKS)
+        for address in self._addresses(now):
+            MemberQuery(self.links, address, replica.known).begin()
+        if replica.promise is not None and now >= max(replica.promise.at, self.register_at):
+            # The watch may have gone silent just when the decision is waited for.
+            self.register_at = now + replica.lease
+            self.state_watcher.post(REGISTER_AGAIN)
+
+    def _addresses(self, now: float) -> list[str]:
+        """Whom to ask now: one of each group, of those whose statuses are the oldest."""
+        groups = self._unlinked_groups()
+        latest = self._latest_statuses()
+        self.asked_at = {group: at for group, at in self.asked_at.items() if group in groups}
+        due = [
+            group
+            for group in groups
+            if now >= latest.get(group, -inf) + REFRESH_AGE * self.status_lifetime
+            and now >= self.asked_at.get(group, -inf) + QUERY_TIMEOUT * self.status_lifetime
+        ]
+        # Shuffled first, so that not all members ask the same ones.
+        self.rng.shuffle(due)
+        due.sort(key=lambda group: max(latest.get(group, -inf), self.asked_at.get(group, -inf)))
+        chosen = due[:MAX_QUERIES]
+        self.asked_at |= dict.fromkeys(chosen, now)
+        return [self.rng.choice(groups[group]) for group in chosen]
+
+    def _unlinked_groups(self) -> dict[Group, list[str]]:
+        """The addresses of members that we have no link with, by group."""
+        view, replica = self.links.view, self.policy_replica
+        present = {member.name: member.address for member in view.members.values()}
+        linked = {view.members[member].name for member in self.links.links if member in view}
+        absent = {name: at for name, at in replica.kept.addresses.items() if name not in present}
+        own_address, own_cell = present.get(replica.name, ""), view.cell_of(replica.member_id)
+        groups: dict[Group, list[str]] = {}
+        for name, address in (absent | present).items():
+            if name not in linked and address and address != own_address:
+                cell = view.cell_of(f"{name}.")
+                groups.setdefault(name if cell == own_cell else cell, []).append(address)
+        return groups
+
+    def _latest_statuses(self) -> dict[Group, float]:
+        """When the latest status of each group was made."""
+        view = self.links.view
+        own_cell = view.cell_of(self.policy_replica.member_id)
+        latest: dict[Group, float] = {}
+        for status in self.policy_replica.words.values():
+            cell = view.cell_of(status.member)
+            group = status.name if cell == own_cell else cell
+            latest[group] = max(status.at, latest.get(group, -inf))
+        return latest
