--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -21,8 +21,9 @@
 from starlingwheel.net.fleet.policy import VoteStore
 from trials import policy
 from trials.broken import POLICY_VARIANTS, LeaseTrustedOver, NoBinding, NoDoubt
-from trials.emulated_policy import QUIET, SCENES, play
+from trials.emulated_policy import QUIET, play
 from trials.model_policy import Bounds, explore
+from trials.policy_scenes import SCENES
 from trials.rig import ROOT, Rig
 
 
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("kind", ZONE_VARIANTS)
 def test_each_broken_variant_is_caught(kind):
     case = ZONE_VARIANTS[kind]
-    assert play(2, 30, case, kind=kind)[1] and not play(2, 30, case)[1]
+    assert play(2, 30, case, planner_type=kind)[1] and not play(2, 30, case)[1]
 
 
 @pytest.mark.xdist_group("trials-2")
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -1,8 +1,9 @@
 """Changes of the policy of a whole fleet in emulated time: by `fleet/policy`, no sockets.
 
 Members are stepped in one process, each with a clock of its own. They crash and come back, with what they
-kept or without, pause, are cut from the arbiter and from each other; the arbiter goes, and loses replies once
-they were applied. Each step of a member that may take work is an observation: under which policy, when.
+stored or without, pause, and lose the coordination store and each other; the store goes down, and its replies
+are lost once they were applied. Each step of a member that may take requests is an observation: under which
+policy, and when.
 """
 
 from __future__ import annotations
@@ -12,338 +13,325 @@
 import random
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, fields
 from math import inf
 from typing import Any
 
 import msgspec
 
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY, PolicyReplica, StoredPolicy
+from starlingwheel.fleet.policy.document import Body
+from starlingwheel.fleet.policy.host import StoredPolicy
+from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY, PolicyReplica
 from starlingwheel.fleet.policy.statuses import PolicyStatus
-from starlingwheel.fleet.records import (
-    MEMBERS,
-    NAMES,
-    NOW,
-    Policy,
-    PolicyDecision,
-    StoreEntry,
-    StoreRecords,
-    Transaction,
-)
-
-LEASE = 2.0
-STEP = 0.05  # seconds between the steps of a member
-SKEW = 0.1  # seconds that a clock may be off, either way
-PAUSE = 0.05  # seconds after a transaction before the next
-NEAR = 1 / 320  # seconds a member, as the program's links have it where words are needed
-
-
-class Arbiter:
-    """What the real one does with transactions, leases and watches, in order of revisions."""
-
-    def __init__(self) -> None:
-        self.revision = 1
-        self.entries: dict[str, StoreEntry] = {}
-        self.events: list[tuple[int, str, StoreEntry | None]] = []
-        self.decided: list[PolicyDecision] = []
-        self.calls = 0
-
-    def holds(self, txn: Transaction) -> bool:
-        for one in txn.compare:
-            found = (
-                [e for key, e in self.entries.items() if key.startswith(one.key)]
-                if one.prefix
-                else [self.entries.get(one.key, StoreEntry(b"", 0, 0))]
-            )
-            for entry in found:
-                has = entry.create if one.target == "CREATE" else entry.mod
-                if not (has == one.value if one.result == "EQUAL" else has < one.value):
-                    return False
-        return True
-
-    def write(self, txn: Transaction) -> bool:
-        self.calls += 1
-        if not self.holds(txn):
-            return False
-        self.revision += 1
-        for key, value in txn.put:
-            self.put(key, value)
-        for key in txn.erase:
-            for one in [k for k in self.entries if k == key or (key.endswith("/") and k.startswith(key))]:
-                self.erase(one)
-        return True
-
-    def put(self, key: str, value: bytes) -> None:
-        before = self.entries.get(key)
-        self.entries[key] = StoreEntry(value, before.create if before else self.revision, self.revision)
-        self.events.append((self.revision, key, self.entries[key]))
-        if key == NOW:
-            self.decided.append(msgspec.json.decode(value, type=PolicyDecision))
-
-    def erase(self, key: str) -> None:
-        del self.entries[key]
-        self.events.append((self.revision, key, None))
-
-
-class Host:
-    """One member: `Following`, its clock, its watch, and what outlives it."""
+from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
+
+from .emulated_store import EmulatedStore
+
+LEASE = 2.0  # seconds
+STEP = 0.05  # seconds between the steps of a member, on average
+MAX_SKEW = 0.1  # seconds that a clock may be off, either way
+WRITE_PAUSE = 0.05  # seconds after a transaction before the next
+STATUS_INTERVAL = 1 / 320  # seconds for each member, as the program's links have it where statuses are needed
+MIN_STATUS_INTERVAL = 0.1  # seconds
+STATUS_DELAY = 0.02  # seconds that a status takes at most
+RENEWAL_INTERVAL = LEASE / 3  # seconds
+RENEWAL_REPLY_CHANCE = 0.95
+WATCH_CHANCE = 0.7  # that the watch delivers in a step
+PROMPT_WRITE = 0.002  # seconds that a transaction takes as a rule
+PROMPT_WRITE_CHANCE = 0.9
+EXPIRY_INTERVAL = 0.05  # seconds between two looks at which leases have expired
+BEGIN = 3.0  # seconds until the first change
+
+Play = tuple[dict[str, Any], list[str]]  # counts, and promises that were broken
+ReplicaType = Callable[..., PolicyReplica]
+
+
+class EmulatedMember:
+    """One member: its replica, clock and watch. It is the replica's host."""
 
     def __init__(self, world: World, name: str, number: int) -> None:
+        """`number`: of this start, over the whole fleet."""
         self.world, self.name, self.id = world, name, f"{name}.{number:06d}"
-        self.skew = world.rng.uniform(-SKEW, SKEW)
-        kept = world.files.get(name)
-        kept = copy.deepcopy(kept) if kept else StoredPolicy("f")
-        self.policy_replica: Any = world.kind(self.id, name, LEASE, self, world.now + self.skew, kept)
-        self.records, self.seen = StoreRecords(), 0
-        self.watch: list[tuple[int, StoreRecords]] = []
+        self.skew = world.rng.uniform(-MAX_SKEW, MAX_SKEW)
+        stored = world.files.get(name)
+        stored = copy.deepcopy(stored) if stored else StoredPolicy("f")
+        self.policy_replica = world.replica_type(self.id, name, LEASE, self, self.clock(), stored)
+        self.records, self.events_seen = StoreRecords(), 0
         self.alive, self.paused_until = True, 0.0
-        self.lease_asked, self.term = -inf, 0
+        self.renewed_at, self.entered = -inf, 0
         self.wrote_at = -inf
-        self.said_at = 0.0
-        self.pending: dict[str, PolicyStatus] = {}
-        self.gap = True
+        self.status_sent_at = 0.0
+        self.pending_statuses: dict[str, PolicyStatus] = {}  # that came while it was paused
+        self.must_read_all = True
         self.policy_replica.begin()
 
-    # The door.
+    def clock(self) -> float:
+        """The time by its own clock."""
+        return self.world.now + self.skew
 
-    def check(self, body: Any) -> str:
+    # What the replica asks for; see `PolicyHost`.
+
+    def check(self, body: Body) -> str:
+        """A policy may name members that can't follow it."""
         return "not here" if self.name in body["settings"].get("not", []) else ""
 
     def keep(self, kept: StoredPolicy) -> None:
+        """Store it in the world's files."""
         self.world.files[self.name] = copy.copy(kept)
 
     def kept(self) -> str | None:
+        """All is stored at once."""
         return ""
 
     def rule(self, policy: Policy) -> None:
-        pass
+        """Nothing has to be put in force."""
 
     def ask(self, member: str) -> None:
-        other = self.world.hosts.get(member)
-        if other is not None and self.world.reach(self, other) and other.policy_replica.decision is not None:
+        """Take over the decision of that member, if it can be reached."""
+        other = self.world.members.get(member)
+        if other is None or not self.world.is_linked(self, other):
+            return
+        if other.policy_replica.decision is not None:
             self.policy_replica.told(other.policy_replica.decision)
 
-    def note(self, event: str, **fields: Any) -> None:
-        self.world.notes[event] += 1
+    def note(self, event: str, **fields: object) -> None:
+        """Count the event."""
+        self.world.log_counts[event] += 1
         if self.world.trace:
             print(f"{self.world.now:.3f} {self.id} {event} {fields}")
 
     # Its steps.
 
     def step(self) -> None:
-        world, policy_replica = self.world, self.policy_replica
+        """Do all that is due; requests come before, in between and after."""
         if not self.alive:
             return
-        if world.now >= self.paused_until:
-            # What waits is met in any order: work that came meanwhile may be first.
-            policy_replica.now = world.now + self.skew
-            self._take()
-            for word in self.pending.values():
-                policy_replica.heard(word)
-            self.pending.clear()
-            self._take()
-            self._follow()
-            policy_replica.now = world.now + self.skew
-            self._lease()
-            self._say()
-            self._write()
-            self._take()
-        world.at(world.now + STEP * world.rng.uniform(0.5, 1.5), self.step)
-
-    def _take(self) -> None:
-        """Work that comes now."""
+        if self.world.now >= self.paused_until:
+            self._run()
+        self.world.at(self.world.now + STEP * self.world.rng.uniform(0.5, 1.5), self.step)
+
+    def _run(self) -> None:
+        # After a pause, what has waited is met in any order: requests may come first.
+        self.policy_replica.now = self.clock()
+        self._take_requests()
+        for status in self.pending_statuses.values():
+            self.policy_replica.heard(status)
+        self.pending_statuses.clear()
+        self._take_requests()
+        self._follow_watch()
+        self.policy_replica.now = self.clock()
+        self._renew_lease()
+        self._send_statuses()
+        self._write()
+        self._take_requests()
+
+    def _take_requests(self) -> None:
         if not self.policy_replica.doubt():
-            policy = self.policy_replica.in_force
-            self.world.observe(self, policy)
+            self.world.observe(self, self.policy_replica.in_force)
 
-    def _follow(self) -> None:
-        """The watch: late by a while, in order; nothing while cut off."""
+    def _follow_watch(self) -> None:
+        """The watch: late by a while, in order; nothing while the store can't be reached."""
         world = self.world
-        if not world.asks(self) or world.now < world.stalled.get(self.name, 0.0):
+        if not world.reaches_store(self) or world.now < world.stalled.get(self.name, 0.0):
             return
-        arbiter = world.arbiter
-        if self.gap:
-            self.records = StoreRecords()
-            for key in sorted(arbiter.entries):
-                self.records.put(key, arbiter.entries[key])
-            self.seen = len(arbiter.events)
-            self.records.revision = arbiter.revision
-            self.policy_replica.recorded(self.records.copy(), True)
-            self.gap = False
+        if self.must_read_all:
+            self._read_all()
             return
-        upto = len(arbiter.events) if world.rng.random() < 0.7 else self.seen
-        changed, members, last = False, False, 0
-        for revision, key, entry in arbiter.events[self.seen : upto]:
-            if members and revision != last:
+        upto = len(world.store.events) if world.rng.random() < WATCH_CHANCE else self.events_seen
+        changed, members_changed, last = False, False, 0
+        for revision, key, entry in world.store.events[self.events_seen : upto]:
+            if members_changed and revision != last:
                 self.policy_replica.recorded(self.records.copy(), False)
-                members = False
+                members_changed = False
             last, changed = revision, True
-            members = members or key.startswith(MEMBERS)
+            members_changed = members_changed or key.startswith(MEMBERS)
             self.records.revision = revision
             if entry is None:
                 self.records.erase(key)
             else:
                 self.records.put(key, entry)
-        self.seen = upto
+        self.events_seen = upto
         if changed:
             self.policy_replica.recorded(self.records.copy(), False)
 
-    def _lease(self) -> None:
-        world = self.world
-        if world.now < self.lease_asked + LEASE / 3 or not world.asks(self):
+    def _read_all(self) -> None:
+        store = self.world.store
+        self.records = StoreRecords()
+        for key in sorted(store.entries):
+            self.records.put(key, store.entries[key])
+        self.events_seen = len(store.events)
+        self.records.revision = store.revision
+        self.policy_replica.recorded(self.records.copy(), True)
+        self.must_read_all = False
+
+    def _renew_lease(self) -> None:
+        world, store = self.world, self.world.store
+        if world.now < self.renewed_at + RENEWAL_INTERVAL or not world.reaches_store(self):
             return
-        entry = f"{MEMBERS}{self.id}"
-        if entry not in world.arbiter.entries:
-            world.arbiter.revision += 1
-            member = Member(self.id, self.name, self.name)
-            world.arbiter.put(entry, msgspec.json.encode(member))
-            if f"{NAMES}{self.name}" not in world.arbiter.entries:
-                world.arbiter.put(f"{NAMES}{self.name}", b"1")
-            self.term = world.arbiter.revision
-        world.leases[entry] = world.now + LEASE
-        self.lease_asked = world.now
-        if world.rng.random() < 0.95:  # else the reply is lost
-            self.policy_replica.renewed(world.now + self.skew + LEASE, self.term)
-
-    def _say(self) -> None:
-        """Words over the links, and to whom we have none with."""
+        key = MEMBERS + self.id
+        if key not in store.entries:
+            store.revision += 1
+            store.put(key, msgspec.json.encode(Member(self.id, self.name, self.name)))
+            if NAMES + self.name not in store.entries:
+                store.put(NAMES + self.name, b"1")
+            self.entered = store.revision
+        world.leases[key] = world.now + LEASE
+        self.renewed_at = world.now
+        if world.rng.random() < RENEWAL_REPLY_CHANCE:  # else the reply is lost
+            self.policy_replica.renewed(self.clock() + LEASE, self.entered)
+
+    def _send_statuses(self) -> None:
         world = self.world
-        each = max(0.1, len(world.hosts) * NEAR)
-        if world.now < self.said_at + each:
+        interval = max(MIN_STATUS_INTERVAL, len(world.members) * STATUS_INTERVAL)
+        if world.now < self.status_sent_at + interval:
             return
-        self.said_at = world.now
-        for other in list(world.hosts.values()):
+        self.status_sent_at = world.now
+        for other in list(world.members.values()):
             if other is self or not (self.policy_replica.uneasy or other.policy_replica.uneasy):
                 continue
-            if not other.alive or not world.reach(self, other):
-                continue
-            word = msgspec.structs.replace(
-                self.policy_replica.word(), at=world.now + self.skew - world.rng.uniform(0, 0.02)
-            )
-            world.words += 1
-            if world.now < other.paused_until:
-                other.pending[self.id] = word  # it is read once that goes on
-            else:
-                other.policy_replica.now = world.now + other.skew
-                other.policy_replica.heard(word)
+            if other.alive and world.is_linked(self, other):
+                self._send_status(other)
+
+    def _send_status(self, other: EmulatedMember) -> None:
+        world = self.world
+        made_at = self.clock() - world.rng.uniform(0, STATUS_DELAY)
+        status = msgspec.structs.replace(self.policy_replica.word(), at=made_at)
+        world.statuses_sent += 1
+        if world.now < other.paused_until:
+            other.pending_statuses[self.id] = status
+        else:
+            other.policy_replica.now = other.clock()
+            other.policy_replica.heard(status)
 
     def _write(self) -> None:
         world = self.world
-        if world.now < self.wrote_at + PAUSE or not world.asks(self):
+        if world.now < self.wrote_at + WRITE_PAUSE or not world.reaches_store(self):
             return
         due = self.policy_replica.due()
         if isinstance(due, Transaction):
             self.wrote_at = world.now
-            # It may reach the arbiter late, when what it was made from is over.
-            delay = 0.002 if world.rng.random() < 0.9 else world.rng.uniform(0, LEASE / 3)
-            delay = world.late.get(due.what, delay)
-            world.at(world.now + delay, lambda: world.asks(self) and world.arbiter.write(due))
+            # It may reach the store late, when what it was made from is over.
+            is_prompt = world.rng.random() < PROMPT_WRITE_CHANCE
+            delay = PROMPT_WRITE if is_prompt else world.rng.uniform(0, LEASE / 3)
+            delay = world.write_delays.get(due.what, delay)
+            world.at(world.now + delay, lambda: world.reaches_store(self) and world.store.write(due))
 
 
 @dataclass
-class Timetable:
-    """What goes wrong: how often a second each, over the fleet."""
+class FaultRates:
+    """How often a second each fault happens, over the fleet."""
 
     crash: float = 0.3
-    forget: float = 0.1  # a crash that loses what was kept
+    forget: float = 0.1  # a crash that loses what was stored
     pause: float = 0.4
-    cut: float = 0.3  # from the arbiter
-    stalled: float = 0.3  # hears of no changes there, while it renews its lease
+    cut: float = 0.3  # from the store
+    stalled: float = 0.3  # sees no changes there, while it renews its lease
     apart: float = 0.15  # two from each other
-    split: float = 0.1  # some from the others and the arbiter
-    down: float = 0.08
-    ended: float = 0.1
-    longest: float = 10.0
+    split: float = 0.1  # some from the others and the store
+    down: float = 0.08  # the store
+    ended: float = 0.1  # an entry in the store
+    longest: float = 10.0  # seconds, of a fault
 
 
-QUIET = Timetable(*[0.0] * 9)
+QUIET = FaultRates(*[0.0] * (len(fields(FaultRates)) - 1))
 
 
 class World:
-    """A fleet, its arbiter and links, from one seed."""
+    """A fleet, its store and links, from one seed. Times are seconds."""
 
     def __init__(
-        self, seed: int, members: int = 8, kind: Callable[..., Any] = PolicyReplica, trace: bool = False
+        self, seed: int, members: int = 8, replica_type: ReplicaType = PolicyReplica, trace: bool = False
     ) -> None:
-        self.rng, self.kind, self.trace = random.Random(seed), kind, trace
-        self.now, self.count, self.started, self.words = 0.0, 0, 0, 0
-        self.queue: list[tuple[float, int, Callable[[], Any]]] = []
+        """`trace`: print the members' log."""
+        self.rng, self.replica_type, self.trace = random.Random(seed), replica_type, trace
+        self.now, self.scheduled, self.started, self.statuses_sent = 0.0, 0, 0, 0
+        self.queue: list[tuple[float, int, Callable[[], object]]] = []
         self.files: dict[str, StoredPolicy] = {}
-        self.arbiter = Arbiter()
+        self.store = EmulatedStore()
         self.leases: dict[str, float] = {}
         self.down_until = 0.0
-        self.cut: dict[str, float] = {}  # a name, and until when it has no arbiter
+        self.cut: dict[str, float] = {}  # a name, and until when it can't reach the store
         self.stalled: dict[str, float] = {}
-        self.late: dict[str, float] = {}  # transactions that take so long, by what they are
+        self.write_delays: dict[str, float] = {}  # of transactions, by what they are
         self.apart: dict[tuple[str, str], float] = {}
-        self.hosts: dict[str, Host] = {}
-        self.notes: Counter[str] = Counter()
-        self.seen: dict[tuple[str, int, str], list[float]] = {}
-        self.taken = 0
+        self.members: dict[str, EmulatedMember] = {}
+        self.log_counts: Counter[str] = Counter()
+        self.observed: dict[tuple[str, int, str], list[float]] = {}  # first and last, by member and policy
+        self.requests_taken = 0
         for number in range(members):
             self.start(f"n{number}")
         self.at(0.0, self._expire)
 
-    def at(self, when: float, what: Callable[[], Any]) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (when, self.count, what))
+    def at(self, when: float, action: Callable[[], object]) -> None:
+        """Schedule an action."""
+        self.scheduled += 1
+        heapq.heappush(self.queue, (when, self.scheduled, action))
 
     def until(self, when: float) -> None:
+        """Play up to that time."""
         while self.queue and self.queue[0][0] <= when:
-            self.now, _, what = heapq.heappop(self.queue)
-            what()
+            self.now, _, action = heapq.heappop(self.queue)
+            action()
         self.now = when
 
     def start(self, name: str) -> None:
+        """Start a process of that name."""
         self.started += 1
-        host = Host(self, name, self.started)
-        self.hosts[host.id] = host
-        self.at(self.now + self.rng.uniform(0, STEP), host.step)
-
-    def asks(self, host: Host) -> bool:
-        """Whether it reaches the arbiter."""
-        return self.now >= self.down_until and self.now >= self.cut.get(host.name, 0.0)
-
-    def reach(self, one: Host, other: Host) -> bool:
-        return self.now >= self.apart.get((one.name, other.name), 0.0)
-
-    def observe(self, host: Host, policy: Policy) -> None:
-        """By member and policy, the first and the last time."""
-        self.taken += 1
-        span = self.seen.setdefault((host.id, policy.version, policy.digest), [self.now, self.now])
+        member = EmulatedMember(self, name, self.started)
+        self.members[member.id] = member
+        self.at(self.now + self.rng.uniform(0, STEP), member.step)
+
+    def reaches_store(self, member: EmulatedMember) -> bool:
+        """Whether the member can reach the store now."""
+        return self.now >= self.down_until and self.now >= self.cut.get(member.name, 0.0)
+
+    def is_linked(self, member: EmulatedMember, other: EmulatedMember) -> bool:
+        """Whether the two can reach each other now."""
+        return self.now >= self.apart.get((member.name, other.name), 0.0)
+
+    def observe(self, member: EmulatedMember, policy: Policy) -> None:
+        """The member takes requests under that policy now."""
+        self.requests_taken += 1
+        span = self.observed.setdefault((member.id, policy.version, policy.digest), [self.now, self.now])
         span[1] = self.now
 
     def _expire(self) -> None:
         if self.now >= self.down_until:
-            for entry in [e for e, until in self.leases.items() if until <= self.now]:
+            for entry in [entry for entry, until in self.leases.items() if until <= self.now]:
                 self.end(entry)
-        self.at(self.now + 0.05, self._expire)
+        self.at(self.now + EXPIRY_INTERVAL, self._expire)
 
     def end(self, entry: str) -> None:
+        """End a member's lease, and its entry with it."""
         self.leases.pop(entry, None)
-        if entry in self.arbiter.entries:
-            self.arbiter.revision += 1
-            self.arbiter.erase(entry)
+        if entry in self.store.entries:
+            self.store.revision += 1
+            self.store.erase(entry)
 
     # Faults and changes.
 
-    def crash(self, host: Host, back: float, forget: bool) -> None:
-        host.alive = False
-        self.hosts.pop(host.id, None)
+    def crash(self, member: EmulatedMember, restart_after: float, forget: bool) -> None:
+        """Kill a member; it starts again after so many seconds, with its file unless it is to `forget`."""
+        member.alive = False
+        self.members.pop(member.id, None)
         if forget:
-            self.files.pop(host.name, None)
+            self.files.pop(member.name, None)
         if self.rng.random() < 0.7:
-            entry = f"{MEMBERS}{host.id}"
-            # Others find nobody there, and have the entry ended.
-            self.at(self.now + 0.1, lambda: self.now >= self.down_until and self.end(entry))
-        self.at(self.now + back, lambda: self.start(host.name))
+            self.at(self.now + 0.1, lambda: self._evict(member))
+        self.at(self.now + restart_after, lambda: self.start(member.name))
+
+    def _evict(self, member: EmulatedMember) -> None:
+        """Others can't reach it, and have its entry ended."""
+        if self.now >= self.down_until:
+            self.end(f"{MEMBERS}{member.id}")
 
     def fault(self, kind: str, lasts: float) -> None:
-        able = [h for h in self.hosts.values() if h.alive]
-        if len(able) < 2:
+        """A fault of that kind, by its name in `FaultRates`, for so many seconds."""
+        alive = [member for member in self.members.values() if member.alive]
+        if len(alive) < 2:
             return
-        one, other = self.rng.sample(able, 2)
+        one, other = self.rng.sample(alive, 2)
         until = self.now + lasts
         match kind:
             case "crash" | "forget":
@@ -357,182 +345,116 @@
             case "stalled":
                 self.stalled[one.name] = until
             case "split":
-                some = {h.name for h in self.rng.sample(able, self.rng.randint(1, len(able) - 1))}
-                rest = {h.name for h in able} - some
-                for a in some:
-                    self.cut[a] = until
-                    for b in rest:
-                        self.apart[a, b] = self.apart[b, a] = until
+                self._split(alive, until)
             case "down":
                 self.down_until = until
             case "ended":
                 self.end(f"{MEMBERS}{one.id}")
 
+    def _split(self, alive: list[EmulatedMember], until: float) -> None:
+        some = {member.name for member in self.rng.sample(alive, self.rng.randint(1, len(alive) - 1))}
+        others = {member.name for member in alive} - some
+        for name in some:
+            self.cut[name] = until
+            for other in others:
+                self.apart[name, other] = self.apart[other, name] = until
+
     def propose(self, number: int) -> None:
-        able = [h for h in self.hosts.values() if h.alive and self.now >= h.paused_until and self.asks(h)]
-        able = [h for h in able if h.policy_replica.sure and not h.policy_replica.doubt()]
+        """Have some member that can propose a policy of that number."""
+        able = [
+            member
+            for member in self.members.values()
+            if member.alive and self.now >= member.paused_until and self.reaches_store(member)
+        ]
+        able = [m for m in able if m.policy_replica.sure and not m.policy_replica.doubt()]
         if not able:
             return
-        host = self.rng.choice(able)
-        if host.policy_replica.records.next is not None:
+        author = self.rng.choice(able)
+        if author.policy_replica.records.next is not None:
             return
-        body = {"settings": {"number": number}, "cover": {}}
+        body: Body = {"settings": {"number": number}, "cover": {}}
         if self.rng.random() < 0.15:
             body["settings"]["not"] = [self.rng.choice(able).name]
-        host.policy_replica.now = self.now + host.skew
-        if self.arbiter.write(host.policy_replica.propose(body, DEFAULT_SWITCH_DELAY * LEASE)[0]):
-            self.notes["proposed"] += 1
-
-    def play(self, changes: int, faults: Timetable, rest: float = 20.0) -> None:
-        """`changes` one after another under faults, then quiet."""
-        self.until(3.0)
-        each = DEFAULT_SWITCH_DELAY * LEASE * 1.4
+        author.policy_replica.now = author.clock()
+        transaction, _ = author.policy_replica.propose(body, DEFAULT_SWITCH_DELAY * LEASE)
+        if self.store.write(transaction):
+            self.log_counts["proposed"] += 1
+
+    def play(self, changes: int, faults: FaultRates, rest: float = 20.0) -> None:
+        """`changes` one after another under faults, then `rest` seconds without."""
+        self.until(BEGIN)
+        interval = DEFAULT_SWITCH_DELAY * LEASE * 1.4
         for number in range(changes):
-            begin = 3.0 + number * each
+            begin = BEGIN + number * interval
             self.at(begin + self.rng.uniform(0, 0.5), lambda n=number: self.propose(n))
-            for kind, often in vars(faults).items():
-                if kind == "longest":
-                    continue
-                for _ in range(int(often * each) + (self.rng.random() < often * each % 1)):
-                    lasts = self.rng.uniform(0.1, self.rng.choice((2.0, faults.longest)))
-                    # Half of them near the proposal, when votes are given and counted.
-                    near = self.rng.random() < 0.5
-                    when = begin + (self.rng.gauss(0.3, 0.6) if near else self.rng.uniform(0, each))
-                    self.at(max(self.now, when), lambda k=kind, t=lasts: self.fault(k, t))
-        self.until(3.0 + changes * each + faults.longest + rest)
+            for kind, rate in vars(faults).items():
+                if kind != "longest":
+                    self._schedule_faults(kind, rate, begin, interval, faults.longest)
+        self.until(BEGIN + changes * interval + faults.longest + rest)
+
+    def _schedule_faults(self, kind: str, rate: float, begin: float, interval: float, longest: float) -> None:
+        for _ in range(int(rate * interval) + (self.rng.random() < rate * interval % 1)):
+            lasts = self.rng.uniform(0.1, self.rng.choice((2.0, longest)))
+            # Half of them near the proposal, when votes are given and counted.
+            is_near = self.rng.random() < 0.5
+            when = begin + (self.rng.gauss(0.3, 0.6) if is_near else self.rng.uniform(0, interval))
+            self.at(max(self.now, when), lambda k=kind, t=lasts: self.fault(k, t))
 
     # Verdicts.
 
     def broken(self) -> list[str]:
-        """Promises that were not kept, as work was taken."""
-        told, slack = [], 2 * SKEW
-        decided = {(d.policy.version, d.policy.digest): d for d in self.arbiter.decided}
-        ends = {d.policy.version - 1: d.at for d in self.arbiter.decided}
-        for (member, version, digest), (first, last) in self.seen.items():
+        """Promises that were broken, by the requests that were taken."""
+        broken, slack = [], 2 * MAX_SKEW
+        decided = {(d.policy.version, d.policy.digest): d for d in self.store.decided}
+        ends = {d.policy.version - 1: d.at for d in self.store.decided}
+        for (member, version, digest), (first, last) in self.observed.items():
             if version and (version, digest) not in decided:
-                told.append(f"{member} took work under {version} {digest}, which was never decided")
+                broken.append(f"{member} took work under {version} {digest}, which was never decided")
                 continue
             if version and first < decided[version, digest].at - slack:
-                told.append(f"{member} took work under {version} at {first:.3f}, before it held")
+                broken.append(f"{member} took work under {version} at {first:.3f}, before it held")
             if last > ends.get(version, inf) + slack:
-                told.append(
+                broken.append(
                     f"{member} took work under {version} at {last:.3f}, {ends[version]:.3f} was its end"
                 )
-        versions = [d.policy.version for d in self.arbiter.decided]
+        versions = [d.policy.version for d in self.store.decided]
         if versions != list(range(1, len(versions) + 1)):
-            told.append(f"versions decided: {versions}")
-        return told
+            broken.append(f"versions decided: {versions}")
+        return broken
 
     def behind(self) -> list[str]:
-        """Who does not serve under the last one, once all is quiet."""
-        last = len(self.arbiter.decided)
-        able = [h for h in self.hosts.values() if h.alive]
-        return [h.id for h in able if h.policy_replica.doubt() or h.policy_replica.in_force.version != last]
-
-
-# Scenes: one fault each, where a timetable would meet it only by chance.
-
-
-def _begun(members: int, kind: Callable[..., Any], trace: bool) -> tuple[World, list[Host]]:
-    world = World(7, members, kind, trace)
-    world.until(3.0)
-    return world, list(world.hosts.values())
-
-
-def _proposed(world: World, author: Host, unfit: str = "n99") -> float:
-    """A change by that one, which another one can't follow; its switch time."""
-    author.policy_replica.now = world.now + author.skew
-    body = {"settings": {"number": 1, "not": [unfit]}, "cover": {}}
-    assert world.arbiter.write(author.policy_replica.propose(body, DEFAULT_SWITCH_DELAY * LEASE)[0])
-    return world.now + DEFAULT_SWITCH_DELAY * LEASE
-
-
-def _lone(world: World, some: list[Host], until: float, leased: bool = False) -> None:
-    """No arbiter for these, and none of the others; `leased`: but that it renews their leases."""
-    for one in some:
-        (world.stalled if leased else world.cut)[one.name] = until
-        for other in world.hosts.values():
-            if other not in some:
-                world.apart[one.name, other.name] = world.apart[other.name, one.name] = until
-
-
-def minority(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
-    """Most are cut off and go on; the few that are left have the arbiter."""
-    world, hosts = _begun(8, kind, trace)
-    _lone(world, hosts[:5], 20.0)
-    world.until(6.0)
-    world.until(_proposed(world, hosts[7]) + 4.0)
-    return world
-
-
-def unseen(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
-    """One says yes and hears no more of it, though its lease goes on."""
-    world, hosts = _begun(5, kind, trace)
-    at = _proposed(world, hosts[0])
-    voter = hosts[3]
-    while not any(key.endswith(voter.id) for key in world.arbiter.entries if key.startswith("policy/votes")):
-        world.until(world.now + 0.001)
-    _lone(world, [voter], 30.0, leased=True)
-    world.until(at + 3.0)
-    return world
-
-
-def slept(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
-    """One is stopped before its vote, until after the switch time."""
-    world, hosts = _begun(5, kind, trace)
-    hosts[3].paused_until = 3.0 + DEFAULT_SWITCH_DELAY * LEASE + 1.0
-    world.until(_proposed(world, hosts[0]) + 3.0)
-    return world
-
-
-def alone(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
-    """One hears enough of the others once its lease is over, then nothing."""
-    world, hosts = _begun(5, kind, trace)
-    world.cut[hosts[3].name] = 40.0
-    world.until(6.0)
-    _lone(world, hosts[3:4], 40.0)
-    world.until(_proposed(world, hosts[0]) + 3.0)
-    return world
-
-
-def late(kind: Callable[..., Any] = PolicyReplica, trace: bool = False) -> World:
-    """A decision is on its way while another member comes, which can't follow it and is cut off."""
-    world, hosts = _begun(5, kind, trace)
-    world.late["decide"] = 0.4
-    at = _proposed(world, hosts[0], "n9")
-    while sum(key.startswith("policy/votes") for key in world.arbiter.entries) < 5:
-        world.until(world.now + 0.001)
-    world.until(world.now + 0.15)
-    world.late["vote"] = 50.0
-    world.start("n9")
-    (new,) = [host for host in world.hosts.values() if host.name == "n9"]
-    while new.id not in new.records.members:
-        world.until(world.now + 0.001)
-    _lone(world, [new], 30.0, leased=True)
-    world.until(at + 3.0)
-    return world
-
-
-SCENES = {scene.__name__: scene for scene in (minority, unseen, slept, alone, late)}
+        """Members that do not serve under the last policy, once all is quiet."""
+        last = len(self.store.decided)
+        alive = [member for member in self.members.values() if member.alive]
+        return [
+            member.id
+            for member in alive
+            if member.policy_replica.doubt() or member.policy_replica.in_force.version != last
+        ]
 
 
 def play(
     seed: int,
     members: int = 8,
     changes: int = 6,
-    faults: Timetable | None = None,
-    kind: Callable[..., Any] = PolicyReplica,
+    faults: FaultRates | None = None,
+    replica_type: ReplicaType = PolicyReplica,
     trace: bool = False,
-) -> tuple[dict[str, Any], list[str]]:
-    """Counts, and what was broken."""
-    world = World(seed, members, kind, trace)
-    world.play(changes, faults if faults is not None else Timetable())
+) -> Play:
+    """Counts, and promises that were broken."""
+    world = World(seed, members, replica_type, trace)
+    world.play(changes, faults if faults is not None else FaultRates())
     broken = world.broken()
     if behind := world.behind():
         broken.append(f"behind at the end: {behind[:4]}")
     counts = {
-        "seed": seed, "decided": len(world.arbiter.decided), "proposed": world.notes["proposed"],
-        "taken": world.taken, "doubts": world.notes["policy.doubt"], "words": world.words,
-        "calls": world.arbiter.calls, "open": "policy/next" in world.arbiter.entries,
-    }  # fmt: skip
+        "seed": seed,
+        "decided": len(world.store.decided),
+        "proposed": world.log_counts["proposed"],
+        "taken": world.requests_taken,
+        "doubts": world.log_counts["policy.doubt"],
+        "words": world.statuses_sent,
+        "calls": world.store.calls,
+        "open": NEXT in world.store.entries,
+    }
     return counts, broken
--- /dev/null
+++ b/trials/emulated_store.py
@@ -0,0 +1,64 @@
+"""The coordination store in emulated time: transactions as the real one applies them, by revision."""
+
+from __future__ import annotations
+
+import msgspec
+
+from starlingwheel.fleet.records import NOW, Compare, PolicyDecision, StoreEntry, Transaction
+
+ABSENT = StoreEntry(b"", 0, 0)  # what a condition on a missing key compares with
+
+
+class EmulatedStore:
+    """Its entries, and every change of them for watches."""
+
+    def __init__(self) -> None:
+        """An empty store at revision 1."""
+        self.revision = 1
+        self.entries: dict[str, StoreEntry] = {}
+        self.events: list[tuple[int, str, StoreEntry | None]] = []  # revision, key, None where it was erased
+        self.decided: list[PolicyDecision] = []
+        self.calls = 0
+
+    def holds(self, transaction: Transaction) -> bool:
+        """Whether all conditions of the transaction hold."""
+        return all(self._matches(condition) for condition in transaction.compare)
+
+    def _matches(self, condition: Compare) -> bool:
+        if condition.prefix:
+            found = [entry for key, entry in self.entries.items() if key.startswith(condition.key)]
+        else:
+            found = [self.entries.get(condition.key, ABSENT)]
+        revisions = [entry.create if condition.target == "CREATE" else entry.mod for entry in found]
+        if condition.result == "EQUAL":
+            return all(revision == condition.value for revision in revisions)
+        return all(revision < condition.value for revision in revisions)
+
+    def write(self, transaction: Transaction) -> bool:
+        """Apply the transaction if its conditions hold; whether they did."""
+        self.calls += 1
+        if not self.holds(transaction):
+            return False
+        self.revision += 1
+        for key, value in transaction.put:
+            self.put(key, value)
+        for erased in transaction.erase:
+            is_prefix = erased.endswith("/")
+            keys = [key for key in self.entries if key == erased or (is_prefix and key.startswith(erased))]
+            for key in keys:
+                self.erase(key)
+        return True
+
+    def put(self, key: str, value: bytes) -> None:
+        """Write one entry at the present revision."""
+        before = self.entries.get(key)
+        entry = StoreEntry(value, before.create if before else self.revision, self.revision)
+        self.entries[key] = entry
+        self.events.append((self.revision, key, entry))
+        if key == NOW:
+            self.decided.append(msgspec.json.decode(value, type=PolicyDecision))
+
+    def erase(self, key: str) -> None:
+        """Erase one entry at the present revision."""
+        del self.entries[key]
+        self.events.append((self.revision, key, None))
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -1,8 +1,8 @@
 """A zone of a whole fleet fails and returns, in emulated time: `fleet/zones`, no sockets.
 
-Members draw zones, their own first, and set one aside after failures in a row, each alone; with a plan its
-shares come on top. What upstreams and clients do is modelled plainly: this plays the fleet's decisions, not
-the module's. Beside a plan stand each alone, and one that leaves and returns with full knowledge.
+Members pick zones, their own first, and eject one after failures in a row, each alone; with a plan its shares
+come on top. Upstreams and clients are modelled plainly: this plays the fleet's decisions, not those of one
+sidecar. For comparison, the members can act without a plan, or leave and return with full knowledge.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from math import inf
 from typing import Any
 
@@ -20,328 +21,406 @@
 from starlingwheel.fleet.membership import Member
 from starlingwheel.fleet.records import MEMBERS, StoreRecords, Transaction, ZonePlan
 from starlingwheel.fleet.zones.health import ZoneAttemptResult, ZoneHealthTracker
-from starlingwheel.fleet.zones.planner import ZonePlanner
+from starlingwheel.fleet.zones.planner import ZonePlanner, ZoneTraffic
 
-from .emulated_policy import Arbiter
+from .emulated_store import EmulatedStore
 
 ZONES = ("north", "east", "south")
 REGIONS = {"north": "up", "east": "up", "south": "down"}
-GONE = "south"
-LEASE, DUE, SERVICE, STEP = 2.0, 1.0, 0.08, 0.05
-NEAR = 0.8  # part of a member's work that goes to its own zone
-RATE = 6.0  # work items a second of a member
-COPY = 0.3  # seconds after which one that is not exclusive goes elsewhere too
-FAILS, LASTS, AFTER = 6.0, 8.0, 26.0
-FALLS = 2.0  # times what a cold zone bears in half a second, at which it falls over
-COLD = (0.25, 6.0)  # what it bears at first, and for how long it is cold
+FAILING = "south"
+# Seconds:
+LEASE = 2.0
+OBJECTIVE = 1.0  # the latency objective
+SERVICE_TIME = 0.08
+STEP = 0.05  # between the steps of the fleet
+HEDGE_DELAY = 0.3  # after which an idempotent request is sent to another zone too
+FAILS_AT, FAILS_FOR, PLAYED_AFTER = 6.0, 8.0, 26.0
+REJECTION_TIME = 0.003
+ERROR_TIME = 0.005
+RATE_WINDOW = 0.5  # that a zone's rate is taken over
+WARM_UP = 6.0  # of a zone that comes back cold
+
+LOCAL_FRACTION = 0.8  # of a member's attempts that go to its own zone
+RATE = 6.0  # requests a second of a member
+NON_IDEMPOTENT_FRACTION = 0.25
+COLD_CAPACITY = 0.25  # of its capacity that a cold zone has at first
+OVERLOAD_MULTIPLE = 2.0  # times the capacity of a cold zone at which it falls over
+EJECTED_AFTER = 3  # failures in a row
+MAX_RETRIES = 2
+TIMEOUT_FRACTION = 0.9  # of the objective, after which nothing more is sent
+SCARCE = 1.5  # times the usual rate, below which capacities are given in the configuration
+
+PlannerType = Callable[..., ZonePlanner]
+
+
+class Strategy(StrEnum):
+    """How members leave a zone."""
+
+    PLAN = "plan"
+    ALONE = "alone"
+    KNOWN = "known"  # with full knowledge of what fails
 
 
 @dataclass(frozen=True)
 class Case:
     """What the zones do meanwhile."""
 
-    hurt: tuple[str, ...] = (GONE,)
-    part: float = 1.0  # of what is sent there that fails
-    silent: bool = True  # it is lost without a word, else told at once
-    seen_by: str = ""  # only members of that zone meet it
+    hurt: tuple[str, ...] = (FAILING,)
+    part: float = 1.0  # of the attempts there that fail
+    silent: bool = True  # without an answer, else with an error at once
+    seen_by: str = ""  # only members of that zone see it
     cold: bool = False
-    bears: float = 3.0  # times its usual work that each zone bears
-    helps: bool = True
-    flaps: float = 0.0
+    capacity: float = 3.0  # of each zone, as a multiple of its usual rate
+    helps: bool = True  # to leave the zones that fail
+    flaps: float = 0.0  # seconds for which it fails, and then not
 
 
 CASES = {
     "hang": Case(),
     "errors": Case(silent=False),
     "third": Case(part=0.34, silent=False),
-    "two": Case(hurt=("north", "east"), bears=6.0),
+    "two": Case(hurt=("north", "east"), capacity=6.0),
     "all": Case(hurt=ZONES, helps=False),
     "release": Case(hurt=ZONES, part=0.5, silent=False, helps=False),
     "cut": Case(seen_by="north", helps=False),
-    "near-full": Case(part=0.5, silent=False, bears=1.15),
+    "near-full": Case(part=0.5, silent=False, capacity=1.15),
     "cold": Case(cold=True),
     "flap": Case(flaps=4.0),
 }
 
 
-class Host:
-    """One member: what it sees and plans, and a plain sidecar."""
+class EmulatedMember:
+    """One member: what it sees and plans, and a plain selection of zones. It is the planner's host."""
 
     def __init__(self, world: World, number: int) -> None:
+        """`number`: gives its name, and its zone by turns."""
         self.world, self.zone = world, ZONES[number % len(ZONES)]
         self.id = f"n{number}.0"
-        self.zone_health = ZoneHealthTracker(DUE, world.now)
-        self.zone_planner = world.kind(self.id, LEASE, REGIONS, world.known, self, self.zone_health)
-        self.share: dict[str, float] = {}
-        self.row: Counter[str] = Counter()
-        self.aside: dict[str, tuple[float, float]] = {}  # until when, and the pause
-        self.wrote_at, self.stopped_until = -inf, 0.0
-        self.told = 0
+        self.zone_health = ZoneHealthTracker(OBJECTIVE, world.now)
+        self.zone_planner = world.planner_type(
+            self.id, LEASE, REGIONS, world.configured_capacities, self, self.zone_health
+        )
+        self.zone_shares: dict[str, float] = {}
+        self.failures_in_a_row: Counter[str] = Counter()
+        self.ejected: dict[str, tuple[float, float]] = {}  # until when, and for how long
+        self.plan_at = -inf
 
     def shares(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
-        self.share = dict(shares)
+        """Take over the shares, and lift ejections of zones that come back."""
+        self.zone_shares = dict(shares)
         for zone in back:
-            self.aside.pop(zone, None)
-            self.row[zone] = 0
+            self.ejected.pop(zone, None)
+            self.failures_in_a_row[zone] = 0
 
-    def note(self, event: str, **fields: Any) -> None:
-        pass
+    def note(self, event: str, **fields: object) -> None:
+        """Nothing is logged."""
 
-    def draw(self, but: str = "") -> str:
+    def select_zone(self, excluded: str = "") -> str:
+        """A zone for an attempt; empty: there is none."""
         rng = self.world.rng
-        out = {zone for zone, share in self.share.items() if rng.random() >= share} | {but}
-        out |= {zone for zone, (until, _) in self.aside.items() if self.world.now < until}
-        able = [zone for zone in ZONES if zone not in out]
-        if not able:
+        unusable = {zone for zone, share in self.zone_shares.items() if rng.random() >= share} | {excluded}
+        unusable |= {zone for zone, (until, _) in self.ejected.items() if self.world.now < until}
+        usable = [zone for zone in ZONES if zone not in unusable]
+        if not usable:
             return ""
-        if self.zone in able and rng.random() < NEAR:
+        if self.zone in usable and rng.random() < LOCAL_FRACTION:
             return self.zone
-        return rng.choice(able)
+        return rng.choice(usable)
 
-    def ended(self, zone: str, good: bool) -> None:
-        if good:
-            self.row[zone] = 0
-            self.aside.pop(zone, None)
+    def attempt_ended(self, zone: str, answered: bool) -> None:
+        """Eject a zone after failures in a row, each time for longer."""
+        if answered:
+            self.failures_in_a_row[zone] = 0
+            self.ejected.pop(zone, None)
             return
-        self.row[zone] += 1
-        if self.row[zone] >= 3:
-            pause = min(2 * self.aside.get(zone, (0.0, DUE / 4))[1], 2 * DUE)
-            self.aside[zone] = (self.world.now + pause * self.world.rng.uniform(0.5, 1.5), pause)
+        self.failures_in_a_row[zone] += 1
+        if self.failures_in_a_row[zone] >= EJECTED_AFTER:
+            _, before = self.ejected.get(zone, (0.0, OBJECTIVE / 4))
+            pause = min(2 * before, 2 * OBJECTIVE)
+            self.ejected[zone] = (self.world.now + pause * self.world.rng.uniform(0.5, 1.5), pause)
+
+
+@dataclass
+class EmulatedRequest:
+    """A request of one member's client."""
+
+    member: EmulatedMember
+    idempotent: bool
+    begun_at: float
+    during_fault: bool
+    answered: bool = False
 
 
 class World:
+    """A fleet and its zones, from one seed. Times are seconds."""
+
     def __init__(
         self,
         seed: int,
         members: int,
         case: Case,
-        how: str = "plan",
-        kind: Callable[..., Any] = ZonePlanner,
-        lasts: float = LASTS,
+        strategy: str = Strategy.PLAN,
+        planner_type: PlannerType = ZonePlanner,
+        fails_for: float = FAILS_FOR,
     ) -> None:
-        """`how`: plan, alone, or known (leaves and returns with full knowledge)."""
-        self.rng, self.case, self.how, self.kind, self.lasts = random.Random(seed), case, how, kind, lasts
-        self.now, self.count = 0.0, 0
-        usual = members * RATE / len(ZONES)
-        self.bears = {zone: case.bears * usual for zone in ZONES}
-        self.known = dict(self.bears) if case.bears < 1.5 else {}
-        self.usual = usual
-        self.queue: list[tuple[float, int, Callable[[], Any]]] = []
-        self.arbiter = Arbiter()
-        self.hosts = [Host(self, number) for number in range(members)]
-        self.arbiter.revision += 1
-        for host in self.hosts:
-            member = Member(host.id, host.id, "", host.zone)
-            self.arbiter.put(MEMBERS + host.id, msgspec.json.encode(member))
-        self.records, self.upto = StoreRecords(), 0
+        """`strategy`: one of `Strategy`."""
+        self.rng, self.case, self.strategy = random.Random(seed), case, strategy
+        self.planner_type, self.recovers_at = planner_type, FAILS_AT + fails_for
+        self.now, self.scheduled = 0.0, 0
+        self.usual_rate = members * RATE / len(ZONES)
+        self.capacities = {zone: case.capacity * self.usual_rate for zone in ZONES}
+        self.configured_capacities = dict(self.capacities) if case.capacity < SCARCE else {}
+        self.queue: list[tuple[float, int, Callable[[], object]]] = []
+        self.store = EmulatedStore()
+        self.members = [EmulatedMember(self, number) for number in range(members)]
+        self.store.revision += 1
+        for member in self.members:
+            entry = Member(member.id, member.id, "", member.zone)
+            self.store.put(MEMBERS + member.id, msgspec.json.encode(entry))
+        self.records, self.events_seen = StoreRecords(), 0
         self.arrivals: dict[str, list[float]] = {zone: [] for zone in ZONES}
-        self.taken: dict[str, list[float]] = {zone: [] for zone in ZONES}  # not turned away
-        self.lost: list[float] = []  # hand-offs lost to a zone that fails, when
-        self.served = self.work = self.turned = self.gone_served = self.gone_work = 0
-        self.fell = 0
+        self.admitted: dict[str, list[float]] = {zone: [] for zone in ZONES}  # those not rejected
+        self.lost: list[float] = []  # when attempts were lost to a zone that fails
+        self.requests = self.served = self.rejected = 0
+        self.requests_during_fault = self.served_during_fault = 0
+        self.overloads = 0
         self.plans: list[tuple[float, ZonePlan]] = []
-        self.asked = 0
+        self.writes = 0
 
-    def at(self, when: float, what: Callable[[], Any]) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (when, self.count, what))
+    def at(self, when: float, action: Callable[[], object]) -> None:
+        """Schedule an action."""
+        self.scheduled += 1
+        heapq.heappush(self.queue, (when, self.scheduled, action))
 
     # The zones.
 
-    def fails(self, zone: str, host: Host) -> bool:
+    def is_fault_time(self) -> bool:
+        """Whether the zones that are hurt fail now."""
+        return FAILS_AT <= self.now < self.recovers_at
+
+    def fails(self, zone: str, member: EmulatedMember) -> bool:
+        """Whether an attempt of that member fails there now."""
         case = self.case
-        if zone not in case.hurt or not FAILS <= self.now < FAILS + self.lasts:
+        if zone not in case.hurt or not self.is_fault_time():
             return False
-        if case.flaps and int((self.now - FAILS) / case.flaps) % 2:
+        if case.flaps and int((self.now - FAILS_AT) / case.flaps) % 2:
             return False
-        if case.seen_by and host.zone != case.seen_by:
+        if case.seen_by and member.zone != case.seen_by:
             return False
         return self.rng.random() < case.part
 
-    def full(self, zone: str) -> bool:
-        """Turned away: more than it bears. A cold one falls over instead."""
-        arrivals = self.taken[zone]
-        back = FAILS + self.lasts
-        bears, most = self.bears[zone], 1.0
-        if self.case.cold and zone in self.case.hurt and back <= self.now < back + COLD[1]:
-            bears *= COLD[0] + (1 - COLD[0]) * (self.now - back) / COLD[1]
-            most = FALLS
-        lately = sum(at > self.now - 0.5 for at in arrivals[-int(bears * most) - 8 :])
-        if most > 1 and lately > most * bears / 2:
-            self.fell += 1
-        return lately > bears / 2
-
-    # Work.
-
-    def arrive(self, host: Host) -> None:
-        self.at(self.now + self.rng.expovariate(RATE), lambda: self.arrive(host))
-        self.work += 1
-        during = FAILS <= self.now < FAILS + self.lasts
-        self.gone_work += during
-        exclusive = self.rng.random() < 0.25
-        self.send(host, exclusive, 0, "", self.now, during, [False])
-
-    def send(
-        self, host: Host, exclusive: bool, tries: int, but: str, begun: float, during: bool, done: list[bool]
-    ) -> None:
-        zone = host.draw(but)
-        if not zone or self.now > begun + 0.9 * DUE or done[0]:
+    def rejects(self, zone: str) -> bool:
+        """Whether it has more than its capacity. A cold zone falls over instead."""
+        admitted = self.admitted[zone]
+        capacity, multiple = self.capacities[zone], 1.0
+        warm_at = self.recovers_at + WARM_UP
+        if self.case.cold and zone in self.case.hurt and self.recovers_at <= self.now < warm_at:
+            capacity *= COLD_CAPACITY + (1 - COLD_CAPACITY) * (self.now - self.recovers_at) / WARM_UP
+            multiple = OVERLOAD_MULTIPLE
+        recent = admitted[-int(capacity * multiple) - 8 :]
+        rate = sum(at > self.now - RATE_WINDOW for at in recent)
+        if multiple > 1 and rate > multiple * capacity / 2:
+            self.overloads += 1
+        return rate > capacity / 2
+
+    # Requests.
+
+    def arrive(self, member: EmulatedMember) -> None:
+        """A request of that member's client."""
+        self.at(self.now + self.rng.expovariate(RATE), lambda: self.arrive(member))
+        self.requests += 1
+        during_fault = self.is_fault_time()
+        self.requests_during_fault += during_fault
+        idempotent = self.rng.random() >= NON_IDEMPOTENT_FRACTION
+        self.start_attempt(EmulatedRequest(member, idempotent, self.now, during_fault), "", 0)
+
+    def start_attempt(self, request: EmulatedRequest, excluded: str, retries: int) -> None:
+        """Send the request to a zone, unless it is answered or too old."""
+        member = request.member
+        zone = member.select_zone(excluded)
+        if not zone or self.now > request.begun_at + TIMEOUT_FRACTION * OBJECTIVE or request.answered:
             return
-        if self.how == "known" and self.case.helps and zone in self.case.hurt and self.fails(zone, host):
-            zone = next((z for z in ZONES if z not in self.case.hurt), zone)
-        hand_off = object()
-        host.zone_health.now = self.now
-        host.zone_health.began(hand_off, zone)
-        fails, full = self.fails(zone, host), self.full(zone)
+        zone = self._corrected(zone, member)
+        attempt = object()
+        member.zone_health.now = self.now
+        member.zone_health.began(attempt, zone)
+        fails, rejects = self.fails(zone, member), self.rejects(zone)
         self.arrivals[zone].append(self.now)
-        if fails or not full:
-            self.taken[zone].append(self.now)
+        if fails or not rejects:
+            self.admitted[zone].append(self.now)
 
-        def again(but: str) -> None:
-            if tries < 2:
-                self.send(host, exclusive, tries + 1, but, begun, during, done)
+        def retry() -> None:
+            if retries < MAX_RETRIES:
+                self.start_attempt(request, zone, retries + 1)
 
         def end(result: ZoneAttemptResult) -> None:
-            host.zone_health.now = self.now
-            host.zone_health.ended(hand_off, result)
-            answered = result is ZoneAttemptResult.ANSWERED
-            if result is not ZoneAttemptResult.REJECTED:
-                host.ended(zone, answered)
-            if answered and not done[0]:
-                done[0] = True
-                self.served += 1
-                self.gone_served += during
-            elif result is ZoneAttemptResult.REJECTED:
-                self.turned += 1
-                again(zone)
-            elif result is ZoneAttemptResult.FAILED and not exclusive and not self.case.silent:
-                again(zone)
+            member.zone_health.now = self.now
+            member.zone_health.ended(attempt, result)
+            if self._attempt_ended(request, zone, result):
+                retry()
 
         if fails:
             self.lost.append(self.now)
-            self.at(self.now + (DUE if self.case.silent else 0.005), lambda: end(ZoneAttemptResult.FAILED))
-            if self.case.silent and not exclusive:
-                self.at(self.now + COPY, lambda: again(zone))
-        elif full:
-            self.at(self.now + 0.003, lambda: end(ZoneAttemptResult.REJECTED))
+            took = OBJECTIVE if self.case.silent else ERROR_TIME
+            self.at(self.now + took, lambda: end(ZoneAttemptResult.FAILED))
+            if self.case.silent and request.idempotent:
+                self.at(self.now + HEDGE_DELAY, retry)
+        elif rejects:
+            self.at(self.now + REJECTION_TIME, lambda: end(ZoneAttemptResult.REJECTED))
         else:
-            took = SERVICE * self.rng.lognormvariate(0, 0.4)
+            took = SERVICE_TIME * self.rng.lognormvariate(0, 0.4)
             self.at(self.now + took, lambda: end(ZoneAttemptResult.ANSWERED))
 
+    def _corrected(self, zone: str, member: EmulatedMember) -> str:
+        """The zone itself, or a healthy one where it is known to fail."""
+        knows = self.strategy == Strategy.KNOWN and self.case.helps
+        if knows and zone in self.case.hurt and self.fails(zone, member):
+            return next((healthy for healthy in ZONES if healthy not in self.case.hurt), zone)
+        return zone
+
+    def _attempt_ended(self, request: EmulatedRequest, zone: str, result: ZoneAttemptResult) -> bool:
+        """Count the end of an attempt; whether to retry elsewhere."""
+        answered = result is ZoneAttemptResult.ANSWERED
+        if result is not ZoneAttemptResult.REJECTED:
+            request.member.attempt_ended(zone, answered)
+        if answered and not request.answered:
+            request.answered = True
+            self.served += 1
+            self.served_during_fault += request.during_fault
+        if result is ZoneAttemptResult.REJECTED:
+            self.rejected += 1
+            return True
+        return result is ZoneAttemptResult.FAILED and request.idempotent and not self.case.silent
+
     # The plan.
 
     def step(self) -> None:
-        if self.how == "plan":
-            self._watch()
-            for host in self.hosts:
-                self._plan(host)
+        """Have the members read the store and write to it."""
+        if self.strategy == Strategy.PLAN:
+            self._read_store()
+            for member in self.members:
+                self._write(member)
         self.at(self.now + STEP, self.step)
 
-    def _watch(self) -> None:
+    def _read_store(self) -> None:
         """All see what was written up to the last step."""
-        events = self.arbiter.events
-        for revision, key, entry in events[self.upto :]:
+        events = self.store.events
+        if self.events_seen == len(events):
+            return
+        for revision, key, entry in events[self.events_seen :]:
             self.records.revision = revision
             if entry is None:
                 self.records.erase(key)
             else:
                 self.records.put(key, entry)
-        if self.upto != len(events):
-            self.upto = len(events)
-            before = self.plans[-1][1] if self.plans else ZonePlan()
-            if self.records.plan is not None and self.records.plan.epoch != before.epoch:
-                self.plans.append((self.now, self.records.plan))
-            snapshot = self.records.copy()
-            for host in self.hosts:
-                if self.now >= host.stopped_until:
-                    host.zone_health.now = self.now
-                    host.zone_planner.recorded(snapshot)
-
-    def _plan(self, host: Host) -> None:
-        if self.now < host.wrote_at or self.now < host.stopped_until:
+        self.events_seen = len(events)
+        before = self.plans[-1][1] if self.plans else ZonePlan()
+        if self.records.plan is not None and self.records.plan.epoch != before.epoch:
+            self.plans.append((self.now, self.records.plan))
+        snapshot = self.records.copy()
+        for member in self.members:
+            member.zone_health.now = self.now
+            member.zone_planner.recorded(snapshot)
+
+    def _write(self, member: EmulatedMember) -> None:
+        if self.now < member.plan_at:
             return
-        host.zone_health.now = self.now
-        due = host.zone_planner.due()
+        member.zone_health.now = self.now
+        due = member.zone_planner.due()
         if isinstance(due, Transaction):
-            self.asked += 1
-            self.arbiter.write(due)
-            host.wrote_at = self.now + STEP
+            self.writes += 1
+            self.store.write(due)
+            member.plan_at = self.now + STEP
         else:
-            host.wrote_at = min(due, self.now + DUE / 8)
+            member.plan_at = min(due, self.now + OBJECTIVE / 8)
 
-    def play(self, after: float = AFTER) -> None:
-        for host in self.hosts:
-            self.at(self.rng.expovariate(RATE), lambda h=host: self.arrive(h))
+    def play(self, after: float = PLAYED_AFTER) -> None:
+        """Play until so many seconds after the zones have recovered."""
+        for member in self.members:
+            self.at(self.rng.expovariate(RATE), lambda member=member: self.arrive(member))
         self.at(0.0, self.step)
-        until = FAILS + self.lasts + after
+        until = self.recovers_at + after
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.queue)
-            what()
+            self.now, _, action = heapq.heappop(self.queue)
+            action()
         self.now = until
 
     # Verdicts.
 
     def counts(self) -> dict[str, Any]:
-        back = FAILS + self.lasts
-        left = next((at for at, plan in self.plans if plan.zones and at >= FAILS), None)
-        whole = next((at for at, plan in self.plans if at > back and not plan.zones), None)
-        usual = sum(FAILS - 3 <= at < FAILS for at in self.arrivals[GONE]) / 3
-        full = next(
-            (t for t in range(int(self.now - back)) if self._rate(GONE, back + t) >= 0.8 * usual), None
+        """What was measured."""
+        back = self.recovers_at
+        left = next((at for at, plan in self.plans if plan.zones and at >= FAILS_AT), None)
+        complete = next((at for at, plan in self.plans if at > back and not plan.zones), None)
+        usual = sum(FAILS_AT - 3 <= at < FAILS_AT for at in self.arrivals[FAILING]) / 3
+        full_share = next(
+            (t for t in range(int(self.now - back)) if self._rate(FAILING, back + t) >= 0.8 * usual), None
         )
         return {
-            "served": round(self.served / self.work, 4),
-            "served meanwhile": round(self.gone_served / max(1, self.gone_work), 4),
-            "lost to the zone": len(self.lost), "left after": left and round(left - FAILS, 2),
-            "whole after": whole and round(whole - back, 2), "full share after": full,
+            "served": round(self.served / self.requests, 4),
+            "served meanwhile": round(self.served_during_fault / max(1, self.requests_during_fault), 4),
+            "lost to the zone": len(self.lost),
+            "left after": left and round(left - FAILS_AT, 2),
+            "whole after": complete and round(complete - back, 2),
+            "full share after": full_share,
             "plans": len(self.plans),
-            "fell": self.fell, "turned away": self.turned, "calls": self.asked,
-        }  # fmt: skip
+            "fell": self.overloads,
+            "turned away": self.rejected,
+            "calls": self.writes,
+        }
 
     def _rate(self, zone: str, at: float) -> int:
-        return sum(at <= one < at + 1 for one in self.arrivals[zone])
+        return sum(at <= arrived < at + 1 for arrived in self.arrivals[zone])
 
     def broken(self) -> list[str]:
-        told = []
-        states = [(at, {z: one.state for z, one in plan.zones.items()}, plan) for at, plan in self.plans]
-        for at, zones, _ in states:
-            wrong = [z for z in zones if z not in self.case.hurt]
+        """Promises that were broken."""
+        broken = [*self._left_in_vain()]
+        if self.overloads:
+            broken.append(f"pushed over {self.overloads} times")
+        return [*broken, *self._moved_too_much(), *self._returned_too_fast()]
+
+    def _left_in_vain(self) -> Iterable[str]:
+        for at, plan in self.plans:
+            zones = {zone: state.state for zone, state in plan.zones.items()}
+            wrong = [zone for zone in zones if zone not in self.case.hurt]
             if wrong or (zones and not self.case.helps):
-                told.append(f"left where it does not help, at {at:.2f}: {zones}")
-                break
+                yield f"left where it does not help, at {at:.2f}: {zones}"
+                return
             if len(zones) == len(ZONES):
-                told.append(f"all left at {at:.2f}")
-        if self.fell:
-            told.append(f"pushed over {self.fell} times")
-        spare = (self.case.bears - 1.0) * self.usual * (len(ZONES) - len(self.case.hurt))
-        for at, zones, plan in states:
-            moved = sum((1 - plan.zones[z].share) * self.usual for z in zones if zones[z] == "left")
+                yield f"all left at {at:.2f}"
+
+    def _moved_too_much(self) -> Iterable[str]:
+        """More than the other zones have capacity for."""
+        spare = (self.case.capacity - 1.0) * self.usual_rate * (len(ZONES) - len(self.case.hurt))
+        for at, plan in self.plans:
+            left = [state for state in plan.zones.values() if state.state == ZoneTraffic.LEFT]
+            moved = sum((1 - state.share) * self.usual_rate for state in left)
             if self.case.part < 0.8 and moved > 2.0 * spare:
-                told.append(
-                    f"at {at:.2f} {moved:.0f} a second are moved, {spare:.0f} is what the others bear"
-                )
-                break
-        ends = [*[at for at, _, _ in states], self.now][1:]
-        for (at, zones, plan), end in zip(states, ends, strict=True):
-            for zone, state in zones.items():
-                share, begin = plan.zones[zone].share, at + 0.5
-                if state != "returning" or end - begin < 0.5:
+                yield f"at {at:.2f} {moved:.0f} a second are moved, {spare:.0f} is what the others bear"
+                return
+
+    def _returned_too_fast(self) -> Iterable[str]:
+        """More attempts to a zone that returns than its share of the plan."""
+        ends = [*[at for at, _ in self.plans], self.now][1:]
+        for (at, plan), end in zip(self.plans, ends, strict=True):
+            for zone, state in plan.zones.items():
+                begin = at + 0.5
+                if state.state != ZoneTraffic.RETURNING or end - begin < 0.5:
                     continue
-                sent = sum(begin <= one < end for one in self.arrivals[zone])
-                most = share * self.usual * (end - begin)
+                sent = sum(begin <= arrived < end for arrived in self.arrivals[zone])
+                most = state.share * self.usual_rate * (end - begin)
                 if sent > 1.5 * most + 4 * most**0.5 + 4:
-                    told.append(f"{sent} sent to {zone} at a share of {share:.2f}, {most:.0f} are its part")
-        return told
+                    yield f"{sent} sent to {zone} at a share of {state.share:.2f}, {most:.0f} are its part"
 
 
 def play(
     seed: int,
     members: int = 30,
     case: str = "hang",
-    how: str = "plan",
-    kind: Callable[..., Any] = ZonePlanner,
+    strategy: str = Strategy.PLAN,
+    planner_type: PlannerType = ZonePlanner,
 ) -> tuple[dict[str, Any], list[str]]:
-    """Counts, and what was broken."""
-    world = World(seed, members, CASES[case], how, kind)
+    """Counts, and promises that were broken."""
+    world = World(seed, members, CASES[case], strategy, planner_type)
     world.play()
     return world.counts(), world.broken()
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -19,7 +19,7 @@
 from starlingwheel.fleet.policy.statuses import PolicyStatus
 from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
 
-from .emulated_policy import Arbiter
+from .emulated_store import EmulatedStore
 
 LEASE, SPAN, TICK = 1.0, 3.0, 1.0
 NAMED = ("a", "b", "c")
@@ -83,7 +83,7 @@
     """One state."""
 
     kind: Callable[..., Any]
-    arbiter: Arbiter = field(default_factory=Arbiter)
+    store: EmulatedStore = field(default_factory=EmulatedStore)
     hosts: dict[str, Any] = field(default_factory=dict)
     records: dict[str, StoreRecords] = field(default_factory=dict)
     seen: dict[str, int] = field(default_factory=dict)
@@ -109,7 +109,7 @@
         for name in NAMED:
             self._watch(name)
         self.hosts["a"].now = 0.0
-        self.arbiter.write(self.hosts["a"].propose(BODY, SPAN)[0])
+        self.store.write(self.hosts["a"].propose(BODY, SPAN)[0])
         return self
 
     def _start(self, name: str) -> None:
@@ -123,24 +123,24 @@
     def _enter(self, name: str) -> None:
         host = self.hosts[name]
         entry = MEMBERS + host.member_id
-        if entry not in self.arbiter.entries:
-            self.arbiter.revision += 1
-            self.arbiter.put(entry, msgspec.json.encode(Member(host.member_id, name, name)))
-            if NAMES + name not in self.arbiter.entries:
-                self.arbiter.put(NAMES + name, b"1")
+        if entry not in self.store.entries:
+            self.store.revision += 1
+            self.store.put(entry, msgspec.json.encode(Member(host.member_id, name, name)))
+            if NAMES + name not in self.store.entries:
+                self.store.put(NAMES + name, b"1")
             self.leases[name] = self.now
-            entered = self.arbiter.revision
+            entered = self.store.revision
         else:
-            entered = self.arbiter.entries[entry].create
+            entered = self.store.entries[entry].create
         self.leases[name] = self.now + LEASE
         host.now = self.now
         host.renewed(self.now + LEASE, entered)
 
     def twin(self) -> Model:
         other = copy.copy(self)
-        other.arbiter = copy.copy(self.arbiter)
-        other.arbiter.entries = dict(self.arbiter.entries)
-        other.arbiter.events, other.arbiter.decided = self.arbiter.events[:], self.arbiter.decided[:]
+        other.store = copy.copy(self.store)
+        other.store.entries = dict(self.store.entries)
+        other.store.events, other.store.decided = self.store.events[:], self.store.decided[:]
         other.hosts = {name: twin(host, Door(other, name)) for name, host in self.hosts.items()}
         other.records = {name: records.copy() for name, records in self.records.items()}
         for name in ("seen", "files", "leases", "left"):
@@ -191,7 +191,7 @@
             yield ("ticks",)
 
     def _entry(self, name: str) -> str:
-        return next((e for e in self.arbiter.entries if e.startswith(f"{MEMBERS}{name}.")), "")
+        return next((e for e in self.store.entries if e.startswith(f"{MEMBERS}{name}.")), "")
 
     def do(self, event: Event) -> None:
         for host in self.hosts.values():
@@ -207,14 +207,14 @@
             case ("writes", name):
                 due = self.hosts[name].due()
                 assert isinstance(due, Transaction)
-                self.arbiter.write(due)
+                self.store.write(due)
             case ("writes_late", name):
                 self.left["late"] -= 1
                 due = self.hosts[name].due()
                 assert isinstance(due, Transaction)
                 self.late.append((name, due))
             case ("arrives", place):
-                self.arbiter.write(self.late.pop(int(place))[1])
+                self.store.write(self.late.pop(int(place))[1])
             case ("crashes", name):
                 self.left["crashes"] -= 1
                 del self.hosts[name]
@@ -237,8 +237,8 @@
                 self.asked.clear()
             case ("expires", name):
                 entry = self._entry(name)
-                self.arbiter.revision += 1
-                self.arbiter.erase(entry)
+                self.store.revision += 1
+                self.store.erase(entry)
             case ("ticks",):
                 self.left["ticks"] -= 1
                 self.now += TICK
@@ -247,7 +247,7 @@
         # Work may come before what the arbiter has done is known, and after.
         self._take()
         for name in self.hosts.keys() - self.cut - self.stopped - self.stalled:
-            if self.seen[name] != len(self.arbiter.events):
+            if self.seen[name] != len(self.store.events):
                 self._watch(name)
         self._take()
 
@@ -255,19 +255,19 @@
         host, records = self.hosts[name], self.records[name]
         host.now = self.now
         if self.seen[name] < 0:
-            for key in sorted(self.arbiter.entries):
-                records.put(key, self.arbiter.entries[key])
-            records.revision = self.arbiter.revision
+            for key in sorted(self.store.entries):
+                records.put(key, self.store.entries[key])
+            records.revision = self.store.revision
             host.recorded(records.copy(), True)
         else:
-            for revision, key, entry in self.arbiter.events[self.seen[name] :]:
+            for revision, key, entry in self.store.events[self.seen[name] :]:
                 records.revision = revision
                 if entry is None:
                     records.erase(key)
                 else:
                     records.put(key, entry)
             host.recorded(records.copy(), False)
-        self.seen[name] = len(self.arbiter.events)
+        self.seen[name] = len(self.store.events)
 
     def _take(self) -> None:
         """Work that comes now, everywhere."""
@@ -293,7 +293,7 @@
         files = [
             (n, k.promise and k.promise.number, k.ended, k.decision is None) for n, k in self.files.items()
         ]
-        entries = [(k, e.create, e.mod) for k, e in sorted(self.arbiter.entries.items())]
+        entries = [(k, e.create, e.mod) for k, e in sorted(self.store.entries.items())]
         late = [(n, t.what) for n, t in self.late]
         rest = (
             self.left,
@@ -307,7 +307,7 @@
         return repr((told, sorted(files), entries, rest))
 
     def broken(self) -> str:
-        decided = bool(self.arbiter.decided)
+        decided = bool(self.store.decided)
         if self.old_after and decided:
             return "decided, and work was taken under the old one after the switch time"
         if self.new and not decided:
@@ -332,8 +332,8 @@
     explored = Explored(1, True, [])
     while waiting:
         model, way = waiting.popleft()
-        explored.decided += bool(model.arbiter.decided)
-        explored.dropped += not model.arbiter.decided and NEXT not in model.arbiter.entries
+        explored.decided += bool(model.store.decided)
+        explored.dropped += not model.store.decided and NEXT not in model.store.entries
         for event in list(model.events()):
             after = model.twin()
             after.do(event)
