--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("bounds", [Bounds(cuts=0, words=0, stalls=1), Bounds(cuts=0, words=0, stops=1)])
 def test_every_order_of_one_change_keeps_the_promise(bounds):
     explored = explore(bounds)
-    assert explored.whole and not explored.broken and explored.decided and explored.dropped
+    assert explored.complete and not explored.broken and explored.decided and explored.dropped
 
 
 @pytest.mark.parametrize("kind", [NoBinding, NoDoubt, LeaseTrustedOver])
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -1,7 +1,7 @@
-"""One change of the policy and three members, every order of events within bounds: decided or dropped, whole.
+"""One change of the policy and three members, in every order of events within bounds: decided or dropped.
 
-Time stands still but for an event that moves it by a lease; the switch time is three of them off.
-States are copied and told apart by their text; `Bounds` limits what may go wrong, not the order.
+Time stands still but for an event that moves it by a lease; the switch time is three of them after the
+proposal. States are copied and told apart by their text; `Bounds` limits which faults happen, not the order.
 """
 
 from __future__ import annotations
@@ -10,22 +10,58 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
-from typing import Any
+from enum import StrEnum
+from typing import NamedTuple
 
 import msgspec
 
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.policy.replica import PolicyReplica, StoredPolicy
-from starlingwheel.fleet.policy.statuses import PolicyStatus
+from starlingwheel.fleet.policy.document import Body
+from starlingwheel.fleet.policy.host import StoredPolicy
+from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
 
 from .emulated_store import EmulatedStore
 
-LEASE, SPAN, TICK = 1.0, 3.0, 1.0
-NAMED = ("a", "b", "c")
-BOUNDED = ("crashes", "cuts", "stops", "stalls", "words", "late", "ticks")
-Event = tuple[str, ...]
+LEASE, SWITCH_DELAY, TICK = 1.0, 3.0, 1.0  # seconds
+MEMBER_NAMES = ("a", "b", "c")
+LIMITED = ("crashes", "cuts", "stops", "stalls", "words", "late", "ticks")  # fields of `Bounds`
 BODY = {"settings": {"number": 1}, "cover": {}}
+UNREAD = -1  # in place of the number of events seen: the watch has not begun
+
+ReplicaType = Callable[..., PolicyReplica]
+
+
+class EventKind(StrEnum):
+    """What may happen next."""
+
+    WATCHES = "watches"
+    STOPS = "stops"
+    GOES_ON = "goes_on"
+    STALLS = "stalls"
+    WRITES = "writes"
+    WRITES_LATE = "writes_late"
+    ARRIVES = "arrives"
+    CRASHES = "crashes"
+    STARTS = "starts"
+    CUT = "cut"
+    SAYS = "says"
+    EXPIRES = "expires"
+    TICKS = "ticks"
+
+
+FAULTS = {
+    EventKind.STOPS, EventKind.GOES_ON, EventKind.CRASHES, EventKind.CUT, EventKind.WRITES_LATE,
+    EventKind.STALLS,
+}  # fmt: skip
+
+
+class Event(NamedTuple):
+    """An event, and the names of its members; of `ARRIVES`, the place of the write among the delayed ones."""
+
+    kind: EventKind
+    member: str = ""
+    receiver: str = ""
 
 
 @dataclass(frozen=True)
@@ -33,320 +69,374 @@
     """How often each may happen in one history."""
 
     crashes: int = 0
-    cuts: int = 1
-    stops: int = 0
-    stalls: int = 0  # its watch tells nothing more, its lease goes on
-    words: int = 1
-    late: int = 0  # transactions that reach the arbiter later than what comes after them
-    states: int = 40_000
+    cuts: int = 1  # of a member from the store
+    stops: int = 0  # of a process
+    stalls: int = 0  # a watch delivers nothing more, while the lease is renewed
+    words: int = 1  # statuses sent to a member
+    late: int = 0  # transactions that reach the store later than what comes after them
+    states: int = 40_000  # in all
     ticks: int = 4
 
 
-class Door:
+class ModelHost:
     """What a member asks of its host: the model does what matters."""
 
     def __init__(self, model: Model | None, name: str) -> None:
-        self.model, self.name = model, name  # no model: what is asked leaves no trace
+        """Without a model, what is asked leaves no trace."""
+        self.model, self.name = model, name
 
-    def check(self, body: Any) -> str:
+    def check(self, body: Body) -> str:
+        """Every member can follow every policy."""
         return ""
 
     def keep(self, kept: StoredPolicy) -> None:
+        """Store it in the model's files."""
         if self.model is not None:
             self.model.files[self.name] = copy.copy(kept)
 
     def kept(self) -> str | None:
+        """All is stored at once."""
         return ""
 
     def rule(self, policy: Policy) -> None:
-        pass
+        """Nothing has to be put in force."""
 
     def ask(self, member: str) -> None:
+        """Remember who asked for whose decision."""
         if self.model is not None:
-            self.model.asked.append((self.name, member))
+            self.model.decisions_asked.append((self.name, member))
 
-    def note(self, event: str, **fields: Any) -> None:
-        pass
+    def note(self, event: str, **fields: object) -> None:
+        """Nothing is logged."""
 
 
-def twin(host: Any, door: Door) -> Any:
+def copy_replica(replica: PolicyReplica, host: ModelHost) -> PolicyReplica:
     """A copy of a member that shares what is never changed in place."""
-    other = copy.copy(host)
-    other.host, other.kept = door, copy.copy(host.kept)
-    other.statuses = host.statuses.copy()
-    other.turns, other.counts = host.turns.copy(), host.counts.copy()
+    other = copy.copy(replica)
+    other.host, other.kept = host, copy.copy(replica.kept)
+    other.statuses, other.turns = replica.statuses.copy(), replica.turns.copy()
+    other.counts = replica.counts.copy()
     return other
 
 
 @dataclass
 class Model:
-    """One state."""
+    """One state. All by name of the member."""
 
-    kind: Callable[..., Any]
+    replica_type: ReplicaType
     store: EmulatedStore = field(default_factory=EmulatedStore)
-    hosts: dict[str, Any] = field(default_factory=dict)
+    replicas: dict[str, PolicyReplica] = field(default_factory=dict)
     records: dict[str, StoreRecords] = field(default_factory=dict)
-    seen: dict[str, int] = field(default_factory=dict)
+    events_seen: dict[str, int] = field(default_factory=dict)
     files: dict[str, StoredPolicy] = field(default_factory=dict)
-    leases: dict[str, float] = field(default_factory=dict)  # at the arbiter, by name
+    leases: dict[str, float] = field(default_factory=dict)
     cut: set[str] = field(default_factory=set)
     stopped: set[str] = field(default_factory=set)
     stalled: set[str] = field(default_factory=set)
-    late: list[tuple[str, Transaction]] = field(default_factory=list)
-    left: dict[str, int] = field(default_factory=dict)
-    asked: list[tuple[str, str]] = field(default_factory=list)
+    delayed: list[tuple[str, Transaction]] = field(default_factory=list)
+    remaining: dict[str, int] = field(default_factory=dict)  # of each of `LIMITED`
+    decisions_asked: list[tuple[str, str]] = field(default_factory=list)
     now: float = 0.0
-    number: int = 0
-    old_after: bool = False  # work was taken under the old one after the switch time
-    new: bool = False
-    new_before: bool = False
+    started: int = 0
+    took_old_after_switch: bool = False
+    took_new: bool = False
+    took_new_before_switch: bool = False
 
     def begin(self, bounds: Bounds) -> Model:
-        self.left = {name: getattr(bounds, name) for name in BOUNDED}
-        for name in NAMED:
+        """All members have entered and know it, and one has proposed the change."""
+        self.remaining = {name: getattr(bounds, name) for name in LIMITED}
+        for name in MEMBER_NAMES:
             self._start(name)
-            self._enter(name)
-        for name in NAMED:
+            self._renew(name)
+        for name in MEMBER_NAMES:
             self._watch(name)
-        self.hosts["a"].now = 0.0
-        self.store.write(self.hosts["a"].propose(BODY, SPAN)[0])
+        author = self.replicas["a"]
+        author.now = 0.0
+        self.store.write(author.propose(BODY, SWITCH_DELAY)[0])
         return self
 
     def _start(self, name: str) -> None:
-        self.number += 1
-        kept = copy.copy(self.files.get(name)) or StoredPolicy("f")
-        host = self.kind(f"{name}.{self.number}", name, LEASE, Door(self, name), self.now, kept)
-        self.hosts[name] = host
-        self.records[name], self.seen[name] = StoreRecords(), -1
-        host.begin()
-
-    def _enter(self, name: str) -> None:
-        host = self.hosts[name]
-        entry = MEMBERS + host.member_id
+        self.started += 1
+        stored = copy.copy(self.files.get(name)) or StoredPolicy("f")
+        member_id, host = f"{name}.{self.started}", ModelHost(self, name)
+        replica = self.replica_type(member_id, name, LEASE, host, self.now, stored)
+        self.replicas[name] = replica
+        self.records[name], self.events_seen[name] = StoreRecords(), UNREAD
+        replica.begin()
+
+    def _renew(self, name: str) -> None:
+        """Renew the lease of a member, which may enter by that."""
+        replica = self.replicas[name]
+        entry = MEMBERS + replica.member_id
         if entry not in self.store.entries:
             self.store.revision += 1
-            self.store.put(entry, msgspec.json.encode(Member(host.member_id, name, name)))
+            self.store.put(entry, msgspec.json.encode(Member(replica.member_id, name, name)))
             if NAMES + name not in self.store.entries:
                 self.store.put(NAMES + name, b"1")
-            self.leases[name] = self.now
-            entered = self.store.revision
-        else:
-            entered = self.store.entries[entry].create
         self.leases[name] = self.now + LEASE
-        host.now = self.now
-        host.renewed(self.now + LEASE, entered)
+        replica.now = self.now
+        replica.renewed(self.now + LEASE, self.store.entries[entry].create)
 
-    def twin(self) -> Model:
+    def copy(self) -> Model:
+        """A state of its own."""
         other = copy.copy(self)
         other.store = copy.copy(self.store)
         other.store.entries = dict(self.store.entries)
         other.store.events, other.store.decided = self.store.events[:], self.store.decided[:]
-        other.hosts = {name: twin(host, Door(other, name)) for name, host in self.hosts.items()}
+        other.replicas = {
+            name: copy_replica(replica, ModelHost(other, name)) for name, replica in self.replicas.items()
+        }
         other.records = {name: records.copy() for name, records in self.records.items()}
-        for name in ("seen", "files", "leases", "left"):
+        for name in ("events_seen", "files", "leases", "remaining"):
             setattr(other, name, dict(getattr(self, name)))
         other.cut, other.stopped, other.stalled = set(self.cut), set(self.stopped), set(self.stalled)
-        other.late = self.late[:]
-        other.asked = []
+        other.delayed = self.delayed[:]
+        other.decisions_asked = []
         return other
 
     # What may happen next.
 
     def events(self) -> Iterator[Event]:
+        """All events that may happen in this state."""
         for name in sorted(self.stopped):
-            yield ("goes_on", name)
-        for name, host in self.hosts.items():
-            if name in self.stopped:
-                continue
-            if name not in self.cut:
-                host.now = self.now
-                # Asked of a copy: a member may consider the change when it is asked.
-                if isinstance(twin(host, Door(None, name)).due(), Transaction):
-                    yield ("writes", name)
-                    if self.left["late"]:
-                        yield ("writes_late", name)
-            if self.left["crashes"]:
-                yield ("crashes", name)
-            if self.left["stops"]:
-                yield ("stops", name)
-            if self.left["cuts"] and name not in self.cut:
-                yield ("cut", name)
-            if self.left["stalls"] and name not in self.stalled:
-                yield ("stalls", name)
-        for name in NAMED:
-            if name not in self.hosts:
-                yield ("starts", name)
-        for place in range(len(self.late)):
-            yield ("arrives", str(place))
-        if self.left["words"]:
-            for one in self.hosts:
-                for other in self.hosts:
-                    apart = one == other or {one, other} & self.stopped
-                    if not apart and {one, other} & (self.cut | self.stalled):
-                        yield ("says", one, other)
+            yield Event(EventKind.GOES_ON, name)
+        for name in self.replicas:
+            if name not in self.stopped:
+                yield from self._events_of(name)
+        for name in MEMBER_NAMES:
+            if name not in self.replicas:
+                yield Event(EventKind.STARTS, name)
+        for place in range(len(self.delayed)):
+            yield Event(EventKind.ARRIVES, str(place))
+        if self.remaining["words"]:
+            yield from self._status_events()
+        yield from self._expiry_events()
+        if self.remaining["ticks"]:
+            yield Event(EventKind.TICKS)
+
+    def _expiry_events(self) -> Iterator[Event]:
         for name, until in self.leases.items():
             if until <= self.now and self._entry(name):
-                yield ("expires", name)
-        if self.left["ticks"]:
-            yield ("ticks",)
+                yield Event(EventKind.EXPIRES, name)
+
+    def _events_of(self, name: str) -> Iterator[Event]:
+        """What a member may do, or what may happen to it."""
+        if name not in self.cut and self._has_to_write(name):
+            yield Event(EventKind.WRITES, name)
+            if self.remaining["late"]:
+                yield Event(EventKind.WRITES_LATE, name)
+        if self.remaining["crashes"]:
+            yield Event(EventKind.CRASHES, name)
+        if self.remaining["stops"]:
+            yield Event(EventKind.STOPS, name)
+        if self.remaining["cuts"] and name not in self.cut:
+            yield Event(EventKind.CUT, name)
+        if self.remaining["stalls"] and name not in self.stalled:
+            yield Event(EventKind.STALLS, name)
+
+    def _has_to_write(self, name: str) -> bool:
+        replica = self.replicas[name]
+        replica.now = self.now
+        # Asked of a copy: a member may vote on the proposal when it is asked.
+        return isinstance(copy_replica(replica, ModelHost(None, name)).due(), Transaction)
+
+    def _status_events(self) -> Iterator[Event]:
+        """Statuses between members of which one may need them."""
+        for sender in self.replicas:
+            for receiver in self.replicas:
+                pair = {sender, receiver}
+                if sender != receiver and not pair & self.stopped and pair & (self.cut | self.stalled):
+                    yield Event(EventKind.SAYS, sender, receiver)
 
     def _entry(self, name: str) -> str:
-        return next((e for e in self.store.entries if e.startswith(f"{MEMBERS}{name}.")), "")
-
-    def do(self, event: Event) -> None:
-        for host in self.hosts.values():
-            host.now = self.now
-        match event:
-            case ("watches", name):
+        """The key of the member's entry; empty: it has none."""
+        return next((key for key in self.store.entries if key.startswith(f"{MEMBERS}{name}.")), "")
+
+    def apply(self, event: Event) -> None:
+        """Have the event happen, with all that follows from it."""
+        for replica in self.replicas.values():
+            replica.now = self.now
+        self._apply(event)
+        # Requests may come before what the store has done is known, and after.
+        self._take_requests()
+        for name in self.replicas.keys() - self.cut - self.stopped - self.stalled:
+            if self.events_seen[name] != len(self.store.events):
                 self._watch(name)
-            case ("stops", name):
-                self.left["stops"] -= 1
-                self.stopped.add(name)
-            case ("goes_on", name):
-                self.stopped.discard(name)
-            case ("writes", name):
-                due = self.hosts[name].due()
-                assert isinstance(due, Transaction)
-                self.store.write(due)
-            case ("writes_late", name):
-                self.left["late"] -= 1
-                due = self.hosts[name].due()
-                assert isinstance(due, Transaction)
-                self.late.append((name, due))
-            case ("arrives", place):
-                self.store.write(self.late.pop(int(place))[1])
-            case ("crashes", name):
-                self.left["crashes"] -= 1
-                del self.hosts[name]
-            case ("starts", name):
+        self._take_requests()
+
+    def _apply(self, event: Event) -> None:
+        name = event.member
+        if event.kind in FAULTS:
+            self._apply_fault(event.kind, name)
+            return
+        match event.kind:
+            case EventKind.WATCHES:
+                self._watch(name)
+            case EventKind.WRITES:
+                self.store.write(self._due(name))
+            case EventKind.ARRIVES:
+                _, transaction = self.delayed.pop(int(name))
+                self.store.write(transaction)
+            case EventKind.STARTS:
                 self._start(name)
                 if name not in self.cut:
-                    self._enter(name)
-            case ("cut", name):
-                self.left["cuts"] -= 1
+                    self._renew(name)
+            case EventKind.SAYS:
+                self.remaining["words"] -= 1
+                self._send_status(name, event.receiver)
+            case EventKind.EXPIRES:
+                self._expire(name)
+            case EventKind.TICKS:
+                self._tick()
+
+    def _apply_fault(self, kind: EventKind, name: str) -> None:
+        match kind:
+            case EventKind.STOPS:
+                self.remaining["stops"] -= 1
+                self.stopped.add(name)
+            case EventKind.GOES_ON:
+                self.stopped.discard(name)
+            case EventKind.CRASHES:
+                self.remaining["crashes"] -= 1
+                del self.replicas[name]
+            case EventKind.CUT:
+                self.remaining["cuts"] -= 1
                 self.cut.add(name)
-            case ("says", one, other):
-                self.left["words"] -= 1
-                word: PolicyStatus = self.hosts[one].word()
-                self.hosts[other].heard(word)
-                for policy_poller, member in self.asked:
-                    host = self.hosts.get(policy_poller)
-                    told = next((h for h in self.hosts.values() if h.member_id == member), None)
-                    if host is not None and told is not None and told.decision is not None:
-                        host.told(told.decision)
-                self.asked.clear()
-            case ("expires", name):
-                entry = self._entry(name)
-                self.store.revision += 1
-                self.store.erase(entry)
-            case ("ticks",):
-                self.left["ticks"] -= 1
-                self.now += TICK
-                for name in self.hosts.keys() - self.cut - self.stopped:
-                    self._enter(name)
-        # Work may come before what the arbiter has done is known, and after.
-        self._take()
-        for name in self.hosts.keys() - self.cut - self.stopped - self.stalled:
-            if self.seen[name] != len(self.store.events):
-                self._watch(name)
-        self._take()
+            case EventKind.WRITES_LATE:
+                self.remaining["late"] -= 1
+                self.delayed.append((name, self._due(name)))
+            case EventKind.STALLS:
+                pass  # not modelled: the state stays as it is
+
+    def _expire(self, name: str) -> None:
+        entry = self._entry(name)
+        self.store.revision += 1
+        self.store.erase(entry)
+
+    def _tick(self) -> None:
+        self.remaining["ticks"] -= 1
+        self.now += TICK
+        for name in self.replicas.keys() - self.cut - self.stopped:
+            self._renew(name)
+
+    def _due(self, name: str) -> Transaction:
+        due = self.replicas[name].due()
+        assert isinstance(due, Transaction)
+        return due
+
+    def _send_status(self, sender: str, receiver: str) -> None:
+        """A status, and the decisions that are asked for because of it."""
+        self.replicas[receiver].heard(self.replicas[sender].word())
+        for asking, member_id in self.decisions_asked:
+            replica = self.replicas.get(asking)
+            asked = next((other for other in self.replicas.values() if other.member_id == member_id), None)
+            if replica is not None and asked is not None and asked.decision is not None:
+                replica.told(asked.decision)
+        self.decisions_asked.clear()
 
     def _watch(self, name: str) -> None:
-        host, records = self.hosts[name], self.records[name]
-        host.now = self.now
-        if self.seen[name] < 0:
-            for key in sorted(self.store.entries):
-                records.put(key, self.store.entries[key])
-            records.revision = self.store.revision
-            host.recorded(records.copy(), True)
+        replica, records, store = self.replicas[name], self.records[name], self.store
+        replica.now = self.now
+        gap = self.events_seen[name] == UNREAD
+        if gap:
+            for key in sorted(store.entries):
+                records.put(key, store.entries[key])
+            records.revision = store.revision
         else:
-            for revision, key, entry in self.store.events[self.seen[name] :]:
+            for revision, key, entry in store.events[self.events_seen[name] :]:
                 records.revision = revision
                 if entry is None:
                     records.erase(key)
                 else:
                     records.put(key, entry)
-            host.recorded(records.copy(), False)
-        self.seen[name] = len(self.store.events)
-
-    def _take(self) -> None:
-        """Work that comes now, everywhere."""
-        for name, host in self.hosts.items():
-            host.now = self.now
-            if name in self.stopped or host.doubt():
+        replica.recorded(records.copy(), gap)
+        self.events_seen[name] = len(store.events)
+
+    def _take_requests(self) -> None:
+        """Requests that come now, at every member."""
+        for name, replica in self.replicas.items():
+            replica.now = self.now
+            if name in self.stopped or replica.doubt():
                 continue
-            version = host.in_force.version
-            self.old_after |= version == 0 and self.now >= SPAN
-            self.new |= version == 1
-            self.new_before |= version == 1 and self.now < SPAN
+            version = replica.in_force.version
+            self.took_old_after_switch |= version == 0 and self.now >= SWITCH_DELAY
+            self.took_new |= version == 1
+            self.took_new_before_switch |= version == 1 and self.now < SWITCH_DELAY
 
     def key(self) -> str:
         """The text of a state: two of one text go on alike."""
-        told = [
+        replicas = [
             (
-                n, h.member_id, h.in_force.version, h.known, h.promise and h.promise.number, h.ended, h.sure,
-                h.lease_until, h.entered, h.vote, sorted(h.words.items()), h.records.revision,
-                h.voter_left_at, sorted(h.turns.due_since.items()), self.seen[n], h.started_from_file,
+                name, r.member_id, r.in_force.version, r.known, r.promise and r.promise.number, r.ended,
+                r.sure, r.lease_until, r.entered, r.vote, sorted(r.words.items()), r.records.revision,
+                r.voter_left_at, sorted(r.turns.due_since.items()), self.events_seen[name],
+                r.started_from_file,
             )
-            for n, h in self.hosts.items()
+            for name, r in self.replicas.items()
         ]  # fmt: skip
         files = [
-            (n, k.promise and k.promise.number, k.ended, k.decision is None) for n, k in self.files.items()
+            (name, stored.promise and stored.promise.number, stored.ended, stored.decision is None)
+            for name, stored in self.files.items()
         ]
-        entries = [(k, e.create, e.mod) for k, e in sorted(self.store.entries.items())]
-        late = [(n, t.what) for n, t in self.late]
-        rest = (
-            self.left,
+        entries = [(key, entry.create, entry.mod) for key, entry in sorted(self.store.entries.items())]
+        world = (
+            self.remaining,
             self.now,
             sorted(self.cut),
-            late,
+            [(name, transaction.what) for name, transaction in self.delayed],
             sorted(self.leases.items()),
-            self.old_after,
-            self.new,
+            self.took_old_after_switch,
+            self.took_new,
         )
-        return repr((told, sorted(files), entries, rest))
+        return repr((replicas, sorted(files), entries, world))
 
     def broken(self) -> str:
+        """The promise that was broken on the way to this state; empty: none."""
         decided = bool(self.store.decided)
-        if self.old_after and decided:
+        if self.took_old_after_switch and decided:
             return "decided, and work was taken under the old one after the switch time"
-        if self.new and not decided:
+        if self.took_new and not decided:
             return "work was taken under one that was not decided"
-        return "work was taken under the new one before the switch time" if self.new_before else ""
+        if self.took_new_before_switch:
+            return "work was taken under the new one before the switch time"
+        return ""
 
 
 @dataclass
-class Explored:
+class Exploration:
+    """What was found."""
+
     states: int
-    whole: bool
-    broken: list[tuple[str, list[Event]]]
-    decided: int = 0
+    complete: bool  # all states within the bounds were seen
+    broken: list[tuple[str, list[Event]]]  # a promise, and the history that breaks it
+    decided: int = 0  # states in which the change is decided
     dropped: int = 0
 
 
-def explore(bounds: Bounds, kind: Callable[..., Any] = PolicyReplica) -> Explored:
+def explore(bounds: Bounds, replica_type: ReplicaType = PolicyReplica) -> Exploration:
     """Breadth first; the first history that breaks a promise is the shortest."""
-    first = Model(kind).begin(bounds)
+    first = Model(replica_type).begin(bounds)
     seen = {first.key()}
     waiting: deque[tuple[Model, list[Event]]] = deque([(first, [])])
-    explored = Explored(1, True, [])
+    found = Exploration(1, True, [])
     while waiting:
-        model, way = waiting.popleft()
-        explored.decided += bool(model.store.decided)
-        explored.dropped += not model.store.decided and NEXT not in model.store.entries
+        model, history = waiting.popleft()
+        found.decided += bool(model.store.decided)
+        found.dropped += not model.store.decided and NEXT not in model.store.entries
         for event in list(model.events()):
-            after = model.twin()
-            after.do(event)
+            after = model.copy()
+            after.apply(event)
             if fault := after.broken():
-                explored.states, explored.whole = len(seen), False
-                explored.broken.append((fault, [*way, event]))
-                return explored
+                found.states, found.complete = len(seen), False
+                found.broken.append((fault, [*history, event]))
+                return found
             key = after.key()
-            if key not in seen:
-                if len(seen) >= bounds.states:
-                    explored.states, explored.whole = len(seen), False
-                    return explored
-                seen.add(key)
-                waiting.append((after, [*way, event]))
-    explored.states = len(seen)
-    return explored
+            if key in seen:
+                continue
+            if len(seen) >= bounds.states:
+                found.states, found.complete = len(seen), False
+                return found
+            seen.add(key)
+            waiting.append((after, [*history, event]))
+    found.states = len(seen)
+    return found
