--- a/starlingwheel/fleet/frames.py
+++ b/starlingwheel/fleet/frames.py
@@ -249,7 +249,7 @@
 FULL = "full"  # there is no room to record it
 NOTED = "noted"  # the final response is recorded
 
-About = (
+RequestFrame = (
     ReplicateFrame
     | FindOwnerFrame
     | AttemptIntentFrame
@@ -262,7 +262,7 @@
     HelloFrame
     | HeartbeatFrame
     | ViewSyncedFrame
-    | About
+    | RequestFrame
     | PolicyQueryFrame
     | PolicyStatusFrame
     | DecisionRequestFrame
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -22,7 +22,8 @@
 from trials import policy
 from trials.broken import POLICY_VARIANTS, LeaseTrustedOver, NoBinding, NoDoubt
 from trials.emulated_policy import QUIET, play
-from trials.model_policy import Bounds, explore
+from trials.model_events import Bounds
+from trials.model_policy import explore
 from trials.policy_scenes import SCENES
 from trials.rig import ROOT, Rig
 
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -24,10 +24,9 @@
 from starlingwheel.fleet.zones.planner import ZonePlanner, ZoneTraffic
 
 from .emulated_store import EmulatedStore
+from .emulated_zone_cases import CASES, FAILING, ZONES, Case
 
-ZONES = ("north", "east", "south")
 REGIONS = {"north": "up", "east": "up", "south": "down"}
-FAILING = "south"
 # Seconds:
 LEASE = 2.0
 OBJECTIVE = 1.0  # the latency objective
@@ -61,34 +60,6 @@
     KNOWN = "known"  # with full knowledge of what fails
 
 
-@dataclass(frozen=True)
-class Case:
-    """What the zones do meanwhile."""
-
-    hurt: tuple[str, ...] = (FAILING,)
-    part: float = 1.0  # of the attempts there that fail
-    silent: bool = True  # without an answer, else with an error at once
-    seen_by: str = ""  # only members of that zone see it
-    cold: bool = False
-    capacity: float = 3.0  # of each zone, as a multiple of its usual rate
-    helps: bool = True  # to leave the zones that fail
-    flaps: float = 0.0  # seconds for which it fails, and then not
-
-
-CASES = {
-    "hang": Case(),
-    "errors": Case(silent=False),
-    "third": Case(part=0.34, silent=False),
-    "two": Case(hurt=("north", "east"), capacity=6.0),
-    "all": Case(hurt=ZONES, helps=False),
-    "release": Case(hurt=ZONES, part=0.5, silent=False, helps=False),
-    "cut": Case(seen_by="north", helps=False),
-    "near-full": Case(part=0.5, silent=False, capacity=1.15),
-    "cold": Case(cold=True),
-    "flap": Case(flaps=4.0),
-}
-
-
 class EmulatedMember:
     """One member: what it sees and plans, and a plain selection of zones. It is the planner's host."""
 
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -10,8 +10,6 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
-from enum import StrEnum
-from typing import NamedTuple
 
 import msgspec
 
@@ -22,62 +20,16 @@
 from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
 
 from .emulated_store import EmulatedStore
+from .model_events import FAULTS, LIMITED, Bounds, Event, EventKind
 
 LEASE, SWITCH_DELAY, TICK = 1.0, 3.0, 1.0  # seconds
 MEMBER_NAMES = ("a", "b", "c")
-LIMITED = ("crashes", "cuts", "stops", "stalls", "words", "late", "ticks")  # fields of `Bounds`
 BODY = {"settings": {"number": 1}, "cover": {}}
 UNREAD = -1  # in place of the number of events seen: the watch has not begun
 
 ReplicaType = Callable[..., PolicyReplica]
 
 
-class EventKind(StrEnum):
-    """What may happen next."""
-
-    WATCHES = "watches"
-    STOPS = "stops"
-    GOES_ON = "goes_on"
-    STALLS = "stalls"
-    WRITES = "writes"
-    WRITES_LATE = "writes_late"
-    ARRIVES = "arrives"
-    CRASHES = "crashes"
-    STARTS = "starts"
-    CUT = "cut"
-    SAYS = "says"
-    EXPIRES = "expires"
-    TICKS = "ticks"
-
-
-FAULTS = {
-    EventKind.STOPS, EventKind.GOES_ON, EventKind.CRASHES, EventKind.CUT, EventKind.WRITES_LATE,
-    EventKind.STALLS,
-}  # fmt: skip
-
-
-class Event(NamedTuple):
-    """An event, and the names of its members; of `ARRIVES`, the place of the write among the delayed ones."""
-
-    kind: EventKind
-    member: str = ""
-    receiver: str = ""
-
-
-@dataclass(frozen=True)
-class Bounds:
-    """How often each may happen in one history."""
-
-    crashes: int = 0
-    cuts: int = 1  # of a member from the store
-    stops: int = 0  # of a process
-    stalls: int = 0  # a watch delivers nothing more, while the lease is renewed
-    words: int = 1  # statuses sent to a member
-    late: int = 0  # transactions that reach the store later than what comes after them
-    states: int = 40_000  # in all
-    ticks: int = 4
-
-
 class ModelHost:
     """What a member asks of its host: the model does what matters."""
 
