--- /dev/null
+++ b/starlingwheel/net/fleet/links/errors.py
@@ -0,0 +1,65 @@
+"""Why links end."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class LinkEndReason(StrEnum):
+    """Why a link has ended. The values are counted and logged."""
+
+    # The connection
+    CONNECT_FAILED = "unreachable"
+    CONNECT_REFUSED = "refused"
+    CONNECT_TIMEOUT = "never-came-up"
+    CONNECTION_RESET = "reset"
+    CONNECTION_CLOSED = "closed"
+    PEER_SILENT = "silent"
+    PEER_TOO_SLOW = "too-slow"
+    # Frames
+    FRAME_TOO_LONG = "too-long"
+    FRAME_EMPTY = "empty"
+    FRAME_UNREADABLE = "unreadable"
+    # The handshake
+    NO_HELLO = "no-greeting"
+    SECOND_HELLO = "greeted-twice"
+    OTHER_FLEET = "other-fleet"
+    OTHER_VERSION = "other-version"
+    OTHER_SHARD_COUNT = "other-cells"
+    UNEXPECTED_MEMBER = "not-who-was-called"
+    UNKNOWN_MEMBER = "stranger"
+    WRONG_DIRECTION = "wrong-way"
+    SIMULTANEOUS_DIAL = "crossed"
+    # Closed on purpose
+    POLICY_QUERY_ANSWERED = "asked"
+    REPLACED = "replaced"
+    NOT_NEEDED = "not-needed"
+    IDLE = "at-rest"
+    STOPPED = "stopped"
+    INTERNAL_ERROR = "defect"
+
+
+# How a link ends when the process of its member ends.
+PROCESS_END_REASONS = frozenset({LinkEndReason.CONNECTION_RESET, LinkEndReason.CONNECTION_CLOSED})
+# How a dial ends when no process listens at the address.
+NO_LISTENER_REASONS = frozenset({LinkEndReason.CONNECT_REFUSED, LinkEndReason.CONNECT_FAILED})
+# Frequent and harmless ends of a handshake, which are counted but not logged.
+UNLOGGED_REASONS = frozenset(
+    {
+        LinkEndReason.CONNECT_REFUSED,
+        LinkEndReason.CONNECT_TIMEOUT,
+        LinkEndReason.UNKNOWN_MEMBER,
+        LinkEndReason.POLICY_QUERY_ANSWERED,
+        LinkEndReason.SIMULTANEOUS_DIAL,
+        LinkEndReason.REPLACED,
+    }
+)
+
+
+class LinkRejectedError(Exception):
+    """Ends a link. Its text is the reason's value."""
+
+    def __init__(self, reason: StrEnum) -> None:
+        """`reason`: a `LinkEndReason`, or a reason of a trial's own."""
+        super().__init__(reason.value)
+        self.reason = reason
--- /dev/null
+++ b/starlingwheel/net/fleet/links/frame_reader.py
@@ -0,0 +1,50 @@
+"""Frames as bytes: MessagePack behind a length."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ....fleet.frames import LONGEST, Frame
+from .errors import LinkEndReason, LinkRejectedError
+
+LENGTH_PREFIX_SIZE = 4  # bytes, big endian
+
+encoder = msgspec.msgpack.Encoder()
+decoder = msgspec.msgpack.Decoder(Frame)
+
+
+def encode_frame(frame: Frame) -> bytes:
+    """Return a frame as it is sent, with its length."""
+    body = encoder.encode(frame)
+    return len(body).to_bytes(LENGTH_PREFIX_SIZE, "big") + body
+
+
+class FrameReader:
+    """Decodes a stream of bytes into frames."""
+
+    def __init__(self) -> None:
+        """Start with an empty buffer."""
+        self.held = bytearray()
+
+    def read(self, data: bytes) -> list[Frame]:
+        """Return the frames that `data` completes. Raises `LinkRejectedError` for bytes that are no frame."""
+        self.held += data
+        frames = []
+        while len(self.held) >= LENGTH_PREFIX_SIZE:
+            length = int.from_bytes(self.held[:LENGTH_PREFIX_SIZE], "big")
+            if length == 0:
+                raise LinkRejectedError(LinkEndReason.FRAME_EMPTY)
+            if length > LONGEST:
+                raise LinkRejectedError(LinkEndReason.FRAME_TOO_LONG)
+            end = LENGTH_PREFIX_SIZE + length
+            if len(self.held) < end:
+                break
+            frames.append(self._decode(bytes(self.held[LENGTH_PREFIX_SIZE:end])))
+            del self.held[:end]
+        return frames
+
+    def _decode(self, body: bytes) -> Frame:
+        try:
+            return decoder.decode(body)
+        except (msgspec.DecodeError, UnicodeDecodeError, ValueError, OverflowError) as error:
+            raise LinkRejectedError(LinkEndReason.FRAME_UNREADABLE) from error
--- a/starlingwheel/net/fleet/messages.py
+++ b/starlingwheel/net/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What the fleet's actors write to each other and to the module."""
+"""Messages between the actors of the fleet."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 from ...fleet.membership import Member, MembershipView
 from ...fleet.records import StoreRecords, Transaction
 
+# To the member's host
+
 
 @dataclass(slots=True, eq=False)
 class LinkUp:
-    """To the module: a member has said who it is."""
+    """To the host: a link to that member is established."""
 
     member: str
     link: Any
@@ -19,44 +21,30 @@
 
 @dataclass(slots=True, eq=False)
 class LinkDown:
-    """To the module: that link has ended."""
+    """To the host: that link has ended."""
 
     member: str
     link: Any
 
 
-@dataclass(slots=True, eq=False)
-class DialMember:
-    """To the links: that member is needed. `LinkUp` or `Unreached` follows, unless its link is up already."""
-
-    member: str
-
-
 @dataclass(slots=True, eq=False)
 class MemberUnreachable:
-    """To the module: no link to that member came up."""
+    """To the host: no link to that member was established in time."""
 
     member: str
 
 
 @dataclass(slots=True, eq=False)
 class FrameReceived:
-    """To the module: a frame that a member has sent."""
+    """To the host: a frame of that member; empty: of one that has no link."""
 
     member: str
     frame: Any
 
 
-@dataclass(slots=True, eq=False)
-class SendFrame:
-    """To a link: send these bytes."""
-
-    data: bytes
-
-
 @dataclass(slots=True, eq=False)
 class ViewChanged:
-    """To the module and the links: who is in. `gap`: there may have been views between that nobody saw."""
+    """To the host and the links: the members by the store. `gap`: views between may have been missed."""
 
     view: MembershipView
     gap: bool
@@ -64,7 +52,7 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseRenewed:
-    """To the module: our lease holds until then; the revision of our entry under it."""
+    """To the host: our lease holds until that time; `entered` is the store's revision of our entry."""
 
     until: float
     entered: int
@@ -72,63 +60,89 @@
 
 @dataclass(slots=True, eq=False)
 class StoreRead:
-    """To the module: what the arbiter has. `gap`: there may have been changes between that nobody saw."""
+    """To the host: the records of the store. `gap`: changes between may have been missed."""
 
     records: StoreRecords
     gap: bool
 
 
+# To the links
+
+
 @dataclass(slots=True, eq=False)
-class WriteTransaction:
-    """To the arbiter's client: this, once. `done` tells whether it was; None: not known yet."""
+class DialMember:
+    """To the `LinkManager`: that member is needed.
 
-    txn: Transaction
-    done: bool | None = None
+    `LinkUp` or `MemberUnreachable` follows, unless its link is up already.
+    """
 
+    member: str
 
-class WritePending:
-    """To an actor: look again at what is due."""
+
+@dataclass(slots=True, eq=False)
+class SendFrame:
+    """To a link: send an encoded frame about a request."""
+
+    data: bytes
 
 
 class CheckLinks:
-    """To a link: the words of others may be needed soon."""
+    """To a link: the policy status of other members may be needed soon."""
 
 
 class ProbeLink:
-    """To a link: say something, which shows whether the other side has it still."""
+    """To a link: send a heartbeat, which shows whether the other side still has the connection."""
 
 
-class ResumeDialing:
-    """To a link: have the other side say its word on the policy, once."""
+class RequestPolicyStatus:
+    """To a link: ask the other side for its policy status, once."""
 
 
-class RegisterAgain:
-    """To the arbiter's client: what it watches may have gone quiet; begin the watch anew."""
+CHECK_LINKS = CheckLinks()
+PROBE_LINK = ProbeLink()
+REQUEST_POLICY_STATUS = RequestPolicyStatus()
+
+
+# To the clients of the coordination store
+
+
+@dataclass(slots=True, eq=False)
+class WriteTransaction:
+    """To the `StateWriter`: write this once. `done`: whether it was carried out; None: not known yet."""
+
+    txn: Transaction
+    done: bool | None = None
 
 
-WRITE_PENDING, CHECK_LINKS, PROBE_LINK, RESUME_DIALING, REGISTER_AGAIN = (
-    WritePending(),
-    CheckLinks(),
-    ProbeLink(),
-    ResumeDialing(),
-    RegisterAgain(),
-)
+class WritePending:
+    """To the `StateWriter`: look again at what is due."""
+
+
+class RegisterAgain:
+    """To the `StateWatcher`: the watch may deliver nothing any more; begin it anew."""
 
 
 @dataclass(slots=True, eq=False)
 class EvictMember:
-    """To the arbiter's client: nobody listens at that member's address any more."""
+    """To the `MemberEvictor`: no process listens at that member's address any more."""
 
     member: Member
 
 
 @dataclass(slots=True, eq=False)
 class EntryLost:
-    """To the arbiter's client: our own entry has gone."""
+    """To the `LeaseKeeper`: our own entry is no longer in the store."""
+
+
+WRITE_PENDING = WritePending()
+REGISTER_AGAIN = RegisterAgain()
+
+
+# To a connection
 
 
 @dataclass(slots=True, eq=False)
 class ExchangeReleased:
-    """To a connection: the hand-off that it holds back may be written whole."""
+    """To a connection: the attempt that it withholds may be sent in full."""
 
     exchange: Any
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -13,8 +13,7 @@
 from starlingwheel.fleet.policy.replica import PolicyReplica, PolicyStatus, StoredPolicy
 from starlingwheel.fleet.records import Policy, PolicyDecision, StoreRecords
 from starlingwheel.net.fleet import etcd as client
-from starlingwheel.net.fleet import links as under_test
-from starlingwheel.net.fleet.links import LinkManager, encode_frame
+from starlingwheel.net.fleet.links import LinkManager, encode_frame, timing
 from starlingwheel.net.fleet.messages import (
     CHECK_LINKS,
     DialMember,
@@ -28,6 +27,7 @@
 )
 from starlingwheel.net.fleet.policy import PolicyPoller
 from starlingwheel.net.loop import Loop
+from starlingwheel.net.messages import CLOSE
 
 WORK, MORE = frames.FindOwnerFrame(b"k", b"m"), frames.FindOwnerFrame(b"l", b"m")  # words about work
 STEP = 0.001  # seconds between turns
@@ -171,7 +171,7 @@
     mine, theirs = one.links.links.get(other.id), other.links.links.get(one.id)
     if mine is None or theirs is None or mine.over or theirs.over:
         return False
-    return mine.sock.getsockname() == theirs.sock.getpeername()
+    return mine.connection.sock.getsockname() == theirs.connection.sock.getpeername()
 
 
 def test_members_of_one_cell_are_linked_and_others_are_not(make_town):
@@ -214,7 +214,7 @@
     except AssertionError:
         return town, False
     town.let_pass(0.06)
-    same = connected(one, other) and not (one.links.calls or other.links.calls)
+    same = connected(one, other) and not (one.links.dialer.dialing or other.links.dialer.dialing)
     return town, same and set(one.up()) == {other.id} and set(other.up()) == {one.id}
 
 
@@ -231,8 +231,8 @@
 
 
 def test_without_that_rule_calls_that_cross_end_each_other(make_town, monkeypatch):
-    monkeypatch.setattr(LinkManager, "_answerable", lambda self, member: None)
-    assert not all(crossed(make_town, seed, within=under_test.GREETING)[1] for seed in range(40))
+    monkeypatch.setattr(LinkManager, "_check_accepts_dial", lambda self, member: None)
+    assert not all(crossed(make_town, seed, within=timing.HANDSHAKE_TIMEOUT)[1] for seed in range(40))
 
 
 def test_a_link_that_neither_side_needs_rests_and_nothing_was_lost(pair):
@@ -257,7 +257,7 @@
     pair.all[who].needed.add(pair.all[1 - who].id)
     one.links.post(DialMember(other.id))
     pair.until(lambda: connected(one, other))
-    pair.let_pass(under_test.REST * 2)
+    pair.let_pass(timing.IDLE_LINK_TIMEOUT * 2)
     assert connected(one, other) and len(one.heard(LinkUp)) == 1
     pair.all[who].needed.clear()
     pair.until(lambda: not one.up() and not other.up())
@@ -276,8 +276,9 @@
     link = one.links.links[other.id]
     theirs = other.links.links[one.id]
     link.post(SendFrame(encode_frame(WORK)))
-    town.until(lambda: other.words() and all(theirs.idle))
-    while town.clock() < min(theirs.worked, link.worked) + under_test.REST - 0.1:
+    town.until(lambda: other.words() and theirs.activity.both_idle)
+    last_used = min(theirs.activity.last_request_frame, link.activity.last_request_frame)
+    while town.clock() < last_used + timing.IDLE_LINK_TIMEOUT - 0.1:
         town.turn()
     # The other side turns alone until it has said its last word.
     while other.links.links:
@@ -338,9 +339,9 @@
     pair.see(4, other)
     one.links.post(DialMember(other.id))
     pair.until(lambda: one.heard(MemberUnreachable))
-    assert not one.links.wanted and not one.links.calling
+    assert not one.links.dialer.needed_until and not one.links.dialer.attempts
     pair.let_pass(0.1)
-    assert not one.links.calls
+    assert not one.links.dialer.dialing
     one.links.post(DialMember("nobody.00"))
     pair.until(lambda: len(one.heard(MemberUnreachable)) == 2)
 
@@ -351,7 +352,7 @@
     other.sock.close()
     pair.all.remove(other)
     one.links.post(DialMember(other.id))
-    pair.until(lambda: one.heard(MemberUnreachable), within=under_test.GREETING / 2)
+    pair.until(lambda: one.heard(MemberUnreachable), within=timing.HANDSHAKE_TIMEOUT / 2)
     other.loop.close()
 
 
@@ -362,8 +363,8 @@
     pair.until(lambda: connected(one, other))
     # The greater one's side ends; the smaller one is not told, as where the network drops it.
     there = other.links.links[one.id]
-    silent = socket.socket(fileno=socket.dup(there.sock.fileno()))
-    there.post(under_test.CLOSE)
+    silent = socket.socket(fileno=socket.dup(there.connection.sock.fileno()))
+    there.post(CLOSE)
     pair.until(lambda: other.heard(LinkDown))
     assert connected(one, other) is False and other.id in one.up()
     other.links.post(DialMember(one.id))
@@ -429,9 +430,9 @@
     town.see(1)
     one, other = town.all
     town.until(lambda: connected(one, other))
-    town.let_pass(under_test.STAKE + 0.5)
+    town.let_pass(timing.ACTIVE_PERIOD + 0.5)
     counts = Counter({each.id: len(each.heard(FrameReceived)) for each in town.all})
-    town.let_pass(3 * under_test.IDLE[0])
+    town.let_pass(3 * timing.MIN_IDLE_HEARTBEAT_INTERVAL)
     for each in town.all:
         assert 2 <= len(each.heard(FrameReceived)) - counts[each.id] <= 4
 
@@ -448,14 +449,14 @@
     before = [len(one.heard(FrameReceived)) for one in town.all]
     town.let_pass(40.0)
     for one, heard in zip(town.all, before, strict=True):
-        assert len(one.heard(FrameReceived)) - heard <= 1.1 * 40.0 * under_test.A_SECOND
+        assert len(one.heard(FrameReceived)) - heard <= 1.1 * 40.0 * timing.IDLE_HEARTBEATS_PER_SECOND
         assert len(one.links.links) == count - 1 and not one.heard(LinkDown)
     # One that hangs is noticed by all in three times the pause between beats, as the page says.
     hung = town.all.pop()
-    town.let_pass(silent - under_test.IDLE[1])
+    town.let_pass(silent - timing.MAX_IDLE_HEARTBEAT_INTERVAL)
     at = town.clock()
     town.until(lambda: all(hung.id not in one.up() for one in town.all), within=60.0)
-    assert town.clock() - at < under_test.IDLE[1] + 1.0
+    assert town.clock() - at < timing.MAX_IDLE_HEARTBEAT_INTERVAL + 1.0
     town.all.append(hung)
 
 
@@ -470,7 +471,7 @@
     for _ in range(40):
         link.post(CHECK_LINKS)
         link.post(SendFrame(encode_frame(WORK)))
-        town.let_pass(under_test.BEAT / 2)
+        town.let_pass(timing.HEARTBEAT_INTERVAL / 2)
         latest.append(len(other.heard(FrameReceived)) - len(other.words()))
     assert latest[-1] >= 40 // 2 - 2
 
@@ -513,8 +514,8 @@
         self.notes = []
         now = self.loop.now()
         self.policy_replica = PolicyReplica(self.id, name, LEASE, Quiet(self.notes), now, StoredPolicy("f"))
-        self.links.says = self.says
-        self.links.tell = self.tell
+        self.links.answer_query = self.says
+        self.links.notify = self.tell
         self.policy_poller = PolicyPoller(
             self.links, self.policy_replica, self.links, random.Random(name), LEASE
         )
--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -9,6 +9,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import StrEnum
 from math import inf
 from typing import Any
 
@@ -45,6 +46,12 @@
 LOOKED = 0.02  # seconds between looks whether a member is ready
 
 
+class TrialEndReason(StrEnum):
+    """Why a link ends that the trial ends."""
+
+    CUT = "cut"
+
+
 @dataclass(slots=True, eq=False)
 class Handed:
     """One hand-off of an item, to an upstream that is none."""
@@ -266,7 +273,7 @@
         ]  # fmt: skip
         for actor in self.actors:
             actor.meter = self.meter
-        self.named, fleet.links.named = fleet.links.named, self._named
+        self.identify, fleet.links.identify = fleet.links.identify, self._identify
         self.started, self.ready_s = loop.now(), 0.0
         fleet.links.queued = True  # its mail waits until it has begun, and who calls waits in the kernel
         loop.unregister(sock.fileno())
@@ -309,7 +316,7 @@
             actor.daemon = False
             actor.ended = True
             actor.mailbox.clear()
-        fleet.links.lost = lambda *_: None  # guards against one that has ended knocking at others
+        fleet.links.link_ended = lambda *_: None  # guards against one that has ended knocking at others
         self.loop.unregister(sock.fileno())
         sock.close()
         for actor in {*mine, *self.actors}:
@@ -332,10 +339,10 @@
 
     # A cut of links.
 
-    def _named(self, link: Any, hello: Any) -> str:
-        member = self.named(link, hello)
+    def _identify(self, link: Any, hello: Any) -> str:
+        member = self.identify(link, hello)
         if self._cut_from(member):
-            raise LinkRejectedError("cut")
+            raise LinkRejectedError(TrialEndReason.CUT)
         return member
 
     def _cut_from(self, member: str) -> bool:
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -44,8 +44,8 @@
         meter = actor.__dict__.get("meter")
         if meter is None:
             # A link belongs to whom its links do.
-            links = getattr(actor, "links", None)
-            owner = links if isinstance(links, LinkManager) else actor
+            manager = getattr(actor, "manager", None)
+            owner = manager if isinstance(manager, LinkManager) else actor
             meter = actor.meter = owner.__dict__.get("meter") or self.nobody
         return meter
 
