--- /dev/null
+++ b/starlingwheel/net/fleet/etcd/member_evictor.py
@@ -0,0 +1,43 @@
+"""Deletes the entries of members whose process has ended."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from ....fleet.membership import Member
+from ....fleet.records import MEMBERS, Transaction, equal
+from ...actor import Coroutine
+from ..messages import EvictMember
+from .session import MIN_BACKOFF, EtcdSession
+
+
+class MemberEvictor(EtcdSession):
+    """Evicts members, so that nobody waits for their leases to end."""
+
+    def __init__(self, *session: Any) -> None:  # noqa: ANN401
+        """`session`: arguments of `EtcdSession`."""
+        self.to_evict: dict[str, Member] = {}
+        super().__init__(*session)
+
+    def post(self, message: object) -> None:
+        """Take over a member to be evicted, also while another one is being evicted."""
+        if isinstance(message, EvictMember):
+            self.to_evict[message.member.id] = message.member
+        super().post(message)
+
+    def work(self) -> Coroutine[None]:
+        """Evict all members that are to be evicted, and wait for the next one."""
+        while True:
+            while self.to_evict:
+                # All members notice an ended process in the same moment; the first one evicts it.
+                yield from self.sleep_until(self.loop.now() + self.rng.random() * MIN_BACKOFF)
+                yield from self._evict(self.to_evict.popitem()[1])
+            self.connection.close_if_readable((yield None))
+
+    def _evict(self, member: Member) -> Coroutine[None]:
+        key = MEMBERS + member.id
+        # Only the entry that is known here: the member may have registered anew.
+        condition = equal(key, "CREATE", member.term)
+        evicted = yield from self.commit(Transaction("strike", [condition], erase=[key]))
+        if evicted:
+            self.log("member.struck", member=member.id)
--- /dev/null
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -0,0 +1,155 @@
+"""What the clients of etcd have in common: calls, transactions, and backoff after a failure."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from collections.abc import Callable
+from typing import TypeVar
+
+import msgspec
+
+from ....fleet.records import MEMBERS, Compare, Transaction
+from ...actor import Actor, Coroutine
+from ...http.stream import ConnectionLostError
+from ...loop import Loop
+from ...state.buffers import BufferPool
+from ..messages import REGISTER_AGAIN, EntryLost
+from .connection import EtcdConnection
+from .errors import EntryLostError, EtcdError, EtcdFailure, EtcdUnavailableError
+from .messages import (
+    TRANSACTION_PATH,
+    Comparison,
+    DeleteRequest,
+    Operation,
+    PutRequest,
+    TransactionReply,
+    TransactionRequest,
+    decode_reply,
+    encode_base64,
+    prefix_end,
+)
+
+CALL_TIMEOUT_FRACTION = 1 / 3  # of the lease
+MIN_BACKOFF = 0.05  # seconds before the first retry
+MAX_BACKOFF = 1.0  # seconds at which the doubling ends
+
+T = TypeVar("T")
+
+
+class EtcdSession(Actor):
+    """Base class of the clients of etcd: runs `work`, and after a failure runs it again with a backoff.
+
+    The backoff doubles until `record_success`. No request waits for a client: while etcd is unavailable, the
+    fleet goes on under its last view.
+    """
+
+    daemon = True
+
+    def __init__(
+        self,
+        loop: Loop,
+        addresses: list[str],
+        lease: float,
+        pool: BufferPool,
+        log: Callable[..., None],
+        rng: random.Random,
+        fleet: str,
+    ) -> None:
+        """`addresses`: of etcd's members; `lease`: seconds; `fleet`: its name, under which all keys are."""
+        self.lease = lease
+        self.log = log
+        self.rng = rng
+        self.fleet_prefix = f"/{fleet}/"
+        self.members_prefix = f"{self.fleet_prefix}{MEMBERS}"
+        self.connection = EtcdConnection(loop, self, addresses, pool, self.check_message)
+        self.backoff = 0.0  # seconds; 0: the last call succeeded
+        self.reasons: Counter[str] = Counter()
+        super().__init__(loop)
+
+    def run(self) -> Coroutine[None]:
+        """Run `work` for ever."""
+        while True:
+            try:
+                yield from self.work()
+            except (ConnectionLostError, EtcdError) as error:
+                self._record_failure(str(error))
+                retry_at = self.loop.now() + self.backoff * (0.5 + self.rng.random())
+                while self.loop.now() < retry_at:
+                    yield retry_at
+
+    def work(self) -> Coroutine[None]:
+        """Do the client's job until it fails by `ConnectionLostError` or `EtcdError`."""
+        raise NotImplementedError
+
+    def check_message(self, message: object) -> None:
+        """Raise `EtcdError` for a message that ends what is being done."""
+        if isinstance(message, EntryLost):
+            raise EntryLostError
+        if message is REGISTER_AGAIN:
+            raise EtcdUnavailableError(EtcdFailure.WATCH_QUIET)
+
+    def record_success(self) -> None:
+        """A call has succeeded: the backoff begins anew."""
+        if self.backoff:
+            self.log("arbiter.back", address=self.connection.address, actor=type(self).__name__)
+        self.backoff = 0.0
+
+    def _record_failure(self, reason: str) -> None:
+        self.connection.close()
+        self.reasons[reason] += 1
+        if not self.backoff and reason != EtcdFailure.WATCH_QUIET:
+            address, actor = self.connection.address, type(self).__name__
+            self.log("arbiter.failed", reason=reason, address=address, actor=actor)
+        self.connection.use_next_address()  # another one may be available
+        self.backoff = min(max(2 * self.backoff, MIN_BACKOFF), MAX_BACKOFF)
+
+    def sleep_until(self, until: float) -> Coroutine[None]:
+        """Wait. Raises `EntryLostError` if our entry is lost meanwhile."""
+        while self.loop.now() < until:
+            message = yield until
+            if isinstance(message, EntryLost):
+                raise EntryLostError
+            self.connection.close_if_readable(message)
+
+    def call_deadline(self) -> float:
+        """When a call that begins now is given up."""
+        return self.loop.now() + CALL_TIMEOUT_FRACTION * self.lease
+
+    def call(self, path: str, body: msgspec.Struct, kind: type[T]) -> Coroutine[T]:
+        """Send a call and return its answer as a struct of type `kind`."""
+        data = yield from self.connection.call(path, body, self.call_deadline())
+        return decode_reply(data, kind)
+
+    def commit(self, transaction: Transaction, lease: str = "") -> Coroutine[bool]:
+        """Return whether a transaction was carried out. `lease`: what is put belongs to it."""
+        request = TransactionRequest(
+            [self._comparison(compare) for compare in transaction.compare],
+            [self._put(key, value, lease) for key, value in transaction.put]
+            + [self._delete(key) for key in transaction.erase],
+        )
+        reply = yield from self.call(TRANSACTION_PATH, request, TransactionReply)
+        self.record_success()
+        return reply.succeeded
+
+    def _put(self, key: str, value: bytes, lease: str) -> Operation:
+        put = PutRequest(encode_base64(self.fleet_prefix + key), encode_base64(value), lease or None)
+        return Operation(request_put=put)
+
+    def _delete(self, key: str) -> Operation:
+        full_key = self.fleet_prefix + key
+        delete = DeleteRequest(encode_base64(full_key))
+        if key.endswith("/"):
+            delete.range_end = encode_base64(prefix_end(full_key))
+        return Operation(request_delete_range=delete)
+
+    def _comparison(self, compare: Compare) -> Comparison:
+        key = self.fleet_prefix + compare.key
+        comparison = Comparison(encode_base64(key), compare.target, compare.result)
+        if compare.target == "MOD":
+            comparison.mod_revision = str(compare.value)
+        else:
+            comparison.create_revision = str(compare.value)
+        if compare.prefix:
+            comparison.range_end = encode_base64(prefix_end(key))
+        return comparison
--- /dev/null
+++ b/starlingwheel/net/fleet/etcd/state_writer.py
@@ -0,0 +1,55 @@
+"""Writes to the store what the policy, the zones and the shards have due."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from ....fleet.records import Transaction
+from ...actor import Coroutine
+from ...loop import SocketReady
+from ..messages import WriteTransaction
+from .session import CALL_TIMEOUT_FRACTION, EtcdSession
+
+RETRY_FRACTION = CALL_TIMEOUT_FRACTION / 4  # of the lease, between a write and the next look at what is due
+
+
+class StateWriter(EtcdSession):
+    """Writes what is due, and transactions of operators."""
+
+    def __init__(
+        self,
+        *session: Any,  # noqa: ANN401
+        due: Callable[[], Transaction | float],
+        lease_id: Callable[[], str],
+    ) -> None:
+        """`session`: arguments of `EtcdSession`.
+
+        `due` returns a transaction to be written now, or when to ask again. `lease_id` returns our lease.
+        """
+        super().__init__(*session)
+        self.due = due
+        self.lease_id = lease_id
+
+    def work(self) -> Coroutine[None]:
+        """Write each transaction when it is due or asked for."""
+        next_at = 0.0
+        while True:
+            due = self.due() if self.loop.now() >= next_at else next_at
+            if isinstance(due, Transaction):
+                yield from self._write_due(due)
+                # The watch shows what it has changed; it is tried again where the watch shows nothing.
+                next_at = self.loop.now() + self.lease * RETRY_FRACTION
+                continue
+            message = yield due
+            if isinstance(message, SocketReady):
+                self.connection.close()
+            elif isinstance(message, WriteTransaction):
+                message.done = yield from self.commit(message.txn)
+            elif message is not None:
+                next_at = 0.0  # new records may have made something due
+
+    def _write_due(self, transaction: Transaction) -> Coroutine[None]:
+        done = yield from self.commit(transaction, self.lease_id() if transaction.leased else "")
+        if not transaction.leased:
+            self.log("arbiter.wrote", what=transaction.what, done=done)
--- a/starlingwheel/net/fleet/links/connection.py
+++ b/starlingwheel/net/fleet/links/connection.py
@@ -19,7 +19,7 @@
     def __init__(self, loop: Loop, actor: Actor, sock: socket.socket) -> None:
         """`actor` receives `SocketReady` once `watch` was called."""
         self.loop = loop
-        self.actor = actor
+        self.actor: Actor | None = actor
         self.sock = sock
         self.reader = FrameReader()
         self.unsent = bytearray()
@@ -29,6 +29,7 @@
 
     def watch(self, mask: int) -> None:
         """Have the loop report these events of the socket to the actor."""
+        assert self.actor is not None, "the connection is closed"
         if not self.watched_mask:
             self.loop.register(self.sock.fileno(), self.actor, mask)
         elif mask != self.watched_mask:
@@ -99,3 +100,4 @@
         """Close the socket."""
         self.loop.unregister(self.sock.fileno())
         self.sock.close()
+        self.actor = None  # so that both are freed without a garbage collection
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -66,18 +66,18 @@
         self.member_id = f"{who.name or 'sidecar'}.{random.SystemRandom().getrandbits(48):012x}"
         member = Member(self.member_id, who.name, address, who.zone)
         given = (loop, part.arbiter, float(part.lease_s), pool, log, rng, part.name)
-        self.lease_keeper = LeaseKeeper(*given, member=member, tell=self._tell)
-        self.state_watcher = StateWatcher(*given, tell=self._tell)
+        self.lease_keeper = LeaseKeeper(*given, member=member, notify=self._deliver)
+        self.state_watcher = StateWatcher(*given, tell=self._deliver)
         self.leaving = False
         self.loop, self.lease, self.late_at = loop, part.lease_s, inf
         self.member_evictor = MemberEvictor(*given)
         self.policy_controller = policy_controller(self.member_id)
         self.module = module(self.member_id, self.policy_controller, self._lapsed)
         self.shard_map = ShardMap(self.member_id, float(part.lease_s), part.cell_size, loop.now())
-        self.state_writer = StateWriter(*given, due=self._due, lease_id=lambda: self.lease_keeper.held)
+        self.state_writer = StateWriter(*given, due=self._due, lease_id=lambda: self.lease_keeper.lease_id)
         hello = HelloFrame(part.name, VERSION, self.member_id)
         self.links = LinkManager(
-            loop, sock, hello, self._tell, self.module.beat, self.policy_controller.says, log, rng
+            loop, sock, hello, self._deliver, self.module.beat, self.policy_controller.says, log, rng
         )
         self.module.reaching = lambda member: self.links.post(DialMember(member))
         self.policy_poller = PolicyPoller(
@@ -192,7 +192,7 @@
             + self.state_writer.reasons
         )
 
-    def _tell(self, message: Any) -> None:
+    def _deliver(self, message: Any) -> None:
         if isinstance(message, EvictMember):
             self.member_evictor.post(message)
             return
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -697,7 +697,7 @@
     told = []
     one = state_watcher(told)
     a, b, c = (Member(f"n{i}.00", f"n{i}", "") for i in range(3))
-    one._seen(
+    one.apply_events(
         client.WatchEvents(
             events=[
                 event("members/n0.00", a, 2),
@@ -722,8 +722,10 @@
     told = []
     one = state_watcher(told)
     member = Member("n0.00", "n0", "")
-    one._seen(client.WatchEvents(events=[event("members/n0.00", member, 2), event("cells", {"count": 4}, 3)]))
-    one._seen(client.WatchEvents(events=[event("cells", value, 4)]))
+    one.apply_events(
+        client.WatchEvents(events=[event("members/n0.00", member, 2), event("cells", {"count": 4}, 3)])
+    )
+    one.apply_events(client.WatchEvents(events=[event("cells", value, 4)]))
     views = [m.view.cells for m in told if isinstance(m, ViewChanged)]
     assert views[-1] == 4
     one.loop.close()
--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -28,6 +28,7 @@
     ReplicatedRequest,
 )
 from starlingwheel.net.actor import Actor, Coroutine
+from starlingwheel.net.fleet.etcd import EtcdSession
 from starlingwheel.net.fleet.host import FleetHost
 from starlingwheel.net.fleet.links import LinkRejectedError
 from starlingwheel.net.fleet.member import FleetMember, MemberIdentity
@@ -321,8 +322,8 @@
         sock.close()
         for actor in {*mine, *self.actors}:
             actor.coroutine.close()
-            if getattr(actor, "stream", None) is not None:
-                actor.hang_up()
+            if isinstance(actor, EtcdSession):
+                actor.connection.close()
 
     def retune(self, terms: BalancerConfig) -> None:
         self.terms = terms
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from starlingwheel.net.actor import Actor
+from starlingwheel.net.fleet.etcd import EtcdSession
 from starlingwheel.net.fleet.links import LinkManager
 from starlingwheel.net.loop import Loop
 
@@ -51,7 +52,7 @@
 
     def register(self, fd: int, actor: Actor, mask: int) -> None:
         super().register(fd, actor, mask)
-        self._meter(actor).fds[fd] = hasattr(actor, "addresses")
+        self._meter(actor).fds[fd] = isinstance(actor, EtcdSession)
 
     def unregister(self, fd: int) -> None:
         if (actor := self.actors_by_descriptor.get(fd)) is not None:
