--- a/starlingwheel/net/fleet/__init__.py
+++ b/starlingwheel/net/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's actors: links between sidecars, the arbiter's client, and the module that covers work."""
+"""The fleet's actors: links between sidecars, the client of the coordination store, replication."""
--- a/starlingwheel/net/fleet/etcd/session.py
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -125,18 +125,18 @@
         """Return whether a transaction was carried out. `lease`: what is put belongs to it."""
         request = TransactionRequest(
             [self._comparison(compare) for compare in transaction.compare],
-            [self._put(key, value, lease) for key, value in transaction.put]
-            + [self._delete(key) for key in transaction.erase],
+            [self._put_operation(key, value, lease) for key, value in transaction.put]
+            + [self._delete_operation(key) for key in transaction.erase],
         )
         reply = yield from self.call(TRANSACTION_PATH, request, TransactionReply)
         self.record_success()
         return reply.succeeded
 
-    def _put(self, key: str, value: bytes, lease: str) -> Operation:
+    def _put_operation(self, key: str, value: bytes, lease: str) -> Operation:
         put = PutRequest(encode_base64(self.fleet_prefix + key), encode_base64(value), lease or None)
         return Operation(request_put=put)
 
-    def _delete(self, key: str) -> Operation:
+    def _delete_operation(self, key: str) -> Operation:
         full_key = self.fleet_prefix + key
         delete = DeleteRequest(encode_base64(full_key))
         if key.endswith("/"):
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -1,4 +1,4 @@
-"""A member's actors of the fleet, whatever it is that decides on work there."""
+"""A member's actors of the fleet, whatever part of it decides on requests."""
 
 from __future__ import annotations
 
@@ -6,10 +6,9 @@
 import socket
 from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
 from math import inf
-from typing import TYPE_CHECKING, Any, NamedTuple
-
-import msgspec
+from typing import TYPE_CHECKING
 
 from ...decisions.config import BalancerConfig
 from ...fleet.config import FleetConfig
@@ -17,7 +16,7 @@
 from ...fleet.membership import Member
 from ...fleet.records import Transaction
 from ...fleet.shards import ShardMap
-from ..actor import Coroutine
+from ..actor import Actor, Coroutine
 from ..loop import Loop
 from ..state.buffers import BufferPool
 from .etcd import LeaseKeeper, MemberEvictor, StateWatcher, StateWriter
@@ -25,16 +24,20 @@
 from .links import LinkManager
 from .messages import WRITE_PENDING, DialMember, EntryLost, EvictMember, StoreRead, ViewChanged
 from .policy import PolicyController, PolicyPoller
+from .reports import MemberReport, PolicyReport, member_report, policy_report
 
 if TYPE_CHECKING:
     from ..lifecycle.config import SidecarConfig
 
 
-LEAVING = 1 / 6  # of a lease for which a process that ends waits to be out of the view
-LATE = 8.0  # leases after which a sidecar that can't reach the arbiter serves all the same, uncovered
+LEAVE_TIMEOUT_FRACTION = 1 / 6  # of the lease, for which a process that ends waits to leave the view
+LEAVE_CHECKS = 32  # looks at the view in that time
+# Leases after which a sidecar that cannot reach the store serves all the same, without replication.
+STORE_TIMEOUT_LEASES = 8.0
 
 
-class MemberIdentity(NamedTuple):
+@dataclass(frozen=True, slots=True)
+class MemberIdentity:
     """A member as its configuration names it. `zone`: as its settings say."""
 
     name: str
@@ -43,7 +46,7 @@
 
 
 class FleetMember:
-    """One member's actors of the fleet."""
+    """Builds one member's actors of the fleet, and passes messages between them."""
 
     def __init__(
         self,
@@ -52,138 +55,110 @@
         log: Callable[..., None],
         part: FleetConfig,
         sock: socket.socket,
-        who: MemberIdentity,
-        policy_controller: Callable[[str], PolicyController],
-        module: Callable[[str, PolicyController, Callable[[EntryLost], None]], FleetHost],
+        identity: MemberIdentity,
+        make_policy_controller: Callable[[str], PolicyController],
+        make_host: Callable[[str, PolicyController, Callable[[EntryLost], None]], FleetHost],
     ) -> None:
-        """`sock`: listens for links. `ruling`, `module`: make those, for the member of that id.
+        """Make the actors; `begin` starts them.
 
-        `module` is also given whom to tell when our own entry has gone from the view.
+        `sock` listens for links. `make_policy_controller` and `make_host` are given the member's id; the host
+        also gets the function to call when our own entry is no longer in the view.
         """
-        rng = random.Random(f"{who.seed} fleet")
+        rng = random.Random(f"{identity.seed} fleet")
         address = part.advertise or "{}:{}".format(*sock.getsockname())
         # New with each start, also where two starts are given the same seed.
-        self.member_id = f"{who.name or 'sidecar'}.{random.SystemRandom().getrandbits(48):012x}"
-        member = Member(self.member_id, who.name, address, who.zone)
-        given = (loop, part.arbiter, float(part.lease_s), pool, log, rng, part.name)
-        self.lease_keeper = LeaseKeeper(*given, member=member, notify=self._deliver)
-        self.state_watcher = StateWatcher(*given, tell=self._deliver)
+        self.member_id = f"{identity.name or 'sidecar'}.{random.SystemRandom().getrandbits(48):012x}"
+        self.loop = loop
+        self.lease = part.lease_s
         self.leaving = False
-        self.loop, self.lease, self.late_at = loop, part.lease_s, inf
-        self.member_evictor = MemberEvictor(*given)
-        self.policy_controller = policy_controller(self.member_id)
-        self.module = module(self.member_id, self.policy_controller, self._lapsed)
+        self.serve_without_store_at = inf
+        member = Member(self.member_id, identity.name, address, identity.zone)
+        session = (loop, part.arbiter, float(part.lease_s), pool, log, rng, part.name)
+        self.lease_keeper = LeaseKeeper(*session, member=member, notify=self._deliver)
+        self.state_watcher = StateWatcher(*session, tell=self._deliver)
+        self.member_evictor = MemberEvictor(*session)
+        self.policy_controller = make_policy_controller(self.member_id)
+        self.module = make_host(self.member_id, self.policy_controller, self._entry_lost)
         self.shard_map = ShardMap(self.member_id, float(part.lease_s), part.cell_size, loop.now())
-        self.state_writer = StateWriter(*given, due=self._due, lease_id=lambda: self.lease_keeper.lease_id)
-        hello = HelloFrame(part.name, VERSION, self.member_id)
-        self.links = LinkManager(
-            loop, sock, hello, self._deliver, self.module.beat, self.policy_controller.says, log, rng
+        self.state_writer = StateWriter(
+            *session, due=self._next_write, lease_id=lambda: self.lease_keeper.lease_id
         )
-        self.module.reaching = lambda member: self.links.post(DialMember(member))
+        self.links = self._make_links(sock, part.name, log, rng)
         self.policy_poller = PolicyPoller(
             self.links, self.policy_controller.policy_replica, self.state_watcher, rng, float(part.lease_s)
         )
 
+    def _make_links(
+        self, sock: socket.socket, fleet_name: str, log: Callable[..., None], rng: random.Random
+    ) -> LinkManager:
+        hello = HelloFrame(fleet_name, VERSION, self.member_id)
+        make_heartbeat, answer_query = self.module.beat, self.policy_controller.says
+        links = LinkManager(self.loop, sock, hello, self._deliver, make_heartbeat, answer_query, log, rng)
+        self.module.reaching = lambda member: links.post(DialMember(member))
+        return links
+
+    def begin(self) -> None:
+        """Start the actors, in this order."""
+        self.serve_without_store_at = self.loop.now() + STORE_TIMEOUT_LEASES * self.lease
+        self.policy_controller.policy_replica.begin()
+        actors: tuple[Actor, ...] = (
+            self.links,
+            self.lease_keeper,
+            self.state_watcher,
+            self.member_evictor,
+            self.state_writer,
+            self.policy_poller,
+        )
+        for actor in actors:
+            actor.begin()
+
     @property
     def joined(self) -> bool:
-        """Others can see us, or the arbiter has been out of reach for too long to wait for it.
+        """Whether this member may serve: others can see it, or the store was unavailable for too long.
 
-        Guards against a sidecar that starts while the arbiter is gone doing what is in hand elsewhere, or
-        under a policy that is over.
+        A member that starts while the store is unavailable could otherwise serve a request that is in flight
+        elsewhere, or follow a policy that is no longer in force.
         """
-        there = self.member_id in self.module.replicator.view or self.loop.now() > self.late_at
-        return there and self.policy_controller.policy_replica.sure
+        waited = self.loop.now() > self.serve_without_store_at
+        return (self._in_view or waited) and self.policy_controller.policy_replica.sure
 
-    def renewed(self, config: SidecarConfig) -> BalancerConfig:
-        """The terms by a file that was read again. Raises `Unusable`: it changes what is the fleet's."""
-        return self.policy_controller.renewed(config)
+    @property
+    def _in_view(self) -> bool:
+        return self.member_id in self.module.replicator.view
 
-    def _due(self) -> Any:
-        """What there is to write at the arbiter, or when to ask again."""
-        policy_replica = self.policy_controller.policy_replica
-        now = policy_replica.now = self.loop.now()
-        due = policy_replica.due()
-        if isinstance(due, Transaction):
-            return due
-        self.shard_map.now = now
-        for other in (self.module.zone_controller.due(now, policy_replica.leased), self.shard_map.due()):
-            if isinstance(other, Transaction):
-                return other
-            due = min(due, other)
-        return due
+    def renewed(self, config: SidecarConfig) -> BalancerConfig:
+        """Return the balancer's configuration for a file that was read again.
 
-    def policy_told(self) -> dict[str, Any]:
-        """For operators: what holds, what is proposed and who has said what, what was before."""
-        policy_replica = self.policy_controller.policy_replica
-        policy_replica.now = self.loop.now()
-        doubt, records = policy_replica.doubt(), policy_replica.records
-        open_ = None
-        if (change := records.next) is not None:
-            votes = {m.name: records.votes.get(m.id) for m in records.members.values()}
-            said = {
-                n: "nothing" if why is None else why and f"no: {why}" or "yes" for n, why in votes.items()
-            }
-            open_ = msgspec.to_builtins(change) | {"votes": said}
-        return {
-            "in_force": msgspec.to_builtins(policy_replica.in_force),
-            "decided": policy_replica.decision and policy_replica.decision.policy.version,
-            "decided_at": policy_replica.decision and policy_replica.decision.at,
-            "doubt": doubt,
-            "doubted_s": round(policy_replica.doubted, 3),
-            "open": open_,
-            "past": [msgspec.to_builtins(records.past[number]) for number in sorted(records.past)],
-            "registered": policy_replica.names,
-            "words": {
-                w.name: {"version": w.version, "age_s": round(policy_replica.now - w.at, 3)}
-                for w in policy_replica.words.values()
-            },
-            "counts": policy_replica.counts,
-        }
-
-    def told(self) -> dict[str, Any]:
-        """For operators: who is in, who is heard, what is covered, and why not."""
-        replicator, now = self.module.replicator, self.loop.now()
-        view = replicator.view
-        ours = view.of_cell(view.cell_of(self.member_id))
-        return {
-            "member": self.member_id,
-            "in_view": self.member_id in replicator.view,
-            "lease_s": round(max(0.0, replicator.lease_until - now), 3),
-            "settled": replicator.settled_now,
-            "cells": {
-                "count": view.cells,
-                "ours": view.cell_of(self.member_id),
-                "members": list(ours),
-                "fleet_members": len(view.members),
-            },
-            "view": [msgspec.structs.asdict(member) for member in ours.values()],
-            "links": sorted(replicator.links),
-            "items": Counter(item.state.value for item in replicator.items.values()),
-            "kept_bytes": replicator.kept_bytes,
-            "counts": replicator.counts,
-            "reasons": self.reasons,
-        }
+        Raises `ConfigError` if the file changes what the fleet's policy decides.
+        """
+        return self.policy_controller.renewed(config)
 
     def leave(self) -> Coroutine[None]:
-        """Out of the view before the process ends: others need not wait for our lease, nor knock.
+        """Leave the view before the process ends: others need not wait for our lease, nor check on us.
 
-        What we still own without a client, its keepers take over once our links close.
+        The replicas of our requests take them over once our links close.
         """
         member = self.module.replicator.view.members.get(self.member_id)
         self.leaving = True
-        if member is not None:
-            self.member_evictor.post(EvictMember(member))
-            until = self.loop.now() + LEAVING * self.lease
-            while self.member_id in self.module.replicator.view and self.loop.now() < until:
-                yield self.loop.now() + LEAVING * self.lease / 32
+        if member is None:
+            return
+        self.member_evictor.post(EvictMember(member))
+        timeout = LEAVE_TIMEOUT_FRACTION * self.lease
+        deadline = self.loop.now() + timeout
+        while self._in_view and self.loop.now() < deadline:
+            yield self.loop.now() + timeout / LEAVE_CHECKS
 
-    def _lapsed(self, message: EntryLost) -> None:
-        if not self.leaving:
-            self.lease_keeper.post(message)
+    def told(self) -> MemberReport:
+        """Return the report of this member for operators."""
+        return member_report(self)
+
+    def policy_told(self) -> PolicyReport:
+        """Return the report of this member's policy for operators."""
+        return policy_report(self.policy_controller.policy_replica, self.loop.now())
 
     @property
     def reasons(self) -> Counter[str]:
-        """Why calls of the arbiter and links have ended, so often each."""
+        """How often calls of the store and links have ended for each reason."""
         return (
             self.lease_keeper.reasons
             + self.state_watcher.reasons
@@ -192,7 +167,27 @@
             + self.state_writer.reasons
         )
 
-    def _deliver(self, message: Any) -> None:
+    def _next_write(self) -> Transaction | float:
+        """Return the transaction that is due, or when to ask again."""
+        now = self.loop.now()
+        policy_replica = self.policy_controller.policy_replica
+        policy_replica.now = now
+        due = policy_replica.due()
+        if isinstance(due, Transaction):
+            return due
+        self.shard_map.now = now
+        for other in (self.module.zone_controller.due(now, policy_replica.leased), self.shard_map.due()):
+            if isinstance(other, Transaction):
+                return other
+            due = min(due, other)
+        return due
+
+    def _entry_lost(self, message: EntryLost) -> None:
+        if not self.leaving:
+            self.lease_keeper.post(message)
+
+    def _deliver(self, message: object) -> None:
+        """Pass a message of the links or of the store's clients to whom it concerns."""
         if isinstance(message, EvictMember):
             self.member_evictor.post(message)
             return
@@ -203,16 +198,3 @@
             self.shard_map.now = self.loop.now()
             self.shard_map.recorded(message.records)
             self.state_writer.post(WRITE_PENDING)
-
-    def begin(self) -> None:
-        self.late_at = self.loop.now() + LATE * self.lease
-        self.policy_controller.policy_replica.begin()
-        for actor in (
-            self.links,
-            self.lease_keeper,
-            self.state_watcher,
-            self.member_evictor,
-            self.state_writer,
-            self.policy_poller,
-        ):
-            actor.begin()
--- a/starlingwheel/net/fleet/sidecar.py
+++ b/starlingwheel/net/fleet/sidecar.py
@@ -16,30 +16,43 @@
 
 
 class SidecarFleet(FleetMember):
-    """One sidecar's actors of the fleet, and what operators can ask of them."""
+    """One sidecar's actors of the fleet, and the admin calls for them."""
 
     module: ReplicatingCoordinator
     calls = CALLS
 
     def __init__(self, context: SidecarContext, part: FleetConfig, sock: socket.socket) -> None:
-        def policy_controller(member_id: str) -> PolicyController:
-            return PolicyController(
-                context.config,
-                part,
-                member_id,
-                context.loop.now(),
-                lambda: context.balancer_config,
-                context.reload,
-                context.log,
-            )
-
-        def module(
-            member_id: str, policy_controller: PolicyController, lapsed: Callable[[EntryLost], None]
-        ) -> ReplicatingCoordinator:
-            return ReplicatingCoordinator(context, member_id, part, lapsed, policy_controller)
-
-        who = MemberIdentity(context.config.name, context.balancer_config.zone, context.config.seed)
+        """`part`: the configuration's `fleet` part; `sock` listens for links."""
+        self.context = context
+        self.part = part
         super().__init__(
-            context.loop, context.buffer_pool, context.log, part, sock, who, policy_controller, module
+            context.loop,
+            context.buffer_pool,
+            context.log,
+            part,
+            sock,
+            MemberIdentity(context.config.name, context.balancer_config.zone, context.config.seed),
+            self._make_policy_controller,
+            self._make_coordinator,
         )
         context.connection_type = ReplicatedHttp1Connection
+
+    def _make_policy_controller(self, member_id: str) -> PolicyController:
+        context = self.context
+        return PolicyController(
+            context.config,
+            self.part,
+            member_id,
+            context.loop.now(),
+            lambda: context.balancer_config,
+            context.reload,
+            context.log,
+        )
+
+    def _make_coordinator(
+        self,
+        member_id: str,
+        policy_controller: PolicyController,
+        on_entry_lost: Callable[[EntryLost], None],
+    ) -> ReplicatingCoordinator:
+        return ReplicatingCoordinator(self.context, member_id, self.part, on_entry_lost, policy_controller)
