--- a/starlingwheel/net/fleet/etcd/__init__.py
+++ b/starlingwheel/net/fleet/etcd/__init__.py
@@ -7,8 +7,8 @@
 """
 
 from ..messages import LeaseRenewed
-from .http_connection import MAX_REPLY_SIZE as LONGEST
 from .errors import EtcdError, EtcdFailure, EtcdUnavailableError, UnusableReplyError
+from .http_connection import MAX_REPLY_SIZE as LONGEST
 from .lease_keeper import RENEWAL_FRACTION as RENEW
 from .lease_keeper import LeaseKeeper
 from .member_evictor import MemberEvictor
--- a/starlingwheel/net/fleet/etcd/session.py
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -15,8 +15,8 @@
 from ...loop import Loop
 from ...state.buffers import BufferPool
 from ..messages import REGISTER_AGAIN, EntryLost
-from .http_connection import EtcdConnection
 from .errors import EntryLostError, EtcdError, EtcdFailure, EtcdUnavailableError
+from .http_connection import EtcdConnection
 from .messages import (
     TRANSACTION_PATH,
     Comparison,
--- a/starlingwheel/net/fleet/etcd/state_watcher.py
+++ b/starlingwheel/net/fleet/etcd/state_watcher.py
@@ -11,13 +11,13 @@
 from ....fleet.records import CELLS, MEMBERS, StoreEntry, StoreRecords
 from ...actor import Coroutine
 from ..messages import StoreRead, ViewChanged
-from .http_connection import HTTP_OK
 from .errors import (
     EtcdFailure,
     EtcdUnavailableError,
     UnexpectedStatusError,
     UnusableReplyError,
 )
+from .http_connection import HTTP_OK
 from .messages import (
     RANGE_PATH,
     WATCH_PATH,
--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -13,8 +13,8 @@
 from ...messages import CLOSE
 from ..messages import CHECK_LINKS, PROBE_LINK, REQUEST_POLICY_STATUS, FrameReceived, SendFrame
 from .activity import LinkActivity
-from .frame_connection import FrameConnection
 from .errors import LinkEndReason, LinkRejectedError
+from .frame_connection import FrameConnection
 from .frame_reader import encode_frame
 from .timing import HANDSHAKE_TIMEOUT, HEARTBEAT_INTERVAL
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,8 +25,8 @@
 
 # Last parts of the names of modules that only a sidecar needs: those of now, and the former ones.
 SIDECAR_MODULES = (
-    "coordinator", "sidecar", "admin", "connection", "pool", "client_connection", "module", "calls", "upstream",
-    "client",
+    "coordinator", "sidecar", "admin", "connection", "pool", "client_connection", "module", "calls",
+    "upstream", "client",
 )  # fmt: skip
 
 
