--- a/trials/scale/arbiter.py
+++ b/trials/scale/arbiter.py
@@ -76,8 +76,8 @@
                 told = {
                     "sample": msgspec.to_builtins(counted.sample()),
                     "calls": calls,
-                    "watch": dict(arbiter.told),
-                    "revision": arbiter.revision,
+                    "watch": dict(arbiter.watch_counts),
+                    "revision": arbiter.store.revision,
                     "entries": len(arbiter.entries),
                 }
             case "put":
