--- a/trials/scale/__main__.py
+++ b/trials/scale/__main__.py
@@ -13,14 +13,22 @@
 import json
 import os
 import sys
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any, TextIO
 
+from .fleet import FleetStuckError
 from .limits import ALONE, REAL, Plan, planned
-from .run import LEASE, PACE, PHASES, Given, Run, Stuck
+from .options import LEASE, LINKS_PER_SECOND, RunOptions
+from .phases import PHASES
+from .run import Run
+
+MAX_REASON_SIZE = 400  # characters
+Output = Callable[[dict[str, Any]], None]
 
 
 def sizes(text: str) -> list[int]:
+    """Return a list of whole numbers. Raises `ArgumentTypeError`."""
     try:
         return [int(one) for one in text.split(",")]
     except ValueError as error:
@@ -28,6 +36,7 @@
 
 
 def phases(text: str) -> list[str]:
+    """Return a list of names of phases. Raises `ArgumentTypeError`."""
     given = text.split(",")
     if unknown := [one for one in given if one not in PHASES]:
         raise argparse.ArgumentTypeError(f"unknown: {', '.join(unknown)}; known are {', '.join(PHASES)}")
@@ -35,6 +44,7 @@
 
 
 def parsed(arguments: list[str] | None = None) -> argparse.Namespace:
+    """Return the arguments of the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m trials.scale",
         description=__doc__,
@@ -54,7 +64,12 @@
     )
     parser.add_argument("--every", type=float, default=4.0, help="seconds between restarts (4)")
     parser.add_argument("--lease", type=int, default=LEASE, help=f"seconds ({LEASE})")
-    parser.add_argument("--pace", type=float, default=PACE, help=f"links a second at the start ({PACE:.0f})")
+    parser.add_argument(
+        "--pace",
+        type=float,
+        default=LINKS_PER_SECOND,
+        help=f"links a second at the start ({LINKS_PER_SECOND:.0f})",
+    )
     parser.add_argument("--output", type=Path, help="a file for the lines, beside standard output")
     return parser.parse_args(arguments)
 
@@ -80,26 +95,77 @@
     return plans, ""
 
 
-async def played(plan: Plan, given: argparse.Namespace, out: Any) -> bool:
-    told = Given(
-        plan, given.seed, given.cell_size, given.seconds, given.rate, given.every, given.lease, given.pace,
-        given.phases,
-    )  # fmt: skip
-    run = Run(told, out)
+async def played(plan: Plan, given: argparse.Namespace, out: Output) -> bool:
+    """Play one size; whether it got to its end."""
+    options = RunOptions(
+        plan,
+        seed=given.seed,
+        cell_size=given.cell_size,
+        seconds=given.seconds,
+        rate=given.rate,
+        every=given.every,
+        lease=given.lease,
+        pace=given.pace,
+        phases=given.phases,
+    )
+    run = Run(options, out)
     try:
         await run.begin()
         await run.play()
-    except (Stuck, RuntimeError, TimeoutError, OSError) as error:
-        why = f"{type(error).__name__}: {error}"[:400]
+    except (FleetStuckError, RuntimeError, TimeoutError, OSError) as error:
+        why = f"{type(error).__name__}: {error}"[:MAX_REASON_SIZE]
         out({"size": plan.size, "seed": given.seed, "cell_size": given.cell_size, "ended": why})
         return False
     finally:
-        # Guards against a second Ctrl-C leaving processes.
+        # A second Ctrl-C must not leave processes.
         await asyncio.shield(run.end())
     return True
 
 
+class LineWriter:
+    """Writes the lines of output, and knows the measured ones."""
+
+    def __init__(self, file: TextIO | None, measured: list[dict[str, Any]]) -> None:
+        """`file`: beside standard output; `measured`: the lines that it has already."""
+        self.file = file
+        self.measured = measured
+
+    def __call__(self, line: dict[str, Any]) -> None:
+        """Write a line."""
+        if "phase" in line:
+            self.measured.append(line)
+        for target in (sys.stdout, self.file):
+            if target is not None:
+                print(json.dumps(line), file=target, flush=True)
+
+    def write_predictions(self, plan: Plan, given: argparse.Namespace) -> None:
+        """Write what smaller sizes predict for this one, if two have been measured."""
+        if len({line["size"] for line in self.measured}) > 1:
+            from .slopes import predicted  # needs numpy, which a run of one size does not
+
+            for line in predicted(self.measured, plan.size, given.cell_size, given.phases):
+                self(line)
+
+
+def measured_lines(path: Path) -> list[dict[str, Any]]:
+    """Return the measured lines of a file. Raises `OSError` and `ValueError`."""
+    if not path.exists():
+        return []
+    lines = map(json.loads, path.read_text().splitlines())
+    return [line for line in lines if "phase" in line]
+
+
+def play_all(plans: list[Plan], given: argparse.Namespace, out: LineWriter) -> bool:
+    """Play all sizes, up to the first that ends early: what is stuck at one size is so at a larger one."""
+    for plan in plans:
+        out.write_predictions(plan, given)
+        if not asyncio.run(played(plan, given, out)):
+            return False
+    return True
+
+
 def main(arguments: list[str] | None = None) -> int:
+    """Run the command line, and return the exit code."""
     given = parsed(arguments)
     plans, why = fault(given)
     if why:
@@ -107,40 +173,21 @@
         return 2
     with contextlib.ExitStack() as stack:
         file: TextIO | None = None
-        lines: list[dict[str, Any]] = []  # also what the file has already: larger sizes are predicted from it
+        measured: list[dict[str, Any]] = []
         if given.output is not None:
             try:
-                if given.output.exists():
-                    told = map(json.loads, given.output.read_text().splitlines())
-                    lines = [line for line in told if "phase" in line]
+                measured = measured_lines(given.output)
                 given.output.parent.mkdir(parents=True, exist_ok=True)
                 file = stack.enter_context(given.output.open("a"))
             except (OSError, ValueError) as error:
                 print(f"trials.scale: {given.output}: {error}", file=sys.stderr)
                 return 2
-
-        def out(line: dict[str, Any]) -> None:
-            if "phase" in line:
-                lines.append(line)
-            for target in (sys.stdout, file):
-                if target is not None:
-                    print(json.dumps(line), file=target, flush=True)
-
         try:
-            well = True
-            for plan in plans:
-                if len({line["size"] for line in lines}) > 1:
-                    from .slopes import predicted  # costs a run of one size no import
-
-                    for line in predicted(lines, plan.size, given.cell_size, given.phases):
-                        out(line)
-                well = asyncio.run(played(plan, given, out))
-                if not well:
-                    break  # what does not come to rest at one size does not at a larger one
+            finished = play_all(plans, given, LineWriter(file, measured))
         except KeyboardInterrupt:
             print("trials.scale: stopped", file=sys.stderr)
             return 130
-    return 0 if well else 1
+    return 0 if finished else 1
 
 
 if __name__ == "__main__":
--- a/trials/scale/control.py
+++ b/trials/scale/control.py
@@ -1,4 +1,4 @@
-"""Words between the run and its processes: a JSON object a line, over standard input and output."""
+"""Commands from the run to its processes: a JSON object a line, over standard input and output."""
 
 from __future__ import annotations
 
@@ -12,37 +12,47 @@
 
 from ..rig import DIE_WITH_PARENT, ROOT
 
-WITHIN = 120.0  # seconds within which a process answers, however busy the machine is
-LONGEST = 1 << 24
+ANSWER_TIMEOUT = 120.0  # seconds, however busy the machine is
+MAX_LINE_SIZE = 1 << 24  # bytes
 
 
 def die_with_parent() -> None:
-    """Guards against processes that outlive a run that was killed."""
+    """Have this process killed when the run ends, also when the run is killed itself."""
     ctypes.CDLL(None).prctl(DIE_WITH_PARENT, signal.SIGKILL)
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is for the run, which ends them by id
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is for the run, which ends its processes by id
 
 
 class Process:
     """One process of the run."""
 
     def __init__(self, module: str) -> None:
+        """`module`: which module it runs."""
         self.module = module
         self.process: asyncio.subprocess.Process | None = None
-        self.turn = asyncio.Lock()
+        self.call_lock = asyncio.Lock()
 
-    async def begin(self, **told: Any) -> dict[str, Any]:
-        """Start it; what it says first."""
+    async def begin(self, **arguments: object) -> dict[str, Any]:
+        """Start it, and return the answer to its first command."""
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", self.module, cwd=ROOT, preexec_fn=die_with_parent, limit=LONGEST,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, env=os.environ,
-        )  # fmt: skip
-        return await self.ask("begin", **told)
+            sys.executable,
+            "-B",
+            "-m",
+            self.module,
+            cwd=ROOT,
+            preexec_fn=die_with_parent,
+            limit=MAX_LINE_SIZE,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            env=os.environ,
+        )
+        return await self.ask("begin", **arguments)
 
-    async def ask(self, do: str, **told: Any) -> dict[str, Any]:
+    async def ask(self, do: str, **arguments: object) -> dict[str, Any]:
+        """Send a command and return its answer. Raises `RuntimeError` if it failed, `TimeoutError`."""
         process = self.process
         assert process is not None and process.stdin is not None and process.stdout is not None
-        async with self.turn, asyncio.timeout(WITHIN):
-            process.stdin.write(json.dumps({"do": do} | told).encode() + b"\n")
+        async with self.call_lock, asyncio.timeout(ANSWER_TIMEOUT):
+            process.stdin.write(json.dumps({"do": do} | arguments).encode() + b"\n")
             await process.stdin.drain()
             line = await process.stdout.readline()
         if not line:
@@ -53,6 +63,7 @@
         return answer
 
     async def end(self) -> None:
+        """Kill it, and wait for its end."""
         process = self.process
         if process is not None and process.returncode is None:
             process.kill()
--- a/trials/scale/counts.py
+++ b/trials/scale/counts.py
@@ -12,11 +12,13 @@
 
 import msgspec
 
-TCP_INFO, SIZE = 11, 256
+TCP_INFO = 11  # socket option
+TCP_INFO_SIZE = 256  # bytes
 HEADERS = 52  # bytes of a segment's IPv4 and TCP headers with timestamps, as loopback and most networks send
 PIDFD_GETFD = 438  # system call
-PAGE = os.sysconf("SC_PAGE_SIZE")
-TICK = os.sysconf("SC_CLK_TCK")
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")  # bytes
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+KIBIBYTE = 1024  # bytes
 libc = ctypes.CDLL(None, use_errno=True)
 
 
@@ -31,6 +33,7 @@
     segments_in: int = 0
 
     def add(self, other: Traffic, sign: int = 1) -> None:
+        """Add another count, or subtract it with a sign of -1."""
         self.bytes_out += sign * other.bytes_out
         self.bytes_in += sign * other.bytes_in
         self.messages_out += sign * other.messages_out
@@ -50,13 +53,13 @@
     each: dict[str, tuple[str, Traffic]] = {}  # by socket, where one that has ended is not seen
 
 
-_buffer = ctypes.create_string_buffer(SIZE)
-_length = ctypes.c_uint32(SIZE)
+_buffer = ctypes.create_string_buffer(TCP_INFO_SIZE)
+_length = ctypes.c_uint32(TCP_INFO_SIZE)
 
 
 def traffic(fd: int) -> Traffic | None:
-    """None: that is no TCP socket, or is closed."""
-    _length.value = SIZE
+    """Return the counts of a socket; None: that is no TCP socket, or is closed."""
+    _length.value = TCP_INFO_SIZE
     if libc.getsockopt(fd, socket.IPPROTO_TCP, TCP_INFO, _buffer, ctypes.byref(_length)):
         return None
     raw = _buffer.raw
@@ -68,34 +71,34 @@
 
 
 def resident(pid: int | str = "self") -> int:
-    """Bytes."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
+    """Return the resident memory of a process in bytes."""
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_SIZE
 
 
 def used(pid: int) -> float:
-    """Processor time of a process so far, seconds."""
+    """Return the processor time of a process so far in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def since(before: Sample, after: Sample) -> Sample:
-    """What happened between the two, of sockets that are still open."""
-    told = Sample(sockets=after.sockets, cpu_s=after.cpu_s - before.cpu_s, memory=after.memory)
+    """Return the difference of two samples, of sockets that are still open."""
+    difference = Sample(sockets=after.sockets, cpu_s=after.cpu_s - before.cpu_s, memory=after.memory)
     for kind in ("links", "arbiter"):
-        total = getattr(told, kind)
+        total = getattr(difference, kind)
         total.add(getattr(after, kind))
         total.add(getattr(before, kind), -1)
     for inode, (kind, counted) in after.each.items():
-        getattr(told, kind).add(counted)
+        getattr(difference, kind).add(counted)
         if inode in before.each:
-            getattr(told, kind).add(before.each[inode][1], -1)
-    return told
+            getattr(difference, kind).add(before.each[inode][1], -1)
+    return difference
 
 
 def process(pid: int, host: str, not_ports: set[int], arbiter: tuple[str, int]) -> Sample:
-    """Another process of ours: its links are the sockets of `host` but for `not_ports`.
+    """Return a sample of another process of ours.
 
-    What its sockets have counted that have ended is not seen.
+    Its links are the sockets of `host` but for `not_ports`. Sockets that have ended are not counted.
     """
     sample = Sample(cpu_s=used(pid), memory=resident(pid))
     pidfd = os.pidfd_open(pid)
@@ -109,18 +112,18 @@
                 if copy < 0:
                     continue
                 with socket.socket(fileno=copy) as sock:
-                    _assigned(sample, inode, sock, host, not_ports, arbiter)
+                    _count_socket(sample, inode, sock, host, not_ports, arbiter)
     finally:
         os.close(pidfd)
     return sample
 
 
-def _assigned(
+def _count_socket(
     sample: Sample, inode: str, sock: socket.socket, host: str, not_ports: set[int], arbiter: tuple[str, int]
 ) -> None:
     if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM:
         return
-    ours = sock.getsockname()
+    local = sock.getsockname()
     try:
         peer: Any = sock.getpeername()
     except OSError:
@@ -131,21 +134,22 @@
     if peer == arbiter:
         sample.each[inode] = "arbiter", counted
         sample.sockets += 1
-    elif ours[0] == host and ours[1] not in not_ports:
+    elif local[0] == host and local[1] not in not_ports:
         sample.each[inode] = "links", counted
         sample.sockets += 1
 
 
 def kernel_memory() -> int:
-    """Bytes that the kernel holds for TCP buffers, of the whole machine."""
+    """Return the bytes that the kernel holds for TCP buffers, of the whole machine."""
     for line in Path("/proc/net/sockstat").read_text().splitlines():
         if line.startswith("TCP:"):
             fields = line.split()
-            return int(fields[fields.index("mem") + 1]) * PAGE
+            return int(fields[fields.index("mem") + 1]) * PAGE_SIZE
     return 0
 
 
 def machine_memory() -> tuple[int, int]:
-    """Bytes in all, and free to be taken."""
-    told = dict(line.split(":") for line in Path("/proc/meminfo").read_text().splitlines())
-    return tuple(int(told[name].split()[0]) * 1024 for name in ("MemTotal", "MemAvailable"))  # type: ignore[return-value]
+    """Return the machine's memory in bytes, and what of it is available."""
+    fields = dict(line.split(":") for line in Path("/proc/meminfo").read_text().splitlines())
+    total, available = (int(fields[name].split()[0]) for name in ("MemTotal", "MemAvailable"))
+    return total * KIBIBYTE, available * KIBIBYTE
--- /dev/null
+++ b/trials/scale/etcd_process.py
@@ -0,0 +1,105 @@
+"""The fake etcd as a process of its own, so that its cost is not the run's.
+
+Commands come by standard input, a JSON object a line.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import sys
+import time
+from collections import Counter
+from typing import Any
+
+import msgspec
+
+from fakes.etcd import Arbiter
+
+from .counts import Sample, Traffic, resident, traffic
+
+COUNT_INTERVAL = 0.2  # seconds between counts of all sockets: of one that has ended the last count is taken
+Json = dict[str, Any]
+
+
+class TrafficCounter:
+    """What the sockets of the fake etcd carry, also those that have ended."""
+
+    def __init__(self, etcd: Arbiter) -> None:
+        """Count from now on."""
+        self.etcd = etcd
+        self.ended = Traffic()
+        self.last: dict[asyncio.StreamWriter, Traffic] = {}
+        etcd.server.ends = self._connection_ends
+
+    def _count(self, writer: asyncio.StreamWriter) -> None:
+        sock = writer.get_extra_info("socket")
+        if sock is not None and sock.fileno() >= 0 and (now := traffic(sock.fileno())) is not None:
+            self.last[writer] = now
+
+    def _connection_ends(self, writer: asyncio.StreamWriter) -> None:
+        self._count(writer)
+        if (last := self.last.pop(writer, None)) is not None:
+            self.ended.add(last)
+
+    def count_all(self) -> None:
+        """Count the open sockets."""
+        for writer in list(self.etcd.server.open):
+            self._count(writer)
+
+    async def run(self) -> None:
+        """Count the open sockets for ever."""
+        while True:
+            await asyncio.sleep(COUNT_INTERVAL)
+            self.count_all()
+
+    def sample(self) -> Sample:
+        """Return the counts of this process as of now."""
+        self.count_all()
+        sample = Sample(cpu_s=time.process_time(), memory=resident(), sockets=len(self.last))
+        sample.arbiter.add(self.ended)
+        for last in self.last.values():
+            sample.arbiter.add(last)
+        return sample
+
+
+async def execute(command: Json, etcd: Arbiter, counter: TrafficCounter) -> Json:
+    """Carry out one command, and return its answer."""
+    match command["do"]:
+        case "begin" | "up":
+            await etcd.begin()
+            return {"host": etcd.server.host, "port": etcd.server.port}
+        case "down":
+            await etcd.down()
+        case "sample":
+            return {
+                "sample": msgspec.to_builtins(counter.sample()),
+                "calls": Counter(path for _, path in etcd.calls),
+                "watch": dict(etcd.watch_counts),
+                "revision": etcd.store.revision,
+                "entries": len(etcd.entries),
+            }
+        case "put":
+            etcd.put(command["key"], command["value"])
+        case "members":
+            return {"members": sum(b"/members/" in key for key in etcd.entries)}
+    return {}
+
+
+async def serve() -> None:
+    """Carry out the commands of standard input until its end."""
+    etcd = Arbiter()
+    counter = TrafficCounter(etcd)
+    loop = asyncio.get_running_loop()
+    counting = loop.create_task(counter.run())
+    reader = asyncio.StreamReader()
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
+    while line := await reader.readline():
+        answer = await execute(json.loads(line), etcd, counter)
+        print(json.dumps(answer), flush=True)
+    counting.cancel()
+    await etcd.stop()
+
+
+if __name__ == "__main__":
+    asyncio.run(serve())
--- /dev/null
+++ b/trials/scale/hollow_host.py
@@ -0,0 +1,200 @@
+"""The deciding part of a hollow member: one attempt a request, answered after a fixed time."""
+
+from __future__ import annotations
+
+import hashlib
+import heapq
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+from math import inf
+
+from starlingwheel.decisions.config import BalancerConfig
+from starlingwheel.fleet.config import FleetConfig, ReplicationConfig
+from starlingwheel.fleet.frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame
+from starlingwheel.fleet.replication.replicator import (
+    DEFERRED,
+    FINISHED,
+    RERUNNABLE,
+    UNSENT,
+    WRITTEN_OFF,
+    BeginResult,
+    ReplicatedRequest,
+)
+from starlingwheel.net.actor import Actor, Coroutine
+from starlingwheel.net.fleet.host import FleetHost
+from starlingwheel.net.fleet.messages import EntryLost
+from starlingwheel.net.fleet.policy import PolicyController
+
+from .metered import MeteredLoop
+
+SERVICE_TIME = 0.005  # seconds of an attempt
+REPLICA_MEMORY = 24 << 20  # bytes of others' requests: an eighth of a sidecar's usual limit
+
+
+@dataclass(slots=True, eq=False)
+class HollowAttempt:
+    """One attempt of a request, which is sent nowhere."""
+
+    item: ReplicatedRequest
+    at: float
+
+
+@dataclass(slots=True, eq=False)
+class RequestArrived:
+    """To the host: a client sends a request with that name."""
+
+    name: bytes
+
+
+@dataclass(slots=True, eq=False)
+class AttemptDropped:
+    """To the host: that attempt is not to be made."""
+
+    attempt: HollowAttempt
+
+
+class HollowHost(FleetHost, Actor):
+    """Hosts the replication of one hollow member."""
+
+    daemon = True
+    messages_per_turn = 64
+
+    def __init__(
+        self,
+        loop: MeteredLoop,
+        member_id: str,
+        part: FleetConfig,
+        on_entry_lost: Callable[[EntryLost], None],
+        policy_controller: PolicyController,
+        config: BalancerConfig,
+        log: Callable[..., None],
+    ) -> None:
+        """`part`: the configuration's `fleet` part."""
+        self.counts: Counter[str] = Counter()
+        self.frames: Counter[str] = Counter()
+        replicated_class = part.cover.categories[-1]
+        self.request_class = next(c for c in config.request_classes if c.name == replicated_class)
+        shortest = min(c.latency_objective for c in config.request_classes)
+        longest = max(c.timeout for c in config.request_classes)
+        self.in_service: list[tuple[float, int, HollowAttempt]] = []  # a heap, by the end of the service
+        self.attempt_number = 0
+        self.alarm_at = inf
+        self.replication_seconds = 0.0  # from attempts' begin to their release, all together
+        self.host(
+            loop,
+            member_id,
+            part,
+            policy_controller,
+            on_entry_lost,
+            lambda: self,
+            (shortest, longest),
+            REPLICA_MEMORY,
+            log,
+        )
+        Actor.__init__(self, loop)
+
+    def run(self) -> Coroutine[None]:
+        """Handle messages and the ends of attempts."""
+        while True:
+            next_answer_at = self.in_service[0][0] if self.in_service else inf
+            message = yield min(next_answer_at, self.alarm_at)
+            now = self.loop.now()
+            if message is None:
+                self._handle_time(now)
+            elif self.hosted(message, now):
+                if (frame := getattr(message, "frame", None)) is not None:
+                    self.frames[type(frame).__name__] += 1
+            elif isinstance(message, RequestArrived):
+                self._begin_request(message.name, now)
+            elif isinstance(message, AttemptDropped):
+                self._drop(message.attempt)
+            self.alarm_at = min(self.alarm_at, self.next_at(now))
+
+    def _handle_time(self, now: float) -> None:
+        if self.alarm_at <= now:
+            self.alarm_at = inf
+        self.replicator.now = self.policy_replica.now = now
+        self.tick()
+        self._finish_attempts(now)
+
+    def _begin_request(self, name: bytes, now: float) -> None:
+        if self.policy_replica.doubt():
+            self.counts["in_doubt"] += 1
+            return
+        request_class = self.request_class
+        deadline = now + request_class.timeout
+        frame = ReplicateFrame(
+            request_class.name.encode() + b"\0" + name,
+            self.member_id,
+            0,
+            False,
+            hashlib.blake2b(name, digest_size=8).digest(),
+            request_class.name,
+            request_class.retry_safety.value,
+            now,
+            deadline,
+            False,
+            RecordedRequest(b"POST", b"/" + name, [], b"", name),
+            [],
+            rules=request_class,
+        )
+        result, item = self.replicator.begin(frame, object(), deadline)
+        self.counts[result.value] += 1
+        if result is BeginResult.RUN:
+            self._start_attempt(item, now)
+
+    def _start_attempt(self, item: ReplicatedRequest, now: float) -> None:
+        self.hold(HollowAttempt(item, now), item, AttemptIntent("u0", "", 0, now))
+
+    def _finish_attempts(self, now: float) -> None:
+        while self.in_service and self.in_service[0][0] <= now:
+            attempt = heapq.heappop(self.in_service)[2]
+            if self.unhold(attempt) is not None:
+                self._record_answer(attempt.item, RecordedResponse(FINISHED))
+
+    def _drop(self, attempt: HollowAttempt) -> None:
+        gate = self.unhold(attempt)
+        if gate is not None:
+            self.replicator.ended(gate.item, gate.number, UNSENT)
+            self._record_answer(attempt.item, RecordedResponse(DEFERRED))
+
+    def _record_answer(self, item: ReplicatedRequest, response: RecordedResponse) -> None:
+        given = self.replicator.answered(item, response)
+        self.counts["later" if given is None else f"answered_{given.status}"] += 1
+
+    # What `FleetHost` asks of the deciding part
+
+    def decide(self, item: ReplicatedRequest) -> None:
+        """Take over a request: attempt it, or fail it if it may have run and may not run twice."""
+        if item.effect != RERUNNABLE and item.may_have_run:
+            self._record_answer(item, RecordedResponse(WRITTEN_OFF))
+        else:
+            self._start_attempt(item, self.loop.now())
+
+    def answer(self, item: ReplicatedRequest, client: object, reply: RecordedResponse) -> None:
+        """Count what a client would be answered."""
+        self.counts[f"told_{reply.status}"] += 1
+
+    def released(self, exchange: HollowAttempt) -> None:
+        """Begin the service of an attempt whose intent is replicated."""
+        now = self.loop.now()
+        self.replication_seconds += now - exchange.at
+        self.counts["released"] += 1
+        self.attempt_number += 1
+        heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, exchange))
+
+    def dropped(self, exchange: HollowAttempt) -> None:
+        """Drop an attempt in a turn of its own."""
+        self.post(AttemptDropped(exchange))
+
+    def cover_by(self, part: ReplicationConfig) -> None:
+        """Replicate as a policy says."""
+        self.replicator.count = part.keepers
+
+    def retuned(self, terms: BalancerConfig) -> None:
+        """Count a reload of the configuration."""
+        self.counts["retuned"] += 1
+
+    def share(self, shares: object, back: object) -> None:
+        """Ignore a plan for zones: there is nothing here that it concerns."""
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -1,10 +1,9 @@
-"""The program's loop, with a meter for each member: whose turn took how long, whose socket carried what."""
+"""The program's loop, with a meter for each member: processor time of its turns, traffic of its sockets."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
-from typing import Any
 
 from starlingwheel.net.actor import Actor
 from starlingwheel.net.fleet.etcd import EtcdSession
@@ -13,62 +12,73 @@
 
 from .counts import Sample, Traffic, traffic
 
+NANOSECONDS = 1e9  # of a second
+
 
 class Meter:
-    """Of one member. `own_ns`: processor time inside its actors' turns, system calls of theirs included.
+    """Counts of one member.
 
-    What is missing there is the loop's: waiting for sockets, queues, timers. It is shared by all on it.
+    `own_ns`: processor time inside its actors' turns, system calls of theirs included. The rest is the
+    loop's: waiting for sockets, queues, timers. It is shared by all on the loop.
     """
 
     def __init__(self) -> None:
+        """Start at zero."""
         self.own_ns = 0
-        self.fds: dict[int, bool] = {}  # sockets that are open, and whether each is one to the arbiter
-        self.links, self.arbiter = Traffic(), Traffic()  # of sockets that have ended
+        self.sockets: dict[int, bool] = {}  # descriptors, and whether each is connected to the store
+        self.ended_links = Traffic()
+        self.ended_store_calls = Traffic()
 
     def sample(self) -> Sample:
-        sample = Sample(sockets=len(self.fds), cpu_s=self.own_ns / 1e9)
-        sample.links.add(self.links)
-        sample.arbiter.add(self.arbiter)
-        for fd, to_arbiter in self.fds.items():
-            if (now := traffic(fd)) is not None:
-                (sample.arbiter if to_arbiter else sample.links).add(now)
+        """Return the counts as of now."""
+        sample = Sample(sockets=len(self.sockets), cpu_s=self.own_ns / NANOSECONDS)
+        sample.links.add(self.ended_links)
+        sample.arbiter.add(self.ended_store_calls)
+        for descriptor, to_store in self.sockets.items():
+            if (now := traffic(descriptor)) is not None:
+                (sample.arbiter if to_store else sample.links).add(now)
         return sample
 
 
 class MeteredLoop(Loop):
-    def __init__(self, defect: Callable[[Actor, Exception], None]) -> None:
-        super().__init__(defect)
-        self.nobody = Meter()  # of what belongs to no member
-        self.inside_ns = 0
+    """A loop that counts for each actor's meter."""
+
+    def __init__(self, on_defect: Callable[[Actor, Exception], None]) -> None:
+        """`on_defect`: as for `Loop`."""
+        super().__init__(on_defect)
+        self.shared_meter = Meter()  # of actors that belong to no member
+        self.nested_ns = 0  # time of turns inside the present one
 
-    def _meter(self, actor: Any) -> Meter:
+    def meter_of(self, actor: Actor) -> Meter:
+        """Return an actor's meter: a link has that of its manager."""
         meter = actor.__dict__.get("meter")
         if meter is None:
-            # A link belongs to whom its links do.
             manager = getattr(actor, "manager", None)
             owner = manager if isinstance(manager, LinkManager) else actor
-            meter = actor.meter = owner.__dict__.get("meter") or self.nobody
+            meter = actor.meter = owner.__dict__.get("meter") or self.shared_meter
         return meter
 
     def register(self, fd: int, actor: Actor, mask: int) -> None:
+        """Watch a socket, and count it."""
         super().register(fd, actor, mask)
-        self._meter(actor).fds[fd] = isinstance(actor, EtcdSession)
+        self.meter_of(actor).sockets[fd] = isinstance(actor, EtcdSession)
 
     def unregister(self, fd: int) -> None:
+        """Watch a socket no longer, and take its last count."""
         if (actor := self.actors_by_descriptor.get(fd)) is not None:
-            meter = self._meter(actor)
-            to_arbiter = meter.fds.pop(fd, False)
+            meter = self.meter_of(actor)
+            to_store = meter.sockets.pop(fd, False)
             if (last := traffic(fd)) is not None:
-                (meter.arbiter if to_arbiter else meter.links).add(last)
+                (meter.ended_store_calls if to_store else meter.ended_links).add(last)
         super().unregister(fd)
 
     def _resume(self, actor: Actor, message: object) -> None:
-        before, self.inside_ns = self.inside_ns, 0
+        before, self.nested_ns = self.nested_ns, 0
         began = time.thread_time_ns()
         try:
             super()._resume(actor, message)
         finally:
             took = time.thread_time_ns() - began
-            # One actor may begin another in its turn: that one's part is its own.
-            self._meter(actor).own_ns += took - self.inside_ns
-            self.inside_ns = before + took
+            # One actor may begin another in its turn, whose part is its own.
+            self.meter_of(actor).own_ns += took - self.nested_ns
+            self.nested_ns = before + took
--- a/trials/scale/plot.py
+++ b/trials/scale/plot.py
@@ -14,6 +14,7 @@
 matplotlib.use("Agg")
 
 import matplotlib.pyplot as plt  # noqa: E402
+from matplotlib.figure import Figure  # noqa: E402
 
 FIGURES = {
     "sockets": "sockets a member",
@@ -23,8 +24,8 @@
 }
 
 
-def drawn(lines: list[dict[str, Any]], phase: str) -> Any:
-    """One panel a figure; a line for each cell size and role."""
+def drawn(lines: list[dict[str, Any]], phase: str) -> Figure:
+    """Return a plot with a panel for each figure, and in it a line for each cell size and role."""
     figure, panels = plt.subplots(2, 2, figsize=(10, 7))
     cells = sorted({line["cell_size"] for line in lines})
     for panel, (name, label) in zip(panels.flat, FIGURES.items(), strict=True):
@@ -45,6 +46,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the command line, and return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m trials.scale.plot", description=__doc__)
     parser.add_argument("files", nargs="+", type=Path)
     parser.add_argument("--phase", default="rest")
--- a/trials/scale/real.py
+++ b/trials/scale/real.py
@@ -11,12 +11,12 @@
 from .counts import Sample, process
 
 UPSTREAMS = 3
-LOOK = 0.1  # seconds between looks at whether all are ready
-SOCKETS = 1024  # that a sidecar may have, where the fleet does not need more
+POLL_INTERVAL = 0.1  # seconds between looks at whether all are ready
+MIN_SOCKETS = 1024  # that a sidecar may have, where the fleet does not need more
 
 
 class Real(Rig):
-    """As `Rig`, in a fleet whose other members and arbiter are elsewhere."""
+    """The rig of a fleet whose other members and store are other processes of the run."""
 
     def __init__(
         self,
@@ -27,47 +27,50 @@
         address: tuple[str, int],
         root: Path = ROOT,
     ) -> None:
-        """`part`: the fleet's; `size`: members in all; `address`: the arbiter's."""
+        """`part`: the configuration's `fleet` part; `size`: members in all; `address`: of the store."""
         super().__init__(seed, count, UPSTREAMS, service=0.005, root=root, lease=part["lease_s"])
         self.part, self.size, self.address = part, size, address
-        self.arbiter = Elsewhere(*address)  # type: ignore[assignment]
+        self.arbiter = ExternalStore(*address)  # type: ignore[assignment]
 
     def further(self, sidecar: Sidecar) -> dict[str, Any]:
+        """Return the configuration's fleet part and limits."""
         listen = f"{sidecar.host}:{sidecar.fleet_port}"
-        limits = {"memory_mb": sidecar.memory_mb, "sockets": max(SOCKETS, 3 * self.size)}
+        limits = {"memory_mb": sidecar.memory_mb, "sockets": max(MIN_SOCKETS, 3 * self.size)}
         return {"fleet": self.part | {"listen": listen}, "limits": limits}
 
     async def met(self, members: int) -> None:
-        """The run sees to that: it knows how many there are."""
+        """Return at once: the run itself waits, since it knows how many members there are."""
 
     def samples(self) -> dict[str, Sample]:
-        told = {}
+        """Return a sample of each process that runs."""
+        samples = {}
         for sidecar in self.sidecars:
             if sidecar.alive and sidecar.process is not None:
                 not_ports = {sidecar.port, sidecar.mgmt}
-                told[sidecar.name] = process(sidecar.process.pid, sidecar.host, not_ports, self.address)
-        return told
+                samples[sidecar.name] = process(sidecar.process.pid, sidecar.host, not_ports, self.address)
+        return samples
 
     async def all_ready(self, within: float) -> bool:
-        """Each has a link to every member that it wants one with, and knows what all own."""
+        """Whether all are in the view and settled within so many seconds."""
         until = asyncio.get_running_loop().time() + within
         while asyncio.get_running_loop().time() < until:
-            told = [(await s.told("GET", "/_fleet"))[1] for s in self.sidecars]
-            seen = [t.get("cells", {}).get("fleet_members", len(t["view"])) for t in told]
-            if all(t["in_view"] and t["settled"] for t in told) and set(seen) == {self.size}:
+            reports = [(await sidecar.told("GET", "/_fleet"))[1] for sidecar in self.sidecars]
+            sizes = {report["cells"]["fleet_members"] for report in reports}
+            if all(report["in_view"] and report["settled"] for report in reports) and sizes == {self.size}:
                 return True
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
         return False
 
 
-class Elsewhere:
-    """Stands where the rig has its arbiter: that one is a process of the run's."""
+class ExternalStore:
+    """Takes the place of the rig's fake etcd, which is a process of the run."""
 
     def __init__(self, host: str, port: int) -> None:
+        """`host`, `port`: where the process listens."""
         self.server = SimpleNamespace(host=host, port=port)
 
     async def begin(self) -> None:
-        pass
+        """Do nothing: the run starts the process."""
 
     async def stop(self) -> None:
-        pass
+        """Do nothing: the run ends the process."""
--- a/trials/scale/slopes.py
+++ b/trials/scale/slopes.py
@@ -22,10 +22,10 @@
 # Links beyond which each has one heartbeat in the longest interval: another form holds from there on.
 KNEE = int(IDLE_HEARTBEATS_PER_SECOND * MAX_IDLE_HEARTBEAT_INTERVAL)
 FORMS = {"constant": 1, "linear": 2, "square": 3}
-LEAST = {"constant": 1, "linear": 2, "square": 4}  # sizes for each
-WORTH = 1 / 2  # a further part has to take so much of what remains: guards against fitting the noise
-ROWS = 3  # sizes for a row of the table
-SAME = 0.02  # of the largest value: what remains less than that is none
+MIN_SIZES = {"constant": 1, "linear": 2, "square": 4}  # for each form
+MIN_GAIN = 1 / 2  # of what remains, that a further part has to explain: less would fit the noise
+MIN_SIZES_PER_ROW = 3  # of the table
+NEGLIGIBLE = 0.02  # of the largest value, that may remain
 FIGURES = (
     "sockets", "wire_out", "wire_in", "messages_out", "segments_out", "core", "own_core", "mb", "calls_s",
     "watch_lines_s", "watch_events_s",
@@ -42,6 +42,7 @@
     sizes: tuple[int, ...]
 
     def at(self, size: float) -> float:
+        """Return the figure at a size."""
         constant, linear, square = self.parts
         return constant + linear * size + square * size**2
 
@@ -64,13 +65,13 @@
 
 
 def fitted(points: Mapping[int, float], form: str) -> Fit:
-    """Least squares of that form. Raises `ValueError` for fewer sizes than parts."""
+    """Return the least squares of that form. Raises `ValueError` for fewer sizes than parts."""
     count = FORMS[form]
     if len(points) < count:
         raise ValueError(f"{len(points)} sizes for {count} parts")
     sizes = np.array(sorted(points), dtype=float)
     values = np.array([points[int(n)] for n in sizes])
-    # Scaled: guards against a square of hundreds next to a constant.
+    # Scaled, since the square of hundreds next to a constant loses precision.
     scale = sizes.max()
     columns = np.vander(sizes / scale, count, increasing=True)
     solved = np.linalg.lstsq(columns, values, rcond=None)[0]
@@ -85,18 +86,19 @@
     Two sizes leave nothing of a linear form: only the prediction of a third one tells whether it holds.
     """
     most = max(abs(value) for value in points.values()) or 1.0
-    forms = [form for form, least in LEAST.items() if len(points) >= least]
+    forms = [form for form, least in MIN_SIZES.items() if len(points) >= least]
     best = fitted(points, forms[0])
     for form in forms[1:]:
-        if best.remains <= SAME * most:
+        if best.remains <= NEGLIGIBLE * most:
             break
         further = fitted(points, form)
-        if further.remains < (1 - WORTH) * best.remains:
+        if further.remains < (1 - MIN_GAIN) * best.remains:
             best = further
     return best
 
 
 def checked(points: Mapping[int, float]) -> Checked:
+    """Return the fit of all sizes, with the prediction of the largest one."""
     largest = max(points)
     smaller = {size: value for size, value in points.items() if size != largest}
     predicted = chosen(smaller).at(largest) if len(smaller) > 1 else None
@@ -104,6 +106,7 @@
 
 
 def read(paths: Iterable[Path]) -> list[dict[str, Any]]:
+    """Return the measured lines of files."""
     lines = [json.loads(line) for path in paths for line in path.read_text().splitlines() if line.strip()]
     return [line for line in lines if "phase" in line]
 
@@ -111,7 +114,7 @@
 def points(
     lines: Iterable[Mapping[str, Any]], role: str, phase: str, figure: str, cell_size: int
 ) -> dict[int, float]:
-    """The mean of all seeds by size."""
+    """Return the mean of all seeds by size."""
     found: dict[int, list[float]] = defaultdict(list)
     for line in lines:
         if (line["role"], line["phase"], line["cell_size"]) == (role, phase, cell_size) and figure in line:
@@ -136,8 +139,8 @@
 def predicted(
     lines: list[dict[str, Any]], size: int, cell_size: int, phases: Iterable[str]
 ) -> list[dict[str, Any]]:
-    """What the sizes below say of that one, before it is played: a line for each phase and role."""
-    told = []
+    """Return what smaller sizes predict for that one: a line for each phase and role."""
+    predictions = []
     for phase in phases:
         for role in ("hollow", "alone", "real", "arbiter"):
             figures = {}
@@ -148,8 +151,10 @@
                 if len(below) > 1:
                     figures[figure] = float(f"{chosen(below).at(size):.4g}")
             if figures:
-                told.append({"predicts": phase, "size": size, "cell_size": cell_size, "role": role} | figures)
-    return told
+                predictions.append(
+                    {"predicts": phase, "size": size, "cell_size": cell_size, "role": role} | figures
+                )
+    return predictions
 
 
 def table(lines: list[dict[str, Any]], size: int, knee: int = KNEE) -> str:
@@ -164,26 +169,27 @@
         for figure in FIGURES:
             by_size = points(lines, role, phase, figure, cell_size)
             for span, some in ranges(by_size, role, phase, knee):
-                if any(some.values()) and len(some) >= ROWS:
+                if any(some.values()) and len(some) >= MIN_SIZES_PER_ROW:
                     rows.append(_row(str(cell_size or "all"), phase, role, figure, span, checked(some), size))
     return "\n".join(rows)
 
 
-def _row(cells: str, phase: str, role: str, figure: str, span: str, told: Checked, size: int) -> str:
-    fit = told.fit
+def _row(cells: str, phase: str, role: str, figure: str, span: str, check: Checked, size: int) -> str:
+    fit = check.fit
     constant, linear, square = (f"{part:.4g}" if part else "-" for part in fit.parts)
-    check = f"{told.largest}: {told.measured:.4g}, no prediction: too few sizes"
-    if told.predicted is not None:
-        error = "-" if told.error is None else f"{told.error:+.1%}"
-        check = f"{told.largest}: {told.measured:.4g}, {told.predicted:.4g}, {error}"
-    word = "extrapolated " if size > told.largest else ""
+    comparison = f"{check.largest}: {check.measured:.4g}, no prediction: too few sizes"
+    if check.predicted is not None:
+        error = "-" if check.error is None else f"{check.error:+.1%}"
+        comparison = f"{check.largest}: {check.measured:.4g}, {check.predicted:.4g}, {error}"
+    word = "extrapolated " if size > check.largest else ""
     return (
         f"| {cells} | {phase} | {role} | {figure} | {span} | {constant} | {linear} | {square} "
-        f"| {fit.remains:.3g} | {check} | {word}{fit.at(size):.4g} |"
+        f"| {fit.remains:.3g} | {comparison} | {word}{fit.at(size):.4g} |"
     )
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the command line, and return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m trials.scale.slopes", description=__doc__)
     parser.add_argument("files", nargs="+", type=Path, help="lines of trials.scale")
     parser.add_argument("--size", type=int, default=1600, help="what the fits say of it (1600)")
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -1,4 +1,4 @@
-"""One process of hollow members, on one loop. `python -m trials.scale.worker`, told by standard input."""
+"""One process of hollow members, on one loop. Commands come by standard input, a JSON object a line."""
 
 from __future__ import annotations
 
@@ -20,186 +20,233 @@
 from starlingwheel.net.state.buffers import BufferPool
 
 from .counts import resident
-from .member import LOOKED, Member
+from .member import HollowFleet, HollowMember
 from .metered import MeteredLoop
 
-DEFECTS = 20  # whose traces are kept
-POOL = 64  # buffers; a hollow member has no bodies
+MAX_DEFECTS = 20  # whose traces are kept
+MAX_TRACE_SIZE = 600  # characters
+MAX_FAULT_SIZE = 800  # characters of the trace of a command that failed
+BUFFERS = 64  # a hollow member has no bodies
+READ_SIZE = 1 << 20  # bytes
+READY_POLL_INTERVAL = 0.02  # seconds between looks whether a member is ready
+MICROSECONDS = 1e6  # of a second
+STANDARD_INPUT = 0  # descriptor
+Json = dict[str, Any]
 
 
-class Worker:
-    def __init__(self) -> None:
-        self.loop = MeteredLoop(self._defect)
-        self.pool = BufferPool(POOL)
-        self.members: dict[str, Member] = {}
-        self.defects: list[str] = []
-        # Of members that have ended.
-        self.counts, self.frames, self.reasons = Counter[str](), Counter[str](), Counter[str]()
+class MemberCounts:
+    """What members have counted: events, frames received, reasons of ends."""
 
-    def _defect(self, actor: Actor, error: Exception) -> None:
-        if len(self.defects) < DEFECTS:
-            self.defects.append("".join(traceback.format_exception(error))[-600:])
+    def __init__(self) -> None:
+        """Start at zero."""
+        self.counts: Counter[str] = Counter()
+        self.frames: Counter[str] = Counter()
+        self.reasons: Counter[str] = Counter()
+
+    def add_counts(self, other: MemberCounts) -> None:
+        """Add other counts."""
+        self.counts.update(other.counts)
+        self.frames.update(other.frames)
+        self.reasons.update(other.reasons)
+
+    def add_member(self, fleet: HollowFleet) -> None:
+        """Add the counts of a member that runs."""
+        host = fleet.module
+        self.counts.update(host.counts)
+        self.counts.update({f"cover.{name}": count for name, count in host.replicator.counts.items()})
+        self.counts["covered_us"] += round(host.replication_seconds * MICROSECONDS)
+        self.frames.update(host.frames)
+        self.reasons.update(fleet.reasons)
 
-    def _named(self, given: dict[str, Any]) -> list[Member]:
-        names = given.get("members")
-        return [m for n, m in self.members.items() if names is None or n in names]
 
-    # What the run asks.
+class Worker:
+    """The members of this process. Its public methods are the commands; each returns its answer."""
 
-    def begin(self, given: dict[str, Any]) -> dict[str, Any]:
-        # Guards against a fleet that grows without end taking the machine's memory from all others.
-        resource.setrlimit(resource.RLIMIT_AS, (given["most"], resource.getrlimit(resource.RLIMIT_AS)[1]))
-        for name, host in given["members"]:
-            self.members[name] = Member(self.loop, self.pool, name, host, given["port"], given)
+    def __init__(self) -> None:
+        """Start without a member."""
+        self.loop = MeteredLoop(self._record_defect)
+        self.pool = BufferPool(BUFFERS)
+        self.members: dict[str, HollowMember] = {}
+        self.defects: list[str] = []
+        self.ended_members = MemberCounts()
+
+    def _record_defect(self, actor: Actor, error: Exception) -> None:
+        if len(self.defects) < MAX_DEFECTS:
+            self.defects.append("".join(traceback.format_exception(error))[-MAX_TRACE_SIZE:])
+
+    def _addressed(self, command: Json) -> list[HollowMember]:
+        """Return the members that a command is for: all unless it names them."""
+        names = command.get("members")
+        return [member for name, member in self.members.items() if names is None or name in names]
+
+    def _running(self) -> list[tuple[HollowMember, HollowFleet]]:
+        return [(member, member.fleet) for member in self.members.values() if member.fleet is not None]
+
+    def begin(self, command: Json) -> Json:
+        """Make the members."""
+        # A fleet that grows without end must not take the machine's memory from other processes.
+        hard_limit = resource.getrlimit(resource.RLIMIT_AS)[1]
+        resource.setrlimit(resource.RLIMIT_AS, (command["most"], hard_limit))
+        for name, host in command["members"]:
+            self.members[name] = HollowMember(self.loop, self.pool, name, host, command["port"], command)
         gc.collect()
         return {"memory": resident(), "pid": os.getpid()}
 
-    def enter(self, given: dict[str, Any]) -> dict[str, Any]:
-        for member in self._named(given):
+    def enter(self, command: Json) -> Json:
+        """Register members in the store."""
+        for member in self._addressed(command):
             member.enter()
         return {}
 
-    def join(self, given: dict[str, Any]) -> dict[str, Any]:
-        for member in self._named(given):
+    def join(self, command: Json) -> Json:
+        """Have members follow the store."""
+        for member in self._addressed(command):
             member.join()
         return {}
 
-    def link(self, given: dict[str, Any]) -> dict[str, Any]:
-        for member in self._named(given):
+    def link(self, command: Json) -> Json:
+        """Have members accept and dial links."""
+        for member in self._addressed(command):
             member.link()
         return {}
 
-    def start(self, given: dict[str, Any]) -> dict[str, Any]:
-        for member in self._named(given):
+    def start(self, command: Json) -> Json:
+        """Start members as processes start."""
+        for member in self._addressed(command):
             member.start()
         return {}
 
-    def kill(self, given: dict[str, Any]) -> dict[str, Any]:
-        killed = [m for m in self._named(given) if m.fleet is not None]
-        for member in killed:
-            self._count(member, self.counts, self.frames, self.reasons)
-            member.kill()
-        return {"killed": len(killed)}
-
-    def rest(self, given: dict[str, Any]) -> dict[str, Any]:
-        """All is up: what there is stays, as a sidecar has it after its start."""
+    def kill(self, command: Json) -> Json:
+        """Kill members that run."""
+        killed = 0
+        for member in self._addressed(command):
+            if member.fleet is not None:
+                self.ended_members.add_member(member.fleet)
+                member.kill()
+                killed += 1
+        return {"killed": killed}
+
+    def rest(self, command: Json) -> Json:
+        """Freeze the objects that there are, as a sidecar does after its start."""
         gc.collect()
         gc.freeze()
         return {}
 
-    def work(self, given: dict[str, Any]) -> dict[str, Any]:
-        for member in self._named(given):
-            member.set_work(given["rate"])
+    def work(self, command: Json) -> Json:
+        """Have clients send requests to members, at a rate."""
+        for member in self._addressed(command):
+            member.set_work(command["rate"])
         return {}
 
-    def cut(self, given: dict[str, Any]) -> dict[str, Any]:
-        for member in self._named(given):
-            member.cut(given["side"])
+    def cut(self, command: Json) -> Json:
+        """Cut the network between two sides."""
+        for member in self._addressed(command):
+            member.cut(command["side"])
         return {}
 
-    def state(self, given: dict[str, Any]) -> dict[str, Any]:
-        there = [m for m in self.members.values() if m.fleet is not None]
-        modules = [m.fleet.module for m in there if m.fleet is not None]
+    def state(self, command: Json) -> Json:
+        """Return what the run waits for."""
+        running = self._running()
+        hosts = [fleet.module for _, fleet in running]
+        views = [host.replicator.view for host in hosts]
         return {
-            "members": len(there),
-            "ready": sum(m.ready for m in there),
-            "sizes": Counter(str(len(module.replicator.view.members)) for module in modules),
-            "cells": sorted({getattr(module.replicator.view, "cells", 1) for module in modules}),
-            "views": Counter(str(module.replicator.view.digest) for module in modules),
-            "links": sum(len(m.fleet.links.links) for m in there if m.fleet is not None),
-            "changes": sum(m.counts["log.link.up"] + m.counts["log.link.down"] for m in modules),
-            "versions": Counter(str(module.policy_replica.in_force.version) for module in modules),
-            "doubt": sum(bool(module.policy_replica.doubt()) for module in modules),
-            "in_hand": sum(len(module.replicator.items) for module in modules),
+            "members": len(running),
+            "ready": sum(member.ready for member, _ in running),
+            "sizes": Counter(str(len(view.members)) for view in views),
+            "cells": sorted({view.cells for view in views}),
+            "views": Counter(str(view.digest) for view in views),
+            "links": sum(len(fleet.links.links) for _, fleet in running),
+            "changes": sum(host.counts["log.link.up"] + host.counts["log.link.down"] for host in hosts),
+            "versions": Counter(str(host.policy_replica.in_force.version) for host in hosts),
+            "doubt": sum(bool(host.policy_replica.doubt()) for host in hosts),
+            "in_hand": sum(len(host.replicator.items) for host in hosts),
         }
 
-    def sample(self, given: dict[str, Any]) -> dict[str, Any]:
-        counts, frames, reasons = self.counts.copy(), self.frames.copy(), self.reasons.copy()
-        for member in self.members.values():
-            self._count(member, counts, frames, reasons)
+    def sample(self, command: Json) -> Json:
+        """Return all counts as of now."""
+        totals = MemberCounts()
+        totals.add_counts(self.ended_members)
+        for _, fleet in self._running():
+            totals.add_member(fleet)
         latest, self.loop.max_timer_delay = self.loop.max_timer_delay, 0.0
+        meters = {name: member.meter.sample() for name, member in self.members.items()}
         return {
             "at": time.monotonic(),
-            "members": {n: msgspec.to_builtins(m.meter.sample()) for n, m in self.members.items()},
-            "nobody": msgspec.to_builtins(self.loop.nobody.sample()),
+            "members": {name: msgspec.to_builtins(sample) for name, sample in meters.items()},
+            "nobody": msgspec.to_builtins(self.loop.shared_meter.sample()),
             "cpu_s": time.process_time(),
             "memory": resident(),
-            "ready_s": {n: m.ready_s for n, m in self.members.items() if m.fleet is not None},
-            "counts": counts,
-            "frames": frames,
-            "reasons": reasons,
+            "ready_s": {member.name: member.ready_s for member, _ in self._running()},
+            "counts": totals.counts,
+            "frames": totals.frames,
+            "reasons": totals.reasons,
             "latest_s": latest,
             "defects": self.defects,
         }
 
-    def _count(
-        self, member: Member, counts: Counter[str], frames: Counter[str], reasons: Counter[str]
-    ) -> None:
-        if (fleet := member.fleet) is not None:
-            counts.update(fleet.module.counts)
-            counts.update({f"cover.{k}": v for k, v in fleet.module.replicator.counts.items()})
-            counts["covered_us"] += round(fleet.module.covered_s * 1e6)
-            frames.update(fleet.module.frames)
-            reasons.update(fleet.reasons)
-
 
-class Control(Actor):
-    """Standard input: a word a line, answered in the same turn. Its end is the process's."""
+class CommandReader(Actor):
+    """Carries out the commands of standard input; its end ends the process."""
 
     daemon = True
 
     def __init__(self, worker: Worker) -> None:
+        """`worker`: whose methods are the commands."""
         self.worker = worker
-        os.set_blocking(0, False)
-        worker.loop.register(0, self, READ)
+        os.set_blocking(STANDARD_INPUT, False)
+        worker.loop.register(STANDARD_INPUT, self, READ)
         super().__init__(worker.loop)
 
     def run(self) -> Coroutine[None]:
-        held = b""
+        """Read lines, and answer each in the same turn."""
+        unfinished = b""
         while True:
             yield None
             try:
-                data = os.read(0, 1 << 20)
+                data = os.read(STANDARD_INPUT, READ_SIZE)
             except BlockingIOError:
                 continue
             if not data:
                 self.loop.stop()
                 return
-            *lines, held = (held + data).split(b"\n")
+            *lines, unfinished = (unfinished + data).split(b"\n")
             for line in lines:
-                self._answer(json.loads(line))
+                self._execute(json.loads(line))
 
-    def _answer(self, given: dict[str, Any]) -> None:
+    def _execute(self, command: Json) -> None:
         try:
-            told = getattr(self.worker, given["do"])(given)
+            answer = getattr(self.worker, command["do"])(command)
         except Exception as error:
-            told = {"fault": f"{error!r} {traceback.format_exc()[-800:]}"}
-        sys.stdout.write(json.dumps(told) + "\n")
+            answer = {"fault": f"{error!r} {traceback.format_exc()[-MAX_FAULT_SIZE:]}"}
+        sys.stdout.write(json.dumps(answer) + "\n")
         sys.stdout.flush()
 
 
-class Looker(Actor):
-    """When each member became ready."""
+class ReadinessWatcher(Actor):
+    """Records when each member becomes ready."""
 
     daemon = True
 
     def __init__(self, worker: Worker) -> None:
+        """`worker`: whose members it watches."""
         self.worker = worker
         super().__init__(worker.loop)
 
     def run(self) -> Coroutine[None]:
+        """Look at all members, over and over."""
         while True:
-            yield self.loop.now() + LOOKED
+            yield self.loop.now() + READY_POLL_INTERVAL
             for member in self.worker.members.values():
                 if member.fleet is not None and not member.ready_s and member.ready:
                     member.ready_s = self.loop.now() - member.started
 
 
 def main() -> None:
+    """Serve until standard input ends."""
     worker = Worker()
     gc.set_threshold(GC_THRESHOLD)
-    Control(worker).begin()
-    Looker(worker).begin()
+    CommandReader(worker).begin()
+    ReadinessWatcher(worker).begin()
     worker.loop.run()
 
 
