--- /dev/null
+++ b/tests/test_state_watcher.py
@@ -0,0 +1,84 @@
+"""What the client of the store tells of members and shards."""
+
+from collections.abc import Iterator
+
+import msgspec
+import pytest
+
+from starlingwheel.fleet.membership import Member, MembershipView
+from starlingwheel.net.fleet import etcd
+from starlingwheel.net.fleet.messages import ViewChanged
+from starlingwheel.net.loop import Loop
+
+LEASE = 1.0  # seconds
+
+
+class Watched:
+    """A state watcher that is given the lines of a watch, and the views that it publishes."""
+
+    def __init__(self) -> None:
+        """All records are known up to revision 1."""
+        self.messages: list[object] = []
+        self.loop = Loop(lambda actor, error: None)
+        self.watcher = etcd.StateWatcher(
+            self.loop,
+            ["127.0.0.1:1"],
+            LEASE,
+            None,
+            lambda *_, **__: None,
+            None,
+            "f",
+            tell=self.messages.append,
+        )
+        self.watcher.revision = 1
+
+    def receive(self, *events: etcd.Event) -> None:
+        """Have the watcher receive one line with these events."""
+        self.watcher.apply_events(etcd.WatchEvents(events=list(events)))
+
+    @property
+    def views(self) -> list[MembershipView]:
+        """The views that were published, in order."""
+        return [message.view for message in self.messages if isinstance(message, ViewChanged)]
+
+
+@pytest.fixture
+def watched() -> Iterator[Watched]:
+    """A state watcher whose loop is closed after the test."""
+    one = Watched()
+    yield one
+    one.loop.close()
+
+
+def event(key: str, value: object, revision: int, type_: str = "PUT") -> etcd.Event:
+    """Return a change of an entry."""
+    pair = etcd.KeyValue(etcd.b64(f"/f/{key}"), etcd.b64(msgspec.json.encode(value)))
+    pair.create_revision = pair.mod_revision = str(revision)
+    return etcd.Event(pair, type_)
+
+
+def test_views_come_in_the_order_of_changes_of_members_and_of_shards(watched: Watched) -> None:
+    """Each change of the members or shards is published by itself."""
+    a, b, c = (Member(f"n{i}.00", f"n{i}", "") for i in range(3))
+    watched.receive(
+        event("members/n0.00", a, 2),
+        event("cells", {"count": 2}, 3),
+        event("members/n1.00", b, 4),
+        event("zones/said/n1.00", {"at": 1.0, "zones": {}}, 4),
+        # One transaction: a member and the shard count in one revision are one change.
+        event("members/n2.00", c, 5),
+        event("cells", {"count": 4}, 5),
+        event("cells", None, 6, "DELETE"),
+    )
+    views = [(len(view.members), view.cells) for view in watched.views]
+    assert views == [(1, 1), (1, 2), (2, 2), (3, 4), (3, 1)]
+    assert len({view.digest for view in watched.views}) == 5
+
+
+@pytest.mark.parametrize("value", [None, 3, {}, {"count": 3}, {"count": 0}, {"count": 1 << 20}])
+def test_an_unreadable_shard_count_leaves_the_one_before(watched: Watched, value: object) -> None:
+    """A value that is no power of two in range is not taken over."""
+    member = Member("n0.00", "n0", "")
+    watched.receive(event("members/n0.00", member, 2), event("cells", {"count": 4}, 3))
+    watched.receive(event("cells", value, 4))
+    assert watched.views[-1].cells == 4
