--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -2,10 +2,11 @@
 
 import socket
 from collections import Counter
+from collections.abc import Callable, Iterator
 
 import msgspec
 import pytest
-from link_network import STEP, LinkNetwork, connected, names_in_shards
+from link_network import STEP, LinkedMember, LinkNetwork, connected, names_in_shards
 
 from starlingwheel.fleet import frames
 from starlingwheel.net.fleet.links import LinkManager, encode_frame, timing
@@ -24,13 +25,15 @@
 # Frames about requests.
 FIRST_FRAME, SECOND_FRAME = frames.FindOwnerFrame(b"k", b"m"), frames.FindOwnerFrame(b"l", b"m")
 
+MakeNetwork = Callable[..., LinkNetwork]
+
 
 @pytest.fixture
-def make_network():
-    """Makes networks, and closes them after the test."""
-    made = []
+def make_network() -> Iterator[MakeNetwork]:
+    """Make networks, and close them after the test."""
+    made: list[LinkNetwork] = []
 
-    def make(seed=1):
+    def make(seed: int = 1) -> LinkNetwork:
         made.append(LinkNetwork(seed))
         return made[-1]
 
@@ -40,7 +43,7 @@
 
 
 @pytest.fixture
-def pair(make_network):
+def pair(make_network: MakeNetwork) -> LinkNetwork:
     """Two members of different shards, each of which sees both."""
     network = make_network()
     for name in names_in_shards(2, 0, 1):
@@ -50,21 +53,25 @@
     return network
 
 
-def test_members_of_one_shard_are_linked_and_others_are_not(make_network):
+def test_members_of_one_shard_are_linked_and_others_are_not(make_network: MakeNetwork) -> None:
+    """Links follow the shards of the view."""
     network = make_network()
     for name in names_in_shards(2, 0, 0, 0, 1, 1):
         network.add(name)
     network.set_view(2)
-    cells = [network.members[:3], network.members[3:]]
-    network.wait_until(lambda: all(len(one.links.links) == len(cell) - 1 for cell in cells for one in cell))
+    shards = [network.members[:3], network.members[3:]]
+    network.wait_until(
+        lambda: all(len(one.links.links) == len(shard) - 1 for shard in shards for one in shard)
+    )
     network.advance(0.1)
-    for cell in cells:
-        for one in cell:
-            assert set(one.established_links()) == {other.id for other in cell} - {one.id}
+    for shard in shards:
+        for one in shard:
+            assert set(one.established_links()) == {other.id for other in shard} - {one.id}
 
 
 @pytest.mark.parametrize("who", [0, 1])
-def test_a_member_of_either_shard_can_dial_one_of_the_other(pair, who):
+def test_a_member_of_either_shard_can_dial_one_of_the_other(pair: LinkNetwork, who: int) -> None:
+    """A second request to dial changes nothing."""
     one, other = pair.members[who], pair.members[1 - who]
     assert not one.links.links
     one.links.post(DialMember(other.id))
@@ -75,16 +82,20 @@
     assert len(one.messages_of(LinkUp)) == 1 and not one.messages_of(MemberUnreachable)
 
 
-def dial_simultaneously(make_network, seed, within=8.0):
-    """Both call in one moment. What each was told, and whether the same one connection is left."""
+def dial_simultaneously(
+    make_network: MakeNetwork, seed: int, within: float = 8.0
+) -> tuple[LinkNetwork, bool]:
+    """Both dial in one moment. Return whether one link, the same for both, is left."""
     network = make_network(seed)
     for name in names_in_shards(2, 0, 1):
         network.add(name)
     one, other = network.members
-    one.needs_link_to.add(other.id), other.needs_link_to.add(one.id)
+    one.needs_link_to.add(other.id)
+    other.needs_link_to.add(one.id)
     network.set_view(2)
     network.advance(0.005)
-    one.links.post(DialMember(other.id)), other.links.post(DialMember(one.id))
+    one.links.post(DialMember(other.id))
+    other.links.post(DialMember(one.id))
     try:
         network.wait_until(
             lambda: other.id in one.established_links() and one.id in other.established_links(), within
@@ -93,35 +104,39 @@
         return network, False
     network.advance(0.06)
     same = connected(one, other) and not (one.links.dialer.dialing or other.links.dialer.dialing)
-    return network, same and set(one.established_links()) == {other.id} and set(
-        other.established_links()
-    ) == {one.id}
+    mine, theirs = set(one.established_links()), set(other.established_links())
+    return network, same and mine == {other.id} and theirs == {one.id}
 
 
-def test_of_two_simultaneous_dials_one_link_remains_the_same_for_both(make_network):
-    refused = 0
+def test_of_two_simultaneous_dials_one_link_remains_the_same_for_both(make_network: MakeNetwork) -> None:
+    """In many orders of turns, and both hosts are told of one link only."""
+    rejected = 0
     for seed in range(40):
         network, same = dial_simultaneously(make_network, seed)
         assert same
         for one in network.members:
-            assert len(one.messages_of(LinkUp)) == 1  # nobody was told of one that was not to be
+            assert len(one.messages_of(LinkUp)) == 1  # the host was told of no other one
             assert (
                 not one.messages_of(LinkDown)
                 and not one.messages_of(MemberUnreachable)
                 and not one.messages_of(EvictMember)
             )
-        refused += network.members[0].reasons["crossed"]
-    assert refused > 10
+        rejected += network.members[0].reasons["crossed"]
+    assert rejected > 10
 
 
-def test_without_the_check_of_dials_two_simultaneous_ones_end_each_other(make_network, monkeypatch):
+def test_without_the_check_of_dials_two_simultaneous_ones_end_each_other(
+    make_network: MakeNetwork, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Shows that the test before depends on the check."""
     monkeypatch.setattr(LinkManager, "_check_accepts_dial", lambda self, member: None)
     assert not all(
         dial_simultaneously(make_network, seed, within=timing.HANDSHAKE_TIMEOUT)[1] for seed in range(40)
     )
 
 
-def test_a_link_that_neither_side_needs_closes_without_loss(pair):
+def test_a_link_that_neither_side_needs_closes_without_loss(pair: LinkNetwork) -> None:
+    """The end is no sign that the process has ended, and leaves no socket."""
     one, other = pair.members
     one.links.post(DialMember(other.id))
     pair.wait_until(lambda: connected(one, other))
@@ -140,7 +155,8 @@
 
 
 @pytest.mark.parametrize("who", [0, 1])
-def test_a_link_that_one_side_needs_stays_open(pair, who):
+def test_a_link_that_one_side_needs_stays_open(pair: LinkNetwork, who: int) -> None:
+    """It closes once that side does not need it either."""
     one, other = pair.members
     pair.members[who].needs_link_to.add(pair.members[1 - who].id)
     one.links.post(DialMember(other.id))
@@ -151,8 +167,10 @@
     pair.wait_until(lambda: not one.established_links() and not other.established_links())
 
 
-def close_idle_as_request_begins(make_network, seed):
-    """Work begins on the one side in the moment in which the other one ends the link."""
+def close_idle_as_request_begins(
+    make_network: MakeNetwork, seed: int
+) -> tuple[LinkNetwork, LinkedMember, LinkedMember]:
+    """A request begins on one side in the moment in which the other side closes the link as idle."""
     network = make_network(seed)
     for name in names_in_shards(2, 0, 1):
         network.add(name)
@@ -168,7 +186,7 @@
     last_used = min(theirs.activity.last_request_frame, link.activity.last_request_frame)
     while network.clock() < last_used + timing.IDLE_LINK_TIMEOUT - 0.1:
         network.step()
-    # The other side turns alone until it has said its last word.
+    # The other side takes turns alone until it has closed the link.
     while other.links.links:
         other.loop.run_once(0)
         network.clock.time += STEP
@@ -178,12 +196,15 @@
     return network, one, other
 
 
-def test_a_request_that_begins_as_a_link_closes_opens_a_new_one_and_loses_nothing(make_network):
+def test_a_request_that_begins_as_a_link_closes_opens_a_new_one_and_loses_nothing(
+    make_network: MakeNetwork,
+) -> None:
+    """The frame that came too late is sent again on the new link."""
     for seed in range(3):
         network, one, other = close_idle_as_request_begins(make_network, seed)
         network.wait_until(lambda one=one: one.messages_of(LinkDown))
         assert one.reasons["at-rest"] == 1 and other.request_frames() == [FIRST_FRAME]
-        # What the cover does when a link has ended that it needs.
+        # As the replicator does when a link ends that it needs.
         one.links.post(DialMember(other.id))
         network.wait_until(lambda one=one, other=other: other.id in one.established_links())
         one.established_links()[other.id].post(SendFrame(encode_frame(SECOND_FRAME)))
@@ -192,7 +213,8 @@
             assert not each.messages_of(EvictMember) and not each.messages_of(MemberUnreachable)
 
 
-def test_links_to_former_peers_close_and_new_peers_are_dialed(make_network):
+def test_links_to_former_peers_close_and_new_peers_are_dialed(make_network: MakeNetwork) -> None:
+    """As the number of shards changes, and back."""
     network = make_network()
     for name in names_in_shards(2, 0, 0, 1, 1):
         network.add(name)
@@ -208,7 +230,8 @@
     assert not any(one.messages_of(EvictMember) for one in network.members)
 
 
-def test_a_member_with_another_shard_count_is_rejected_and_dials_again(make_network):
+def test_a_member_with_another_shard_count_is_rejected_and_dials_again(make_network: MakeNetwork) -> None:
+    """Until both have a view of the same number of shards."""
     network = make_network()
     for name in names_in_shards(4, 0, 0):
         network.add(name)
@@ -224,7 +247,8 @@
     network.wait_until(lambda: connected(one, other))
 
 
-def test_a_member_that_no_link_reaches_in_time_is_reported_as_unreachable(pair):
+def test_a_member_that_no_link_reaches_in_time_is_reported_as_unreachable(pair: LinkNetwork) -> None:
+    """So is one that is in no view."""
     one, other = pair.members
     pair.set_view(4, other)
     one.links.post(DialMember(other.id))
@@ -236,7 +260,8 @@
     pair.wait_until(lambda: len(one.messages_of(MemberUnreachable)) == 2)
 
 
-def test_a_process_that_has_ended_is_reported_at_once(pair):
+def test_a_process_that_has_ended_is_reported_at_once(pair: LinkNetwork) -> None:
+    """A rejected connection needs no timeout."""
     one, other = pair.members
     other.links.loop.unregister(other.sock.fileno())
     other.sock.close()
@@ -246,12 +271,14 @@
     other.loop.close()
 
 
-def test_a_dial_after_one_side_alone_lost_the_link_shows_that_and_gets_a_new_one(pair):
+def test_a_dial_after_one_side_alone_lost_the_link_shows_that_and_gets_a_new_one(pair: LinkNetwork) -> None:
+    """The rejected dial has the other side probe its link."""
     one, other = pair.members
-    one.needs_link_to.add(other.id), other.needs_link_to.add(one.id)
+    one.needs_link_to.add(other.id)
+    other.needs_link_to.add(one.id)
     one.links.post(DialMember(other.id))
     pair.wait_until(lambda: connected(one, other))
-    # The greater one's side ends; the smaller one is not told, as where the network drops it.
+    # The side of the greater id ends; the other one does not see that, as where the network drops it.
     there = other.links.links[one.id]
     silent = socket.socket(fileno=socket.dup(there.connection.sock.fileno()))
     there.post(CLOSE)
@@ -275,7 +302,10 @@
         ({"member": "stranger.00"}, "stranger"),
     ],
 )
-def test_a_wrong_hello_is_rejected_and_the_frames_after_it_are_ignored(pair, changed, reason):
+def test_a_wrong_hello_is_rejected_and_the_frames_after_it_are_ignored(
+    pair: LinkNetwork, changed: dict[str, object], reason: str
+) -> None:
+    """The host gets no message at all."""
     one, other = pair.members
     hello = msgspec.structs.replace(frames.HelloFrame("f", frames.VERSION, other.id, 2), **changed)
     with socket.create_connection(one.sock.getsockname()) as caller:
@@ -286,7 +316,8 @@
         assert not one.messages
 
 
-def test_a_member_that_answers_under_another_name_is_rejected(make_network):
+def test_a_member_that_answers_under_another_name_is_rejected(make_network: MakeNetwork) -> None:
+    """The dialing side checks the member's id."""
     network = make_network()
     one_name, other_name = names_in_shards(1, 0, 0)
     one = network.add(one_name)
@@ -297,7 +328,8 @@
     assert not other.established_links()
 
 
-def test_an_incomplete_frame_is_ignored_when_the_link_ends(pair):
+def test_an_incomplete_frame_is_ignored_when_the_link_ends(pair: LinkNetwork) -> None:
+    """Also where it is the hello."""
     one, other = pair.members
     hello = encode_frame(frames.HelloFrame("f", frames.VERSION, other.id, 2))
     with socket.create_connection(one.sock.getsockname()) as caller:
@@ -313,7 +345,10 @@
     assert len(one.messages_of(LinkUp)) == 1
 
 
-def test_on_an_idle_link_a_heartbeat_is_answered_at_once_so_that_one_side_waits(make_network):
+def test_on_an_idle_link_a_heartbeat_is_answered_at_once_so_that_one_side_waits(
+    make_network: MakeNetwork,
+) -> None:
+    """Both sides' heartbeats together are few."""
     network = make_network()
     for name in names_in_shards(1, 0, 0):
         network.add(name)
@@ -328,7 +363,10 @@
 
 
 @pytest.mark.parametrize(("count", "silent"), [(25, 14.4), (41, 24.0)])
-def test_an_idle_shard_sends_a_few_heartbeats_a_second_whatever_its_size(make_network, count, silent):
+def test_an_idle_shard_sends_a_few_heartbeats_a_second_whatever_its_size(
+    make_network: MakeNetwork, count: int, silent: float
+) -> None:
+    """The interval grows with the links; a member that hangs is noticed later."""
     network = make_network()
     for number in range(count):
         network.add(f"n{number:03d}")
@@ -341,7 +379,7 @@
     for one, heard in zip(network.members, before, strict=True):
         assert len(one.messages_of(FrameReceived)) - heard <= 1.1 * 40.0 * timing.IDLE_HEARTBEATS_PER_SECOND
         assert len(one.links.links) == count - 1 and not one.messages_of(LinkDown)
-    # One that hangs is noticed by all in three times the pause between beats, as the page says.
+    # A member that hangs is noticed by all in three times the interval, as the page says.
     hung = network.members.pop()
     network.advance(silent - timing.MAX_IDLE_HEARTBEAT_INTERVAL)
     at = network.clock()
@@ -352,7 +390,10 @@
     network.members.append(hung)
 
 
-def test_request_frames_do_not_replace_heartbeats_where_a_policy_status_is_needed(make_network):
+def test_request_frames_do_not_replace_heartbeats_where_a_policy_status_is_needed(
+    make_network: MakeNetwork,
+) -> None:
+    """Heartbeats go on beside them."""
     network = make_network()
     for name in names_in_shards(1, 0, 0):
         network.add(name)
