--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,6 @@
-"""Stories of a fleet's members without a sidecar round them, and of small scale runs: counts, never times."""
+"""Members of a fleet without a sidecar, and small scale runs: counts, never times."""
 
+import asyncio
 import os
 import resource
 import signal
@@ -7,6 +8,7 @@
 import sys
 from math import ceil
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -30,7 +32,8 @@
 )  # fmt: skip
 
 
-def test_the_actors_of_a_member_import_no_module_that_only_a_sidecar_needs():
+def test_the_actors_of_a_member_import_no_module_that_only_a_sidecar_needs() -> None:
+    """A hollow member has no coordinator, pool or client connection."""
     code = (
         "import sys, starlingwheel.net.fleet.member, starlingwheel.net.fleet.policy;"
         "print([m for m in sys.modules if m.startswith('starlingwheel.net.')"
@@ -41,31 +44,30 @@
     assert done.stdout.strip() == "[]"
 
 
-def run(size, *more):
-    """The lines of a small run, by role."""
-    import asyncio
-
+def run(size: int, *more: str) -> dict[str, dict[str, Any]]:
+    """Return the lines of a small run by role."""
     given = parsed(["--sizes", str(size), "--phases", "rest", "--seconds", "3", *more])
     plan, why = limits.planned(size, given.real, given.alone, given.cell_size, os.cpu_count() or 1)
     assert plan is not None, why
-    lines = []
+    lines: list[dict[str, Any]] = []
     assert asyncio.run(played(plan, given, lines.append)), lines
     return {line["role"]: line for line in lines}
 
 
 @pytest.mark.parametrize("size", [25, 50])
-def test_at_rest_a_member_of_one_cell_has_a_link_to_each_other_and_says_little_on_them(size):
+def test_an_idle_member_of_one_shard_has_a_link_to_each_other_and_sends_little(size: int) -> None:
+    """Counts of sockets and messages, never times."""
     shared = (size - 1) / IDLE_HEARTBEATS_PER_SECOND
     interval = min(max(MIN_IDLE_HEARTBEAT_INTERVAL, shared), MAX_IDLE_HEARTBEAT_INTERVAL)
     seconds = ceil(1.2 * interval)
-    told = run(size, "--seconds", str(seconds))
-    hollow, real, arbiter = told["hollow"], told["real"], told["arbiter"]
+    lines = run(size, "--seconds", str(seconds))
+    hollow, real, arbiter = lines["hollow"], lines["real"], lines["arbiter"]
     assert not hollow["defects"] and "silent" not in hollow["reasons"]
-    assert hollow["members"] + told["alone"]["members"] + real["members"] == size
+    assert hollow["members"] + lines["alone"]["members"] + real["members"] == size
     for one in (hollow, real):
-        # Links, the listening socket, and up to four connections to the arbiter.
+        # Links, the listening socket, and up to four connections to the store.
         assert size - 1 + 2 <= one["sockets"] <= size - 1 + 5
-        # One or two words on each link, and a renewal of the lease and of the watch now and then.
+        # One or two heartbeats on each link, and a renewal of the lease and of the watch now and then.
         assert size - 1 <= one["messages_out"] * one["seconds"] <= 2 * (size - 1) + 2 * one["seconds"]
     assert hollow["frames_in"].keys() == {"HeartbeatFrame"}
     assert arbiter["watch_events_s"] == 0 and arbiter["sockets"] >= 2 * size
@@ -83,16 +85,20 @@
         (["--pace", "0"], "--pace"),
     ],
 )
-def test_a_run_that_is_impossible_is_refused_in_one_line_before_it_starts_anything(
-    given, word, capfd, monkeypatch
-):
+def test_an_impossible_run_is_rejected_in_one_line_before_anything_is_started(
+    given: list[str], word: str, capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The line names what is wrong."""
     monkeypatch.setattr("trials.scale.__main__.played", None)
     assert main(given) == 2
     out, err = capfd.readouterr()
     assert out == "" and err.count("\n") == 1 and word in err
 
 
-def test_too_few_descriptors_or_too_little_memory_is_said_before_anything_is_started(monkeypatch):
+def test_too_few_descriptors_or_too_little_memory_is_reported_before_anything_is_started(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The plan says which of them it is."""
     monkeypatch.setattr(limits.resource, "getrlimit", lambda what: (256, resource.RLIM_INFINITY))
     plan, why = limits.planned(400, 5, 2, 0, 8)
     assert plan is None and "descriptors" in why
@@ -102,7 +108,8 @@
     assert plan is None and "MB" in why
 
 
-def test_a_large_run_is_laid_out_within_the_descriptors_of_a_process(monkeypatch):
+def test_a_large_run_is_laid_out_within_the_descriptors_of_a_process(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each member may have a link to each other."""
     monkeypatch.setattr(limits.resource, "getrlimit", lambda what: (20_000, 20_000))
     monkeypatch.setattr(limits, "machine_memory", lambda: (64 << 30, 64 << 30))
     plan, why = limits.planned(400, 5, 2, 0, 8)
@@ -110,7 +117,8 @@
     assert all(count * 400 < 20_000 for count in plan.shared)
 
 
-def children(pid):
+def children(pid: int) -> list[int]:
+    """Return the processes that a process has started."""
     found = []
     for stat in Path("/proc").glob("[0-9]*/stat"):
         try:
@@ -121,14 +129,16 @@
     return found
 
 
-def alive(pid):
+def alive(pid: int) -> bool:
+    """Return whether a process runs."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
         return False
 
 
-def test_ctrl_c_ends_all_that_a_run_has_started():
+def test_ctrl_c_ends_all_processes_of_a_run() -> None:
+    """No child is left."""
     process = subprocess.Popen(
         [*RUN, "--sizes", "25", "--seconds", "60"], cwd=ROOT,
         stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True,
@@ -143,7 +153,8 @@
     assert len(started) >= 8 and not any(map(alive, started))
 
 
-def test_a_slope_is_told_apart_from_a_constant_and_from_a_square():
+def test_a_slope_is_distinguished_from_a_constant_and_from_a_square() -> None:
+    """With the parts that the points were made of."""
     sizes = [25, 50, 100, 200]
     assert chosen({n: 7.0 for n in sizes}).form == "constant"
     linear = chosen({n: 3.0 + 2.0 * n for n in sizes})
@@ -153,12 +164,14 @@
     assert square.remains == pytest.approx(0.0, abs=1e-6)
 
 
-def test_noise_is_not_taken_for_a_slope():
+def test_noise_is_not_taken_for_a_slope() -> None:
+    """A part that explains little is left out."""
     noisy = {25: 100.0, 50: 101.0, 100: 99.5, 200: 100.4}
     assert chosen(noisy).form == "constant"
 
 
-def test_the_largest_size_is_predicted_without_having_seen_it():
+def test_the_largest_size_is_predicted_from_the_smaller_ones() -> None:
+    """And compared with what was measured."""
     told = checked({25: 27.0, 50: 52.0, 100: 102.0, 200: 302.0})
     assert told.largest == 200 and told.predicted == pytest.approx(202.0)
     assert told.error == pytest.approx(-100 / 302)
@@ -166,12 +179,14 @@
     assert told.fit.remains > 1.0 or told.fit.form == "square"
 
 
-def test_more_parts_than_sizes_are_refused():
+def test_more_parts_than_sizes_are_rejected() -> None:
+    """A fit would be arbitrary."""
     with pytest.raises(ValueError, match="2 sizes for 3 parts"):
         fitted({25: 1.0, 50: 2.0}, "square")
 
 
-def test_a_prediction_goes_by_smaller_sizes_beyond_the_knee_alone():
+def test_a_prediction_uses_only_smaller_sizes_beyond_the_knee() -> None:
+    """Below it another form holds."""
     lines = [
         {"role": "hollow", "phase": "rest", "cell_size": 0, "size": n, "messages_out": float(max(n, KNEE))}
         for n in (KNEE // 5, KNEE // 2, 2 * KNEE, 4 * KNEE, 16 * KNEE)
