--- a/starlingwheel/net/fleet/links/dialer.py
+++ b/starlingwheel/net/fleet/links/dialer.py
@@ -60,7 +60,7 @@
     def dials(self, member: str) -> bool:
         """Whether this side dials, not the other one."""
         if member in self.manager.peers:
-            return member > self.manager.member_id.member
+            return member > self.manager.hello.member
         return member in self.needed_until
 
     def view_changed(self) -> None:
@@ -73,7 +73,7 @@
 
     def need(self, member: str) -> None:
         """A link to that member is needed."""
-        if member in self.manager.links or member == self.manager.member_id.member:
+        if member in self.manager.links or member == self.manager.hello.member:
             return
         now = self.loop_now()
         self.needed_until.setdefault(member, now + HANDSHAKE_TIMEOUT)
--- a/starlingwheel/net/fleet/links/manager.py
+++ b/starlingwheel/net/fleet/links/manager.py
@@ -53,7 +53,7 @@
         self,
         loop: Loop,
         sock: socket.socket,
-        member_id: HelloFrame,
+        hello: HelloFrame,
         notify: Callable[[object], None],
         make_heartbeat: Callable[[str, bool], HeartbeatFrame],
         answer_query: Callable[[PolicyQueryFrame], list[Frame]],
@@ -62,12 +62,12 @@
     ) -> None:
         """Listen on `sock`.
 
-        `notify` takes messages for the member's host. `make_heartbeat` returns the heartbeat for a member,
-        with our policy status if the second argument is true. `answer_query` returns the answer to a policy
-        query of a member without a link.
+        `hello` is what this member greets with. `notify` takes messages for the member's host.
+        `make_heartbeat` returns the heartbeat for a member, with our policy status if the second argument is
+        true. `answer_query` returns the answer to a policy query of a member without a link.
         """
         self.sock = sock
-        self.member_id = member_id
+        self.hello = hello
         self.notify = notify
         self.make_heartbeat = make_heartbeat
         self.answer_query = answer_query
@@ -98,7 +98,7 @@
 
     def _change_view(self, view: MembershipView) -> None:
         self.view = view
-        self.peers = frozenset(view.peers(self.member_id.member))
+        self.peers = frozenset(view.peers(self.hello.member))
         self.dialer.view_changed()
 
     def _accept(self) -> None:
@@ -133,9 +133,9 @@
 
     def check_compatible(self, fleet: str, version: int) -> None:
         """Raise `LinkRejectedError` for a member of another fleet or protocol version."""
-        if fleet != self.member_id.fleet:
+        if fleet != self.hello.fleet:
             raise LinkRejectedError(LinkEndReason.OTHER_FLEET)
-        if version != self.member_id.version:
+        if version != self.hello.version:
             raise LinkRejectedError(LinkEndReason.OTHER_VERSION)
 
     def identify(self, link: PeerLink, hello: HelloFrame) -> str:
@@ -149,7 +149,7 @@
         if hello.member not in self.view:
             # It may be in a view that has not arrived here yet; it dials again.
             raise LinkRejectedError(LinkEndReason.UNKNOWN_MEMBER)
-        if not link.dialed and hello.member > self.member_id.member:
+        if not link.dialed and hello.member > self.hello.member:
             self._check_accepts_dial(hello.member)
         return hello.member
 
--- a/starlingwheel/net/fleet/links/member_query.py
+++ b/starlingwheel/net/fleet/links/member_query.py
@@ -26,7 +26,7 @@
         """`known_version`: of the last policy decision that is known here."""
         self.manager = manager
         self.address = address
-        self.query = PolicyQueryFrame(manager.member_id.fleet, manager.member_id.version, known_version)
+        self.query = PolicyQueryFrame(manager.hello.fleet, manager.hello.version, known_version)
         super().__init__(manager.loop)
 
     def run(self) -> Coroutine[None]:
--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -83,7 +83,7 @@
         deadline = self.loop.now() + HANDSHAKE_TIMEOUT
         if self.dialed:
             yield from self._connect(deadline)
-        hello = msgspec.structs.replace(self.manager.member_id, cells=self.shard_count)
+        hello = msgspec.structs.replace(self.manager.hello, cells=self.shard_count)
         self.connection.send(encode_frame(hello))
         self.connection.watch(READ)
         while not self.hello_received or (self.dialed and not self.early_frames):
