--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -144,17 +144,20 @@
             self._send_heartbeat(now)  # shows the dialing side that its hello was accepted
         self._handle_frames(self.early_frames)
         while True:
-            now = self.loop.now()
-            lost_at = self.activity.lost_at(now, self._is_idle)
+            now, idle = self.loop.now(), self._is_idle
+            lost_at = self.activity.lost_at(now, idle)
             if now >= lost_at:
                 raise LinkRejectedError(LinkEndReason.PEER_SILENT)
-            if now >= self.activity.heartbeat_at(now, self._is_idle):
+            heartbeat_at = self.activity.heartbeat_at(now, idle)
+            if now >= heartbeat_at:
                 self._send_heartbeat(now)
-            close_at = self.activity.close_at(self._is_idle)
+                idle = self._is_idle
+                heartbeat_at = self.activity.heartbeat_at(now, idle)
+            close_at = self.activity.close_at(idle)
             if now >= close_at and not self.mailbox:
                 self._close_idle(now)
-            message = yield min(self.activity.heartbeat_at(now, self._is_idle), lost_at, close_at)
-            self._handle_message(message)
+                heartbeat_at = self.activity.heartbeat_at(now, self._is_idle)
+            self._handle_message((yield min(heartbeat_at, lost_at, close_at)))
 
     def _handle_message(self, message: object) -> None:
         now = self.loop.now()
