--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -1,55 +1,62 @@
-"""Connections that hold back the last byte of a covered hand-off until its intent has been recorded."""
+"""Connections that hold back the last byte of a replicated request until its attempt has been recorded."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
-from ...decisions.model import AttemptOutcome
 from ..actor import Coroutine
-from ..http.pool import Http1Connection
-from ..http.stream import ConnectionLostError
+from ..http.errors import CloseReason, ConnectionLostError
+from ..http.http1 import Http1Connection
+from ..http.request_writer import RequestWriter
 from ..loop import READ, SocketReady
 from ..messages import CancelExchange
-from ..state.requests import Exchange
 from .links import BEAT, SILENCE
 from .messages import ExchangeReleased
 
-WITHHELD = "withheld"
-# Seconds for which an intent is good: so long a silent member is waited for.
-PROMPT = SILENCE * BEAT
+if TYPE_CHECKING:
+    from ..state.requests import Exchange
+    from .host import AttemptHold
 
+# Seconds for which a recorded intent to send is valid: as long as a silent member is waited for.
+INTENT_VALIDITY = SILENCE * BEAT
 
-class ReplicatedHttp1Connection(Http1Connection):
-    def _fate(self, reason: str) -> AttemptOutcome:
-        if reason == WITHHELD:
-            # Nothing of it was written whole, and its upstream is not to blame.
-            self.reason = reason
-            return AttemptOutcome.NOT_SENT
-        return super()._fate(reason)
-
-    def _write(self, exchange: Exchange) -> Coroutine[None]:
+
+class ReplicatedRequestWriter(RequestWriter):
+    """Writes the last byte of a request once the coordinator has released it."""
+
+    def write(self, exchange: Exchange) -> Coroutine[None]:
+        """Write what has been put, its last byte only after the release; raises `ConnectionLostError`."""
         gate = self.context.coordinator.gates.get(exchange)
         if gate is not None and not gate.open and exchange.flow is None:
             last = self.stream.keep_last()
-            yield from super()._write(exchange)
-            yield from self._until_released(exchange, gate)
+            yield from super().write(exchange)
+            yield from self._wait_for_release(exchange, gate)
             self.stream.unwritten.append(last)
-        yield from super()._write(exchange)
+        yield from super().write(exchange)
+
+    def _wait_for_release(self, exchange: Exchange, gate: AttemptHold) -> Coroutine[None]:
+        """Wait until another member has recorded the attempt.
 
-    def _until_released(self, exchange: Exchange, gate: Any) -> Coroutine[None]:
-        """Guards against an effect that nobody else knows of once its sidecar is lost."""
+        Otherwise nobody would know of its effect once this sidecar is lost.
+        """
         self.stream.want(READ)
         while not gate.open:
             message = yield exchange.deadline
             if isinstance(message, ExchangeReleased) and message.exchange is exchange:
                 break
             if isinstance(message, SocketReady):
-                self._still_unanswered(message)
-            elif (
-                isinstance(message, CancelExchange) and message.exchange is exchange
-            ) or self.loop.now() >= exchange.deadline:
-                raise ConnectionLostError(WITHHELD)
-        if self.loop.now() > gate.asked + PROMPT:
-            # Guards against a pause between the intent and the last byte: others may have gone on since.
-            raise ConnectionLostError(WITHHELD)
-        self._still_wanted(exchange)
+                self.check_unanswered(message)
+                continue
+            cancelled = isinstance(message, CancelExchange) and message.exchange is exchange
+            if cancelled or self.loop.now() >= exchange.deadline:
+                raise ConnectionLostError(CloseReason.WITHHELD)
+        if self.loop.now() > gate.asked + INTENT_VALIDITY:
+            # The process was held up between the intent and the last byte: others may have gone on since.
+            raise ConnectionLostError(CloseReason.WITHHELD)
+        self.check_wanted(exchange)
+
+
+class ReplicatedHttp1Connection(Http1Connection):
+    """An HTTP/1.1 connection for replicated requests."""
+
+    writer_type = ReplicatedRequestWriter
--- /dev/null
+++ b/starlingwheel/net/http/load_report.py
@@ -0,0 +1,43 @@
+"""Load reports: the figures of its load that an endpoint sends with a response or a health check."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Iterable
+
+from ...settings import REPORTED, SCALE
+from ..state.buffers import BufferedBody
+from ..state.requests import Exchange
+
+HEADER = b"endpoint-load-metrics"
+MAX_REPORT_LENGTH = 512  # bytes
+NUMBER = re.compile(r"\d{1,9}(\.\d{1,9})?")
+
+
+def parse_load_report(text: str) -> dict[str, float]:
+    """Return the figures that the decisions use, by their names there.
+
+    A report that can't be read is dropped as a whole: it gives an empty dict.
+    """
+    report: dict[str, float] = {}
+    if len(text) > MAX_REPORT_LENGTH:
+        return {}
+    for pair in text.strip().removeprefix("TEXT").split(","):
+        name, _, value = pair.strip().partition("=")
+        if figure := REPORTED.get(name):
+            # Words, signs, infinities and duplicate figures must not reach the decisions.
+            if figure in report or not NUMBER.fullmatch(value):
+                return {}
+            report[figure] = float(value) * SCALE.get(figure, 1.0)
+    return report
+
+
+def load_report_of(
+    headers: Iterable[tuple[bytes, bytes]], exchange: Exchange, body: BufferedBody
+) -> dict[str, float]:
+    """Return the load report of a response: from its header, or from the body of a health check."""
+    values = [value for name, value in headers if name == HEADER]
+    text = values[0].decode("latin-1") if len(values) == 1 else ""
+    if not values and exchange.pending is None and body.length <= MAX_REPORT_LENGTH:
+        text = b"".join(body.views()).decode("latin-1")
+    return parse_load_report(text) if text else {}
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -10,38 +10,44 @@
 
 import h11
 
+from ..actor import Actor
 from ..address import split
 from ..loop import HANGUP, READ, Loop, SocketReady
 from ..messages import CLOSE
 from ..state.buffers import BUFFER_SIZE, BufferPool
+from .errors import CloseReason, ConnectionLostError
 
-LONGEST_HEAD = 16384
+__all__ = ["ConnectionLostError", "Stream", "connect", "two_lengths"]
 
+MAX_HEAD_LENGTH = 16384  # bytes
+MAX_VIEWS_PER_WRITE = 64
+ABORT_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 seconds: close with a reset
 
-class ConnectionLostError(Exception):
-    """The connection can't be used any more; the text is its reason code."""
+Event = Any  # h11 has no common type of its events and its two sentinels
 
 
 def two_lengths(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """What could be read in two ways: guards against a second request that hides in the body of the first."""
+    """Whether a message has both framings: a second request could hide in the body of the first."""
     names = {name for name, _ in headers}
     return b"transfer-encoding" in names and b"content-length" in names
 
 
 class Stream:
-    """One connection of an actor: its socket, what h11 makes of it, and what is still to be written."""
+    """One connection of an actor: its socket, its h11 state, and what is still to be written."""
 
-    def __init__(self, loop: Loop, actor: Any, sock: socket.socket, role: type, pool: BufferPool) -> None:
+    def __init__(self, loop: Loop, actor: Actor, sock: socket.socket, role: type, pool: BufferPool) -> None:
+        """`actor`: gets the socket's events; `role`: `h11.CLIENT` or `h11.SERVER`."""
         self.loop, self.actor, self.sock, self.pool = loop, actor, sock, pool
-        self.http = h11.Connection(role, max_incomplete_event_size=LONGEST_HEAD)
-        # Clients are read in small pieces: h11 measures only heads that are not whole yet.
+        self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_LENGTH)
+        # Bytes read at once. Clients are read in small pieces: h11 limits only heads that are incomplete.
         self.at_once = BUFFER_SIZE if role is h11.SERVER else len(pool.scratch)
-        self.unwritten: list[Any] = []
-        self.mask = 0
-        self.over = False  # the other side has ended
+        self.unwritten: list[bytes | memoryview] = []
+        self.mask = 0  # the events that are waited for; 0: not registered
+        self.over = False  # the other side has closed, and that has been read
         sock.setblocking(False)
 
     def want(self, mask: int) -> None:
+        """Wait for the events of this mask from now on."""
         if not self.mask:
             self.loop.register(self.sock.fileno(), self.actor, mask)
         elif mask != self.mask:
@@ -49,17 +55,21 @@
         self.mask = mask
 
     def pause(self) -> None:
-        """Hear nothing of it for a while, not even its end: guards against a turn for each word of that."""
+        """Wait for no event, not even its end, which epoll would report in every turn."""
         if self.mask:
             self.loop.unregister(self.sock.fileno())
             self.mask = 0
 
     def came_up(self) -> None:
+        """Check a connection whose socket can be written; raises `ConnectionLostError` if it failed."""
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            raise ConnectionLostError("refused")
+            raise ConnectionLostError(CloseReason.CONNECT_REFUSED)
 
     def read(self) -> int | None:
-        """Give h11 what has come; None: nothing yet, 0: the other side has ended."""
+        """Give h11 what has come, and return the number of bytes; None: nothing yet, 0: the end.
+
+        Raises `ConnectionLostError`.
+        """
         try:
             count = self.sock.recv_into(self.pool.scratch, self.at_once)
             self.over = not count
@@ -68,26 +78,29 @@
         except BlockingIOError:
             return None
         except OSError as error:
-            raise ConnectionLostError("reset") from error
+            raise ConnectionLostError(CloseReason.RESET) from error
 
-    def event(self) -> Any:
+    def event(self) -> Event:
+        """Return h11's next event; raises `ConnectionLostError` for what is not HTTP."""
         try:
             return self.http.next_event()
         except h11.RemoteProtocolError as error:
-            raise ConnectionLostError("cut-short" if self.over else "malformed") from error
+            reason = CloseReason.CUT_SHORT if self.over else CloseReason.MALFORMED
+            raise ConnectionLostError(reason) from error
 
-    def put(self, *events: Any) -> None:
+    def put(self, *events: Event) -> None:
+        """Encode h11 events, to be written by `write`."""
         for event in events:
             self.unwritten += self.http.send_with_data_passthrough(event) or []
 
     def invite(self) -> None:
-        """Say that the body may come, to one that waits for that."""
+        """Send `100 Continue` to a client that waits for it."""
         if self.http.they_are_waiting_for_100_continue:
             self.put(h11.InformationalResponse(status_code=100, headers=[]))
             self.write()
 
     def keep_last(self) -> bytes:
-        """Take the last byte back from what is to be written."""
+        """Take the last byte back from what is to be written, and return it."""
         while not self.unwritten[-1]:
             self.unwritten.pop()
         last = memoryview(self.unwritten[-1])
@@ -95,14 +108,14 @@
         return bytes(last[-1:])
 
     def write(self) -> bool:
-        """Write on; True when nothing is left."""
+        """Write what the socket takes; True when nothing is left. Raises `ConnectionLostError`."""
         while self.unwritten:
             try:
-                count = self.sock.sendmsg(self.unwritten[:64])
+                count = self.sock.sendmsg(self.unwritten[:MAX_VIEWS_PER_WRITE])
             except BlockingIOError:
                 return False
             except OSError as error:
-                raise ConnectionLostError("reset") from error
+                raise ConnectionLostError(CloseReason.RESET) from error
             while self.unwritten and count >= len(self.unwritten[0]):
                 count -= len(self.unwritten.pop(0))
             if count:
@@ -110,16 +123,16 @@
         return True
 
     def silent(self) -> bool:
-        """Nothing has come on it since it was last read, not even its end."""
-        return self._next() is None
+        """Whether nothing has come since it was last read, not even the end."""
+        return self._peek() is None
 
     def ended(self) -> bool:
-        """The other side has ended, also behind what it has sent before and nobody has read yet."""
-        waits = self._next()
-        return waits == b"" or (waits is not None and self.loop.peer_has_closed(self.sock.fileno()))
+        """Whether the other side has closed, even if what it sent before that is still unread."""
+        unread = self._peek()
+        return unread == b"" or (unread is not None and self.loop.peer_has_closed(self.sock.fileno()))
 
-    def _next(self) -> bytes | None:
-        """The next byte, left where it is; none: the other side has ended, None: it is silent."""
+    def _peek(self) -> bytes | None:
+        """The next byte, which stays unread; empty: the other side has closed, None: nothing has come."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -128,10 +141,10 @@
             return b""
 
     def finish(self, until: float, most: int) -> Generator[float | None, Any, None]:
-        """Say that nothing follows, then read away what still comes until the other side ends.
+        """Close the sending side, then discard input until the other side closes, or until the time `until`.
 
-        Guards against unread input resetting an answer that is still on its way. Of one that sends on and on
-        no more than `most` bytes are read: it can read its answer while its own sending waits.
+        Unread input would reset a response that is still on its way. At most `most` bytes are read of a
+        client that sends on and on: it can read its response while its own sending waits.
         """
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
@@ -150,26 +163,27 @@
                     self.want(HANGUP)
 
     def abort(self) -> None:
-        """End it so that the other side can tell that it is not whole, however it is framed."""
+        """Let `close` reset the connection, so that the other side can tell that a message is incomplete."""
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT_LINGER)
 
     def close(self) -> None:
+        """Close the socket."""
         self.pause()
         self.unwritten = []
         self.sock.close()
-        self.actor = None  # guards against the two holding each other until a collection
+        self.actor = None  # the two would keep each other in memory until a garbage collection
 
 
 def connect(address: str, source: str = "") -> socket.socket:
-    """A socket on its way to `address`; when it can be written, `Stream.came_up` says if it got there.
+    """Return a socket that connects to `address`; once it can be written, `Stream.came_up` checks it.
 
-    `source`: the host that it goes out from, where that matters. Raises `Lost`.
+    `source`: the local host address to connect from, where that matters. Raises `ConnectionLostError`.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:  # no descriptor is left
-        raise ConnectionLostError("refused") from error
+        raise ConnectionLostError(CloseReason.CONNECT_REFUSED) from error
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -179,5 +193,5 @@
             sock.connect(split(address))
     except (OSError, ValueError, OverflowError) as error:
         sock.close()
-        raise ConnectionLostError("refused") from error
+        raise ConnectionLostError(CloseReason.CONNECT_REFUSED) from error
     return sock
--- /dev/null
+++ b/starlingwheel/net/http/upstream_response.py
@@ -0,0 +1,204 @@
+"""The response of one exchange over HTTP/1.1: a short body is buffered, a long one relayed."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from math import inf
+from typing import TYPE_CHECKING
+
+import h11
+
+from ...decisions.model import AttemptOutcome
+from ..loop import READ, SocketReady
+from ..messages import CancelExchange
+from ..state.body_stream import MAX_STREAMED_BODY, BodyStream
+from ..state.buffers import MAX_BUFFERED_BODY, BufferedBody, BuffersExhaustedError
+from ..state.requests import Exchange, UpstreamResponse
+from .errors import CloseReason, ConnectionLostError
+from .load_report import load_report_of
+
+if TYPE_CHECKING:
+    from ..actor import Coroutine
+    from ..context import SidecarContext
+    from .stream import Stream
+
+RELAY_DELAY_FRACTION = 1 / 2  # of the latency objective: then a response of unknown length is relayed
+RELAY_STALL_TIMEOUT = 5.0  # seconds without a byte after which a relayed response counts as broken off
+VERSION_PREFIX = b"HTTP/1."
+
+
+@dataclass(frozen=True, slots=True)
+class ExchangeResult:
+    """How an exchange has ended."""
+
+    outcome: AttemptOutcome
+    load_report: dict[str, float] = field(default_factory=dict)
+    response: UpstreamResponse | None = None
+
+
+def response_length(response: h11.Response) -> int | None:
+    """Return the length that a response says its body has; None: it says none.
+
+    Raises `ConnectionLostError` for a body whose end can't be told, or that is too long to be forwarded. A
+    body that ends with its connection has to say so: otherwise its head may as well have been damaged.
+    """
+    lengths = [value for name, value in response.headers if name == b"content-length"]
+    chunked = any(name == b"transfer-encoding" for name, _ in response.headers)
+    options = [value.lower() for name, value in response.headers if name == b"connection"]
+    closes = b"close" in options or response.http_version == b"1.0"
+    if len(lengths) + chunked != 1 and not (closes and not lengths and not chunked):
+        raise ConnectionLostError(CloseReason.RESPONSE_LENGTH_UNKNOWN)
+    if lengths and int(lengths[0]) > MAX_STREAMED_BODY:
+        raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
+    return int(lengths[0]) if lengths else None
+
+
+def outcome_of(status: int, headers: Mapping[bytes, bytes]) -> AttemptOutcome:
+    """Return what a response means for its attempt."""
+    if status == 200:
+        return AttemptOutcome.SUCCESS
+    if status in (503, 504) and headers.get(b"x-never-ran") == b"1":
+        return AttemptOutcome.REJECTED
+    return AttemptOutcome.ERROR
+
+
+def next_socket_event(
+    exchange: Exchange | None, deadline: float, on_timeout: CloseReason, pause_at: float = inf
+) -> Coroutine[SocketReady | None]:
+    """Wait for the socket; None: `pause_at` has come.
+
+    Raises `ConnectionLostError` when the exchange is cancelled, and with `on_timeout` at the deadline.
+    """
+    while True:
+        message = yield min(deadline, pause_at)
+        if message is None and pause_at < deadline:
+            return None
+        if message is None:
+            raise ConnectionLostError(on_timeout)
+        if isinstance(message, SocketReady):
+            return message
+        if isinstance(message, CancelExchange) and message.exchange is exchange:
+            raise ConnectionLostError(CloseReason.CANCELLED)
+
+
+class ResponseReader:
+    """Reads one response; owns its body until the body is given to the client."""
+
+    __slots__ = ("context", "stream", "exchange", "on_relay", "head", "length", "body", "relay")
+
+    def __init__(
+        self,
+        context: SidecarContext,
+        stream: Stream,
+        exchange: Exchange,
+        on_relay: Callable[[ExchangeResult], None],
+    ) -> None:
+        """`on_relay`: called with the final result when the body begins to be relayed."""
+        self.context, self.stream, self.exchange, self.on_relay = context, stream, exchange, on_relay
+        self.head: h11.Response | None = None
+        self.length: int | None = None
+        self.body = BufferedBody(context.buffer_pool)
+        self.relay: BodyStream | None = None  # takes the place of `body` when that is too long to buffer
+
+    def read(self) -> Coroutine[h11.Response]:
+        """Read the response and return its head; the body is then in `body`, or has been relayed.
+
+        Raises `ConnectionLostError`.
+        """
+        try:
+            while True:
+                event = self.stream.event()
+                if isinstance(event, h11.Response):
+                    self.head, self.length = event, response_length(event)
+                elif isinstance(event, h11.Data):
+                    self._add(event.data)
+                elif isinstance(event, h11.EndOfMessage):
+                    if self.relay is not None:
+                        self.relay.end()
+                    return self.head
+                elif isinstance(event, h11.ConnectionClosed):
+                    raise ConnectionLostError(CloseReason.UPSTREAM_CLOSED)
+                elif event is h11.NEED_DATA:
+                    yield from self._receive()
+        finally:
+            if self.relay is not None:
+                self.relay.break_off()
+
+    def take_body(self) -> UpstreamResponse:
+        """Give the buffered body away, as the response of the exchange."""
+        headers = dict(self.head.headers)
+        body, self.body = self.body, BufferedBody(self.context.buffer_pool)
+        return UpstreamResponse(body, headers.get(b"content-type", b""))
+
+    def _add(self, data: bytes | bytearray) -> None:
+        expected = max(self.length or 0, self.body.length + len(data))
+        if self.relay is None and expected > MAX_BUFFERED_BODY:
+            self._begin_relay()
+        if self.relay is not None and self.relay.total + len(data) > MAX_STREAMED_BODY:
+            raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
+        try:
+            (self.body if self.relay is None else self.relay).add(data)
+        except BuffersExhaustedError:
+            raise ConnectionLostError(CloseReason.NO_BUFFERS) from None
+
+    def _begin_relay(self) -> None:
+        """Give the body to the client while it comes.
+
+        Its first bytes are the final response, so from now on only the endpoint or the client ends it.
+        """
+        exchange, head = self.exchange, self.head
+        outcome = outcome_of(head.status_code, dict(head.headers))
+        if exchange.pending is None or outcome is not AttemptOutcome.SUCCESS:
+            raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
+        report = load_report_of(head.headers, exchange, self.body)
+        buffered = self.take_body()
+        self.relay = BodyStream(self.context.buffer_pool, self.stream.actor, self.length, buffered.body)
+        self.on_relay(ExchangeResult(outcome, report, UpstreamResponse(self.relay, buffered.kind)))
+
+    def _receive(self) -> Coroutine[None]:
+        """Wait for more of the response and read it; begins the relay of one that is late."""
+        if self.head is None:
+            self._check_prefix()
+        if self.relay is not None:
+            yield from self._receive_for_relay(self.relay)
+            return
+        relay_at = self._relay_at() if self.length is None else inf
+        deadline = self.exchange.deadline
+        ready = yield from next_socket_event(self.exchange, deadline, CloseReason.OVERDUE, relay_at)
+        if ready is None:
+            self._begin_relay()
+        else:
+            self.stream.read()
+
+    def _check_prefix(self) -> None:
+        """Raise `ConnectionLostError` for noise without a line end, for which h11 would wait on and on."""
+        received = self.stream.http.trailing_data[0]
+        if not received.startswith(VERSION_PREFIX[: len(received)]):
+            raise ConnectionLostError(CloseReason.MALFORMED)
+
+    def _receive_for_relay(self, relay: BodyStream) -> Coroutine[None]:
+        while not relay.room() and not relay.refused:
+            # The client is slow, or buffers are short: what follows waits in the kernel.
+            self.stream.pause()
+            yield inf if relay.full else self.stream.loop.now() + self.context.shortest_objective / 64
+        if relay.refused:
+            raise ConnectionLostError(CloseReason.CANCELLED)
+        self.stream.want(READ)
+        deadline = self.stream.loop.now() + RELAY_STALL_TIMEOUT
+        message = yield deadline
+        if message is None and self.stream.loop.now() >= deadline:
+            raise ConnectionLostError(CloseReason.SILENT)
+        if isinstance(message, SocketReady):
+            self.stream.read()
+
+    def _relay_at(self) -> float:
+        """When the beginning of a response of unknown length, which may be a long one, is relayed.
+
+        A response whose first bytes come in time is then not given up as late.
+        """
+        pending, head = self.exchange.pending, self.head
+        if head is None or pending is None or head.status_code != 200 or not self.body.length:
+            return inf
+        request = pending.request
+        return request.arrived_at + RELAY_DELAY_FRACTION * request.request_class.latency_objective
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,8 +19,9 @@
 
 from fakes.loopback import free_address
 from starlingwheel.net.discovery import client as discovery
-from starlingwheel.net.http import pool as wire
+from starlingwheel.net.http import http1
 from starlingwheel.net.http.client_connection import AT_ONCE
+from starlingwheel.net.http.pool import ConnectionPool
 from starlingwheel.net.lifecycle import shutdown as stop
 from starlingwheel.net.loop import HANGUP, READ, WRITE, socket_ready
 from starlingwheel.net.messages import CLOSE, STOP
@@ -145,7 +146,7 @@
 
 
 def test_the_last_byte_that_was_held_back_is_not_written_once_the_client_has_left(around, monkeypatch):
-    monkeypatch.setattr("starlingwheel.net.http.pool.HELD", 0.2)
+    monkeypatch.setattr("starlingwheel.net.http.request_writer.LAST_BYTE_DELAY_FRACTION", 0.2)
     around.context.resets_expected_until = float("inf")
     client = around.ask("buy", b"one")
     upstream = around.accept()
@@ -196,7 +197,7 @@
     with held(around, in_hand(around), HANGUP):
         client.close()
         peer = Peer(around)
-        around.until(lambda: connection.up)
+        around.until(lambda: connection.connected)
         for _ in range(5):
             peer.read()
             around.let_pass(0.01)
@@ -207,7 +208,7 @@
 def answered(make_surroundings, monkeypatch):
     """A client, and a connection to an upstream that has just answered; it has to rest for a minute."""
     around = make_surroundings(settings={"caps": SETTINGS["caps"] | {"keepalive": 600_000_000}})
-    monkeypatch.setattr(wire, "RESTED", 60.0)
+    monkeypatch.setattr(http1, "QUIESCENCE_FRACTION", 60.0)
     client = around.client()
     client.sendall(around.request())
     first = around.serve(body=b"one")
@@ -270,9 +271,11 @@
     assert around.status(client) == 200
     around.until(around.context.connections.longest_idle)
     client.sendall(around.request(x_trace_id="t2"))
-    late = around.until(lambda: next((c for c in around.context.connections.upstream if not c.carried), None))
-    looks, rested = iter([True] * vain), wire.ConnectionPool.rested
-    monkeypatch.setattr(wire.ConnectionPool, "rested", lambda u: None if next(looks, False) else rested(u))
+    late = around.until(
+        lambda: next((c for c in around.context.connections.upstream if not c.exchange_count), None)
+    )
+    looks, rested = iter([True] * vain), ConnectionPool.take_quiescent
+    monkeypatch.setattr(ConnectionPool, "take_quiescent", lambda u: None if next(looks, False) else rested(u))
     with held(around, late, WRITE):
         around.received(first)
         assert not around.logged("upstream.end") and late.exchange is None
@@ -280,7 +283,7 @@
     assert around.status(client) == 200
     around.until(lambda: len(around.context.connections.idle) == 2)
     # What has come up in vain has nothing to rest from.
-    assert late.rested()
+    assert late.is_quiescent()
     client.sendall(around.request(x_trace_id="t3"))
     around.serve()
     assert around.status(client) == 200
@@ -315,7 +318,7 @@
 def test_after_a_question_a_work_item_goes_the_same_way_at_once_unless_second_answers_come(
     make_surroundings, monkeypatch, wary
 ):
-    monkeypatch.setattr(wire, "RESTED", 60.0)
+    monkeypatch.setattr(http1, "QUIESCENCE_FRACTION", 60.0)
     caps = SETTINGS["caps"] | {"peers": False}
     around = make_surroundings(settings={"caps": caps, "categories": categories(4000000)})
     if wary:
@@ -380,7 +383,7 @@
     watch, _ = around.watch(b"")
     client = around.ask("buy", b"one")
     connection = coming_up(around)
-    i = int(connection.upstream.entry.id[1:])
+    i = int(connection.pool.entry.id[1:])
     with held(around, connection, WRITE):
         around.say(watch, {"version": 8, "servers": [around.entry(i, **changed)]})
         if read:
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -14,7 +14,7 @@
 from test_endings import LEAVE, leave
 from test_streams import NEW, Peer
 
-from starlingwheel.net.http.pool import RESTED
+from starlingwheel.net.http.http1 import QUIESCENCE_FRACTION
 from starlingwheel.net.loop import HANGUP, MAX_EVENTS_PER_POLL, WRITE
 
 MANY = MAX_EVENTS_PER_POLL + 44  # more than one turn reads the ends of
@@ -59,7 +59,7 @@
         self.around.until(lambda: len(self.context.connections.idle) == MANY)
         self.leave(clients, late=0)
         self.around.until(lambda: not self.context.connections.clients)
-        self.around.let_pass(RESTED * self.context.shortest_objective)
+        self.around.let_pass(QUIESCENCE_FRACTION * self.context.shortest_objective)
 
     @contextlib.contextmanager
     def unheard(self):
@@ -123,7 +123,7 @@
     watch = loop.register
 
     def watched(descriptor, actor, mask):
-        if mask == WRITE and hasattr(actor, "upstream"):
+        if mask == WRITE and hasattr(actor, "pool"):
             kept.append((descriptor, actor, mask))
         else:
             watch(descriptor, actor, mask)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,10 @@
 
 from starlingwheel.net.coordinator import RequestCoordinator
 from starlingwheel.net.http.client_connection import READ_AWAY, ClientConnection
-from starlingwheel.net.http.pool import ConnectionPool, Http1Connection, figures
+from starlingwheel.net.http.http1 import Http1Connection
+from starlingwheel.net.http.load_report import parse_load_report
+from starlingwheel.net.http.pool import ConnectionPool
+from starlingwheel.net.http.upstream_response import ResponseReader
 from starlingwheel.net.state.buffers import MAX_REQUEST_BODY
 
 
@@ -189,7 +192,7 @@
     around.received(upstream)
     around.reply(upstream, body=b"first")
     assert around.answer(client)[1] == b"first"
-    monkeypatch.setattr(Http1Connection, "usable", lambda _: True)  # it comes after that look
+    monkeypatch.setattr(Http1Connection, "is_usable", lambda _: True)  # it comes after that look
     around.rested()
     around.reply(upstream, body=b"copy")
     client.sendall(around.request("buy", b"two"))
@@ -331,9 +334,9 @@
     upstream = around.serve()
     assert around.status(client) == 200
     connection = around.until(around.context.connections.longest_idle)
-    assert connection.usable()
+    assert connection.is_usable()
     upstream.close()  # the loop has not turned since
-    assert not connection.usable()
+    assert not connection.is_usable()
 
 
 def test_unread_input_does_not_reset_the_answer(around):
@@ -628,7 +631,7 @@
     client.sendall(around.request("buy", b"one"))
     around.serve()
     assert around.status(client) == 200
-    monkeypatch.setattr(Http1Connection, "_answer", lambda *_: 1 / 0)
+    monkeypatch.setattr(ResponseReader, "read", lambda *_: 1 / 0)
     client.sendall(around.request("buy", b"two"))
     assert around.status(client) == 504
     assert around.logged("upstream.end")[0]["reason"] == "defect"
@@ -636,7 +639,7 @@
 
 def test_a_defect_before_a_connection_ends_the_hand_off(around, monkeypatch):
     with monkeypatch.context() as patch:
-        patch.setattr(ConnectionPool, "_carry", lambda *_: 1 / 0)
+        patch.setattr(ConnectionPool, "_start", lambda *_: 1 / 0)
         assert around.status(around.ask("buy", b"one")) == 503
     client = around.ask("buy", b"one")
     around.serve()
@@ -651,5 +654,5 @@
     ],
 )
 def test_a_load_report_that_can_not_be_read_is_dropped(text):
-    assert figures(text) == {}
-    assert figures("TEXT inflight=7, queue=2, other=3") == {"held": 7.0, "waiting": 2.0}
+    assert parse_load_report(text) == {}
+    assert parse_load_report("TEXT inflight=7, queue=2, other=3") == {"held": 7.0, "waiting": 2.0}
