--- /dev/null
+++ b/starlingwheel/net/http/request_parser.py
@@ -0,0 +1,131 @@
+"""From a client's HTTP request to a `PendingRequest`: the service's headers, and what is rejected at once."""
+
+from __future__ import annotations
+
+import re
+from math import inf
+from typing import TYPE_CHECKING
+
+import h11
+
+from ...decisions.config import RequestClass, RetrySafety
+from ...decisions.model import Request
+from ..state.body_stream import BodyStream
+from ..state.buffers import BufferedBody
+from ..state.requests import PendingRequest
+from .errors import InvalidRequestError
+from .stream import two_lengths
+
+if TYPE_CHECKING:
+    from ..context import SidecarContext
+    from .client_connection import ClientConnection
+
+MAX_TIMEOUT_DIGITS = 15
+ABSOLUTE_FORM = re.compile(
+    rb"^https?://[^/?]*", re.IGNORECASE
+)  # what a target may begin with (RFC 9112, 3.2.2)
+METHODS = {
+    RetrySafety.IDEMPOTENT: b"GET",
+    RetrySafety.IDEMPOTENT_WITH_KEY: b"POST",
+    RetrySafety.NON_IDEMPOTENT: b"POST",
+}
+
+
+def declared_length(request: h11.Request, longest: int) -> int | None:
+    """Return the length that a request says its body has; None: it says none.
+
+    Raises `InvalidRequestError` for one that could be read in two ways, and, before it is read, for one of
+    more than `longest` bytes.
+    """
+    if two_lengths(request.headers):
+        raise InvalidRequestError(400, "two lengths")
+    length = next((int(value) for name, value in request.headers if name == b"content-length"), None)
+    if length is not None and length > longest:
+        raise InvalidRequestError(413, "body too long")
+    return length
+
+
+def parse_request(
+    request: h11.Request,
+    body: BufferedBody | BodyStream,
+    client: ClientConnection,
+    context: SidecarContext,
+    received_at: float,
+) -> PendingRequest:
+    """Return the request that a client waits for; raises `InvalidRequestError`.
+
+    `received_at`: when its last byte was read; of no account for a body that is still coming.
+    """
+    headers = _headers_by_name(request)
+    trace = headers.get(b"x-trace-id", b"")
+    if not trace:
+        raise InvalidRequestError(400, "x-trace-id is missing")
+    target = ABSOLUTE_FORM.sub(b"", request.target)
+    request_class = _request_class(request.method, target, headers, context)
+    if trace in context.active_traces:
+        raise InvalidRequestError(409, "x-trace-id is in hand")
+    timeout = _timeout(headers)
+    if len(context.active_traces) >= context.connections.most_requests:
+        # Clients must not take the descriptors that their own requests need.
+        raise InvalidRequestError(503, "too many connections")
+    return PendingRequest(
+        request=Request(
+            request_class=request_class,
+            arrived_at=inf if isinstance(body, BodyStream) else received_at,
+            # No request is kept for longer than its class allows, however long its client says it waits.
+            time_left=min(timeout, request_class.timeout),
+            tenant=context.tenants.get(headers.get(b"x-customer", b"").decode("latin-1")),
+            is_retry=headers.get(b"x-second-try") == b"1",
+        ),
+        client=client,
+        method=request.method,
+        target=target,
+        headers=request.headers.raw_items(),
+        body=body,
+        trace=trace,
+    )
+
+
+def _headers_by_name(request: h11.Request) -> dict[bytes, bytes]:
+    headers: dict[bytes, bytes] = {}
+    for name, value in request.headers:
+        if name in headers and (name.startswith(b"x-") or name == b"idempotency-key"):
+            raise InvalidRequestError(400, f"{name.decode()} is doubled")
+        headers[name] = value
+    return headers
+
+
+def _request_class(
+    method: bytes, target: bytes, headers: dict[bytes, bytes], context: SidecarContext
+) -> RequestClass:
+    """The class that a request names; its path, method and headers have to fit it."""
+    name = headers.get(b"x-qos", b"").decode("latin-1")
+    request_class = context.request_class_for(name, _implied_retry_safety(method, headers))
+    if request_class is None:
+        raise InvalidRequestError(404, "unknown category")
+    if target.lstrip(b"/").partition(b"?")[0].partition(b"/")[0] != name.encode("latin-1"):
+        raise InvalidRequestError(400, "path and x-qos differ")
+    if method != METHODS[request_class.retry_safety]:
+        raise InvalidRequestError(405, "the method does not fit the category")
+    needs_key = request_class.retry_safety is RetrySafety.IDEMPOTENT_WITH_KEY
+    if needs_key and not headers.get(b"idempotency-key"):
+        raise InvalidRequestError(400, "idempotency-key is missing")
+    return request_class
+
+
+def _implied_retry_safety(method: bytes, headers: dict[bytes, bytes]) -> RetrySafety:
+    """What the form of a request implies: of classes of one name, the one that fits it is taken."""
+    if method == b"GET":
+        return RetrySafety.IDEMPOTENT
+    return RetrySafety.IDEMPOTENT_WITH_KEY if headers.get(b"idempotency-key") else RetrySafety.NON_IDEMPOTENT
+
+
+def _timeout(headers: dict[bytes, bytes]) -> float:
+    """The seconds for which the client waits."""
+    milliseconds = headers.get(b"x-expires-in-ms", b"")
+    if not milliseconds.isdigit() or len(milliseconds) > MAX_TIMEOUT_DIGITS:
+        raise InvalidRequestError(400, "x-expires-in-ms is missing or unreadable")
+    seconds = int(milliseconds) / 1000
+    if seconds <= 0:
+        raise InvalidRequestError(408, "expired when it came")
+    return seconds
--- /dev/null
+++ b/starlingwheel/net/http/response_writer.py
@@ -0,0 +1,98 @@
+"""Writing responses to one client: buffered ones at once, long ones while they come from an endpoint."""
+
+from __future__ import annotations
+
+import socket
+from typing import TYPE_CHECKING
+
+import h11
+
+from ..loop import HANGUP, WRITE, SocketReady
+from ..state.body_stream import BodyStream
+from ..state.buffers import MAX_BUFFERED_BODY
+from .errors import CloseReason, ConnectionLostError
+
+if TYPE_CHECKING:
+    from ..actor import Coroutine
+    from ..messages import FinalResponse
+    from ..state.requests import Headers
+    from .stream import Stream
+
+WRITE_STALL_TIMEOUT = 4.0  # seconds after which a client that takes nothing of its response is given up
+
+
+def response_headers(final: FinalResponse | None, close: bool) -> Headers:
+    """Return the headers of a response; None: one without a body."""
+    response = final.response if final else None
+    length = 0
+    if response:
+        length = response.body.length
+    headers = [(b"Transfer-Encoding", b"chunked")]
+    if length is not None:
+        headers = [(b"Content-Length", str(length).encode())]
+    if response and response.kind:
+        headers.append((b"Content-Type", response.kind))
+    if final and final.retry_after > 0:
+        headers.append((b"Retry-After", f"{final.retry_after:.3f}".encode()))
+    if close:
+        headers.append((b"Connection", b"close"))
+    return headers
+
+
+class ResponseWriter:
+    """Writes response after response to one connection."""
+
+    def __init__(self, stream: Stream) -> None:
+        """Write to `stream`, whose actor receives the messages."""
+        self.stream, self.loop = stream, stream.loop
+
+    def write(self, status: int, final: FinalResponse | None, close: bool) -> Coroutine[None]:
+        """Write a response and release its body; `close`: announce that the connection ends with it.
+
+        Raises `ConnectionLostError`.
+        """
+        response = final.response if final else None
+        headers = response_headers(final, close)
+        try:
+            self.stream.put(h11.Response(status_code=status, headers=headers))
+            if response and isinstance(response.body, BodyStream):
+                yield from self._relay(response.body)
+            elif response:
+                self.stream.put(*(h11.Data(data=view) for view in response.body.views()))
+            self.stream.put(h11.EndOfMessage())
+            yield from self._flush()
+        finally:
+            if response:
+                response.body.release()
+
+    def _relay(self, body: BodyStream) -> Coroutine[None]:
+        """Write a body while it comes."""
+        body.sink = self.stream.actor
+        # A small send buffer: with megabytes in it a slow reader would seem to take nothing for that long.
+        self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_BUFFERED_BODY)
+        while not body.whole:
+            part = body.take()
+            if part.length:
+                try:
+                    self.stream.put(*(h11.Data(data=view) for view in part.views()))
+                    yield from self._flush()
+                finally:
+                    part.release()
+            elif body.broken:
+                # An incomplete response must not be taken for a complete one.
+                self.stream.abort()
+                raise ConnectionLostError(CloseReason.UPSTREAM_BROKE)
+            else:
+                self.stream.want(HANGUP)
+                if isinstance(message := (yield None), SocketReady) and message.hung_up:
+                    raise ConnectionLostError(CloseReason.CLIENT_LEFT)
+
+    def _flush(self) -> Coroutine[None]:
+        until = self.loop.now() + WRITE_STALL_TIMEOUT
+        while not self.stream.write():
+            self.stream.want(WRITE)
+            message = yield until
+            if message is None and self.loop.now() >= until:
+                raise ConnectionLostError(CloseReason.SLOW_READER)
+            if isinstance(message, SocketReady):
+                until = self.loop.now() + WRITE_STALL_TIMEOUT  # the client has taken some
--- a/starlingwheel/net/http/upstream_response.py
+++ b/starlingwheel/net/http/upstream_response.py
@@ -127,9 +127,11 @@
 
     def take_body(self) -> UpstreamResponse:
         """Give the buffered body away, as the response of the exchange."""
-        headers = dict(self.head.headers)
         body, self.body = self.body, BufferedBody(self.context.buffer_pool)
-        return UpstreamResponse(body, headers.get(b"content-type", b""))
+        return UpstreamResponse(body, self._content_type())
+
+    def _content_type(self) -> bytes:
+        return dict(self.head.headers).get(b"content-type", b"")
 
     def _add(self, data: bytes | bytearray) -> None:
         expected = max(self.length or 0, self.body.length + len(data))
@@ -152,9 +154,9 @@
         if exchange.pending is None or outcome is not AttemptOutcome.SUCCESS:
             raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
         report = load_report_of(head.headers, exchange, self.body)
-        buffered = self.take_body()
-        self.relay = BodyStream(self.context.buffer_pool, self.stream.actor, self.length, buffered.body)
-        self.on_relay(ExchangeResult(outcome, report, UpstreamResponse(self.relay, buffered.kind)))
+        begun, self.body = self.body, BufferedBody(self.context.buffer_pool)
+        self.relay = BodyStream(self.context.buffer_pool, self.stream.actor, self.length, begun)
+        self.on_relay(ExchangeResult(outcome, report, UpstreamResponse(self.relay, self._content_type())))
 
     def _receive(self) -> Coroutine[None]:
         """Wait for more of the response and read it; begins the relay of one that is late."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,7 +20,7 @@
 from fakes.loopback import free_address
 from starlingwheel.net.discovery import client as discovery
 from starlingwheel.net.http import http1
-from starlingwheel.net.http.client_connection import AT_ONCE
+from starlingwheel.net.http.listener import MAX_ACCEPTS_PER_TURN
 from starlingwheel.net.http.pool import ConnectionPool
 from starlingwheel.net.lifecycle import shutdown as stop
 from starlingwheel.net.loop import HANGUP, READ, WRITE, socket_ready
@@ -543,7 +543,7 @@
 
 
 def test_all_that_wait_at_the_listener_are_let_in_before_it_closes(around):
-    waiting = [around.ask(lead="GET /ready HTTP/1.1") for _ in range(AT_ONCE + 40)]
+    waiting = [around.ask(lead="GET /ready HTTP/1.1") for _ in range(MAX_ACCEPTS_PER_TURN + 40)]
     around.context.listener.post(STOP)
     around.until(lambda: around.logged("listener.closed"))
     assert [around.status(client) for client in waiting] == [200] * len(waiting)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,7 +8,7 @@
 from conftest import SETTINGS, bound, categories
 
 from starlingwheel.net.coordinator import RequestCoordinator
-from starlingwheel.net.http.client_connection import READ_AWAY, ClientConnection
+from starlingwheel.net.http.client_connection import MAX_DISCARDED_INPUT, ClientConnection
 from starlingwheel.net.http.http1 import Http1Connection
 from starlingwheel.net.http.load_report import parse_load_report
 from starlingwheel.net.http.pool import ConnectionPool
@@ -462,7 +462,7 @@
         return around.logged("client.end")
 
     around.until(over)
-    assert sent < 30 * READ_AWAY  # what the kernel holds, and what is read
+    assert sent < 30 * MAX_DISCARDED_INPUT  # what the kernel holds, and what is read
 
 
 def test_half_a_request_then_silence_is_ended(make_surroundings):
@@ -619,7 +619,7 @@
 
 def test_a_defect_in_a_connection_ends_that_connection(around, monkeypatch):
     with monkeypatch.context() as patch:
-        patch.setattr(ClientConnection, "_take", lambda *_: 1 / 0)
+        patch.setattr(ClientConnection, "_take_request", lambda *_: 1 / 0)
         assert around.status(around.ask()) is None
     assert "ZeroDivisionError" in around.logged("defect")[0]["trace"]
     assert around.logged("client.end")[0]["reason"] == "defect"
