--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -74,7 +74,8 @@
         """
         now = self.loop.now()
         trusted = self.last_was_health_check and now >= self.context.unsolicited_until
-        return not self.exchange_count or trusted or now >= self._quiescent_at()
+        quiescent_at = self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
+        return not self.exchange_count or trusted or now >= quiescent_at
 
     def run(self) -> Coroutine[None]:
         """Connect, then run exchange after exchange."""
@@ -176,16 +177,14 @@
             )
             self.exchange = None
 
-    def _quiescent_at(self) -> float:
-        return self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
-
     def _await_quiescence(self, exchange: Exchange) -> Coroutine[None]:
         """Wait, so that a late second response to the last request is not taken for this one's.
 
         Only while such responses occur: a connection that is not quiescent is used where there is no room
         for another.
         """
-        until = min(self._quiescent_at(), self.context.unsolicited_until)
+        quiescent_at = self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
+        until = min(quiescent_at, self.context.unsolicited_until)
         while self.loop.now() < until:
             message = yield until
             if isinstance(message, SocketReady):
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
 from ...decisions.model import AttemptOutcome
@@ -74,7 +75,7 @@
 
     def take_quiescent(self) -> Http1Connection | None:
         """Take the idle connection used last of those on which no unsolicited response is expected."""
-        return self._first_usable([c for c in reversed(self.idle) if c.is_quiescent()])
+        return self._first_usable(c for c in reversed(self.idle.copy()) if c.is_quiescent())
 
     def remove_idle(self, connection: Http1Connection | Http2Connection) -> None:
         """Give no further exchange to a connection that was idle or shared."""
@@ -124,7 +125,7 @@
     def _take_longest_idle(self) -> Http1Connection | None:
         return self._first_usable(self.idle.copy())
 
-    def _first_usable(self, idle: list[Http1Connection]) -> Http1Connection | None:
+    def _first_usable(self, idle: Iterable[Http1Connection]) -> Http1Connection | None:
         for connection in idle:
             self.remove_idle(connection)
             if connection.is_usable():
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Floods that use up descriptors: upstreams' connections and operators' calls go on getting theirs.
+"""Floods that use up descriptors: connections to endpoints and admin calls go on getting theirs.
 
 A real process under its own limit. It is stopped while a flood gathers, so that it finds all of it at once.
 """
@@ -12,6 +12,9 @@
 import sys
 import threading
 import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
 
 import msgspec
 import pytest
@@ -26,18 +29,21 @@
 class Upstream:
     """Answers each request once it may, and closes: the next one needs another connection."""
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """Listen, and accept in a thread."""
         self.listener, self.ran, self.may_answer = bound(backlog=512), [], threading.Event()
         self.listener.settimeout(None)
         threading.Thread(target=self.accept, daemon=True).start()
 
-    def accept(self):
+    def accept(self) -> None:
+        """Serve each connection in a thread."""
         with contextlib.suppress(OSError):
             while True:
                 sock, _ = self.listener.accept()
                 threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
 
-    def serve(self, sock):
+    def serve(self, sock: socket.socket) -> None:
+        """Read one request, and answer it once that is allowed."""
         with sock, contextlib.suppress(OSError):
             head = b""
             while b"\r\n\r\n" not in head:
@@ -50,9 +56,10 @@
 
 
 class Process:
-    """A sidecar with so many descriptors, and whoever comes to it."""
+    """A sidecar with so many descriptors, its clients and its operators."""
 
-    def __init__(self, folder, sockets):
+    def __init__(self, folder: Path, sockets: int) -> None:
+        """Start the process, and wait until it is ready."""
         self.upstream, self.open = Upstream(), []
         places = [bound(), bound()]
         self.listen, self.mgmt = (place.getsockname() for place in places)
@@ -77,7 +84,8 @@
         while self.status(self.call()) != 200:
             time.sleep(0.02)
 
-    def close(self):
+    def close(self) -> None:
+        """Kill the process, and close all sockets."""
         self.process.kill()
         self.process.wait()
         self.upstream.may_answer.set()
@@ -85,7 +93,8 @@
         for sock in self.open:
             sock.close()
 
-    def connection(self, place, text=b""):
+    def connect(self, place: tuple[str, int], text: bytes = b"") -> socket.socket:
+        """Connect, send some bytes and return the socket."""
         sock = socket.socket()
         sock.settimeout(10)
         with contextlib.suppress(OSError):
@@ -94,13 +103,15 @@
         self.open.append(sock)
         return sock
 
-    def call(self):
-        return self.connection(self.mgmt, b"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n")
+    def call(self) -> socket.socket:
+        """Ask the admin listener whether the sidecar is ready."""
+        return self.connect(self.mgmt, b"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n")
 
-    def ask(self, trace):
-        return self.connection(self.listen, ASKED % trace + b"\r\n")
+    def ask(self, trace: bytes) -> socket.socket:
+        """Send a client's request."""
+        return self.connect(self.listen, ASKED % trace + b"\r\n")
 
-    def status(self, sock):
+    def status(self, sock: socket.socket) -> int | None:
         """Of the answer; None: it was closed without one."""
         got = b""
         with contextlib.suppress(OSError):
@@ -109,27 +120,31 @@
         return int(got.split()[1]) if got else None
 
     @contextlib.contextmanager
-    def stopped(self):
+    def stopped(self) -> Iterator[None]:
+        """Stop the process meanwhile, by SIGSTOP."""
         self.process.send_signal(signal.SIGSTOP)
         yield
         self.process.send_signal(signal.SIGCONT)
 
-    def until(self, happened):
+    def until(self, happened: Callable[[], object]) -> None:
+        """Wait until something has happened."""
         end = time.monotonic() + 20
         while not happened():
             assert time.monotonic() < end, "it has not happened"
             time.sleep(0.01)
 
-    def logged(self, event):
+    def logged(self, event: str) -> list[dict[str, Any]]:
+        """The log lines of an event."""
         lines = self.log.read_bytes().splitlines()
         return [line for line in map(json.loads, lines) if line["event"] == event]
 
 
 @pytest.fixture
-def make_process(tmp_path):
+def make_process(tmp_path: Path) -> Iterator[Callable[[int], Process]]:
+    """Make a sidecar with a limit of descriptors."""
     made = []
 
-    def make(sockets):
+    def make(sockets: int) -> Process:
         made.append(Process(tmp_path, sockets))
         return made[-1]
 
@@ -140,17 +155,19 @@
 
 @pytest.mark.parametrize("kind", ["silent", "halves"])
 @pytest.mark.parametrize("sockets", [96, 128, 256])
-def test_a_flood_keeps_neither_upstreams_nor_operators_from_their_descriptors(make_process, sockets, kind):
-    """Upstreams have all of their connections but a few; with each flood another one of those is needed."""
+def test_a_flood_keeps_neither_upstreams_nor_operators_from_their_descriptors(
+    make_process: Callable[[int], Process], sockets: int, kind: str
+) -> None:
+    """All connections to endpoints but a few are in use; with each flood one more of these is needed."""
     sidecar, ledger, few = make_process(sockets), ConnectionTracker(sockets, called=True), 4
     asked = [sidecar.ask(b"early-%d" % i) for i in range(min(ledger.share, ledger.client_share) - few)]
     sidecar.until(lambda: len(sidecar.upstream.ran) == len(asked))
     for turn in range(few):
         with sidecar.stopped():
             for _ in range(min(120, 2 * ledger.most_requests)):
-                sidecar.connection(sidecar.listen, b"" if kind == "silent" else ASKED % b"half")
+                sidecar.connect(sidecar.listen, b"" if kind == "silent" else ASKED % b"half")
             for _ in range(min(30, 3 * ledger.calls)):
-                sidecar.connection(sidecar.mgmt, b"" if kind == "silent" else b"GET /_re")
+                sidecar.connect(sidecar.mgmt, b"" if kind == "silent" else b"GET /_re")
             asked.append(sidecar.ask(b"late-%d" % turn))
             call = sidecar.call()
         assert sidecar.status(call) == 200
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,6 @@
-"""Stories of what is still owed in the instant in which something ends; docs/endings.md lists them.
+"""What is to be done still in the instant in which something ends; docs/endings.md lists the cases.
 
-The crossing is forced: the loop turns only while a story waits, and `held` keeps back what a socket says.
+The order of events is forced: the loop turns only while a test waits, and `events_delayed` delays a socket's.
 """
 
 import contextlib
@@ -11,15 +11,21 @@
 import sys
 import time
 import tomllib
+from collections.abc import Callable, Iterator
 from pathlib import Path
+from typing import Any
 
 import msgspec
 import pytest
-from conftest import SETTINGS, address, bound, categories
+from conftest import SETTINGS, Surroundings, address, bound, categories
 
 from fakes.loopback import free_address
+from starlingwheel.net.actor import Actor
 from starlingwheel.net.discovery import client as discovery
 from starlingwheel.net.http import http1
+from starlingwheel.net.http.client_connection import ClientConnection
+from starlingwheel.net.http.http1 import Http1Connection
+from starlingwheel.net.http.http2 import Http2Connection
 from starlingwheel.net.http.listener import MAX_ACCEPTS_PER_TURN
 from starlingwheel.net.http.pool import ConnectionPool
 from starlingwheel.net.lifecycle import shutdown as stop
@@ -28,10 +34,13 @@
 
 NO_CANCEL = {"caps": SETTINGS["caps"] | {"cancel": False}}
 PUSHED = {"discovery": "push", "rules": {"drainGrace": 100000}}
+Start = tuple[subprocess.Popen[bytes], Callable[[], int], Callable[[int], None]]
+AnsweredOnce = tuple[Surroundings, socket.socket, socket.socket]
 LEAVE = ["closes", "resets", "ends its sending"]
 
 
-def leave(around, client, how="closes"):
+def disconnect(around: Surroundings, client: socket.socket, how: str = "closes") -> None:
+    """End a client's connection in one of the ways of `LEAVE`."""
     match how:
         case "closes":
             client.close()
@@ -42,8 +51,8 @@
 
 
 @contextlib.contextmanager
-def held(around, actor, mask):
-    """What the socket of an actor says is kept back meanwhile, as by a late turn of the loop."""
+def events_delayed(around: Surroundings, actor: Actor, mask: int) -> Iterator[None]:
+    """Delay the socket events of an actor meanwhile, as by a late turn of the loop."""
     descriptor = actor.stream.sock.fileno()
     around.context.loop.unregister(descriptor)
     yield
@@ -51,22 +60,23 @@
         around.context.loop.register(descriptor, actor, mask)
 
 
-def in_hand(around):
+def waiting_client(around: Surroundings) -> ClientConnection:
     """The sidecar's end of the only client that waits."""
     return around.until(
         lambda: next((c for c in around.context.connections.clients if c.pending is not None), None)
     )
 
 
-def coming_up(around):
-    """A connection to an upstream that has been begun; what the socket says of it has not been read."""
+def connecting(around: Surroundings) -> Http1Connection | Http2Connection:
+    """A connection to an endpoint that was begun, and none of whose socket events was read."""
     connections = around.context.connections.upstream
     while not connections:
         around.context.loop.run_once(0)
     return next(iter(connections))
 
 
-def nothing_comes(around, sock, seconds=0.05):
+def assert_nothing_arrives(around: Surroundings, sock: socket.socket, seconds: float = 0.05) -> None:
+    """No byte arrives for some seconds; the connection may close."""
     around.let_pass(seconds)
     assert around.read(sock) in (None, b"end")
 
@@ -76,89 +86,101 @@
 
 @pytest.mark.parametrize("how", LEAVE)
 @pytest.mark.parametrize("category", ["look", "buy", "move"])
-def test_what_waited_unread_while_its_client_left_is_not_sent_on(around, category, how):
+def test_a_request_unread_when_its_client_left_is_not_forwarded(
+    around: Surroundings, category: str, how: str
+) -> None:
+    """The request and the close are read in the same turn."""
     kept = around.serve() if around.ask() else None
     client = around.ask(category, b"" if category == "look" else b"one", x_trace_id="t2")
-    leave(around, client, how)
+    disconnect(around, client, how)
     around.until(lambda: around.logged("client.end"))
-    nothing_comes(around, kept)
+    assert_nothing_arrives(around, kept)
     around.quiet()
     assert around.context.coordinator.counts["left"] == 0 and around.context.buffer_pool.in_use == 0
 
 
-def test_a_request_behind_another_is_not_sent_on_once_the_client_has_left(around):
+def test_a_pipelined_request_is_not_forwarded_once_its_client_has_left(around: Surroundings) -> None:
+    """The response to the first and the close are handled in the same turn."""
     client = around.client()
     client.sendall(around.request() + around.request(x_trace_id="t2"))
     upstream = around.accept()
     around.received(upstream)
-    actor, ended = in_hand(around), socket_ready(HANGUP)
+    actor, ended = waiting_client(around), socket_ready(HANGUP)
     post = actor.post
     actor.post = lambda message: (post(message), post(ended))  # the answer, and behind it the client's end
     around.reply(upstream)
     client.close()
     around.until(lambda: actor.ended)
-    nothing_comes(around, upstream)
+    assert_nothing_arrives(around, upstream)
 
 
 @pytest.mark.parametrize("settings", [{}, NO_CANCEL], ids=["cancel", "no cancel"])
 @pytest.mark.parametrize("heard", [True, False], ids=["heard", "not yet heard"])
-def test_a_hand_off_whose_connection_comes_up_after_its_client_left_is_not_written(
-    make_surroundings, settings, heard
-):
+def test_an_attempt_whose_connection_comes_up_after_its_client_left_is_not_written(
+    make_surroundings: Callable[..., Surroundings], settings: dict[str, Any], heard: bool
+) -> None:
+    """Whether the close has been handled or not, and whether attempts may be cancelled or not."""
     around = make_surroundings(settings=settings)
     client = around.ask("buy", b"one")
-    connection = coming_up(around)
-    actor = in_hand(around)
-    with held(around, actor, HANGUP) if not heard else contextlib.nullcontext():
-        with held(around, connection, WRITE):
+    connection = connecting(around)
+    actor = waiting_client(around)
+    with events_delayed(around, actor, HANGUP) if not heard else contextlib.nullcontext():
+        with events_delayed(around, connection, WRITE):
             client.close()
             if heard:
                 around.until(lambda: around.logged("client.end"))
-        nothing_comes(around, around.accept())
+        assert_nothing_arrives(around, around.accept())
     assert (
         around.until(lambda: not around.context.coordinator.pending_requests)
         and around.context.buffer_pool.in_use == 0
     )
 
 
-def test_a_client_that_leaves_before_a_retry_ends_it(make_surroundings):
+def test_a_client_that_leaves_before_a_retry_ends_it(make_surroundings: Callable[..., Surroundings]) -> None:
+    """The retry's connection comes up, and nothing is written."""
     around = make_surroundings(upstreams=2)
     client = around.ask("buy", b"one")
     i, upstream = around.until(around.accept_any)
     around.received(upstream)
-    with held(around, in_hand(around), HANGUP):
+    with events_delayed(around, waiting_client(around), HANGUP):
         around.reply(upstream, status=503, extra="X-Never-Ran: 1\r\n")
         client.close()
-        nothing_comes(around, around.accept(1 - i))
+        assert_nothing_arrives(around, around.accept(1 - i))
 
 
-def test_a_client_that_leaves_while_upstreams_are_asked_is_not_sent_on(make_surroundings):
+def test_a_request_whose_client_left_during_a_health_check_is_not_forwarded(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The health check of the endpoint ends after the close."""
     caps = SETTINGS["caps"] | {"peers": False}
     around = make_surroundings(settings={"caps": caps, "categories": categories(4000000)})
     client = around.ask("buy", b"one")
     upstream = around.accept()
     request, _ = around.received(upstream)
     assert request.target == b"/health"
-    with held(around, in_hand(around), HANGUP):
+    with events_delayed(around, waiting_client(around), HANGUP):
         client.close()
         around.reply(upstream)
-        nothing_comes(around, upstream)
+        assert_nothing_arrives(around, upstream)
 
 
-def test_the_last_byte_that_was_held_back_is_not_written_once_the_client_has_left(around, monkeypatch):
+def test_a_delayed_last_byte_is_not_written_once_the_client_has_left(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """So the request does not run."""
     monkeypatch.setattr("starlingwheel.net.http.request_writer.LAST_BYTE_DELAY_FRACTION", 0.2)
     around.context.resets_expected_until = float("inf")
     client = around.ask("buy", b"one")
     upstream = around.accept()
     got = around.until(lambda: around.read(upstream))
     assert got.endswith(b"on")
-    with held(around, in_hand(around), HANGUP):
+    with events_delayed(around, waiting_client(around), HANGUP):
         client.close()
-        nothing_comes(around, upstream, 0.3)
+        assert_nothing_arrives(around, upstream, 0.3)
 
 
-def test_a_client_is_heard_to_leave_while_its_body_waits_for_room(around):
-    """It has written all of its body before: nothing of it is to be handed off whole."""
+def test_a_client_is_heard_to_leave_while_its_body_waits_for_room(around: Surroundings) -> None:
+    """It has sent all of its body before, which must not be forwarded in full."""
     size = 300_000
     client = around.client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size * 2)
@@ -187,14 +209,17 @@
     assert got < size
 
 
-def test_over_http_2_a_stream_is_not_begun_for_a_client_that_has_left(make_surroundings):
+def test_over_http_2_a_stream_is_not_begun_for_a_client_that_has_left(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The connection comes up before the close is handled."""
     from test_streams import NEW, Peer
 
     around = make_surroundings(settings=NEW | {"rules": {}})
     around.hear()
     client = around.ask()
-    connection = coming_up(around)
-    with held(around, in_hand(around), HANGUP):
+    connection = connecting(around)
+    with events_delayed(around, waiting_client(around), HANGUP):
         client.close()
         peer = Peer(around)
         around.until(lambda: connection.connected)
@@ -205,8 +230,10 @@
 
 
 @pytest.fixture
-def answered(make_surroundings, monkeypatch):
-    """A client, and a connection to an upstream that has just answered; it has to rest for a minute."""
+def just_answered(
+    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+) -> AnsweredOnce:
+    """A client, and a connection to an endpoint that has just answered: for a minute it is not quiescent."""
     around = make_surroundings(settings={"caps": SETTINGS["caps"] | {"keepalive": 600_000_000}})
     monkeypatch.setattr(http1, "QUIESCENCE_FRACTION", 60.0)
     client = around.client()
@@ -217,8 +244,11 @@
     return around, client, first
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_that_of_the_next_request(answered):
-    around, client, first = answered
+def test_a_late_second_response_is_not_taken_for_that_of_the_next_request(
+    just_answered: AnsweredOnce,
+) -> None:
+    """The next request goes by another connection."""
+    around, client, first = just_answered
     client.sendall(around.request(x_trace_id="t2"))
     second = around.accept()
     around.received(second)
@@ -229,18 +259,20 @@
     assert around.answer(client)[1] == b"two"
 
 
-def test_a_request_does_not_wait_for_a_connection_that_has_just_answered(answered):
-    around, client, first = answered
+def test_a_request_does_not_wait_for_a_connection_that_has_just_answered(just_answered: AnsweredOnce) -> None:
+    """New connections are opened until one is quiescent."""
+    around, client, first = just_answered
     for more in (2, 3):
         client.sendall(around.request(x_trace_id=f"t{more}"))
         around.serve()
         assert around.status(client) == 200
         around.until(lambda: len(around.context.connections.idle) == more)  # noqa: B023
-    nothing_comes(around, first)
+    assert_nothing_arrives(around, first)
 
 
-def test_of_idle_connections_one_that_has_rested_is_used_and_of_these_the_last(answered):
-    around, client, first = answered
+def test_of_the_quiescent_connections_the_one_used_last_is_reused(just_answered: AnsweredOnce) -> None:
+    """The others stay idle."""
+    around, client, first = just_answered
     client.sendall(around.request(x_trace_id="t2"))
     second = around.serve()
     assert around.status(client) == 200
@@ -254,15 +286,15 @@
     around.received(second)
     around.reply(second)
     assert around.status(client) == 200
-    nothing_comes(around, first, 0.01)
-    nothing_comes(around, third, 0.01)
+    assert_nothing_arrives(around, first, 0.01)
+    assert_nothing_arrives(around, third, 0.01)
 
 
 @pytest.mark.parametrize("vain", [0, 1])
-def test_where_a_new_connection_comes_up_late_the_request_goes_by_one_that_has_rested_meanwhile(
-    make_surroundings, monkeypatch, vain
-):
-    """`vain`: looks at which the rested one is in use by others."""
+def test_a_request_takes_a_connection_that_becomes_quiescent_while_a_new_one_comes_up(
+    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch, vain: int
+) -> None:
+    """`vain`: looks at which the quiescent connection is in use by others."""
     caps = SETTINGS["caps"] | {"connectTimeout": 5_000_000}
     around = make_surroundings(settings={"caps": caps, "categories": categories(4000000)})
     client = around.client()
@@ -276,7 +308,7 @@
     )
     looks, rested = iter([True] * vain), ConnectionPool.take_quiescent
     monkeypatch.setattr(ConnectionPool, "take_quiescent", lambda u: None if next(looks, False) else rested(u))
-    with held(around, late, WRITE):
+    with events_delayed(around, late, WRITE):
         around.received(first)
         assert not around.logged("upstream.end") and late.exchange is None
     around.reply(first)
@@ -289,8 +321,11 @@
     assert around.status(client) == 200
 
 
-def test_where_there_is_no_room_for_another_the_connection_is_used_at_once(answered):
-    around, client, first = answered
+def test_without_room_for_a_new_connection_one_that_is_not_quiescent_is_reused(
+    just_answered: AnsweredOnce,
+) -> None:
+    """There is room for one connection."""
+    around, client, first = just_answered
     around.context.connections.share = 1
     client.sendall(around.request(x_trace_id="t2"))
     around.received(first)
@@ -298,8 +333,11 @@
     assert around.answer(client)[1] == b"two"
 
 
-def test_while_second_answers_come_a_connection_without_room_for_another_rests_first(answered):
-    around, client, upstream = answered
+def test_while_unsolicited_responses_occur_a_reused_connection_becomes_quiescent_first(
+    just_answered: AnsweredOnce,
+) -> None:
+    """There is room for one connection, and a second response comes on it meanwhile."""
+    around, client, upstream = just_answered
     around.context.connections.share, around.context.unsolicited_until = 1, float("inf")
     client.sendall(around.request(x_trace_id="t2"))
     pending = around.until(
@@ -307,17 +345,18 @@
     )
     exchange = next(iter(pending.exchanges.values()))
     around.until(lambda: exchange.connection is not None and not exchange.connection.mailbox)
-    nothing_comes(around, upstream)
+    assert_nothing_arrives(around, upstream)
     around.reply(upstream, body=b"one")
     assert around.status(client) == 503
     assert around.logged("upstream.end")[0]["reason"] == "unasked-bytes"
-    nothing_comes(around, upstream)
+    assert_nothing_arrives(around, upstream)
 
 
 @pytest.mark.parametrize("wary", [False, True])
-def test_after_a_question_a_work_item_goes_the_same_way_at_once_unless_second_answers_come(
-    make_surroundings, monkeypatch, wary
-):
+def test_a_request_after_a_health_check_reuses_its_connection_unless_unsolicited_responses_occur(
+    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch, wary: bool
+) -> None:
+    """`wary`: they do."""
     monkeypatch.setattr(http1, "QUIESCENCE_FRACTION", 60.0)
     caps = SETTINGS["caps"] | {"peers": False}
     around = make_surroundings(settings={"caps": caps, "categories": categories(4000000)})
@@ -331,11 +370,12 @@
     assert around.received(carries)[1] == b"one"
     around.reply(carries)
     assert around.status(client) == 200
-    nothing_comes(around, asked)
+    assert_nothing_arrives(around, asked)
 
 
 @pytest.mark.parametrize("comes", ["at rest", "behind its answer", "as it is to be used"])
-def test_a_second_answer_makes_wary(around, comes):
+def test_a_second_answer_makes_wary(around: Surroundings, comes: str) -> None:
+    """Whenever it comes, unsolicited responses are expected for a while."""
     client = around.ask()
     first = around.accept()
     around.received(first)
@@ -346,7 +386,11 @@
     if comes != "behind its answer":
         around.rested()
         connection = around.context.connections.longest_idle()
-        with held(around, connection, READ) if comes == "as it is to be used" else contextlib.nullcontext():
+        with (
+            events_delayed(around, connection, READ)
+            if comes == "as it is to be used"
+            else contextlib.nullcontext()
+        ):
             around.reply(first)
             other = around.ask(x_trace_id="t2")
             around.serve()
@@ -356,7 +400,8 @@
     assert around.context.unsolicited_until > around.context.loop.now() + around.context.longest_timeout
 
 
-def test_the_end_of_an_idle_connection_is_no_second_answer(around):
+def test_the_close_of_an_idle_connection_is_no_unsolicited_response(around: Surroundings) -> None:
+    """It makes nobody cautious."""
     client = around.ask()
     first = around.serve()
     assert around.status(client) == 200
@@ -375,16 +420,16 @@
     ids=["drains", "gone", "started anew", "moved"],
 )
 @pytest.mark.parametrize("read", [True, False], ids=["read", "unread"])
-def test_what_is_told_while_a_connection_comes_up_sends_the_work_item_elsewhere(
-    make_surroundings, changed, read
-):
-    """`read`: the module has been given the word; else it lies in its mailbox."""
+def test_a_change_of_the_endpoint_while_its_connection_comes_up_sends_the_request_elsewhere(
+    make_surroundings: Callable[..., Surroundings], changed: dict[str, Any], read: bool
+) -> None:
+    """`read`: the coordinator has handled the change; else it is in the mailbox."""
     around = make_surroundings(upstreams=2)
     watch, _ = around.watch(b"")
     client = around.ask("buy", b"one")
-    connection = coming_up(around)
+    connection = connecting(around)
     i = int(connection.pool.entry.id[1:])
-    with held(around, connection, WRITE):
+    with events_delayed(around, connection, WRITE):
         around.say(watch, {"version": 8, "servers": [around.entry(i, **changed)]})
         if read:
             around.until(lambda: around.logged("list.news"))
@@ -396,26 +441,31 @@
     first = around.accept(i)
     around.serve(1 - i)
     assert around.status(client) == 200
-    nothing_comes(around, first)
+    assert_nothing_arrives(around, first)
 
 
-def test_a_connection_that_comes_up_past_the_time_of_its_work_item_is_not_written_to(make_surroundings):
+def test_a_connection_that_comes_up_after_the_deadline_of_its_request_is_not_written_to(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """In a turn so late that both are true at once."""
     around = make_surroundings(settings=NO_CANCEL | {"categories": categories(200000)})
     client = around.ask("buy", b"one", x_expires_in_ms="390")
-    with held(around, coming_up(around), WRITE):
+    with events_delayed(around, connecting(around), WRITE):
         time.sleep(0.25)  # a late turn: the connection has come up, and the due time is over
-    nothing_comes(around, around.accept())
+    assert_nothing_arrives(around, around.accept())
     assert around.status(client) == 503
 
 
-def test_a_hand_off_that_is_unwritten_when_its_work_item_has_its_answer_stays_so(make_surroundings):
-    """Where cancelling is not allowed no word comes to its connection."""
+def test_an_attempt_unwritten_when_its_request_is_answered_is_not_written(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """Where cancelling is not allowed no message comes to its connection."""
     around = make_surroundings(settings=NO_CANCEL)
     client = around.ask()
-    with held(around, coming_up(around), WRITE):
+    with events_delayed(around, connecting(around), WRITE):
         around.context.coordinator.fail_request(next(iter(around.context.coordinator.pending_requests)))
         assert around.status(client) == 504
-    nothing_comes(around, around.accept())
+    assert_nothing_arrives(around, around.accept())
     assert around.until(lambda: not around.context.coordinator.pending_requests)
 
 
@@ -423,7 +473,8 @@
 
 
 @pytest.mark.parametrize("indent", [1, 4])
-def test_a_list_may_come_indented(make_surroundings, indent):
+def test_a_list_may_come_indented(make_surroundings: Callable[..., Surroundings], indent: int) -> None:
+    """Messages of a watch that span several lines are read."""
     around = make_surroundings(upstreams=2)
     odd = {"id": 's2}]"{', "addr": "127.0.0.1:1", "state": "leaving"}
     news = {"version": 9, "full": True, "servers": [around.entry(1), odd]}
@@ -439,9 +490,10 @@
     around.all_go_to(0, 3)
 
 
-def test_a_watch_that_fell_silent_is_opened_anew_at_once_however_many_sidecars_there_are(
-    make_surroundings, monkeypatch
-):
+def test_a_silent_watch_is_reopened_at_once_however_many_sidecars_there_are(
+    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The pause before it does not grow with their number."""
     monkeypatch.setattr(discovery, "EMPTY_LINE", 0.1)
     around = make_surroundings(settings={"replicasOfMe": 400, "rules": {"mustAskIn": 10000000}}, seed="4")
     around.watch(b"")
@@ -452,7 +504,10 @@
     around.watch(b"")
 
 
-def test_an_agent_that_has_no_news_confirms_what_was_known(make_surroundings):
+def test_an_empty_watch_event_confirms_the_known_endpoints(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The sidecar is then ready."""
     around = make_surroundings(settings=PUSHED)
     around.watch({"version": 7, "full": False, "servers": []})
     around.until(lambda: around.context.ready)
@@ -462,8 +517,10 @@
 
 
 @pytest.mark.parametrize("full", [True, False])
-def test_a_pushed_list_is_waited_for_before_anything_is_handed_off(make_surroundings, full):
-    """What its agent has counts as told from the first moment of a process; what was known may be old."""
+def test_a_pushed_endpoint_list_is_awaited_before_any_request_is_forwarded(
+    make_surroundings: Callable[..., Surroundings], full: bool
+) -> None:
+    """The known endpoints may be old, and a drain that the agent knows of counts from the start on."""
     around = make_surroundings(upstreams=2, settings=PUSHED)
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
     assert around.status(around.ask("buy", b"one")) == 503
@@ -480,7 +537,10 @@
     around.quiet(0)
 
 
-def test_an_agent_that_says_nothing_does_not_keep_a_start_waiting_for_ever(make_surroundings, monkeypatch):
+def test_a_silent_discovery_agent_does_not_delay_the_start_for_ever(
+    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The known endpoints are used after a while."""
     monkeypatch.setattr(discovery, "UNHEARD", 0.02)
     around = make_surroundings(settings=PUSHED)
     around.until(lambda: around.context.ready)
@@ -489,7 +549,10 @@
     assert around.status(client) == 200
 
 
-def test_a_pushed_list_that_ended_is_called_again_well_within_the_grace(make_surroundings):
+def test_a_pushed_list_that_ended_is_reopened_well_within_the_drain_grace(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """However often that fails."""
     around = make_surroundings(settings=PUSHED)
     watch = around.hear()
     grace = around.context.balancer_config.drain_grace
@@ -502,7 +565,10 @@
         assert around.context.discovery.move_at <= around.context.loop.now() + grace / 2
 
 
-def test_a_call_that_an_agent_leaves_unanswered_is_made_anew_soon(make_surroundings, monkeypatch):
+def test_an_unanswered_call_to_an_agent_is_repeated_soon(
+    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """With more patience, until one is answered."""
     monkeypatch.setattr(discovery, "EMPTY_LINE", 0.2)
     around = make_surroundings(settings=PUSHED)
     around.accept(listener=around.discovery)
@@ -514,8 +580,10 @@
 
 @pytest.mark.parametrize("moved", [False, True])
 @pytest.mark.parametrize("answered", [0, 1])
-def test_of_two_calls_the_first_that_is_answered_stays(around, monkeypatch, answered, moved):
-    """On real sockets; when a second call begins, and how often, is played in test_told.py."""
+def test_of_two_calls_to_discovery_the_first_to_be_answered_stays(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch, answered: int, moved: bool
+) -> None:
+    """On real sockets; test_told.py tests when a second call begins, and how often."""
     monkeypatch.setattr(discovery, "EMPTY_LINE", 0.1)
     around.watch(b"")
     around.context.discovery.first = around.context.discovery.patience = 1000.0  # the story may take its time
@@ -542,14 +610,18 @@
 # Stop, start and room.
 
 
-def test_all_that_wait_at_the_listener_are_let_in_before_it_closes(around):
+def test_all_that_wait_at_the_listener_are_let_in_before_it_closes(around: Surroundings) -> None:
+    """More than one turn accepts."""
     waiting = [around.ask(lead="GET /ready HTTP/1.1") for _ in range(MAX_ACCEPTS_PER_TURN + 40)]
     around.context.listener.post(STOP)
     around.until(lambda: around.logged("listener.closed"))
     assert [around.status(client) for client in waiting] == [200] * len(waiting)
 
 
-def test_a_second_word_to_stop_cuts_nothing_short(around, monkeypatch):
+def test_a_second_word_to_stop_cuts_nothing_short(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Neither does a third: the listener stays open until the time for that is over."""
     monkeypatch.setattr(stop, "LINGER", 60.0)
     around.context.shutdown.post(STOP)
     around.until(lambda: around.context.stopping)
@@ -562,7 +634,8 @@
     assert around.status(late) == 200
 
 
-def test_a_request_of_which_the_rest_waits_unread_is_not_cut_off_to_make_room(around):
+def test_a_request_whose_rest_is_unread_is_not_closed_to_make_room(around: Surroundings) -> None:
+    """It is complete once it has been read."""
     client = around.client()
     text = around.request()
     client.sendall(text[:40])
@@ -573,7 +646,10 @@
     assert around.status(client) == 200
 
 
-def test_an_errand_that_crosses_the_end_of_its_connection_is_not_held_against_the_upstream(around):
+def test_an_attempt_that_crosses_the_end_of_its_connection_is_no_fault_of_the_endpoint(
+    around: Surroundings,
+) -> None:
+    """The request is rejected as not sent."""
     client = around.client()
     client.sendall(around.request())
     upstream = around.serve()
@@ -589,12 +665,12 @@
     [stats] = around.context.coordinator.scheduler.balancer.endpoints.by_id.values()
     assert not stats.connect_failing
     assert around.status(client) == 503
-    nothing_comes(around, upstream)
+    assert_nothing_arrives(around, upstream)
 
 
 @pytest.fixture
-def starting(tmp_path):
-    """A program that has come as far as reading its configuration, which the story has still to write."""
+def starting(tmp_path: Path) -> Iterator[Start]:
+    """A process that waits for its configuration, which the test has still to write."""
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)
     told = {"listen": free_address(), "discovery": "127.0.0.1:1", "settings": SETTINGS}
@@ -603,7 +679,7 @@
         env=os.environ | {"EDGE_CONFIG": str(pipe)}, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
     )  # fmt: skip
 
-    def reader():
+    def reader() -> int:
         """The pipe, once it is being read."""
         while process.poll() is None:
             with contextlib.suppress(OSError):
@@ -611,7 +687,7 @@
             time.sleep(0.01)
         raise AssertionError(f"it has ended: {process.returncode}")
 
-    def write(descriptor):
+    def write(descriptor: int) -> None:
         """What is read now; whoever reads it again finds a file in its place."""
         (tmp_path / "again").write_bytes(msgspec.json.encode(told))
         os.replace(tmp_path / "again", pipe)
@@ -623,7 +699,8 @@
     process.communicate()
 
 
-def test_a_new_configuration_told_during_the_start_is_read_and_ends_nothing(starting):
+def test_sighup_during_the_start_reloads_the_configuration(starting: Start) -> None:
+    """The process goes on."""
     process, reader, write = starting
     descriptor = reader()
     process.send_signal(signal.SIGHUP)
@@ -635,7 +712,8 @@
     assert process.returncode == 0
 
 
-def test_a_word_to_stop_during_the_start_ends_it_as_any_other_time(starting):
+def test_sigterm_during_the_start_stops_the_process_in_order(starting: Start) -> None:
+    """Exit status 0, nothing on standard error."""
     process, reader, write = starting
     descriptor = reader()
     process.send_signal(signal.SIGTERM)
@@ -645,7 +723,8 @@
 
 
 @pytest.mark.parametrize("file", ["balancer.toml", "fleet.toml"])
-def test_before_the_interpreter_is_up_a_new_configuration_ends_nothing(tmp_path, file):
+def test_sighup_before_the_interpreter_is_up_is_ignored(tmp_path: Path, file: str) -> None:
+    """By the shell command of the deploy file."""
     run = tomllib.loads((Path(__file__).parent.parent / "deploy" / file).read_text())["run"]
     stand_in = tmp_path / ".venv" / "bin" / "python"
     stand_in.parent.mkdir(parents=True)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -1,11 +1,12 @@
-"""Stories of large bodies, passed on while they come, and of slow ones."""
+"""Large bodies, which are relayed while they come, and slow ones."""
 
 import contextlib
 import random
 import socket
+from collections.abc import Callable
 
 import pytest
-from conftest import categories
+from conftest import Surroundings, categories
 
 from starlingwheel.net.state.body_stream import (
     BODY_STREAM_CHANGED,
@@ -19,15 +20,16 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-def content(size, seed=1):
+def content(size: int, seed: int = 1) -> bytes:
+    """Random bytes, the same for the same seed."""
     return random.Random(seed).randbytes(size)
 
 
-def read_all(around, sock, size, at_most=None):
+def read_all(around: Surroundings, sock: socket.socket, size: int, at_most: int | None = None) -> bytes:
     """So many bytes from a connection, at most some in a turn."""
     got = bytearray()
 
-    def more():
+    def more() -> bool:
         sock.settimeout(0)
         try:
             data = sock.recv(min(size - len(got), at_most or MB))
@@ -40,10 +42,11 @@
     return bytes(got)
 
 
-def write_all(around, sock, data, within=20.0):
+def write_all(around: Surroundings, sock: socket.socket, data: bytes, within: float = 20.0) -> None:
+    """Send all of the data while the loop turns."""
     rest = memoryview(data)
 
-    def more():
+    def more() -> bool:
         nonlocal rest
         sock.settimeout(0)
         try:
@@ -55,7 +58,7 @@
     around.until(more, within)
 
 
-def head_and(around, sock):
+def head_and(around: Surroundings, sock: socket.socket) -> tuple[bytes, bytes]:
     """The head of an answer, and what came behind it."""
     got = b""
     while b"\r\n\r\n" not in got:
@@ -65,7 +68,7 @@
     return head, rest
 
 
-def empty(around):
+def empty(around: Surroundings) -> None:
     """All buffers are back, nothing is in hand."""
     around.until(
         lambda: around.context.buffer_pool.in_use == 0 and not around.context.coordinator.pending_requests
@@ -76,7 +79,8 @@
 # Answers.
 
 
-def test_the_first_bytes_of_a_long_answer_are_passed_on_before_its_last(around):
+def test_a_long_response_is_relayed_while_it_comes(around: Surroundings) -> None:
+    """Its attempt has ended with its first bytes, and the connection is reused after the last."""
     client, body = around.ask(), content(MAX_BUFFERED_BODY + 1000)
     upstream = around.accept()
     around.received(upstream)
@@ -96,7 +100,10 @@
     empty(around)
 
 
-def test_an_answer_past_the_due_time_is_not_cut(make_surroundings):
+def test_a_relayed_response_may_outlast_the_latency_objective(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """It began in time."""
     around = make_surroundings(settings={"categories": categories(150000)})
     client, body = around.ask(), content(3 * MAX_BUFFERED_BODY)
     upstream = around.accept()
@@ -110,7 +117,10 @@
     assert got + read_all(around, client, len(body) - len(got)) == body
 
 
-def test_an_answer_that_tells_no_length_and_has_begun_in_time_is_not_given_up_as_late(make_surroundings):
+def test_a_response_of_unknown_length_that_began_in_time_is_relayed(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """Though it is short, and ends late."""
     around = make_surroundings(settings={"categories": categories(300000)})
     client, body = around.ask(), content(60000)
     upstream = around.accept()
@@ -126,7 +136,8 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
-def test_a_long_answer_in_each_framing_arrives_as_it_was(around, framing):
+def test_a_long_response_in_each_framing_is_forwarded_unchanged(around: Surroundings, framing: str) -> None:
+    """With a length, in chunks, or up to the close."""
     client, body = around.ask(), content(5 * MAX_BUFFERED_BODY)
     upstream = around.accept()
     around.received(upstream)
@@ -145,7 +156,8 @@
     empty(around)
 
 
-def test_a_short_answer_that_ends_with_its_connection_and_says_so_is_whole(around):
+def test_a_short_response_that_ends_with_its_connection_is_complete(around: Surroundings) -> None:
+    """If it has `Connection: close`."""
     client = around.ask()
     upstream = around.accept()
     around.received(upstream)
@@ -154,7 +166,8 @@
     assert around.answer(client)[1] == b"fine"
 
 
-def test_many_long_answers_to_slow_readers_take_few_buffers_and_arrive_as_they_were(around):
+def test_many_long_responses_to_slow_clients_take_few_buffers(around: Surroundings) -> None:
+    """And are forwarded unchanged."""
     bodies = [content(2 * MB, seed) for seed in range(12)]
     clients, upstreams = [], []
     for number in range(len(bodies)):
@@ -170,7 +183,7 @@
     left, got = [memoryview(b)[100:] for b in bodies], [bytearray() for _ in bodies]
     most = 0
 
-    def some():
+    def some() -> bool:
         nonlocal most
         for i, (client, upstream) in enumerate(zip(clients, upstreams, strict=True)):
             client.settimeout(0)
@@ -190,14 +203,15 @@
     empty(around)
 
 
-def test_an_answer_of_32_mb_arrives_as_it_was_and_one_byte_more_is_spoilt(around):
+def test_a_response_of_32_mib_is_forwarded_and_one_byte_more_is_too_long(around: Surroundings) -> None:
+    """The limit of a relayed body."""
     client, body = around.ask(), content(MB) * 32
     upstream = around.accept()
     around.received(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body))
     left, got = memoryview(body), bytearray()
 
-    def some():
+    def some() -> bool:
         nonlocal left
         upstream.settimeout(0)
         client.settimeout(0)
@@ -221,7 +235,8 @@
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 200000", b"Transfer-Encoding: chunked"])
-def test_a_client_can_tell_that_an_answer_broke_off(around, framing):
+def test_a_response_that_breaks_off_resets_the_client(around: Surroundings, framing: bytes) -> None:
+    """However it is framed."""
     client = around.ask()
     upstream = around.accept()
     around.received(upstream)
@@ -239,7 +254,10 @@
     empty(around)
 
 
-def test_a_client_that_leaves_a_long_answer_ends_the_connection_that_brings_it(around):
+def test_a_client_that_leaves_a_long_response_ends_the_connection_to_the_endpoint(
+    around: Surroundings,
+) -> None:
+    """All buffers are given back."""
     client = around.ask()
     upstream = around.accept()
     around.received(upstream)
@@ -250,7 +268,10 @@
     empty(around)
 
 
-def test_of_two_long_answers_the_first_one_is_passed_on_and_the_other_ends(make_surroundings):
+def test_of_two_long_responses_the_first_is_relayed_and_the_other_cancelled(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """Of a request and its hedge."""
     around = make_surroundings(upstreams=2)
     client = around.ask()
     around.context.coordinator.scheduler.balancer.hedging.delay = lambda request: 0.01
@@ -268,7 +289,8 @@
 # Requests.
 
 
-def upload(around, body, length=True, **headers):
+def upload(around: Surroundings, body: bytes, length: bool = True, **headers: str) -> socket.socket:
+    """Begin a request with such a body, with or without a length; the body is not sent."""
     client = around.client()
     if length:
         client.sendall(around.request("buy", content_length=str(len(body)), **headers))
@@ -278,7 +300,10 @@
 
 
 @pytest.mark.parametrize("length", [True, False])
-def test_a_body_too_long_to_keep_is_passed_on_as_it_comes(make_surroundings, length):
+def test_a_long_request_body_is_relayed_while_it_comes(
+    make_surroundings: Callable[..., Surroundings], length: bool
+) -> None:
+    """In few buffers; its time counts from its last byte."""
     around = make_surroundings(limits={"memory_mb": 24})
     body = content(3 * MB)
     client = upload(around, body, length)
@@ -298,7 +323,7 @@
     assert request.arrived_at > around.context.loop.now() + 1e6 and request.max_attempts == 1
     got, left = bytearray(), memoryview(text)[MB:]
 
-    def some():
+    def some() -> bool:
         nonlocal left
         client.settimeout(0)
         with contextlib.suppress(BlockingIOError):
@@ -316,7 +341,10 @@
     empty(around)
 
 
-def long_request(make_surroundings, upstreams=2, **given):
+def long_request(
+    make_surroundings: Callable[..., Surroundings], upstreams: int = 2, **given: object
+) -> tuple[Surroundings, socket.socket, int, socket.socket]:
+    """A request of 3 MiB, 700,000 bytes of which are sent, and the endpoint that gets it."""
     around = make_surroundings(upstreams=upstreams, limits={"memory_mb": 24}, **given)
     client = upload(around, b"x" * 3 * MB)
     client.sendall(b"x" * 700000)
@@ -325,7 +353,10 @@
     return around, client, i, upstream
 
 
-def test_before_its_last_byte_a_long_request_has_not_run_and_may_be_deferred(make_surroundings):
+def test_a_long_request_reset_before_its_last_byte_has_not_run(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The client gets 503; it is not sent again."""
     around, client, i, upstream = long_request(make_surroundings)
     around.reset(upstream)
     assert around.status(client) == 503
@@ -333,11 +364,14 @@
     empty(around)
 
 
-def test_after_its_last_byte_a_long_exclusive_request_may_have_run(make_surroundings):
+def test_a_long_non_idempotent_request_reset_after_its_last_byte_may_have_run(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The client gets 504."""
     around, client, i, upstream = long_request(make_surroundings)
     left = 3 * MB - 700000
 
-    def some():
+    def some() -> bool:
         nonlocal left
         client.settimeout(0)
         with contextlib.suppress(BlockingIOError):
@@ -355,7 +389,10 @@
     empty(around)
 
 
-def test_a_long_request_turned_down_before_its_end_is_deferred(make_surroundings):
+def test_a_long_request_rejected_before_its_end_is_rejected_to_the_client(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The rest of its body is not sent."""
     around, client, i, upstream = long_request(make_surroundings)
     around.reply(upstream, status=503, extra="X-Never-Ran: 1\r\n")
     assert around.status(client) == 503
@@ -363,14 +400,20 @@
     empty(around)
 
 
-def test_a_client_that_leaves_its_long_request_leaves_nothing_behind(make_surroundings):
+def test_a_client_that_leaves_during_a_long_request_leaves_no_state(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The connection to the endpoint is closed."""
     around, client, i, upstream = long_request(make_surroundings)
     client.close()
     around.until(lambda: around.read(upstream) == b"end")
     empty(around)
 
 
-def test_a_long_request_that_could_not_be_begun_goes_to_another(make_surroundings):
+def test_a_long_request_that_could_not_be_sent_goes_to_another_endpoint(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """While nothing of its body has been taken."""
     around = make_surroundings(upstreams=2, limits={"memory_mb": 24})
     around.listeners[0].close()
     body = content(2 * MB)
@@ -385,7 +428,8 @@
 
 
 @pytest.mark.parametrize("wrong", [{"x_qos": "other"}, {"x_expires_in_ms": "soon"}])
-def test_a_long_request_that_is_not_taken_up_leaves_nothing_behind(around, wrong):
+def test_an_invalid_long_request_leaves_no_state(around: Surroundings, wrong: dict[str, str]) -> None:
+    """Its buffers are given back."""
     client = upload(around, b"x" * 2 * MB, **wrong)
     client.sendall(b"x" * 200000)
     assert around.status(client) in (400, 404)
@@ -393,8 +437,10 @@
     empty(around)
 
 
-def test_the_time_of_a_request_counts_from_its_last_byte(make_surroundings):
-    """Its body comes in pieces for longer than its due time; then there is all of that left."""
+def test_the_time_of_a_request_counts_from_its_last_byte(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """Its body comes in pieces for longer than its latency objective, all of which is left then."""
     around = make_surroundings(settings={"categories": categories(200000)})
     body = content(30000)
     client = upload(around, body, x_expires_in_ms="390")
@@ -408,7 +454,8 @@
     assert around.status(client) == 200
 
 
-def test_a_body_that_comes_steadily_is_not_cut_off_and_one_that_stalls_is(around):
+def test_a_slow_steady_body_is_accepted_and_a_stalled_one_gets_408(around: Surroundings) -> None:
+    """At 32 kB/s for a short time."""
     body = content(100000)
     steady, stalled = upload(around, body), upload(around, body, x_trace_id="t2")
     stalled.sendall(body[:5000])
@@ -423,7 +470,8 @@
     assert around.status(steady) == 200
 
 
-def test_an_absolute_target_is_passed_on_as_a_path(around):
+def test_an_absolute_target_is_forwarded_as_a_path(around: Surroundings) -> None:
+    """RFC 9112, 3.2.2."""
     client = around.ask(lead="GET http://backend.local/look/1?q=2 HTTP/1.1")
     upstream = around.accept()
     request, _ = around.received(upstream)
@@ -436,14 +484,19 @@
 
 
 class End:
-    def __init__(self):
+    """One end of a body stream."""
+
+    def __init__(self) -> None:
+        """Prepare an empty mailbox."""
         self.mail = []
 
-    def post(self, message):
+    def post(self, message: object) -> None:
+        """Note a message."""
         self.mail.append(message)
 
 
-def test_a_flow_tells_its_ends_once_and_gives_back_what_it_holds():
+def test_a_body_stream_notifies_its_ends_once_and_releases_its_buffers() -> None:
+    """The source and the sink are notified of a change only until they have handled it."""
     pool, source, sink = BufferPool(64), End(), End()
     flow = BodyStream(pool, source, None, BufferedBody(pool))
     flow.sink = sink
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -1,19 +1,24 @@
-"""Stories of many clients that leave in one moment: no attempt for them, first or further, begins afterwards.
+"""Many clients that leave in one moment: no attempt for them, first, retried or hedged, begins afterwards.
 
-Attempts are counted where they arrive. The loop turns only while a story waits, so a late loop is one that a
-story does not turn: all that happens meanwhile is read in the turns after.
+Attempts are counted where they arrive. The loop turns only while a test waits, so a late loop is one that a
+test does not turn: all that happens meanwhile is read in the turns after.
 """
 
+from __future__ import annotations
+
 import contextlib
 import re
 import socket
 import time
+from collections.abc import Callable, Iterator
+from typing import Any
 
 import pytest
-from conftest import SETTINGS
-from test_endings import LEAVE, leave
+from conftest import SETTINGS, Surroundings
+from test_endings import LEAVE, disconnect
 from test_streams import NEW, Peer
 
+from starlingwheel.net.actor import Actor
 from starlingwheel.net.http.http1 import QUIESCENCE_FRACTION
 from starlingwheel.net.loop import HANGUP, MAX_EVENTS_PER_POLL, WRITE
 
@@ -25,19 +30,22 @@
 
 
 @pytest.fixture
-def crowd(make_surroundings):
-    def make(cancel=True, **given):
+def crowd(make_surroundings: Callable[..., Surroundings]) -> Callable[..., Crowd]:
+    """Make a crowd of clients of a new sidecar."""
+
+    def make(cancel: bool = True, settings: dict[str, Any] | None = None, **given: object) -> Crowd:
         caps = SETTINGS["caps"] | {"cancel": cancel, "connectTimeout": 5000000}
-        given["settings"] = {"caps": caps} | given.get("settings", {})
-        return Crowd(make_surroundings(limits={"sockets": 4096}, **given))
+        settings = {"caps": caps} | (settings or {})
+        return Crowd(make_surroundings(limits={"sockets": 4096}, settings=settings, **given))
 
     return make
 
 
 class Crowd:
-    """Many clients of one sidecar, and what upstreams get for them."""
+    """Many clients of one sidecar, and what endpoints get for them."""
 
-    def __init__(self, around):
+    def __init__(self, around: Surroundings) -> None:
+        """Let endpoints accept that many, and be chosen however many requests they have."""
         self.around, self.context, self.upstreams = around, around.context, []
         for listener in around.listeners:
             listener.listen(2 * MANY)
@@ -46,12 +54,13 @@
             1e9  # as many upstreams would take as many
         )
 
-    def ask(self, count=MANY, category="look", **headers):
+    def ask(self, count: int = MANY, category: str = "look", **headers: str) -> list[socket.socket]:
+        """Send so many requests, each from a client of its own."""
         body = b"" if category == "look" else b"one"
         return [self.around.ask(category, body, x_trace_id=f"c{i}", **headers) for i in range(count)]
 
-    def keep_connections(self):
-        """So many rest open that each attempt to come could be written at once."""
+    def keep_connections(self) -> None:
+        """Leave so many connections idle that each attempt to come could be written at once."""
         clients = self.ask()
         self.until_begun(MANY)
         for sock in self.upstreams:
@@ -62,7 +71,7 @@
         self.around.let_pass(QUIESCENCE_FRACTION * self.context.shortest_objective)
 
     @contextlib.contextmanager
-    def unheard(self):
+    def unheard(self) -> Iterator[None]:
         """The end of no client is read meanwhile."""
         loop, actors = (
             self.context.loop,
@@ -76,14 +85,14 @@
             if not actor.ended:
                 loop.register(descriptor, actor, HANGUP)
 
-    def leave(self, clients, how="closes", late=0.15):
+    def leave(self, clients: list[socket.socket], how: str = "closes", late: float = 0.15) -> None:
         """All at once, while the loop is late."""
         for client in clients:
-            leave(self.around, client, how)
+            disconnect(self.around, client, how)
         time.sleep(late)
 
-    def attempts(self):
-        """Those that have begun since it was last looked."""
+    def attempts(self) -> int:
+        """The number of attempts that have begun since the last call."""
         while found := self.around.accept_any():
             self.upstreams.append(found[1])
         begun = 0
@@ -92,10 +101,11 @@
                 begun += len(ATTEMPT.findall(data))
         return begun
 
-    def until_begun(self, count):
+    def until_begun(self, count: int) -> None:
+        """Turn the loop until so many attempts have begun, and no more."""
         begun = 0
 
-        def enough():
+        def enough() -> bool:
             nonlocal begun
             begun += self.attempts()
             return begun >= count
@@ -103,26 +113,27 @@
         self.around.until(enough)
         assert begun == count
 
-    def begun_meanwhile(self):
+    def begun_meanwhile(self) -> int:
+        """The number of attempts that begin within some turns."""
         begun = 0
         for _ in range(10):
             self.around.let_pass(0.02)
             begun += self.attempts()
         return begun
 
-    def all_settled(self):
+    def all_settled(self) -> int:
         """No client is left; the attempts that began until then and just after."""
         self.around.until(lambda: not self.context.connections.clients)
         return self.begun_meanwhile()
 
 
 @contextlib.contextmanager
-def connections_come_up_late(around):
-    """What new connections to upstreams say is heard only at the end of it."""
+def connections_come_up_late(around: Surroundings) -> Iterator[list[tuple[int, Actor, int]]]:
+    """Delay the socket events of new connections to endpoints until the end of the block."""
     loop, kept = around.context.loop, []
     watch = loop.register
 
-    def watched(descriptor, actor, mask):
+    def watched(descriptor: int, actor: Actor, mask: int) -> None:
         if mask == WRITE and hasattr(actor, "pool"):
             kept.append((descriptor, actor, mask))
         else:
@@ -139,7 +150,10 @@
 @CANCEL
 @pytest.mark.parametrize("how", LEAVE)
 @pytest.mark.parametrize("category", ["look", "buy", "move"])
-def test_what_a_burst_left_unread_is_not_begun(crowd, cancel, how, category):
+def test_requests_unread_when_their_clients_left_are_not_sent(
+    crowd: Callable[..., Crowd], cancel: bool, how: str, category: str
+) -> None:
+    """No attempt begins for any of them."""
     many = crowd(cancel)
     many.keep_connections()
     clients = many.ask(category=category, idempotency_key="k" if category == "move" else None)
@@ -150,7 +164,10 @@
 @CANCEL
 @HEARD
 @pytest.mark.parametrize("how", LEAVE)
-def test_nothing_is_begun_on_connections_that_come_up_after_a_burst_has_left(crowd, cancel, heard, how):
+def test_connections_that_come_up_after_a_burst_has_left_are_not_written_to(
+    crowd: Callable[..., Crowd], cancel: bool, heard: bool, how: str
+) -> None:
+    """Whether the disconnects have been handled or not."""
     many = crowd(cancel)
     with connections_come_up_late(many.around) as kept:
         clients = many.ask()
@@ -167,7 +184,10 @@
 
 @CANCEL
 @pytest.mark.parametrize("kept", [True, False], ids=["kept connections", "new connections"])
-def test_work_turned_away_is_not_tried_again_for_a_burst_that_has_left(crowd, cancel, kept):
+def test_rejected_requests_are_not_retried_for_a_burst_that_has_left(
+    crowd: Callable[..., Crowd], cancel: bool, kept: bool
+) -> None:
+    """The rejections and the disconnects are read in the same turn."""
     many = crowd(cancel, upstreams=2)
     if kept:
         many.keep_connections()
@@ -183,7 +203,10 @@
 
 @CANCEL
 @HEARD
-def test_no_second_attempt_is_begun_for_a_burst_that_has_left(crowd, cancel, heard):
+def test_no_hedge_is_sent_for_a_burst_that_has_left(
+    crowd: Callable[..., Crowd], cancel: bool, heard: bool
+) -> None:
+    """Hedges are due when the clients leave."""
     many, crowded = crowd(cancel, upstreams=2), True
     balancer = many.context.coordinator.scheduler.balancer
     balancer.hedging.delay, balancer.load.is_overloaded = lambda request: 0.1, lambda: crowded
@@ -197,7 +220,9 @@
 
 
 @CANCEL
-def test_a_burst_that_sent_more_behind_its_requests_is_seen_to_have_left(crowd, cancel):
+def test_a_burst_that_sent_more_behind_its_requests_is_seen_to_have_left(
+    crowd: Callable[..., Crowd], cancel: bool
+) -> None:
     """What lies unread hides the end from one who looks at the next byte only."""
     many = crowd(cancel)
     with connections_come_up_late(many.around) as kept:
@@ -215,8 +240,10 @@
 
 
 @pytest.fixture
-def shared(crowd):
-    def make(cancel):
+def multiplexed(crowd: Callable[..., Crowd]) -> Callable[..., Crowd]:
+    """Make a crowd of clients of a sidecar that uses HTTP/2."""
+
+    def make(cancel: bool) -> Crowd:
         caps = NEW["caps"] | {"cancel": cancel, "connectTimeout": 5000000}
         many = crowd(settings=NEW | {"caps": caps})
         many.around.hear()
@@ -227,10 +254,11 @@
 
 @CANCEL
 @HEARD
-def test_over_http_2_nothing_is_begun_for_a_burst_that_left_before_the_connection_was_up(
-    shared, cancel, heard
-):
-    many = shared(cancel)
+def test_over_http_2_nothing_is_sent_for_a_burst_that_left_before_the_connection_was_up(
+    multiplexed: Callable[..., Crowd], cancel: bool, heard: bool
+) -> None:
+    """Ninety requests wait for one connection."""
+    many = multiplexed(cancel)
     with connections_come_up_late(many.around) as kept:
         clients = many.ask(90)
         pending_requests = many.context.coordinator.pending_requests
@@ -252,11 +280,12 @@
 @CANCEL
 @HEARD
 @pytest.mark.parametrize("how", LEAVE)
-def test_over_http_2_the_rest_of_a_body_is_not_written_for_a_client_that_has_left(
-    shared, cancel, heard, how, monkeypatch
-):
+def test_over_http_2_the_rest_of_a_body_is_not_sent_for_a_client_that_has_left(
+    multiplexed: Callable[..., Crowd], cancel: bool, heard: bool, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The flow-control window opens after the client has left."""
     monkeypatch.setattr(Peer, "acknowledges", False)
-    many = shared(cancel)
+    many = multiplexed(cancel)
     around = many.around
     client = around.ask("buy", bytes(WINDOW + 1))
     peer = Peer(around)
@@ -276,12 +305,15 @@
 
 
 @CANCEL
-def test_over_http_2_no_stream_is_begun_where_nothing_can_be_written(shared, cancel):
-    many = shared(cancel)
+def test_over_http_2_no_stream_is_begun_where_nothing_can_be_written(
+    multiplexed: Callable[..., Crowd], cancel: bool
+) -> None:
+    """The client leaves while the connection can't be written, and only the other request is sent."""
+    many = multiplexed(cancel)
     around = many.around
     first = around.ask()
     peer = Peer(around)
-    peer.answer(*peer.taken(1))
+    peer.answer(*peer.received(1))
     assert around.status(first) == 200
     (connection,) = many.context.connections.upstream
     connection.stream.write = lambda: not connection.stream.unwritten  # the kernel takes nothing
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,9 +1,9 @@
-"""The lease of the endpoint list by itself, and the gate that asks it in the last instant."""
+"""The lease of the endpoint list by itself, and the gate that checks it right before the first byte."""
 
 from math import inf
 
 import pytest
-from conftest import BUY, LOOK, FakeHost
+from conftest import BUY, LOOK, FakeHost, Surroundings
 
 from starlingwheel.decisions import lease as module
 from starlingwheel.decisions.lease import EndpointLease, LeaseState
@@ -15,27 +15,31 @@
 NOTICE = module.MISSED_NOTICE
 
 
-def made(pushed=False, grace=GRACE):
+def make_lease(pushed: bool = False, grace: float = GRACE) -> EndpointLease:
+    """A lease that was proved at 10 s."""
     lease = EndpointLease(grace, pushed)
     lease.start(0.0)
     lease.prove(10.0, 10.0)
     return lease
 
 
-def test_whoever_has_no_source_to_lose_holds_the_list_for_ever():
+def test_without_a_source_the_lease_never_expires() -> None:
+    """No watch has ever begun."""
     assert EndpointLease(GRACE, pushed=False).state(1e9) is LeaseState.FRESH
 
 
-def test_a_watch_that_lives_keeps_the_lease_fresh_and_each_line_renews_it():
-    lease = made()
+def test_each_line_of_a_watch_renews_the_lease() -> None:
+    """Without another line it is in doubt."""
+    lease = make_lease()
     for at in (12.0, 14.0, 16.0):
         assert lease.state(at) is LeaseState.FRESH
         lease.prove(at, at)
     assert lease.state(16.0 + module.DOUBT_AFTER) is LeaseState.IN_DOUBT
 
 
-def test_nothing_begins_later_than_the_grace_after_what_a_silent_watch_misses_is_notified():
-    lease = made()
+def test_a_silent_watch_expires_the_lease_within_the_grace_after_a_missed_notice() -> None:
+    """Whether its silence has been noticed or not."""
+    lease = make_lease()
     # Also where nobody ever finds it silent.
     assert lease.allows(10.0 + NOTICE) and not lease.allows(10.0 + NOTICE + GRACE)
     lease.fall_silent(13.0)
@@ -44,8 +48,9 @@
 
 
 @pytest.mark.parametrize("reset, notice", [(False, 1.68), (True, 4.0)])
-def test_a_watch_that_ends_may_have_ended_instead_of_telling(reset, notice):
-    lease = made()
+def test_the_end_of_a_watch_counts_as_a_missed_notice(reset: bool, notice: float) -> None:
+    """A reset leaves more time, for it says nothing of the source."""
+    lease = make_lease()
     lease.end_watch(11.0, reset)
     assert lease.state(11.0) is LeaseState.IN_DOUBT
     assert not lease.allows(11.0 + notice + GRACE)
@@ -53,8 +58,9 @@
 
 
 @pytest.mark.parametrize("end", ["prove", "end_watch", "miss_source", "nothing"])
-def test_a_message_that_has_begun_counts_as_notified_whatever_comes_of_it(end):
-    lease = made()
+def test_a_message_that_has_begun_counts_as_a_notice(end: str) -> None:
+    """Until it is complete, whatever happens meanwhile."""
+    lease = make_lease()
     lease.begin_message(12.0)
     if end == "prove":
         lease.prove(12.1, 11.0)  # a message that began before it, on another watch
@@ -67,15 +73,17 @@
     assert lease.state(14.0) is LeaseState.FRESH
 
 
-def test_a_message_that_arrives_in_two_pieces_changes_nothing_once_it_is_whole():
-    lease = made()
+def test_a_message_in_two_pieces_renews_the_lease_once_it_is_complete() -> None:
+    """It counts from its beginning."""
+    lease = make_lease()
     lease.begin_message(12.0)
     lease.prove(12.2, 12.0)
     assert lease.state(12.6) is LeaseState.FRESH
 
 
-def test_a_source_that_cannot_be_reached_notifies_nobody():
-    lease = made()
+def test_a_source_that_cannot_be_reached_notifies_nobody() -> None:
+    """Each failed call shows that nobody can have been notified meanwhile."""
+    lease = make_lease()
     lease.end_watch(11.0, reset=False)
     for at in range(11, 60, 4):
         assert lease.allows(float(at))
@@ -83,16 +91,18 @@
     assert not lease.allows(59.0 + NOTICE + GRACE)
 
 
-def test_where_lists_are_pushed_what_is_missed_counts_at_once():
-    lease = made(pushed=True)
+def test_where_lists_are_pushed_a_missed_notice_counts_at_once() -> None:
+    """Without the time in which a polled list notifies."""
+    lease = make_lease(pushed=True)
     lease.end_watch(11.0, reset=False)
     assert lease.allows(11.0 + GRACE / 2) and not lease.allows(11.0 + GRACE)
     lease.miss_source(11.4)
     assert lease.allows(11.4 + GRACE / 2) and not lease.allows(11.4 + GRACE)
 
 
-def test_the_old_source_proves_nothing_for_long_once_another_is_in_force():
-    lease = made()
+def test_a_former_source_stops_renewing_the_lease() -> None:
+    """A while after the configuration names another."""
+    lease = make_lease()
     lease.move_source(12.0)
     for at in (14.0, 16.0, 18.0):
         lease.prove(at, at)
@@ -103,7 +113,8 @@
 
 
 @pytest.mark.parametrize("grace", [0.0, 0.05, 0.1, 0.15, 0.25, 0.5, 2.5])
-def test_some_of_the_grace_is_kept_for_the_rest_of_a_message_and_some_for_being_held_up(grace):
+def test_part_of_the_grace_is_reserved_for_delays(grace: float) -> None:
+    """For the rest of a message, and for a late turn of the loop."""
     lease = EndpointLease(grace, pushed=False)
     assert 0 < lease.allowance < (grace or 0.2)
 
@@ -111,7 +122,8 @@
 # The decisions.
 
 
-def test_once_the_lease_has_expired_requests_are_rejected_at_once_and_nothing_is_sent_or_probed():
+def test_under_an_expired_lease_requests_are_rejected_and_nothing_is_sent() -> None:
+    """Nor are health checks begun."""
     host = FakeHost(health_checks_allowed=True, load_reported=True)
     lease = host.runner.balancer.lease
     lease.start(0.0)
@@ -121,7 +133,8 @@
     assert not host.sent and not host.probes
 
 
-def test_an_attempt_in_hand_is_waited_for_but_neither_hedged_nor_repeated():
+def test_under_an_expired_lease_attempts_in_flight_are_neither_hedged_nor_retried() -> None:
+    """They are waited for."""
     host = FakeHost()
     host.serve(60)
     lease = host.runner.balancer.lease
@@ -140,7 +153,8 @@
 # The gate.
 
 
-def test_the_gate_refuses_by_the_lease_in_the_last_instant(around):
+def test_the_gate_refuses_an_attempt_if_the_lease_expires_before_the_first_byte(around: Surroundings) -> None:
+    """The connection stays and carries the next request."""
     watch, _ = around.watch({"version": 8, "servers": []})
     around.until(lambda: around.context.discovery.version == 8)
     client = around.ask("buy")
@@ -162,12 +176,13 @@
     assert around.status(client) == 200
 
 
-def test_a_message_that_breaks_off_behind_a_whole_one_counts_as_begun(around):
+def test_a_message_that_breaks_off_behind_a_complete_one_counts_as_begun(around: Surroundings) -> None:
+    """Both came in the same bytes."""
     watch, _ = around.watch({"version": 8, "servers": []})
     around.until(lambda: around.context.discovery.version == 8)
     lease = around.context.lease
 
-    def chunk(text):
+    def chunk(text: bytes) -> bytes:
         return b"%x\r\n%s\r\n" % (len(text), text)
 
     watch.sendall(chunk(b'{"version": 9, '))
@@ -181,7 +196,8 @@
     assert lease.incomplete_since == inf
 
 
-def test_what_may_not_be_repeated_is_stopped_at_the_door_whatever_the_decisions_say(around):
+def test_the_gate_stops_a_retry_of_a_non_idempotent_request_that_may_have_run(around: Surroundings) -> None:
+    """Even if the decisions ask for it."""
     client = around.ask("buy")
     sock = around.accept()
     around.received(sock)
@@ -197,7 +213,10 @@
 
 
 @pytest.mark.parametrize("left, refused", [(0.3, False), (0.1, True), (-1.0, True)])
-def test_a_repeat_that_was_chosen_in_time_does_not_begin_after_its_window(around, left, refused):
+def test_a_retry_does_not_begin_after_its_deduplication_window(
+    around: Surroundings, left: float, refused: bool
+) -> None:
+    """Though it was decided on within the window."""
     client = around.ask("move")
     sock = around.accept()
     around.received(sock)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,11 +1,12 @@
-"""Stories of the real sidecar's sockets: hand-offs, clients and their answers."""
+"""The real sidecar's sockets: attempts, clients and their responses."""
 
 import socket
 import threading
 import time
+from collections.abc import Callable
 
 import pytest
-from conftest import SETTINGS, bound, categories
+from conftest import SETTINGS, Surroundings, bound, categories
 
 from starlingwheel.net.coordinator import RequestCoordinator
 from starlingwheel.net.http.client_connection import MAX_DISCARDED_INPUT, ClientConnection
@@ -16,7 +17,8 @@
 from starlingwheel.net.state.buffers import MAX_REQUEST_BODY
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged(around):
+def test_request_and_response_are_forwarded_unchanged(around: Surroundings) -> None:
+    """Method, target, headers and body arrive at the endpoint, the response's body and type at the client."""
     body = bytes(range(256)) * 250
     client = around.ask("move", body, x_customer="inn", x_props="a=1")
     upstream = around.accept()
@@ -34,7 +36,8 @@
     )
 
 
-def test_a_connection_is_kept_and_carries_the_next_request(around):
+def test_an_idle_connection_is_reused(around: Surroundings) -> None:
+    """One connection to the endpoint carries three requests."""
     client = around.client()
     client.sendall(around.request())
     upstream = around.accept()
@@ -47,7 +50,8 @@
     around.quiet()
 
 
-def test_a_client_that_waits_to_be_told_to_go_on_is_told(around):
+def test_expect_100_continue_is_answered(around: Surroundings) -> None:
+    """The `Expect` header is answered here and not forwarded."""
     client = around.client()
     client.sendall(around.request("buy", expect="100-continue", content_length="3"))
     assert around.until(lambda: around.read(client)).startswith(b"HTTP/1.1 100")
@@ -59,7 +63,8 @@
     assert around.status(client) == 200
 
 
-def test_bodies_in_chunks_are_passed_on_whole(around):
+def test_chunked_bodies_are_forwarded(around: Surroundings) -> None:
+    """A short chunked body is buffered and gets a length."""
     client = around.client()
     client.sendall(around.request("buy", transfer_encoding="chunked") + b"2\r\non\r\n1\r\ne\r\n0\r\n\r\n")
     upstream = around.accept()
@@ -71,7 +76,10 @@
     assert around.answer(client)[1] == b"two"
 
 
-def test_an_answer_longer_than_any_request_is_passed_on_within_what_memory_allows(make_surroundings):
+def test_a_response_longer_than_any_request_is_forwarded_in_little_memory(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The body is relayed, and all buffers are given back."""
     around = make_surroundings(limits={"memory_mb": 32})
     client = around.ask()
     body = bytes(range(256)) * 1200
@@ -85,7 +93,8 @@
     assert around.until(lambda: around.context.buffer_pool.in_use == 0)
 
 
-def test_a_slow_reader_of_an_answer_gets_all_of_it(around):
+def test_a_slow_client_gets_its_whole_response(around: Surroundings) -> None:
+    """The response is written in parts as the client reads."""
     client = around.client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
     served = next(iter(around.until(lambda: around.context.connections.clients)))
@@ -97,7 +106,10 @@
     assert around.answer(client)[1] == body
 
 
-def test_a_client_that_does_not_read_its_answer_is_given_up(make_surroundings):
+def test_a_client_that_does_not_read_its_response_is_disconnected(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """Its buffers are given back."""
     around = make_surroundings(settings={"categories": categories(100000)})
     client = around.client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -109,7 +121,8 @@
     assert around.until(lambda: around.context.buffer_pool.in_use == 0)
 
 
-def test_bytes_that_nobody_asked_for_end_a_connection(around):
+def test_unsolicited_bytes_end_a_connection(around: Surroundings) -> None:
+    """A second response behind the first ends the connection, and the first is forwarded."""
     client = around.ask("buy", b"one")
     upstream = around.accept()
     around.received(upstream)
@@ -120,7 +133,8 @@
     assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "unasked-bytes"
 
 
-def test_a_second_request_behind_the_first_waits_its_turn(around):
+def test_a_pipelined_request_is_sent_after_the_response_before_it(around: Surroundings) -> None:
+    """Nothing is sent for the second request before the first is answered."""
     client = around.client()
     client.sendall(around.request(x_trace_id="first") + around.request(x_trace_id="second"))
     for trace in (b"first", b"second"):
@@ -146,7 +160,10 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nfour",
     ],
 )
-def test_an_answer_that_is_not_whole_is_none_and_exclusive_work_is_not_sent_again(make_surroundings, cut):
+def test_an_incomplete_response_fails_a_non_idempotent_request_without_a_retry(
+    make_surroundings: Callable[..., Surroundings], cut: bytes
+) -> None:
+    """The client gets 504, and no other endpoint gets the request."""
     around = make_surroundings(upstreams=2)
     client = around.ask("buy", b"one")
     i, upstream = around.until(around.accept_any)
@@ -165,7 +182,10 @@
         (b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 4000, "malformed"),
     ],
 )
-def test_a_spoilt_answer_is_seen_at_its_head_though_its_connection_stays_open(around, spoilt, reason):
+def test_a_malformed_response_head_is_detected_while_its_connection_is_open(
+    around: Surroundings, spoilt: bytes, reason: str
+) -> None:
+    """The request does not wait for its timeout."""
     client = around.ask("buy", b"one")
     upstream = around.accept()
     around.received(upstream)
@@ -175,7 +195,8 @@
     assert around.logged("upstream.end")[0]["reason"] == reason
 
 
-def test_words_ahead_of_an_answer_are_passed_over(around):
+def test_informational_responses_are_skipped(around: Surroundings) -> None:
+    """100 and 103 before the response are not forwarded."""
     client = around.ask("buy", b"one")
     upstream = around.accept()
     around.received(upstream)
@@ -185,7 +206,10 @@
     assert around.answer(client)[1] == b"two"
 
 
-def test_what_came_behind_an_answer_is_not_taken_for_the_next(around, monkeypatch):
+def test_unsolicited_bytes_are_not_taken_for_the_next_response(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Bytes that came after a response, and after the check of the idle connection."""
     client = around.client()
     client.sendall(around.request("buy", b"one"))
     upstream = around.accept()
@@ -200,7 +224,10 @@
     assert around.answer(client)[1] == b"second"
 
 
-def test_an_answer_that_begins_before_its_request_is_written_is_none(make_surroundings):
+def test_a_response_before_the_end_of_its_request_is_discarded(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The request has not run, so another endpoint gets it."""
     around = make_surroundings(upstreams=2)
     client = around.ask("buy", b"x" * MAX_REQUEST_BODY)
     i, upstream = around.until(around.accept_any)
@@ -212,7 +239,8 @@
     assert around.answer(client)[1] == b"fine"
 
 
-def test_a_connection_that_breaks_under_a_request_just_written_makes_wary(around):
+def test_a_reset_just_after_a_request_was_written_makes_cautious(around: Surroundings) -> None:
+    """More resets are expected for a while."""
     client = around.ask("buy", b"one")
     upstream = around.accept()
     around.received(upstream)
@@ -221,7 +249,10 @@
     assert around.context.resets_expected_until > around.context.loop.now()
 
 
-def test_while_connections_break_exclusive_work_is_not_whole_until_one_has_held(make_surroundings):
+def test_while_resets_are_expected_the_last_byte_of_a_non_idempotent_request_is_delayed(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """A reset before the last byte proves that the request has not run."""
     around = make_surroundings(upstreams=2)
     around.context.resets_expected_until = float("inf")
     client = around.client()
@@ -238,7 +269,8 @@
     assert around.status(client) == 200  # it had not run
 
 
-def test_an_old_connection_that_breaks_says_nothing_of_its_upstream(around):
+def test_a_reset_of_a_reused_connection_is_not_a_fault_of_its_endpoint(around: Surroundings) -> None:
+    """The endpoint's failures are not counted up."""
     around.context.resets_expected_until = float("inf")
     client = around.client()
     client.sendall(around.request("buy", b"one"))
@@ -253,14 +285,20 @@
 
 
 @pytest.mark.parametrize(("status", "extra"), [(500, ""), (503, ""), (400, "X-Never-Ran: 1\r\n")])
-def test_an_error_that_may_have_run_is_never_turned_into_a_refusal(around, status, extra):
+def test_an_error_of_a_request_that_may_have_run_is_not_reported_as_harmless(
+    around: Surroundings, status: int, extra: str
+) -> None:
+    """The client gets 504, not 503."""
     client = around.ask("buy", b"one")
     around.serve(status=status, extra=extra)
     assert around.status(client) == 504
 
 
 @pytest.mark.parametrize("status", [503, 504])
-def test_work_turned_away_unrun_goes_elsewhere(make_surroundings, status):
+def test_a_request_rejected_before_it_ran_is_retried_elsewhere(
+    make_surroundings: Callable[..., Surroundings], status: int
+) -> None:
+    """`X-Never-Ran` makes a retry of a non-idempotent request safe."""
     around = make_surroundings(upstreams=2)
     client = around.ask("buy", b"one")
     i, upstream = around.until(around.accept_any)
@@ -272,7 +310,10 @@
     assert around.status(client) == 200
 
 
-def test_a_refused_connection_is_known_not_to_have_run(make_surroundings):
+def test_a_request_whose_connection_is_refused_is_retried_elsewhere(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """A request that could not be sent has not run."""
     around = make_surroundings(upstreams=2)
     around.listeners[0].close()
     while "refused" not in [line["reason"] for line in around.logged("upstream.end")]:
@@ -281,7 +322,7 @@
         assert around.status(client) == 200
 
 
-def vanish(around):
+def vanish(around: Surroundings) -> None:
     """The first upstream says nothing to those that connect."""
     full = around.keep(bound(backlog=0))
     for _ in range(4):  # a full queue of connections says nothing to the next
@@ -293,7 +334,8 @@
     around.until(lambda: around.logged("list.news"))
 
 
-def test_a_connection_that_never_comes_up_has_a_limit(make_surroundings):
+def test_a_connection_that_never_comes_up_times_out(make_surroundings: Callable[..., Surroundings]) -> None:
+    """The request is answered within its latency objective."""
     around = make_surroundings()
     vanish(around)
     begun = time.monotonic()
@@ -302,7 +344,10 @@
     assert around.logged("upstream.end")[0]["reason"] == "never-came-up"
 
 
-def test_a_connection_that_does_not_come_up_is_given_up_in_time_for_another_upstream(make_surroundings):
+def test_a_connection_that_does_not_come_up_leaves_time_for_another_endpoint(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """Even where the configured connect timeout is long."""
     around = make_surroundings(upstreams=2, settings={"caps": SETTINGS["caps"] | {"connectTimeout": 5000000}})
     vanish(around)
     while "never-came-up" not in [line["reason"] for line in around.logged("upstream.end")]:
@@ -311,7 +356,8 @@
         assert around.status(client) == 200
 
 
-def test_nothing_at_all_is_overdue_in_time(around):
+def test_an_endpoint_that_does_not_answer_is_given_up_at_the_timeout(around: Surroundings) -> None:
+    """The client gets 504, and the connection ends."""
     begun = time.monotonic()
     client = around.ask("buy", b"one", x_expires_in_ms="200")
     upstream = around.accept()
@@ -320,7 +366,8 @@
     assert around.read(upstream) == b"end"
 
 
-def test_a_connection_that_the_upstream_has_closed_is_not_used_again(around):
+def test_a_connection_closed_by_its_endpoint_is_not_reused(around: Surroundings) -> None:
+    """Each request gets a new connection."""
     client = around.client()
     for _ in range(3):
         client.sendall(around.request("buy", b"one"))
@@ -329,7 +376,8 @@
         assert around.status(client) == 200
 
 
-def test_a_connection_is_looked_at_before_it_is_used_again(around):
+def test_an_idle_connection_is_checked_before_it_is_reused(around: Surroundings) -> None:
+    """A close that the loop has not seen yet counts."""
     client = around.ask()
     upstream = around.serve()
     assert around.status(client) == 200
@@ -339,7 +387,8 @@
     assert not connection.is_usable()
 
 
-def test_unread_input_does_not_reset_the_answer(around):
+def test_unread_input_does_not_reset_the_response(around: Surroundings) -> None:
+    """What a client sends after its last response is discarded, so that the response arrives."""
     client = around.ask("buy", b"x" * (MAX_REQUEST_BODY + 1), content_length="60000000")
     assert around.status(client) == 413
     client.sendall(b"x" * 50000)
@@ -349,7 +398,10 @@
 
 
 @pytest.mark.parametrize("client_first", [True, False])
-def test_an_answer_for_a_client_that_has_just_left_gives_its_buffers_back(around, client_first):
+def test_a_response_for_a_client_that_has_just_left_gives_its_buffers_back(
+    around: Surroundings, client_first: bool
+) -> None:
+    """Whether the close or the response comes first."""
     for _ in range(20):
         client = around.ask("buy", b"one")
         upstream = around.accept()
@@ -364,7 +416,10 @@
     assert around.until(lambda: around.context.buffer_pool.in_use == 0)
 
 
-def test_a_connection_soon_to_be_closed_as_idle_is_closed_by_us_first(make_surroundings):
+def test_an_idle_connection_is_closed_before_its_endpoint_would_close_it(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The endpoint's keep-alive time is 50 ms."""
     caps = {"mostHandOffs": 1, "connectTimeout": 60000, "keepalive": 50000}
     around = make_surroundings(settings={"caps": caps})
     client = around.ask()
@@ -374,7 +429,8 @@
     assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "idle"
 
 
-def test_a_client_that_leaves_ends_its_hand_off(around):
+def test_a_client_that_disconnects_cancels_its_attempt(around: Surroundings) -> None:
+    """The connection to the endpoint is closed, and nothing is kept."""
     client = around.ask("buy", b"one")
     upstream = around.accept()
     around.received(upstream)
@@ -415,7 +471,10 @@
 
 
 @pytest.mark.parametrize(("asked", "status"), BAD)
-def test_what_can_not_be_taken_up_is_told_so_and_nothing_is_sent_on(around, asked, status):
+def test_an_invalid_request_is_answered_and_not_forwarded(
+    around: Surroundings, asked: dict[str, str], status: int
+) -> None:
+    """Each with its status; the connection ends."""
     client = around.ask(**asked)
     assert around.status(client) == status
     assert around.logged("request.unfit")[0]["status"] == status
@@ -423,7 +482,8 @@
     assert around.read(client) == b"end"  # it can't ask the same again at full speed
 
 
-def test_a_request_hidden_in_the_body_of_another_goes_nowhere(around):
+def test_a_smuggled_request_is_not_forwarded(around: Surroundings) -> None:
+    """A request with two lengths is rejected, and what follows is discarded."""
     hidden = around.request(x_trace_id="hidden")
     client = around.client()
     length = len(hidden) + 5
@@ -436,7 +496,8 @@
     )
 
 
-def test_an_id_that_is_in_hand_is_refused_and_nothing_is_kept_of_it(around):
+def test_a_trace_id_in_use_is_rejected(around: Surroundings) -> None:
+    """The second request gets 409, and the id is free after the first has ended."""
     client = around.ask("buy", b"one")
     upstream = around.accept()
     around.received(upstream)
@@ -446,12 +507,13 @@
     assert not around.context.active_traces
 
 
-def test_one_that_sends_on_and_on_after_its_answer_is_not_read_for_ever(around):
+def test_input_after_the_last_response_is_discarded_up_to_a_limit(around: Surroundings) -> None:
+    """The connection of a client that sends on and on is closed."""
     client = around.ask("buy", content_length="60000000")
     client.setblocking(False)
     sent = 0
 
-    def over():
+    def over() -> object:
         nonlocal sent
         try:
             sent += client.send(b"x" * 65536)
@@ -465,7 +527,8 @@
     assert sent < 30 * MAX_DISCARDED_INPUT  # what the kernel holds, and what is read
 
 
-def test_half_a_request_then_silence_is_ended(make_surroundings):
+def test_half_a_request_then_silence_is_ended(make_surroundings: Callable[..., Surroundings]) -> None:
+    """A client that stalls in its first request gets 408."""
     around = make_surroundings()
     begun = time.monotonic()
     client, late = around.client(), around.client()
@@ -477,7 +540,10 @@
     assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "answered-408"
 
 
-def test_a_client_that_says_it_waits_for_ever_is_answered_by_the_expiry(make_surroundings):
+def test_a_client_with_an_endless_timeout_is_answered_at_the_timeout_of_its_class(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """The class's timeout limits the client's."""
     patient = [one | {"overduePayoff": 0.5} for one in categories(200000)]
     around = make_surroundings(settings={"categories": patient})
     client = around.ask("buy", b"one", x_expires_in_ms="999999999999")
@@ -486,13 +552,15 @@
     assert around.status(client) == 504
 
 
-def test_an_unknown_customer_is_served_without_one(around):
+def test_a_request_of_an_unknown_tenant_is_served(around: Surroundings) -> None:
+    """As a request without a tenant."""
     client = around.ask(x_customer="nobody")
     around.serve()
     assert around.status(client) == 200
 
 
-def test_too_many_clients_are_told_so(make_surroundings):
+def test_clients_beyond_the_limit_are_answered_503(make_surroundings: Callable[..., Surroundings]) -> None:
+    """Those that have no room even for that wait; requests in progress go on."""
     around = make_surroundings(limits={"sockets": 120})
     ledger = around.context.connections
     ledger.client_share = ledger.most_requests = 2
@@ -507,7 +575,8 @@
     assert around.until(lambda: around.context.coordinator.counts["finished"]) == 1
 
 
-def test_silent_clients_do_not_shut_out_the_others_and_are_closed(make_surroundings):
+def test_silent_clients_do_not_shut_out_others(make_surroundings: Callable[..., Surroundings]) -> None:
+    """They are closed to make room, or at the latest after a while."""
     around = make_surroundings(limits={"sockets": 120})
     ledger = around.context.connections
     silent = [around.client() for _ in range(200)]
@@ -521,7 +590,10 @@
         assert around.read(client) == b"end" or around.until(lambda: around.read(client), within=3)  # noqa: B023
 
 
-def test_one_that_has_just_connected_is_not_closed_for_the_sake_of_the_next(make_surroundings):
+def test_a_client_that_has_just_connected_is_not_closed_for_the_next_one(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """Idle connections are closed first."""
     around = make_surroundings(limits={"sockets": 120})
     around.context.connections.client_share = 3
     kept = [around.client() for _ in range(3)]
@@ -534,7 +606,10 @@
         serve_one(around, client)
 
 
-def test_a_slow_client_goes_on_where_halves_of_requests_crowd_in(make_surroundings):
+def test_a_slow_client_goes_on_while_incomplete_requests_crowd_in(
+    make_surroundings: Callable[..., Surroundings],
+) -> None:
+    """Connections whose request makes no progress are closed first."""
     around = make_surroundings(limits={"sockets": 120})
     around.context.connections.client_share = 6
     slow, text = around.client(), around.request(connection="keep-alive")
@@ -549,13 +624,15 @@
     assert around.status(slow) == 200
 
 
-def serve_one(around, client):
+def serve_one(around: Surroundings, client: socket.socket) -> None:
+    """Send a request on a client's connection, and answer it."""
     client.sendall(around.request(connection="keep-alive"))
     around.serve(extra="Connection: close\r\n")
     assert around.status(client) == 200
 
 
-def test_an_idle_connection_makes_room_for_a_new_one(make_surroundings):
+def test_an_idle_connection_makes_room_for_a_new_one(make_surroundings: Callable[..., Surroundings]) -> None:
+    """The idle connection to another endpoint is closed."""
     around = make_surroundings(upstreams=2)
     around.context.connections.share = 1
     client = around.client()
@@ -570,7 +647,8 @@
     assert len(around.context.connections.upstream) == 1
 
 
-def test_without_room_for_a_connection_work_is_deferred(around):
+def test_without_room_for_a_connection_requests_are_rejected(around: Surroundings) -> None:
+    """With a Retry-After, and nothing is sent."""
     around.context.connections.room_for_upstream = lambda: False
     client = around.ask("buy", b"one")
     answer, _ = around.answer(client)
@@ -578,13 +656,17 @@
     around.quiet()
 
 
-def test_without_buffers_a_request_is_told_so(around):
+def test_without_buffers_requests_are_answered_503(around: Surroundings) -> None:
+    """Nothing is sent."""
     around.context.buffer_pool.most = 0
     assert around.status(around.ask("buy", b"one")) == 503
     around.quiet()
 
 
-def test_a_defect_in_deciding_writes_the_work_item_off_and_is_told(around, monkeypatch):
+def test_an_error_in_the_decisions_fails_the_request_and_is_logged(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The sidecar goes on."""
     monkeypatch.setattr(
         "starlingwheel.decisions.selection.EndpointSelector.select_endpoint", lambda *_: 1 / 0
     )
@@ -593,7 +675,10 @@
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 200
 
 
-def test_a_defect_in_following_the_list_does_not_leave_it_unwatched(make_surroundings, monkeypatch):
+def test_an_error_in_watching_the_endpoint_list_does_not_end_the_watch(
+    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The watch is begun again."""
     with monkeypatch.context() as patch:
         patch.setattr("starlingwheel.decisions.commands.WatchEndpoints.__init__", lambda self: 1 / 0)
         around = make_surroundings()
@@ -601,7 +686,10 @@
     around.watch(b"")
 
 
-def test_a_defect_while_an_outcome_is_learned_still_answers(around, monkeypatch):
+def test_an_error_in_handling_an_outcome_still_answers_the_client(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The request is forgotten as usual."""
     monkeypatch.setattr("starlingwheel.decisions.balancer.Balancer.attempt_ended", lambda *_: 1 / 0)
     client = around.ask("buy", b"one")
     around.serve(status=500)
@@ -609,7 +697,10 @@
     assert around.logged("module.defect") and not around.context.coordinator.pending_requests
 
 
-def test_a_defect_in_handling_a_message_answers_the_request_it_is_about(around, monkeypatch):
+def test_an_error_in_handling_a_message_answers_the_request_concerned(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The error is logged."""
     monkeypatch.setattr(RequestCoordinator, "_exchange_ended", lambda *_: 1 / 0)
     client = around.ask("buy", b"one")
     around.serve()
@@ -617,7 +708,10 @@
     assert around.logged("module.defect")
 
 
-def test_a_defect_in_a_connection_ends_that_connection(around, monkeypatch):
+def test_an_error_in_a_client_connection_ends_only_that_connection(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The error is logged, and other connections go on."""
     with monkeypatch.context() as patch:
         patch.setattr(ClientConnection, "_take_request", lambda *_: 1 / 0)
         assert around.status(around.ask()) is None
@@ -626,7 +720,10 @@
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 200
 
 
-def test_a_defect_on_a_kept_connection_does_not_give_out_an_earlier_answer(around, monkeypatch):
+def test_a_defect_on_a_kept_connection_does_not_give_out_an_earlier_answer(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """After an error on a reused connection, the earlier response is not reported again."""
     client = around.client()
     client.sendall(around.request("buy", b"one"))
     around.serve()
@@ -637,7 +734,10 @@
     assert around.logged("upstream.end")[0]["reason"] == "defect"
 
 
-def test_a_defect_before_a_connection_ends_the_hand_off(around, monkeypatch):
+def test_an_error_in_the_connection_pool_ends_the_attempt(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The pool goes on with the next request."""
     with monkeypatch.context() as patch:
         patch.setattr(ConnectionPool, "_start", lambda *_: 1 / 0)
         assert around.status(around.ask("buy", b"one")) == 503
@@ -653,6 +753,7 @@
         *["TEXT inflight=1e300", "inflight=nan", "inflight=1, inflight=2", "inflight=" + "9" * 400],
     ],
 )
-def test_a_load_report_that_can_not_be_read_is_dropped(text):
+def test_an_unreadable_load_report_is_dropped(text: str) -> None:
+    """As a whole; unknown figures are ignored."""
     assert parse_load_report(text) == {}
     assert parse_load_report("TEXT inflight=7, queue=2, other=3") == {"held": 7.0, "waiting": 2.0}
