--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -160,7 +160,7 @@
                 self.reason = self._unsolicited()
         else:
             self.reason = CloseReason.UPSTREAM_CLOSES
-        outcome = outcome_of(head.status_code, dict(head.headers))
+        outcome = outcome_of(head.status_code, reader.headers)
         self.last_was_health_check = exchange.pending is None
         self.exchange_count += 1
         relayed = self.exchange is None
--- a/starlingwheel/net/http/upstream_response.py
+++ b/starlingwheel/net/http/upstream_response.py
@@ -85,7 +85,7 @@
 class ResponseReader:
     """Reads one response; owns its body until the body is given to the client."""
 
-    __slots__ = ("context", "stream", "exchange", "on_relay", "head", "length", "body", "relay")
+    __slots__ = ("context", "stream", "exchange", "on_relay", "head", "headers", "length", "body", "relay")
 
     def __init__(
         self,
@@ -97,6 +97,7 @@
         """`on_relay`: called with the final result when the body begins to be relayed."""
         self.context, self.stream, self.exchange, self.on_relay = context, stream, exchange, on_relay
         self.head: h11.Response | None = None
+        self.headers: dict[bytes, bytes] = {}
         self.length: int | None = None
         self.body = BufferedBody(context.buffer_pool)
         self.relay: BodyStream | None = None  # takes the place of `body` when that is too long to buffer
@@ -110,7 +111,8 @@
             while True:
                 event = self.stream.event()
                 if isinstance(event, h11.Response):
-                    self.head, self.length = event, response_length(event)
+                    self.head, self.headers = event, dict(event.headers)
+                    self.length = response_length(event)
                 elif isinstance(event, h11.Data):
                     self._add(event.data)
                 elif isinstance(event, h11.EndOfMessage):
@@ -128,10 +130,7 @@
     def take_body(self) -> UpstreamResponse:
         """Give the buffered body away, as the response of the exchange."""
         body, self.body = self.body, BufferedBody(self.context.buffer_pool)
-        return UpstreamResponse(body, self._content_type())
-
-    def _content_type(self) -> bytes:
-        return dict(self.head.headers).get(b"content-type", b"")
+        return UpstreamResponse(body, self.headers.get(b"content-type", b""))
 
     def _add(self, data: bytes | bytearray) -> None:
         expected = max(self.length or 0, self.body.length + len(data))
@@ -150,13 +149,14 @@
         Its first bytes are the final response, so from now on only the endpoint or the client ends it.
         """
         exchange, head = self.exchange, self.head
-        outcome = outcome_of(head.status_code, dict(head.headers))
+        outcome = outcome_of(head.status_code, self.headers)
         if exchange.pending is None or outcome is not AttemptOutcome.SUCCESS:
             raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
         report = load_report_of(head.headers, exchange, self.body)
         begun, self.body = self.body, BufferedBody(self.context.buffer_pool)
         self.relay = BodyStream(self.context.buffer_pool, self.stream.actor, self.length, begun)
-        self.on_relay(ExchangeResult(outcome, report, UpstreamResponse(self.relay, self._content_type())))
+        response = UpstreamResponse(self.relay, self.headers.get(b"content-type", b""))
+        self.on_relay(ExchangeResult(outcome, report, response))
 
     def _receive(self) -> Coroutine[None]:
         """Wait for more of the response and read it; begins the relay of one that is late."""
