--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -166,7 +166,7 @@
                 raise InvalidRequestError(400, str(error)) from error
             if isinstance(event, h11.Request):
                 request, length = event, declared_length(event, self._max_body())
-                self.stream.at_once = len(self.context.buffer_pool.scratch)
+                self.stream.read_size = len(self.context.buffer_pool.scratch)
             elif isinstance(event, h11.Data):
                 self._count_body(event.data)
                 if self.body_received > MAX_BUFFERED_BODY:
@@ -185,7 +185,7 @@
 
     def _await_request(self) -> None:
         self.body_received, self.paused_time = 0, 0.0
-        self.stream.at_once = BUFFER_SIZE
+        self.stream.read_size = BUFFER_SIZE
         pipelined = self.stream.http.trailing_data[0]
         self.request_started_at = self.loop.now() if pipelined else None
         self.stream.want(READ)
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -40,10 +40,10 @@
         self.loop, self.actor, self.sock, self.pool = loop, actor, sock, pool
         self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_LENGTH)
         # Bytes read at once. Clients are read in small pieces: h11 limits only heads that are incomplete.
-        self.at_once = BUFFER_SIZE if role is h11.SERVER else len(pool.scratch)
+        self.read_size = BUFFER_SIZE if role is h11.SERVER else len(pool.scratch)
         self.unwritten: list[bytes | memoryview] = []
         self.mask = 0  # the events that are waited for; 0: not registered
-        self.over = False  # the other side has closed, and that has been read
+        self.end_read = False  # the other side has closed, and that has been read
         sock.setblocking(False)
 
     def want(self, mask: int) -> None:
@@ -71,8 +71,8 @@
         Raises `ConnectionLostError`.
         """
         try:
-            count = self.sock.recv_into(self.pool.scratch, self.at_once)
-            self.over = not count
+            count = self.sock.recv_into(self.pool.scratch, self.read_size)
+            self.end_read = not count
             self.http.receive_data(memoryview(self.pool.scratch)[:count] if count else b"")
             return count
         except BlockingIOError:
@@ -85,7 +85,7 @@
         try:
             return self.http.next_event()
         except h11.RemoteProtocolError as error:
-            reason = CloseReason.CUT_SHORT if self.over else CloseReason.MALFORMED
+            reason = CloseReason.CUT_SHORT if self.end_read else CloseReason.MALFORMED
             raise ConnectionLostError(reason) from error
 
     def put(self, *events: Event) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -68,14 +68,14 @@
         servers = [
             {"id": f"s{i}", "addr": address(self.upstream.listener), "state": "active"} for i in range(400)
         ]
-        told = {
+        config = {
             "listen": address(places[0]), "mgmt": address(places[1]), "discovery": "127.0.0.1:1",
             "limits": {"memory_mb": 192, "sockets": sockets}, "settings": settings,
             "known": {"version": 7, "full": True, "servers": servers},
         }  # fmt: skip
         for place in places:
             place.close()
-        (folder / "config.json").write_bytes(msgspec.json.encode(told))
+        (folder / "config.json").write_bytes(msgspec.json.encode(config))
         environment = os.environ | {"EDGE_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder)}
         self.log = folder / "log"
         with open(self.log, "wb") as log:
@@ -159,14 +159,14 @@
     make_process: Callable[[int], Process], sockets: int, kind: str
 ) -> None:
     """All connections to endpoints but a few are in use; with each flood one more of these is needed."""
-    sidecar, ledger, few = make_process(sockets), ConnectionTracker(sockets, called=True), 4
-    asked = [sidecar.ask(b"early-%d" % i) for i in range(min(ledger.share, ledger.client_share) - few)]
+    sidecar, tracker, few = make_process(sockets), ConnectionTracker(sockets, called=True), 4
+    asked = [sidecar.ask(b"early-%d" % i) for i in range(min(tracker.share, tracker.client_share) - few)]
     sidecar.until(lambda: len(sidecar.upstream.ran) == len(asked))
     for turn in range(few):
         with sidecar.stopped():
-            for _ in range(min(120, 2 * ledger.most_requests)):
+            for _ in range(min(120, 2 * tracker.most_requests)):
                 sidecar.connect(sidecar.listen, b"" if kind == "silent" else ASKED % b"half")
-            for _ in range(min(30, 3 * ledger.calls)):
+            for _ in range(min(30, 3 * tracker.calls)):
                 sidecar.connect(sidecar.mgmt, b"" if kind == "silent" else b"GET /_re")
             asked.append(sidecar.ask(b"late-%d" % turn))
             call = sidecar.call()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -562,13 +562,13 @@
 def test_clients_beyond_the_limit_are_answered_503(make_surroundings: Callable[..., Surroundings]) -> None:
     """Those that have no room even for that wait; requests in progress go on."""
     around = make_surroundings(limits={"sockets": 120})
-    ledger = around.context.connections
-    ledger.client_share = ledger.most_requests = 2
-    busy = [around.ask(x_trace_id=f"busy{n}") for n in range(ledger.most_requests)]
+    tracker = around.context.connections
+    tracker.client_share = tracker.most_requests = 2
+    busy = [around.ask(x_trace_id=f"busy{n}") for n in range(tracker.most_requests)]
     around.until(lambda: len(around.context.coordinator.pending_requests) == len(busy))
     more = [around.ask(x_trace_id=f"more{n}") for n in range(64)]  # more than there is room to say it to
     assert {around.status(one) for one in more[:8]} == {503}
-    assert len(ledger.clients) <= ledger.client_share + ledger.spare
+    assert len(tracker.clients) <= tracker.client_share + tracker.spare
     for client in more:
         client.close()
     around.serve()
@@ -578,13 +578,13 @@
 def test_silent_clients_do_not_shut_out_others(make_surroundings: Callable[..., Surroundings]) -> None:
     """They are closed to make room, or at the latest after a while."""
     around = make_surroundings(limits={"sockets": 120})
-    ledger = around.context.connections
+    tracker = around.context.connections
     silent = [around.client() for _ in range(200)]
     half = around.client()
     half.sendall(around.request()[:40])
-    around.until(lambda: len(around.logged("client.end")) > 200 - ledger.client_share)
+    around.until(lambda: len(around.logged("client.end")) > 200 - tracker.client_share)
     assert {line["reason"] for line in around.logged("client.end")} == {"not-needed"}
-    assert len(ledger.clients) <= ledger.client_share + ledger.spare
+    assert len(tracker.clients) <= tracker.client_share + tracker.spare
     serve_one(around, around.client())
     for client in [*silent, half]:
         assert around.read(client) == b"end" or around.until(lambda: around.read(client), within=3)  # noqa: B023
