--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -1,18 +1,16 @@
-"""The list of upstreams: one actor that has it watched when the decisions ask for it, one a watch."""
+"""Keeps the endpoint list of a sidecar current: one watch in use, opened again when it ends.
+
+Owns the calls to discovery and their schedule; what one call reads comes from `watch.py`. Times are seconds
+on the loop's clock; constants that are multiples are multiples of `EMPTY_LINE`.
+"""
 
 from __future__ import annotations
 
-import re
 from math import inf
 
-import h11
-import msgspec
-
 from ...decisions.events import WatchEvent
 from ..actor import Actor, Coroutine
 from ..context import SidecarContext
-from ..http.stream import ConnectionLostError, Stream, connect
-from ..loop import READ, WRITE, SocketReady
 from ..messages import (
     CLOSE,
     DiscoveryMoved,
@@ -23,237 +21,65 @@
     WatchMessage,
 )
 from .messages import DiscoveryMessage
-
-EMPTY_LINE = 2.0  # a watch says at least this often that it is alive
-SILENT = 1.5  # times that, after which it is taken for dead
-PATIENT = 2.0  # times that, for which a call waits for its turn at discovery
-FIRST_PAUSE = 1 / 16  # times that, after which a new discovery is called again; it doubles
-ANEW = 1 / 2  # times that, within which a watch that fell silent is opened anew
-ENDED_ANEW = 1 / 4  # the same for one that ended: the lease of the list is shorter then
-AGENT = 1 / 4  # times that, for which a call to what lists are pushed by waits at first; it doubles
-UNHEARD = 6.0  # times that, after which a start does without that
-# What discovery has counts as told 3 times that later, whatever call fails or hangs:
-TWICE = 11 / 4  # times that, within which two calls begin while none is answered, so that one may hang
-HANGS = 5 / 8  # times that, before which a call without an answer is not taken to hang
-FIRST = TWICE - HANGS  # times that, within which the next begins, so that there is time for one more
-SPREAD = 1 / 4  # times that, by which these come sooner by chance, so that not all sidecars call at once
-LONGEST_LINE = 4 << 20
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-
-
-class DiscoveryWatch(Actor):
-    """One call to discovery, from its connection to its end; what it reads goes to the list's actor."""
-
-    priority = True  # a change counts as told once discovery has written it: it is read ahead of new work
-
-    def __init__(
-        self, context: SidecarContext, address: str, version: int, patience: float = PATIENT
-    ) -> None:
-        self.context, self.address, self.version, self.patience = context, address, version, patience
-        self.stream: Stream | None = None
-        self.reason = "defect"  # why it has ended
-        self.heard = False  # its answer has begun
-        self.message_at = 0.0  # when the first bytes came of a message that is not whole yet; 0: none
-        self.whole_since = 0.0  # when those came of the last message that is whole
-        self.proven = False  # what it says counts as proof of the list
-        self.begun_at = self.read_at = context.loop.now()  # the latter: when something was read last
-        self.line = b""  # what has come of a line that is not whole yet
-        self.part = b""  # of an object that lies over several lines
-        self.depth = 0  # its brackets that are open
-        super().__init__(context.loop)
-
-    def run(self) -> Coroutine[None]:
-        try:
-            yield from self._follow()
-        except ConnectionLostError as lost:
-            self.reason = str(lost)
-        except GeneratorExit:
-            self.reason = "stopped"
-            raise
-        finally:
-            if self.stream is not None:
-                self.stream.close()
-            self._log_end()
-            self.context.discovery.post(WatchEnded(self))
-
-    def _log_end(self) -> None:
-        now = self.loop.now()
-        self.context.log(
-            "list.end",
-            reason=self.reason,
-            address=self.address,
-            version=self.version,
-            answered=self.heard,
-            open_s=round(now - self.begun_at, 3),
-            silent_s=round(now - self.read_at, 3),
-            unread_bytes=len(self.part) + len(self.line),  # of a message that was cut off
-        )
-
-    def _await(self, until: float) -> Coroutine[None]:
-        while True:
-            message = yield until
-            if message is None:
-                raise ConnectionLostError("silent")
-            if message is CLOSE:
-                raise ConnectionLostError("replaced")
-            if isinstance(message, SocketReady):
-                return
-
-    def _follow(self) -> Coroutine[None]:
-        """Ends by `Lost` only."""
-        sock = connect(self.address)
-        self.stream = stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
-        stream.want(WRITE)
-        given_up = self.loop.now() + EMPTY_LINE * self.patience
-        yield from self._await(given_up)
-        stream.came_up()
-        target = f"/v1/endpoints?watch=1&from={self.version}"
-        headers = [(b"Host", self.address.encode())]
-        stream.put(h11.Request(method=b"GET", target=target, headers=headers), h11.EndOfMessage())
-        while not stream.write():
-            yield from self._await(given_up)
-        stream.want(READ)
-        while True:
-            event = stream.event()
-            if event is h11.NEED_DATA:
-                self._note_incomplete()
-                begun = stream.http.their_state is not h11.SEND_RESPONSE
-                yield from self._await(self.read_at + EMPTY_LINE * SILENT if begun else given_up)
-                if stream.read():
-                    self.read_at = self.loop.now()
-            elif isinstance(event, h11.Response):
-                if event.status_code != 200:
-                    raise ConnectionLostError(f"answered-{event.status_code}")
-                self.heard = True
-                self.context.log("list.answered", waited_s=round(self.loop.now() - self.begun_at, 3))
-                self.context.discovery.post(WatchAnswered(self))
-            elif isinstance(event, h11.Data):
-                *whole, self.line = (self.line + bytes(event.data)).split(b"\n")
-                if len(self.line) > LONGEST_LINE:
-                    raise ConnectionLostError("line-too-long")
-                for text in whole:
-                    self._line(text)
-                    self._end_message()
-            elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                raise ConnectionLostError("ended")
-
-    def _note_incomplete(self) -> None:
-        """All that has come is read. Guards against acting on after a message that breaks off or stalls."""
-        if not (self.heard and (self.line or self.part or self.stream.http.trailing_data[0])):
-            self.message_at = 0.0
-        elif not self.message_at:
-            self.message_at = self.read_at
-            self.context.lease.begin_message(self.read_at)
-
-    def _end_message(self) -> None:
-        """A line has come whole: all that discovery has told up to now is known."""
-        if self.part:
-            return
-        # What follows in the same read is another message, which may break off by itself.
-        self.whole_since, self.message_at = self.message_at or self.read_at, 0.0
-        if self is self.context.discovery.current:
-            self.prove()
-
-    def prove(self) -> None:
-        """This watch is in force, and the last line that has come of it is whole."""
-        self.proven = True
-        self.context.lease.prove(self.read_at, self.whole_since)
-        if self.message_at:
-            self.context.lease.begin_message(self.message_at)
-        self.context.gate.note_state()
-
-    def _line(self, text: bytes) -> None:
-        if (word := self._word(text.strip())) is not None:
-            self._heed(word)
-
-    def _word(self, text: bytes) -> DiscoveryMessage | None:
-        """What a line ends: an object lies on one, or, indented, over several. None: nothing yet.
-
-        Raises `Lost` for what can't be read.
-        """
-        if not text:
-            if self.part:
-                raise self._unreadable("an empty line within an object")
-            return None
-        if text.startswith(b"{") and text.endswith(b"}"):
-            try:
-                word = msgspec.json.decode(text, type=DiscoveryMessage)
-            except (msgspec.DecodeError, UnicodeDecodeError):
-                pass  # a part of an object that is indented, or spoilt: told below
-            else:
-                if self.part:
-                    raise self._unreadable("an object within another")
-                return word
-        bare = STRING.sub(b"", text)
-        self.depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
-        self.part += text
-        if len(self.part) > LONGEST_LINE:
-            raise ConnectionLostError("line-too-long")
-        if self.depth > 0:
-            return None
-        whole, self.part, self.depth = self.part, b"", 0
-        try:
-            return msgspec.json.decode(whole, type=DiscoveryMessage)
-        except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise self._unreadable(str(error)) from error
-
-    def _unreadable(self, why: str) -> ConnectionLostError:
-        """The last good list stays in force; the whole of it is asked for again."""
-        self.version = 0
-        self.context.log("list.unreadable", error=why)
-        return ConnectionLostError("unreadable")
-
-    def _heed(self, word: DiscoveryMessage) -> None:
-        if word.version < self.version and not word.full:
-            # Guards against changes out of order putting back what has left: the whole is asked for.
-            self.version = 0
-            raise ConnectionLostError("went-back")
-        self.version = word.version
-        self.context.log("list.news", version=word.version, full=word.full, entries=len(word.servers))
-        self.context.discovery.post(WatchMessage(self, word))
+from .watch import DiscoveryWatch, WatchEndReason
+
+EMPTY_LINE = 2.0  # seconds: discovery writes at least an empty line this often to each watch
+SILENCE_TIMEOUT = 1.5  # times that, without a byte, after which a watch counts as dead
+ANSWER_TIMEOUT = 2.0  # times that, for which a call waits for its turn at discovery
+INITIAL_BACKOFF = 1 / 16  # times that, before a new discovery is called again; doubled each time
+ANEW = 1 / 2  # times that, within which a watch that fell silent is opened again
+REOPEN_ENDED_WITHIN = 1 / 4  # the same for one that ended, after which the lease is shorter
+AGENT = 1 / 4  # times that, for which a call to an agent that pushes the list waits at first; doubled
+UNHEARD = 6.0  # times that, after which a start does without the agent's list
+# The changes that discovery has count as notified 3 times that later, whatever call fails or hangs.
+SECOND_CALL_WITHIN = 11 / 4  # times that, within which two calls begin while none is answered: one may hang
+HANG_THRESHOLD = 5 / 8  # times that, before which an unanswered call does not count as hanging
+FIRST_CALL_WITHIN = SECOND_CALL_WITHIN - HANG_THRESHOLD  # leaves time for one more call
+JITTER = 1 / 4  # times that, by which these come sooner at random, so that not all sidecars call at once
 
 
 class DiscoveryClient(Actor):
-    """Keeps one watch in force, and moves to another discovery when a new configuration names one.
+    """Keeps one watch in use, and moves to another discovery when a new configuration names one.
 
-    While none is answered, two calls begin within `TWICE`, whatever became of those before: one begins beside
-    another only where that hangs, and of the two the first that is answered stays.
+    While none is answered, two calls begin within `SECOND_CALL_WITHIN`, whatever became of those before. The
+    second one begins beside the first only where that hangs; the first to be answered stays.
     """
 
     priority = True
     daemon = True
 
     def __init__(self, context: SidecarContext, known: DiscoveryMessage | None) -> None:
+        """`known`: the list that the configuration gives, which may be old."""
         self.context, self.known = context, known
         self.version = known.version if known else 0
         self.address = context.config.discovery
-        self.current: DiscoveryWatch | None = None  # the one whose word is taken
-        self.coming: DiscoveryWatch | None = (
-            None  # at the address of a new configuration; it has not spoken yet
-        )
-        self.beside: DiscoveryWatch | None = None  # a second call, where the one that is to be answered hangs
-        self.moving = False
-        self.move_at, self.pause = inf, 0.0
-        self.since = inf  # when the call before began, or a watch was last known to be in force
+        self.current: DiscoveryWatch | None = None  # the one in use
+        self.coming: DiscoveryWatch | None = None  # at the address of a new configuration, without a message
+        self.beside: DiscoveryWatch | None = None  # a second call, where the first one hangs
+        self.moving = False  # to the address of a new configuration
+        self.move_at = inf  # when the next call begins after a backoff
+        self.backoff = 0.0
+        self.last_call_at = inf  # when the last call began, or a watch was last known to be in use
         self.due = inf  # when the next call begins at the latest
-        self.hangs = HANGS * EMPTY_LINE  # how long a call has to be without an answer to be taken to hang
-        # Where the list comes unasked it is kept close by, and what is there counts as told at once.
+        self.hangs = HANG_THRESHOLD * EMPTY_LINE  # an unanswered call counts as hanging after this
+        # Where the list is pushed its agent is near by, and its changes count as notified at once.
         self.pushed = not context.balancer_config.must_watch_endpoints
-        self.first = AGENT if self.pushed else PATIENT
-        self.patience = self.first
-        # What pauses between calls grow to; for what is pushed well within the grace, if that is said.
+        self.first = AGENT if self.pushed else ANSWER_TIMEOUT  # the first value of `patience`
+        self.patience = self.first  # times `EMPTY_LINE`: the next call's timeout
+        # For an agent backoffs end well within the grace for drains, where the settings name one.
         grace = context.balancer_config.drain_grace / 4 if self.pushed else 0.0
-        self.longest_pause = min(EMPTY_LINE, grace or EMPTY_LINE)
-        self.without_at = inf  # when what was known is taken for want of a word
+        self.max_backoff = min(EMPTY_LINE, grace or EMPTY_LINE)
+        self.use_known_at = inf  # when the list of the configuration is used for lack of another
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
+        """Handle the messages of watches, of the coordinator and of the signal handler."""
         if self.pushed and self.current is None and self.coming is None:
-            # The list comes unasked: the decisions never ask, so its watch is begun and kept up here.
+            # The decisions never ask for a list that is pushed, so its watch is opened here.
             self._call()
         while True:
-            match (yield min(self.move_at, self.due, self.without_at)):
-                case None if self.loop.now() >= self.without_at:
+            match (yield min(self.move_at, self.due, self.use_known_at)):
+                case None if self.loop.now() >= self.use_known_at:
                     self.context.lease.do_without()
                     self._begin_with(self.known)
                 case None:
@@ -261,165 +87,186 @@
                 case WatchEndpoints() if self.current is None and not self.moving and self.move_at == inf:
                     self._call()
                 case DiscoveryMoved(address):
-                    self._relocated(address)
+                    self._move_to(address)
                 case WatchAnswered(watch):
-                    self._answered(watch)
-                case WatchMessage(watch, word):
-                    self._said(watch, word)
+                    self._watch_answered(watch)
+                case WatchMessage(watch, message):
+                    self._receive_message(watch, message)
                 case WatchEnded(watch):
-                    self._ended(watch)
+                    self._watch_ended(watch)
 
     def begin(self) -> None:
+        """Start the lease, and the decisions with the list of the configuration."""
         self.context.lease.start(self.loop.now())
         if self.pushed and self.known is not None:
-            # Guards against handing off to what has long been told to go: what is there counts as told from
-            # the first moment, so what was known, which may be old, is not begun with while it may yet speak.
-            self.without_at = self.loop.now() + UNHEARD * EMPTY_LINE
+            # The agent's list counts as notified from the first moment. The known list may name endpoints
+            # that have long been drained, so it is not used while the agent may yet answer.
+            self.use_known_at = self.loop.now() + UNHEARD * EMPTY_LINE
             self._begin_with(None)
         else:
             self._begin_with(self.known)
         super().begin()
 
     def _begin_with(self, known: DiscoveryMessage | None) -> None:
-        """What was known last may be old, or nothing; the decisions begin with it."""
+        """Give the decisions a first list: the known one, or an empty one."""
         if known is not None:
-            self.without_at = inf
-        entries = self.context.overrides.listed(True, known.servers if known else [])
+            self.use_known_at = inf
+        entries = self.context.overrides.listed(True, known.endpoints if known else [])
         self.context.coordinator.post(EndpointsChanged(WatchEvent.SNAPSHOT, entries))
 
+    # Calls.
+
     @property
-    def _asked(self) -> DiscoveryWatch | None:
-        """The call that is to be answered. A new discovery is asked while the old watch still serves."""
+    def _pending_watch(self) -> DiscoveryWatch | None:
+        """The call to be answered. A new discovery is called while the old watch is still in use."""
         return self.coming if self.moving else self.current
 
-    def _put(self, watch: DiscoveryWatch | None) -> None:
+    @_pending_watch.setter
+    def _pending_watch(self, watch: DiscoveryWatch | None) -> None:
         if self.moving:
             self.coming = watch
         else:
             self.current = watch
 
-    def _soon(self, times: float) -> float:
-        """So many empty lines, or a little less."""
-        return EMPTY_LINE * (times - SPREAD * self.context.rng.random())
+    def _with_jitter(self, multiple: float) -> float:
+        """Return that multiple of `EMPTY_LINE`, or a little less."""
+        return EMPTY_LINE * (multiple - JITTER * self.context.rng.random())
 
     def _call(self) -> None:
         now = self.loop.now()
-        before, self.since = min(self.since, now), now
+        before, self.last_call_at = min(self.last_call_at, now), now
         self.move_at = inf
-        second = max(before + self._soon(TWICE), now + self.hangs)
-        self.due = min(second, now + self._soon(FIRST))
-        # A new discovery is asked for the whole list: its versions need not be those of the old one.
-        watch = DiscoveryWatch(self.context, self.address, 0 if self.moving else self.version, self.patience)
+        second_call_at = max(before + self._with_jitter(SECOND_CALL_WITHIN), now + self.hangs)
+        self.due = min(second_call_at, now + self._with_jitter(FIRST_CALL_WITHIN))
+        watch = self._new_watch()
         self.context.log("list.call", address=self.address, version=watch.version)
-        if self._asked is None:
-            self._put(watch)
+        if self._pending_watch is None:
+            self._pending_watch = watch
         else:
-            # Guards against what an answer that never comes holds back counting as told meanwhile.
+            # What a hanging call holds back counts as notified meanwhile, so a second one is made.
             self._close(self.beside)
             self.beside = watch
             self.context.log("list.beside", address=self.address)
         watch.begin()
 
+    def _new_watch(self) -> DiscoveryWatch:
+        return DiscoveryWatch(
+            self.context,
+            self.address,
+            # A new discovery is asked for the whole list: its versions need not be those of the old one.
+            version=0 if self.moving else self.version,
+            answer_timeout=EMPTY_LINE * self.patience,
+            silence_timeout=EMPTY_LINE * SILENCE_TIMEOUT,
+        )
+
     def _close(self, watch: DiscoveryWatch | None) -> None:
         if watch is not None:
             watch.post(CLOSE)
 
-    def _answered(self, watch: DiscoveryWatch) -> None:
+    def _move_to(self, address: str) -> None:
+        self.address, self.moving, self.backoff = address, True, INITIAL_BACKOFF * EMPTY_LINE
+        self.last_call_at, self.patience = inf, self.first
+        self.context.lease.move_source(self.loop.now())
+        for watch in (self.coming, self.beside):
+            self._close(watch)
+        self.coming = self.beside = None
+        self._call()
+
+    # What becomes of a call.
+
+    def _watch_answered(self, watch: DiscoveryWatch) -> None:
         if watch is self.beside:
-            self._close(self._asked)
-            self._put(watch)
-        elif watch is self._asked:
+            self._close(self._pending_watch)
+            self._pending_watch = watch
+        elif watch is self._pending_watch:
             self._close(self.beside)
         else:
             return
-        self._waited(watch)
+        self._adapt_hang_threshold(watch)
         self.beside, self.due = None, inf
 
-    def _waited(self, watch: DiscoveryWatch) -> None:
-        """Guards against a discovery that is busy being called twice for it: what waits does not hang."""
-        waited = self.loop.now() - watch.begun_at
-        self.hangs = min(max(HANGS * EMPTY_LINE, 2 * waited), PATIENT * EMPTY_LINE)
-
-    def _relocated(self, address: str) -> None:
-        self.address, self.moving, self.pause = address, True, FIRST_PAUSE * EMPTY_LINE
-        self.since, self.patience = inf, self.first
-        self.context.lease.move_source(self.loop.now())
-        for watch in (self.coming, self.beside):
-            self._close(watch)
-        self.coming = self.beside = None
-        self._call()
+    def _adapt_hang_threshold(self, watch: DiscoveryWatch) -> None:
+        """A call that waits its turn at a busy discovery does not hang: no second one is made beside it."""
+        waited = self.loop.now() - watch.opened_at
+        self.hangs = min(max(HANG_THRESHOLD * EMPTY_LINE, 2 * waited), ANSWER_TIMEOUT * EMPTY_LINE)
 
-    def _said(self, watch: DiscoveryWatch, word: DiscoveryMessage) -> None:
+    def _receive_message(self, watch: DiscoveryWatch, message: DiscoveryMessage) -> None:
         if watch is self.coming:
             self.context.lease.moved_source()
-            # The old watch serves until the new one has spoken.
+            # The old watch stays in use until the first message of the new one.
             before, self.current, self.coming, self.moving = self.current, watch, None, False
             self._close(before)
-        if watch is self.current:
-            self.version, self.pause, self.patience = word.version, 0.0, self.first
-            if not watch.proven:
-                watch.prove()  # it was not in force yet when the line was read
-            if self.without_at < inf and not word.full:
-                self._begin_with(self.known)  # it says what has changed since, be it nothing
-            self.without_at = inf
-            self.context.coordinator.post(
-                EndpointsChanged(word.news, self.context.overrides.listed(word.full, word.servers))
-            )
-
-    def _ended(self, watch: DiscoveryWatch) -> None:
+        if watch is not self.current:
+            return
+        self.version, self.backoff, self.patience = message.version, 0.0, self.first
+        if not watch.has_proven:
+            watch.prove()  # it was not in use yet when the line was read
+        if self.use_known_at < inf and not message.full:
+            self._begin_with(self.known)  # the message tells what changed since, perhaps nothing
+        self.use_known_at = inf
+        entries = self.context.overrides.listed(message.full, message.endpoints)
+        self.context.coordinator.post(EndpointsChanged(message.event, entries))
+
+    def _watch_ended(self, watch: DiscoveryWatch) -> None:
         now = self.loop.now()
-        self._note_lost(watch, now)
-        if watch in (self.beside, self._asked) and (watch.heard or watch.reason == "refused"):
-            # What it has said until then is known, or it could not be reached until then.
-            self.since = watch.read_at if watch.reason == "silent" else now
-            self.due = now + self._soon(FIRST)
-        elif watch in (self.beside, self._asked) and watch.reason != "silent":
-            self._waited(watch)
+        self._update_lease(watch, now)
+        if watch in (self.beside, self._pending_watch):
+            self._schedule_after(watch, now)
         if watch is self.beside:
             self.beside = None
-        elif watch is not self._asked:
+        elif watch is not self._pending_watch:
             if watch is self.current:
                 self.current = None
         elif self.beside is not None:
-            self._put(self.beside)
+            self._pending_watch = self.beside
             self.beside = None
         else:
-            self._put(None)
-            self._again(watch)
-
-    def _note_lost(self, watch: DiscoveryWatch, now: float) -> None:
-        """What the end of a call or a watch says of how long the list may be acted on."""
+            self._pending_watch = None
+            self._reopen(watch)
+
+    def _schedule_after(self, watch: DiscoveryWatch, now: float) -> None:
+        """Set when the next call begins at the latest."""
+        if watch.answered or watch.reason == WatchEndReason.REFUSED:
+            # Its changes until then are known, or discovery could not be reached until then.
+            self.last_call_at = watch.read_at if watch.reason == WatchEndReason.SILENT else now
+            self.due = now + self._with_jitter(FIRST_CALL_WITHIN)
+        elif watch.reason != WatchEndReason.SILENT:
+            self._adapt_hang_threshold(watch)
+
+    def _update_lease(self, watch: DiscoveryWatch, now: float) -> None:
+        """Tell the lease what the end of a call or a watch means for the list."""
         lease = self.context.lease
-        unreachable = watch.reason == "refused" or (self.pushed and watch.reason == "answered-503")
-        if unreachable:
+        busy_agent = self.pushed and watch.reason == WatchEndReason.ANSWERED_503
+        if busy_agent or watch.reason == WatchEndReason.REFUSED:
             lease.miss_source(now)
-        elif watch is self.current and watch.heard:
-            if watch.reason == "silent":
+        elif watch is self.current and watch.answered:
+            if watch.reason == WatchEndReason.SILENT:
                 lease.fall_silent(now)
             else:
-                lease.end_watch(now, reset=watch.reason == "reset")
+                lease.end_watch(now, reset=watch.reason == WatchEndReason.RESET)
         self.context.gate.note_state()
 
-    def _again(self, watch: DiscoveryWatch) -> None:
-        """No call is on its way now."""
+    def _reopen(self, watch: DiscoveryWatch) -> None:
+        """Schedule the next call: none is on its way now."""
         now = self.loop.now()
         if self.moving:
-            # Guards against a new discovery that is not up yet: its word counts as told in seconds.
-            self.move_at = now + self.pause
-            self.pause = min(2 * self.pause, EMPTY_LINE)
+            # The new discovery may not be up yet, but its changes count as notified within seconds.
+            self.move_at = now + self.backoff
+            self.backoff = min(2 * self.backoff, EMPTY_LINE)
             if self.pushed:
-                self.patience = min(2 * self.patience, PATIENT)
+                self.patience = min(2 * self.patience, ANSWER_TIMEOUT)
             return
         self.version = watch.version
         self.context.coordinator.post(EndpointsChanged(WatchEvent.FAILED, []))
         if self.pushed:
-            self.patience = min(2 * self.patience, PATIENT)
-            # Guards against all sidecars calling again in the same moment.
-            self.pause = min(2 * self.pause or FIRST_PAUSE * EMPTY_LINE, self.longest_pause)
-            self.move_at = now + self.pause * (0.5 + self.context.rng.random())
-        elif watch.heard:
-            # Guards against what it misses counting as told while the decisions still spread their calls
-            # over the fleet. A silent watch is found at times spread by themselves; one that ended may have
-            # ended instead of telling.
-            times = ANEW if watch.reason == "silent" else ENDED_ANEW
-            self.move_at = now + times * EMPTY_LINE * self.context.rng.random()
+            self.patience = min(2 * self.patience, ANSWER_TIMEOUT)
+            # Random, so that not all sidecars call again at the same moment.
+            self.backoff = min(2 * self.backoff or INITIAL_BACKOFF * EMPTY_LINE, self.max_backoff)
+            self.move_at = now + self.backoff * (0.5 + self.context.rng.random())
+        elif watch.answered:
+            # The decisions would spread their calls over the fleet's interval, and what is missed until then
+            # would count as notified. A silent watch is found at random times anyway; one that ended may have
+            # ended in place of telling a change.
+            silent = watch.reason == WatchEndReason.SILENT
+            within = ANEW if silent else REOPEN_ENDED_WITHIN
+            self.move_at = now + within * EMPTY_LINE * self.context.rng.random()
--- /dev/null
+++ b/starlingwheel/net/discovery/decoder.py
@@ -0,0 +1,89 @@
+"""Decodes the body of a watch, a stream of JSON objects, into messages.
+
+An object lies on one line or, indented, on several. Empty lines between objects show that the watch is alive.
+"""
+
+from __future__ import annotations
+
+import re
+
+import msgspec
+
+from .messages import DiscoveryMessage
+
+MAX_MESSAGE_SIZE = 4 << 20  # bytes
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
+
+
+class MessageTooLongError(Exception):
+    """A line, or an object over several lines, is longer than `MAX_MESSAGE_SIZE`."""
+
+
+class UnreadableMessageError(Exception):
+    """What came is no message; the text says why."""
+
+
+class MessageDecoder:
+    """Splits the body into lines and joins lines into messages."""
+
+    def __init__(self) -> None:
+        """Nothing has been received yet."""
+        self._line = b""  # the last line, which has not ended yet
+        self._object = b""  # the lines of an object that has not ended yet
+        self._open_brackets = 0  # of that object
+
+    @property
+    def within_object(self) -> bool:
+        """The last complete line does not end an object."""
+        return bool(self._object)
+
+    @property
+    def unread_bytes(self) -> int:
+        """The size of what was received of a message that is not complete."""
+        return len(self._object) + len(self._line)
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Add what was received and return the lines that are now complete.
+
+        Raises `MessageTooLongError`.
+        """
+        *lines, self._line = (self._line + data).split(b"\n")
+        if len(self._line) > MAX_MESSAGE_SIZE:
+            raise MessageTooLongError
+        return lines
+
+    def decode_line(self, line: bytes) -> DiscoveryMessage | None:
+        """Return the message that the line ends, or None where it ends none.
+
+        Raises `UnreadableMessageError` and `MessageTooLongError`.
+        """
+        text = line.strip()
+        if not text:
+            if self._object:
+                raise UnreadableMessageError("an empty line within an object")
+            return None
+        if text.startswith(b"{") and text.endswith(b"}"):
+            try:
+                message = msgspec.json.decode(text, type=DiscoveryMessage)
+            except (msgspec.DecodeError, UnicodeDecodeError):
+                pass  # a part of an indented object, or unreadable: found out below
+            else:
+                if self._object:
+                    raise UnreadableMessageError("an object within another")
+                return message
+        return self._continue_object(text)
+
+    def _continue_object(self, text: bytes) -> DiscoveryMessage | None:
+        outside_strings = JSON_STRING.sub(b"", text)
+        self._open_brackets += outside_strings.count(b"{") + outside_strings.count(b"[")
+        self._open_brackets -= outside_strings.count(b"}") + outside_strings.count(b"]")
+        self._object += text
+        if len(self._object) > MAX_MESSAGE_SIZE:
+            raise MessageTooLongError
+        if self._open_brackets > 0:
+            return None
+        complete, self._object, self._open_brackets = self._object, b"", 0
+        try:
+            return msgspec.json.decode(complete, type=DiscoveryMessage)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            raise UnreadableMessageError(str(error)) from error
--- a/starlingwheel/net/discovery/messages.py
+++ b/starlingwheel/net/discovery/messages.py
@@ -1,4 +1,7 @@
-"""What discovery says: the entries of the list, and one line of a watch."""
+"""The JSON of discovery: an entry of the endpoint list, and one message of a watch.
+
+The only module that knows discovery's field names and state names.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,15 @@
 from ...decisions.events import WatchEvent
 from ...decisions.model import Endpoint, EndpointState
 
-CONDITIONS = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
+ENDPOINT_STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
 
 
 class DiscoveredEndpoint(msgspec.Struct, frozen=True):
-    """One upstream as discovery gives it."""
+    """One entry of the endpoint list."""
 
     id: str
     addr: str = ""
@@ -21,27 +28,31 @@
     cell: int = 0
     state: Literal["active", "leaving", "left"] = "active"
     weight: float = 1.0
-    started_ms: float | None = 0
+    started_ms: float | None = 0  # milliseconds since 1970; 0 or null: unknown
 
     def listing(self) -> Endpoint:
-        # The id is the same at every sidecar, the address is not: the decisions know the id alone.
+        """Return the entry as the decisions take it.
+
+        It has no address: addresses differ from sidecar to sidecar, and decisions know endpoints by id.
+        """
         return Endpoint(
             endpoint_id=self.id,
             zone=self.zone,
             cell=self.cell,
             capacity_weight=self.weight,
             started_at=self.started_ms / 1000 if self.started_ms else None,
-            state=CONDITIONS[self.state],
+            state=ENDPOINT_STATES[self.state],
         )
 
 
 class DiscoveryMessage(msgspec.Struct, frozen=True):
-    """One line of a watch."""
+    """One message of a watch: the whole list, or the entries that changed."""
 
     version: int
     full: bool = False
-    servers: list[DiscoveredEndpoint] = []
+    endpoints: list[DiscoveredEndpoint] = msgspec.field(default_factory=list, name="servers")
 
     @property
-    def news(self) -> WatchEvent:
+    def event(self) -> WatchEvent:
+        """What kind of change the message is."""
         return WatchEvent.SNAPSHOT if self.full else WatchEvent.DELTA
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -22,7 +22,7 @@
 
 from fakes.loopback import free_address
 from starlingwheel.net.address import split
-from starlingwheel.net.discovery import client as discovery
+from starlingwheel.net.discovery import watch as discovery_watch
 from starlingwheel.net.http.stream import ConnectionLostError
 from starlingwheel.net.lifecycle.config import load_config
 from starlingwheel.net.lifecycle.sidecar import Sidecar
@@ -145,8 +145,10 @@
         self.loop.now = lambda: self.now
         self.path = tmp_path / "config.json"
         monkeypatch.setattr("starlingwheel.net.context.Loop", lambda _: self.loop)
-        monkeypatch.setattr(discovery, "connect", lambda address: self.places[address].connect(self.calling))
-        monkeypatch.setattr(discovery.DiscoveryWatch, "begin", lambda watch: self.begin(watch))
+        monkeypatch.setattr(
+            discovery_watch, "connect", lambda address: self.places[address].connect(self.calling)
+        )
+        monkeypatch.setattr(discovery_watch.DiscoveryWatch, "begin", lambda watch: self.begin(watch))
 
     def defect(self, actor, error):
         raise error
