--- a/starlingwheel/net/admin/__init__.py
+++ b/starlingwheel/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin address: operators' calls over HTTP/1.1."""
+"""The admin address: HTTP calls by which operators inspect and change one sidecar."""
--- /dev/null
+++ b/starlingwheel/net/admin/call.py
@@ -0,0 +1,174 @@
+"""One admin call: reads one HTTP/1.1 request, runs its handler, writes the response and closes.
+
+Owns the connection of the call. Times are seconds on the loop's clock.
+"""
+
+from __future__ import annotations
+
+import socket
+from http import HTTPStatus
+from typing import Protocol
+
+import h11
+
+from ..actor import Actor, Coroutine
+from ..context import SidecarContext
+from ..http.stream import ConnectionLostError, Stream, two_lengths
+from ..loop import READ, WRITE
+from ..messages import CLOSE
+from ..state.overrides import OverridesLockedError
+from .routes import MAX_BODY_SIZE, AdminResult, AdminRoute, CallRejectedError
+
+READ_TIMEOUT = 2.0  # seconds within which a call has to be complete
+RESPONSE_TIMEOUT = 1.0  # seconds within which a response is due
+HANDLER_TIMEOUT = 0.9 * RESPONSE_TIMEOUT  # leaves time to write the response
+LOCK_RETRY_INTERVAL = RESPONSE_TIMEOUT / 100
+CLOSE_TIMEOUT = READ_TIMEOUT / 4  # seconds for which the other side may take to close
+MAX_DISCARDED = 4096  # bytes read and discarded after the response
+
+
+class CallOwner(Protocol):
+    """What a call needs of the listener that accepted it."""
+
+    calls: dict[AdminCall, None]  # the open calls; those first in it are closed first to make room
+    routes: dict[bytes, AdminRoute]
+
+
+class AdminCall(Actor):
+    """One connection of an operator: one call, read, handled and answered."""
+
+    priority = True
+
+    def __init__(self, context: SidecarContext, listener: CallOwner, sock: socket.socket) -> None:
+        """Take over an accepted connection."""
+        self.context, self.listener = context, listener
+        self.stream = Stream(context.loop, self, sock, h11.SERVER, context.buffer_pool)
+        listener.calls[self] = None
+        super().__init__(context.loop)
+
+    def run(self) -> Coroutine[None]:
+        """Serve the call; log it, or that its caller has gone."""
+        target = ""
+        opened_at = self.loop.now()
+        try:
+            endpoint_id, reason, body = "", "", b""
+            status: int = HTTPStatus.OK
+            try:
+                request, request_body = yield from self._read(opened_at + READ_TIMEOUT)
+                target = f"{request.method.decode()} {request.target.decode('latin-1')}"
+                endpoint_id, body = yield from self._handle(request, request_body)
+            except CallRejectedError as rejected:
+                status, reason, body = rejected.status, rejected.reason, rejected.body
+            self._log(target, endpoint_id, status, reason, opened_at)
+            yield from self._write(status, body)
+        except ConnectionLostError as lost:
+            self.context.log("operator.left", call=target, reason=str(lost))
+        except GeneratorExit:
+            pass
+        finally:
+            self.listener.calls.pop(self, None)
+            self.stream.close()
+
+    def _log(self, target: str, endpoint_id: str, status: int, reason: str, opened_at: float) -> None:
+        self.context.log(
+            "operator.call",
+            call=target,
+            id=endpoint_id,
+            status=status,
+            reason=reason,
+            took_ms=round((self.loop.now() - opened_at) * 1000, 1),
+        )
+
+    # The request.
+
+    def _read(self, until: float) -> Coroutine[tuple[h11.Request, bytes]]:
+        request, body = None, b""
+        self.stream.want(READ)
+        while True:
+            event = self._next_event()
+            if isinstance(event, h11.Request):
+                request = event
+                if two_lengths(event.headers):
+                    raise CallRejectedError(HTTPStatus.BAD_REQUEST, "two lengths")
+            elif isinstance(event, h11.Data) and request is not None:
+                body += bytes(event.data)
+                self._check_body_size(request, body)
+            elif isinstance(event, h11.EndOfMessage) and request is not None:
+                if self.stream.http.trailing_data[0].strip():
+                    raise CallRejectedError(HTTPStatus.BAD_REQUEST, "more than one call")
+                return request, body
+            elif isinstance(event, h11.ConnectionClosed):
+                raise ConnectionLostError("caller-left")
+            else:
+                yield from self._receive(until, begun=request is not None)
+
+    def _next_event(self) -> object:
+        try:
+            return self.stream.event()
+        except ConnectionLostError as lost:
+            raise CallRejectedError(HTTPStatus.BAD_REQUEST, str(lost)) from lost
+
+    def _check_body_size(self, request: h11.Request, body: bytes) -> None:
+        route = self.listener.routes.get(_path(request))
+        if len(body) > (route.max_body_size if route else MAX_BODY_SIZE):
+            raise CallRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too long")
+
+    def _receive(self, until: float, begun: bool) -> Coroutine[None]:
+        """Wait for more of the request, `until` at the latest."""
+        self.stream.invite()
+        message = yield until
+        if message is CLOSE:
+            raise ConnectionLostError("not-needed")
+        if message is None:
+            raise CallRejectedError(HTTPStatus.REQUEST_TIMEOUT, "half a call" if begun else "no call")
+        self.stream.read()
+
+    # The response.
+
+    def _handle(self, request: h11.Request, body: bytes) -> Coroutine[AdminResult]:
+        """Run the handler, again while another process holds the file of the overrides."""
+        until = self.loop.now() + HANDLER_TIMEOUT
+        route = self._route(request)
+        while True:
+            try:
+                result = route.handler(self.context, body)
+                return result if isinstance(result, tuple) else (yield from result)
+            except OverridesLockedError:
+                # Waits by the loop, which has to go on running meanwhile.
+                if self.loop.now() >= until:
+                    reason = "the other process holds the file"
+                    raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, reason) from None
+                yield self.loop.now() + LOCK_RETRY_INTERVAL
+            except OSError as error:
+                reason = f"not written: {error.strerror}"
+                raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, reason) from error
+
+    def _route(self, request: h11.Request) -> AdminRoute:
+        route = self.listener.routes.get(_path(request))
+        if route is None:
+            raise CallRejectedError(HTTPStatus.NOT_FOUND, "unknown path")
+        if request.method != route.method:
+            raise CallRejectedError(HTTPStatus.METHOD_NOT_ALLOWED, "wrong method")
+        return route
+
+    def _write(self, status: int, body: bytes) -> Coroutine[None]:
+        if self.stream.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+            return  # what came was not HTTP at all, and h11 has nothing to answer to
+        headers = [(b"Content-Length", str(len(body)).encode()), (b"Connection", b"close")]
+        self.stream.put(h11.Response(status_code=status, headers=headers))
+        if body:
+            self.stream.put(h11.Data(data=body))
+        self.stream.put(h11.EndOfMessage())
+        until = self.loop.now() + RESPONSE_TIMEOUT
+        while not self.stream.write():
+            self.stream.want(WRITE)
+            if (yield until) is None:
+                raise ConnectionLostError("slow-reader")
+        # Answered: it is closed to make room before those that have not called yet.
+        self.listener.calls.pop(self, None)
+        self.listener.calls = {self: None, **self.listener.calls}
+        yield from self.stream.finish(self.loop.now() + CLOSE_TIMEOUT, MAX_DISCARDED)
+
+
+def _path(request: h11.Request) -> bytes:
+    return bytes(request.target).partition(b"?")[0]
--- /dev/null
+++ b/starlingwheel/net/admin/routes.py
@@ -0,0 +1,95 @@
+"""What the admin address offers: each path with its method and its handler.
+
+The only module that knows the paths and the JSON of the calls of one sidecar; `net/fleet/admin.py` adds those
+of a fleet.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Any, NamedTuple
+
+import msgspec
+
+from ..actor import Coroutine
+from ..context import SidecarContext
+
+MAX_BODY_SIZE = 4096  # bytes
+AdminResult = tuple[str, bytes]  # the id that a call names, for the log, and the body of its response
+AdminHandler = Callable[[SidecarContext, bytes], AdminResult | Coroutine[AdminResult]]
+
+
+class EndpointName(msgspec.Struct):
+    """The body of a call about one endpoint."""
+
+    id: str
+
+
+class CallRejectedError(Exception):
+    """The call is answered with an error."""
+
+    def __init__(self, status: int, reason: str, body: bytes = b"") -> None:
+        """`reason`: for the log. `body`: of the response."""
+        self.status, self.reason, self.body = status, reason, body
+
+
+class AdminRoute(NamedTuple):
+    """One path. `handler` may wait: it then yields the time until which it waits, as an actor does."""
+
+    method: bytes
+    handler: AdminHandler
+    max_body_size: int = MAX_BODY_SIZE  # bytes
+
+
+def named(body: bytes) -> str:
+    """Return the id that the body of a call names; raises `CallRejectedError`."""
+    try:
+        name = msgspec.json.decode(body, type=EndpointName).id
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise CallRejectedError(HTTPStatus.BAD_REQUEST, str(error)) from error
+    if not name:
+        raise CallRejectedError(HTTPStatus.BAD_REQUEST, "id is empty")
+    return name
+
+
+def _ready(context: SidecarContext, body: bytes) -> AdminResult:
+    if not context.accepts_clients:
+        raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, "no list yet, or stopping")
+    return "", b""
+
+
+def _detach(context: SidecarContext, body: bytes) -> AdminResult:
+    return _override(context, named(body), context.overrides.take_out)
+
+
+def _attach(context: SidecarContext, body: bytes) -> AdminResult:
+    return _override(context, named(body), context.overrides.put_back)
+
+
+def _override(
+    context: SidecarContext, endpoint_id: str, change: Callable[[str], list[Any] | None]
+) -> AdminResult:
+    changed = change(endpoint_id)
+    if changed is None:
+        raise CallRejectedError(HTTPStatus.NOT_FOUND, f"{endpoint_id!r} was never listed")
+    context.overrides_changed(changed)
+    return endpoint_id, b""
+
+
+def _set_draining(on: bool) -> AdminHandler:
+    def handle(context: SidecarContext, body: bytes) -> AdminResult:
+        context.overrides.lameduck(on)
+        context.overrides_changed([])
+        return "", b""
+
+    return handle
+
+
+ROUTES = {
+    b"/_ready": AdminRoute(b"GET", _ready),
+    b"/_upstreams/detach": AdminRoute(b"PUT", _detach),
+    b"/_upstreams/attach": AdminRoute(b"PUT", _attach),
+    b"/_lameduck/on": AdminRoute(b"PUT", _set_draining(True)),
+    b"/_lameduck/off": AdminRoute(b"PUT", _set_draining(False)),
+}
--- a/starlingwheel/net/gossip/socket.py
+++ b/starlingwheel/net/gossip/socket.py
@@ -1,4 +1,4 @@
-"""Datagrams between sidecars: one actor for the socket, one for each peer."""
+"""Datagrams between sidecars: one actor owns the socket, one for each peer filters what it sends."""
 
 from __future__ import annotations
 
@@ -10,62 +10,70 @@
 from ..loop import READ
 from ..messages import GossipReceived
 
-LONGEST = 256
-AT_ONCE = 64  # datagrams read in one turn; the others wait in the kernel's buffer, or are dropped there
+MAX_DATAGRAM_SIZE = 256  # bytes
+MAX_DATAGRAMS_PER_TURN = 64  # the others wait in the kernel's buffer, or are dropped there
 
 
 class GossipPeer(Actor):
-    """One other sidecar: passes on what it says, as long as that can be what a sidecar says."""
+    """One other sidecar: passes on its datagrams, where their size is one that a sidecar may send."""
 
     daemon = True
 
     def __init__(self, context: SidecarContext, number: int) -> None:
+        """`number`: the peer's index among the sidecars."""
         self.context, self.number = context, number
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
+        """Receive datagrams from the socket's actor."""
         while True:
             body = yield None
-            if 0 < len(body) <= LONGEST:
+            if 0 < len(body) <= MAX_DATAGRAM_SIZE:
                 self.context.coordinator.post(GossipReceived(self.number, body))
 
 
 class GossipSocket(Actor):
+    """Receives the peers' datagrams and sends this sidecar's own."""
+
     daemon = True
 
     def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
+        """`sock` is bound already."""
         self.context, self.sock = context, sock
         self.peers: dict[tuple[str, int], GossipPeer] = {}
         for number, address in enumerate(context.config.peers):
             if number != context.balancer_config.sidecar_index:
                 self.peers[split(address)] = GossipPeer(context, number)
-        self.all = split(context.config.peers_all) if context.config.peers_all else None
+        self.broadcast_address = split(context.config.peers_all) if context.config.peers_all else None
         sock.setblocking(False)
         context.loop.register(sock.fileno(), self, READ)
         super().__init__(context.loop)
 
     def begin(self) -> None:
+        """Start the peers' actors and this one."""
         for peer in self.peers.values():
             peer.begin()
         super().begin()
 
     def run(self) -> Coroutine[None]:
+        """Read datagrams when the socket has some."""
         while True:
             yield None
-            # Guards against a flood: what the decisions can't keep up with is left to the kernel to drop.
-            for _ in range(max(0, AT_ONCE - len(self.context.coordinator.mailbox))):
+            # In a flood, what the decisions can't keep up with is left to the kernel to drop.
+            for _ in range(max(0, MAX_DATAGRAMS_PER_TURN - len(self.context.coordinator.mailbox))):
                 try:
-                    body, sender = self.sock.recvfrom(LONGEST + 1)
+                    body, sender = self.sock.recvfrom(MAX_DATAGRAM_SIZE + 1)
                 except OSError:
                     break
-                # Guards against strangers, and against hearing oneself.
+                # Datagrams of strangers, and this sidecar's own, are ignored.
                 if peer := self.peers.get(sender):
                     peer.post(body)
 
     def tell(self, body: bytes) -> None:
-        if self.all is None or len(body) > LONGEST:
+        """Send a datagram to all peers; one that can't be sent is logged and lost."""
+        if self.broadcast_address is None or len(body) > MAX_DATAGRAM_SIZE:
             return
         try:
-            self.sock.sendto(body, self.all)
+            self.sock.sendto(body, self.broadcast_address)
         except OSError as error:
             self.context.log("tell.failed", error=str(error))
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -18,7 +18,7 @@
 from starlingwheel.net.address import split
 from starlingwheel.net.discovery import client as discovery
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
-from starlingwheel.net.lifecycle.log import MOST, EventLog
+from starlingwheel.net.lifecycle.log import MAX_BUFFERED, EventLog
 from starlingwheel.net.loop import READ, Loop
 from starlingwheel.net.messages import STOP
 
@@ -425,11 +425,11 @@
 def test_a_slow_reader_of_the_log_costs_lines_and_never_the_loop():
     reader, writer = os.pipe()
     log = EventLog(time.time, writer)
-    for n in range(2 * MOST // 100):
+    for n in range(2 * MAX_BUFFERED // 100):
         log("line", n=n, more="x" * 100)
         log.flush()
-    assert log.lost and log.held <= MOST
-    while log.held:
+    assert log.lost_lines and log.buffered_bytes <= MAX_BUFFERED
+    while log.buffered_bytes:
         os.read(reader, 65536)
         log.flush()
     log.flush()
