--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -1,4 +1,7 @@
-"""The configuration: what a sidecar is told by the file that EDGE_CONFIG names."""
+"""The configuration file of a sidecar, named by EDGE_CONFIG: read at the start and again at a reload.
+
+`settings.py` decodes the part that the decisions follow.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,28 @@
 from ..address import split
 from ..discovery.messages import DiscoveryMessage
 
+START_ONLY = {"seed", "known"}  # used by the start alone: a reload does not compare them
+# Fields from which sockets, peers and background tasks are made at the start.
+FIXED_AT_START = (
+    "must_watch_endpoints",
+    "streams_per_connection",
+    "sidecar_index",
+    "sidecars",
+    "gossip_allowed",
+)
+REQUIRED_CLASS_NUMBERS = ("dueTime", "expiry")
+
 
 class Limits(msgspec.Struct, frozen=True):
+    """What the process may use."""
+
     cores: float = 1.0
     memory_mb: float = 192
     sockets: int = 1024
 
 
 class SidecarConfig(msgspec.Struct, frozen=True):
-    """What a sidecar is told before its start."""
+    """The configuration file."""
 
     listen: str
     discovery: str
@@ -34,32 +50,61 @@
     peers_all: str = ""
     known: DiscoveryMessage | None = None
     mgmt: str = ""
-    fleet: Any = None  # as given; fleet/config.py knows what it may say
+    fleet: Any = None  # as in the file, then as `fleet.config.decode` returns it
     named: frozenset[str] = frozenset()  # the keys that the file has
 
 
 class ConfigError(Exception):
-    """The start can't be made; names file and field."""
+    """The configuration can't be used; the text names file and field."""
 
 
 def load_config(environment: Mapping[str, str]) -> tuple[SidecarConfig, BalancerConfig]:
+    """Read the configuration for a start; raises `ConfigError`."""
     config = _read(environment)
-    return _whole(config, environment["EDGE_CONFIG"])
+    return _decode_parts(config, environment["EDGE_CONFIG"])
 
 
-def _whole(config: SidecarConfig, path: str) -> tuple[SidecarConfig, BalancerConfig]:
-    terms = balancer_config_of(config, path)
-    if config.fleet is not None:
-        if not config.name:
-            raise ConfigError(f"{path}: name: missing; members of a fleet are told apart by it")
-        from ...fleet.config import decode  # costs a start without it no import
+def reload_config(
+    environment: Mapping[str, str], before: SidecarConfig
+) -> tuple[SidecarConfig, BalancerConfig]:
+    """Read the configuration again, if it can take the place of `before`; raises `ConfigError`.
+
+    The file may be half written or half edited: it must have every key that it had before, so that no absence
+    is taken for a default.
+    """
+    config, path = _read(environment), environment["EDGE_CONFIG"]
+    try:
+        _check_complete(before, config, path)
+    except (TypeError, AttributeError) as error:
+        raise ConfigError(f"{path}: settings: {error}") from error
+    return _decode_parts(config, path)
 
-        try:
-            part = decode(config.fleet, [c.name for c in terms.request_classes], terms.streams_per_connection)
-        except ValueError as error:
-            raise ConfigError(f"{path}: {error}") from error
-        config = msgspec.structs.replace(config, fleet=part)
-    return config, terms
+
+def balancer_config_of(config: SidecarConfig, path: str) -> BalancerConfig:
+    """Decode the settings; raises `ConfigError`, which names the key and, as the file, `path`."""
+    try:
+        settings.validate(config.settings)
+        balancer_config = settings.balancer_config(config.settings)
+        if not balancer_config.request_classes or not all(
+            c.latency_objective > 0 and c.timeout > 0 for c in balancer_config.request_classes
+        ):
+            raise msgspec.ValidationError("categories: none, or one without dueTime or expiry")
+    except (msgspec.ValidationError, TypeError) as error:
+        raise ConfigError(f"{path}: settings: {error}") from error
+    # A sidecar whose settings don't say how the endpoint list comes watches it.
+    must_watch = config.settings.get("discovery", "ask") == "ask"
+    return msgspec.structs.replace(balancer_config, must_watch_endpoints=must_watch)
+
+
+def keep_start_only_fields(
+    balancer_config: BalancerConfig, before: BalancerConfig
+) -> tuple[BalancerConfig, list[str]]:
+    """Return the configuration as far as a running process can follow it, and the names of the fields for
+    which it needs a restart.
+    """
+    fixed = {name: getattr(before, name) for name in FIXED_AT_START}
+    changed = [name for name, value in fixed.items() if getattr(balancer_config, name) != value]
+    return msgspec.structs.replace(balancer_config, **fixed), changed
 
 
 def _read(environment: Mapping[str, str]) -> SidecarConfig:
@@ -79,93 +124,70 @@
     return config
 
 
-def balancer_config_of(config: SidecarConfig, path: str) -> BalancerConfig:
-    """Raises `Unusable`, the key named, for settings that nobody can follow."""
-    try:
-        settings.check(config.settings)
-        terms = settings.terms(config.settings)
-        if not terms.request_classes or not all(
-            c.latency_objective > 0 and c.timeout > 0 for c in terms.request_classes
-        ):
-            raise msgspec.ValidationError("categories: none, or one without dueTime or expiry")
-    except (msgspec.ValidationError, TypeError) as error:
-        raise ConfigError(f"{path}: settings: {error}") from error
-    # A sidecar whose settings don't say how the list comes asks for it.
-    asks = config.settings.get("discovery", "ask") == "ask"
-    return msgspec.structs.replace(terms, must_watch_endpoints=asks)
-
+def _decode_parts(config: SidecarConfig, path: str) -> tuple[SidecarConfig, BalancerConfig]:
+    balancer_config = balancer_config_of(config, path)
+    if config.fleet is not None:
+        if not config.name:
+            raise ConfigError(f"{path}: name: missing; members of a fleet are told apart by it")
+        config = msgspec.structs.replace(config, fleet=_decode_fleet(config, balancer_config, path))
+    return config, balancer_config
 
-def keep_start_only_fields(terms: BalancerConfig, before: BalancerConfig) -> tuple[BalancerConfig, list[str]]:
-    """Those terms as far as a process can take them over, and the names of what needs a restart."""
-    held = {name: getattr(before, name) for name in FIXED_AT_START}
-    changed = [name for name, value in held.items() if getattr(terms, name) != value]
-    return msgspec.structs.replace(terms, **held), changed
 
+def _decode_fleet(config: SidecarConfig, balancer_config: BalancerConfig, path: str) -> object:
+    from ...fleet.config import decode  # here, so that a start without a fleet does not load it
 
-START_ONLY = {"seed", "known"}  # for the next start: new each time, and of no use to one that has its list
-# Terms that sockets, peers and standing chores were made from at the start.
-FIXED_AT_START = (
-    "must_watch_endpoints",
-    "streams_per_connection",
-    "sidecar_index",
-    "sidecars",
-    "gossip_allowed",
-)
-NUMBERS = ("dueTime", "expiry")
-
+    class_names = [c.name for c in balancer_config.request_classes]
+    try:
+        return decode(config.fleet, class_names, balancer_config.streams_per_connection)
+    except ValueError as error:
+        raise ConfigError(f"{path}: {error}") from error
 
-def reload_config(
-    environment: Mapping[str, str], before: SidecarConfig
-) -> tuple[SidecarConfig, BalancerConfig]:
-    """The configuration as the file has it now, if that can take the place of the one in force.
 
-    Guards against a file that is half written or half edited: what was named before is named again, and no
-    absence takes a meaning.
-    """
-    config, path = _read(environment), environment["EDGE_CONFIG"]
-    try:
-        _complete(before, config, path)
-    except (TypeError, AttributeError) as error:
-        raise ConfigError(f"{path}: settings: {error}") from error
-    return _whole(config, path)
+# What a reload checks.
 
 
-def _complete(before: SidecarConfig, config: SidecarConfig, path: str) -> None:
+def _check_complete(before: SidecarConfig, config: SidecarConfig, path: str) -> None:
     missing = [*sorted(before.named - config.named - START_ONLY)]
-    missing += [f"settings.{key}" for key in _missing(before.settings, config.settings)]
+    missing += [f"settings.{key}" for key in _missing_keys(before.settings, config.settings)]
     if missing:
         raise ConfigError(f"{path}: missing: {', '.join(missing)}")
-    for key, value in _numbers(config.settings):
-        if (
-            isinstance(value, bool)
-            or not isinstance(value, int | float)
-            or not (isfinite(value) and value > 0)
-        ):
+    for key, value in _required_numbers(config.settings):
+        if not _is_positive_number(value):
             raise ConfigError(f"{path}: settings.{key}: {value!r} is no positive number")
 
 
-def _missing(before: Any, now: Any) -> Iterator[str]:
+def _is_positive_number(value: object) -> bool:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        return False
+    return isfinite(value) and value > 0
+
+
+def _missing_keys(before: dict[str, Any], now: dict[str, Any]) -> Iterator[str]:
     for key, value in before.items():
         given = now.get(key)
         if given is None and value is not None:
             yield key
         elif isinstance(value, dict):
-            yield from (
-                f"{key}.{inner}" for inner in _missing(value, given if isinstance(given, dict) else {})
-            )
+            inner_keys = _missing_keys(value, given if isinstance(given, dict) else {})
+            yield from (f"{key}.{inner}" for inner in inner_keys)
         elif value and isinstance(value, list) and all(isinstance(one, dict) for one in value):
-            # What each of a list had, such as a category's deadline, each has.
-            common = set.intersection(*(set(one) for one in value))
-            for place, one in enumerate(given if isinstance(given, list) else []):
-                has = {k for k, v in one.items() if v is not None} if isinstance(one, dict) else set()
-                for inner in sorted(common - has):
-                    yield f"{key}[{place}].{inner}"
-
-
-def _numbers(settings: dict[str, Any]) -> Iterator[tuple[str, Any]]:
-    for place, category in enumerate(settings.get("categories", [])):
-        if isinstance(category, dict):
-            yield from ((f"categories[{place}].{key}", category.get(key)) for key in NUMBERS)
+            yield from _missing_in_list(key, value, given if isinstance(given, list) else [])
+
+
+def _missing_in_list(key: str, before: list[dict[str, Any]], now: list[object]) -> Iterator[str]:
+    """What each entry of a list had, such as the deadline of a request class, each entry must have."""
+    common = set.intersection(*(set(entry) for entry in before))
+    for index, entry in enumerate(now):
+        present = {k for k, v in entry.items() if v is not None} if isinstance(entry, dict) else set()
+        for inner in sorted(common - present):
+            yield f"{key}[{index}].{inner}"
+
+
+def _required_numbers(settings: dict[str, Any]) -> Iterator[tuple[str, object]]:
+    for index, request_class in enumerate(settings.get("categories", [])):
+        if isinstance(request_class, dict):
+            for key in REQUIRED_CLASS_NUMBERS:
+                yield f"categories[{index}].{key}", request_class.get(key)
     caps = settings.get("caps") or {}
     if "mostHandOffs" in caps:
         yield "caps.mostHandOffs", caps["mostHandOffs"]
--- a/starlingwheel/settings.py
+++ b/starlingwheel/settings.py
@@ -1,15 +1,22 @@
-"""The settings that a sidecar is given, in our words; the simulator's wire and a real sidecar share them."""
+"""Decodes the settings of a sidecar, JSON with keys given from outside, into a `BalancerConfig`.
+
+The only module that knows these keys; the simulator adapter and the real sidecar share it. Durations in the
+settings are microseconds, those of `BalancerConfig` seconds.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 
 from .decisions.config import BalancerConfig
 
-EFFECTS = {"free": "rerunnable", "guarded": "ticketed", "single_shot": "exclusive"}
+T = TypeVar("T")
+
+RETRY_SAFETY = {"free": "rerunnable", "guarded": "ticketed", "single_shot": "exclusive"}
+# Figures of a load report: the name on the wire, and the one of the decisions.
 REPORTED = {
     "busy_reqs": "held",
     "inflight": "held",
@@ -24,105 +31,117 @@
     "svc_ms": "service",
     "latency_ms": "service",
 }
-SCALE = {"service": 1e-3}  # seconds, where the wire has others
-
+SCALE = {"service": 1e-3}  # from the wire's unit, milliseconds, to seconds
+MICROSECONDS_PER_SECOND = 1e6
 
-WORDS = {
+# What `validate` checks, by key; a dot separates a table from a key in it.
+ENUMERATED_KEYS = {
     "discovery": ("ask", "push"),
     "weightKind": ("off", "nominal", "rough", "live"),
     "loadReport.how": ("off", "inline", "on_probe"),
 }
-FLAGS = ("caps.probing", "caps.peers", "caps.cancel", "caps.mayDuplicate", "caps.retryAfter")
-PRICES = ("charges.crossZone", "charges.handshake", "charges.connection", "charges.probe", "charges.peer")
-WHOLE = {"caps.streamsPerConn": 1, "caps.mostHandOffs": 1, "replicasOfMe": 1, "slotNo": 0}
+BOOLEAN_KEYS = ("caps.probing", "caps.peers", "caps.cancel", "caps.mayDuplicate", "caps.retryAfter")
+PRICE_KEYS = (
+    "charges.crossZone",
+    "charges.handshake",
+    "charges.connection",
+    "charges.probe",
+    "charges.peer",
+)
+INTEGER_KEYS = {"caps.streamsPerConn": 1, "caps.mostHandOffs": 1, "replicasOfMe": 1, "slotNo": 0}  # minimum
 
 
-def check(given: dict[str, Any]) -> None:
-    """Raises `msgspec.ValidationError`, the key named, for wrong types and unknown words.
+# Checks.
 
-    Only the program checks: the simulator's wire is taken as it comes.
+
+def validate(given: dict[str, Any]) -> None:
+    """Check types and enumerated values; raises `msgspec.ValidationError`, which names the key.
+
+    Only a real sidecar checks: the simulator's settings are taken as they come.
     """
-    for key, words in WORDS.items():
-        if (value := _value(given, key)) is not None and value not in words:
-            raise msgspec.ValidationError(f"{key}: {value!r} is none of {', '.join(words)}")
-    for key in FLAGS:
+    for key, allowed in ENUMERATED_KEYS.items():
+        value = _value(given, key)
+        if value is not None and value not in allowed:
+            raise msgspec.ValidationError(f"{key}: {value!r} is none of {', '.join(allowed)}")
+    for key in BOOLEAN_KEYS:
         if not isinstance(_value(given, key), bool | None):
             raise msgspec.ValidationError(f"{key}: not true or false")
-    for key in PRICES:
+    for key in PRICE_KEYS:
         value = _value(given, key)
-        if value is not None and (isinstance(value, bool) or not isinstance(value, int | float) or value < 0):
+        if value is not None and (not _is_number(value) or value < 0):
             raise msgspec.ValidationError(f"{key}: not a price")
-    for key, least in WHOLE.items():
+    for key, minimum in INTEGER_KEYS.items():
         value = _value(given, key)
-        if value is not None and (type(value) is not int or value < least):
-            raise msgspec.ValidationError(f"{key}: not a whole number from {least}")
+        if value is not None and (type(value) is not int or value < minimum):
+            raise msgspec.ValidationError(f"{key}: not a whole number from {minimum}")
     columns = _value(given, "loadReport.columns")
     if columns is not None and not (isinstance(columns, list) and all(isinstance(c, str) for c in columns)):
         raise msgspec.ValidationError("loadReport.columns: not a list of names")
 
 
 def mixed(given: dict[str, Any]) -> Iterator[tuple[str, str]]:
-    """What looks like two kinds of deployment in one: the key that stands out, and why.
+    """Yield the keys that contradict others, each with the reason.
 
-    All of it can be followed, each setting by what it says, so it is told and never refused: a deployment may
-    well name a price for what it does not allow.
+    They look like two kinds of deployment in one. Each setting can be followed as it stands, so they are
+    logged and never rejected: a deployment may well name a price for what it does not allow.
     """
-    probing, streams = _value(given, "caps.probing", False), _value(given, "caps.streamsPerConn", 1)
-    live, how = _value(given, "weightKind") == "live", _value(given, "loadReport.how")
-    if _value(given, "discovery", "ask") == "ask":
+    health_checks = _value_or(given, "caps.probing", False)
+    streams = _value_or(given, "caps.streamsPerConn", 1)
+    weights_are_live = _value(given, "weightKind") == "live"
+    if _value_or(given, "discovery", "ask") == "ask":
         if streams > 1:
             yield (
                 "caps.streamsPerConn",
                 f"{streams}, where the list is asked for a connection carries one work item",
             )
-        if live:
+        if weights_are_live:
             yield "weightKind", "live, where the list is asked for weights would be older than what they tell"
-    if live and probing:
+    if weights_are_live and health_checks:
         yield "caps.probing", "true, where weights are live load is told by the list"
-    if how == "on_probe" and not probing:
+    if _value(given, "loadReport.how") == "on_probe" and not health_checks:
         yield "loadReport.how", "on_probe, where probes are not allowed no report ever comes"
-    if _value(given, "charges.probe", 0) > 0 and not probing:
+    if _value_or(given, "charges.probe", 0) > 0 and not health_checks:
         yield "charges.probe", "a price for probes, where they are not allowed"
-    if _value(given, "slotNo", 0) >= _value(given, "replicasOfMe", 1):
+    if _value_or(given, "slotNo", 0) >= _value_or(given, "replicasOfMe", 1):
         yield "slotNo", "not below replicasOfMe"
 
 
-def _value(given: dict[str, Any], key: str, default: Any = None) -> Any:
-    """The value of a key that may stand in a table; absent and null are the same."""
-    table, _, name = key.rpartition(".")
-    value = (_table(given, table) if table else given).get(name)
-    return default if value is None else value
+def _is_number(value: object) -> bool:
+    return isinstance(value, int | float) and not isinstance(value, bool)
+
+
+# Decoding.
 
 
 def decode(text: str) -> BalancerConfig:
-    """The settings from JSON text; raises `msgspec.ValidationError` for what can't be used."""
+    """Decode settings from JSON text; raises `msgspec.ValidationError` for what can't be used."""
     try:
         given = msgspec.json.decode(text)
     except msgspec.DecodeError as error:
         raise msgspec.ValidationError(str(error)) from None
-    return terms(given)
+    return balancer_config(given)
 
 
-def terms(given: Any) -> BalancerConfig:
-    """What is absent takes the meaning that the wire page gives it."""
+def balancer_config(given: object) -> BalancerConfig:
+    """Convert settings; absent keys have their defaults. Raises `msgspec.ValidationError`."""
     if not isinstance(given, dict):
         raise msgspec.ValidationError("not an object")
-    given = _said(given)
-    caps, rules, charges, reports = (
+    given = _without_nulls(given)
+    caps, rules, charges, load_report = (
         _table(given, name) for name in ("caps", "rules", "charges", "loadReport")
     )
-    ours = {
-        "request_classes": [_category(c) for c in given.get("categories", [])],
-        "tenants": [_customer(c) for c in given.get("tenants") or []],
+    fields = {
+        "request_classes": [_request_class(c) for c in given.get("categories", [])],
+        "tenants": [_tenant(c) for c in given.get("tenants") or []],
         "zone": given.get("locality", ""),
         "sidecar_index": given.get("slotNo", 0),
         "sidecars": given.get("replicasOfMe", 1),
         "must_watch_endpoints": given.get("discovery") == "ask",
-        "endpoint_list_max_age": _span(rules, "mustAskIn"),
+        "endpoint_list_max_age": _seconds(rules, "mustAskIn"),
         "slow_start_initial_fraction": rules.get("coldShare", 1.0),
-        "slow_start_duration": _span(rules, "cold"),
+        "slow_start_duration": _seconds(rules, "cold"),
         "overload_factor": rules.get("fallMultiple", 1.0),
-        "overload_window": _span(rules, "overloadFor"),
+        "overload_window": _seconds(rules, "overloadFor"),
         "max_attempts": caps.get("mostHandOffs", 1),
         "cross_zone_price": charges.get("crossZone", 0.0),
         "connection_setup_price": charges.get("handshake", 0.0),
@@ -132,61 +151,76 @@
         "health_check_price": charges.get("probe", 0.0),
         "gossip_price": charges.get("peer", 0.0),
         "health_checks_allowed": caps.get("probing", False),
-        "load_reported": reports.get("how", "off") != "off",
-        "load_reported_in_responses": reports.get("how") == "inline",
+        "load_reported": load_report.get("how", "off") != "off",
+        "load_reported_in_responses": load_report.get("how") == "inline",
         "key_affinity": _table(given, "specifics").get("warmKeys") or False,
         "hedging_allowed": caps.get("mayDuplicate", False),
         "cancel_allowed": caps.get("cancel", False),
         "gossip_allowed": caps.get("peers", False),
-        "connect_timeout": _span(caps, "connectTimeout"),
-        "drain_grace": _span(rules, "drainGrace"),
-        "idle_timeout": _span(caps, "keepalive"),
-        "max_retry_after": _span(caps, "maxRetryAfter") if caps.get("retryAfter") else 0.0,
+        "connect_timeout": _seconds(caps, "connectTimeout"),
+        "drain_grace": _seconds(rules, "drainGrace"),
+        "idle_timeout": _seconds(caps, "keepalive"),
+        "max_retry_after": _seconds(caps, "maxRetryAfter") if caps.get("retryAfter") else 0.0,
     }
-    return msgspec.convert(ours, BalancerConfig)
-
-
-def _table(given: dict[str, Any], name: str) -> dict[str, Any]:
-    table = given.get(name) or {}
-    if not isinstance(table, dict):
-        raise msgspec.ValidationError(f"{name} is not an object")
-    return _said(table)
-
-
-def _said(table: dict[str, Any]) -> dict[str, Any]:
-    """Guards against a null being taken for a wrong type: it is the same as absent."""
-    return {key: value for key, value in table.items() if value is not None}
-
-
-def _span(table: dict[str, Any], name: str) -> float:
-    value = table.get(name, 0)
-    if isinstance(value, bool) or not isinstance(value, int | float):
-        raise msgspec.ValidationError(f"{name} is not a number")
-    return value / 1e6
+    return msgspec.convert(fields, BalancerConfig)
 
 
-def _category(given: Any) -> dict[str, Any]:
+def _request_class(given: object) -> dict[str, Any]:
     if not isinstance(given, dict):
         raise msgspec.ValidationError("a category is not an object")
-    given = _said(given)
+    given = _without_nulls(given)
     return {
         "name": given.get("name"),
-        "retry_safety": EFFECTS.get(given.get("effect", "free"), "exclusive"),
-        "latency_objective": _span(given, "dueTime"),
-        "timeout": _span(given, "expiry"),
+        "retry_safety": RETRY_SAFETY.get(given.get("effect", "free"), "exclusive"),
+        "latency_objective": _seconds(given, "dueTime"),
+        "timeout": _seconds(given, "expiry"),
         "priority_weight": given.get("payoff", 1.0),
         "deduplication_scope": given.get("dedupScope") or "all",
-        "deduplication_window": _span(given, "window"),
+        "deduplication_window": _seconds(given, "window"),
         "late_priority_weight": given.get("overduePayoff", 0.0),
         "objective_per_cost": given.get("aimStretch") or 0.0,
     }
 
 
-def _customer(given: Any) -> dict[str, Any]:
+def _tenant(given: object) -> dict[str, Any]:
     if not isinstance(given, dict):
         raise msgspec.ValidationError("a tenant is not an object")
-    given = _said(given)
+    given = _without_nulls(given)
     return {
         "name": given.get("name"),
         "share": given.get("share", 0.0),
     }
+
+
+# Access by key.
+
+
+def _value(given: dict[str, Any], key: str) -> Any:  # noqa: ANN401  # any JSON value
+    """Return the value of a key that may stand in a table; None where it is absent."""
+    table, _, name = key.rpartition(".")
+    return (_table(given, table) if table else given).get(name)
+
+
+def _value_or(given: dict[str, Any], key: str, default: T) -> T:
+    """Return the value of a key; absent and null are the same."""
+    value = _value(given, key)
+    return default if value is None else value
+
+
+def _table(given: dict[str, Any], name: str) -> dict[str, Any]:
+    table = given.get(name) or {}
+    if not isinstance(table, dict):
+        raise msgspec.ValidationError(f"{name} is not an object")
+    return _without_nulls(table)
+
+
+def _without_nulls(table: dict[str, Any]) -> dict[str, Any]:
+    """A null is the same as an absent key, and not a value of the wrong type."""
+    return {key: value for key, value in table.items() if value is not None}
+
+
+def _seconds(table: dict[str, Any], name: str) -> float:
+    value = table.get(name, 0)
+    if not _is_number(value):
+        raise msgspec.ValidationError(f"{name} is not a number")
+    return value / MICROSECONDS_PER_SECOND
