--- a/starlingwheel/simulator/__init__.py
+++ b/starlingwheel/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Puts the simulator's wire before the decisions."""
+"""Connects the decisions with the simulator: its lines become events, and their commands become its lines."""
--- a/starlingwheel/simulator/__main__.py
+++ b/starlingwheel/simulator/__main__.py
@@ -4,31 +4,34 @@
 import sys
 import traceback
 
-from .sidecar import SimulatorProcess
-from .wire import MalformedMessageError
+from .process import SimulatorProcess
+from .wire import MalformedMessageError, encode_defect
+
+EXIT_OK, EXIT_DEFECT, EXIT_MALFORMED_INPUT = 0, 1, 2
 
 
 def main() -> int:
+    """Answer batches until the input ends; return the exit code."""
     gc.freeze()
     process = SimulatorProcess()
     lines = iter(sys.stdin.readline, "")
     for first in lines:
         first = first.rstrip("\r\n")
         if not first:
-            process.number += 1
+            process.line_number += 1
             continue
         try:
             reply = process.batch(first, lines)
         except MalformedMessageError as error:
             print(f"starlingwheel: {error}", file=sys.stderr)
-            return 2
+            return EXIT_MALFORMED_INPUT
         except Exception as error:
             traceback.print_exc()
-            print(f"DIE message={type(error).__name__}: {error}".replace("\n", " "), flush=True)
-            return 1
+            print(encode_defect(error), flush=True)
+            return EXIT_DEFECT
         sys.stdout.write("\n".join(reply) + "\n")
         sys.stdout.flush()
-    return 0
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/starlingwheel/simulator/sidecar.py
+++ b/starlingwheel/simulator/sidecar.py
@@ -1,257 +1,193 @@
-"""One sidecar on the simulator's wire: ids become objects on the way in and ids again on the way out."""
+"""One simulated sidecar: hosts the decisions, and maps the simulator's request numbers to their objects."""
 
 from __future__ import annotations
 
-import math
 import random
-from typing import Any
+from collections.abc import Callable, Mapping
 
+from ..decisions.endpoint_stats import EndpointStats
 from ..decisions.events import AttemptEnded, WatchEvent
 from ..decisions.model import Attempt, Endpoint, Request
 from ..decisions.scheduler import DecisionScheduler
-from ..settings import decode
-from .wire import FATES, NEWS, MalformedMessageError, SimulatorLine, flag, micros, pack, seconds, unpack
+from . import wire
+from .wire import LineName, SimulatorLine
 
 
 class SimulatedRequest:
-    """A work item under its wire number, kept until it is answered and every hand-off has ended."""
+    """A request under its number, held until it is answered and all its attempts have ended."""
 
-    __slots__ = ("number", "request", "handed", "owed")
+    __slots__ = ("number", "request", "attempts", "unanswered")
 
     def __init__(self, number: int, request: Request) -> None:
+        """A request that has just come."""
         self.number = number
         self.request = request
-        self.handed: list[Attempt] = []
-        self.owed = True
+        self.attempts: list[Attempt] = []
+        self.unanswered = True
 
 
 class SimulatedSidecar:
-    """Hosts one instance; it is the `Door` of its runner. `out` takes the action lines."""
+    """The `DecisionHost` of one sidecar. Its commands are collected as lines in `output`."""
 
     def __init__(self, line: SimulatorLine, now: float) -> None:
-        self.out: list[str] = []
-        agreed = line.read("facts", decode)
-        self._categories = {c.name: c for c in agreed.request_classes}
-        self._customers = {c.name: c for c in agreed.tenants}
-        self._jobs: dict[int, SimulatedRequest] = {}
-        self._job_of: dict[Request, SimulatedRequest] = {}
-        self._begun = False
-        self._alarms: list[int] = []  # each sooner than the one before it
-        self.runner = DecisionScheduler(agreed, random.Random(line.read("entropy", int)), self, now)
-
-    def event(self, line: SimulatorLine, lists: dict[int, list[Endpoint]]) -> None:
+        """Start as the line configures it; raises `MalformedMessageError`."""
+        self.output: list[str] = []
+        config = line.balancer_config
+        self._request_classes = {c.name: c for c in config.request_classes}
+        self._tenants = {tenant.name: tenant for tenant in config.tenants}
+        self._by_number: dict[int, SimulatedRequest] = {}
+        self._by_request: dict[Request, SimulatedRequest] = {}
+        self._started = False
+        self._alarms: list[int] = []  # in microseconds, each sooner than the one before it
+        self.scheduler = DecisionScheduler(config, random.Random(line.random_seed), self, now)
+
+    # Events.
+
+    def handle(self, line: SimulatorLine, lists: Mapping[int, list[Endpoint]]) -> None:
+        """Pass one event to the decisions; raises `MalformedMessageError`.
+
+        `lists`: the endpoint lists by the number that an event refers to them by.
+        """
+        if line.name == LineName.ENDPOINTS_CHANGED:
+            self._endpoints_changed(line, lists)
+            return
         handler = self._HANDLERS.get(line.name)
         if handler is None:
-            raise MalformedMessageError(f"line {line.number}: {line.name}: unknown event")
-        handler(self, line, lists)
-
-    def _announce(self, line: SimulatorLine, lists: dict[int, list[Endpoint]]) -> None:
-        news = line.read("scope", NEWS.__getitem__)
-        listings: list[Endpoint] = (
-            [] if news is WatchEvent.FAILED else line.read("bank", lambda n: lists[int(n)])
-        )
-        self.runner.endpoints_changed(news, listings)
-        if not self._begun:
-            self._begun = True
-            self.runner.start()
-
-    def _query(self, line: SimulatorLine, _: Any) -> None:
+            raise line.error("unknown event")
+        handler(self, line)
+
+    def _endpoints_changed(self, line: SimulatorLine, lists: Mapping[int, list[Endpoint]]) -> None:
+        event = line.watch_event
+        endpoints = [] if event is WatchEvent.FAILED else line.endpoint_list(lists)
+        self.scheduler.endpoints_changed(event, endpoints)
+        if not self._started:
+            self._started = True
+            self.scheduler.start()
+
+    def _request_received(self, line: SimulatorLine) -> None:
         request = Request(
-            request_class=line.read("profile", self._categories.__getitem__),
-            arrived_at=self.runner.now,
-            time_left=line.seconds("patienceLeft"),
-            tenant=self._customers.get(line.fields.get("team", "")),
-            is_retry=line.read("isRetry", flag, False),
-            cost=line.seconds("cost", 0.0),
-            key=line.fields.get("affinity", ""),
+            request_class=line.request_class(self._request_classes),
+            arrived_at=self.scheduler.now,
+            time_left=line.time_left,
+            tenant=self._tenants.get(line.tenant),
+            is_retry=line.is_retry,
+            cost=line.cost,
+            key=line.affinity_key,
         )
-        pending = SimulatedRequest(line.read("job", int), request)
-        self._jobs[pending.number] = self._job_of[request] = pending
-        self.runner.accept_request(request)
+        pending = SimulatedRequest(line.request_number, request)
+        self._by_number[pending.number] = self._by_request[request] = pending
+        self.scheduler.accept_request(request)
 
-    def _hand_off(self, line: SimulatorLine) -> Attempt | None:
-        """The hand-off a line speaks of; None when its work item is long settled."""
-        pending = self._jobs.get(line.read("job", int))
+    def _attempt(self, line: SimulatorLine) -> Attempt | None:
+        """Return the attempt that a line is about; None when its request is long over."""
+        pending = self._by_number.get(line.request_number)
         if pending is None:
             return None
-        hop = line.read("hop", int)
-        if not 0 <= hop < len(pending.handed):
-            raise MalformedMessageError(
-                f"line {line.number}: {line.name}: field hop names no hand-off: '{hop}'"
-            )
-        return pending.handed[hop]
-
-    def _ended(self, line: SimulatorLine, _: Any) -> None:
-        attempt = self._hand_off(line)
-        fate = line.read("code", FATES.__getitem__)
+        index = line.attempt_index
+        if not 0 <= index < len(pending.attempts):
+            raise line.unknown_attempt()
+        return pending.attempts[index]
+
+    def _attempt_ended(self, line: SimulatorLine) -> None:
+        attempt = self._attempt(line)
+        outcome = line.outcome
         if attempt is None or not attempt.pending:
             return
-        answered = line.read("doneFlag", flag, False)
-        pending = self._job_of[attempt.request]
-        pending.owed = pending.owed and not answered
-        self.runner.attempt_ended(
-            AttemptEnded(attempt, fate, line.seconds("duration"), answered, line.report())
+        answered = line.answered_client
+        pending = self._by_request[attempt.request]
+        pending.unanswered = pending.unanswered and not answered
+        self.scheduler.attempt_ended(
+            AttemptEnded(attempt, outcome, line.duration, answered, line.load_report())
         )
-        self._forget_if_closed(pending)
+        self._forget_if_over(pending)
 
-    def _flowing(self, line: SimulatorLine, _: Any) -> None:
-        attempt = self._hand_off(line)
+    def _response_started(self, line: SimulatorLine) -> None:
+        attempt = self._attempt(line)
         if attempt is not None:
-            self.runner.response_started(attempt)
-
-    def _cancelled(self, line: SimulatorLine, _: Any) -> None:
-        pending = self._jobs.get(line.read("job", int))
-        if pending is not None and pending.owed:
-            pending.owed = False
-            self.runner.client_disconnected(pending.request)
-            self._forget_if_closed(pending)
-
-    def _tick(self, line: SimulatorLine, _: Any) -> None:
-        line.text("mark")
-        while self._alarms and self._alarms[-1] <= micros(self.runner.now):
+            self.scheduler.response_started(attempt)
+
+    def _client_disconnected(self, line: SimulatorLine) -> None:
+        pending = self._by_number.get(line.request_number)
+        if pending is not None and pending.unanswered:
+            pending.unanswered = False
+            self.scheduler.client_disconnected(pending.request)
+            self._forget_if_over(pending)
+
+    def _alarm(self, line: SimulatorLine) -> None:
+        _ = line.alarm_mark  # the field has to be there, whatever it says
+        while self._alarms and self._alarms[-1] <= wire.to_microseconds(self.scheduler.now):
             self._alarms.pop()
-        self.runner.tick()
-
-    def _checked(self, line: SimulatorLine, _: Any) -> None:
-        fate = line.read("code", FATES.__getitem__)
-        self.runner.health_check_ended(line.text("upstream"), fate, line.seconds("duration"), line.report())
-
-    def _heard(self, line: SimulatorLine, _: Any) -> None:
-        self.runner.gossip_received(line.read("src", int), line.read("body", unpack))
-
-    _HANDLERS = {
-        "ANNOUNCE": _announce,
-        "QUERY": _query,
-        "ENDED": _ended,
-        "FLOWING": _flowing,
-        "CANCELLED_BY_CLIENT": _cancelled,
-        "TICK_DUE": _tick,
-        "CHECK_RESULT": _checked,
-        "HEARD": _heard,
+        self.scheduler.tick()
+
+    def _health_check_ended(self, line: SimulatorLine) -> None:
+        outcome = line.outcome
+        self.scheduler.health_check_ended(line.endpoint_id, outcome, line.duration, line.load_report())
+
+    def _gossip_received(self, line: SimulatorLine) -> None:
+        self.scheduler.gossip_received(line.peer, line.gossip)
+
+    _HANDLERS: Mapping[str, Callable[[SimulatedSidecar, SimulatorLine], None]] = {
+        LineName.REQUEST_RECEIVED: _request_received,
+        LineName.ATTEMPT_ENDED: _attempt_ended,
+        LineName.RESPONSE_STARTED: _response_started,
+        LineName.CLIENT_DISCONNECTED: _client_disconnected,
+        LineName.ALARM: _alarm,
+        LineName.HEALTH_CHECK_ENDED: _health_check_ended,
+        LineName.GOSSIP_RECEIVED: _gossip_received,
     }
 
-    def _forget_if_closed(self, pending: SimulatedRequest) -> None:
-        if not pending.owed and not any(attempt.pending for attempt in pending.handed):
-            self._jobs.pop(pending.number, None)
-            self._job_of.pop(pending.request, None)
+    def _forget_if_over(self, pending: SimulatedRequest) -> None:
+        if not pending.unanswered and not any(attempt.pending for attempt in pending.attempts):
+            self._by_number.pop(pending.number, None)
+            self._by_request.pop(pending.request, None)
+
+    # Commands: the methods of `DecisionHost`.
 
     def start_attempt(self, attempt: Attempt, limit: float) -> None:
-        pending = self._job_of[attempt.request]
-        pending.handed.append(attempt)
-        self.out.append(
-            f"ROUTE job={pending.number} upstream={attempt.endpoint.endpoint_id} cap={max(micros(limit), 1)}"
-        )
+        """Send the request to the attempt's endpoint, with a timeout of `limit` seconds."""
+        pending = self._by_request[attempt.request]
+        pending.attempts.append(attempt)
+        self.output.append(wire.encode_start_attempt(pending.number, attempt.endpoint.endpoint_id, limit))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        pending = self._job_of[attempt.request]
-        self.out.append(f"ABANDON job={pending.number} hop={pending.handed.index(attempt)}")
+        """Give an attempt up; its end is still reported."""
+        pending = self._by_request[attempt.request]
+        self.output.append(wire.encode_cancel_attempt(pending.number, pending.attempts.index(attempt)))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        self._final(request, "TURN_AWAY", f" coolDown={micros(retry_after)}")
+        """Final answer: not executed; it may be sent again after so many seconds."""
+        self._answer(request, wire.encode_reject_request(self._by_request[request].number, retry_after))
 
     def fail_request(self, request: Request) -> None:
-        self._final(request, "SURRENDER", "")
+        """Final answer: failed, perhaps after it had an effect."""
+        self._answer(request, wire.encode_fail_request(self._by_request[request].number))
 
-    def _final(self, request: Request, word: str, rest: str) -> None:
-        pending = self._job_of[request]
-        pending.owed = False
-        self.out.append(f"{word} job={pending.number}{rest}")
-        self._forget_if_closed(pending)
+    def _answer(self, request: Request, line: str) -> None:
+        pending = self._by_request[request]
+        pending.unanswered = False
+        self.output.append(line)
+        self._forget_if_over(pending)
 
     def watch_endpoints(self) -> None:
-        self.out.append("OBSERVE want=1")
+        """Open the watch of the endpoint list."""
+        self.output.append(wire.encode_watch_endpoints())
 
-    def start_health_check(self, upstream: Any) -> None:
-        self.out.append(f"HEALTH_CHECK upstream={upstream.endpoint_id}")
+    def start_health_check(self, upstream: EndpointStats) -> None:
+        """Ask an endpoint for its load."""
+        self.output.append(wire.encode_health_check(upstream.endpoint_id))
 
     def send_gossip(self, body: bytes) -> None:
-        self.out.append(f"NOTIFY recipient=* body={pack(body)}")
+        """Send a message to all peers."""
+        self.output.append(wire.encode_gossip(body))
 
     def report_defect(self, request: Request | None, error: Exception) -> None:
+        """Raise the error: a fault in the decisions ends the process."""
         raise error
 
     def set_alarm(self, at: float) -> None:
-        when = math.ceil(at * 1e6)
-        # Guards against timers that can't be taken back piling up: one that comes sooner asks for the next.
-        if not self._alarms or when < self._alarms[-1]:
-            self._alarms.append(when)
-            self.out.append(f"SET_ALARM when={when} mark=wake")
-
-
-class SimulatorProcess:
-    """All instances of this process, fed line by line; `lines` of a reply come back at the end of a batch."""
-
-    def __init__(self) -> None:
-        self.hosts: dict[str, SimulatedSidecar | None] = {}
-        self.lists: dict[int, list[Endpoint]] = {}
-        self.now = 0.0
-        self.number = 0
-
-    def read(self, text: str) -> SimulatorLine:
-        self.number += 1
-        return SimulatorLine(self.number, text)
-
-    def batch(self, first: str, more: Any) -> list[str]:
-        """Take one batch, from its opening line and the iterator of those that follow."""
-        opening = self.read(first)
-        if opening.name != "SYNC":
-            raise MalformedMessageError(f"line {self.number}: {opening.name}: a batch opens with SYNC")
-        self.now = opening.read("simTime", seconds)
-        turn = opening.read("turn", int)
-        touched: dict[str, SimulatedSidecar] = {}
-        current: str | None = None
-        for text in more:
-            line = self.read(text.rstrip("\r\n"))
-            if line.name == "GO":
-                break
-            if line.name == "SHEET":
-                self._sheet(line, more)
-            elif line.name == "CONTEXT":
-                current = line.text("sidecar")
-            elif current is None:
-                raise MalformedMessageError(f"line {line.number}: {line.name}: an event before any CONTEXT")
-            else:
-                self._event(current, line, touched)
-        else:
-            raise MalformedMessageError(f"line {self.number}: the input ends within a batch")
-        reply = []
-        for name, host in touched.items():
-            if host.out:
-                reply.append(f"ON_BEHALF sidecar={name}")
-                reply += host.out
-                host.out = []
-        reply.append(f"END turn={turn}")
-        return reply
-
-    def _sheet(self, line: SimulatorLine, more: Any) -> None:
-        bank, count = line.read("bank", int), line.read("entries", int)
-        listings = []
-        for _ in range(count):
-            entry = self.read(next(more, "").rstrip("\r\n"))
-            if entry.name != "UPSTREAM":
-                raise MalformedMessageError(
-                    f"line {self.number}: SHEET: UPSTREAM expected, not {entry.name!r}"
-                )
-            listings.append(entry.listing())
-        self.lists[bank] = listings
-
-    def _event(self, name: str, line: SimulatorLine, touched: dict[str, SimulatedSidecar]) -> None:
-        if line.name == "DETACH":
-            self.hosts[name] = None
-            touched.pop(name, None)
-            return
-        if line.name == "CONFIGURE":
-            host = self.hosts[name] = SimulatedSidecar(line, self.now)
-            touched.pop(name, None)
-        else:
-            known = self.hosts.get(name)
-            if known is None:
-                raise MalformedMessageError(
-                    f"line {line.number}: {line.name}: for an instance that has not started: {name!r}"
-                )
-            host = known
-        if name not in touched:
-            touched[name] = host
-            host.runner.set_time(self.now)
-        if line.name != "CONFIGURE":
-            host.event(line, self.lists)
+        """Have `DecisionScheduler.tick` called at that time."""
+        alarm = wire.to_alarm_time(at)
+        # Alarms can't be cancelled, and must not pile up: one that comes sooner asks for the next.
+        if not self._alarms or alarm < self._alarms[-1]:
+            self._alarms.append(alarm)
+            self.output.append(wire.encode_alarm(alarm))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -114,7 +114,7 @@
 
 def test_a_time_in_a_load_report_is_in_seconds():
     assert figures("TEXT inflight=3, latency_ms=120") == {"held": 3.0, "service": 0.12}
-    assert SimulatorLine(1, "ENDED feedback=svc_ms:120,busy_reqs:3").report() == {
+    assert SimulatorLine(1, "ENDED feedback=svc_ms:120,busy_reqs:3").load_report() == {
         "held": 3.0,
         "service": 0.12,
     }
--- a/tests/test_simhost.py
+++ b/tests/test_simulator.py
@@ -1,21 +1,21 @@
-"""Stories of the simulator's wire."""
+"""The simulator adapter: lines in, lines out, and what it does with lines that can't be read."""
 
 import io
 import sys
 
 import pytest
 
-from starlingwheel.simulator import __main__ as simhost
-from starlingwheel.simulator.sidecar import SimulatorProcess
+from starlingwheel.simulator import __main__ as simulator
+from starlingwheel.simulator.process import SimulatorProcess
 
-FACTS = (
+SETTINGS = (
     '{"categories": [{"name": "look", "effect": "free", "dueTime": 1000000, "expiry": 2000000}],'
     ' "rules": {"mustAskIn": 8000000}, "caps": {"mostHandOffs": 2}, "unheardOf": 1}'
 )
 START = [
     "SYNC simTime=5000000 turn=1",
     "CONTEXT sidecar=sidecar/0",
-    f"CONFIGURE entropy=7 facts={FACTS}",
+    f"CONFIGURE entropy=7 facts={SETTINGS}",
     "SHEET bank=0 entries=1",
     "UPSTREAM upstream=10.0.0.1:80 condition=2",
     "ANNOUNCE bank=0 scope=1 version=1",
@@ -23,12 +23,16 @@
 QUERY = "QUERY job=9 profile=look patienceLeft=900000"
 
 
-def play(monkeypatch, lines):
+def play(monkeypatch: pytest.MonkeyPatch, lines: list[str]) -> int:
+    """Run the process over these lines; return its exit code."""
     monkeypatch.setattr(sys, "stdin", io.StringIO("\n".join(lines) + "\n"))
-    return simhost.main()
+    return simulator.main()
 
 
-def test_a_work_item_goes_out_and_its_answer_closes_it(monkeypatch, capsys):
+def test_a_request_is_sent_to_an_endpoint_and_its_response_ends_it(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """A disconnect of the client that comes after the response is ignored."""
     ended = "ENDED job=9 hop=0 duration=1000 code=OK upstream=10.0.0.1:80 doneFlag=1"
     late = "CANCELLED_BY_CLIENT job=9"
     more = ["GO", "SYNC simTime=5001000 turn=2", "CONTEXT sidecar=sidecar/0", ended, late, "GO"]
@@ -38,7 +42,10 @@
     assert [line for line in out if line.startswith("END ")] == ["END turn=1", "END turn=2"]
 
 
-def test_a_killed_instance_starts_empty_within_the_same_batch(monkeypatch, capsys):
+def test_a_killed_sidecar_restarts_without_its_requests_within_the_same_batch(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """What the killed sidecar had to say is not said either."""
     assert play(monkeypatch, [*START, QUERY, "DETACH", *START[2:], "GO"]) == 0
     assert "job=9" not in capsys.readouterr().out
 
@@ -55,14 +62,20 @@
         ("MUMBLE", "MUMBLE"),
     ],
 )
-def test_what_can_not_be_read_is_named_and_ends_the_process(monkeypatch, capsys, line, named):
+def test_a_malformed_line_is_named_and_ends_the_process(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], line: str, named: str
+) -> None:
+    """One line on standard error names the line and the field; nothing is answered."""
     assert play(monkeypatch, [*START, line, "GO"]) != 0
     seen = capsys.readouterr()
     assert seen.out == "" and seen.err.count("\n") == 1
     assert "line 7" in seen.err and named in seen.err
 
 
-def test_an_exception_in_the_decisions_is_told_as_a_fault(monkeypatch, capsys):
+def test_an_exception_in_the_decisions_is_reported_as_a_defect(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """The simulator gets a line for it, standard error the trace."""
     monkeypatch.setattr(
         "starlingwheel.decisions.selection.EndpointSelector.select_endpoint", lambda *_: 1 / 0
     )
@@ -71,7 +84,8 @@
     assert seen.out.startswith("DIE message=ZeroDivisionError") and "Traceback" in seen.err
 
 
-def test_timers_that_can_not_be_taken_back_do_not_pile_up():
+def test_alarms_that_cannot_be_cancelled_do_not_pile_up() -> None:
+    """Fewer than two alarms a rejected request are delivered."""
     process, alarms, ticks, answered = SimulatorProcess(), [], 0, 0
     many = [f"UPSTREAM upstream=10.0.{i}.1:80 condition=2" for i in range(2000)]
     process.batch(START[0], iter([*START[1:3], "SHEET bank=0 entries=2000", *many, START[-1], "GO"]))
@@ -80,9 +94,9 @@
         due = [at for at in alarms if at <= now]
         alarms = [at for at in alarms if at > now]
         ticks += len(due)
-        # Now one that waits for long, now one for a short time: that set one timer beside the other.
-        patience = 3000 if turn % 10 == 0 else 500000
-        query = [f"QUERY job={turn} profile=look patienceLeft={patience}"] * (turn <= 1000)
+        # Long and short deadlines in turn: each short one sets an alarm beside that of a long one.
+        time_left = 3000 if turn % 10 == 0 else 500000
+        query = [f"QUERY job={turn} profile=look patienceLeft={time_left}"] * (turn <= 1000)
         lines = ["CONTEXT sidecar=sidecar/0", *["TICK_DUE mark=wake"] * len(due), *query, "GO"]
         reply = process.batch(f"SYNC simTime={now} turn={turn}", iter(lines))
         alarms += [int(line.split()[1].partition("=")[2]) for line in reply if line.startswith("SET_ALARM")]
