--- a/starlingwheel/cli/__init__.py
+++ b/starlingwheel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""What operators type. Nothing of it is loaded by a sidecar."""
+"""The command line for operators. No sidecar loads it."""
--- /dev/null
+++ b/starlingwheel/cli/zones.py
@@ -0,0 +1,59 @@
+"""The commands about zones. Their docstrings are the help texts."""
+
+from __future__ import annotations
+
+import click
+
+from .admin_client import at_option, change, get_of_fleet
+
+
+@click.group()
+def zones() -> None:
+    """The fleet's plan for zones that fail, or are to be left."""
+
+
+@zones.command(name="show")
+@at_option
+def show_zones(at: str) -> None:
+    """Tell which zones are not whole, and why."""
+    planned = get_of_fleet(at, "/_zones")["plan"]["zones"]
+    if not planned:
+        click.echo("all zones are whole")
+    for name, zone in sorted(planned.items()):
+        by_operator = ", by an operator" if zone["by_operator"] else ""
+        click.echo(f"{name}: {zone['state']}, share {zone['share']:.3f}: {zone['why']}{by_operator}")
+
+
+def _override(at: str, zone: str, action: str, why: str) -> None:
+    change(at, f"/_zones/{action}", {"zone": zone} | ({"why": why} if why else {}))
+    click.echo(f"{zone}: {action}")
+
+
+why_option = click.option("--why", default="", help="The reason, for those who look at it.")
+
+
+@zones.command()
+@click.argument("zone")
+@why_option
+@at_option
+def leave(zone: str, why: str, at: str) -> None:
+    """Send nothing more to ZONE, until it is returned to."""
+    _override(at, zone, "leave", why)
+
+
+@zones.command(name="return")
+@click.argument("zone")
+@why_option
+@at_option
+def return_to(zone: str, why: str, at: str) -> None:
+    """Begin to return to ZONE, by the ramp."""
+    _override(at, zone, "return", why)
+
+
+@zones.command()
+@click.argument("zone")
+@why_option
+@at_option
+def hold(zone: str, why: str, at: str) -> None:
+    """Keep the share of ZONE as it is."""
+    _override(at, zone, "hold", why)
