--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,4 +1,4 @@
-"""A toy to try a sidecar with: a few upstreams and the list that names them, in one process.
+"""A toy to try a sidecar with: a few upstreams and the endpoint list that names them, in one process.
 
     python examples/toy_server.py [--upstreams 3] [--slow 0.05] [--errors 0.1]
 
@@ -15,23 +15,32 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-LIST = ("127.0.0.1", 8500)
+LIST_ADDRESS = ("127.0.0.1", 8500)
 FIRST_PORT = 9001
+KEEP_ALIVE_INTERVAL = 2  # seconds between the empty lines of a watch
 
 
 class Server(ThreadingHTTPServer):
+    """A server that its handlers get their settings from."""
+
     daemon_threads = True
 
-    def __init__(self, address: tuple[str, int], handler: type, number: int, arguments: argparse.Namespace):
+    def __init__(
+        self, address: tuple[str, int], handler: type, number: int, arguments: argparse.Namespace
+    ) -> None:
+        """`number`: of the upstream; -1 for the list."""
         super().__init__(address, handler)
         self.number, self.arguments = number, arguments
 
 
 class Upstream(BaseHTTPRequestHandler):
+    """Answers any request after a while."""
+
     protocol_version = "HTTP/1.1"
-    timeout = 5
+    timeout = 5  # seconds
 
     def answer(self) -> None:
+        """Read the request and answer it, with an error at the rate asked for."""
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
         arguments = self.server.arguments
         time.sleep(random.expovariate(1 / arguments.slow))
@@ -45,15 +54,16 @@
     do_GET = do_POST = answer  # noqa: N815
 
     def log_message(self, *_: object) -> None:
-        pass
+        """Log nothing."""
 
 
-class List(BaseHTTPRequestHandler):
+class EndpointList(BaseHTTPRequestHandler):
     """The whole list at once; an empty line every 2 s shows that the watch is alive."""
 
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:  # noqa: N802
+        """Send the list, and for a watch empty lines after it."""
         servers = [
             {"id": f"s{i}", "addr": f"127.0.0.1:{FIRST_PORT + i}", "zone": "here", "state": "active"}
             for i in range(self.server.arguments.upstreams)
@@ -71,16 +81,17 @@
             while True:
                 self.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
                 self.wfile.flush()
-                time.sleep(2)
+                time.sleep(KEEP_ALIVE_INTERVAL)
                 line = b"\n"
         except OSError:
             self.close_connection = True
 
     def log_message(self, *_: object) -> None:
-        pass
+        """Log nothing."""
 
 
 def main() -> None:
+    """Serve until killed."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--upstreams", type=int, default=3)
     parser.add_argument("--slow", type=float, default=0.05, help="mean seconds an answer takes")
@@ -90,10 +101,10 @@
         server = Server(("127.0.0.1", FIRST_PORT + number), Upstream, number, arguments)
         threading.Thread(target=server.serve_forever, daemon=True).start()
     print(
-        f"{arguments.upstreams} upstreams from port {FIRST_PORT}, their list at {LIST[0]}:{LIST[1]}",
+        f"{arguments.upstreams} upstreams from port {FIRST_PORT}, their list at {LIST_ADDRESS[0]}:{LIST_ADDRESS[1]}",
         flush=True,
     )
-    Server(LIST, List, -1, arguments).serve_forever()
+    Server(LIST_ADDRESS, EndpointList, -1, arguments).serve_forever()
 
 
 if __name__ == "__main__":
--- a/fakes/__init__.py
+++ b/fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what lies outside the program: upstreams, their list, clients, the links, the arbiter.
+"""Fakes of what lies outside the program: upstreams, discovery, clients, links and the coordination store.
 
-They share no code with the program. Each notes what it saw; verdicts are made from these notes alone.
+They share no code with the program. Each records what it saw; verdicts are made from these records alone.
 """
--- a/fakes/__main__.py
+++ b/fakes/__main__.py
@@ -1,4 +1,4 @@
-"""python -m fakes arbiter|upstreams --port N: a stand-in by itself, to try a sidecar with by hand."""
+"""python -m fakes arbiter|upstreams --port N: a fake by itself, to try a sidecar with by hand."""
 
 from __future__ import annotations
 
@@ -12,38 +12,42 @@
 from .upstream import Run, Upstream
 
 LOCAL = "127.0.0.1"
+SERVICE_TIME = 0.08  # seconds, on the mean
+PRINT_INTERVAL = 0.5  # seconds
 
 
 async def arbiter(port: int) -> None:
-    one = Arbiter()
-    one.server.host = LOCAL
-    one.server.port = port
-    await one.begin()
-    print(f"arbiter at {one.server.address}", flush=True)
+    """A coordination store at the port."""
+    store = Arbiter()
+    store.server.host = LOCAL
+    store.server.port = port
+    await store.begin()
+    print(f"arbiter at {store.server.address}", flush=True)
     await asyncio.Event().wait()
 
 
 async def upstreams(port: int) -> None:
     """Three upstreams behind the port, and their list at it."""
     runs: list[Run] = []
-    served = [Upstream(f"u{i}", "here", random.Random(i), 0.08, runs) for i in range(3)]
-    for number, one in enumerate(served):
-        one.server.host, one.server.port = LOCAL, port + 1 + number
-        await one.server.begin()
+    served = [Upstream(f"u{i}", "here", random.Random(i), SERVICE_TIME, runs) for i in range(3)]
+    for number, upstream in enumerate(served):
+        upstream.server.host, upstream.server.port = LOCAL, port + 1 + number
+        await upstream.server.begin()
     entries = [{"id": u.name, "addr": u.server.address, "zone": u.zone, "state": "active"} for u in served]
     listing = Listing(lambda: entries)
     listing.server.host, listing.server.port = LOCAL, port
     await listing.server.begin()
     print(f"list at {listing.server.address}", flush=True)
-    seen = 0
+    printed = 0
     while True:
-        await asyncio.sleep(0.5)
-        for run in runs[seen:]:
+        await asyncio.sleep(PRINT_INTERVAL)
+        for run in runs[printed:]:
             print(f"{run.upstream} runs {run.name} ({run.category})", flush=True)
-        seen = len(runs)
+        printed = len(runs)
 
 
 def main() -> None:
+    """Run until interrupted."""
     parser = argparse.ArgumentParser(prog="python -m fakes", description=__doc__)
     parser.add_argument("what", choices=["arbiter", "upstreams"])
     parser.add_argument("--port", type=int, required=True)
--- a/fakes/clients.py
+++ b/fakes/clients.py
@@ -1,4 +1,4 @@
-"""Clients that send whatever comes of it (open loop), name their work, and come again to another sidecar."""
+"""Clients that send at a fixed rate (open loop), name their requests, and retry at another sidecar."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 from .http1 import Broken, Caller
 
 METHODS = {"look": "GET", "buy": "POST", "move": "POST"}
+MIN_TIME_LEFT = 0.02  # seconds before the deadline, after which nothing is sent any more
+DEFAULT_RETRY_AFTER = 0.02  # seconds
 
 
 @dataclass
@@ -26,6 +28,8 @@
 
 @dataclass
 class Work:
+    """A request of a client, with all tries of it."""
+
     name: str
     category: str
     at: float
@@ -35,10 +39,12 @@
 
     @property
     def answers(self) -> list[str]:
+        """The statuses that came."""
         return [t.end for t in self.tries if t.end.isdigit()]
 
     @property
     def finished(self) -> bool:
+        """One of the tries succeeded."""
         return "200" in self.answers
 
 
@@ -46,6 +52,7 @@
     """All clients of a trial. `addresses` tells where the sidecars listen."""
 
     def __init__(self, addresses: dict[str, str], rng: random.Random, waits: float = 2.0) -> None:
+        """`waits`: seconds until a client gives its request up."""
         self.callers = {name: Caller(address) for name, address in addresses.items()}
         self.names, self.rng, self.waits = list(addresses), rng, waits
         self.done: list[Work] = []
@@ -61,7 +68,7 @@
         named: bool = True,
         twins: float = 0.0,
     ) -> None:
-        """So many pieces of work a second, each sent when it is due, however the ones before fare."""
+        """Send `rate` requests a second, each when it is due, whatever became of those before."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         for number in range(int(rate * seconds)):
@@ -74,6 +81,7 @@
             self.begin(f"w{len(self.done)}", category, home, named, twin)
 
     def begin(self, name: str, category: str, sidecar: str, named: bool = True, twin: str = "") -> Work:
+        """Send one request, and the same from a second client where `twin` names a sidecar."""
         now = asyncio.get_running_loop().time()
         work = Work(name, category, now, now + self.waits, twin=twin)
         self.done.append(work)
@@ -84,40 +92,21 @@
         return work
 
     def join(self, work: Work, sidecar: str) -> None:
-        """One more client of the same name, at another sidecar."""
+        """Send a request again, from a second client at another sidecar."""
         work.twin = sidecar
         task = asyncio.create_task(self._follow(work, sidecar, True, 1))
         self.open.add(task)
         task.add_done_callback(self.open.discard)
 
     async def _follow(self, work: Work, sidecar: str, named: bool, client: int) -> None:
-        """Until it has a final answer: one that breaks or is deferred is sent again, elsewhere."""
+        """Retry at other sidecars until there is a final answer: a broken or rejected try is not one."""
         loop = asyncio.get_running_loop()
         number = 0
-        while (left := work.until - loop.time()) > 0.02:
+        while (time_left := work.until - loop.time()) > MIN_TIME_LEFT:
             one = Try(loop.time(), sidecar, f"{work.name}-{client}-{number}")
             work.tries.append(one)
-            headers = {"X-Trace-Id": one.trace, "X-Qos": work.category}
-            headers["X-Expires-In-Ms"] = str(int(left * 1000))
-            if named:
-                headers["X-Work-Name"] = work.name
-            if work.category == "move":
-                headers["Idempotency-Key"] = work.name
-            if number:
-                headers["X-Second-Try"] = "1"
-            method = METHODS[work.category]
-            body = b"" if method == "GET" else self.body(work)
-            wait = 0.02
-            try:
-                async with asyncio.timeout(left):
-                    call = self.callers[sidecar].call(method, f"/{work.category}/{work.name}", headers, body)
-                    status, told, one.body = await call
-                one.end = str(status)
-                wait = float(told.get("Retry-After", told.get("retry-after", 0.02)))
-            except TimeoutError:
-                one.end = "late"
-            except Broken as broken:
-                one.end = str(broken)
+            headers = self._headers(work, one, time_left, named, is_retry=number > 0)
+            wait = await self._send_once(work, one, headers, time_left)
             one.ended = loop.time()
             if one.end.isdigit() and one.end != "503":
                 return
@@ -126,8 +115,36 @@
             sidecar = self.rng.choice(others or self.names)
             await asyncio.sleep(wait)
 
+    def _headers(self, work: Work, one: Try, time_left: float, named: bool, is_retry: bool) -> dict[str, str]:
+        headers = {"X-Trace-Id": one.trace, "X-Qos": work.category}
+        headers["X-Expires-In-Ms"] = str(int(time_left * 1000))
+        if named:
+            headers["X-Work-Name"] = work.name
+        if work.category == "move":
+            headers["Idempotency-Key"] = work.name
+        if is_retry:
+            headers["X-Second-Try"] = "1"
+        return headers
+
+    async def _send_once(self, work: Work, one: Try, headers: dict[str, str], time_left: float) -> float:
+        """Record how the try ends; return the seconds to wait before the next one."""
+        method = METHODS[work.category]
+        body = b"" if method == "GET" else self.body(work)
+        wait = DEFAULT_RETRY_AFTER
+        try:
+            async with asyncio.timeout(time_left):
+                call = self.callers[one.sidecar].call(method, f"/{work.category}/{work.name}", headers, body)
+                status, received, one.body = await call
+            one.end = str(status)
+            wait = float(received.get("Retry-After", received.get("retry-after", DEFAULT_RETRY_AFTER)))
+        except TimeoutError:
+            one.end = "late"
+        except Broken as broken:
+            one.end = str(broken)
+        return wait
+
     async def rest(self, within: float) -> None:
-        """Wait for what is open."""
+        """Wait at most `within` seconds for the open requests, then cancel them."""
         if self.open:
             await asyncio.wait(list(self.open), timeout=within)
         for task in list(self.open):
--- a/fakes/discovery.py
+++ b/fakes/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery for all sidecars of a trial: calls are worked through in turn, watches stay open, both can fail.
+"""Discovery for all sidecars of a trial: calls are answered in turn, watches stay open, both can fail.
 
-Each sidecar has a front, an address of its own, so that it is known who was told what, and when. By the terms
-of the protocol a change counts as notified once it is written, whether or not it arrives, and 6 s after it
+Each sidecar has a front, an address of its own, so that it is known which one was notified of what, and when.
+By the protocol a change counts as notified once it is written, whether or not it arrives, and 6 s after it
 was missed. Times are seconds of the running loop's clock.
 """
 
@@ -51,18 +51,21 @@
     ended: asyncio.Event = field(default_factory=asyncio.Event)
 
     def write(self, data: bytes) -> None:
+        """Write, if the connection is still open."""
         with contextlib.suppress(OSError, RuntimeError):
             self.writer.write(data)
 
     def end(self) -> None:
+        """Close the connection."""
         self.watching = False
         self.ended.set()
 
 
 class Front:
-    """Where one sidecar calls, and what its present process counts as notified of."""
+    """The address that one sidecar calls, and what its present process counts as notified of."""
 
     def __init__(self, discovery: Discovery, number: int) -> None:
+        """`number`: of the sidecar."""
         self.discovery, self.number = discovery, number
         self.server: asyncio.Server | None = None
         self.address = ""
@@ -70,7 +73,7 @@
         self.restarted()
 
     def restarted(self) -> None:
-        """A new process: only what it is told itself counts."""
+        """A new process has started: only what is written to it counts."""
         self.started_at = asyncio.get_running_loop().time()
         for call in self.calls:
             call.end()  # what is still written to the last process does not count for this one
@@ -78,10 +81,12 @@
         self.silent_since = inf
 
     async def begin(self) -> None:
+        """Listen."""
         self.server = await asyncio.start_server(self._connected, own_host(), 0, backlog=64)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
 
     async def stop(self) -> None:
+        """Stop listening and reset all calls."""
         assert self.server is not None
         self.server.close()
         for call in list(self.calls):
@@ -89,8 +94,8 @@
             call.end()
 
     def notified_at(self, version: int, made_at: float) -> float:
-        """When this process counts as notified of a change; the present moment may be before that."""
-        written = min((at for at, told in self.written if told >= version), default=inf)
+        """Return when this process counts as notified of a change; that may be in the future."""
+        written = min((at for at, written in self.written if written >= version), default=inf)
         missed = max(made_at, self.started_at, self.discovery.up_since) + NOTIFIED_WITHIN
         if self.silent_since < inf:
             missed = min(missed, max(made_at, self.silent_since + NOTIFIED_WITHIN))
@@ -123,6 +128,7 @@
     """The service. Its attributes are its state and its faults; a trial sets them as it goes."""
 
     def __init__(self, rng: random.Random) -> None:
+        """An empty list; `rng` is for trials that pick faults by it."""
         self.rng = rng
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
@@ -139,6 +145,7 @@
         self.worker: asyncio.Task[None] | None = None
 
     async def begin(self, count: int) -> None:
+        """Open a front for each of so many sidecars."""
         for number in range(count):
             front = Front(self, number)
             await front.begin()
@@ -146,6 +153,7 @@
         self.worker = asyncio.create_task(self._work())
 
     async def stop(self) -> None:
+        """Stop all fronts."""
         if self.worker is not None:
             self.worker.cancel()
         for front in self.fronts:
@@ -154,11 +162,11 @@
     # The list.
 
     def list(self, *entries: dict[str, Any]) -> None:
-        """Before the start, or at once."""
+        """Add entries without a new version, as before the start."""
         self.entries |= {entry["id"]: entry for entry in entries}
 
     def change(self, *entries: dict[str, Any]) -> None:
-        """Discovery has a new version from now on; open watches are told a little later."""
+        """Make a new version now; it is written to open watches after `push_delay`."""
         loop = asyncio.get_running_loop()
         self.version += 1
         for entry in entries:
@@ -170,6 +178,7 @@
                     loop.call_later(self.push_delay, self._push, call)
 
     def message(self, known: int) -> bytes:
+        """Encode the changes after a version; 0: the whole list."""
         full = known == 0
         named = [
             entry
@@ -182,6 +191,7 @@
     # Calls and watches.
 
     def take(self, call: Call) -> None:
+        """Queue a call for its turn."""
         self.waiting.append(call)
         self.arrived.set()
         asyncio.get_running_loop().call_later(self.longest_wait, self._time_out, call)
@@ -246,7 +256,7 @@
     # Faults.
 
     def fall_silent(self) -> None:
-        """All that is open says nothing any more; a call that comes later is served."""
+        """Write nothing more to the open watches; calls that come later are served."""
         now = asyncio.get_running_loop().time()
         for front in self.fronts:
             for call in front.calls:
@@ -255,6 +265,7 @@
                     front.silent_since = now
 
     def reset_watches(self) -> None:
+        """Reset all open watches."""
         for front in self.fronts:
             for call in list(front.calls):
                 if call.watching:
@@ -262,10 +273,12 @@
                     call.end()
 
     def go_down(self) -> None:
+        """Reset the watches and answer no call until `retry_after`."""
         self.down = True
         self.reset_watches()
 
     def retry_after(self) -> None:
+        """Be up again."""
         self.down = False
         self.up_since = asyncio.get_running_loop().time()
         self.arrived.set()
--- a/fakes/endpoint_list.py
+++ b/fakes/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of upstreams as one sidecar is told it: the whole of it with each change, else empty lines."""
+"""The endpoint list as one sidecar watches it: the whole list with each change, else empty lines."""
 
 from __future__ import annotations
 
@@ -9,17 +9,21 @@
 
 from .http1 import Request, Response, Server
 
-QUIET = 1.0  # seconds after which an empty line shows that the watch is alive
+KEEP_ALIVE_INTERVAL = 1.0  # seconds after which an empty line shows that the watch is alive
 
 
 class Listing:
+    """Discovery for one sidecar; each change sends the whole list."""
+
     def __init__(self, entries: Callable[[], list[dict[str, Any]]]) -> None:
+        """`entries`: returns the list as it is now."""
         self.entries = entries
         self.version = 1
         self.changed = asyncio.Event()
         self.server = Server(self._answer)
 
     def change(self) -> None:
+        """The list has changed: send it to all watches."""
         self.version += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -32,15 +36,15 @@
         return Response(200, parts=self._lines())
 
     def _line(self) -> bytes:
-        word = {"version": self.version, "full": True, "servers": self.entries()}
-        return json.dumps(word).encode() + b"\n"
+        message = {"version": self.version, "full": True, "servers": self.entries()}
+        return json.dumps(message).encode() + b"\n"
 
     async def _lines(self) -> AsyncIterator[bytes]:
         yield self._line()
         while True:
             version = self.version
             try:
-                await asyncio.wait_for(self.changed.wait(), QUIET)
+                await asyncio.wait_for(self.changed.wait(), KEEP_ALIVE_INTERVAL)
             except TimeoutError:
                 yield b"\n"
             if self.version != version:
--- a/fakes/http1.py
+++ b/fakes/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the stand-ins: h11 on asyncio's streams, with the ways to fail that a server has."""
+"""HTTP/1.1 for the fakes: a server and a client, h11 on asyncio's streams, and a server's ways to fail."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 
 from .loopback import own_host
 
-CHUNK = 65536
+CHUNK = 65536  # bytes read at once
+MAX_BIND_ATTEMPTS = 50
+BIND_RETRY_INTERVAL = 0.1  # seconds
 
 
 @dataclass
 class Request:
-    """One request, whole."""
+    """One complete request."""
 
     method: str
     target: str
@@ -30,7 +32,7 @@
 
 @dataclass
 class Response:
-    """An answer; one with `parts` is sent in chunks for as long as they come."""
+    """A response; one with `parts` is sent in chunks for as long as they come."""
 
     status: int = 200
     body: bytes = b""
@@ -38,12 +40,28 @@
     parts: AsyncIterator[bytes] | None = None
 
 
-RESET = Response(status=0)  # the connection is reset instead of an answer
+@dataclass(frozen=True)
+class Connection:
+    """An open connection and the state of HTTP on it."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+    http: h11.Connection
+
+    def start_next_cycle(self) -> bool:
+        """Prepare for the next request; False where the connection can't be used again."""
+        if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
+            return False
+        self.http.start_next_cycle()
+        return True
+
+
+RESET = Response(status=0)  # the connection is reset instead of a response
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 def abort(writer: asyncio.StreamWriter) -> None:
-    """End a connection with a reset."""
+    """Reset a connection."""
     with contextlib.suppress(OSError, AttributeError):
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -52,7 +70,7 @@
 
 @contextlib.asynccontextmanager
 async def left(reader: asyncio.StreamReader) -> AsyncIterator[None]:
-    """Cancels what is inside when the other side ends, which nothing that is written may tell for long."""
+    """Cancel the current task when the other side ends, which writing alone may not notice for long."""
     inside = asyncio.current_task()
     assert inside is not None
 
@@ -73,32 +91,36 @@
     """Listens on loopback; `handler` answers each request. `stop` and `begin` may be called in turns."""
 
     def __init__(self, handler: Handler, host: str = "") -> None:
-        """`host`: where; empty: one of this process alone."""
+        """`host`: where to listen; empty: on a host that no other process uses."""
         self.handler, self.host, self.port = handler, host or own_host(), 0
         self.server: asyncio.Server | None = None
         self.open: dict[asyncio.StreamWriter, asyncio.Task[Any]] = {}
-        self.ends: Callable[[asyncio.StreamWriter], None] = lambda writer: None  # told before one closes
+        self.ends: Callable[[asyncio.StreamWriter], None] = (
+            lambda writer: None
+        )  # called before a connection closes
 
     @property
     def address(self) -> str:
+        """Where it listens, host:port."""
         return f"{self.host}:{self.port}"
 
     async def begin(self) -> None:
+        """Listen; at the same port as before, if it has listened before."""
         if self.server is not None:
             return
-        for tries in range(50):
+        for attempt in range(MAX_BIND_ATTEMPTS):
             try:
                 self.server = await asyncio.start_server(self._connection, self.host, self.port, backlog=512)
                 break
             except OSError:
-                # Another process may have gone out from the port that we had.
-                if tries == 49:
+                # An outgoing connection of another process may use the port meanwhile.
+                if attempt == MAX_BIND_ATTEMPTS - 1:
                     raise
-                await asyncio.sleep(0.1)
+                await asyncio.sleep(BIND_RETRY_INTERVAL)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Refuses connections from now on, and resets those that are open."""
+        """Refuse connections from now on, and reset those that are open."""
         if self.server is None:
             return
         server, self.server = self.server, None
@@ -123,119 +145,141 @@
                 writer.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        http = h11.Connection(h11.SERVER)
-        origin = writer.get_extra_info("peername")
+        connection = Connection(reader, writer, h11.Connection(h11.SERVER))
         while True:
-            request, body = None, b""
-            while True:
-                event = http.next_event()
-                if event is h11.NEED_DATA:
-                    http.receive_data(await reader.read(CHUNK))
-                elif isinstance(event, h11.Request):
-                    request = event
-                elif isinstance(event, h11.Data):
-                    body += bytes(event.data)
-                elif isinstance(event, h11.EndOfMessage):
-                    break
-                else:
-                    return
-            headers = {name.decode(): value.decode("latin-1") for name, value in request.headers}
-            asked = Request(request.method.decode(), request.target.decode(), headers, body, origin)
-            answer = await self.handler(asked)
-            if answer is RESET:
+            request = await self._read_request(connection)
+            if request is None:
+                return
+            response = await self.handler(request)
+            if response is RESET:
                 abort(writer)
                 return
-            framing = (
-                ("Transfer-Encoding", "chunked")
-                if answer.parts
-                else ("Content-Length", str(len(answer.body)))
-            )
-            head = h11.Response(
-                status_code=answer.status, reason=b"x", headers=[*answer.headers.items(), framing]
-            )
-            out = http.send(head)
-            if answer.parts is not None:
-                writer.write(out)
-                async with left(reader):
-                    async for part in answer.parts:
-                        writer.write(http.send(h11.Data(data=part)))
-                        await writer.drain()
-                out = b""
-            elif answer.body:
-                out += http.send(h11.Data(data=answer.body))
-            writer.write(out + http.send(h11.EndOfMessage()))
-            await writer.drain()
-            if http.our_state is not h11.DONE or http.their_state is not h11.DONE:
+            await self._write_response(connection, response)
+            if not connection.start_next_cycle():
                 return
-            http.start_next_cycle()
-
 
-class Broken(Exception):
-    """A connection ended without a whole answer; the text says when."""
+    async def _read_request(self, connection: Connection) -> Request | None:
+        """Return the next request, or None when the client has ended."""
+        head, body = None, b""
+        while True:
+            event = connection.http.next_event()
+            if event is h11.NEED_DATA:
+                connection.http.receive_data(await connection.reader.read(CHUNK))
+            elif isinstance(event, h11.Request):
+                head = event
+            elif isinstance(event, h11.Data):
+                body += bytes(event.data)
+            elif isinstance(event, h11.EndOfMessage) and head is not None:
+                origin = connection.writer.get_extra_info("peername")
+                return Request(head.method.decode(), head.target.decode(), _decoded(head), body, origin)
+            else:
+                return None
+
+    async def _write_response(self, connection: Connection, response: Response) -> None:
+        http, writer = connection.http, connection.writer
+        framing = (
+            ("Transfer-Encoding", "chunked")
+            if response.parts
+            else ("Content-Length", str(len(response.body)))
+        )
+        headers = [*response.headers.items(), framing]
+        out = http.send(h11.Response(status_code=response.status, reason=b"x", headers=headers)) or b""
+        if response.parts is not None:
+            writer.write(out)
+            async with left(connection.reader):
+                async for part in response.parts:
+                    writer.write(http.send(h11.Data(data=part)) or b"")
+                    await writer.drain()
+            out = b""
+        elif response.body:
+            out += http.send(h11.Data(data=response.body)) or b""
+        writer.write(out + (http.send(h11.EndOfMessage()) or b""))
+        await writer.drain()
+
+
+class Broken(Exception):  # noqa: N818  # the name that other modules use
+    """A connection ended without a complete response; the text says when."""
 
 
 class Caller:
-    """Calls one address over connections that are kept."""
+    """Calls one address over persistent connections."""
 
     def __init__(self, address: str) -> None:
+        """`address`: host:port."""
         host, _, port = address.rpartition(":")
         self.host, self.port = host, int(port)
-        self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter, h11.Connection]] = []
+        self.idle: list[Connection] = []
 
     async def call(
         self, method: str, target: str, headers: dict[str, str], body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """Status, headers and body. Raises `Broken`; a cancelled call closes its connection."""
-        used = None
-        while self.idle and used is None:
-            used = self.idle.pop()
-            if used[0].at_eof():
-                used[1].close()
-                used = None
-        if used is None:
-            try:
-                reader, writer = await asyncio.open_connection(self.host, self.port)
-            except OSError as error:
-                raise Broken("refused") from error
-            used = reader, writer, h11.Connection(h11.CLIENT)
-        reader, writer, http = used
-        done = False
+        """Return status, headers and body. Raises `Broken`; a cancelled call closes its connection."""
+        connection = self._take_idle() or await self._connect()
+        reusable = False
         try:
-            given = [("Host", "a"), *headers.items()]
-            if body or method != "GET":
-                given.append(("Content-Length", str(len(body))))
-            out = http.send(h11.Request(method=method, target=target, headers=given))
-            if body:
-                out += http.send(h11.Data(data=body))
-            writer.write(out + http.send(h11.EndOfMessage()))
-            answer, got = None, b""
-            while True:
-                event = http.next_event()
-                if event is h11.NEED_DATA:
-                    data = await reader.read(CHUNK)
-                    if not data and answer is None:
-                        raise Broken("closed")
-                    http.receive_data(data)
-                elif isinstance(event, h11.Response):
-                    answer = event
-                elif isinstance(event, h11.Data):
-                    got += bytes(event.data)
-                elif isinstance(event, h11.EndOfMessage):
-                    break
-                elif isinstance(event, h11.ConnectionClosed):
-                    raise Broken("closed")
-            if http.our_state is h11.DONE and http.their_state is h11.DONE:
-                http.start_next_cycle()
-                self.idle.append(used)
-                done = True
-            return answer.status_code, {n.decode(): v.decode("latin-1") for n, v in answer.headers}, got
+            self._send(connection, method, target, headers, body)
+            response, response_body = await self._read_response(connection)
+            if connection.start_next_cycle():
+                self.idle.append(connection)
+                reusable = True
+            return response.status_code, _decoded(response), response_body
         except (OSError, h11.ProtocolError) as error:
             raise Broken("reset") from error
         finally:
-            if not done:
-                writer.close()
+            if not reusable:
+                connection.writer.close()
+
+    def _take_idle(self) -> Connection | None:
+        while self.idle:
+            connection = self.idle.pop()
+            if not connection.reader.at_eof():
+                return connection
+            connection.writer.close()
+        return None
+
+    async def _connect(self) -> Connection:
+        try:
+            reader, writer = await asyncio.open_connection(self.host, self.port)
+        except OSError as error:
+            raise Broken("refused") from error
+        return Connection(reader, writer, h11.Connection(h11.CLIENT))
+
+    def _send(
+        self, connection: Connection, method: str, target: str, headers: dict[str, str], body: bytes
+    ) -> None:
+        http = connection.http
+        fields = [("Host", "a"), *headers.items()]
+        if body or method != "GET":
+            fields.append(("Content-Length", str(len(body))))
+        out = http.send(h11.Request(method=method, target=target, headers=fields)) or b""
+        if body:
+            out += http.send(h11.Data(data=body)) or b""
+        connection.writer.write(out + (http.send(h11.EndOfMessage()) or b""))
+
+    async def _read_response(self, connection: Connection) -> tuple[h11.Response, bytes]:
+        response, body = None, b""
+        while True:
+            event = connection.http.next_event()
+            if event is h11.NEED_DATA:
+                data = await connection.reader.read(CHUNK)
+                if not data and response is None:
+                    raise Broken("closed")
+                connection.http.receive_data(data)
+            elif isinstance(event, h11.Response):
+                response = event
+            elif isinstance(event, h11.Data):
+                body += bytes(event.data)
+            elif isinstance(event, h11.EndOfMessage) and response is not None:
+                return response, body
+            elif isinstance(event, h11.ConnectionClosed):
+                raise Broken("closed")
 
     def close(self) -> None:
-        for _, writer, _ in self.idle:
-            writer.close()
+        """Close the idle connections."""
+        for connection in self.idle:
+            connection.writer.close()
         self.idle = []
+
+
+def _decoded(message: h11.Request | h11.Response) -> dict[str, str]:
+    return {name.decode(): value.decode("latin-1") for name, value in message.headers}
--- a/fakes/loopback.py
+++ b/fakes/loopback.py
@@ -1,4 +1,4 @@
-"""Addresses of this process alone: what it lets go of, even for a moment, no other process takes."""
+"""Loopback addresses that no other process uses, not even while nobody listens there."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 import random
 import socket
 
-PORTS = random.SystemRandom()
-BESIDE = range(10_000, 32_000)  # the system gives out others to who asks for any
+RANDOM = random.SystemRandom()
+PORTS = range(10_000, 32_000)  # outside the range that the system picks ports from
 
 
 def own_host(number: int = 0) -> str:
-    """One of 254 loopback hosts, other ones in each process (of up to 57,344, by their ids)."""
+    """Return one of 254 loopback hosts; up to 57,344 processes, by their ids, have different ones."""
     block = os.getpid() % (224 * 256)
     return f"127.{16 + block // 256}.{block % 256}.{number + 1}"
 
 
 def free_ports(host: str, count: int) -> list[int]:
-    """So many different ones that nobody listens at and no connection goes out from by chance."""
+    """Return different ports that nobody listens at and that no outgoing connection gets by chance."""
     found: list[int] = []
     while len(found) < count:
-        port = PORTS.choice(BESIDE)
+        port = RANDOM.choice(PORTS)
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind((host, port))
             found += [port] if port not in found else []
@@ -29,6 +29,6 @@
 
 
 def free_address() -> str:
-    """For a process that is started with it."""
+    """Return an address, host:port, for a process to listen at."""
     host = own_host()
     return f"{host}:{free_ports(host, 1)[0]}"
--- a/fakes/relay.py
+++ b/fakes/relay.py
@@ -1,4 +1,4 @@
-"""A relay on one link: passes bytes on, or holds, delays, resets or refuses them, each way by itself."""
+"""A relay on one link: forwards bytes, or holds, delays, resets or refuses them, per direction."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 class Way:
     """One direction of a link. Times are seconds."""
 
-    cut: bool = False  # nothing gets through and nobody is told: what comes waits
+    cut: bool = False  # nothing gets through and no side notices: what comes waits
     delay: float = 0.0
     loss: float = 0.0  # share of pieces that come a retransmission later
-    again: float = 0.2  # how much later that is
+    again: float = 0.2  # the delay of a retransmission
 
 
 class Relay:
     """Listens for one side and connects to the other; `fore` is the way of who connects, `back` the other.
 
-    `said` is told each new connection to the far side: its own address there, by which the far side knows
-    whose it is.
+    `said` is called with each new connection to the far side: its own address there, by which the far side
+    knows whose it is.
     """
 
     def __init__(
@@ -36,17 +36,19 @@
         host: str = "",
         said: Callable[[tuple[str, int], tuple[str, int]], None] | None = None,
     ) -> None:
+        """`target`: returns where to connect to, asked for each connection. `host`: where to listen."""
         self.target, self.rng, self.host, self.said = target, rng, host or own_host(), said
         self.port = 0
         self.ways: dict[str, tuple[Way, Way]] = {}  # by the host that connects
         self.refusing: set[str] = set()
         self.server: asyncio.Server | None = None
         self.open: dict[tuple[asyncio.StreamWriter, asyncio.StreamWriter], str] = {}
-        self.pieces = 0  # passed on so far, both ways
+        self.pieces = 0  # reads forwarded so far, both ways
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
     def address(self) -> str:
+        """Where it listens, host:port."""
         return f"{self.host}:{self.port}"
 
     def link(self, source: str = "") -> tuple[Way, Way]:
@@ -57,10 +59,12 @@
         return self.ways.get(source) or self.link()
 
     async def begin(self) -> None:
+        """Listen."""
         self.server = await asyncio.start_server(self._connection, self.host, 0, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
+        """Stop listening and reset all connections."""
         if self.server is None:
             return
         self.server.close()
@@ -127,7 +131,7 @@
             with contextlib.suppress(OSError, RuntimeError):
                 writer.write_eof()
         except ConnectionError:
-            # A reset on one side is one on the other, but not through a cut.
+            # A reset on one side becomes one on the other, but not while the way is cut.
             while self._ways(source)[way].cut:
                 await asyncio.sleep(0.005)
             abort(writer)
--- a/fakes/upstream.py
+++ b/fakes/upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams that count what they run, by the name of the work, and fail as they are told."""
+"""Upstreams that record what they run, by the name of the work, and fail as a trial sets them."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from .http1 import RESET, Request, Response, Server
 
 NEVER_RAN = {"X-Never-Ran": "1"}
+HANG_TIME = 3600  # seconds, longer than any trial
 
 
 @dataclass(frozen=True)
@@ -24,15 +25,18 @@
 
 
 class Upstream:
-    """One server. `mode`: ok, hang, error, refuse (turns work away), lose (works, but resets its answer)."""
+    """One server. `mode`: ok, hang, error, refuse (rejects requests), lose (runs them, but resets)."""
 
     def __init__(self, name: str, zone: str, rng: random.Random, service: float, notes: list[Run]) -> None:
+        """`service`: the mean service time in seconds. `notes`: where each run is recorded."""
         self.name, self.zone, self.rng, self.service, self.notes = name, zone, rng, service, notes
         self.mode, self.slower = "ok", 1.0
-        self.origins: dict[tuple[str, int], str] = {}  # whose a connection is, as the relays say
+        self.origins: dict[
+            tuple[str, int], str
+        ] = {}  # the sidecar of a connection, by its address, as the relays tell
         self.server = Server(self._answer)
         self.working = 0
-        self.cold_since = -1e18  # when its process began; it is warm after COLD
+        self.cold_since = -1e18  # when its process began; slow start ends some time after that
 
     async def _answer(self, request: Request) -> Response:
         trace = request.headers.get("x-trace-id")
@@ -48,7 +52,7 @@
         self.working += 1
         try:
             if self.mode == "hang":
-                await asyncio.sleep(3600)
+                await asyncio.sleep(HANG_TIME)
             await asyncio.sleep(self.service * self.slower * self.rng.lognormvariate(0, 0.4))
             if self.mode == "error":
                 return Response(500)
