--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -100,10 +100,8 @@
     for number in range(arguments.upstreams):
         server = Server(("127.0.0.1", FIRST_PORT + number), Upstream, number, arguments)
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    print(
-        f"{arguments.upstreams} upstreams from port {FIRST_PORT}, their list at {LIST_ADDRESS[0]}:{LIST_ADDRESS[1]}",
-        flush=True,
-    )
+    list_at = "{}:{}".format(*LIST_ADDRESS)
+    print(f"{arguments.upstreams} upstreams from port {FIRST_PORT}, their list at {list_at}", flush=True)
     Server(LIST_ADDRESS, EndpointList, -1, arguments).serve_forever()
 
 
