--- /dev/null
+++ b/trials/capacity/__main__.py
@@ -0,0 +1,8 @@
+"""python -m trials.capacity: the same as `python -m trials capacity`."""
+
+import sys
+
+from .command import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/trials/capacity/bench.py
@@ -0,0 +1,253 @@
+"""The program's own code in a fleet of a given size, without sockets, for timing."""
+
+from __future__ import annotations
+
+import base64
+import json
+import random
+
+import msgspec
+
+from starlingwheel.decisions.balancer import Balancer
+from starlingwheel.decisions.config import BalancerConfig, RequestClass, RetrySafety
+from starlingwheel.decisions.events import WatchEvent
+from starlingwheel.decisions.model import Endpoint, EndpointState
+from starlingwheel.fleet.frames import (
+    AttemptIntent,
+    AttemptIntentFrame,
+    Frame,
+    HeartbeatFrame,
+    RecordedRequest,
+    RecordedResponse,
+    ReplicaStateFrame,
+    ReplicateFrame,
+    ResponseFrame,
+    ViewSyncedFrame,
+)
+from starlingwheel.fleet.membership import Member
+from starlingwheel.fleet.policy import replica as policy
+from starlingwheel.fleet.policy.replica import PolicyReplica, PolicyStatus
+from starlingwheel.fleet.records import (
+    Policy,
+    PolicyDecision,
+    PolicyProposal,
+    StoreRecords,
+    ZoneHealth,
+    ZoneReport,
+)
+from starlingwheel.fleet.zones import planner as zones
+from starlingwheel.net.fleet import etcd as arbiter
+from starlingwheel.net.loop import Loop
+from starlingwheel.net.state.buffers import BufferPool
+
+from .size import FLEET, LEASE
+
+
+def members(count: int, zone_count: int = 11) -> list[Member]:
+    """Members with names and addresses as long as those of real ones."""
+    return [
+        Member(f"orders-{i:04d}.{i * 7919:012x}", f"orders-{i:04d}", f"10.{i % 11}.{i // 250}.{i % 250}:7950",
+               f"zone-{i % zone_count}", 0, 1000 + i)
+        for i in range(count)
+    ]  # fmt: skip
+
+
+def policy_status(member: Member) -> PolicyStatus:
+    """What a member reports of its policy with each heartbeat."""
+    return PolicyStatus(
+        member.id, member.name, 1780000000.123456, 41, "0123456789abcdef", float("inf"), 41, 123456, True
+    )
+
+
+def frames() -> dict[str, Frame]:
+    """One frame of each kind that counts, by the name of its figure."""
+    me, at = members(1)[0], 1780000000.123456
+    key, mark = b"order\x00" + b"k" * 32, b"m" * 8
+    headers = [(b"host", b"orders.internal"), (b"x-qos", b"order"), (b"x-expires-in-ms", b"1900")]
+    headers += [(b"x-work-name", b"k" * 32), (b"x-trace-id", b"t" * 32), (b"content-type", b"text/plain")]
+    asked = RecordedRequest(b"POST", b"/order/1", headers, b"b" * 256, b"t" * 32)
+    rules = RequestClass("order", RetrySafety.NON_IDEMPOTENT, 1.0, 8.0, 2.0)
+    return {
+        "beat": HeartbeatFrame(1 << 54, False, policy_status(me)),
+        "told": ViewSyncedFrame(1 << 54),
+        "cover": ReplicateFrame(
+            key, me.id, 0, True, mark, "order", "exclusive", at, at, False, asked, [], False, rules
+        ),
+        "intend": AttemptIntentFrame(key, 0, 0, AttemptIntent("10.0.0.1:8080", "zone-1", 3, at)),
+        "kept": ReplicaStateFrame(key, 0, "new", 1),
+        "answered": ResponseFrame(key, 0, RecordedResponse(200, 0.0, b"application/json", b"a" * 256)),
+    }
+
+
+class NullHost:
+    """A host of the policy and zone decisions that does nothing."""
+
+    def check(self, body: object) -> str:
+        """Every policy is accepted."""
+        return ""
+
+    def keep(self, kept: object) -> None:
+        """Store nothing."""
+
+    def kept(self) -> str | None:
+        """Nothing failed to be stored."""
+        return ""
+
+    def rule(self, policy_: object) -> None:
+        """Apply no policy."""
+
+    def ask(self, member: str) -> None:
+        """Ask no member."""
+
+    def note(self, event: str, **fields: object) -> None:
+        """Log nothing."""
+
+    def shares(self, shares: object, back: object) -> None:
+        """Apply no shares of zones."""
+
+
+def b64(data: bytes | str) -> str:
+    """Encode as the store's gateway does."""
+    return base64.b64encode(data if isinstance(data, bytes) else data.encode()).decode()
+
+
+def event(key: str, value: bytes, mod: int) -> bytes:
+    """A line of a watch with one event, as the store's gateway writes it."""
+    head = {"cluster_id": "14841639068965178418", "member_id": "10276657743932975437", "raft_term": "3"}
+    pair = {"key": b64(f"/{FLEET}/{key}"), "value": b64(value), "create_revision": str(mod)}
+    pair |= {"mod_revision": str(mod), "version": "1", "lease": "7587862094990423573"}
+    result = {"header": head | {"revision": str(mod)}, "events": [{"kv": pair}]}
+    return json.dumps({"result": result}, separators=(",", ":")).encode()
+
+
+def zone_health(rng: random.Random) -> ZoneHealth:
+    """What a member sees of one zone."""
+    return ZoneHealth(round(rng.uniform(1, 60), 2), round(rng.uniform(1, 60), 2), counted=90, row=0)
+
+
+SEES = 5  # zones that a member sends to: a service has five endpoints on the mean
+
+
+def zone_report(member: int, zone_count: int = SEES) -> ZoneReport:
+    """What a member reports of so many zones."""
+    rng = random.Random(member)
+    return ZoneReport(1780000000.123456, {f"zone-{z}": zone_health(rng) for z in range(zone_count)})
+
+
+class Bench:
+    """A member's code towards the coordination store, in a fleet of so many; no socket is opened."""
+
+    def __init__(self, count: int) -> None:
+        """A fleet with a proposal open that half of it has voted for."""
+        self.count, self.members = count, members(count)
+        self.now = 1780000000.0
+        loop = Loop(lambda *_: None)
+        self.recorded: StoreRecords | None = None
+        self.state_watcher = arbiter.StateWatcher(
+            loop, ["127.0.0.1:1"], LEASE, BufferPool(0), lambda *_, **__: None, random.Random(1), FLEET,
+            tell=self._tell,
+        )  # fmt: skip
+        me = self.members[0]
+        self.member_id = me.id
+        body = {"settings": {"categories": []}, "cover": {}}
+        held = Policy(41, "d" * 16, body)
+        change = PolicyProposal(Policy(42, "e" * 16, body), self.now + 9, self.now, me.id)
+        records = self.state_watcher.records = StoreRecords()
+        records.members = {m.id: m for m in self.members}
+        records.names = {m.name: m.term for m in self.members}
+        records.now, records.now_mod = PolicyDecision(held, self.now, 5, held), 6
+        records.next, records.next_mod = msgspec.structs.replace(change, number=7), 7
+        records.votes = {m.id: "" for m in self.members[: count // 2]}
+        records.said = {m.id: zone_report(i) for i, m in enumerate(self.members)}
+        self.state_watcher.revision = records.revision = 10_000
+        self.policy_replica = PolicyReplica(
+            me.id, me.name, LEASE, NullHost(), self.now, policy.StoredPolicy(FLEET)
+        )
+        self.policy_replica.sure, self.policy_replica.vote = True, (7, "")
+        self.policy_replica.renewed(self.now + LEASE, 1)
+        tracker = zones.ZoneHealthTracker(2.0, self.now)
+        self.zone_planner = zones.ZonePlanner(me.id, LEASE, {}, {}, NullHost(), tracker)
+        self.revision = 10_000
+        loop.close()
+
+    def _tell(self, message: object) -> None:
+        records = getattr(message, "records", None)
+        if records is not None:
+            self.recorded = records
+            self.policy_replica.recorded(records, False)
+            self.zone_planner.recorded(records)
+            self.policy_replica.due()
+
+    def _receive(self, text: bytes) -> None:
+        self.state_watcher._seen(  # noqa: SLF001  # without its socket
+            arbiter.read(text, arbiter.WatchLine).result
+        )
+
+    def vote(self) -> None:
+        """Receive the vote of a member."""
+        self.revision += 1
+        voter = self.members[self.revision % (self.count - 1)].id
+        if len(self.state_watcher.records.votes) == self.count:
+            del self.state_watcher.records.votes[self.members[-1].id]  # one is always missing
+        self._receive(event(f"policy/votes/7/{voter}", b'""', self.revision))
+
+    def evidence(self) -> None:
+        """Receive what a member reports of its zones."""
+        self.revision += 1
+        number = self.revision % self.count
+        value = msgspec.json.encode(self.state_watcher.records.said[self.members[number].id])
+        self._receive(event(f"zones/said/{self.members[number].id}", value, self.revision))
+
+    def entry(self) -> None:
+        """Receive the entry of a member: a view is built."""
+        self.revision += 1
+        member = self.members[self.revision % self.count]
+        self._receive(event(f"members/{member.id}", msgspec.json.encode(member), self.revision))
+
+    def weigh(self) -> None:
+        """Evaluate the reports of all members, as happens eight times a second or so, in calm."""
+        self.zone_planner.look_at = -1.0
+        self.zone_planner._next()  # noqa: SLF001  # one step, whatever the time
+
+    def full_range(self) -> bytes:
+        """Encode what a start reads: members, names, reports of zones, policy."""
+        pairs = [(f"members/{m.id}", msgspec.json.encode(m)) for m in self.members]
+        pairs += [(f"names/{m.name}", b"1") for m in self.members]
+        records = self.state_watcher.records
+        pairs += [(f"zones/said/{m}", msgspec.json.encode(report)) for m, report in records.said.items()]
+        pairs += [("policy/now", msgspec.json.encode(records.now))]
+        kvs = [json.loads(event(key, value, 1))["result"]["events"][0]["kv"] for key, value in pairs]
+        reply = {"header": {"revision": "1"}, "kvs": kvs, "count": str(len(kvs))}
+        return json.dumps(reply, separators=(",", ":")).encode()
+
+    def read_full_range(self, data: bytes) -> None:
+        """Read it, as a start does."""
+        ranged = arbiter.read(data, arbiter.RangeReply)
+        self.state_watcher.records = StoreRecords()
+        for pair in ranged.kvs:
+            self.state_watcher._put(pair)  # noqa: SLF001  # without its socket
+
+
+def new_balancer(count: int) -> Balancer:
+    """A balancer with so many endpoints."""
+    config = BalancerConfig(
+        request_classes=[RequestClass("look", RetrySafety.IDEMPOTENT, 1.0, 1.0, 2.0)],
+        zone="here",
+        sidecars=5,
+        must_watch_endpoints=False,
+        endpoint_list_max_age=8.0,
+        slow_start_initial_fraction=1.0,
+        slow_start_duration=0.0,
+        overload_factor=2.0,
+        overload_window=2.0,
+        max_attempts=3,
+        cross_zone_price=0.0,
+    )
+    balancer = Balancer(config, random.Random(1), 0.0)
+    balancer.update_endpoints(WatchEvent.SNAPSHOT, [endpoint(i) for i in range(count)])
+    return balancer
+
+
+def endpoint(i: int, state: EndpointState = EndpointState.READY) -> Endpoint:
+    """The endpoint of that number."""
+    return Endpoint(f"10.0.{i // 250}.{i % 250}:8080", "here", 0, 1.0, None, state)
