--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -69,8 +69,8 @@
 def test_a_server_holds_nothing_once_all_is_answered():
     tree = Tree(Plan(**(SMALL | {"scene": "hangs", "part": 0.5})))
     tree.play()
-    assert all(server.busy == 0 and not server.line for level in tree.servers for server in level)
-    assert not any(caller.asked for callers in tree.edge for caller in callers)
+    assert all(server.busy_cores == 0 and not server.queue for level in tree.servers for server in level)
+    assert not any(caller.pending for callers in tree.edge for caller in callers)
 
 
 def test_what_is_left_unbounded_is_told_in_one_line_before_anything_is_played(capsys):
