--- a/trials/call_tree/command.py
+++ b/trials/call_tree/command.py
@@ -24,7 +24,6 @@
 from .tables import table
 from .tree import play
 
-
 WRONG_USE = 2  # exit code
 
 
