--- a/trials/added.py
+++ b/trials/added.py
@@ -27,7 +27,7 @@
 from fakes.endpoint_list import Listing
 from fakes.loopback import free_address, own_host
 
-from .rig import CAPS, CATEGORIES, MEMORY, ROOT, START, _die_with_parent
+from .rig import CAPS, CATEGORIES, MEMORY, ROOT, START, die_with_parent
 from .verdict import Verdict
 
 CLIENTS = 8
@@ -192,7 +192,7 @@
 
 def begun(command: list[str], **more: Any) -> subprocess.Popen[bytes]:
     return subprocess.Popen(
-        [sys.executable, "-B", *command], stdin=subprocess.DEVNULL, preexec_fn=_die_with_parent, **more
+        [sys.executable, "-B", *command], stdin=subprocess.DEVNULL, preexec_fn=die_with_parent, **more
     )
 
 
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -29,9 +29,9 @@
 
 LOGS = os.environ.get("TRIAL_LOGS", "")  # a folder in which the processes' logs stay, for a look
 ROOT = Path(__file__).parent.parent
-# Where there is one: guards against many processes' files on one slow disk.
+# In memory, where possible: the files of many processes may be too much for a slow disk.
 MEMORY = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
-START = 20.0  # seconds within which all are ready, however busy the machine is
+START = 20.0  # seconds in which all are ready, however busy the machine is
 DIE_WITH_PARENT = 1  # prctl's PR_SET_PDEATHSIG
 ZONES = ("north", "east", "south")
 TIMES = {"dueTime": 1_000_000, "expiry": 2_000_000}
@@ -54,15 +54,15 @@
 
 
 def cells_of(members: int, cell_size: int) -> int:
-    """Into how many cells so many are cut, with so many a cell on the mean at most; 0: one cell."""
+    """Return the number of cells for so many members, at most `cell_size` in each on the mean; 0: one."""
     count = 1
     while cell_size and members > count * cell_size:
         count *= 2
     return count
 
 
-def _die_with_parent() -> None:
-    """Guards against processes that outlive a rig that was killed."""
+def die_with_parent() -> None:
+    """Have this process killed when its parent ends, so that none outlives a rig that was killed."""
     ctypes.CDLL(None).prctl(DIE_WITH_PARENT, signal.SIGKILL)
 
 
@@ -70,6 +70,7 @@
     """One real process, started again under the same name and addresses."""
 
     def __init__(self, rig: Rig, number: int) -> None:
+        """Not started yet."""
         self.rig, self.number, self.name = rig, number, f"n{number}"
         self.host = own_host(1 + number)
         self.zone = ZONES[number % len(ZONES)]
@@ -85,6 +86,7 @@
 
     @property
     def address(self) -> str:
+        """Where it listens for clients, host:port."""
         return f"{self.host}:{self.port}"
 
     def _entries(self) -> list[dict[str, Any]]:
@@ -95,6 +97,7 @@
         ]
 
     async def prepare(self) -> None:
+        """Open its relays and its endpoint list."""
         await self.list.server.begin()
         await self.front.begin()
         await self.to_arbiter.begin()
@@ -108,6 +111,7 @@
             self.relays.append(relay)
 
     def configuration(self) -> dict[str, Any]:
+        """Return the content of its configuration file."""
         settings = {
             "categories": self.rig.categories, "caps": CAPS, "rules": {"mustAskIn": 8_000_000},
             "discovery": "ask", "locality": self.zone, "replicasOfMe": len(self.rig.sidecars),
@@ -125,18 +129,19 @@
         } | self.rig.further(self)
 
     def start(self) -> None:
-        """Also again: with the same name and addresses, and a seed of its own."""
+        """Start a process, under the name and addresses of the one before."""
         self.paths["json"].write_text(json.dumps(self.configuration()))
-        # Guards against what operators said being shared by all: they have no folder that outlives them.
+        # Without a folder for operators' overrides: all sidecars would share it.
         environment = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
         with self.paths["log"].open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-B", *(["-c", AHEAD.format(self.ahead)] if self.ahead else MODULE)],
                 cwd=self.rig.root, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                env=environment | {"EDGE_CONFIG": str(self.paths["json"])}, preexec_fn=_die_with_parent,
+                env=environment | {"EDGE_CONFIG": str(self.paths["json"])}, preexec_fn=die_with_parent,
             )  # fmt: skip
 
     async def ready(self) -> None:
+        """Wait until it accepts requests; raises `RuntimeError` where it does not."""
         caller, until = Caller(self.address), asyncio.get_running_loop().time() + START
         while asyncio.get_running_loop().time() < until:
             with contextlib.suppress(Broken):
@@ -148,32 +153,35 @@
             await asyncio.sleep(0.02)
         raise RuntimeError(f"{self.name} is not ready: {self.paths['log'].read_text()[-2000:]}")
 
-    async def told(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """An operator's call: status, and what the answer says."""
+    async def told(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
+        """Make an admin call; return the status and the decoded body of its response."""
         caller = Caller(f"{self.host}:{self.mgmt}")
         data = b"" if body is None else json.dumps(body).encode()
         try:
             async with asyncio.timeout(3.0):
-                status, _, said = await caller.call(method, path, {}, data)
+                status, _, text = await caller.call(method, path, {}, data)
         finally:
             caller.close()
-        return status, json.loads(said) if said else None
+        return status, json.loads(text) if text else None
 
     def signal(self, number: int) -> None:
+        """Send a signal, if the process runs."""
         if self.alive:
             os.kill(self.process.pid, number)
 
     def kill(self) -> None:
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
     @property
     def alive(self) -> bool:
+        """The process runs."""
         return self.process is not None and self.process.poll() is None
 
     async def sees_cells(self, members: int, cells: int) -> bool:
-        """A view of so many, cut so, and links to all of its own cell."""
+        """It has a view of so many members in so many cells, and links to all of its own cell."""
         with contextlib.suppress(Broken, TimeoutError):
             _, told = await self.told("GET", "/_fleet")
             cut = told["cells"]
@@ -182,12 +190,14 @@
         return False
 
     def sees(self, members: int) -> bool:
+        """It has a view of so many members, and links to all of them."""
         lines = self.logged("view", "link.up", "link.down")
         views = [line for line in lines if line["event"] == "view"]
         up = sum({"link.up": 1, "link.down": -1}.get(line["event"], 0) for line in lines)
         return bool(views) and views[-1]["members"] == members and up >= members - 1
 
     def logged(self, *events: str) -> list[dict[str, Any]]:
+        """Return the log lines of these events."""
         lines = []
         for line in self.paths["log"].read_text().splitlines():
             with contextlib.suppress(json.JSONDecodeError):
@@ -196,7 +206,7 @@
 
 
 class Rig:
-    """Processes, stand-ins and links of one trial: `async with Rig(...) as rig`."""
+    """The processes, fakes and links of one trial: `async with Rig(...) as rig`."""
 
     def __init__(
         self,
@@ -241,7 +251,7 @@
         self.clients = Clients({s.name: s.address for s in self.sidecars}, random.Random(f"{seed}-clients"))
 
     def further(self, sidecar: Sidecar) -> dict[str, Any]:
-        """What else the configuration of a sidecar says."""
+        """Return the further parts of a sidecar's configuration."""
         if not self.fleet:
             return {}
         part = {
@@ -259,13 +269,13 @@
 
     @property
     def cells(self) -> int:
-        """Into how many the fleet is to be cut when all are in."""
+        """The number of cells when all members are in."""
         return cells_of(len(self.sidecars), self.cell_size)
 
     def between(self, one: Sidecar, other: Sidecar) -> tuple[Way, Way]:
-        """The ways of the link between two sidecars: from the first to the second, and back.
+        """Return both ways of the link between two sidecars: from the first to the second, and back.
 
-        Either may be the one that calls; both directions of calling get the same faults.
+        Either may be the one that connects; the faults are the same.
         """
         ways = Way(), Way()
         other.front.ways[one.host] = ways
@@ -273,24 +283,25 @@
         return ways
 
     def in_hand(self, sidecar: Sidecar) -> list[Work]:
-        """What clients wait for there, as they see it."""
+        """Return the requests whose clients wait for an answer of that sidecar."""
         tries = [(w, w.tries[-1]) for w in self.clients.done if w.tries]
         return [w for w, last in tries if last.end == "open" and last.sidecar == sidecar.name]
 
     def lose(self, sidecar: Sidecar) -> list[Work]:
-        """Kill one for good: clients that come from now on go elsewhere. What was in hand there."""
+        """Kill a sidecar for good, and send new clients elsewhere; return its open requests."""
         hurt = self.in_hand(sidecar)
         sidecar.kill()
         self.clients.avoid.add(sidecar.name)
         return hurt
 
     async def judged(self, sending: asyncio.Task[None]) -> Verdict:
-        """Once all that is sent has come to its end."""
+        """Wait until all requests have ended, then judge."""
         await sending
         await self.clients.rest(self.clients.waits + 1)
         return judge(self.clients.done, self.runs, self.start)
 
     async def __aenter__(self) -> Rig:
+        """Start all; raises `RuntimeError` where a process is not ready in time."""
         try:
             await self._begin()
         except BaseException:
@@ -299,6 +310,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """End all."""
         await self._end()
 
     async def _begin(self) -> None:
@@ -318,11 +330,11 @@
         self.start = asyncio.get_running_loop().time()
 
     def told(self) -> str:
-        """What the processes' logs say last."""
+        """Return the ends of the processes' logs."""
         return "\n".join(f"{s.name}: {s.paths['log'].read_text()[-1500:]}" for s in self.sidecars)
 
     async def met(self, members: int) -> None:
-        """All that are alive have a view of so many members and a link to each of their cell."""
+        """Wait until each that is alive has a view of so many members and a link to each of its cell."""
         until = asyncio.get_running_loop().time() + START
         alive = [s for s in self.sidecars if s.alive]
         while asyncio.get_running_loop().time() < until:
@@ -352,12 +364,13 @@
         self.kept.cleanup()
 
     def defects(self) -> list[dict[str, Any]]:
-        """What the processes' logs say of themselves."""
+        """Return the log lines that tell of faults in the code."""
         return [line for s in self.sidecars for line in s.logged("defect", "module.defect")]
 
     def wall(self, at: float) -> float:
-        """The wall clock at a time of the loop's."""
+        """Convert a time of the loop's clock to wall clock time."""
         return at + time.time() - asyncio.get_running_loop().time()
 
     def of(self, name: str) -> list[Run]:
+        """Return the runs of a request."""
         return [run for run in self.runs if run.name == name]
