--- a/trials/__main__.py
+++ b/trials/__main__.py
@@ -8,6 +8,7 @@
 import json
 import sys
 from pathlib import Path
+from typing import Any
 
 from . import (
     added,
@@ -45,9 +46,7 @@
 OWN = {"call-tree": call_tree.main, "capacity": capacity.main, "parts": parts.main, "scale": scale}
 
 
-def main() -> int:
-    if sys.argv[1:] and sys.argv[1] in OWN:
-        return OWN[sys.argv[1]](sys.argv[2:])
+def _parser() -> argparse.ArgumentParser:
     own = f"With a command line of their own: {', '.join(OWN)}."
     parser = argparse.ArgumentParser(prog="python -m trials", description=__doc__, epilog=own)
     parser.add_argument("trial", choices=TRIALS)
@@ -59,28 +58,49 @@
     parser.add_argument("--rates", help="of `added` and `cost`: calls a second, separated by commas")
     parser.add_argument("--service", type=float, help="of `added`: an upstream's time, seconds (default: 0)")
     parser.add_argument("--cell-size", type=int, help="members of a cell, as fleet.cell_size")
-    given = parser.parse_args()
-    if given.cell_size and "cell_size" not in inspect.signature(TRIALS[given.trial]).parameters:
-        parser.error(f"{given.trial} is not played with cells")
-    kept = True
-    for seed in range(given.seed, given.seed + given.seeds):
-        more = {"sidecars": given.sidecars} if given.sidecars else {}
-        more |= {"rates": [float(rate) for rate in given.rates.split(",")]} if given.rates else {}
-        more |= {"service": given.service} if given.service is not None else {}
-        if given.cell_size:
-            more["cell_size"] = given.cell_size
-        trial = TRIALS[given.trial](seed, root=given.root, fleet=not given.alone, **more)
-        try:
-            verdict = asyncio.run(trial)
-        except RuntimeError as error:
-            print(json.dumps({"trial": given.trial, "seed": seed, "kept": False, "void": str(error)[:300]}))
-            kept = False
-            continue
-        print(json.dumps({"trial": given.trial, "seed": seed, "kept": verdict.kept, **verdict.counts}))
-        for one in verdict.broken:
-            print("  " + one)
-        kept = kept and verdict.kept
-    return 0 if kept else 1
+    return parser
+
+
+def _keywords(options: argparse.Namespace) -> dict[str, Any]:
+    """The options that are passed on to the trial where they are given."""
+    keywords: dict[str, Any] = {"root": options.root, "fleet": not options.alone}
+    if options.sidecars:
+        keywords["sidecars"] = options.sidecars
+    if options.rates:
+        keywords["rates"] = [float(rate) for rate in options.rates.split(",")]
+    if options.service is not None:
+        keywords["service"] = options.service
+    if options.cell_size:
+        keywords["cell_size"] = options.cell_size
+    return keywords
+
+
+def _play(trial: str, seed: int, keywords: dict[str, Any]) -> bool:
+    """Play one seed and print its verdict; return whether all promises were kept."""
+    try:
+        verdict = asyncio.run(TRIALS[trial](seed, **keywords))
+    except RuntimeError as error:
+        print(json.dumps({"trial": trial, "seed": seed, "kept": False, "void": str(error)[:300]}))
+        return False
+    print(json.dumps({"trial": trial, "seed": seed, "kept": verdict.kept, **verdict.counts}))
+    for broken in verdict.broken:
+        print("  " + broken)
+    return verdict.kept
+
+
+def main() -> int:
+    """Run the command; return its exit code."""
+    if sys.argv[1:] and sys.argv[1] in OWN:
+        return OWN[sys.argv[1]](sys.argv[2:])
+    parser = _parser()
+    options = parser.parse_args()
+    if options.cell_size and "cell_size" not in inspect.signature(TRIALS[options.trial]).parameters:
+        parser.error(f"{options.trial} is not played with cells")
+    keywords = _keywords(options)
+    kept = [
+        _play(options.trial, seed, keywords) for seed in range(options.seed, options.seed + options.seeds)
+    ]
+    return 0 if all(kept) else 1
 
 
 if __name__ == "__main__":
--- a/trials/added.py
+++ b/trials/added.py
@@ -1,6 +1,6 @@
-"""What a sidecar adds to a call: the same calls with and without it, by pairs, and its processor time.
+"""What a sidecar adds to a call: the same calls with and without it, in pairs, and its processor time.
 
-Stand-in upstreams in one process, a sidecar in another, and here eight clients with short random pauses.
+Fake endpoints run in one process, a sidecar in another, and here eight clients with short random pauses.
 """
 
 from __future__ import annotations
@@ -27,13 +27,14 @@
 from fakes.endpoint_list import Listing
 from fakes.loopback import free_address, own_host
 
-from .rig import CAPS, CATEGORIES, MEMORY, ROOT, START, die_with_parent
+from .processes import die_with_parent, processor_time
+from .rig import CAPS, CATEGORIES, MEMORY, ROOT, START
 from .verdict import Verdict
 
 CLIENTS = 8
 RATES = (50.0, 100.0, 200.0, 400.0)  # pairs of calls a second
 SECONDS = 8.0  # at each rate
-FIRST = 1.5  # of these, in which connections are made: not counted
+FIRST = 1.5  # seconds of these in which connections are opened: not counted
 ENDING = b"\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nfine"
 LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
@@ -41,11 +42,11 @@
 HEADS = "rate", "pairs", "failed", "direct 50", "90", "99", "added 50", "90", "99", "cpu ms", "connections"
 
 
-# The stand-in upstreams: one process, no framework, so that what they add is small and the same for both.
+# The fake endpoints: one process, no framework, so that what they add is small and the same for both.
 
 
-def spent(request: bytes, service: float) -> float:
-    """Time that a request takes, seconds: by its trace id, so that both calls of a pair take the same."""
+def service_time(request: bytes, service: float) -> float:
+    """Return the seconds that a request takes: by its trace id, so both calls of a pair take the same."""
     if not service:
         return 0.0
     name = TRACE.search(request)
@@ -85,7 +86,7 @@
                 continue
             got[fd] = got.get(fd, b"") + data
             if got[fd].endswith(ENDING):
-                heapq.heappush(due, (time.monotonic() + spent(got.pop(fd), service), fd))
+                heapq.heappush(due, (time.monotonic() + service_time(got.pop(fd), service), fd))
         while due and due[0][0] <= time.monotonic():
             with contextlib.suppress(OSError):
                 open_[heapq.heappop(due)[1]].sendall(ANSWER)
@@ -94,25 +95,27 @@
 # The clients.
 
 
-class Kept:
-    """One connection that is kept, and calls over it."""
+class PersistentConnection:
+    """A connection that is used again, and calls over it."""
 
     def __init__(self, address: str) -> None:
+        """Not connected yet."""
         self.address = address
         self.sock: socket.socket | None = None
 
     def connect(self) -> None:
+        """Connect; raises OSError."""
         host, _, port = self.address.rpartition(":")
         self.sock = socket.create_connection((host, int(port)), timeout=5.0)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def look(self) -> None:
-        """Give up a connection that the other side has ended, as a sidecar does with an idle one."""
+    def close_if_ended(self) -> None:
+        """Close a connection that the other side has ended, as a sidecar does with an idle one."""
         if self.sock is not None and select.select([self.sock], [], [], 0)[0]:
             self.close()
 
     def call(self, trace: str) -> float | None:
-        """Seconds until the whole answer was there, without those to connect; None: it failed."""
+        """Return the seconds until the response was complete, without those to connect; None: it failed."""
         lines = ["GET /look/1 HTTP/1.1", "Host: a", f"X-Trace-Id: {trace}"]
         lines += ["X-Qos: look", "X-Expires-In-Ms: 2000"]
         text = "\r\n".join([*lines, "", ""])
@@ -143,6 +146,7 @@
         return data
 
     def close(self) -> None:
+        """Close the connection, if it is open."""
         if self.sock is not None:
             self.sock.close()
             self.sock = None
@@ -151,52 +155,48 @@
 def client(
     name: str, sidecar: str, direct: list[str], rate: float, until: float, since: float, pairs: list[Any]
 ) -> None:
-    """Pairs of calls at random times until `until`, in random order; noted from `since` on."""
+    """Make pairs of calls at random times until `until`, in random order; recorded from `since` on."""
     rng = random.Random(name)
-    through, to = Kept(sidecar), [Kept(address) for address in direct]
+    through, to = PersistentConnection(sidecar), [PersistentConnection(address) for address in direct]
     at, number = time.monotonic() + rng.expovariate(rate), 0
     while max(at, time.monotonic()) < until:
         time.sleep(max(0.0, at - time.monotonic()))
         one = rng.choice(to)
         trace, number = f"{name}-{number}", number + 1
-        noted, took = time.monotonic() >= since, {}
-        # The last sign of the direct one is not counted for the time that it takes.
+        recorded, took = time.monotonic() >= since, {}
+        # The last character of the direct call's trace id does not count for the time that it takes.
         calls = [(through, trace), (one, trace + "+")]
-        for kept, its in rng.sample(calls, 2):
-            kept.look()
-            if kept.sock is None:
+        for connection, its_trace in rng.sample(calls, 2):
+            connection.close_if_ended()
+            if connection.sock is None:
                 with contextlib.suppress(OSError):
-                    kept.connect()
-            took[kept is through] = kept.call(its)
-        if noted:
+                    connection.connect()
+            took[connection is through] = connection.call(its_trace)
+        if recorded:
             pairs.append((took[False], took[True]))
         at += rng.expovariate(rate)
-    for kept in (through, *to):
-        kept.close()
+    for connection in (through, *to):
+        connection.close()
 
 
 # The trial.
 
 
-def used(process: subprocess.Popen[bytes]) -> float:
-    """Processor time of a process so far, seconds."""
-    fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
-
-
 def quantiles(values: Sequence[float]) -> list[float]:
-    """50, 90 and 99 in 100, milliseconds."""
+    """Return the 50th, 90th and 99th percentile, milliseconds."""
     ordered = sorted(values) or [0.0]
     return [1000 * ordered[min(len(ordered) - 1, len(ordered) * part // 100)] for part in (50, 90, 99)]
 
 
-def begun(command: list[str], **more: Any) -> subprocess.Popen[bytes]:
+def start_python(command: list[str], **more: Any) -> subprocess.Popen[bytes]:  # noqa: ANN401  # Popen's
+    """Start Python with these arguments; it ends with this process."""
     return subprocess.Popen(
         [sys.executable, "-B", *command], stdin=subprocess.DEVNULL, preexec_fn=die_with_parent, **more
     )
 
 
 async def ready(address: str, log: Path) -> None:
+    """Wait until the sidecar accepts requests; raises `RuntimeError` where it does not."""
     until = time.monotonic() + START
     while time.monotonic() < until:
         with contextlib.suppress(OSError):
@@ -213,7 +213,7 @@
 async def measured(
     seed: int, rate: float, seconds: float, sidecar: subprocess.Popen[bytes], address: str, direct: list[str]
 ) -> tuple[list[Any], float]:
-    """The pairs at one rate, and the sidecar's processor time for each of its calls, seconds."""
+    """Return the pairs at one rate, and the sidecar's processor time for each of its calls, seconds."""
     pairs: list[Any] = []
     now = time.monotonic()
     threads = [
@@ -229,16 +229,16 @@
     for thread in threads:
         thread.start()
     await asyncio.sleep(max(0.0, now + FIRST - time.monotonic()))
-    before, counted = used(sidecar), len(pairs)
+    before, counted = processor_time(sidecar.pid), len(pairs)
     await asyncio.sleep(max(0.0, now + seconds - time.monotonic()))
-    cost = (used(sidecar) - before) / max(1, len(pairs) - counted)
+    cost = (processor_time(sidecar.pid) - before) / max(1, len(pairs) - counted)
     for thread in threads:
         await asyncio.to_thread(thread.join)
     return pairs, cost
 
 
 def open_to(process: subprocess.Popen[bytes], addresses: list[str]) -> int:
-    """Connections of a process to upstreams that are up."""
+    """Return the number of established connections of a process to endpoints."""
     ports = {int(a.rpartition(":")[2]) for a in addresses}
     inodes = set()
     for entry in Path(f"/proc/{process.pid}/fd").iterdir():
@@ -260,72 +260,87 @@
     seconds: float = SECONDS,
     command: Sequence[str] = ("-m", "starlingwheel"),
 ) -> Verdict:
-    """A row for each rate; milliseconds, also of the sidecar's processor time for each of its calls.
+    """Print a row for each rate; milliseconds, also of the sidecar's processor time for each of its calls.
 
     A broken promise: more than one pair in a hundred has no answer.
 
-    `service`: time that an upstream takes, seconds on the mean; 0: it answers at once. `command`: another way
-    to start the program, as under a profiler. One sidecar is played, whatever `sidecars` and `fleet` say.
+    `service`: seconds that an endpoint takes, on the mean; 0: it answers at once. `command`: another way to
+    start the program, as under a profiler. One sidecar is played, whatever `sidecars` and `fleet` say.
     """
     verdict = Verdict()
-    with tempfile.TemporaryDirectory(prefix="added-", dir=MEMORY) as kept:
-        folder = Path(kept)
-        serving = begun(["-m", "trials.added", str(count), str(service)], cwd=ROOT, stdout=subprocess.PIPE)
+    with tempfile.TemporaryDirectory(prefix="added-", dir=MEMORY) as name:
+        folder = Path(name)
+        endpoints = start_python(
+            ["-m", "trials.added", str(count), str(service)], cwd=ROOT, stdout=subprocess.PIPE
+        )
         sidecar = None
         listing = Listing(lambda: servers)
         try:
-            direct = json.loads(await asyncio.to_thread(serving.stdout.readline))
+            direct = json.loads(await asyncio.to_thread(endpoints.stdout.readline))
             servers = [
                 {"id": f"u{i}", "addr": address, "zone": "here", "state": "active"}
                 for i, address in enumerate(direct)
             ]
             await listing.server.begin()
             address = free_address()
-            told = {
-                "name": "added",
-                "listen": address,
-                "discovery": listing.server.address,
-                "limits": {"memory_mb": 192},
-                "seed": str(seed),
-                "known": {"version": 0, "full": True, "servers": servers},
-                "settings": {
-                    "categories": CATEGORIES, "caps": CAPS, "rules": {"mustAskIn": 8_000_000},
-                    "discovery": "ask", "locality": "here", "replicasOfMe": 1, "slotNo": 0,
-                },
-            }  # fmt: skip
-            (folder / "config.json").write_text(json.dumps(told))
+            config = _configuration(seed, address, listing.server.address, servers)
+            (folder / "config.json").write_text(json.dumps(config))
             with (folder / "log").open("ab") as log:
                 environment = os.environ | {"EDGE_CONFIG": str(folder / "config.json")}
-                sidecar = begun(list(command), cwd=root, stdout=log, stderr=log, env=environment)
+                sidecar = start_python(list(command), cwd=root, stdout=log, stderr=log, env=environment)
             await ready(address, folder / "log")
             print("  ".join(f"{name:>9}" for name in HEADS))
             for rate in rates:
                 pairs, cost = await measured(seed, rate, seconds, sidecar, address, direct)
-                whole = [(one, other) for one, other in pairs if one is not None and other is not None]
-                failed = len(pairs) - len(whole)
-                if not whole or failed > len(pairs) / 100:
-                    verdict.broken.append(f"at {rate:.0f} a second {failed} of {len(pairs)} pairs failed")
-                alone = quantiles([one for one, _ in whole])
-                added = quantiles([other - one for one, other in whole])
-                row = [*alone, *added, cost * 1000]
-                counts = [f"{rate:.0f}", str(len(pairs)), str(failed)]
-                figures = [*counts, *(f"{v:.2f}" for v in row), str(open_to(sidecar, direct))]
-                widths = [max(9, len(name)) for name in HEADS]
-                print("  ".join(f"{text:>{w}}" for text, w in zip(figures, widths, strict=True)), flush=True)
-                for name, value in zip(("50", "90", "99"), added, strict=True):
-                    verdict.counts[f"{rate:.0f} a second, added {name} in 100, us"] = round(value * 1000)
-                verdict.counts[f"{rate:.0f} a second, processor time a call, us"] = round(cost * 1e6)
+                _report(verdict, rate, pairs, cost, open_to(sidecar, direct))
         finally:
-            for process in (sidecar, serving):
+            for process in (sidecar, endpoints):
                 if process is not None:
-                    process.terminate()
-                    with contextlib.suppress(subprocess.TimeoutExpired):
-                        await asyncio.to_thread(process.wait, 5.0)
-                    process.kill()
-                    process.wait()
+                    await _end(process)
             await listing.server.stop()
     return verdict
 
 
+def _configuration(seed: int, address: str, discovery: str, servers: list[dict[str, Any]]) -> dict[str, Any]:
+    return {
+        "name": "added",
+        "listen": address,
+        "discovery": discovery,
+        "limits": {"memory_mb": 192},
+        "seed": str(seed),
+        "known": {"version": 0, "full": True, "servers": servers},
+        "settings": {
+            "categories": CATEGORIES, "caps": CAPS, "rules": {"mustAskIn": 8_000_000},
+            "discovery": "ask", "locality": "here", "replicasOfMe": 1, "slotNo": 0,
+        },
+    }  # fmt: skip
+
+
+def _report(verdict: Verdict, rate: float, pairs: list[Any], cost: float, connections: int) -> None:
+    """Print the row of a rate and add its figures to the verdict. `cost`: processor time a call, seconds."""
+    complete = [(direct, through) for direct, through in pairs if direct is not None and through is not None]
+    failed = len(pairs) - len(complete)
+    if not complete or failed > len(pairs) / 100:
+        verdict.broken.append(f"at {rate:.0f} a second {failed} of {len(pairs)} pairs failed")
+    alone = quantiles([direct for direct, _ in complete])
+    added = quantiles([through - direct for direct, through in complete])
+    row = [*alone, *added, cost * 1000]
+    counts = [f"{rate:.0f}", str(len(pairs)), str(failed)]
+    figures = [*counts, *(f"{v:.2f}" for v in row), str(connections)]
+    widths = [max(9, len(name)) for name in HEADS]
+    print("  ".join(f"{text:>{w}}" for text, w in zip(figures, widths, strict=True)), flush=True)
+    for name, value in zip(("50", "90", "99"), added, strict=True):
+        verdict.counts[f"{rate:.0f} a second, added {name} in 100, us"] = round(value * 1000)
+    verdict.counts[f"{rate:.0f} a second, processor time a call, us"] = round(cost * 1e6)
+
+
+async def _end(process: subprocess.Popen[bytes]) -> None:
+    process.terminate()
+    with contextlib.suppress(subprocess.TimeoutExpired):
+        await asyncio.to_thread(process.wait, 5.0)
+    process.kill()
+    process.wait()
+
+
 if __name__ == "__main__":
     upstreams(int(sys.argv[1]), float(sys.argv[2]))
--- a/trials/cost.py
+++ b/trials/cost.py
@@ -1,23 +1,24 @@
-"""What cover costs: the time that a client waits, and processor time of the owner and of all others."""
+"""What replication costs: the time that a client waits, and processor time of the owner and the others."""
 
 from __future__ import annotations
 
 import asyncio
-import os
 from collections.abc import Sequence
 from pathlib import Path
 
+from .processes import processor_time
 from .rig import ROOT, Rig, Sidecar
 from .verdict import Verdict
 
-RATE, SECONDS, SERVICE = 150.0, 6.0, 0.005
+RATE = 150.0  # requests a second
+SECONDS = 6.0  # at each rate
+SERVICE = 0.005  # seconds
 
 
 def used(sidecar: Sidecar) -> float:
-    """Processor time of a process so far, seconds."""
+    """Seconds of processor time of a sidecar so far."""
     assert sidecar.process is not None
-    fields = Path(f"/proc/{sidecar.process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+    return processor_time(sidecar.process.pid)
 
 
 async def play(
@@ -27,9 +28,9 @@
     fleet: bool = True,
     rates: Sequence[float] = (RATE,),
 ) -> Verdict:
-    """The same work through one sidecar, without names and then with; microseconds a work item.
+    """The same requests through one sidecar, without names and then with; microseconds a request.
 
-    `rates`: work items a second, one after another.
+    `rates`: requests a second, one after another.
     """
     verdict = Verdict()
     async with Rig(seed, sidecars, service=SERVICE, root=root, fleet=fleet) as rig:
--- a/trials/endpoint_list/process.py
+++ b/trials/endpoint_list/process.py
@@ -14,7 +14,8 @@
 from fakes.http1 import Broken, Caller
 from fakes.loopback import free_ports, own_host
 
-from ..rig import CAPS, CATEGORIES, START, die_with_parent
+from ..processes import die_with_parent
+from ..rig import CAPS, CATEGORIES, START
 
 if TYPE_CHECKING:
     from .trial import Trial
--- a/trials/hard.py
+++ b/trials/hard.py
@@ -1,4 +1,4 @@
-"""Hard cases by themselves, each with several real processes: what a timetable would meet only by chance."""
+"""Hard cases one by one, each with several real processes: a timetable would meet them only by chance."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def half(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> Verdict:
-    """Half of the fleet killed in one moment: more than there are keepers. The others serve on."""
+    """Half of the fleet is killed at once, more than there are replicas; the others go on."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
         sending = asyncio.create_task(rig.clients.send(120.0, 4.5, MIX))
         await asyncio.sleep(1.0)
@@ -21,7 +21,7 @@
         killed_at = asyncio.get_running_loop().time()
         verdict = await rig.judged(sending)
         later = [w for w in rig.clients.done if w.at > killed_at + rig.lease]
-        # Outside the promise: told, not held against it, but for what began once the view had changed.
+        # Requests from before the next view are outside the promise: counted, but not held against it.
         early = [w.name for w in rig.clients.done if w.at <= killed_at + rig.lease]
         verdict.broken = [b for b in verdict.broken if not any(f" {name} " in f"{b} " for name in early)]
         verdict.counts["after the next view"] = len(later)
@@ -32,24 +32,24 @@
 
 
 async def bodies(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
-    """A loss while bodies of 60 KiB are in hand."""
+    """A loss while requests with bodies of 60 KiB are open."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
         rig.clients.body = lambda work: work.name.encode().ljust(60 * 1024, b".")
         sending = asyncio.create_task(rig.clients.send(60.0, 2.0, {"buy": 1.0, "move": 1.0}))
         await asyncio.sleep(1.0)
         lost = rig.rng.choice(rig.sidecars)
-        hurt = rig.lose(lost)
+        affected = rig.lose(lost)
         verdict = await rig.judged(sending)
-        verdict.counts["in hand at the loss"] = len(hurt)
-        verdict.counts["ticketed of these"] = sum(w.category == "move" for w in hurt)
-        verdict.counts["of those finished"] = sum(w.category == "move" and w.finished for w in hurt)
-        if any(w.category == "move" and not w.finished for w in hurt):
+        verdict.counts["in hand at the loss"] = len(affected)
+        verdict.counts["ticketed of these"] = sum(w.category == "move" for w in affected)
+        verdict.counts["of those finished"] = sum(w.category == "move" and w.finished for w in affected)
+        if any(w.category == "move" and not w.finished for w in affected):
             verdict.broken.append("ticketed work was lost with its sidecar")
         return verdict
 
 
 async def keeper(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
-    """A keeper that hangs holds up nothing that has no name."""
+    """A replica that hangs holds up no request without a name."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
         slow = rig.rng.choice(rig.sidecars)
         rig.clients.avoid.add(slow.name)
@@ -68,23 +68,23 @@
 
 
 async def woken(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
-    """An owner stopped for a second with work in hand, whose clients come again, and then woken."""
+    """A coordinator is stopped for a second with open requests, whose clients retry, and then woken."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
         rig.clients.waits = 3.0
         sending = asyncio.create_task(rig.clients.send(150.0, 2.0, MIX))
         await asyncio.sleep(0.8)
         owner = rig.rng.choice(rig.sidecars)
-        hurt = rig.in_hand(owner)
+        affected = rig.in_hand(owner)
         owner.signal(signal.SIGSTOP)
         rig.clients.avoid.add(owner.name)
-        for work in hurt:
+        for work in affected:
             # Another client of that name does not wait until it wakes.
             others = [s.name for s in rig.sidecars if s is not owner]
             rig.clients.join(work, rig.rng.choice(others))
         await asyncio.sleep(1.0)
         owner.signal(signal.SIGCONT)
         verdict = await rig.judged(sending)
-        verdict.counts["in hand at the stop"] = len(hurt)
+        verdict.counts["in hand at the stop"] = len(affected)
         return verdict
 
 
--- a/trials/loss.py
+++ b/trials/loss.py
@@ -1,4 +1,4 @@
-"""The loss of a sidecar: one of several is killed with work in hand, its clients come to another one."""
+"""The loss of a sidecar: one of several is killed with open requests, whose clients retry at another."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     seconds: float = 2.0,
     cell_size: int = 0,
 ) -> Verdict:
-    """Exclusive work for all; one sidecar is killed in the middle."""
+    """Non-idempotent requests to all; one sidecar is killed in the middle."""
     async with Rig(seed, sidecars, root=root, fleet=fleet, cell_size=cell_size) as rig:
         sending = asyncio.create_task(rig.clients.send(rate, seconds, {"buy": 1.0}))
         await asyncio.sleep(seconds / 2)
-        # Guards against a verdict on nothing: the one with the most in hand.
+        # The one with the most open requests: without any the trial would show nothing.
         for _ in range(20):
             lost = max(rig.sidecars, key=lambda s: len(rig.in_hand(s)))
             if len(rig.in_hand(lost)) > 1:
--- a/trials/outage.py
+++ b/trials/outage.py
@@ -1,4 +1,4 @@
-"""All upstreams of one list fail for a time and are well again: how long until work is answered."""
+"""All endpoints of one list fail for a time and recover: how long until requests are answered."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from .rig import ROOT, Rig
 from .verdict import Verdict
 
-RATE, CALM, FAILS, AFTER = 100.0, 3.0, 2.0, 10.0  # work items a second; seconds of each part
-BACK = 5.0  # seconds after which nearly all is to be answered
+RATE = 100.0  # requests a second
+CALM, FAILS, AFTER = 3.0, 2.0, 10.0  # seconds of each part
+BACK = 5.0  # seconds after which nearly all are to be answered
+ANSWERED = 0.95  # of the requests: nearly all
 
 
 async def play(
     seed: int, sidecars: int = 1, root: Path = ROOT, fleet: bool = False, mode: str = "error"
 ) -> Verdict:
-    """Work that may run again, before, while and after. `fleet` is not used: each sidecar is by itself."""
+    """Idempotent requests before, during and after the fault. `fleet` is not used: there is none."""
     verdict = Verdict()
     async with Rig(seed, sidecars, root=root, fleet=False) as rig:
         parts = []
@@ -26,13 +28,13 @@
             first = len(rig.clients.done)
             await rig.clients.send(RATE, seconds, {"look": 1.0}, named=False)
             parts.append((what, rig.clients.done[first:]))
-        await asyncio.sleep(rig.clients.waits + 0.5)  # all have their answers, or have left
+        await asyncio.sleep(rig.clients.waits + 0.5)  # all are answered, or given up
         for what, works in parts:
             if what == "after":
                 works = [w for w in works if w.at > works[-1].at - (AFTER - BACK)]
             verdict.counts[what] = len(works)
             verdict.counts[f"{what}, answered"] = well = sum(w.finished for w in works)
-        if well < len(works) * 0.95:
+        if well < len(works) * ANSWERED:
             verdict.broken.append(f"{BACK} s after all are well again {well} of {len(works)} are answered")
     return verdict
 
--- /dev/null
+++ b/trials/processes.py
@@ -0,0 +1,22 @@
+"""What trials need of the processes that they start."""
+
+from __future__ import annotations
+
+import ctypes
+import os
+import signal
+from pathlib import Path
+
+PR_SET_PDEATHSIG = 1  # of prctl
+
+
+def die_with_parent() -> None:
+    """Have this process killed when its parent ends, so that none outlives a trial that was killed."""
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
+
+
+def processor_time(pid: int) -> float:
+    """Return the seconds of processor time that a process has used so far."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    user, system = int(fields[11]), int(fields[12])
+    return (user + system) / os.sysconf("SC_CLK_TCK")
--- a/trials/rest.py
+++ b/trials/rest.py
@@ -1,38 +1,41 @@
-"""What members at rest say and hear: by the kernel's own counts of each socket, no relays between."""
+"""What members at rest send and receive, by the kernel's counts of each socket, without relays."""
 
 from __future__ import annotations
 
 import asyncio
-import os
 import re
 import subprocess
 import time
 from pathlib import Path
 from typing import Any
 
+from .processes import processor_time
 from .rig import ROOT, Rig, Sidecar
 from .verdict import Verdict
 
-SETTLED = 12.0  # seconds after the start, by when nothing of it is left
+SETTLED = 12.0  # seconds after which the start is over
 SECONDS = 20.0
 HEADERS = 66  # bytes a segment: Ethernet, IP, TCP with time stamps
 COUNTS = ("bytes_sent", "bytes_received", "segs_out", "segs_in")
 
 
 class Direct(Rig):
+    """A rig whose sidecars reach each other and the coordination store without relays."""
+
     def further(self, sidecar: Sidecar) -> dict[str, Any]:
-        told = super().further(sidecar)
-        told["fleet"] |= {"advertise": "", "arbiter": [self.arbiter.server.address]}
-        return told
+        """Return the further parts of a sidecar's configuration."""
+        parts = super().further(sidecar)
+        parts["fleet"] |= {"advertise": "", "arbiter": [self.arbiter.server.address]}
+        return parts
 
 
 def sockets(processes: list[int], ports: set[str]) -> dict[int, list[int]]:
-    """Of each process: its sockets of the fleet, and the sums of what the kernel has counted of them."""
-    said = subprocess.run(
+    """Return for each process the number of its sockets of the fleet, and the sums of `COUNTS` of them."""
+    listed = subprocess.run(
         ["ss", "-tinpH", "state", "established"], capture_output=True, text=True, check=True
     )
     sums = {process: [0] * (1 + len(COUNTS)) for process in processes}
-    lines = said.stdout.splitlines()
+    lines = listed.stdout.splitlines()
     for line, counted in zip(lines, lines[1:], strict=False):
         found = re.search(r"pid=(\d+),", line)
         if not found or (mine := sums.get(int(found[1]))) is None:
@@ -46,25 +49,19 @@
     return sums
 
 
-def processor(process: int) -> float:
-    """Seconds that it has used."""
-    fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
-
-
 async def play(
     seed: int, sidecars: int = 25, root: Path = ROOT, fleet: bool = True, cell_size: int = 0
 ) -> Verdict:
-    """No work for a while; on the mean a member."""
+    """Measure for a while without requests; figures are means of a member."""
     async with Direct(seed, sidecars, upstreams=1, root=root, lease=3, cell_size=cell_size) as rig:
         await asyncio.sleep(SETTLED)
         processes = [s.process.pid for s in rig.sidecars if s.process is not None]
         ports = {str(s.fleet_port) for s in rig.sidecars} | {str(rig.arbiter.server.port)}
         marks = []
         for pause in (SECONDS, 0.0):
-            # Not in our own loop, which the arbiter runs on.
+            # In a thread: the coordination store runs on this loop.
             counted = await asyncio.to_thread(sockets, processes, ports)
-            marks.append((time.monotonic(), counted, {p: processor(p) for p in processes}))
+            marks.append((time.monotonic(), counted, {p: processor_time(p) for p in processes}))
             await asyncio.sleep(pause)
     (at, before, used), (until, after, used_then) = marks
     took = until - at
@@ -72,15 +69,15 @@
         [sum(after[p][i] - before[p][i] for i in places) / took for p in processes]
         for places in ((1, 2), (3, 4))
     )
-    whole = [b + HEADERS * s for b, s in zip(bytes_, segments, strict=True)]
+    with_headers = [b + HEADERS * s for b, s in zip(bytes_, segments, strict=True)]
     count = len(processes)
     return Verdict(
         {
             "members": count,
             "payload a second": round(sum(bytes_) / count),
             "segments a second": round(sum(segments) / count, 1),
-            "bytes a second with headers": round(sum(whole) / count),
-            "the most of these": round(max(whole)),
+            "bytes a second with headers": round(sum(with_headers) / count),
+            "the most of these": round(max(with_headers)),
             "of a core, %": round(100 * sum(used_then[p] - used[p] for p in processes) / took / count, 2),
             "sockets": round(sum(after[p][0] for p in processes) / count, 1),
         }
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -1,10 +1,9 @@
-"""The rig: real processes of the program, stand-ins round them, faults between; all ends by id."""
+"""The rig: real processes of the program, fakes around them, and faults in between."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import ctypes
 import json
 import os
 import random
@@ -25,6 +24,7 @@
 from fakes.relay import Relay, Way
 from fakes.upstream import Run, Upstream
 
+from .processes import PR_SET_PDEATHSIG, die_with_parent
 from .verdict import Verdict, judge
 
 LOGS = os.environ.get("TRIAL_LOGS", "")  # a folder in which the processes' logs stay, for a look
@@ -32,7 +32,7 @@
 # In memory, where possible: the files of many processes may be too much for a slow disk.
 MEMORY = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
 START = 20.0  # seconds in which all are ready, however busy the machine is
-DIE_WITH_PARENT = 1  # prctl's PR_SET_PDEATHSIG
+DIE_WITH_PARENT = PR_SET_PDEATHSIG  # the name that trials/scale uses
 ZONES = ("north", "east", "south")
 TIMES = {"dueTime": 1_000_000, "expiry": 2_000_000}
 CATEGORIES = [
@@ -61,11 +61,6 @@
     return count
 
 
-def die_with_parent() -> None:
-    """Have this process killed when its parent ends, so that none outlives a rig that was killed."""
-    ctypes.CDLL(None).prctl(DIE_WITH_PARENT, signal.SIGKILL)
-
-
 class Sidecar:
     """One real process, started again under the same name and addresses."""
 
--- a/trials/storm.py
+++ b/trials/storm.py
@@ -1,4 +1,4 @@
-"""Many losses, one after another, under work of all kinds; and the same with links and arbiter spoilt too."""
+"""Many losses, one after another, under requests of all kinds; and the same with other faults as well."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .verdict import Verdict
 
 MIX = {"look": 1.0, "buy": 1.0, "move": 1.0}
-LEFT = 0.4  # seconds that a work item has left at a loss, for the promise that it is finished
+MIN_TIME_LEFT = 0.4  # seconds that a request has left at a loss, for the promise that it is finished
 
 
 async def losses(
@@ -25,7 +25,7 @@
     count: int = 30,
     cell_size: int = 0,
 ) -> Verdict:
-    """Processes killed and stopped, one at a time, each back before the next."""
+    """Kill and stop processes, one at a time; each is back before the next."""
     return await _play(seed, sidecars, root, fleet, rate, count, LOSSES, 0.9, 0.6, cell_size)
 
 
@@ -38,7 +38,7 @@
     count: int = 40,
     cell_size: int = 0,
 ) -> Verdict:
-    """Everything, and several things at once."""
+    """All kinds of faults, several at once."""
     kinds = LOSSES | LINKS | ARBITER
     return await _play(seed, sidecars, root, fleet, rate, count, kinds, 0.4, 1.5, cell_size)
 
@@ -63,7 +63,7 @@
         (rig.folder / "faults").write_text("\n".join(map(str, faults)))
         await player.play(faults)
         verdict = await rig.judged(sending)
-        _at_the_losses(verdict, rig, player.lost)
+        _count_losses(verdict, rig, player.lost)
         defects = rig.defects()
         verdict.counts["defects"] = len(defects)
         if defects:
@@ -71,27 +71,27 @@
         return verdict
 
 
-def _at_the_losses(verdict: Verdict, rig: Rig, lost: list[Lost]) -> None:
-    """What became of the work that was in hand where a process was killed."""
-    hurt: list[Work] = []
-    waits = []
+def _count_losses(verdict: Verdict, rig: Rig, lost: list[Lost]) -> None:
+    """Count what became of the requests that were open where a process was killed."""
+    affected: list[Work] = []
+    takeover_times = []
     for loss in lost:
         for work in rig.clients.done:
             cut_off = any(t.sidecar == loss.name and t.at < loss.at <= (t.ended or 1e18) for t in work.tries)
-            if not cut_off or work.until < loss.at + LEFT or work.twin:
+            if not cut_off or work.until < loss.at + MIN_TIME_LEFT or work.twin:
                 continue
-            hurt.append(work)
+            affected.append(work)
             later = [r.at - loss.at for r in rig.of(work.name) if r.at > loss.at and r.sidecar != loss.name]
             if work.category != "buy" and later:
-                waits.append(min(later))
-    free = [w for w in hurt if w.category != "buy"]
+                takeover_times.append(min(later))
+    retryable = [w for w in affected if w.category != "buy"]
     verdict.counts |= {
         "losses": len(lost),
-        "in hand at a loss": len(hurt),
-        "free or ticketed of these": len(free),
-        "of those finished": sum(w.finished for w in free),
+        "in hand at a loss": len(affected),
+        "free or ticketed of these": len(retryable),
+        "of those finished": sum(w.finished for w in retryable),
     }
-    if waits:
-        waits.sort()
-        verdict.counts["taken over after ms, median"] = round(waits[len(waits) // 2] * 1000)
-        verdict.counts["taken over after ms, worst"] = round(waits[-1] * 1000)
+    if takeover_times:
+        takeover_times.sort()
+        verdict.counts["taken over after ms, median"] = round(takeover_times[len(takeover_times) // 2] * 1000)
+        verdict.counts["taken over after ms, worst"] = round(takeover_times[-1] * 1000)
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -1,4 +1,4 @@
-"""Timetables: what goes wrong and when, drawn from a seed, and played on a rig."""
+"""Timetables of faults, drawn from a seed, and played on a rig."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from .rig import Rig, Sidecar
 
-# Each by how often it is drawn. `loss` and `stop` are losses; the others spoil links and the arbiter.
+# Kinds of faults with their weights: losses of processes, faults of links and of the coordination store.
 LOSSES = {"loss": 3.0, "stop": 1.0}
 LINKS = {"cut": 1.0, "one_way": 1.0, "delay": 1.0, "reset": 1.0}
 ARBITER = {"arbiter_down": 1.0, "arbiter_slow": 1.0, "reply_lost": 1.0, "watch_cut": 1.0, "lease_ended": 1.0}
@@ -19,6 +19,8 @@
 
 @dataclass(frozen=True)
 class Fault:
+    """One fault. `sidecars`: the numbers of those it is about; `lasts`: seconds."""
+
     at: float  # seconds from the start of the work
     kind: str
     sidecars: tuple[int, ...]
@@ -36,7 +38,7 @@
 def drawn(
     seed: int, count: int, every: float, kinds: dict[str, float], sidecars: int, longest: float = 1.0
 ) -> list[Fault]:
-    """`count` faults, `every` so many seconds, by their weights."""
+    """Draw `count` faults, one `every` so many seconds, by their weights."""
     rng = random.Random(f"{seed}-timetable")
     faults = []
     for number in range(count):
@@ -51,11 +53,13 @@
     """Plays a timetable on a rig; all faults have ended once `play` has."""
 
     def __init__(self, rig: Rig) -> None:
+        """Nothing is played yet."""
         self.rig = rig
         self.lost: list[Lost] = []
         self.busy: set[str] = set()  # sidecars that are killed or stopped now
 
     async def play(self, faults: list[Fault]) -> None:
+        """Begin each fault at its time, and wait until all have ended."""
         start = asyncio.get_running_loop().time()
         tasks = []
         for fault in faults:
@@ -64,13 +68,14 @@
         await asyncio.gather(*tasks)
 
     async def fault(self, fault: Fault) -> None:
+        """Play one fault to its end."""
         one, other = (self.rig.sidecars[i] for i in fault.sidecars)
-        acts: dict[str, Callable[[Sidecar, Sidecar, float], Awaitable[None]]] = {
+        actions: dict[str, Callable[[Sidecar, Sidecar, float], Awaitable[None]]] = {
             "loss": self._loss, "stop": self._stop, "cut": self._cut, "one_way": self._one_way,
             "delay": self._delay, "reset": self._reset,
         }  # fmt: skip
-        if fault.kind in acts:
-            await acts[fault.kind](one, other, fault.lasts)
+        if fault.kind in actions:
+            await actions[fault.kind](one, other, fault.lasts)
         else:
             await self._arbiter(fault.kind, one, fault.lasts)
 
