--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,7 +1,7 @@
-"""What discovery has counts as told 6 s after it had it and could be reached, whatever calls fail or hang.
+"""A change at discovery reaches the decisions within 6 s, whatever calls fail or hang.
 
-The list's actors, the module and its decisions run on their own code; the clock is stepped, and their sockets
-are pairs whose other end is a discovery that the story plays, so that each play goes the same way each time.
+The discovery client, the coordinator and its decisions run on their own code; the clock is stepped, and their
+sockets are pairs whose other end is a simulated discovery, so that each run goes the same way each time.
 """
 
 import contextlib
@@ -29,10 +29,10 @@
 from starlingwheel.net.loop import Loop
 from starlingwheel.net.messages import DiscoveryMoved
 
-TOLD = 6.0
-LINE = 2.0
+NOTIFIED_WITHIN = 6.0  # seconds after which a change counts as notified
+KEEPALIVE_INTERVAL = 2.0  # seconds between empty lines
 PUSHED = {"discovery": "push"}
-# Of asking: a small fleet that may ask often, a large one that spreads its calls, one that has long pauses.
+# Fleets that watch: a small one that may call often, a large one that spreads its calls, one of rare calls.
 SMALL = {"replicasOfMe": 4, "rules": {"mustAskIn": 1_000_000}}
 LARGE = {"replicasOfMe": 200, "rules": {"mustAskIn": 8_000_000}}
 SELDOM = {"replicasOfMe": 400, "rules": {"mustAskIn": 60_000_000}}
@@ -42,48 +42,50 @@
 class Call:
     """One call, as discovery sees it."""
 
-    def __init__(self, who, sock, at):
-        self.who, self.sock, self.at = who, sock, at
-        self.asked, self.silent, self.said_at = b"", False, at
+    def __init__(self, caller, sock, at):
+        self.caller, self.sock, self.at = caller, sock, at
+        self.received, self.silent, self.written_at = b"", False, at
         sock.setblocking(False)
 
-    def whole(self):
+    def request_complete(self):
         """Its request has come."""
         with contextlib.suppress(BlockingIOError):
-            self.asked += self.sock.recv(65536)
-        return self.asked.endswith(b"\r\n\r\n")
+            self.received += self.sock.recv(65536)
+        return self.received.endswith(b"\r\n\r\n")
 
-    def say(self, data):
+    def write(self, data):
+        """Write, if the other side is still there."""
         try:
             self.sock.sendall(data)
             return True
         except OSError:
-            return False  # it has been given up
+            return False  # the call was given up
 
 
 class Discovery:
-    """One address. `way(call)` says what becomes of a call: seconds until its answer, or a word."""
+    """One address. `behaviour(call)`: what becomes of a call, seconds until its answer or one of these."""
 
     REFUSED, CUT, HANGS, RESET, BUSY = "refused", "cut", "hangs", "reset", "503"
 
-    def __init__(self, world, way):
-        self.world, self.way = world, way
+    def __init__(self, world, behaviour):
+        self.world, self.behaviour = world, behaviour
         self.version = 1
         self.calls, self.answered = [], []
-        self.silent = False  # what is open says nothing any more
+        self.silent = False  # open watches get nothing any more
 
-    def connect(self, who):
+    def connect(self, caller):
         ours, theirs = socket.socketpair()
-        call = Call(who, ours, self.world.now)
+        call = Call(caller, ours, self.world.now)
         self.calls.append(call)
-        way = self.way(call)
-        if way == self.REFUSED:
+        behaviour = self.behaviour(call)
+        if behaviour == self.REFUSED:
             ours.close(), theirs.close()
             raise ConnectionLostError("refused")
-        if way == self.CUT:
+        if behaviour == self.CUT:
             self.fill(theirs)  # it never comes up
-        elif way != self.HANGS:
-            self.world.later(way if isinstance(way, float) else 0.0, lambda: self.answer(call, way))
+        elif behaviour != self.HANGS:
+            delay = behaviour if isinstance(behaviour, float) else 0.0
+            self.world.later(delay, lambda: self.answer(call, behaviour))
         self.world.keep(ours)
         return theirs
 
@@ -95,34 +97,34 @@
         except BlockingIOError:
             pass
 
-    def answer(self, call, way):
-        if way == self.RESET:
+    def answer(self, call, behaviour):
+        if behaviour == self.RESET:
             call.sock.close()
-        elif not call.whole():
-            self.world.later(0.01, lambda: self.answer(call, way))
-        elif way == self.BUSY:
-            call.say(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
-        elif call.say(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n"):
+        elif not call.request_complete():
+            self.world.later(0.01, lambda: self.answer(call, behaviour))
+        elif behaviour == self.BUSY:
+            call.write(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
+        elif call.write(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n"):
             self.answered.append(call)
-            self.whole(call)
-            self.world.later(LINE, lambda: self.line(call))
+            self.write_list(call)
+            self.world.later(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
 
-    def whole(self, call):
+    def write_list(self, call):
         servers = [{"id": f"v{self.version}", "addr": "127.0.0.1:1", "state": "active"}]
         text = msgspec.json.encode({"version": self.version, "full": True, "servers": servers}) + b"\n"
-        call.said_at = self.world.now
-        call.say(b"%x\r\n%s\r\n" % (len(text), text))
+        call.written_at = self.world.now
+        call.write(b"%x\r\n%s\r\n" % (len(text), text))
 
-    def line(self, call):
-        if not call.silent and call.say(b"1\r\n\n\r\n"):
-            call.said_at = self.world.now
-            self.world.later(LINE, lambda: self.line(call))
+    def write_empty_line(self, call):
+        if not call.silent and call.write(b"1\r\n\n\r\n"):
+            call.written_at = self.world.now
+            self.world.later(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
 
     def change(self):
         self.version += 1
         for call in self.answered:
             if not call.silent:
-                self.whole(call)
+                self.write_list(call)
 
     def fall_silent(self):
         for call in self.answered:
@@ -136,17 +138,17 @@
 
 
 class World:
-    """Any number of sidecars' lists on one loop, whose clock goes on only when nothing is left to do."""
+    """The discovery clients of sidecars on one loop, whose clock moves only when nothing is left to do."""
 
     def __init__(self, monkeypatch, tmp_path):
         self.now, self.count = 1000.0, count()
-        self.due, self.kept, self.nodes, self.places = [], [], [], {}
+        self.due, self.open_files, self.contexts, self.discoveries = [], [], [], {}
         self.loop = Loop(self.defect)
         self.loop.now = lambda: self.now
         self.path = tmp_path / "config.json"
         monkeypatch.setattr("starlingwheel.net.context.Loop", lambda _: self.loop)
         monkeypatch.setattr(
-            discovery_watch, "connect", lambda address: self.places[address].connect(self.calling)
+            discovery_watch, "connect", lambda address: self.discoveries[address].connect(self.calling)
         )
         monkeypatch.setattr(discovery_watch.DiscoveryWatch, "begin", lambda watch: self.begin(watch))
 
@@ -154,23 +156,23 @@
         raise error
 
     def begin(self, watch):
-        """A call does not tell who makes it; the story has to know."""
+        """A call does not tell who makes it; the test has to know."""
         self.calling = watch.context
         self.loop.start(watch)
 
     def keep(self, thing):
-        self.kept.append(thing)
+        self.open_files.append(thing)
         return thing
 
-    def place(self, address, way):
-        self.places[address] = Discovery(self, way)
-        return self.places[address]
+    def discovery(self, address, behaviour):
+        self.discoveries[address] = Discovery(self, behaviour)
+        return self.discoveries[address]
 
     def sidecar(self, address="a:1", seed="", **settings):
         rules = SETTINGS["rules"] | settings.pop("rules", {})
-        told = {"listen": "127.0.0.1:0", "discovery": address, "seed": seed}
-        told |= {"settings": SETTINGS | {"rules": rules} | settings}
-        self.path.write_bytes(msgspec.json.encode(told))
+        config = {"listen": "127.0.0.1:0", "discovery": address, "seed": seed}
+        config |= {"settings": SETTINGS | {"rules": rules} | settings}
+        self.path.write_bytes(msgspec.json.encode(config))
         environment = {"EDGE_CONFIG": str(self.path)}
         log = self.keep(open("/dev/null", "wb"))  # noqa: SIM115
         context = Sidecar(*load_config(environment), environment, log_fd=log.fileno()).context
@@ -178,15 +180,15 @@
         context.discovery.context.log = lambda event, **fields: context.lines.append(
             (event, self.now, fields)
         )
-        self.nodes.append(context)
-        for kept in (context.listener.sock, context.signals.ours, context.signals.theirs):
-            kept.close()
+        self.contexts.append(context)
+        for sock in (context.listener.sock, context.signals.ours, context.signals.theirs):
+            sock.close()
         context.discovery.begin()
         context.coordinator.begin()
         return context
 
-    def later(self, seconds, what):
-        heapq.heappush(self.due, (self.now + seconds, next(self.count), what))
+    def later(self, seconds, action):
+        heapq.heappush(self.due, (self.now + seconds, next(self.count), action))
 
     def settle(self):
         """Turn until nothing is left to do at this time."""
@@ -209,24 +211,24 @@
             while self.due and self.due[0][0] <= self.now:
                 heapq.heappop(self.due)[2]()
 
-    def added(self, *nodes):
-        """Calls that began beside one that hung."""
-        return sum(event == "list.beside" for context in nodes or self.nodes for event, _, _ in context.lines)
+    def second_calls(self):
+        """The number of calls that began beside one that hung."""
+        return sum(event == "list.beside" for context in self.contexts for event, _, _ in context.lines)
 
-    def told(self, context, version, within):
-        """How long from now on until the decisions have it."""
+    def until_notified(self, context, version, within):
+        """Run until the decisions have that version; return the seconds that it took."""
         began = self.now
         while f"v{version}" not in context.coordinator.scheduler.balancer.endpoints.by_id:
-            assert self.now < began + within, f"not told within {within} s"
+            assert self.now < began + within, f"not notified within {within} s"
             self.run(self.now + 0.01)
         return self.now - began
 
     def close(self):
-        for context in self.nodes:
+        for context in self.contexts:
             if context.gossip_socket is not None:
                 context.gossip_socket.sock.close()
         self.loop.close()
-        for thing in self.kept:
+        for thing in self.open_files:
             thing.close()
 
 
@@ -243,17 +245,20 @@
         one.close()
 
 
-def after(world, seconds, *first):
-    """The way of a discovery that can be reached by then: the first calls go so, all others are answered."""
-    back = world.now + seconds
-    ways = list(first)
+def reachable_after(world, seconds, *first):
+    """The behaviour of a discovery from then on: `first` for the first calls, all others are answered.
 
-    def way(_):
-        if world.now < back:
+    Until then it returns None.
+    """
+    reachable_at = world.now + seconds
+    remaining = list(first)
+
+    def behaviour(_):
+        if world.now < reachable_at:
             return None
-        return ways.pop(0) if ways else 0.0
+        return remaining.pop(0) if remaining else 0.0
 
-    return way
+    return behaviour
 
 
 FIRST = {
@@ -266,111 +271,126 @@
 }
 
 
-def in_force(world, fleet, seed):
-    """A sidecar whose watch is open, at any moment between two lines."""
-    one = world.place("a:1", lambda _: 0.0)
+def sidecar_with_watch(world, fleet, seed):
+    """A sidecar whose watch is open, at a random moment between two empty lines, and its discovery."""
+    discovery = world.discovery("a:1", lambda _: 0.0)
     context = world.sidecar(seed=str(seed), **FLEETS[fleet])
-    world.told(context, 1, 40)
-    world.run(world.now + 2 * LINE + random.Random(seed).random() * LINE)
-    return one, context
+    world.until_notified(context, 1, 40)
+    world.run(world.now + 2 * KEEPALIVE_INTERVAL + random.Random(seed).random() * KEEPALIVE_INTERVAL)
+    return discovery, context
+
+
+def failing_until(reachable, down):
+    """The behaviour `down` for as long as `reachable` returns None."""
+
+    def behaviour(call):
+        answer = reachable(call)
+        return down if answer is None else answer
+
+    return behaviour
 
 
 @pytest.mark.parametrize("first", FIRST)
 @pytest.mark.parametrize("fleet", FLEETS)
-def test_what_a_watch_that_fell_silent_misses_is_told_in_time(world, fleet, first):
+def test_a_change_missed_by_a_silent_watch_is_notified_in_time(world, fleet, first):
     for seed in range(8):
         w = world()
-        one, context = in_force(w, fleet, seed)
-        calls = len(one.calls)
+        discovery, context = sidecar_with_watch(w, fleet, seed)
+        calls = len(discovery.calls)
         # It falls silent with its last line, at the earliest; what it misses may come at once.
-        silent_at = one.answered[-1].said_at
-        one.fall_silent()
-        one.change()
-        one.way = after(w, 0.0, *FIRST[first])
-        w.told(context, 2, 10)
+        silent_at = discovery.answered[-1].written_at
+        discovery.fall_silent()
+        discovery.change()
+        discovery.behaviour = reachable_after(w, 0.0, *FIRST[first])
+        w.until_notified(context, 2, 10)
         took = w.now - silent_at
-        assert took <= TOLD, (seed, took)
+        assert took <= NOTIFIED_WITHIN, (seed, took)
         # Where the list is asked for: a second call is made where the first hangs, and only there.
-        assert w.added() == (fleet != "pushed" and first in ("hangs", "cut"))
-        assert len(one.calls) - calls <= (4 if fleet == "pushed" else 2)
+        assert w.second_calls() == (fleet != "pushed" and first in ("hangs", "cut"))
+        assert len(discovery.calls) - calls <= (4 if fleet == "pushed" else 2)
 
 
 @pytest.mark.parametrize("first", FIRST)
 @pytest.mark.parametrize("down", ["refused", "cut", "hangs", "503"])
 @pytest.mark.parametrize("fleet", FLEETS)
-def test_what_discovery_has_at_its_return_is_told_in_time(world, fleet, down, first):
+def test_a_change_during_an_outage_is_notified_in_time_after_it(world, fleet, down, first):
     for seed in range(6):
         w = world()
-        one, context = in_force(w, fleet, seed)
+        discovery, context = sidecar_with_watch(w, fleet, seed)
         if down in ("refused", "503"):
-            one.end_all()
+            discovery.end_all()
         else:
-            one.fall_silent()
-        out = 0.3 + 2.9 * seed
-        back = after(w, out, *FIRST[first])
-        one.way = lambda call, back=back, down=down: down if (way := back(call)) is None else way
-        w.run(w.now + out)
-        one.version += 1
-        least = 0.0 if down in ("refused", "503") else 3.0  # a watch is silent no sooner than it is
-        calls = len(one.calls)
-        took = w.told(context, 2, 20)
-        assert took <= max(TOLD, TOLD - out + least), (seed, took)
+            discovery.fall_silent()
+        outage = 0.3 + 2.9 * seed
+        reachable = reachable_after(w, outage, *FIRST[first])
+        discovery.behaviour = failing_until(reachable, down)
+        w.run(w.now + outage)
+        discovery.version += 1
+        silence = 0.0 if down in ("refused", "503") else 3.0  # a silent watch is noticed after that
+        calls = len(discovery.calls)
+        took = w.until_notified(context, 2, 20)
+        assert took <= max(NOTIFIED_WITHIN, NOTIFIED_WITHIN - outage + silence), (seed, took)
         # Two in the time that a call of those before may take, and the one that is answered.
-        assert len(one.calls) - calls <= (6 if fleet == "pushed" or first in ("503", "reset") else 3)
+        assert len(discovery.calls) - calls <= (6 if fleet == "pushed" or first in ("503", "reset") else 3)
 
 
 @pytest.mark.parametrize("first", FIRST)
 @pytest.mark.parametrize("down", ["refused", "cut", "hangs", "503"])
 @pytest.mark.parametrize("old", ["serves", "down", "hangs"])
 @pytest.mark.parametrize("fleet", FLEETS)
-def test_what_a_new_discovery_has_is_told_in_time(world, fleet, old, down, first):
+def test_the_list_of_a_new_discovery_is_notified_in_time(world, fleet, old, down, first):
     for seed in range(3):
         w = world()
-        one, context = in_force(w, fleet, seed)
+        discovery, context = sidecar_with_watch(w, fleet, seed)
         if old != "serves":
-            one.end_all()
-            one.way = lambda _, old=old: Discovery.REFUSED if old == "down" else Discovery.HANGS
+            discovery.end_all()
+            discovery.behaviour = lambda _, old=old: Discovery.REFUSED if old == "down" else Discovery.HANGS
             w.run(w.now + 1.7 * seed)
-        out = 2.3 * seed
-        back = after(w, out, *FIRST[first])
-        two = w.place("b:1", lambda call, back=back, down=down: down if (way := back(call)) is None else way)
-        two.version = 2
+        outage = 2.3 * seed
+        reachable = reachable_after(w, outage, *FIRST[first])
+        other = w.discovery("b:1", failing_until(reachable, down))
+        other.version = 2
         context.discovery.post(DiscoveryMoved("b:1"))
-        w.run(w.now + out)
-        # Where it is pushed, what the new agent has counts 4 s after the word that it is another one.
-        assert w.told(context, 2, 20) <= (4.0 if fleet == "pushed" and not out else TOLD)
+        w.run(w.now + outage)
+        # Where it is pushed, what the new agent has counts 4 s after the word that it is another discovery.
+        assert w.until_notified(context, 2, 20) <= (
+            4.0 if fleet == "pushed" and not outage else NOTIFIED_WITHIN
+        )
 
 
 @pytest.mark.parametrize("fleet", ["small", "large", "seldom"])
-def test_a_call_that_waits_its_turn_is_not_given_up_for_a_second_one(world, fleet):
+def test_a_call_that_waits_its_turn_is_not_replaced_by_a_second_one(world, fleet):
     for seed in range(8):
         w = world()
-        one, context = in_force(w, fleet, seed)
-        calls = len(one.calls)
-        one.fall_silent()
-        one.change()
-        one.way = lambda _: 2.9
-        w.told(context, 2, 10)
-        assert w.now - one.calls[calls].at <= 2.9 + 0.02 and one.answered[-1] is one.calls[calls]
+        discovery, context = sidecar_with_watch(w, fleet, seed)
+        calls = len(discovery.calls)
+        discovery.fall_silent()
+        discovery.change()
+        discovery.behaviour = lambda _: 2.9
+        w.until_notified(context, 2, 10)
+        assert (
+            w.now - discovery.calls[calls].at <= 2.9 + 0.02
+            and discovery.answered[-1] is discovery.calls[calls]
+        )
         # It knows now that a call may wait: the next time none is made beside one that does.
-        added = w.added()
-        one.fall_silent()
-        one.change()
-        w.told(context, 3, 10)
-        assert w.added() == added <= 1
+        second_calls = w.second_calls()
+        discovery.fall_silent()
+        discovery.change()
+        w.until_notified(context, 3, 10)
+        assert w.second_calls() == second_calls <= 1
 
 
 @pytest.mark.parametrize("down", ["hangs", "cut", "refused", "503"])
 @pytest.mark.parametrize("fleet", ["large", "seldom"])
-def test_while_nobody_answers_calls_go_on_that_leave_time_for_one_to_hang_and_no_more(world, fleet, down):
+def test_while_none_is_answered_calls_go_on_at_a_rate_that_allows_for_one_to_hang(world, fleet, down):
     for seed in range(4):
         w = world()
-        one, context = in_force(w, fleet, seed)
-        calls = len(one.calls)
-        one.end_all()
-        one.way = lambda _: down
+        discovery, context = sidecar_with_watch(w, fleet, seed)
+        calls = len(discovery.calls)
+        discovery.end_all()
+        discovery.behaviour = lambda _: down
         w.run(w.now + 60)
-        begun = [call.at for call in one.calls[calls:]]
+        begun = [call.at for call in discovery.calls[calls:]]
         # Of two that begin within 5.5 s one may hang; one that is refused could not be reached until then.
         step, within = (1, 4.25) if down == "refused" else (2, 5.5)
         assert all(later - at <= within for at, later in zip(begun, begun[step:], strict=False))
@@ -379,46 +399,49 @@
             assert all(sum(at <= call < at + 4 for call in begun) <= 2 for at in begun)
 
 
-@pytest.mark.parametrize("first, added", [([], 0), ([0.4], 0), ([Discovery.HANGS], 1)])
-def test_of_many_sidecars_each_calls_once_and_once_more_where_its_call_hangs(world, first, added):
+@pytest.mark.parametrize("first, second_calls", [([], 0), ([0.4], 0), ([Discovery.HANGS], 1)])
+def test_of_many_sidecars_each_calls_once_and_once_more_where_its_call_hangs(world, first, second_calls):
     w = world()
-    one = w.place("a:1", lambda _: 0.0)
-    nodes = [w.sidecar(seed=str(seed), **LARGE) for seed in range(40)]
+    discovery = w.discovery("a:1", lambda _: 0.0)
+    contexts = [w.sidecar(seed=str(seed), **LARGE) for seed in range(40)]
     w.run(w.now + 20)
-    calls, ways = len(one.calls), {}
-    one.fall_silent()
-    fell = w.now
-    one.change()
-    heard = {}
-
-    def way(call):
-        """The first call of each goes so."""
-        mine = ways.setdefault(call.who, list(first))
-        return mine.pop(0) if mine else 0.0
-
-    one.way = way
-    for context in nodes:
-        w.told(context, 2, 10)
-        heard[context] = w.now
-    assert max(heard.values()) <= fell + TOLD
-    assert len(one.calls) - calls == len(nodes) * (1 + added) and w.added() == len(nodes) * added
+    calls, remaining = len(discovery.calls), {}
+    discovery.fall_silent()
+    silent_at = w.now
+    discovery.change()
+    notified_at = {}
+
+    def behaviour(call):
+        """`first` is for the first calls of each sidecar."""
+        own = remaining.setdefault(call.caller, list(first))
+        return own.pop(0) if own else 0.0
+
+    discovery.behaviour = behaviour
+    for context in contexts:
+        w.until_notified(context, 2, 10)
+        notified_at[context] = w.now
+    assert max(notified_at.values()) <= silent_at + NOTIFIED_WITHIN
+    assert (
+        len(discovery.calls) - calls == len(contexts) * (1 + second_calls)
+        and w.second_calls() == len(contexts) * second_calls
+    )
 
 
 @pytest.fixture
 def crowded(tmp_path):
-    """The program itself with so many descriptors, discovery down, and more idle clients than it can hold."""
-    place, started, clients = bound(listening=False), [], []
+    """A real process with few descriptors, discovery down, and more idle clients than it can serve."""
+    discovery, started, clients = bound(listening=False), [], []
     log = tmp_path / "log"
 
     def lines(*events):
-        return [told for told in map(json.loads, log.read_bytes().splitlines()) if told["event"] in events]
+        return [line for line in map(json.loads, log.read_bytes().splitlines()) if line["event"] in events]
 
-    def start(told, allowed):
+    def start(configured, allowed):
         listen = free_address()
         known = {"version": 1, "full": True, "servers": [{"id": "v1", "addr": "127.0.0.1:1"}]}
         path = tmp_path / "config.json"
-        limits = {"sockets": told}
-        config = {"listen": listen, "discovery": address(place), "settings": SETTINGS, "known": known}
+        limits = {"sockets": configured}
+        config = {"listen": listen, "discovery": address(discovery), "settings": SETTINGS, "known": known}
         path.write_bytes(msgspec.json.encode(config | {"limits": limits}))
         with log.open("wb") as out:
             process = subprocess.Popen(
@@ -433,28 +456,28 @@
             clients.append(socket.socket())
             clients[-1].setblocking(False)
             clients[-1].connect_ex(split(listen))
-        held = [0]
-        while held[-1] < 20 or held[-1] not in held[-4:-1]:
+        descriptors = [0]
+        while descriptors[-1] < 20 or descriptors[-1] not in descriptors[-4:-1]:
             time.sleep(0.05)
-            held.append(len(os.listdir(f"/proc/{process.pid}/fd")))
-        return place, lines
+            descriptors.append(len(os.listdir(f"/proc/{process.pid}/fd")))
+        return discovery, lines
 
     yield start
     for process in started:
         process.kill()
         process.wait()
-    for sock in (place, *clients):
+    for sock in (discovery, *clients):
         sock.close()
 
 
-@pytest.mark.parametrize("told, allowed", [(64, 64), (1024, 64)])
-def test_idle_clients_leave_discovery_its_descriptors(crowded, told, allowed):
-    place, lines = crowded(told, allowed)
-    place.listen()
-    place.settimeout(30)
-    call, _ = place.accept()
+@pytest.mark.parametrize("configured, allowed", [(64, 64), (1024, 64)])
+def test_idle_clients_leave_discovery_its_descriptors(crowded, configured, allowed):
+    discovery, lines = crowded(configured, allowed)
+    discovery.listen()
+    discovery.settimeout(30)
+    call, _ = discovery.accept()
     with call:
         assert call.recv(4096).startswith(b"GET /v1/endpoints")
     ends = {line["reason"] for line in lines("list.end")}
     assert ends <= {"refused", "reset", "cut-short"} and not lines("accept.failed", "defect")
-    assert [line["sockets"] for line in lines("limits.lower")] == [allowed] * (allowed < told)
+    assert [line["sockets"] for line in lines("limits.lower")] == [allowed] * (allowed < configured)
