--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -33,7 +33,7 @@
 # The list.
 
 
-def test_news_in_pieces_is_followed_and_what_drains_gets_nothing_new(make_surroundings):
+def test_a_message_in_pieces_is_followed_and_draining_endpoints_get_no_requests(make_surroundings):
     around = make_surroundings(upstreams=2)
     watch, target = around.watch(b"")
     assert target == b"/v1/endpoints?watch=1&from=7"
@@ -43,7 +43,7 @@
     around.quiet(0)
 
 
-def test_news_is_read_ahead_of_work_that_came_just_before_it(make_surroundings):
+def test_a_watch_message_is_read_ahead_of_requests_that_came_just_before_it(make_surroundings):
     around = make_surroundings(upstreams=2)
     watch, _ = around.watch(b"")
     client = around.client()
@@ -58,7 +58,7 @@
     around.quiet(0)
 
 
-def test_a_hand_off_to_one_that_has_left_since_can_still_be_given_up(around):
+def test_an_attempt_at_an_endpoint_removed_since_can_still_be_cancelled(around):
     watch, _ = around.watch(b"")
     client = around.ask("buy", b"one")
     upstream = around.accept()
@@ -69,7 +69,7 @@
     assert around.until(lambda: around.read(upstream)) == b"end"
 
 
-def test_a_whole_list_takes_out_what_it_does_not_name(make_surroundings):
+def test_a_snapshot_removes_endpoints_that_it_does_not_name(make_surroundings):
     around = make_surroundings(upstreams=2)
     around.watch({"version": 9, "full": True, "servers": [around.entry(1)]})
     around.until(lambda: list(around.context.coordinator.pools) == ["s1"])
@@ -99,7 +99,7 @@
         ([b"\xff"], "unreadable"),
     ],
 )
-def test_a_line_that_can_not_be_read_leaves_the_last_list_and_the_whole_is_asked_for(around, lines, reason):
+def test_after_an_unreadable_line_the_last_list_stays_and_a_snapshot_is_asked_for(around, lines, reason):
     around.watch(*lines)
     _, target = around.watch(b"")
     assert target.endswith(b"from=0")
@@ -107,7 +107,7 @@
     serve(around, around.client())
 
 
-def test_a_failed_call_and_a_watch_that_ends_are_followed_by_new_calls(around):
+def test_a_failed_call_and_an_ended_watch_are_followed_by_new_calls(around):
     sock, _ = around.watch(status=503)
     assert around.until(lambda: around.logged("list.end"))[-1]["reason"] == "answered-503"
     sock, _ = around.watch(b"")
@@ -117,14 +117,14 @@
     serve(around, around.client())
 
 
-def test_a_silent_watch_is_dead(around, monkeypatch):
+def test_a_silent_watch_is_replaced(around, monkeypatch):
     monkeypatch.setattr(discovery, "EMPTY_LINE", 0.05)
     around.watch(b"", b"")
     around.watch(b"")
     assert around.logged("list.end")[0]["reason"] == "silent"
 
 
-def test_a_list_that_stalls_half_way_through_a_line_is_dead_and_the_line_is_not_believed(around, monkeypatch):
+def test_a_watch_that_stalls_within_a_line_is_replaced_and_the_line_dropped(around, monkeypatch):
     monkeypatch.setattr(discovery, "EMPTY_LINE", 0.05)
     watch, _ = around.watch(b"")
     half = msgspec.json.encode({"version": 8, "servers": [around.entry(0, state="leaving")]})[:-9]
@@ -134,7 +134,7 @@
     serve(around, around.client())
 
 
-def test_changes_that_go_back_in_version_are_not_believed_and_the_whole_is_asked_for(make_surroundings):
+def test_after_changes_of_an_older_version_a_snapshot_is_asked_for(make_surroundings):
     around = make_surroundings(upstreams=2)
     watch, _ = around.watch({"version": 9, "servers": [around.entry(0, state="leaving")]})
     around.until(lambda: around.context.discovery.version == 9)
@@ -145,7 +145,7 @@
     assert list(around.context.coordinator.pools) == ["s1"]
 
 
-def test_a_known_list_of_which_nothing_is_left_costs_prompt_deferrals_until_the_list_speaks(
+def test_with_an_outdated_known_list_requests_are_rejected_promptly_until_the_watch_answers(
     make_surroundings,
 ):
     around = make_surroundings(upstreams=3)
@@ -160,7 +160,7 @@
     serve(around, around.client(), i=3)
 
 
-def test_nothing_is_kept_of_thousands_of_upstreams_that_have_left(around):
+def test_thousands_of_removed_endpoints_leave_nothing_behind(around):
     watch, _ = around.watch(b"")
     context, balancer = around.context, around.context.coordinator.scheduler.balancer
     for version in range(8, 108):
@@ -200,7 +200,9 @@
 # New configurations.
 
 
-def test_a_new_discovery_is_called_at_once_and_the_old_watch_serves_until_it_has_spoken(make_surroundings):
+def test_a_new_discovery_is_called_at_once_and_the_old_watch_serves_until_its_first_message(
+    make_surroundings,
+):
     around = make_surroundings(upstreams=2)
     old, _ = around.watch(b"")
     before, around.discovery = around.discovery, around.keep(bound())
@@ -230,7 +232,7 @@
     around.until(lambda: around.context.discovery.version == 1)
 
 
-def test_a_configuration_that_can_not_be_used_leaves_the_one_before(around):
+def test_an_unusable_configuration_leaves_the_one_before_in_force(around):
     watch, _ = around.watch(b"")
     around.reconfigure(text=b"{")
     around.reconfigure()
@@ -240,7 +242,7 @@
     around.until(lambda: around.context.discovery.version == 8)
 
 
-def test_what_needs_a_restart_is_told_and_several_changes_in_a_row_end_with_the_last(around):
+def test_fields_that_need_a_restart_are_logged_and_the_last_of_several_changes_holds(around):
     around.watch(b"")
     first, last = around.keep(bound()), around.keep(bound())
     around.reconfigure(discovery=address(first))
@@ -257,10 +259,12 @@
 # Peers.
 
 
-def test_a_peer_is_heard_and_a_stranger_is_not(around, monkeypatch):
-    heard = []
+def test_gossip_of_a_peer_is_received_and_that_of_a_stranger_is_not(around, monkeypatch):
+    received = []
     monkeypatch.setattr(
-        around.context.coordinator.scheduler, "gossip_received", lambda peer, body: heard.append((peer, body))
+        around.context.coordinator.scheduler,
+        "gossip_received",
+        lambda peer, body: received.append((peer, body)),
     )
     assert list(around.context.gossip_socket.peers) == [around.peer.getsockname()]  # not itself
     to = around.context.gossip_socket.sock.getsockname()
@@ -272,8 +276,8 @@
         (around.peer, b"yes"),
     ]:
         sender.sendto(body, to)
-    around.until(lambda: heard)
-    assert heard == [(1, b"yes")]
+    around.until(lambda: received)
+    assert received == [(1, b"yes")]
 
 
 def test_a_flood_of_datagrams_does_not_pile_up(around):
@@ -313,7 +317,7 @@
         ),
     ],
 )
-def test_a_configuration_that_can_not_be_used_is_named(tmp_path, text, named):
+def test_the_error_of_an_unusable_configuration_names_the_key(tmp_path, text, named):
     path = tmp_path / "config.json"
     path.write_bytes(text)
     with pytest.raises(ConfigError) as refused:
@@ -321,7 +325,7 @@
     assert named in str(refused.value) and "\n" not in str(refused.value)
 
 
-def test_without_a_list_it_is_not_ready(make_surroundings):
+def test_a_sidecar_without_an_endpoint_list_is_not_ready(make_surroundings):
     around = make_surroundings(known=None)
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
     assert around.status(around.ask("buy", b"one")) == 503
@@ -334,9 +338,9 @@
 def program(tmp_path):
     """Starts the program itself, as its users do; the list is empty."""
     listen = free_address()
-    told = {"listen": listen, "discovery": "127.0.0.1:1", "settings": SETTINGS}
+    config = {"listen": listen, "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path = tmp_path / "config.json"
-    path.write_bytes(msgspec.json.encode(told))
+    path.write_bytes(msgspec.json.encode(config))
     command = [sys.executable, "-m", "starlingwheel"]
     environment = os.environ | {"EDGE_CONFIG": str(path)}
     started = []
@@ -353,14 +357,14 @@
         process.communicate()
 
 
-def test_the_program_starts_and_ends_by_itself_when_told_to(program):
+def test_the_program_starts_and_ends_at_a_signal(program):
     process, _ = program()
     process.send_signal(signal.SIGTERM)
     out, errors = process.communicate(timeout=10)
     assert process.returncode == 0 and errors == b"" and b'"event":"end"' in out
 
 
-def test_a_new_configuration_does_not_end_the_program(program):
+def test_a_reload_does_not_end_the_program(program):
     process, listen = program()
     process.send_signal(signal.SIGHUP)
     while b'"config.read"' not in (line := process.stdout.readline()):
@@ -373,7 +377,7 @@
     assert process.returncode == 0
 
 
-def test_after_a_kill_it_starts_again_under_its_address(program):
+def test_after_a_kill_the_program_starts_again_at_its_address(program):
     process, listen = program()
     with socket.create_connection(listen):
         process.kill()
@@ -393,7 +397,7 @@
 # Stop.
 
 
-def test_at_a_stop_all_that_was_taken_is_answered_and_then_it_ends(make_surroundings):
+def test_a_shutdown_answers_all_accepted_requests_and_then_ends(make_surroundings):
     around = make_surroundings(settings={"categories": categories(4000000)})
     loop = around.context.loop
     loop.running = True
@@ -439,7 +443,7 @@
     os.close(reader)
 
 
-def test_a_reader_of_the_log_that_has_gone_does_not_end_the_sidecar():
+def test_a_closed_log_does_not_end_the_sidecar():
     reader, writer = os.pipe()
     os.close(reader)
     log = EventLog(time.time, writer)
@@ -448,7 +452,7 @@
     os.close(writer)
 
 
-def test_what_has_come_goes_before_what_is_due():
+def test_messages_are_handled_before_timers():
     ours, theirs = socket.socketpair()
     seen = []
 
@@ -467,7 +471,7 @@
     theirs.close()
 
 
-def test_an_actor_that_waits_until_what_is_past_does_not_stop_the_others():
+def test_an_actor_that_waits_for_a_past_time_does_not_stop_the_others():
     class Hasty(Actor):
         def run(self):
             while True:
@@ -488,7 +492,7 @@
     loop.close()
 
 
-def test_a_daemon_actor_starts_anew_after_an_error():
+def test_a_daemon_actor_restarts_after_an_error():
     class Fragile(Actor):
         daemon = True
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Stories of operators' calls: who is out, sending clients away, and replacing the process."""
+"""Admin calls: detaching endpoints, draining, and replacing the process."""
 
 import json
 import os
@@ -37,26 +37,26 @@
     return make
 
 
-def named(name):
+def body_naming(name):
     return json.dumps({"id": name}).encode()
 
 
-def believed(around, name):
+def entry_in_decisions(around, name):
     return around.context.coordinator.scheduler.balancer.endpoints.by_id[name].entry
 
 
 def detach(around, name="s0"):
-    return around.call("PUT /_upstreams/detach", named(name))
+    return around.call("PUT /_upstreams/detach", body_naming(name))
 
 
 def attach(around, name="s0"):
-    return around.call("PUT /_upstreams/attach", named(name))
+    return around.call("PUT /_upstreams/attach", body_naming(name))
 
 
 # The calls.
 
 
-def test_it_says_when_it_takes_clients(operated):
+def test_ready_tells_whether_clients_are_accepted(operated):
     around = operated(known=None)
     assert around.call("GET /_ready") == 503
     around.watch({"version": 9, "full": True, "servers": [around.entry(0)]})
@@ -74,34 +74,34 @@
         ("PUT /_upstreams/detach", b'{"id":""}', "", 400),
         ("PUT /_upstreams/detach", b'{"id":7}', "", 400),
         ("PUT /_upstreams/detach", b'{"id":"\xff"}', "", 400),
-        ("PUT /_upstreams/detach", named("nobody"), "", 404),
-        ("PUT /_upstreams/attach", named("nobody"), "", 404),
-        ("PUT /_upstreams/detach", named("s0") + b" " * 5000, "", 413),
-        ("PUT /_upstreams/detach", named("s0"), "Transfer-Encoding: chunked\r\n", 400),
-        ("PUT /_upstreams", named("s0"), "", 404),
-        ("POST /_upstreams/detach", named("s0"), "", 405),
+        ("PUT /_upstreams/detach", body_naming("nobody"), "", 404),
+        ("PUT /_upstreams/attach", body_naming("nobody"), "", 404),
+        ("PUT /_upstreams/detach", body_naming("s0") + b" " * 5000, "", 413),
+        ("PUT /_upstreams/detach", body_naming("s0"), "Transfer-Encoding: chunked\r\n", 400),
+        ("PUT /_upstreams", body_naming("s0"), "", 404),
+        ("POST /_upstreams/detach", body_naming("s0"), "", 405),
         ("GET /_lameduck/on", b"", "", 405),
         ("PUT /_ready", b"", "", 405),
         ("nothing", b"", "", 400),
     ],
 )
-def test_what_is_no_call_gets_a_no_and_changes_nothing(operated, lead, body, extra, status):
+def test_an_invalid_call_is_rejected_and_changes_nothing(operated, lead, body, extra, status):
     around = operated()
     assert around.call(lead, body, extra) == status
     assert not around.context.overrides.kept.out and not around.context.draining
-    assert believed(around, "s0").state is EndpointState.READY
+    assert entry_in_decisions(around, "s0").state is EndpointState.READY
     assert [line["status"] for line in around.logged("operator.call")] == [status]
 
 
-def test_two_calls_on_one_connection_are_neither_carried_out(operated):
+def test_of_two_calls_on_one_connection_neither_is_carried_out(operated):
     around = operated()
-    body = named("s0")
+    body = body_naming("s0")
     extra = f"Content-Length: {len(body)}\r\n\r\n{body.decode()}PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\n"
     assert around.call("PUT /_upstreams/detach", extra=extra) == 400
     assert not around.context.overrides.kept.out and not around.context.draining
 
 
-def test_callers_that_say_nothing_keep_nobody_out(operated):
+def test_callers_that_send_nothing_do_not_keep_out_others(operated):
     around = operated(limits={"sockets": 256})
     place = around.context.admin_listener.sock.getsockname()
     silent = [around.keep(socket.create_connection(place)) for _ in range(20)]
@@ -110,11 +110,11 @@
     around.let_pass(0.05)
     assert len(around.context.admin_listener.calls) <= around.context.connections.calls
     assert detach(around) == 200
-    # What has no room goes, the oldest first; what has room ends by itself.
+    # Calls for which there is no room are closed, the oldest first; the others end by themselves.
     assert around.until(lambda: around.read(silent[0])) == b"end"
 
 
-def test_a_call_is_closed_only_for_one_that_has_come(operated):
+def test_a_call_is_closed_only_to_make_room_for_another(operated):
     around = operated(limits={"sockets": 256})
     place = around.context.admin_listener.sock.getsockname()
     silent = [around.keep(socket.create_connection(place)) for _ in range(around.context.connections.calls)]
@@ -122,47 +122,47 @@
     assert [around.read(one) for one in silent] == [None] * len(silent)
 
 
-def test_a_second_address_that_is_in_use_ends_the_start_with_one_line(make_surroundings, around):
+def test_an_admin_address_in_use_ends_the_start_with_one_line(make_surroundings, around):
     with pytest.raises(ConfigError) as refused:
         make_surroundings(mgmt=address(around.listeners[0]))
     assert "\n" not in str(refused.value)
 
 
-def test_without_a_second_address_nothing_listens(around):
+def test_without_an_admin_address_nothing_listens(around):
     assert around.context.admin_listener is None and around.context.connections.calls == 0
     assert ConnectionTracker(1024).share > ConnectionTracker(1024, called=True).share
 
 
-# Taking an upstream out.
+# Detaching an endpoint.
 
 
-def test_what_is_taken_out_gets_nothing_whatever_the_list_says(operated):
+def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(operated):
     around = operated(upstreams=2)
     watch, _ = around.watch(b"")
     assert detach(around) == 200 and detach(around) == 200
-    for word in (  # a restart, its leaving, and being listed again
+    for message in (  # a restart, a removal, and being listed again
         {"version": 8, "servers": [around.entry(0, started_ms=5)]},
         {"version": 9, "servers": [around.entry(0, state="left")]},
         {"version": 10, "full": True, "servers": [around.entry(0), around.entry(1)]},
     ):
-        around.say(watch, word)
-        around.until(lambda: around.context.discovery.version == word["version"])  # noqa: B023
+        around.say(watch, message)
+        around.until(lambda: around.context.discovery.version == message["version"])  # noqa: B023
         around.all_go_to(1, 4)
     around.quiet(0)
 
 
-def test_one_call_back_ends_it_and_it_counts_as_cold(operated):
+def test_one_attach_undoes_all_detaches_and_slow_start_begins(operated):
     around = operated(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
     around.watch(b"")
-    before = believed(around, "s0")
+    before = entry_in_decisions(around, "s0")
     assert attach(around) == 200  # it was not out
-    assert believed(around, "s0") == before
+    assert entry_in_decisions(around, "s0") == before
     assert detach(around) == 200 and detach(around) == 200
-    around.until(lambda: believed(around, "s0").state is EndpointState.DRAINING)
+    around.until(lambda: entry_in_decisions(around, "s0").state is EndpointState.DRAINING)
     assert attach(around) == 200
-    around.until(lambda: believed(around, "s0").state is EndpointState.READY)
-    # Discovery has not said yet that it was restarted.
-    assert believed(around, "s0").started_at > around.context.loop.now() - 5
+    around.until(lambda: entry_in_decisions(around, "s0").state is EndpointState.READY)
+    # Discovery does not list its restart yet.
+    assert entry_in_decisions(around, "s0").started_at > around.context.loop.now() - 5
     assert (
         around.context.coordinator.scheduler.balancer.slow_start.fraction(
             around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
@@ -171,16 +171,16 @@
     )
 
 
-def test_once_the_list_tells_of_the_restart_that_counts(operated):
+def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(operated):
     around = operated()
     watch, _ = around.watch(b"")
     assert detach(around) == 200 and attach(around) == 200
     started = (time.time() - 1) * 1000
     around.say(watch, {"version": 8, "servers": [around.entry(0, started_ms=started)]})
-    around.until(lambda: believed(around, "s0").started_at == started / 1000)
+    around.until(lambda: entry_in_decisions(around, "s0").started_at == started / 1000)
 
 
-def test_idle_connections_to_what_is_taken_out_are_closed(operated):
+def test_idle_connections_to_a_detached_endpoint_are_closed(operated):
     around = operated()
     client = around.ask()
     upstream = around.serve()
@@ -189,14 +189,14 @@
     assert around.until(lambda: around.read(upstream)) == b"end"
 
 
-def test_what_is_said_to_one_process_holds_in_the_other_and_in_the_next(operated):
+def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(operated):
     one, other = operated(), operated()
     assert detach(one) == 200
-    other.until(lambda: believed(other, "s0").state is EndpointState.DRAINING)
+    other.until(lambda: entry_in_decisions(other, "s0").state is EndpointState.DRAINING)
     assert other.call("PUT /_lameduck/on") == 200
     one.until(lambda: one.context.draining)
     assert attach(other) == 200
-    one.until(lambda: believed(one, "s0").state is EndpointState.READY)
+    one.until(lambda: entry_in_decisions(one, "s0").state is EndpointState.READY)
     assert detach(other) == 200
     after = operated(known={"version": 7, "full": True, "servers": []})
     assert after.context.overrides.kept.out and after.context.draining
@@ -206,22 +206,22 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"{", b'{"out":7}', b"\xff\x00"])
-def test_a_torn_file_stops_neither_start_nor_call(operated, tmp_path, text):
+def test_an_unreadable_overrides_file_stops_neither_start_nor_call(operated, tmp_path, text):
     (tmp_path / OVERRIDES_FILE).write_bytes(text)
     around = operated()
     assert around.logged("operators.unreadable")
     assert detach(around) == 200 and "s0" in json.loads((tmp_path / OVERRIDES_FILE).read_bytes())["out"]
 
 
-def test_a_yes_is_said_only_when_it_is_written(operated, tmp_path):
+def test_a_call_succeeds_only_once_its_change_is_stored(operated, tmp_path):
     around = operated()
     around.until(lambda: not around.context.overrides.unwritten)
     around.context.overrides.path = tmp_path / "gone" / OVERRIDES_FILE
     assert detach(around) == 503
-    assert believed(around, "s0").state is EndpointState.READY
+    assert entry_in_decisions(around, "s0").state is EndpointState.READY
 
 
-def test_a_file_that_another_process_holds_is_waited_for(tmp_path):
+def test_an_overrides_file_locked_by_another_process_is_retried(tmp_path):
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.listed(True, [DiscoveredEndpoint("s0")])
     with out._lock(), pytest.raises(OverridesLockedError):
@@ -230,7 +230,7 @@
     assert out.take_out("s0")
 
 
-def test_ids_without_end_are_forgotten_but_not_those_in_use(tmp_path):
+def test_old_ids_are_forgotten_but_not_those_in_use(tmp_path):
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.listed(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
     out.take_out("second")
@@ -241,10 +241,10 @@
     assert out.take_out("s0") is None
 
 
-# Sending clients away.
+# Draining.
 
 
-def test_at_a_drain_clients_are_sent_away_and_afterwards_all_is_as_before(operated):
+def test_draining_sends_clients_away_and_can_be_undone(operated):
     around = operated()
     idle, kept = around.client(), around.client()
     kept.sendall(around.request())
@@ -253,7 +253,7 @@
     assert around.call("PUT /_lameduck/on") == 200
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
     assert around.call("GET /_ready") == 200
-    # What still comes is served, on new and on kept connections, and told to close.
+    # Requests that still come are served, on new and on idle connections, and config to close.
     for client in (around.client(), kept):
         around.rested()
         client.sendall(around.request())
@@ -275,7 +275,7 @@
     assert [line["on"] for line in around.logged("lameduck")] == [True, False]
 
 
-def test_a_stop_within_a_drain_ends_the_process(operated):
+def test_a_stop_while_draining_ends_the_process(operated):
     around = operated()
     around.context.loop.running = True
     assert around.call("PUT /_lameduck/on") == 200
@@ -286,25 +286,25 @@
 # Replacing the process.
 
 
-def test_another_process_is_seen_while_it_lives(tmp_path):
+def test_a_sibling_process_is_seen_while_it_lives(tmp_path):
     text = f"""if True:
         from starlingwheel.net.state.siblings import SiblingProcesses
-        beside = SiblingProcesses({str(tmp_path)!r})
-        print(beside.others(), flush=True)
+        siblings = SiblingProcesses({str(tmp_path)!r})
+        print(siblings.others(), flush=True)
         input()
     """
-    beside = SiblingProcesses(str(tmp_path))
-    assert not beside.others()
+    siblings = SiblingProcesses(str(tmp_path))
+    assert not siblings.others()
     command = [sys.executable, "-c", text]
     process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-    assert process.stdout.readline() == b"True\n" and beside.others()
+    assert process.stdout.readline() == b"True\n" and siblings.others()
     process.kill()
     process.communicate()
-    assert not beside.others()
-    beside.close()
+    assert not siblings.others()
+    siblings.close()
 
 
-def test_two_processes_share_what_one_may_have(operated):
+def test_sibling_processes_share_the_limits_of_one(operated):
     around = operated()
     context, balancer = around.context, around.context.coordinator.scheduler.balancer
     clients = context.connections.client_share
@@ -325,10 +325,10 @@
 
 
 @pytest.mark.parametrize("value", ["x", "9999", "0"])
-def test_a_passed_socket_that_is_none_ends_the_start_with_one_line(tmp_path, value):
-    told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
+def test_an_invalid_passed_socket_ends_the_start_with_one_line(tmp_path, value):
+    config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path = tmp_path / "config.json"
-    path.write_bytes(msgspec.json.encode(told))
+    path.write_bytes(msgspec.json.encode(config))
     environment = os.environ | {"EDGE_CONFIG": str(path), "EDGE_PASSED_SOCKET": value}
     command = [sys.executable, "-m", "starlingwheel"]
     done = subprocess.run(command, env=environment, capture_output=True, stdin=subprocess.DEVNULL)
@@ -374,9 +374,9 @@
     def start(number):
         mgmt = free_address()
         path = tmp_path / f"config{number}.json"
-        told = {"listen": address(passed), "discovery": "127.0.0.1:1", "settings": settings}
-        told |= {"known": {"version": 7, "full": True, "servers": servers}, "mgmt": mgmt}
-        path.write_bytes(msgspec.json.encode(told))
+        config = {"listen": address(passed), "discovery": "127.0.0.1:1", "settings": settings}
+        config |= {"known": {"version": 7, "full": True, "servers": servers}, "mgmt": mgmt}
+        path.write_bytes(msgspec.json.encode(config))
         place = split(mgmt)
         environment = os.environ | {
             "EDGE_CONFIG": str(path),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Stories of configurations: what is refused at the start, and what follows from the settings."""
+"""Settings: what is rejected at the start, and what follows from them."""
 
 import copy
 
@@ -35,34 +35,36 @@
 
 
 @pytest.fixture
-def told(tmp_path, changed_settings):
-    """The terms that a sidecar with these settings begins with."""
+def config_of(tmp_path, changed_settings):
+    """The configuration of the decisions for these settings."""
 
-    def told(settings, **changed):
+    def config_of(settings, **changed):
         settings = changed_settings(settings, **changed)
         path = tmp_path / "config.json"
         given = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings}
         path.write_bytes(msgspec.json.encode(given))
         return load_config({"EDGE_CONFIG": str(path)})[1]
 
-    return told
+    return config_of
 
 
-def test_the_old_shape_follows_from_settings_that_say_nothing_new(told):
-    terms = told(SETTINGS)
+def test_a_watching_deployment_has_the_defaults(config_of):
+    config = config_of(SETTINGS)
     assert (
-        terms.must_watch_endpoints
-        and terms.streams_per_connection == 1
-        and not terms.weights_are_live
-        and not terms.open_connection_price
+        config.must_watch_endpoints
+        and config.streams_per_connection == 1
+        and not config.weights_are_live
+        and not config.open_connection_price
     )
-    assert told({k: v for k, v in SETTINGS.items() if k != "discovery"}).must_watch_endpoints
+    assert config_of({k: v for k, v in SETTINGS.items() if k != "discovery"}).must_watch_endpoints
 
 
-def test_the_new_shape_follows_from_the_settings_alone(told):
-    terms = told(PUSHED)
-    assert not terms.must_watch_endpoints and terms.streams_per_connection == 100 and terms.weights_are_live
-    assert terms.open_connection_price == 0.03 and terms.sidecars == 300 and terms.sidecar_index == 7
+def test_a_pushed_deployment_follows_from_its_settings_alone(config_of):
+    config = config_of(PUSHED)
+    assert (
+        not config.must_watch_endpoints and config.streams_per_connection == 100 and config.weights_are_live
+    )
+    assert config.open_connection_price == 0.03 and config.sidecars == 300 and config.sidecar_index == 7
 
 
 CAPS = SETTINGS["caps"] | {"streamsPerConn": 1, "mostHandOffs": 5, "connectTimeout": 200000}
@@ -88,12 +90,12 @@
 
 
 @pytest.mark.parametrize("settings", [CLAIMS, RESULTS])
-def test_a_sidecar_starts_with_the_settings_of_the_new_deployments(told, make_surroundings, settings):
-    terms = told(settings)
+def test_a_sidecar_starts_with_the_settings_of_two_deployments(config_of, make_surroundings, settings):
+    config = config_of(settings)
     assert (
-        terms.key_affinity
-        and terms.streams_per_connection == 1
-        and terms.must_watch_endpoints == (settings is RESULTS)
+        config.key_affinity
+        and config.streams_per_connection == 1
+        and config.must_watch_endpoints == (settings is RESULTS)
     )
     around = make_surroundings(
         settings=settings | {"categories": categories(), "replicasOfMe": 2, "slotNo": 0}
@@ -102,17 +104,20 @@
         around.hear()
     client = around.ask()
     sock = around.serve()
-    if settings is CLAIMS:  # that was the question for its load; the work item comes behind it
+    if settings is CLAIMS:  # that was the poll of its load; the request comes after it
         around.received(sock)
         around.reply(sock)
     assert around.status(client) == 200
 
 
-def test_only_a_deployment_that_says_so_looks_at_keys(told):
-    assert not told(SETTINGS).key_affinity and not told(SETTINGS, specifics={"warmKeys": None}).key_affinity
+def test_key_affinity_is_off_unless_the_settings_ask_for_it(config_of):
+    assert (
+        not config_of(SETTINGS).key_affinity
+        and not config_of(SETTINGS, specifics={"warmKeys": None}).key_affinity
+    )
 
 
-def test_a_time_in_a_load_report_is_in_seconds():
+def test_times_in_load_reports_are_converted_to_seconds():
     assert figures("TEXT inflight=3, latency_ms=120") == {"held": 3.0, "service": 0.12}
     assert SimulatorLine(1, "ENDED feedback=svc_ms:120,busy_reqs:3").load_report() == {
         "held": 3.0,
@@ -137,9 +142,9 @@
         (PUSHED, {"replicasOfMe": 0}, "replicasOfMe"),
     ],
 )
-def test_what_is_wrong_is_refused_in_one_line_that_names_the_key(told, settings, changed, named):
+def test_invalid_settings_are_rejected_in_one_line_that_names_the_key(config_of, settings, changed, named):
     with pytest.raises(ConfigError) as refused:
-        told(settings, **changed)
+        config_of(settings, **changed)
     assert f"settings: {named}: " in str(refused.value) and "\n" not in str(refused.value)
 
 
@@ -156,10 +161,10 @@
 
 
 @pytest.mark.parametrize(("settings", "changed", "named"), MIXED)
-def test_what_is_mixed_is_told_once_and_followed(
+def test_contradictory_settings_are_logged_once_and_followed(
     changed_settings, make_surroundings, settings, changed, named
 ):
-    """A refusal to start is worse than a price for what is not allowed: the deployment is served."""
+    """Not starting would be worse than a price for what is not allowed."""
     around = make_surroundings(settings=changed_settings(settings, **changed))
     assert [line["key"] for line in around.logged("settings.mixed")] == named
     if around.context.discovery.pushed:
@@ -169,7 +174,7 @@
     around.accept()
 
 
-def test_a_mixture_read_while_it_runs_is_told_and_in_force(make_surroundings):
+def test_contradictory_settings_read_at_a_reload_are_logged_and_followed(make_surroundings):
     around = make_surroundings()
     around.reconfigure(settings=SETTINGS | {"weightKind": "live"})
     assert not around.logged("config.unusable") and around.context.balancer_config.weights_are_live
@@ -190,11 +195,11 @@
 }  # fmt: skip
 
 
-def test_a_null_is_the_same_as_absent_and_refuses_no_start(told):
+def test_a_null_is_the_same_as_an_absent_key(config_of):
     def without_nulls(value):
         if isinstance(value, dict):
             return {key: without_nulls(one) for key, one in value.items() if one is not None}
         return [without_nulls(one) for one in value] if isinstance(value, list) else value
 
-    with_nulls, without = told(NULLS), told(without_nulls(NULLS))
+    with_nulls, without = config_of(NULLS), config_of(without_nulls(NULLS))
     assert msgspec.to_builtins(with_nulls) == msgspec.to_builtins(without)
