--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,17 +15,17 @@
     return list(capacity.measure(SMALL, least=0.003))
 
 
-def named(told, what):
-    return next(row for row in told if row.what == what)
+def row_of(rows, what):
+    return next(row for row in rows if row.what == what)
 
 
-def test_a_line_and_a_power_are_found_again():
+def test_line_and_power_recover_their_parameters():
     at_none, slope, residual = line((x, 7 + 3 * x) for x in (1, 2, 5, 9))
     assert (round(at_none, 9), round(slope, 9), round(residual, 9)) == (7, 3, 0)
     assert power((x, 5 * x**2) for x in (2, 4, 8)) == pytest.approx(2)
 
 
-def test_a_figure_past_the_largest_size_is_called_extrapolated():
+def test_a_figure_past_the_largest_measured_size_is_extrapolated():
     told = [{"figure": "home", "size": size, "us": 2.0 * size} for size in (50, 100)]
     figures = Figures(told)
     assert figures.at("home", 75) == 150 and figures.kind("home", 75) == "measured"
@@ -42,20 +42,20 @@
     assert figures.at("frame told") < figures.at("frame beat") < figures.at("frame cover")
 
 
-def test_what_a_member_does_in_its_cell_does_not_grow_with_the_fleet(lines):
+def test_the_cost_within_a_cell_does_not_grow_with_the_fleet(lines):
     figures, cell = Figures(lines), 25
     for what in ("links at rest", "beats at rest", "`Told` and what it quickens, mean of a day"):
         # As often does a member restart, however many there are.
         fleets = [Size(sidecars=n, restarts=n / 6) for n in (400, 1600)]
-        some = [named(rows(size, figures, size.sidecars // cell), what).value for size in fleets]
+        some = [row_of(rows(size, figures, size.sidecars // cell), what).value for size in fleets]
         assert some[0] == pytest.approx(some[1]), what
-        mesh = [named(rows(size, figures), what).value for size in fleets]
+        mesh = [row_of(rows(size, figures), what).value for size in fleets]
         assert mesh[1] >= mesh[0] and mesh[1] >= some[1], what
         if what != "beats at rest":
             assert mesh[1] > 3 * mesh[0], what
 
 
-def test_links_that_are_opened_on_demand_are_all_members_where_much_is_in_hand():
+def test_with_many_open_requests_links_on_demand_reach_all_members():
     assert reached(1000, 0.001, 1) == pytest.approx(0.001, rel=0.01)
     assert reached(1000, 1e6, 10) == pytest.approx(1000)
 
@@ -71,7 +71,7 @@
     assert told[2].split(" | ")[3:6] == ["175", "250", "480"] and "400 (-17%)" in told[2]
 
 
-def test_a_word_among_many_costs_what_the_scale_run_measured_of_its_restarts():
+def test_the_cost_of_a_message_is_that_of_the_restarts_of_the_scale_run():
     told = [
         {"phase": "restart", "role": "alone", "core": 0.02, "messages_out": rate} for rate in (200, 400, 500)
     ]
@@ -80,7 +80,7 @@
     assert 50 < capacity.burst([other]) < 500
 
 
-def test_what_is_missing_is_ordered_by_its_overrun():
+def test_rows_over_their_budget_are_ordered_by_overrun():
     told = [Row("", str(n), "", value, "B/s", 10.0, "", "") for n, value in enumerate((5.0, 20.0, 90.0))]
     told.append(Row("", "none", "", 1e9, "B/s", float("nan"), "", ""))
     assert [row.what for row in missing(told)] == ["2", "1"]
@@ -100,7 +100,7 @@
     assert capacity.main(given) == 2 and "no <!--" in capsys.readouterr().err
 
 
-def test_bad_input_is_told_in_one_line(tmp_path, capsys):
+def test_wrong_use_is_reported_in_one_line(tmp_path, capsys):
     assert capacity.main(["--sidecars", "1"]) == 2
     assert capacity.main(["--figures", str(tmp_path / "none")]) == 2
     assert capsys.readouterr().err.count("\n") == 2
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,6 +1,6 @@
 """The endpoint list is acted on only while it is known to be current: real processes, faults between.
 
-Attempts are counted at the servers, notices at discovery; the sidecars' own word counts for nothing.
+Attempts are counted at the servers, notices at discovery; what the sidecars say of themselves does not count.
 """
 
 import asyncio
@@ -11,28 +11,28 @@
 from trials import endpoint_list
 
 
-def played(*plays):
-    async def all_of_them():
-        return await asyncio.gather(*plays)
+def play_together(*trials):
+    async def play_all():
+        return await asyncio.gather(*trials)
 
-    return asyncio.run(all_of_them())
+    return asyncio.run(play_all())
 
 
 def assert_kept(verdicts):
     for verdict in verdicts:
         assert verdict.kept, (verdict.counts, verdict.broken[:10])
-        # The play has shown something only where the server that drains had requests before it did.
+        # The trial shows something only where the draining server had requests before.
         assert verdict.counts["attempts"] > 100 and verdict.counts["answered 200"] > 100
 
 
 @pytest.mark.xdist_group("endpoint-list-1")
-def test_no_attempt_follows_a_notice_that_did_not_arrive_whole():
+def test_no_attempt_follows_a_notice_that_arrived_incomplete():
     faults = (Fault.ENDED, Fault.RESET, Fault.STALLED)
-    assert_kept(played(*(endpoint_list.broken_message(fault) for fault in faults)))
+    assert_kept(play_together(*(endpoint_list.broken_message(fault) for fault in faults)))
 
 
 @pytest.mark.xdist_group("endpoint-list-2")
 def test_no_attempt_follows_a_notice_that_was_missed():
     assert_kept(
-        played(endpoint_list.silent_watch(), endpoint_list.ended_instead(), endpoint_list.restarted())
+        play_together(endpoint_list.silent_watch(), endpoint_list.ended_instead(), endpoint_list.restarted())
     )
