--- a/starlingwheel/fleet/replication/__init__.py
+++ b/starlingwheel/fleet/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Requests in flight that survive the loss of their sidecar."""
+"""Requests in flight that survive the loss of their sidecar; `replicator` is where to begin reading."""
--- /dev/null
+++ b/starlingwheel/fleet/replication/completion.py
@@ -0,0 +1,175 @@
+"""How a request ends here: with its final response, given up, or taken over by another member."""
+
+from __future__ import annotations
+
+from ..frames import RecordedResponse, ReplicateFrame, RequestFinishedFrame, ResponseFrame
+from .context import ReplicationContext
+from .peer_links import PeerLinks
+from .request import (
+    DEFERRED,
+    NO_CONTENT,
+    UNSENT,
+    ReplicatedRequest,
+    RequestState,
+)
+from .request_table import RequestTable
+from .views import ViewTracker
+
+RETRY_AFTER = 1 / 8  # of the longest timeout: when to retry a request whose state can't be found out
+
+
+class RequestCompletion:
+    """Ends requests and informs replicas, coordinators, members and clients that wait."""
+
+    def __init__(
+        self, context: ReplicationContext, views: ViewTracker, links: PeerLinks, table: RequestTable
+    ) -> None:
+        """The arguments are the parts that this one uses."""
+        self.context, self.views, self.links, self.table = context, views, links, table
+
+    def finish(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
+        """The request has its final response."""
+        self.send_to_replicas(request, response)
+        coordinator = self.views.coordinator_of(request)
+        was_replica = request.state is RequestState.KEEPING
+        of_other_cell = was_replica and self.views.is_outside(request.owner, request)
+        informed = coordinator in request.replicas and (
+            self.views.view.cells == 1 or coordinator in self.links
+        )
+        # An owner of another cell informs the coordinator that it sees by itself.
+        informed = informed or (of_other_cell and request.contact == coordinator)
+        request.contact = coordinator if informed else ""
+        request.replicas.clear()
+        request.response, request.state = response, RequestState.DONE
+        request.unacknowledged_rejection = None
+        self.table.resize(request, len(response.body) - len(request.content.body))
+        request.content = NO_CONTENT
+        self._respond(request, response)
+        if of_other_cell and coordinator != self.context.member_id:
+            self.inform_coordinator(request, coordinator)
+        if request.key_is_reusable:
+            self.table.forget(request)
+
+    def _respond(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
+        """Give the response to all that wait for it."""
+        members, request.waiting_members = request.waiting_members, {}
+        clients, request.waiting_clients = request.waiting_clients, {}
+        for member in members:
+            self.context.host.send_frame(member, ResponseFrame(request.key, request.epoch, response))
+        for client in clients:
+            self.context.host.answer(request, client, response)
+
+    def send_to_replicas(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
+        """Have the replicas record a response."""
+        for member in request.replicas:
+            self.context.host.send_frame(member, ResponseFrame(request.key, request.epoch, response))
+
+    def cancel_attempts(self, request: ReplicatedRequest) -> None:
+        """Attempts that are not released yet never will be."""
+        held, request.held_attempts = request.held_attempts, {}
+        for number in held:
+            request.intents[number].fate = UNSENT
+            self.context.host.cancel_intent(request, number)
+
+    def give_up(self, request: ReplicatedRequest, reason: str) -> None:
+        """Reject it at once: nothing was sent for it by us, and a member that acts on it goes on."""
+        self.context.counts["given_up"] += 1
+        self.context.host.log_event("cover.given_up", reason=reason)
+        retry_after = RETRY_AFTER * self.context.longest_timeout
+        request.response = RecordedResponse(DEFERRED, retry_after=retry_after)
+        request.state = RequestState.DONE
+        self.table.forget(request)
+        clients, request.waiting_clients = request.waiting_clients, {}
+        for client in clients:
+            self.context.host.answer(request, client, request.response)
+
+    def relinquish(self, request: ReplicatedRequest) -> None:
+        """It has been taken over from us, or was in flight before we asked."""
+        owned = request.state is RequestState.OWNING
+        self.context.counts["superseded"] += owned and request.was_released
+        self.cancel_attempts(request)
+        request.unacknowledged_rejection, request.is_granted, request.is_retry = None, False, True
+        request.replicas.clear()
+        client = request.dispatched_client
+        if client in request.waiting_clients:
+            self.table.schedule(request.waiting_clients[client], request, client)
+
+    def join(self, request: ReplicatedRequest, member: str) -> None:
+        """Another member acts on it: no further attempts from us, and its response is ours."""
+        self.relinquish(request)
+        request.state, request.contact = RequestState.JOINED, member
+        if not request.waiting_clients and not request.waiting_members:
+            self.table.forget(request)
+
+    def inform_coordinator(self, request: ReplicatedRequest, coordinator: str) -> None:
+        """Tell a new coordinator of a response, so that it does not take the request for a new one."""
+        if coordinator in (request.contact, self.context.member_id) or coordinator not in self.links:
+            return
+        if request.response is None:
+            return
+        owner = request.owner
+        owner_informs = owner != self.context.member_id and owner in self.links
+        if not owner_informs or self.views.is_outside(owner, request):
+            request.contact = coordinator
+            self._send_finished(request, coordinator)
+
+    def inform_successor(self, request: ReplicatedRequest, coordinator: str) -> None:
+        """Tell the member that follows the coordinator, where the owner is of another cell.
+
+        The response then survives the loss of one replica after another.
+        """
+        if coordinator != self.context.member_id or request.response is None:
+            return
+        if not self.views.is_outside(request.owner, request):
+            return
+        member = self.views.view.home(request.key, but=coordinator)
+        if member in self.links and member != request.informed_coordinator:
+            request.informed_coordinator = member
+            self._send_finished(request, member)
+
+    def _send_finished(self, request: ReplicatedRequest, member: str) -> None:
+        if request.response is None:
+            return
+        frame = RequestFinishedFrame(
+            request.key,
+            request.owner,
+            request.fingerprint,
+            request.category,
+            request.effect,
+            request.deadline,
+            request.response,
+        )
+        self.context.host.send_frame(member, frame)
+
+    def on_finished(self, frame: RequestFinishedFrame) -> None:
+        """Another member says that a request has its final response."""
+        request = self.table.get(frame.key)
+        if request is None:
+            now, longest = self.context.now, self.context.longest_timeout
+            if self.table.is_full or not now <= frame.until <= now + 2 * longest:
+                return
+            request = self.table.add(self._finished_elsewhere(frame))
+        elif request.state is RequestState.DONE or request.is_granted:
+            return
+        self.cancel_attempts(request)
+        self.finish(request, frame.reply)
+        if self.table.get(frame.key) is request:
+            self.inform_successor(request, self.views.coordinator_of(request))
+
+    def _finished_elsewhere(self, frame: RequestFinishedFrame) -> ReplicatedRequest:
+        """The record of a request that was not known here."""
+        replicate = ReplicateFrame(
+            frame.key,
+            frame.owner,
+            0,
+            False,
+            frame.mark,
+            frame.category,
+            frame.effect,
+            frame.until - self.context.longest_timeout,
+            frame.until,
+            True,
+            NO_CONTENT,
+            [],
+        )
+        return ReplicatedRequest.from_frame(replicate, RequestState.KEEPING)
--- /dev/null
+++ b/starlingwheel/fleet/replication/request.py
@@ -0,0 +1,150 @@
+"""One replicated request as one member knows it, and the states that it goes through."""
+
+from __future__ import annotations
+
+import enum
+from dataclasses import dataclass, field
+from typing import Any, TypeAlias
+
+from ...decisions.config import RetrySafety
+from ..frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame, RequestClassRecord
+from ..membership import place
+
+# Statuses of final responses.
+FINISHED, DEFERRED, KEY_REUSED, WRITTEN_OFF = 200, 503, 422, 504
+RERUNNABLE = RetrySafety.IDEMPOTENT.value
+UNSENT = "unsent"  # outcome of an attempt that was never released
+NOT_SENT = -2  # of a replica: the request was not sent to it yet
+UNACKNOWLEDGED = -1  # of a replica: it has not acknowledged the request yet
+OVERHEAD = 512  # bytes that a request takes beside its bodies
+NO_CONTENT = RecordedRequest(b"", b"", [], b"", b"")
+
+Client: TypeAlias = Any  # the host's object for a client that waits; opaque to the replicator
+
+
+class RequestState(enum.Enum):
+    """What this member is to a request."""
+
+    ASKING = "asking"  # a retry whose coordinator has not said yet whether it is new
+    OWNING = "owning"  # this member acts on it
+    JOINED = "joined"  # another member acts on it, clients wait for its response here
+    KEEPING = "keeping"  # another member acts on it, this one is a replica
+    DONE = "done"  # it has its final response
+
+
+class BeginResult(enum.Enum):
+    """What the host does with a request that has arrived."""
+
+    RUN = "run"  # dispatch it now; its attempts are held until they are released
+    WAIT = "wait"  # `ReplicationHost.decide` or `answer` follows, or has been called already
+    ANSWER = "answer"  # `ReplicatedRequest.response` is its final response
+    OTHER = "other"  # its idempotency key was used for another request
+
+
+@dataclass(slots=True, eq=False)
+class ReplicatedRequest:
+    """One request with an idempotency key, as one member knows it. Times are seconds on the wall clock."""
+
+    key: bytes
+    fingerprint: bytes  # hash of the request's method, target and body
+    category: str  # name of its request class
+    effect: str  # value of its `RetrySafety`
+    received_at: float
+    deadline: float
+    is_retry: bool
+    content: RecordedRequest
+    intents: list[AttemptIntent]
+    epoch: int
+    owner: str
+    state: RequestState
+    class_record: RequestClassRecord | None
+    hash_position: int  # of its key: determines its cell
+    size: int  # bytes
+    response: RecordedResponse | None = None
+    # Members that record it and how many intents each has acknowledged; or `NOT_SENT`, `UNACKNOWLEDGED`.
+    replicas: dict[str, int] = field(default_factory=dict)
+    is_granted: bool = False  # the coordinator has granted the request to this member
+    is_dispatched: bool = False  # the host's decisions work on it
+    dispatched_client: Client = None  # the client for which they do
+    held_attempts: dict[int, None] = field(default_factory=dict)  # numbers of attempts not released yet
+    waiting_members: dict[str, None] = field(default_factory=dict)  # members that wait for its response
+    waiting_clients: dict[Client, float] = field(default_factory=dict)  # with the time until which each waits
+    was_taken_over: bool = False  # another member owned it before
+    was_released: bool = False  # an attempt of this member was released
+    unacknowledged_rejection: RecordedResponse | None = None  # its replicas have not recorded it yet
+    contact: str = ""  # the member that was asked for it, or that acts on it
+    is_stale: bool = False  # recorded before this member was out of the view for a while
+    # Across cells. Of an owner: the coordinator that its replicas know of; of a replica: the one it informed.
+    informed_coordinator: str = ""
+    granted_to_owner: bool = False  # by this member, its coordinator
+
+    @classmethod
+    def from_frame(cls, frame: ReplicateFrame, state: RequestState) -> ReplicatedRequest:
+        """The request that a frame describes."""
+        return cls(
+            key=frame.key,
+            fingerprint=frame.mark,
+            category=frame.category,
+            effect=frame.effect,
+            received_at=frame.at,
+            deadline=frame.until,
+            is_retry=frame.repeat,
+            content=frame.asked,
+            intents=list(frame.intents),
+            epoch=frame.epoch,
+            owner=frame.owner,
+            state=state,
+            class_record=frame.rules,
+            hash_position=place(frame.key),
+            size=len(frame.asked.body) + OVERHEAD,
+        )
+
+    @property
+    def may_have_run(self) -> bool:
+        """An attempt was released whose outcome is not known."""
+        return (self.was_taken_over or self.was_released) and any(not intent.fate for intent in self.intents)
+
+    @property
+    def is_unclaimed(self) -> bool:
+        """This member acts on it, wants to, or waits for it; nobody has said yet that it is new."""
+        undecided = self.state in (RequestState.ASKING, RequestState.JOINED, RequestState.OWNING)
+        return undecided and not self.is_granted
+
+    def concerns(self, member: str) -> bool:
+        """This member acts on what that one does with the request."""
+        if member in self.waiting_members or member in self.replicas:
+            return True
+        if self.state is RequestState.KEEPING:
+            return self.owner == member
+        return self.state in (RequestState.ASKING, RequestState.JOINED) and self.contact == member
+
+    @property
+    def key_is_reusable(self) -> bool:
+        """It was rejected with nothing done, or failed and may be done again."""
+        if self.state is not RequestState.DONE or self.response is None:
+            return False
+        may_repeat = self.effect == RERUNNABLE and self.response.status == WRITTEN_OFF
+        return self.response.status == DEFERRED or may_repeat
+
+    def to_frame(self, asks: bool, coordinator: str = "") -> ReplicateFrame:
+        """The frame that replicates it.
+
+        `asks`: the receiver shall say whether it is new. `coordinator`: as the owner of another cell sees it.
+        """
+        return ReplicateFrame(
+            self.key,
+            self.owner,
+            self.epoch,
+            asks,
+            self.fingerprint,
+            self.category,
+            self.effect,
+            self.received_at,
+            self.deadline,
+            self.is_retry,
+            self.content,
+            list(self.intents),
+            self.is_granted or self.granted_to_owner,
+            self.class_record,
+            coordinator,
+        )
--- /dev/null
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -0,0 +1,178 @@
+"""What becomes of requests after members, links or views have changed: taken over, or recorded anew."""
+
+from __future__ import annotations
+
+from ..frames import RecordedResponse, ReplicateFrame
+from .completion import RequestCompletion
+from .context import ReplicationContext
+from .peer_links import PeerLinks
+from .placement import RequestPlacement
+from .records import ReplicaRecords
+from .request import RERUNNABLE, UNACKNOWLEDGED, WRITTEN_OFF, ReplicatedRequest, RequestState
+from .request_table import RequestTable
+from .views import ViewTracker
+
+
+class RequestTakeover:
+    """Puts requests in order after a change; takes over those whose owner is lost."""
+
+    def __init__(
+        self,
+        context: ReplicationContext,
+        views: ViewTracker,
+        links: PeerLinks,
+        table: RequestTable,
+        completion: RequestCompletion,
+        placement: RequestPlacement,
+        records: ReplicaRecords,
+    ) -> None:
+        """The arguments are the parts that this one uses."""
+        self.context, self.views, self.links, self.table = context, views, links, table
+        self.completion, self.placement, self.records = completion, placement, records
+
+    def update(self, request: ReplicatedRequest, owner_lost: bool = False) -> None:
+        """After a change of the view or of a link: have the right members know of a request.
+
+        `owner_lost`: the link to its owner has ended.
+        """
+        coordinator = self.views.coordinator_of(request)
+        if request.state is RequestState.OWNING:
+            self._update_owned(request, coordinator)
+        elif request.state is RequestState.KEEPING:
+            self._update_replica(request, coordinator, owner_lost)
+        elif request.state is RequestState.DONE:
+            self.completion.inform_coordinator(request, coordinator)
+            self.completion.inform_successor(request, coordinator)
+        else:
+            self._update_waiting(request, coordinator)
+
+    def _update_owned(self, request: ReplicatedRequest, coordinator: str) -> None:
+        """This member owns it: replace replicas that are out of the view."""
+        for member in [member for member in request.replicas if member not in self.views.view]:
+            del request.replicas[member]
+        if request.unacknowledged_rejection is not None:
+            if not request.replicas:
+                self.completion.finish(request, request.unacknowledged_rejection)
+            return
+        coordinates = coordinator == self.context.member_id
+        request.is_granted = request.is_granted or (coordinates and self.views.may_grant(request.key))
+        self.placement.replicate(request)
+        if not request.is_granted and coordinator and request.effect == RERUNNABLE:
+            if not request.replicas:
+                self.placement.own_unreplicated(request, "keepers-lost")
+            elif coordinator not in request.replicas and self.views.is_outside(
+                self.context.member_id, request
+            ):
+                self.context.counts["stood_in"] += 1
+                request.is_granted = True
+        self.placement.release_attempts(request)
+
+    def _update_replica(self, request: ReplicatedRequest, coordinator: str, owner_lost: bool) -> None:
+        """This member is a replica: inform a new coordinator, or take over from a lost owner."""
+        outside = self.views.is_outside(request.owner, request)
+        if (request.owner not in self.views.view or outside) and coordinator in self.links:
+            if not outside or request.informed_coordinator != coordinator:
+                self.records.send(coordinator, request.to_frame(asks=False))
+                request.informed_coordinator = coordinator if outside else ""
+            return
+        # An owner whose lease has ended but that its coordinator, this member, is linked to goes on.
+        successor = self.views.view.home(request.key, but=request.owner)
+        if request.owner in self.links or successor != self.context.member_id:
+            return
+        # An owner of another cell does not send what it owns by itself: it is dialled.
+        if not owner_lost and outside and self.links.dial(request.owner):
+            return
+        self.take_over(request)
+
+    def _update_waiting(self, request: ReplicatedRequest, coordinator: str) -> None:
+        """This member waits for another one: ask again where that is lost or has been replaced."""
+        contact_lost = request.contact not in self.links
+        asks = request.state is RequestState.ASKING
+        replaced = asks and request.contact != coordinator and coordinator in self.links
+        if contact_lost or replaced:
+            request.replicas.clear()
+            request.state = RequestState.ASKING
+            self.placement.locate_owner(request)
+            self.placement.dispatch(request)
+
+    def link_down(self, request: ReplicatedRequest, member: str) -> None:
+        """The link to a member has ended: frames that were sent last may be lost."""
+        request.waiting_members.pop(member, None)
+        if request.informed_coordinator == member and request.state in (
+            RequestState.KEEPING,
+            RequestState.DONE,
+        ):
+            request.informed_coordinator = ""
+        if request.state is RequestState.OWNING and member in request.replicas:
+            self._replica_lost(request, member)
+        elif request.state is RequestState.DONE and request.contact == member:
+            request.contact = ""
+        elif request.state is RequestState.KEEPING and request.owner == member:
+            self.update(request, owner_lost=True)
+        elif request.contact == member:
+            self.update(request)
+
+    def _replica_lost(self, request: ReplicatedRequest, member: str) -> None:
+        """The link to a replica of a request that this member owns has ended."""
+        request.replicas[member] = UNACKNOWLEDGED
+        if request.unacknowledged_rejection is not None:
+            # The replica may take the request over: its client is not told that nothing was done.
+            self.completion.finish(request, RecordedResponse(WRITTEN_OFF))
+        elif self.views.has_remote_replicas(request):
+            self.update(request)
+
+    def link_failed(self, request: ReplicatedRequest, member: str) -> None:
+        """A member could not be dialled."""
+        if request.state is RequestState.ASKING and member in request.replicas:
+            self.placement.replicate(request)
+        else:
+            self.update(request)
+
+    def take_over(self, request: ReplicatedRequest) -> None:
+        """The owner is lost.
+
+        Waits until the view is synchronised, where others may know more of the request than this member.
+        """
+        knows_all = not request.is_stale and (
+            not self.views.coordinates(request.key) or self.views.may_grant(request.key)
+        )
+        if not self.views.may_decide() or not (knows_all or self.views.is_synced):
+            self.context.counts["not_sure"] += 1
+            return
+        former, request.owner = request.owner, self.context.member_id
+        request.epoch += 1
+        request.state, request.is_granted, request.was_taken_over = RequestState.OWNING, True, True
+        self.context.counts["taken_over"] += 1
+        time_left = round(request.deadline - self.context.now, 3)
+        self.context.host.log_event(
+            "cover.taken_over",
+            former=former,
+            category=request.category,
+            may_have_run=sum(not intent.fate for intent in request.intents),
+            left=time_left,
+        )
+        self.placement.replicate(request)
+        if time_left <= 0:
+            self.completion.finish(request, RecordedResponse(WRITTEN_OFF))
+            return
+        self.placement.dispatch(request)
+
+    def drop_unclaimed(self, request: ReplicatedRequest) -> None:
+        """Its owner, of another cell, has sent us all that it owns, and this was not among it."""
+        coordinator = self.views.coordinator_of(request)
+        is_replica = request.state is RequestState.KEEPING
+        ours = is_replica and coordinator == self.context.member_id != request.contact
+        awaited = (
+            request.waiting_clients
+            or request.waiting_members
+            or (request.owner, request.key) in self.records.unagreed
+        )
+        if ours and self.views.is_outside(request.owner, request) and not awaited:
+            self.table.forget(request)
+
+    def record_orphan(self, frame: ReplicateFrame) -> None:
+        """Another replica's record of what a lost member owned; this one is or becomes its coordinator."""
+        self.records.record_indirect(self.table.get(frame.key), frame)
+        request = self.table.get(frame.key)
+        if request is not None and self.views.coordinates(frame.key):
+            self.update(request)
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -20,7 +20,7 @@
 from ...fleet.replication.replicator import (
     DEFERRED,
     FINISHED,
-    MIXED_UP,
+    KEY_REUSED,
     UNSENT,
     WRITTEN_OFF,
     BeginResult,
@@ -180,10 +180,10 @@
             case BeginResult.RUN:
                 self._run_job(item, pending)
             case BeginResult.ANSWER:
-                self._answer_job(pending, item.reply)
+                self._answer_job(pending, item.response)
             case BeginResult.OTHER:
                 self.context.log("cover.other", category=category.name)
-                self._answer_job(pending, RecordedResponse(MIXED_UP))
+                self._answer_job(pending, RecordedResponse(KEY_REUSED))
             case BeginResult.WAIT:
                 if pending.owed:
                     self.items[request] = item
@@ -194,7 +194,7 @@
         self.scheduler.accept_request(pending.request)
 
     def _left(self, pending: PendingRequest, item: ReplicatedRequest) -> None:
-        over = self.replicator.left(item, pending)
+        over = self.replicator.client_disconnected(item, pending)
         if not over and pending.request in self.pending_requests and pending.owed:
             # Whoever comes again under its name gets its answer: what is out goes on with nobody waiting.
             # Guards against sending on for one that has left: nothing more is begun, nor what is unwritten.
@@ -220,8 +220,8 @@
         self._cancel_exchange(exchange)
 
     def decide(self, item: ReplicatedRequest) -> None:
-        pending = item.main
-        rules = item.rules
+        pending = item.dispatched_client
+        rules = item.class_record
         category = (
             rules.request_class()
             if rules
@@ -231,8 +231,8 @@
             self._settled(item, RecordedResponse(WRITTEN_OFF))
             return
         now = self.scheduler.now
-        request = Request(category, now, max(0.0, item.until - now), is_retry=item.repeat)
-        asked = item.asked
+        request = Request(category, now, max(0.0, item.deadline - now), is_retry=item.is_retry)
+        asked = item.content
         body = BufferedBody(self.context.buffer_pool)
         try:
             body.add(asked.body)
@@ -244,13 +244,13 @@
         new = PendingRequest(request, client, asked.method, asked.target, asked.headers, body, asked.trace)
         if pending is not None:
             # What its client says of the former one is said of this one.
-            item.clients[new] = item.clients.pop(pending)
+            item.waiting_clients[new] = item.waiting_clients.pop(pending)
             self.items.pop(pending.request, None)
             pending.owed = False
             pending.body.release()
             if client.pending is pending:
                 client.pending = new
-        item.main = new
+        item.dispatched_client = new
         self.items[request] = item
         self.pending_requests[request] = new
         before = [
@@ -262,9 +262,9 @@
 
     def _settled(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         """What can't even be decided on."""
-        for client in list(item.clients):
+        for client in list(item.waiting_clients):
             self._answer_job(client, reply)
-        item.clients.clear()
+        item.waiting_clients.clear()
         self.replicator.answered(item, reply)
 
     def answer(self, item: ReplicatedRequest, client: PendingRequest, reply: RecordedResponse) -> None:
@@ -321,7 +321,7 @@
         if item is None:
             self._give(pending, final, how)
             return
-        until = item.clients.pop(pending, inf)
+        until = item.waiting_clients.pop(pending, inf)
         reply = RecordedResponse(final.status, final.retry_after)
         if final.response is not None:
             body = final.response.body
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -121,22 +121,22 @@
         match message:
             case FrameReceived(_, PolicyStatusFrame() | DecisionRequestFrame() | DecisionFrame() as frame):
                 for answer in self.policy_controller.heard(frame):
-                    self.say(message.member, answer)
+                    self.send_frame(message.member, answer)
             case FrameReceived(member, frame):
                 if isinstance(frame, HeartbeatFrame) and frame.word is not None:
                     self.policy_replica.heard(frame.word)
-                self.replicator.heard(member, frame)
+                self.replicator.frame_received(member, frame)
             case StoreRead(records, gap):
                 self.policy_replica.recorded(records, gap)
                 self._wary()
                 self.zone_controller.recorded(records, now)
             case LinkUp(member, link):
                 self.links[member] = link
-                self.replicator.up(member)
+                self.replicator.link_up(member)
             case LinkDown(member, link):
                 if self.links.get(member) is link:
                     del self.links[member]
-                    self.replicator.down(member)
+                    self.replicator.link_down(member)
             case ViewChanged(view, gap):
                 self.log(
                     "view",
@@ -151,9 +151,9 @@
                     # Guards against words said under a view between that nobody saw: all is told anew.
                     for link in self.links.values():
                         link.post(CLOSE)
-                self.replicator.viewed(view, gap)
+                self.replicator.view_changed(view, gap)
             case MemberUnreachable(member):
-                self.replicator.unreached(member)
+                self.replicator.link_failed(member)
             case LeaseRenewed(until, entered):
                 self.replicator.lease_until = until
                 self.policy_replica.renewed(until, entered)
@@ -190,42 +190,46 @@
             self.member_id
         )  # in our own cell links stay, whatever is said
         return HeartbeatFrame(
-            self.replicator.digest, lapsed, word, outside and not self.replicator.needs(member)
+            self.replicator.digest, lapsed, word, outside and not self.replicator.needs_link(member)
         )
 
     # The door of the cover.
 
-    def say(self, member: str, frame: Frame) -> bool:
+    def send_frame(self, member: str, frame: Frame) -> bool:
         link = self.links.get(member)
         if link is None or link.over:
             return False
         link.post(SendFrame(encode_frame(frame)))
         return True
 
-    def reach(self, member: str) -> bool:
+    def say(self, member: str, frame: Frame) -> bool:
+        """Send a frame to a member, as `send_frame` does."""
+        return self.send_frame(member, frame)
+
+    def dial(self, member: str) -> bool:
         self.reaching(member)
         return member in self.replicator.view
 
-    def go(self, item: ReplicatedRequest, number: int) -> None:
+    def release_intent(self, item: ReplicatedRequest, number: int) -> None:
         if (exchange := self.errands.get((item, number))) is not None:
             self.gates[exchange].open = True
             self.released(exchange)
 
-    def stop(self, item: ReplicatedRequest, number: int) -> None:
+    def cancel_intent(self, item: ReplicatedRequest, number: int) -> None:
         if (exchange := self.errands.get((item, number))) is not None:
             self.dropped(exchange)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         self.log(event, **fields)
 
     # The gates.
 
     def hold(self, exchange: Any, item: ReplicatedRequest, intent: AttemptIntent) -> None:
         """A hand-off is to be made: `released` or `dropped` follows, perhaps at once."""
-        number = self.replicator.intend(item, intent)
+        number = self.replicator.add_intent(item, intent)
         self.gates[exchange] = AttemptHold(item, number, intent.at)
         self.errands[item, number] = exchange
-        self.replicator.hand_on(item, number)
+        self.replicator.record_intent(item, number)
 
     def unhold(self, exchange: Any) -> AttemptHold | None:
         """It has ended."""
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -216,10 +216,14 @@
     one = world.alive()[0]
     view = one.replicator.view
     other = next(h for h in world.alive() if view.cell_of(h.id) not in (view.cell_of(one.id), 0))
-    before = one.replicator.view_at
+    before = one.replicator.views.changed_at
     world.crash(other, 0.5)
     world.until(3.0)
-    assert one.replicator.view is not view and one.replicator.view_at == before and one.replicator.settled_now
+    assert (
+        one.replicator.view is not view
+        and one.replicator.views.changed_at == before
+        and one.replicator.settled_now
+    )
 
 
 def linked_by_work(world):
@@ -241,11 +245,15 @@
     owner, home, name, request = linked_by_work(world)
     assert home.id not in owner.links
     world.until(1.02)
-    assert home.id in owner.links and owner.replicator.needs(home.id) and home.replicator.needs(owner.id)
+    assert (
+        home.id in owner.links
+        and owner.replicator.needs_link(home.id)
+        and home.replicator.needs_link(owner.id)
+    )
     world.until(1.6 + REST)
     assert request.end == "200" and home.id not in owner.links
     assert not any(h.replicator.counts["taken_over"] for h in world.alive())
-    assert home.replicator.items[name].reply.status == 200
+    assert home.replicator.items[name].response.status == 200
 
 
 def test_an_owner_of_another_cell_is_asked_before_a_new_home_takes_its_work_over():
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -78,7 +78,7 @@
     one, other, _ = world.alive()
     ask_at(world, one, b"w")
     world.until(1.01)
-    told = one.replicator.items[b"w"].cover(asks=False)
+    told = one.replicator.items[b"w"].to_frame(asks=False)
     asked = told.__class__(*[b"else" if f == "mark" else getattr(told, f) for f in told.__struct_fields__])
     word, _ = one.replicator.begin(asked, object(), 2.0)
     assert word.value == "other"
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -159,11 +159,11 @@
             ]
         )
         one.replicator.now = world.now
-        one.replicator.heard(rng.choice((other.id, third.id)), frame)
+        one.replicator.frame_received(rng.choice((other.id, third.id)), frame)
         if rng.random() < 0.05:
             world.until(world.now + 0.05)
     world.until(world.now + 8.0)
-    assert not one.replicator.items and not one.replicator.held
+    assert not one.replicator.items and not one.replicator.records.held
 
 
 def test_a_home_moves_only_with_the_members_that_change():
@@ -424,8 +424,8 @@
 def test_a_request_without_a_name_makes_no_item_at_a_member(member):
     member.until(lambda: joined(member))
     counts = calls_of_the_fleet(member)
-    assert counts["_name"] == 1
-    for name in ("begin", "intend", "hand_on", "answered", "_add", "cover"):
+    assert counts["_name_of"] == 1
+    for name in ("begin", "add_intent", "record_intent", "answered", "add", "from_frame", "to_frame"):
         assert name not in counts
 
 
@@ -450,13 +450,15 @@
     member.until(lambda: joined(member))
     waiting = []
     module = member.context.coordinator
-    monkeypatch.setattr(module.replicator, "hand_on", lambda item, number: waiting.append((item, number)))
+    monkeypatch.setattr(
+        module.replicator, "record_intent", lambda item, number: waiting.append((item, number))
+    )
     client = member.ask("buy", b"one", x_work_name="w1")
     upstream = member.accept()
     assert member.until(lambda: member.read(upstream)).endswith(b"on")
     client.close()
     member.until(lambda: member.logged("client.end"))
-    module.go(*waiting[0])  # the keeper's word comes now
+    module.release_intent(*waiting[0])  # the keeper's word comes now
     member.let_pass(0.05)
     assert member.read(upstream) in (None, b"end")
 
@@ -467,6 +469,6 @@
     member.accept()
     coordinator = member.context.coordinator
     [item] = coordinator.replicator.items.values()
-    connection = item.main.client
+    connection = item.dispatched_client.client
     coordinator.decide(item)
-    assert connection.pending is item.main
+    assert connection.pending is item.dispatched_client
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -5,101 +5,162 @@
 from collections.abc import Iterable
 from math import inf
 
-from starlingwheel.fleet.frames import KEPT, AttemptIntent, ReplicaStateFrame
+from starlingwheel.fleet.frames import KEPT, AttemptIntentFrame, ReplicaStateFrame
 from starlingwheel.fleet.membership import Member, MembershipView, member_place
 from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.records import Transaction
-from starlingwheel.fleet.replication.replicator import ReplicatedRequest, RequestReplicator, RequestState
+from starlingwheel.fleet.replication.completion import RequestCompletion
+from starlingwheel.fleet.replication.placement import RequestPlacement
+from starlingwheel.fleet.replication.replica import ReplicaRole
+from starlingwheel.fleet.replication.replicator import RequestReplicator
+from starlingwheel.fleet.replication.request import ReplicatedRequest, RequestState
+from starlingwheel.fleet.replication.takeover import RequestTakeover
+from starlingwheel.fleet.replication.views import ViewTracker
 from starlingwheel.fleet.zones.planner import ZonePlanner
 
 
+class UnrecordedAttempts(RequestPlacement):
+    """Releases each attempt at once."""
+
+    def release_attempts(self, request: ReplicatedRequest) -> None:
+        """Release attempts whose intents nobody has acknowledged."""
+        if request.state is RequestState.OWNING:
+            for number in list(request.held_attempts):
+                del request.held_attempts[number]
+                request.was_released = True
+                self.context.host.release_intent(request, number)
+
+
 class NoIntent(RequestReplicator):
-    """Hand-offs go before their intents have been recorded."""
+    """Attempts are released before their intents have been recorded."""
+
+    placement_type = UnrecordedAttempts
 
-    def _let_go(self, item: ReplicatedRequest) -> None:
-        if item.state is RequestState.OWNING:
-            for number in list(item.waiting):
-                del item.waiting[number]
-                item.let_go = True
-                self.host.go(item, number)
+
+class EpochIgnored(ReplicaRole):
+    """Acknowledges the intents of any owner."""
+
+    def on_intent(self, member: str, frame: AttemptIntentFrame) -> None:
+        """Record and acknowledge an intent without a look at the epoch."""
+        request = self.table.get(frame.key)
+        if request is not None and request.state is RequestState.KEEPING:
+            request.intents[frame.number :] = [frame.intent]
+        self.records.send(member, ReplicaStateFrame(frame.key, frame.epoch, KEPT, frame.number + 1))
 
 
 class NoEpoch(RequestReplicator):
-    """A keeper goes on granting intents of an owner that it has taken over from."""
+    """A replica goes on acknowledging intents of an owner that it has taken over from."""
+
+    replica_type = EpochIgnored
 
-    def _intends(
-        self, member: str, key: bytes, epoch: int, number: int, intent: AttemptIntent, home: str = ""
-    ) -> None:
-        item = self.items.get(key)
-        if item is not None and item.state is RequestState.KEEPING:
-            item.intents[number:] = [intent]
-        self.host.say(member, ReplicaStateFrame(key, epoch, KEPT, number + 1))
+
+class AlwaysMayGrant(ViewTracker):
+    """Needs no synchronised view."""
+
+    def may_grant(self, key: bytes) -> bool:
+        """Any key may be granted."""
+        return True
 
 
 class NoTelling(RequestReplicator):
-    """A new home grants names before it has heard what is in hand."""
+    """A new coordinator grants keys before it has been told what is in flight."""
+
+    views_type = AlwaysMayGrant
 
-    def _steady(self, key: bytes) -> bool:
+
+class AlwaysMayDecide(ViewTracker):
+    """Trusts its lease for ever."""
+
+    def may_decide(self) -> bool:
+        """This member decides whatever its lease and heartbeats say."""
         return True
 
 
+class HastyTakeover(RequestTakeover):
+    """Takes over by what this member knows."""
+
+    def take_over(self, request: ReplicatedRequest) -> None:
+        """Take over as if the view was synchronised."""
+        request.is_stale = False
+        self.views.mark_synced()
+        super().take_over(request)
+
+
 class LeaseTrusted(RequestReplicator):
     """A member takes over by what it knows, however long it was paused or cut off."""
 
-    def may_decide(self) -> bool:
-        return True
+    views_type = AlwaysMayDecide
+    takeover_type = HastyTakeover
+
+
+class SilentCompletion(RequestCompletion):
+    """Keeps responses to itself."""
 
-    def _take_over(self, item: ReplicatedRequest) -> None:
-        item.stale = False
-        self.lately, self.settled = [self.view], True
-        super()._take_over(item)
+    def inform_coordinator(self, request: ReplicatedRequest, coordinator: str) -> None:
+        """Send nothing."""
 
 
 class Forgetful(RequestReplicator):
-    """A new home is not told what was answered before."""
+    """A new coordinator is not told what was answered before."""
 
-    def _tell_home(self, item: ReplicatedRequest, home: str) -> None:
-        pass
+    completion_type = SilentCompletion
 
 
 VARIANTS = [NoIntent, NoEpoch, NoTelling, LeaseTrusted, Forgetful]
 
 
 class Lagging(MembershipView):
-    """It names homes as before the cells changed."""
+    """It names coordinators as before the cells changed."""
 
     def __init__(self, view: MembershipView, cells: int) -> None:
         super().__init__(view.members.values(), view.cells, view.cut_at)
         self.old = MembershipView(view.members.values(), cells)
 
     def ranks(self, key: bytes) -> list[Member]:
+        """The members that are responsible for a key, as before."""
         return self.old.ranks(key)
 
 
 class OldCells(RequestReplicator):
-    """Half of the members take a name's home from the cells that were."""
+    """Half of the members take a key's coordinator from the cells that were."""
 
-    def viewed(self, view: MembershipView, gap: bool) -> None:
-        lags = self.view.members and view.cells != self.view.cells and member_place(self.member_id) >> 8 & 1
-        super().viewed(Lagging(view, self.view.cells) if lags else view, gap)
+    def view_changed(self, view: MembershipView, gap: bool) -> None:
+        """Another view holds; some members see the old coordinators in it."""
+        known = self.views.view
+        lags = known.members and view.cells != known.cells and member_place(self.context.member_id) >> 8 & 1
+        super().view_changed(Lagging(view, known.cells) if lags else view, gap)
+
+
+class CoordinatorSuffices(RequestPlacement):
+    """Waits for one replica."""
+
+    def release_attempts(self, request: ReplicatedRequest) -> None:
+        """Release attempts that the coordinator has acknowledged, where it is of another cell."""
+        replicas, coordinator = request.replicas, self.views.coordinator_of(request)
+        if self.views.is_outside(self.context.member_id, request) and coordinator in replicas:
+            request.replicas = {coordinator: replicas[coordinator]}
+        super().release_attempts(request)
+        request.replicas = replicas
 
 
 class HomeAlone(RequestReplicator):
-    """An owner of another cell waits for the home, not for the keeper that would follow it."""
+    """An owner of another cell waits for the coordinator, not for the replica that would follow it."""
+
+    placement_type = CoordinatorSuffices
+
+
+class OthersInside(ViewTracker):
+    """Takes all other members for members of the request's cell."""
 
-    def _let_go(self, item: ReplicatedRequest) -> None:
-        keepers, home = item.keepers, self.view.home(item.key)
-        if self._outside(self.member_id, item) and home in keepers:
-            item.keepers = {home: keepers[home]}
-        super()._let_go(item)
-        item.keepers = keepers
+    def is_outside(self, member: str, request: ReplicatedRequest) -> bool:
+        """Only this member can be of another cell."""
+        return member == self.context.member_id and super().is_outside(member, request)
 
 
 class Unheard(RequestReplicator):
-    """A keeper acknowledges what an owner of another cell hands on under whatever home that one names."""
+    """A replica acknowledges an owner of another cell whatever coordinator that one names."""
 
-    def _outside(self, member: str, item: ReplicatedRequest) -> bool:
-        return member == self.member_id and super()._outside(member, item)
+    views_type = OthersInside
 
 
 CELL_VARIANTS = [OldCells, HomeAlone, Unheard]
--- a/trials/emulated.py
+++ b/trials/emulated.py
@@ -122,19 +122,19 @@
 
     # The door.
 
-    def say(self, member: str, frame: Frame) -> bool:
+    def send_frame(self, member: str, frame: Frame) -> bool:
         link = self.links.get(member)
         if link is None or not link.open[self.id]:
             return False
         self.world.send(link, self, copy.deepcopy(frame))
         return True
 
-    def reach(self, member: str) -> bool:
+    def dial(self, member: str) -> bool:
         until = self.world.now + GREETING
         self.later(self.world.rng.uniform(0.0005, 0.004), lambda: self.world.call(self, member, until))
         return member in self.replicator.view
 
-    def go(self, item: ReplicatedRequest, number: int) -> None:
+    def release_intent(self, item: ReplicatedRequest, number: int) -> None:
         # A pause may fall between the word and the write.
         asked = item.intents[number].at
         self.later(0.0002, lambda: self._write(item, number, asked))
@@ -155,22 +155,22 @@
             self._answer_main(item, given)
 
     def _answer_main(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
-        if item.main is not None and not item.main.end:
-            self.world.answered(item.main, reply)
-        item.clients.pop(item.main, None)
+        if item.dispatched_client is not None and not item.dispatched_client.end:
+            self.world.answered(item.dispatched_client, reply)
+        item.waiting_clients.pop(item.dispatched_client, None)
 
-    def stop(self, item: ReplicatedRequest, number: int) -> None:
+    def cancel_intent(self, item: ReplicatedRequest, number: int) -> None:
         self.later(0.001, lambda: self._again(item))
 
     def _again(self, item: ReplicatedRequest) -> None:
-        if not item.running:
+        if not item.is_dispatched:
             return
         self.tries[item] = self.tries.get(item, 0) + 1
         if self.tries[item] < 3 and self._may_send(item):
             self._hand_off(item)
             return
         self.tries.pop(item)
-        client, until = item.main, item.clients.pop(item.main, 0.0)
+        client, until = item.dispatched_client, item.waiting_clients.pop(item.dispatched_client, 0.0)
         given = self.replicator.answered(item, RecordedResponse(503, 0.05))
         if given is not None:
             if client is not None and not client.end:
@@ -189,19 +189,19 @@
     def _may_send(self, item: ReplicatedRequest) -> bool:
         """Rule 2 and the expiry, as the program's decisions have them."""
         risky = [i for i in item.intents if not i.fate]
-        if self.world.now >= item.until or (risky and item.effect == "exclusive"):
+        if self.world.now >= item.deadline or (risky and item.effect == "exclusive"):
             return False
         return not risky or item.effect != "ticketed" or self.world.now < risky[0].at + MEMORY * 0.98
 
     def _hand_off(self, item: ReplicatedRequest) -> None:
-        number = self.replicator.intend(item, AttemptIntent("u1", "north", 0, self.world.now))
-        self.replicator.hand_on(item, number)
+        number = self.replicator.add_intent(item, AttemptIntent("u1", "north", 0, self.world.now))
+        self.replicator.record_intent(item, number)
 
     def answer(self, item: ReplicatedRequest, client: Request, reply: RecordedResponse) -> None:
         if not client.end:
             self.world.answered(client, reply)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         self.world.notes[event] += 1
         self.world.tell(self, event, fields)
 
@@ -218,7 +218,7 @@
         if word is BeginResult.RUN:
             self.decide(item)
         elif word is BeginResult.ANSWER:
-            self.world.answered(request, item.reply)
+            self.world.answered(request, item.response)
 
 
 class World:
@@ -318,7 +318,7 @@
         if self.trace is not None and getattr(frame, "key", None) == self.trace:
             print(f"{self.now:.4f} {sender.id} -> {link.other(sender).id} {frame}")
         receiver = link.other(sender)
-        self._pass(link, sender, lambda: receiver.replicator.heard(sender.id, frame))
+        self._pass(link, sender, lambda: receiver.replicator.frame_received(sender.id, frame))
 
     def _pass(self, link: Link, sender: Host, what: Callable[[], None], last: bool = False) -> None:
         """In order, after a delay; what is cut waits."""
@@ -346,7 +346,7 @@
             del host.links[other.id]
             if host.alive:
                 host.replicator.now = self.now
-                host.replicator.down(other.id)
+                host.replicator.link_down(other.id)
         self._pass(link, host, lambda: self._close(link, other))
 
     def _watch_links(self) -> None:
@@ -366,7 +366,7 @@
                             other.replicator.digest, not other.replicator.may_decide()
                         )
                     host.replicator.now = self.now
-                    host.replicator.heard(other.id, beat)
+                    host.replicator.frame_received(other.id, beat)
                     if self._at_rest(link, host, other):
                         self._close(link, host)
                 elif self.now > link.heard[host.id] + SILENCE:
@@ -389,7 +389,7 @@
         view = host.replicator.view
         if view.cells == 1 or view.cell_of(host.id) == view.cell_of(other.id) or self.now < link.used + REST:
             return False
-        return not (host.replicator.needs(other.id) or other.replicator.needs(host.id))
+        return not (host.replicator.needs_link(other.id) or other.replicator.needs_link(host.id))
 
     def _pairs(self, able: list[Host]) -> Iterator[tuple[Host, Host]]:
         """Who keeps a link to whom: all that are of one cell."""
@@ -414,7 +414,7 @@
         link = Link((one, other))
         one.links[other.id] = other.links[one.id] = link
         for host, peer in ((one, other), (other, one)):
-            host.does(lambda h=host, o=peer: h.replicator.up(o.id))
+            host.does(lambda h=host, o=peer: h.replicator.link_up(o.id))
 
     def call(self, host: Host, member: str, until: float) -> None:
         """A member reaches for one of another cell."""
@@ -428,7 +428,7 @@
             else:
                 self._connect(host, other)
             return
-        host.replicator.unreached(member)
+        host.replicator.link_failed(member)
 
     def recut(self, cells: int) -> None:
         """The fleet is cut into so many cells from now on."""
@@ -458,7 +458,9 @@
         for host in self.alive():
             # Each learns of each view, in order, in its own time.
             delay = self.rng.uniform(0.001, 0.03)
-            self.at(self.now + delay, lambda h=host: h.does(lambda: h.replicator.viewed(view, gap=False)))
+            self.at(
+                self.now + delay, lambda h=host: h.does(lambda: h.replicator.view_changed(view, gap=False))
+            )
 
     # Upstreams and clients.
 
@@ -469,9 +471,9 @@
             self.lost.add(item.key)
         # An owner of another cell is not asked by a new home: what its keepers know counts.
         view = host.replicator.view
-        outside = view.cells > 1 and item.keepers and view.cell(item.key) != view.cell_of(host.id)
-        self.holders[item.key] = {*item.keepers, *(known or ()), *(() if outside else (host.id,))}
-        if not item.keepers and len(host.replicator.view.members) != 1:
+        outside = view.cells > 1 and item.replicas and view.cell(item.key) != view.cell_of(host.id)
+        self.holders[item.key] = {*item.replicas, *(known or ()), *(() if outside else (host.id,))}
+        if not item.replicas and len(host.replicator.view.members) != 1:
             self.uncovered.add(item.key)
         if self.trace == item.key:
             print(f"{self.now:.4f} {host.id} RUNS {number} of epoch {epoch}")
--- a/trials/model.py
+++ b/trials/model.py
@@ -95,9 +95,9 @@
                     if bounds.linked or self._peers(one, other):
                         self.links.add((one, other))
         for name in bounds.members:
-            self.covers[name].viewed(self.view, True)
+            self.covers[name].view_changed(self.view, True)
         for one, other in sorted(self.links):
-            self.covers[one].up(other)
+            self.covers[one].link_up(other)
         for event in (QUIET, *bounds.begun):
             if event == QUIET:
                 self._quiet()
@@ -157,7 +157,7 @@
             if (one, other) not in self.reaching and self._peers(one, other) and self._may_link(one, other):
                 yield ("links", one, other)
             rests = self.left["rests"] and (one, other) in self.links and not self._peers(one, other)
-            if rests and not (self.covers[one].needs(other) or self.covers[other].needs(one)):
+            if rests and not (self.covers[one].needs_link(other) or self.covers[other].needs_link(one)):
                 yield ("rests", one, other)
 
     def _peers(self, one: str, other: str) -> bool:
@@ -176,7 +176,7 @@
         self.links |= {(one, other), (other, one)}
         for name, peer in ((one, other), (other, one)):
             self.reaching.discard((name, peer))
-            self.covers[name].up(peer)
+            self.covers[name].link_up(peer)
 
     def do(self, event: Event) -> None:
         match event:
@@ -185,7 +185,7 @@
                 if what == "end":
                     self._closed(other, one)
                 elif (other, one) in self.links:
-                    self.covers[other].heard(one, what)
+                    self.covers[other].frame_received(one, what)
             case ("writes", place):
                 name, number = self.writes.pop(int(place))
                 if name in self.covers:
@@ -204,7 +204,7 @@
                 self._ask(name, repeat=False)
             case ("views", name):
                 self.told_view[name] += 1
-                self.covers[name].viewed(self.views[self.told_view[name]], False)
+                self.covers[name].view_changed(self.views[self.told_view[name]], False)
             case ("recuts",):
                 self.left["recuts"] -= 1
                 self.views.append(
@@ -217,7 +217,7 @@
             case ("reaches" | "misses" as what, one, other):
                 self.left["misses"] -= what == "misses"
                 self.reaching.discard((one, other))
-                self.covers[one].unreached(other)
+                self.covers[one].link_failed(other)
             case ("rests", one, other):
                 # One side ends it, the other hears of that in order.
                 self.left["rests"] -= 1
@@ -245,7 +245,7 @@
     def _closed(self, name: str, other: str) -> None:
         if (name, other) in self.links:
             self.links.discard((name, other))
-            self.covers[name].down(other)
+            self.covers[name].link_down(other)
 
     def _ask(self, name: str, repeat: bool) -> None:
         client = Client(len(self.clients))
@@ -257,7 +257,7 @@
         if word is BeginResult.RUN:
             self.hand_off(name, item)
         elif word is BeginResult.ANSWER:
-            client.end = item.reply.status
+            client.end = item.response.status
 
     # The hosts.
 
@@ -266,11 +266,11 @@
             self._answered(name, item, RecordedResponse(504))
             return
         cover = self.covers[name]
-        cover.hand_on(item, cover.intend(item, AttemptIntent("u", "", 0, 0.0)))
+        cover.record_intent(item, cover.add_intent(item, AttemptIntent("u", "", 0, 0.0)))
 
     def _answered(self, name: str, item: ReplicatedRequest, reply: RecordedResponse) -> None:
         cover = self.covers[name]
-        client, until = item.main, item.clients.pop(item.main, 0.0)
+        client, until = item.dispatched_client, item.waiting_clients.pop(item.dispatched_client, 0.0)
         given = cover.answered(item, reply)
         if client is None:
             return
@@ -281,25 +281,45 @@
 
     def key(self) -> str:
         """The text of a state: two of one text go on alike."""
-        items = [
-            (
-                name, len(cover.links), cover.view.digest, cover.settled, len(cover.lately),
-                sorted(cover.told.items()), cover.held,
-                [
-                    (
-                        i.state, i.owner, i.epoch, i.intents, i.keepers, i.sure, i.running, sorted(i.waiting),
-                        sorted(i.askers), [c.number for c in i.clients], i.at_home, i.adopted, i.let_go,
-                        i.stale, i.reply, i.main and i.main.number, i.unnoted, i.told_home, i.granted,
-                    )
-                    for i in cover.items.values()
-                ],
-                list(cover.reaching), list(cover.failed), cover.early,
-            )
-            for name, cover in self.covers.items()
-        ]  # fmt: skip
+        replicators = [self._replicator_text(name, replicator) for name, replicator in self.covers.items()]
         rest = (self.queues, sorted(self.links), sorted(self.writes), self.running, self.runs, self.clients)
         views = [view.digest for view in self.views]
-        return repr((items, rest, self.left, self.told_view, views, sorted(self.reaching)))
+        return repr((replicators, rest, self.left, self.told_view, views, sorted(self.reaching)))
+
+    def _replicator_text(self, name: str, replicator: RequestReplicator) -> str:
+        """The text of one member's state."""
+        views, peers, records = replicator.views, replicator.peers, replicator.records
+        view_state = (
+            views.view.digest,
+            views.was_synced,
+            len(views.history),
+            sorted(views.synced_digests.items()),
+        )
+        requests = [self._request_text(request) for request in replicator.items.values()]
+        links = len(peers.linked), list(peers.dialling), list(peers.unreachable)
+        return repr((name, view_state, links, records.held, records.unagreed, requests))
+
+    @staticmethod
+    def _request_text(request: ReplicatedRequest) -> str:
+        """The text of one request as a member knows it."""
+        client = request.dispatched_client
+        ownership = request.state, request.owner, request.epoch, request.intents, request.replicas
+        progress = (
+            request.is_granted,
+            request.is_dispatched,
+            request.was_taken_over,
+            request.was_released,
+            request.is_stale,
+            sorted(request.held_attempts),
+        )
+        waiting = (
+            sorted(request.waiting_members),
+            [waiter.number for waiter in request.waiting_clients],
+            client and client.number,
+        )
+        informed = request.contact, request.informed_coordinator, request.granted_to_owner
+        responses = request.response, request.unacknowledged_rejection
+        return repr((ownership, progress, waiting, informed, responses))
 
     def broken(self) -> str:
         if self.effect == "exclusive" and self.runs > 1:
@@ -311,20 +331,20 @@
     def __init__(self, model: Model, name: str) -> None:
         self.model, self.name = model, name
 
-    def reach(self, member: str) -> bool:
+    def dial(self, member: str) -> bool:
         self.model.reaching.add((self.name, member))
         return True
 
-    def say(self, member: str, frame: Frame) -> bool:
+    def send_frame(self, member: str, frame: Frame) -> bool:
         if (self.name, member) not in self.model.links:
             return False
         self.model.queues[self.name, member].append(copy.deepcopy(frame))
         return True
 
-    def go(self, item: ReplicatedRequest, number: int) -> None:
+    def release_intent(self, item: ReplicatedRequest, number: int) -> None:
         self.model.writes.append((self.name, number))
 
-    def stop(self, item: ReplicatedRequest, number: int) -> None:
+    def cancel_intent(self, item: ReplicatedRequest, number: int) -> None:
         pass
 
     def decide(self, item: ReplicatedRequest) -> None:
@@ -333,7 +353,7 @@
     def answer(self, item: ReplicatedRequest, client: Client, reply: RecordedResponse) -> None:
         client.end = client.end or reply.status
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         pass
 
 
