--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -1,13 +1,17 @@
-"""The module's actor where work is covered: it also hosts `Covering`, which lets its hand-offs go."""
+"""The coordinator of a sidecar in a fleet: it also hosts the replicator, which releases its attempts.
+
+A request whose class is replicated and whose client gave it a name begins in the replicator; the decisions
+get it once it is known to be new, and each of its attempts is held until its intent is recorded.
+"""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Callable
 from math import inf
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
-from ...decisions.config import BalancerConfig, RetrySafety
+from ...decisions.config import BalancerConfig, RequestClass, RetrySafety
 from ...decisions.model import Attempt, AttemptOutcome, Endpoint, EndpointState, Request
 from ...fleet.config import FleetConfig, ReplicationConfig
 from ...fleet.frames import (
@@ -17,7 +21,7 @@
     ReplicateFrame,
     RequestClassRecord,
 )
-from ...fleet.replication.replicator import (
+from ...fleet.replication.request import (
     DEFERRED,
     FINISHED,
     KEY_REUSED,
@@ -30,87 +34,74 @@
 from ..coordinator import RequestCoordinator
 from ..messages import ClientDisconnected, FinalResponse, RequestReceived
 from ..state.body_stream import BodyStream
-from ..state.buffers import BufferedBody, BuffersExhaustedError
+from ..state.buffers import BufferedBody
 from ..state.requests import Exchange, PendingRequest, UpstreamResponse
 from .host import FleetHost
 from .messages import EntryLost, ExchangeReleased
+from .responses import DISCONNECTED_CLIENT, buffered_body, final_response, recorded_response
 
 if TYPE_CHECKING:
     from .policy import PolicyController
 
-COME_BACK = 1 / 8  # of a lease: when one is to come again who came while the policy was in doubt
-LATEST = 0.98  # part of its patience after which a client that waits for another's answer is told
-LONGEST_NAME = 256
-ROOM = 1 / 8  # part of the memory limit for what is kept for others
-TICKET = b"idempotency-key"
-BAD = 400
-KINDS = {FINISHED: "finished", DEFERRED: "deferred", WRITTEN_OFF: "written_off"}
-
-
-class DisconnectedClient:
-    """Stands where a client stood whose sidecar is lost: its answer is recorded, not written."""
-
-    pending: PendingRequest | None = None
-
-    def post(self, message: Any) -> None:
-        if isinstance(message, FinalResponse) and message.response:
-            message.response.body.release()
-
-    def has_left(self) -> bool:
-        return False  # what goes on for it does so with nobody waiting
-
-
-DISCONNECTED_CLIENT = DisconnectedClient()
+POLICY_RETRY_AFTER = 1 / 8  # of a lease: when to retry a request that came while the policy was in doubt
+CLIENT_WAIT_FRACTION = 0.98  # of its time left: so long a client waits for another member's response
+MAX_NAME_LENGTH = 256  # bytes
+REPLICA_MEMORY_FRACTION = 1 / 8  # of the memory limit: for what is recorded for other members
+BYTES_PER_MB = 2**20
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+BAD_REQUEST = 400
+OUTCOMES = {FINISHED: "finished", DEFERRED: "deferred", WRITTEN_OFF: "written_off"}  # by status, as counted
 
 
 class ReplicatingCoordinator(FleetHost, RequestCoordinator):
+    """Coordinates the requests of one sidecar, those that are replicated included."""
+
     def __init__(
         self,
         context: SidecarContext,
         member_id: str,
-        part: FleetConfig,
-        lapsed: Callable[[EntryLost], None],
+        config: FleetConfig,
+        entry_lost: Callable[[EntryLost], None],
         policy_controller: PolicyController,
     ) -> None:
-        """`lapsed` is told when our own entry has gone from the view."""
-        self.deferred = 0  # while it was not known which policy holds
-        self.items: dict[Request, ReplicatedRequest] = {}
-        room = int(context.config.limits.memory_mb * ROOM * 2**20)
-        times = context.shortest_objective, context.longest_timeout
+        """`entry_lost` is called when this member's entry has gone from the view."""
+        self.deferred = 0  # requests rejected while it was not known which policy holds
+        self.replicated: dict[Request, ReplicatedRequest] = {}
         self.host(
             context.loop,
             member_id,
-            part,
+            config,
             policy_controller,
-            lapsed,
+            entry_lost,
             lambda: self.scheduler,
-            times,
-            room,
+            (context.shortest_objective, context.longest_timeout),
+            int(context.config.limits.memory_mb * REPLICA_MEMORY_FRACTION * BYTES_PER_MB),
             context.log,
         )
         RequestCoordinator.__init__(self, context)
-        self.cover_by(part.cover)
+        self.cover_by(config.cover)
 
     def cover_by(self, part: ReplicationConfig) -> None:
-        """What is covered from now on; items that there are stay so."""
-        self.categories = frozenset(part.categories)
-        self.header = part.name_header.encode()
+        """Replicate by another configuration; requests that are replicated already stay so."""
+        self.replicated_classes = frozenset(part.categories)
+        self.name_header = part.name_header.encode()
         self.replicator.count = part.keepers
-        # Guards against forgetting what was taken under a longer expiry.
+        # Never lowered: requests that were accepted under a longer timeout must not be forgotten early.
         self.replicator.longest = max(self.replicator.longest, self.context.longest_timeout)
 
     def retuned(self, terms: BalancerConfig) -> None:
-        self.scheduler.reload(terms)  # in this turn: what comes next is taken under it
+        """Use another configuration of the decisions from the next message on."""
+        self.scheduler.reload(terms)
 
-    def _handle(self, message: Any) -> None:
+    def _handle(self, message: object) -> None:
         if not self.hosted(message, self.scheduler.now):
             match message:
-                case RequestReceived(pending) if self._unruled(pending):
-                    pass
-                case RequestReceived(pending) if (name := self._name(pending)) is not None:
-                    self._begin(pending, name)
-                case ClientDisconnected(pending) if (item := self.items.get(pending.request)) is not None:
-                    self._left(pending, item)
+                case RequestReceived(pending):
+                    self._request_received(pending, message)
+                case ClientDisconnected(pending) if (
+                    request := self.replicated.get(pending.request)
+                ) is not None:
+                    self._client_disconnected(pending, request)
                 case None:
                     self.tick()
                     super()._handle(message)
@@ -118,231 +109,248 @@
                     super()._handle(message)
         self.alarm_at = min(self.alarm_at, self.next_at(self.scheduler.now))
 
-    def _unruled(self, pending: PendingRequest) -> bool:
-        """True: answered here, since it is not known which policy holds. Else it is taken under that one."""
+    def _request_received(self, pending: PendingRequest, message: RequestReceived) -> None:
+        if self._reject_in_doubt(pending):
+            return
+        name = self._name_of(pending)
+        if name is None:
+            super()._handle(message)
+        else:
+            self._begin(pending, name)
+
+    def _reject_in_doubt(self, pending: PendingRequest) -> bool:
+        """Reject a request while it is not known which policy holds; else it is accepted under that one."""
         # A clock read in this turn may be from before a pause.
         self.policy_replica.now = self.loop.now()
-        why = self.policy_replica.doubt()
+        reason = self.policy_replica.doubt()
         request = pending.request
-        category = self.context.request_classes.get(request.request_class.name)
-        if not why and category is not request.request_class:
-            # It was read under a policy that is over since.
-            if category is None or category.retry_safety is not request.request_class.retry_safety:
-                why = "switched"
+        request_class = self.context.request_classes.get(request.request_class.name)
+        if not reason and request_class is not request.request_class:
+            # It was read under a policy that is no longer in force.
+            if request_class is None or request_class.retry_safety is not request.request_class.retry_safety:
+                reason = "switched"
             else:
-                request.request_class, request.time_left = category, min(request.time_left, category.timeout)
-        if why:
+                request.request_class = request_class
+                request.time_left = min(request.time_left, request_class.timeout)
+        if reason:
             self.deferred += 1
-            self._answer_job(pending, RecordedResponse(DEFERRED, COME_BACK * self.policy_replica.lease))
-        return bool(why)
+            retry_after = POLICY_RETRY_AFTER * self.policy_replica.lease
+            self._respond(pending, RecordedResponse(DEFERRED, retry_after))
+        return bool(reason)
 
     # Requests with a name.
 
-    def _name(self, pending: PendingRequest) -> bytes | None:
-        """What its client calls it; None: it is not covered."""
-        if pending.request.request_class.name not in self.categories:
+    def _name_of(self, pending: PendingRequest) -> bytes | None:
+        """The name that the client gave the request; None: it is not replicated."""
+        if pending.request.request_class.name not in self.replicated_classes:
             return None
-        given = {header.lower(): value for header, value in reversed(pending.headers)}
-        name = given.get(TICKET, given.get(self.header))
+        headers = {header.lower(): value for header, value in reversed(pending.headers)}
+        name = headers.get(IDEMPOTENCY_KEY_HEADER, headers.get(self.name_header))
         if name is None:
             self.replicator.counts["unnamed"] += 1
         elif isinstance(pending.body, BodyStream):
-            # A body that is passed on while it comes is kept nowhere.
+            # A body that is forwarded while it arrives is not buffered anywhere.
             self.replicator.counts["too_long"] += 1
             name = None
         return name
 
     def _begin(self, pending: PendingRequest, name: bytes) -> None:
-        if not 0 < len(name) <= LONGEST_NAME:
-            self._answer_job(pending, RecordedResponse(BAD))
+        """Have the replicator find out whether a request is new."""
+        if not 0 < len(name) <= MAX_NAME_LENGTH:
+            self._respond(pending, RecordedResponse(BAD_REQUEST))
             return
-        request, now = pending.request, self.scheduler.now
-        category = request.request_class
-        body = b"".join(pending.body.views())
-        key = category.name.encode() + b"\0" + name
-        mark = hashlib.blake2b(b"\0".join((pending.method, pending.target, body)), digest_size=8).digest()
-        asked = RecordedRequest(
-            pending.method,
-            pending.target,
-            [(bytes(n), bytes(v)) for n, v in pending.headers],
-            body,
-            pending.trace,
-        )
-        until = now + request.time_left
-        effect = category.retry_safety.value
-        told = ReplicateFrame(
-            key, self.member_id, 0, False, mark, category.name, effect, now, until, request.is_retry, asked,
-            [],
-            rules=RequestClassRecord.of(category),
-        )  # fmt: skip
-        word, item = self.replicator.begin(told, pending, now + LATEST * request.time_left)
-        match word:
+        frame = self._replicate_frame(pending, name)
+        wait_until = self.scheduler.now + CLIENT_WAIT_FRACTION * pending.request.time_left
+        result, request = self.replicator.begin(frame, pending, wait_until)
+        match result:
             case BeginResult.RUN:
-                self._run_job(item, pending)
-            case BeginResult.ANSWER:
-                self._answer_job(pending, item.response)
+                self._accept(request, pending)
+            case BeginResult.ANSWER if request.response is not None:
+                self._respond(pending, request.response)
             case BeginResult.OTHER:
-                self.context.log("cover.other", category=category.name)
-                self._answer_job(pending, RecordedResponse(KEY_REUSED))
+                self.context.log("cover.other", category=pending.request.request_class.name)
+                self._respond(pending, RecordedResponse(KEY_REUSED))
             case BeginResult.WAIT:
                 if pending.owed:
-                    self.items[request] = item
+                    self.replicated[pending.request] = request
+
+    def _replicate_frame(self, pending: PendingRequest, name: bytes) -> ReplicateFrame:
+        """The request as replicas record it."""
+        request, now = pending.request, self.scheduler.now
+        request_class = request.request_class
+        body = b"".join(pending.body.views())
+        identity = b"\0".join((pending.method, pending.target, body))
+        headers = [(bytes(header), bytes(value)) for header, value in pending.headers]
+        return ReplicateFrame(
+            request_class.name.encode() + b"\0" + name,
+            self.member_id,
+            0,
+            False,
+            hashlib.blake2b(identity, digest_size=8).digest(),
+            request_class.name,
+            request_class.retry_safety.value,
+            now,
+            now + request.time_left,
+            request.is_retry,
+            RecordedRequest(pending.method, pending.target, headers, body, pending.trace),
+            [],
+            rules=RequestClassRecord.of(request_class),
+        )
 
-    def _run_job(self, item: ReplicatedRequest, pending: PendingRequest) -> None:
-        self.items[pending.request] = item
+    def _accept(self, request: ReplicatedRequest, pending: PendingRequest) -> None:
+        """Dispatch a request that is new."""
+        self.replicated[pending.request] = request
         self.pending_requests[pending.request] = pending
         self.scheduler.accept_request(pending.request)
 
-    def _left(self, pending: PendingRequest, item: ReplicatedRequest) -> None:
-        over = self.replicator.client_disconnected(item, pending)
-        if not over and pending.request in self.pending_requests and pending.owed:
-            # Whoever comes again under its name gets its answer: what is out goes on with nobody waiting.
-            # Guards against sending on for one that has left: nothing more is begun, nor what is unwritten.
+    def _client_disconnected(self, pending: PendingRequest, request: ReplicatedRequest) -> None:
+        forgotten = self.replicator.client_disconnected(request, pending)
+        if not forgotten and pending.request in self.pending_requests and pending.owed:
+            # A retry with its name gets its response, so attempts that are written go on with nobody waiting.
+            # For a client that is gone nothing more is started, nor finished that is not written yet.
             pending.client = DISCONNECTED_CLIENT
             pending.request.max_attempts = 1
             for exchange in [exchange for exchange in pending.exchanges.values() if not exchange.written]:
                 self._cancel_exchange(exchange)
             return
-        self.items.pop(pending.request, None)
+        self.replicated.pop(pending.request, None)
         if pending.request in self.pending_requests:
             super()._handle(ClientDisconnected(pending))
         else:
             pending.owed = False
             pending.body.release()
 
-    # What the cover wants.
+    # What the replicator asks for.
 
     def released(self, exchange: Exchange) -> None:
+        """That attempt may be written completely."""
         if exchange.connection is not None:
             exchange.connection.post(ExchangeReleased(exchange))
 
     def dropped(self, exchange: Exchange) -> None:
+        """That attempt must never be written completely."""
         self._cancel_exchange(exchange)
 
     def decide(self, item: ReplicatedRequest) -> None:
-        pending = item.dispatched_client
-        rules = item.class_record
-        category = (
-            rules.request_class()
-            if rules
-            else self.context.request_class_for(item.category, RetrySafety(item.effect))
-        )
-        if category is None:
-            self._settled(item, RecordedResponse(WRITTEN_OFF))
+        """Dispatch a request with its history, under the rules that it was accepted under."""
+        request_class: RequestClass | None
+        if item.class_record:
+            request_class = item.class_record.request_class()
+        else:
+            request_class = self.context.request_class_for(item.category, RetrySafety(item.effect))
+        if request_class is None:
+            self._fail(item)
             return
         now = self.scheduler.now
-        request = Request(category, now, max(0.0, item.deadline - now), is_retry=item.is_retry)
-        asked = item.content
-        body = BufferedBody(self.context.buffer_pool)
-        try:
-            body.add(asked.body)
-        except BuffersExhaustedError:
-            body.release()
-            self._settled(item, RecordedResponse(WRITTEN_OFF))
+        request = Request(request_class, now, max(0.0, item.deadline - now), is_retry=item.is_retry)
+        body = buffered_body(item.content.body, self.context.buffer_pool)
+        if body is None:
+            self._fail(item)
             return
-        client = DISCONNECTED_CLIENT if pending is None else pending.client
-        new = PendingRequest(request, client, asked.method, asked.target, asked.headers, body, asked.trace)
-        if pending is not None:
-            # What its client says of the former one is said of this one.
-            item.waiting_clients[new] = item.waiting_clients.pop(pending)
-            self.items.pop(pending.request, None)
-            pending.owed = False
-            pending.body.release()
-            if client.pending is pending:
-                client.pending = new
-        item.dispatched_client = new
-        self.items[request] = item
-        self.pending_requests[request] = new
-        before = [
-            (Endpoint(i.upstream, i.zone, i.cell, 1.0, None, EndpointState.GONE), i.at, not i.fate)
-            for i in item.intents
-            if i.fate != UNSENT
+        self._replace_pending(item, request, body)
+        attempts = [
+            (
+                Endpoint(intent.upstream, intent.zone, intent.cell, 1.0, None, EndpointState.GONE),
+                intent.at,
+                not intent.fate,
+            )
+            for intent in item.intents
+            if intent.fate != UNSENT
         ]
-        self.scheduler.accept_request(request, before)
-
-    def _settled(self, item: ReplicatedRequest, reply: RecordedResponse) -> None:
-        """What can't even be decided on."""
+        self.scheduler.accept_request(request, attempts)
+
+    def _replace_pending(self, item: ReplicatedRequest, request: Request, body: BufferedBody) -> None:
+        """Make the request that is dispatched the one that its client, if any, waits for."""
+        former = item.dispatched_client
+        client = DISCONNECTED_CLIENT if former is None else former.client
+        content = item.content
+        pending = PendingRequest(
+            request, client, content.method, content.target, content.headers, body, content.trace
+        )
+        if former is not None:
+            # What its client does to the former request concerns this one.
+            item.waiting_clients[pending] = item.waiting_clients.pop(former)
+            self.replicated.pop(former.request, None)
+            former.owed = False
+            former.body.release()
+            if client.pending is former:
+                client.pending = pending
+        item.dispatched_client = pending
+        self.replicated[request] = item
+        self.pending_requests[request] = pending
+
+    def _fail(self, item: ReplicatedRequest) -> None:
+        """Fail a request that can't be dispatched."""
+        response = RecordedResponse(WRITTEN_OFF)
         for client in list(item.waiting_clients):
-            self._answer_job(client, reply)
+            self._respond(client, response)
         item.waiting_clients.clear()
-        self.replicator.answered(item, reply)
+        self.replicator.answered(item, response)
 
     def answer(self, item: ReplicatedRequest, client: PendingRequest, reply: RecordedResponse) -> None:
-        self._answer_job(client, reply)
+        """Give the final response to a client that waits here."""
+        self._respond(client, reply)
+
+    # Responses.
 
-    def _answer_job(self, pending: PendingRequest, reply: RecordedResponse) -> None:
-        self.items.pop(pending.request, None)
-        deciding = pending.request in self.pending_requests
-        if not deciding:
+    def _respond(self, pending: PendingRequest, response: RecordedResponse) -> None:
+        """Give a response that the decisions have not made."""
+        self.replicated.pop(pending.request, None)
+        dispatched = pending.request in self.pending_requests
+        if not dispatched:
             pending.body.release()
-        self._give(pending, self._made(reply), KINDS.get(reply.status, "written_off"))
-        if deciding:
+        outcome = OUTCOMES.get(response.status, "written_off")
+        self._send_once(pending, final_response(response, self.context.buffer_pool), outcome)
+        if dispatched:
             self.scheduler.client_disconnected(pending.request)
             self._forget_if_finished(pending)
 
-    def _made(self, reply: RecordedResponse) -> FinalResponse:
-        if reply.status != FINISHED:
-            return FinalResponse(reply.status, retry_after=reply.retry_after)
-        body = BufferedBody(self.context.buffer_pool)
-        try:
-            body.add(reply.body)
-        except BuffersExhaustedError:
-            body.release()
-            return FinalResponse(WRITTEN_OFF)
-        return FinalResponse(FINISHED, UpstreamResponse(body, reply.kind))
-
-    # What the decisions want.
+    # What the decisions ask for.
 
     def start_attempt(self, attempt: Attempt, limit: float) -> None:
+        """Start an attempt; that of a replicated request is held until its intent is recorded."""
         super().start_attempt(attempt, limit)
-        exchange, listing = (
-            self.pending_requests[attempt.request].exchanges[attempt],
-            attempt.endpoint.entry,
-        )
-        self.zone_controller.began(exchange, listing.zone, self.scheduler.now)
-        item = self.items.get(attempt.request)
-        if item is None:
-            return
-        self.hold(
-            exchange, item, AttemptIntent(listing.endpoint_id, listing.zone, listing.cell, self.scheduler.now)
-        )
+        exchange = self.pending_requests[attempt.request].exchanges[attempt]
+        endpoint, now = attempt.endpoint.entry, self.scheduler.now
+        self.zone_controller.began(exchange, endpoint.zone, now)
+        request = self.replicated.get(attempt.request)
+        if request is not None:
+            intent = AttemptIntent(endpoint.endpoint_id, endpoint.zone, endpoint.cell, now)
+            self.hold(exchange, request, intent)
 
     def _exchange_ended(
-        self, exchange: Exchange, fate: AttemptOutcome, report: dict[str, float], answer: Any
+        self,
+        exchange: Exchange,
+        outcome: AttemptOutcome,
+        load_report: dict[str, float],
+        response: UpstreamResponse | None,
     ) -> None:
-        self.zone_controller.ended(exchange, fate, self.scheduler.now)
-        gate = self.unhold(exchange)
-        if gate is not None and (fate.never_ran or not (gate.open and exchange.written)):
-            self.replicator.ended(gate.item, gate.number, fate.value)
-        super()._exchange_ended(exchange, fate, report, answer)
+        self.zone_controller.ended(exchange, outcome, self.scheduler.now)
+        held = self.unhold(exchange)
+        if held is not None and (outcome.never_ran or not (held.open and exchange.written)):
+            self.replicator.ended(held.item, held.number, outcome.value)
+        super()._exchange_ended(exchange, outcome, load_report, response)
 
     def _send_final_response(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
-        item = self.items.pop(pending.request, None)
-        if item is None:
-            self._give(pending, final, how)
+        request = self.replicated.pop(pending.request, None)
+        if request is None:
+            self._send_once(pending, final, how)
             return
-        until = item.waiting_clients.pop(pending, inf)
-        reply = RecordedResponse(final.status, final.retry_after)
-        if final.response is not None:
-            body = final.response.body
-            # One that is passed on while it comes can't be given to anybody else.
-            whole = b"" if isinstance(body, BodyStream) else b"".join(body.views())
-            reply = RecordedResponse(
-                WRITTEN_OFF if isinstance(body, BodyStream) else FINISHED, 0.0, final.response.kind, whole
-            )
-        given = self.replicator.answered(item, reply)
-        if given is None:
+        until = request.waiting_clients.pop(pending, inf)
+        recorded = recorded_response(final)
+        response = self.replicator.answered(request, recorded)
+        if response is None:
             pending.owed = False
             if pending.client is not DISCONNECTED_CLIENT:
-                self.replicator.wait_on(item, pending, until)
-                self.items[pending.request] = item
+                self.replicator.wait_on(request, pending, until)
+                self.replicated[pending.request] = request
             return
-        if given is not reply and final.response is None:
-            final = self._made(given)
-            how = KINDS.get(given.status, how)
-        self._give(pending, final, how)
+        if response is not recorded and final.response is None:
+            final = final_response(response, self.context.buffer_pool)
+            how = OUTCOMES.get(response.status, how)
+        self._send_once(pending, final, how)
 
-    def _give(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
+    def _send_once(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
         super()._send_final_response(pending, final, how)
-        # Guards against a second answer being taken for that of the next request on its connection.
+        # A second response would be taken for that of the next request on the client's connection.
         pending.client = DISCONNECTED_CLIENT
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -1,13 +1,14 @@
-"""What hosts `Covering` for one member: links by member, frames, views, the gates of hand-offs.
+"""Hosts the replicator of one member: hands it messages of the fleet, sends its frames, holds attempts.
 
-Who decides on work is another part: a sidecar's module, or whatever else is a member of a fleet.
+What decides on requests is added by a subclass: a sidecar's coordinator, or whatever else is a member of a
+fleet.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from math import inf
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, TypeAlias
 
 from ...decisions.config import BalancerConfig
 from ...decisions.scheduler import DecisionScheduler
@@ -21,7 +22,9 @@
     PolicyStatusFrame,
     RecordedResponse,
 )
-from ...fleet.replication.replicator import ReplicatedRequest, RequestReplicator
+from ...fleet.membership import MembershipView
+from ...fleet.replication.replicator import RequestReplicator
+from ...fleet.replication.request import Client, ReplicatedRequest
 from ..loop import Loop
 from ..messages import CLOSE
 from .links import encode_frame
@@ -43,18 +46,22 @@
     from .policy import PolicyController
 
 
+AttemptToken: TypeAlias = Any  # the subclass's object for an attempt; opaque here
+
+
 class AttemptHold:
-    """Whether a hand-off may be written whole."""
+    """An attempt that may be written completely only once its intent is recorded."""
 
     __slots__ = ("item", "number", "asked", "open")
 
     def __init__(self, item: ReplicatedRequest, number: int, asked: float) -> None:
+        """`number`: of the intent in the request. `asked`: when it was sent, seconds on the wall clock."""
         self.item, self.number, self.asked = item, number, asked
         self.open = False
 
 
 class FleetHost:
-    """For an actor that gets the fleet's mail; what it adds is the deciding part, named below."""
+    """For an actor that receives the fleet's messages; a subclass adds what decides on requests."""
 
     loop: Loop
 
@@ -62,73 +69,72 @@
         self,
         loop: Loop,
         member_id: str,
-        part: FleetConfig,
+        config: FleetConfig,
         policy_controller: PolicyController,
-        lapsed: Callable[[EntryLost], None],
-        runner: Callable[[], DecisionScheduler],
+        entry_lost: Callable[[EntryLost], None],
+        scheduler: Callable[[], DecisionScheduler],
         times: tuple[float, float],
-        room: int,
+        memory_limit: int,
         log: Callable[..., None],
     ) -> None:
-        """`lapsed` is told when our own entry has gone from the view. `times`: shortest due, longest expiry.
+        """Set up the replicator and the zone controller.
 
-        `runner`: whose decisions the plan for zones concerns. `room`: bytes kept for others.
+        `entry_lost` is called when this member's entry has gone from the view. `scheduler`: whose decisions
+        the zone plan concerns. `times`: shortest latency objective and longest timeout, seconds.
+        `memory_limit`: bytes recorded for other members.
         """
-        self.member_id, self.lapsed, self.log = member_id, lapsed, log
+        self.member_id, self.entry_lost, self.log = member_id, entry_lost, log
         self.policy_controller, self.policy_replica = policy_controller, policy_controller.policy_replica
-        now, (shortest, longest) = loop.now(), times
+        now, (shortest_objective, longest_timeout) = loop.now(), times
         self.zone_controller = ZoneController(
-            member_id, float(part.lease_s), part.zones, shortest, now, runner, log
+            member_id, float(config.lease_s), config.zones, shortest_objective, now, scheduler, log
         )
         self.links: dict[str, Any] = {}
-        self.reaching: Callable[[str], None] = lambda member: None  # has a link to it come up
-        self.gates: dict[Any, AttemptHold] = {}
-        self.errands: dict[tuple[ReplicatedRequest, int], Any] = {}
-        self.replicator = RequestReplicator(member_id, longest, part.cover.keepers, room, self, now)
+        self.reaching: Callable[[str], None] = lambda member: None  # opens a link to a member
+        self.gates: dict[AttemptToken, AttemptHold] = {}
+        self.tokens: dict[tuple[ReplicatedRequest, int], AttemptToken] = {}
+        self.replicator = RequestReplicator(
+            member_id, longest_timeout, config.cover.keepers, memory_limit, self, now
+        )
         policy_controller.module = self
 
-    # The deciding part.
+    # What a subclass decides.
 
     def decide(self, item: ReplicatedRequest) -> None:
-        """Decide on it, with its history; what is decided on already goes on."""
+        """Dispatch a request with its history; attempts that run already go on."""
         raise NotImplementedError
 
-    def answer(self, item: ReplicatedRequest, client: Any, reply: RecordedResponse) -> None:
-        """The final answer for one that waits here."""
+    def answer(self, item: ReplicatedRequest, client: Client, reply: RecordedResponse) -> None:
+        """Give the final response to a client that waits here."""
         raise NotImplementedError
 
-    def released(self, exchange: Any) -> None:
-        """That hand-off may be written whole."""
+    def released(self, exchange: AttemptToken) -> None:
+        """That attempt may be written completely."""
         raise NotImplementedError
 
-    def dropped(self, exchange: Any) -> None:
-        """That hand-off is never to be written whole."""
+    def dropped(self, exchange: AttemptToken) -> None:
+        """That attempt must never be written completely."""
         raise NotImplementedError
 
     def cover_by(self, part: ReplicationConfig) -> None:
-        """What is covered from now on."""
+        """Use another configuration of the replication from now on."""
         raise NotImplementedError
 
     def retuned(self, terms: BalancerConfig) -> None:
-        """What the decisions go by from now on."""
+        """Use another configuration of the decisions from now on."""
         raise NotImplementedError
 
-    # What the fleet's actors tell.
+    # What the fleet's actors report.
 
-    def hosted(self, message: Any, now: float) -> bool:
-        """Take the fleet's mail; False: it is none of that."""
+    def hosted(self, message: object, now: float) -> bool:
+        """Handle a message of the fleet's actors; False: it is none of these."""
         self.replicator.now = self.policy_replica.now = now
         match message:
-            case FrameReceived(_, PolicyStatusFrame() | DecisionRequestFrame() | DecisionFrame() as frame):
-                for answer in self.policy_controller.heard(frame):
-                    self.send_frame(message.member, answer)
             case FrameReceived(member, frame):
-                if isinstance(frame, HeartbeatFrame) and frame.word is not None:
-                    self.policy_replica.heard(frame.word)
-                self.replicator.frame_received(member, frame)
+                self._frame_received(member, frame)
             case StoreRead(records, gap):
                 self.policy_replica.recorded(records, gap)
-                self._wary()
+                self._check_links_in_doubt()
                 self.zone_controller.recorded(records, now)
             case LinkUp(member, link):
                 self.links[member] = link
@@ -138,64 +144,76 @@
                     del self.links[member]
                     self.replicator.link_down(member)
             case ViewChanged(view, gap):
-                self.log(
-                    "view",
-                    members=len(view.members),
-                    cells=view.cells,
-                    digest=view.digest,
-                    ours=self.member_id in view,
-                )
-                if self.member_id in self.replicator.view and self.member_id not in view:
-                    self.lapsed(EntryLost())
-                if gap:
-                    # Guards against words said under a view between that nobody saw: all is told anew.
-                    for link in self.links.values():
-                        link.post(CLOSE)
-                self.replicator.view_changed(view, gap)
+                self._view_changed(view, gap)
             case MemberUnreachable(member):
                 self.replicator.link_failed(member)
             case LeaseRenewed(until, entered):
                 self.replicator.lease_until = until
                 self.policy_replica.renewed(until, entered)
-                self._wary()
+                self._check_links_in_doubt()
             case _:
                 return False
         return True
 
+    def _frame_received(self, member: str, frame: Frame) -> None:
+        match frame:
+            case PolicyStatusFrame() | DecisionRequestFrame() | DecisionFrame():
+                for answer in self.policy_controller.heard(frame):
+                    self.send_frame(member, answer)
+                return
+            case HeartbeatFrame() if frame.word is not None:
+                self.policy_replica.heard(frame.word)
+        self.replicator.frame_received(member, frame)
+
+    def _view_changed(self, view: MembershipView, gap: bool) -> None:
+        self.log(
+            "view",
+            members=len(view.members),
+            cells=view.cells,
+            digest=view.digest,
+            ours=self.member_id in view,
+        )
+        if self.member_id in self.replicator.view and self.member_id not in view:
+            self.entry_lost(EntryLost())
+        if gap:
+            # Frames may have been sent under a view in between that nobody here saw: new links synchronise.
+            for link in self.links.values():
+                link.post(CLOSE)
+        self.replicator.view_changed(view, gap)
+
     def tick(self) -> None:
-        """Something may be due."""
+        """Do what is due."""
         self.policy_replica.doubt()
-        self._wary()
+        self._check_links_in_doubt()
         self.replicator.tick()
 
-    def _wary(self) -> None:
-        """Guards against doubt until the next beat, which says no word while nobody needs it."""
+    def _check_links_in_doubt(self) -> None:
+        """Send heartbeats at once while the policy is in doubt, since peers send its status only then."""
         if self.policy_replica.uneasy:
             for link in self.links.values():
                 link.post(CHECK_LINKS)
 
     def next_at(self, now: float) -> float:
-        """When to call `tick`, whatever comes."""
+        """When to call `tick` at the latest, seconds on the wall clock."""
         at = self.policy_replica.next_at()
         return min(self.replicator.next_at(), at if at > now else inf)
 
     def beat(self, member: str, worded: bool) -> HeartbeatFrame:
-        """What to say to a member. `worded`: it may need our word on the policy."""
+        """The heartbeat for a member. `worded`: it may need our status of the policy."""
         self.replicator.now = self.policy_replica.now = self.loop.now()
         self.policy_replica.doubt()
         lapsed = not self.replicator.may_decide() or self.policy_replica.uneasy
-        word = self.policy_replica.word() if worded or lapsed else None
+        policy_status = self.policy_replica.word() if worded or lapsed else None
         view = self.replicator.view
-        outside = view.cell_of(member) != view.cell_of(
-            self.member_id
-        )  # in our own cell links stay, whatever is said
-        return HeartbeatFrame(
-            self.replicator.digest, lapsed, word, outside and not self.replicator.needs_link(member)
-        )
+        # Links within our own cell stay whether they are needed or not.
+        other_cell = view.cell_of(member) != view.cell_of(self.member_id)
+        idle = other_cell and not self.replicator.needs_link(member)
+        return HeartbeatFrame(self.replicator.digest, lapsed, policy_status, idle)
 
-    # The door of the cover.
+    # What the replicator asks for.
 
     def send_frame(self, member: str, frame: Frame) -> bool:
+        """Send a frame to a member. False: there is no link to it now."""
         link = self.links.get(member)
         if link is None or link.over:
             return False
@@ -207,33 +225,37 @@
         return self.send_frame(member, frame)
 
     def dial(self, member: str) -> bool:
+        """Open a link to a member of another cell. False: none can be opened now."""
         self.reaching(member)
         return member in self.replicator.view
 
-    def release_intent(self, item: ReplicatedRequest, number: int) -> None:
-        if (exchange := self.errands.get((item, number))) is not None:
-            self.gates[exchange].open = True
-            self.released(exchange)
+    def release_intent(self, request: ReplicatedRequest, number: int) -> None:
+        """The attempt of that intent may be written completely."""
+        if (token := self.tokens.get((request, number))) is not None:
+            self.gates[token].open = True
+            self.released(token)
 
-    def cancel_intent(self, item: ReplicatedRequest, number: int) -> None:
-        if (exchange := self.errands.get((item, number))) is not None:
-            self.dropped(exchange)
+    def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
+        """The attempt of that intent must never be written completely."""
+        if (token := self.tokens.get((request, number))) is not None:
+            self.dropped(token)
 
-    def log_event(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
+        """Write a line to the log."""
         self.log(event, **fields)
 
-    # The gates.
-
-    def hold(self, exchange: Any, item: ReplicatedRequest, intent: AttemptIntent) -> None:
-        """A hand-off is to be made: `released` or `dropped` follows, perhaps at once."""
-        number = self.replicator.add_intent(item, intent)
-        self.gates[exchange] = AttemptHold(item, number, intent.at)
-        self.errands[item, number] = exchange
-        self.replicator.record_intent(item, number)
-
-    def unhold(self, exchange: Any) -> AttemptHold | None:
-        """It has ended."""
-        gate = self.gates.pop(exchange, None)
-        if gate is not None:
-            del self.errands[gate.item, gate.number]
-        return gate
+    # Attempts that wait for their intents to be recorded.
+
+    def hold(self, token: AttemptToken, request: ReplicatedRequest, intent: AttemptIntent) -> None:
+        """An attempt is to be started: `released` or `dropped` follows, perhaps at once."""
+        number = self.replicator.add_intent(request, intent)
+        self.gates[token] = AttemptHold(request, number, intent.at)
+        self.tokens[request, number] = token
+        self.replicator.record_intent(request, number)
+
+    def unhold(self, token: AttemptToken) -> AttemptHold | None:
+        """An attempt has ended. Returns how it was held, if it was."""
+        held = self.gates.pop(token, None)
+        if held is not None:
+            del self.tokens[held.item, held.number]
+        return held
--- /dev/null
+++ b/starlingwheel/net/fleet/responses.py
@@ -0,0 +1,60 @@
+"""Responses of replicated requests: from what replicas record to what clients get, and back."""
+
+from __future__ import annotations
+
+from ...fleet.frames import RecordedResponse
+from ...fleet.replication.request import FINISHED, WRITTEN_OFF
+from ..messages import FinalResponse
+from ..state.body_stream import BodyStream
+from ..state.buffers import BufferedBody, BufferPool, BuffersExhaustedError
+from ..state.requests import PendingRequest, UpstreamResponse
+
+
+class DisconnectedClient:
+    """In place of a client that is gone or whose sidecar is lost: its response is recorded, not written."""
+
+    pending: PendingRequest | None = None
+
+    def post(self, message: object) -> None:
+        """Take a message for the client and release its response."""
+        if isinstance(message, FinalResponse) and message.response:
+            message.response.body.release()
+
+    def has_left(self) -> bool:
+        """False: attempts go on though nobody waits for them."""
+        return False
+
+
+DISCONNECTED_CLIENT = DisconnectedClient()
+
+
+def buffered_body(content: bytes, buffer_pool: BufferPool) -> BufferedBody | None:
+    """The bytes as a body; None: there are no buffers left for it."""
+    body = BufferedBody(buffer_pool)
+    try:
+        body.add(content)
+    except BuffersExhaustedError:
+        body.release()
+        return None
+    return body
+
+
+def final_response(response: RecordedResponse, buffer_pool: BufferPool) -> FinalResponse:
+    """A recorded response as a client gets it."""
+    if response.status != FINISHED:
+        return FinalResponse(response.status, retry_after=response.retry_after)
+    body = buffered_body(response.body, buffer_pool)
+    if body is None:
+        return FinalResponse(WRITTEN_OFF)
+    return FinalResponse(FINISHED, UpstreamResponse(body, response.kind))
+
+
+def recorded_response(final: FinalResponse) -> RecordedResponse:
+    """A response of the decisions as replicas record it."""
+    if final.response is None:
+        return RecordedResponse(final.status, final.retry_after)
+    body = final.response.body
+    if isinstance(body, BodyStream):
+        # A body that is forwarded while it arrives can't be given to anybody else.
+        return RecordedResponse(WRITTEN_OFF, 0.0, final.response.kind, b"")
+    return RecordedResponse(FINISHED, 0.0, final.response.kind, b"".join(body.views()))
