--- a/starlingwheel/fleet/__init__.py
+++ b/starlingwheel/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What several sidecars decide together. No I/O: clock and randomness are passed in, a `Door` carries out."""
+"""What several sidecars decide together. No I/O: clock and randomness are passed in, a host acts."""
--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -1,9 +1,10 @@
-"""Who is in the fleet, and who keeps what: a view is the set of members that hold a lease, cut into cells.
+"""Who is in the fleet, and who is responsible for what: the members that hold a lease, divided into cells.
 
-Its digest names it: an entry never comes back, so two views of one digest are the same set at the same time.
+A view's digest names it: an entry of the coordination store never comes back, so two views of one digest are
+the same set at the same time.
 
-A member is of one cell, by a hash of its name; a work name is of one, by a hash of its key. Whoever keeps a
-work item is of its name's cell: finding them is bounded, however large the fleet. With twice as many cells
+A member is of one cell, by a hash of its name; a key is of one, by a hash of the key. The members that record
+a request are of its key's cell: finding them is bounded, however large the fleet. With twice as many cells
 each is split in two, with half as many two are joined; a member that comes or goes moves no other one.
 """
 
@@ -15,12 +16,16 @@
 
 import msgspec
 
-KNOWN = 4096  # names whose first two are kept
+MAX_CACHED_KEYS = 4096  # keys whose coordinator and successor are cached
 MOST_CELLS = 4096
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One process: `id` is its name and incarnation, new with each start; `term` is new with each entry."""
+    """One process of the fleet.
+
+    `id`: its name and incarnation, new with each start. `term`: revision of its entry in the coordination
+    store, new with each entry. `version`: of the policy that it follows.
+    """
 
     id: str
     name: str
@@ -31,140 +36,146 @@
 
 
 def place(name: bytes) -> int:
-    """Where a name lies: with so many cells, in the one of that number modulo their count."""
+    """The hash of a name; modulo the count of cells it is the name's cell."""
     return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest(), "big")
 
 
 @functools.lru_cache(maxsize=1 << 14)
 def member_place(member: str) -> int:
-    """The same of a member's id: by its name, so that a restart comes back to its cell."""
+    """The hash of a member: of its name, so that a restart comes back to its cell."""
     name, _, _ = member.rpartition(".")
     return place((name or member).encode())
 
 
 def digest(lines: Iterable[str]) -> int:
+    """A hash of 7 bytes that names the lines."""
     return int.from_bytes(hashlib.blake2b("\n".join(lines).encode(), digest_size=7).digest(), "big")
 
 
 class MembershipView:
+    """The members that hold a lease, and their cells. Does not change."""
+
     def __init__(self, members: Iterable[Member] = (), cells: int = 1, cut_at: float = 0.0) -> None:
-        """`cells`: how many, a power of two; `cut_at`: when that was decided, seconds on the wall clock."""
+        """`cells`: their count, a power of two. `cut_at`: when that was set, seconds on the wall clock."""
         self.members = {member.id: member for member in sorted(members, key=lambda m: m.id)}
         self.cells, self.cut_at = cells, cut_at
         lines = [f"{m.id} {m.term}" for m in self.members.values()]
         self.digest = digest(lines if cells == 1 else [*lines, f"cells {cells}"])
-        self.best: dict[bytes, list[str]] = {}  # of the names asked for lately, the first two
-        # Those of each cell that has any, best known by their ids.
+        self._best_ranked: dict[bytes, list[str]] = {}  # by key: its coordinator and the successor
+        # Members by id, of each cell that has any.
         self.groups: dict[int, dict[str, Member]] = {0: self.members} if cells == 1 and self.members else {}
         if cells > 1:
             for member in self.members.values():
                 self.groups.setdefault(member_place(member.id) % cells, {})[member.id] = member
-        self.digests: dict[int, int] = {}
+        self._cell_digests: dict[int, int] = {}
 
-    def __contains__(self, member: str) -> bool:
+    def __contains__(self, member: object) -> bool:
+        """The member of that id is in the view."""
         return member in self.members
 
     # Cells.
 
     def cell(self, key: bytes) -> int:
-        """The one whose members keep what has that name: its own, or the next that has members."""
+        """The cell that is responsible for a key: the key's own, or the next that has members."""
         return self.cell_at(place(key)) if self.cells > 1 else 0
 
-    def cell_at(self, where: int) -> int:
-        """The same of a name that lies there (`place`)."""
-        return self._next(where % self.cells) if self.cells > 1 else 0
+    def cell_at(self, position: int) -> int:
+        """The cell that is responsible for a key of that hash (`place`)."""
+        return self._next_with_members(position % self.cells) if self.cells > 1 else 0
 
     def cell_of(self, member: str) -> int:
-        """The one that a member is of, also one that is not in the view."""
+        """The cell of a member, also of one that is not in the view."""
         return member_place(member) % self.cells if self.cells > 1 else 0
 
-    def _next(self, cell: int) -> int:
+    def _next_with_members(self, cell: int) -> int:
         while self.groups and cell not in self.groups:
             cell = (cell + 1) % self.cells
         return cell
 
     def of_cell(self, cell: int) -> dict[str, Member]:
+        """The members of a cell, by id."""
         return self.groups.get(cell, {})
 
     def beside(self, cell: int) -> dict[str, Member]:
-        """Those of the next cell, where that one has a single member: they have its names after its loss."""
+        """The members of the next cell, if this one has a single member: they take over after its loss."""
         alone = self.cells > 1 and len(self.of_cell(cell)) == 1 < len(self.groups)
-        return self.of_cell(self._next((cell + 1) % self.cells)) if alone else {}
+        return self.of_cell(self._next_with_members((cell + 1) % self.cells)) if alone else {}
 
     def span(self, cell: int) -> Iterator[int]:
-        """The cells whose names that one keeps: itself, and the empty ones before it."""
+        """The cells for whose keys that one is responsible: itself, and the empty ones before it."""
         yield cell
-        before = (cell - 1) % self.cells
-        while before != cell and before not in self.groups:
-            yield before
-            before = (before - 1) % self.cells
+        previous = (cell - 1) % self.cells
+        while previous != cell and previous not in self.groups:
+            yield previous
+            previous = (previous - 1) % self.cells
 
     def peers(self, member_id: str) -> list[str]:
-        """The others of our cell."""
+        """The other members of a member's cell."""
         return [member for member in self.of_cell(self.cell_of(member_id)) if member != member_id]
 
     def digest_of(self, cell: int) -> int:
-        """Names the cell as this view has it: two that agree on it have one home for each of its names."""
+        """Names the cell as this view has it: who agrees on it agrees on the coordinator of each key."""
         if self.cells == 1:
             return self.digest
-        known = self.digests.get(cell)
+        known = self._cell_digests.get(cell)
         if known is None:
             lines = [f"{m.id} {m.term}" for m in self.of_cell(cell).values()]
             lines.append(f"cell {cell} of {self.cells}, with {sum(1 for _ in self.span(cell))}")
-            known = self.digests[cell] = digest(lines)
+            known = self._cell_digests[cell] = digest(lines)
         return known
 
     def holders(self, cell: int, older: MembershipView) -> set[str]:
-        """Those who may know, by an older view, of what has a name that this cell keeps now."""
+        """Members that may know, by an older view, of a key for which this cell is responsible now."""
         if self.cells == older.cells == 1:
             return set(older.members)
         fewer = min(self.cells, older.cells)
         ours = {one % fewer for one in self.span(cell)}
-        then = (one + fewer * turn for one in ours for turn in range(older.cells // fewer))
-        kept = {older._next(c) for c in then}
-        return {member for one in kept for member in (*older.of_cell(one), *older.beside(one))}
+        older_cells = (one + fewer * turn for one in ours for turn in range(older.cells // fewer))
+        responsible = {older.cell_at(one) for one in older_cells}
+        return {member for one in responsible for member in (*older.of_cell(one), *older.beside(one))}
 
-    # Homes and keepers.
+    # Coordinators and replicas.
 
     def ranks(self, key: bytes) -> list[Member]:
-        """All members of its cell, best first, by rendezvous hashing: one that goes moves only its own.
+        """All members of the key's cell, best first, by rendezvous hashing.
 
-        After the only member of a cell come those who have its names if it is lost.
+        A member that goes moves only the keys that it coordinates. After the only member of a cell come those
+        that are responsible if it is lost.
         """
-        mark = hashlib.blake2b(key, digest_size=8).digest()
+        key_hash = hashlib.blake2b(key, digest_size=8).digest()
 
-        def turn(member: Member) -> bytes:
-            return hashlib.blake2b(member.id.encode(), digest_size=8, key=mark).digest()
+        def weight(member: Member) -> bytes:
+            return hashlib.blake2b(member.id.encode(), digest_size=8, key=key_hash).digest()
 
         cell = self.cell(key)
-        order = sorted(self.of_cell(cell).values(), key=turn, reverse=True)
-        return order + sorted(self.beside(cell).values(), key=turn, reverse=True)
+        ranked = sorted(self.of_cell(cell).values(), key=weight, reverse=True)
+        return ranked + sorted(self.beside(cell).values(), key=weight, reverse=True)
 
     def home(self, key: bytes, but: str = "") -> str:
-        """The one member that says whether a name is new; with `but`, the one if that is lost."""
-        best = self.best.get(key)
-        if best is None:
-            # Guards against hashing with each member, over and over, for each word about an item.
-            if len(self.best) >= KNOWN:
-                self.best.clear()
-            best = self.best[key] = [m.id for m in self.ranks(key)[:2]]
-        return next((member for member in best if member != but), "")
+        """The key's coordinator; with `but`, the one if that member is lost. Empty: there is none."""
+        ranked = self._best_ranked.get(key)
+        if ranked is None:
+            # Cached, since each frame about a request asks for it, and ranking hashes all members.
+            if len(self._best_ranked) >= MAX_CACHED_KEYS:
+                self._best_ranked.clear()
+            ranked = self._best_ranked[key] = [member.id for member in self.ranks(key)[:2]]
+        return next((member for member in ranked if member != but), "")
 
     def keepers(self, key: bytes, owner: str, count: int, reached: Container[str]) -> list[str]:
-        """Who records what `owner` has in hand under that name, of those that it reaches.
+        """The replicas of a request that `owner` has under that key.
 
-        The home, or who would be it in the owner's place; as many more as `count` says; and one in another
-        zone than the owner's, if there is one: guards against a zone taking work and record with it.
-        `reached` is asked of no more than that takes.
+        These are the coordinator, or the one in the owner's place; as many more as `count` says; and one in
+        another zone than the owner's, if there is one, so that the loss of a zone does not take both the
+        request and its records. `reached`: members that can be reached; it is asked for no more than needed.
         """
         zone = self.members[owner].zone if owner in self.members else None
         chosen: list[Member] = []
         for member in self.ranks(key):
             if member.id == owner:
                 continue
-            spare = len(chosen) >= count
-            if spare and not all(m.zone == zone for m in chosen):
+            enough = len(chosen) >= count
+            if enough and not all(replica.zone == zone for replica in chosen):
                 break
-            if (not spare or member.zone != zone) and member.id in reached:
+            if (not enough or member.zone != zone) and member.id in reached:
                 chosen.append(member)
-        return [m.id for m in chosen]
+        return [member.id for member in chosen]
--- a/starlingwheel/fleet/shards.py
+++ b/starlingwheel/fleet/shards.py
@@ -1,9 +1,9 @@
-"""Into how many cells the fleet is cut: it follows its size, by one decision at the arbiter.
+"""Into how many cells the fleet is divided: the count follows the fleet's size, by one decision in the store.
 
-Twice as many once members are more than so many a cell on the mean, half as many once they are fewer than a
-quarter of that: what comes and goes in between changes nothing. Anybody may write it, by turns, and a
-transaction that compares the entry decides. `Cutting` is one member's part, without I/O: the host sets `now`
-(the wall clock, seconds), tells what the arbiter has, and its scribe asks `due` for the next transaction.
+The count is doubled once cells have more members on the mean than configured, and halved once they have fewer
+than a quarter of that: members that come and go in between change nothing. Any member may write it, each in
+its turn, and a transaction that compares the entry decides. `ShardMap` is one member's part and does no I/O:
+the host sets `now`, reports what the coordination store has, and asks `due` for the next transaction.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 from .membership import MOST_CELLS
 from .records import CELLS, MEMBERS, Sharding, StoreRecords, Transaction, equal
 
-HALVED = 1 / 4  # of what a cell may have on the mean: with less, half as many cells
-HOLD = 2.0  # leases for which the size has to stay beyond a bound
-APART = 8.0  # leases between two changes
-TURN = 1 / 16  # of a lease: for so long each waits for the one before it
-TURNS = 16
+JOIN_FRACTION = 1 / 4  # of the configured mean size: cells with fewer members are joined
+STABLE_LEASES = 2.0  # leases for which the size has to stay beyond a bound
+CHANGE_INTERVAL_LEASES = 8.0  # leases between two changes
+TURN_LEASES = 1 / 16  # leases for which each member waits for the one before it
+MAX_TURNS = 16  # members that wait for one another
 
 
 class ShardMap:
-    """One member's part of the fleet's decision into how many cells it is cut."""
+    """One member's part in the decision into how many cells the fleet is divided."""
 
     def __init__(self, member_id: str, lease: float, size: int, now: float) -> None:
-        """`lease`: seconds. `size`: members a cell has on the mean at most; 0: never proposes."""
+        """`lease`, `now`: seconds. `size`: members of a cell on the mean, at most; 0: changes nothing."""
         self.member_id, self.lease, self.size, self.now = member_id, lease, size, now
         self.records = StoreRecords()
         self.changed_at = now  # when the entry was last seen to change, at the latest
-        self.wanted = 0
-        self.since = inf  # when that was first wanted
+        self.wanted = 0  # cells that there should be; 0: as many as there are
+        self.wanted_since = inf
 
     def recorded(self, records: StoreRecords) -> None:
-        """What the arbiter has."""
+        """The coordination store has other records."""
         if records.cells_mod != self.records.cells_mod:
             self.changed_at = self.now
         self.records = records
-        wanted = self._wanted()
+        wanted = self._wanted_cells()
         if wanted != self.wanted:
-            self.wanted, self.since = wanted, self.now if wanted else inf
+            self.wanted, self.wanted_since = wanted, self.now if wanted else inf
 
-    def _wanted(self) -> int:
+    def _wanted_cells(self) -> int:
         """How many cells there should be; 0: as many as there are."""
         records = self.records
         if not self.size or not records.cells or self.member_id not in records.members:
@@ -50,25 +50,32 @@
         members, cells = len(records.members), records.cells
         if members > cells * self.size and cells < MOST_CELLS:
             return 2 * cells
-        if members < cells * self.size * HALVED and cells > 1:
+        if members < cells * self.size * JOIN_FRACTION and cells > 1:
             return cells // 2
-        # Guards against members that start while nobody can read it knowing no cells at all.
+        # An entry that nobody can read is written again: members that start would know no cells at all.
         return cells if records.cells_spoilt else 0
 
     def due(self) -> Transaction | float:
-        """What to write at the arbiter now, or when to ask again."""
+        """The transaction to carry out now, or when to ask again (seconds)."""
         if not self.wanted:
             return inf
         records = self.records
-        ranks = sorted(records.members)
-        turn = (ranks.index(self.member_id) + records.cells_mod) % len(ranks)
-        at = max(self.since + HOLD * self.lease, self.changed_at + APART * self.lease)
-        at += min(turn, TURNS) * TURN * self.lease
-        if self.now < at:
-            return at
+        due_at = max(
+            self.wanted_since + STABLE_LEASES * self.lease,
+            self.changed_at + CHANGE_INTERVAL_LEASES * self.lease,
+        )
+        due_at += min(self._turn(), MAX_TURNS) * TURN_LEASES * self.lease
+        if self.now < due_at:
+            return due_at
         # A change of the cells that was made meanwhile, or our own loss, makes it void.
-        same = [
+        unchanged = [
             equal(CELLS, "MOD", records.cells_mod),
             equal(MEMBERS + self.member_id, "CREATE", records.members[self.member_id].term),
         ]
-        return Transaction("cut", same, [(CELLS, msgspec.json.encode(Sharding(self.wanted, self.now)))])
+        sharding = msgspec.json.encode(Sharding(self.wanted, self.now))
+        return Transaction("cut", unchanged, [(CELLS, sharding)])
+
+    def _turn(self) -> int:
+        """How many members write before this one; another order after each change."""
+        members = sorted(self.records.members)
+        return (members.index(self.member_id) + self.records.cells_mod) % len(members)
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -6,7 +6,7 @@
 from starlingwheel.fleet.config import decode
 from starlingwheel.fleet.membership import Member, MembershipView
 from starlingwheel.fleet.records import CELLS, MEMBERS, Sharding, StoreEntry, StoreRecords, Transaction
-from starlingwheel.fleet.shards import APART, HOLD, TURN, TURNS, ShardMap
+from starlingwheel.fleet.shards import CHANGE_INTERVAL_LEASES, MAX_TURNS, STABLE_LEASES, TURN_LEASES, ShardMap
 from trials.broken import CELL_VARIANTS, HomeAlone, OldCells
 from trials.emulated import HARSH, REST, Request, Timetable, World, play
 from trials.model import QUIET, Bounds, explore
@@ -126,7 +126,7 @@
     def step(self, seconds):
         until = self.now + seconds
         while self.now < until:
-            self.now += LEASE * TURN
+            self.now += LEASE * TURN_LEASES
             asked = []
             for shard_map in self.cuttings.values():
                 shard_map.now = self.now
@@ -143,11 +143,11 @@
 def test_the_fleet_is_cut_as_it_grows_one_change_at_a_time_and_not_by_all_at_once():
     arbiter = Arbiter(60, 8)
     arbiter.tell()
-    arbiter.step(5 * APART * LEASE)
+    arbiter.step(5 * CHANGE_INTERVAL_LEASES * LEASE)
     assert [cells for _, cells, _ in arbiter.written] == [2, 4, 8]
     times = [at for at, _, _ in arbiter.written]
-    assert all(b - a >= APART * LEASE for a, b in zip(times, times[1:], strict=False))
-    assert all(wrote <= 1 + 60 // TURNS for _, _, wrote in arbiter.written)
+    assert all(b - a >= CHANGE_INTERVAL_LEASES * LEASE for a, b in zip(times, times[1:], strict=False))
+    assert all(wrote <= 1 + 60 // MAX_TURNS for _, _, wrote in arbiter.written)
 
 
 def test_it_is_joined_again_only_when_it_is_much_smaller():
@@ -158,28 +158,28 @@
         for member in left:
             del arbiter.records.members[member], arbiter.cuttings[member]
         arbiter.tell()
-        arbiter.step(2 * APART * LEASE)
+        arbiter.step(2 * CHANGE_INTERVAL_LEASES * LEASE)
         assert arbiter.records.cells == cells
 
 
 def test_a_size_that_is_beyond_the_bound_for_a_moment_changes_nothing():
     arbiter = Arbiter(9, 8)
-    arbiter.now += APART * LEASE
+    arbiter.now += CHANGE_INTERVAL_LEASES * LEASE
     arbiter.tell()
-    arbiter.step(HOLD * LEASE / 2)
+    arbiter.step(STABLE_LEASES * LEASE / 2)
     last = arbiter.records.members.popitem()
     arbiter.tell()
-    arbiter.step(HOLD * LEASE)
+    arbiter.step(STABLE_LEASES * LEASE)
     arbiter.records.members[last[0]] = last[1]
     arbiter.tell()
-    arbiter.step(HOLD * LEASE / 2)
+    arbiter.step(STABLE_LEASES * LEASE / 2)
     assert not arbiter.written
 
 
 def test_who_is_told_no_size_never_cuts():
     arbiter = Arbiter(60, 0)
     arbiter.tell()
-    arbiter.step(3 * APART * LEASE)
+    arbiter.step(3 * CHANGE_INTERVAL_LEASES * LEASE)
     assert not arbiter.written
 
 
