--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -1,4 +1,4 @@
-"""Stories of what the fleet reads: its part of the configuration, frames of links, the arbiter's answers."""
+"""What a fleet reads: its configuration, frames of links, replies of the coordination store."""
 
 import asyncio
 import gc
@@ -34,12 +34,12 @@
 NAMES = ["look", "buy", "move"]
 
 
-def test_a_part_that_is_right_is_taken_with_its_defaults():
+def test_a_valid_configuration_is_decoded_with_its_defaults():
     part = decode(PART, NAMES, 1)
     assert part.lease_s == 3 and part.cover.keepers == 1 and part.cover.name_header == "x-work-name"
 
 
-def test_all_that_is_wrong_with_a_part_is_told_at_once_with_its_keys():
+def test_all_errors_of_a_configuration_are_reported_at_once_with_their_keys():
     wrong = {
         "name": "a b", "listen": "nowhere", "arbiter": ["x", "127.0.0.1:99999"], "lease_s": 0.5, "spare": 1,
         "cell_size": -1,
@@ -57,12 +57,12 @@
 
 
 @pytest.mark.parametrize("wrong", [None, 3, [], {}, {"cover": 1}, {**PART, "cover": None}])
-def test_what_is_no_part_is_refused(wrong):
+def test_what_is_no_configuration_is_rejected(wrong):
     with pytest.raises(ValueError, match="fleet"):
         decode(wrong, NAMES, 1)
 
 
-def a_word():
+def policy_status():
     return PolicyStatus("n1.ab", "n1", 3.5, 4, "0a", float("inf"), 4, 5, True)
 
 
@@ -77,13 +77,13 @@
         frames.AttemptIntentFrame(b"k", 0, 1, intent),
         frames.ReplicaStateFrame(b"k", 0, frames.NEW, 1, frames.RecordedResponse(200, 0.0, b"", b"y" * 10)),
         frames.HeartbeatFrame(7, False),
-        frames.HeartbeatFrame(7, True, a_word(), True, True),
-        frames.PolicyStatusFrame(a_word(), [a_word(), a_word()]),
+        frames.HeartbeatFrame(7, True, policy_status(), True, True),
+        frames.PolicyStatusFrame(policy_status(), [policy_status(), policy_status()]),
         frames.LinkIdleFrame(),
     ]
 
 
-def test_frames_arrive_as_they_were_sent_however_they_are_cut():
+def test_frames_are_decoded_as_they_were_sent_whatever_the_chunks():
     data = b"".join(map(encode_frame, some_frames()))
     for step in (1, 7, 1000, len(data)):
         reader, got = FrameReader(), []
@@ -101,12 +101,12 @@
         (b"\0\0\0\3" + msgspec.msgpack.encode([99, 1]), "unreadable"),
     ],
 )
-def test_what_is_no_frame_ends_a_link_with_its_reason(data, reason):
+def test_an_invalid_frame_ends_the_link_with_its_reason(data, reason):
     with pytest.raises(LinkRejectedError, match=reason):
         FrameReader().read(data)
 
 
-def test_spoilt_frames_do_nothing_worse_than_end_the_link():
+def test_corrupted_frames_do_no_more_than_end_the_link():
     rng = random.Random(1)
     data = b"".join(map(encode_frame, some_frames()))
     ended = 0
@@ -123,7 +123,7 @@
     assert ended > 100
 
 
-def test_frames_that_make_no_sense_hurt_nobody():
+def test_random_frames_leave_nothing_behind():
     rng = random.Random(3)
     world = World(1, 3)
     world.until(1.0)
@@ -166,7 +166,7 @@
     assert not one.replicator.items and not one.replicator.records.held
 
 
-def test_a_home_moves_only_with_the_members_that_change():
+def test_a_coordinator_changes_only_with_the_members_that_change():
     members = [Member(f"n{i}", f"n{i}", "", "ab"[i % 2]) for i in range(12)]
     view, less = MembershipView(members), MembershipView(members[1:])
     keys = [b"%d" % i for i in range(600)]
@@ -202,7 +202,7 @@
 
 
 class Served:
-    """The stand-in arbiter on a thread of its own."""
+    """The fake coordination store on a thread of its own."""
 
     def __init__(self):
         self.arbiter, self.loop = None, asyncio.new_event_loop()
@@ -245,13 +245,13 @@
     return PART | {"listen": free_address(), "arbiter": [served.arbiter.server.address], "lease_s": 1}
 
 
-def entering(make_surroundings, served):
+def enter(make_surroundings, served):
     return make_surroundings(name="n0", fleet=part_at(served), settings=SETTINGS)
 
 
 @pytest.fixture
 def member(make_surroundings, served):
-    return entering(make_surroundings, served)
+    return enter(make_surroundings, served)
 
 
 def joined(around):
@@ -264,13 +264,13 @@
     assert member.context.ready and len(member.context.coordinator.replicator.view.members) == 1
 
 
-def test_a_reply_lost_after_it_was_applied_costs_one_more_try(member, served):
+def test_a_reply_lost_after_it_was_applied_costs_one_more_attempt(member, served):
     served.call(served.arbiter.lose.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
     member.until(lambda: joined(member))
     assert len(members_at(served)) == 1
 
 
-def test_a_lease_that_ends_early_is_taken_anew(member, served):
+def test_a_lease_that_ends_early_is_granted_again(member, served):
     member.until(lambda: joined(member))
     term = member.context.coordinator.replicator.view.members[member.context.fleet.member_id].term
     (key,) = members_at(served)
@@ -282,7 +282,7 @@
     )
 
 
-def test_a_watch_cut_at_a_compaction_reads_the_whole_again(member, served):
+def test_a_watch_lost_at_a_compaction_reads_everything_again(member, served):
     member.until(lambda: joined(member))
     served.call(served.arbiter.compact)
     served.call(served.arbiter.cut_watches)
@@ -292,7 +292,7 @@
     member.until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
 
 
-def test_two_that_end_in_the_same_moment_are_both_struck(member, served):
+def test_two_members_that_end_at_the_same_time_are_both_evicted(member, served):
     member.until(lambda: joined(member))
     view = member.context.coordinator.replicator
     for name in ("n8", "n9"):
@@ -305,7 +305,7 @@
     member.until(lambda: len(view.view.members) == 1)
 
 
-def test_an_entry_that_nobody_can_read_hides_no_other(member, served):
+def test_an_unreadable_entry_hides_no_other(member, served):
     member.until(lambda: joined(member))
     served.call(served.arbiter._put, {"key": client.b64("/f/members/x"), "value": client.b64("{")})
     member.until(lambda: member.logged("arbiter.entry"))
@@ -313,16 +313,16 @@
 
 
 @pytest.mark.parametrize("path", ["/v3/kv/range", "/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive"])
-def test_nonsense_from_the_arbiter_is_counted_and_survived(make_surroundings, served, path):
+def test_unreadable_replies_of_the_store_are_counted_and_survived(make_surroundings, served, path):
     served.call(served.arbiter.nonsense.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
-    member = entering(make_surroundings, served)
+    member = enter(make_surroundings, served)
     member.until(lambda: member.context.fleet.reasons["unreadable"])
     served.call(served.arbiter.nonsense.clear)
     member.until(lambda: joined(member))
     assert not member.logged("defect")
 
 
-def test_work_goes_on_while_the_arbiter_is_gone(member, served):
+def test_requests_are_served_while_the_store_is_down(member, served):
     member.until(lambda: joined(member))
     served.do(served.arbiter.down())
     member.let_pass(1.5)
@@ -331,7 +331,7 @@
     assert member.status(asked) == 200
 
 
-def test_a_repeat_of_finished_work_gets_its_answer_and_no_hand_off(member):
+def test_a_retry_of_a_finished_request_gets_its_response_and_no_attempt(member):
     member.until(lambda: joined(member))
     asked = member.ask("buy", b"one", x_work_name="w1")
     member.serve(body=b"done")
@@ -343,7 +343,7 @@
     member.quiet()
 
 
-def test_work_without_a_name_is_as_it_was(member):
+def test_a_request_without_a_key_is_not_replicated(member):
     member.until(lambda: joined(member))
     asked = member.ask("buy", b"one")
     member.serve()
@@ -352,7 +352,7 @@
     assert not module.replicator.items and module.replicator.counts["unnamed"] == 1
 
 
-def test_operators_are_told_who_is_in_and_what_is_covered(make_surroundings, served):
+def test_operators_see_the_view_and_the_replicated_requests(make_surroundings, served):
     part = part_at(served)
     around = make_surroundings(name="n0", fleet=part, mgmt="127.0.0.1:0")
     around.until(lambda: joined(around))
@@ -371,19 +371,19 @@
     )
 
 
-def test_without_a_fleet_nobody_is_told_of_one(make_surroundings):
+def test_without_a_fleet_its_admin_call_is_unknown(make_surroundings):
     around = make_surroundings(mgmt="127.0.0.1:0")
     assert around.call("GET /_fleet") == 404
 
 
-def test_a_member_that_stops_is_out_of_the_view_before_its_process_ends(member, served):
+def test_a_member_that_stops_leaves_the_view_before_its_process_ends(member, served):
     member.until(lambda: joined(member))
     member.context.shutdown.post(STOP)
     member.until(lambda: not member.context.loop.running and not members_at(served))
 
 
 def test_two_processes_of_one_sidecar_can_both_be_linked_to(make_surroundings, served):
-    # Guards against a replacement of the process that can't start for the address that the old one holds.
+    # The process that replaces another one must start while that still listens on its address.
     part = part_at(served)
     with socket.socket() as one:
         one.bind(("127.0.0.1", 0))
@@ -406,7 +406,7 @@
             name = frame.f_code.co_name
             counts[name] = counts.get(name, 0) + 1
 
-    gc.collect()  # what stories before have left would be closed, and counted, whenever it is collected
+    gc.collect()  # objects of earlier tests would be closed, and counted, whenever they are collected
     asked = around.ask("buy", b"one", **headers)
     sys.setprofile(count)
     try:
@@ -417,11 +417,11 @@
     return counts
 
 
-def test_a_request_costs_a_sidecar_without_a_fleet_nothing_of_it(around):
+def test_a_request_at_a_sidecar_without_a_fleet_calls_none_of_its_code(around):
     assert calls_of_the_fleet(around) == {}
 
 
-def test_a_request_without_a_name_makes_no_item_at_a_member(member):
+def test_a_request_without_a_key_makes_no_record(member):
     member.until(lambda: joined(member))
     counts = calls_of_the_fleet(member)
     assert counts["_name_of"] == 1
@@ -429,10 +429,10 @@
         assert name not in counts
 
 
-# A client that has left: nothing more is sent for it, covered or not.
+# Nothing more is sent for a client that has disconnected, whether its request is replicated or not.
 
 
-def test_covered_work_whose_client_has_left_is_not_handed_off_again(make_surroundings, served):
+def test_a_replicated_request_of_a_disconnected_client_is_not_retried(make_surroundings, served):
     part = part_at(served) | {"cover": {"categories": ["move"]}}
     around = make_surroundings(name="n0", fleet=part, upstreams=2)
     around.until(lambda: joined(around))
@@ -446,7 +446,9 @@
     around.quiet(1 - i)
 
 
-def test_what_waits_for_its_keeper_is_not_sent_once_the_client_has_left(member, monkeypatch):
+def test_an_attempt_that_waits_for_its_replica_is_not_sent_once_the_client_has_disconnected(
+    member, monkeypatch
+):
     member.until(lambda: joined(member))
     waiting = []
     module = member.context.coordinator
@@ -458,12 +460,12 @@
     assert member.until(lambda: member.read(upstream)).endswith(b"on")
     client.close()
     member.until(lambda: member.logged("client.end"))
-    module.release_intent(*waiting[0])  # the keeper's word comes now
+    module.release_intent(*waiting[0])  # the replica acknowledges it now
     member.let_pass(0.05)
     assert member.read(upstream) in (None, b"end")
 
 
-def test_a_client_that_waits_is_given_the_request_decided_on_in_place_of_its_own(member):
+def test_a_client_that_waits_is_given_the_dispatched_request_in_place_of_its_own(member):
     member.until(lambda: joined(member))
     member.ask("buy", b"one", x_work_name="w1")
     member.accept()
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -1,4 +1,4 @@
-"""Variants that break a promise on purpose: a check that none of its seeds or orders catches is none."""
+"""Variants that break a promise on purpose: a check that catches none of them checks nothing."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
                 self.context.host.release_intent(request, number)
 
 
-class NoIntent(RequestReplicator):
+class AttemptsNotRecorded(RequestReplicator):
     """Attempts are released before their intents have been recorded."""
 
     placement_type = UnrecordedAttempts
@@ -48,7 +48,7 @@
         self.records.send(member, ReplicaStateFrame(frame.key, frame.epoch, KEPT, frame.number + 1))
 
 
-class NoEpoch(RequestReplicator):
+class EpochNotChecked(RequestReplicator):
     """A replica goes on acknowledging intents of an owner that it has taken over from."""
 
     replica_type = EpochIgnored
@@ -62,7 +62,7 @@
         return True
 
 
-class NoTelling(RequestReplicator):
+class GrantsBeforeSync(RequestReplicator):
     """A new coordinator grants keys before it has been told what is in flight."""
 
     views_type = AlwaysMayGrant
@@ -86,7 +86,7 @@
         super().take_over(request)
 
 
-class LeaseTrusted(RequestReplicator):
+class LeaseNeverExpires(RequestReplicator):
     """A member takes over by what it knows, however long it was paused or cut off."""
 
     views_type = AlwaysMayDecide
@@ -100,19 +100,20 @@
         """Send nothing."""
 
 
-class Forgetful(RequestReplicator):
+class ResponsesNotPassedOn(RequestReplicator):
     """A new coordinator is not told what was answered before."""
 
     completion_type = SilentCompletion
 
 
-VARIANTS = [NoIntent, NoEpoch, NoTelling, LeaseTrusted, Forgetful]
+VARIANTS = [AttemptsNotRecorded, EpochNotChecked, GrantsBeforeSync, LeaseNeverExpires, ResponsesNotPassedOn]
 
 
-class Lagging(MembershipView):
+class OutdatedView(MembershipView):
     """It names coordinators as before the cells changed."""
 
     def __init__(self, view: MembershipView, cells: int) -> None:
+        """`cells`: their count before."""
         super().__init__(view.members.values(), view.cells, view.cut_at)
         self.old = MembershipView(view.members.values(), cells)
 
@@ -121,14 +122,14 @@
         return self.old.ranks(key)
 
 
-class OldCells(RequestReplicator):
+class OutdatedCells(RequestReplicator):
     """Half of the members take a key's coordinator from the cells that were."""
 
     def view_changed(self, view: MembershipView, gap: bool) -> None:
         """Another view holds; some members see the old coordinators in it."""
         known = self.views.view
         lags = known.members and view.cells != known.cells and member_place(self.context.member_id) >> 8 & 1
-        super().view_changed(Lagging(view, known.cells) if lags else view, gap)
+        super().view_changed(OutdatedView(view, known.cells) if lags else view, gap)
 
 
 class CoordinatorSuffices(RequestPlacement):
@@ -143,7 +144,7 @@
         request.replicas = replicas
 
 
-class HomeAlone(RequestReplicator):
+class OneReplicaAwaited(RequestReplicator):
     """An owner of another cell waits for the coordinator, not for the replica that would follow it."""
 
     placement_type = CoordinatorSuffices
@@ -157,13 +158,13 @@
         return member == self.context.member_id and super().is_outside(member, request)
 
 
-class Unheard(RequestReplicator):
+class AnyCoordinatorAccepted(RequestReplicator):
     """A replica acknowledges an owner of another cell whatever coordinator that one names."""
 
     views_type = OthersInside
 
 
-CELL_VARIANTS = [OldCells, HomeAlone, Unheard]
+CELL_VARIANTS = [OutdatedCells, OneReplicaAwaited, AnyCoordinatorAccepted]
 
 
 class NoBinding(PolicyReplica):
@@ -211,6 +212,7 @@
     """A decision that is not made void by members that have come since."""
 
     def due(self) -> Transaction | float:
+        """The transaction to carry out now, without the compares of members; or when to ask again."""
         due = super().due()
         if isinstance(due, Transaction) and due.what == "decide":
             same = [one for one in due.compare if not one.prefix and not one.key.startswith("members/")]
--- /dev/null
+++ b/trials/emulated/store.py
@@ -0,0 +1,77 @@
+"""The coordination store of an emulated fleet: never wrong, but it may be unreachable."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from starlingwheel.fleet.membership import Member, MembershipView
+
+from .member import TIMEOUT, EmulatedMember
+
+if TYPE_CHECKING:
+    from .world import World
+
+LEASE = 2.0  # seconds
+RENEWAL_FRACTION = 1 / 3  # of a lease, after which it is renewed
+POLL_INTERVAL = 0.02  # seconds between two steps
+
+
+class CoordinationStore:
+    """Owns the leases and the count of cells; tells members of each view."""
+
+    def __init__(self, world: World, cells: int) -> None:
+        """`cells`: into how many the fleet is divided from the start."""
+        self.world = world
+        self.leases: dict[str, tuple[Member, float]] = {}  # by member id, with the end
+        self.cells, self.cut_at = cells, -TIMEOUT
+        self.down_until = 0.0
+        self._last_digest = -1
+
+    def enter(self, member: EmulatedMember) -> None:
+        """A member takes a lease."""
+        self.leases[member.id] = (member.member, self.world.now + LEASE)
+
+    def evict(self, member_id: str) -> None:
+        """End a lease early, as a member asks that sees another one's process gone."""
+        if self.world.now >= self.down_until:
+            self.leases.pop(member_id, None)
+
+    def divide(self, cells: int) -> None:
+        """The fleet is divided into so many cells from now on."""
+        self.cells, self.cut_at = cells, self.world.now
+
+    def step(self) -> None:
+        """Renew and end leases; tell members if the view has changed."""
+        now = self.world.now
+        if now < self.down_until:
+            return
+        for member in self.world.alive():
+            if not member.is_paused:
+                self._renew(member)
+        for member_id in [member_id for member_id, (_, until) in self.leases.items() if until <= now]:
+            del self.leases[member_id]
+        view = MembershipView((member for member, _ in self.leases.values()), self.cells, self.cut_at)
+        if view.digest != self._last_digest:
+            self._last_digest = view.digest
+            for member in self.world.alive():
+                self._send_view(member, view)
+
+    def _renew(self, member: EmulatedMember) -> None:
+        now = self.world.now
+        if member.id not in self.leases:
+            term = self.world.next_term()
+            member.member = Member(member.id, member.name, "", member.member.zone, term=term)
+            self.enter(member)
+            member.renewed_at = now
+        elif now >= member.renewed_at + LEASE * RENEWAL_FRACTION:
+            member.renewed_at = now
+            self.enter(member)
+        member.replicator.lease_until = member.renewed_at + LEASE
+
+    def _send_view(self, member: EmulatedMember, view: MembershipView) -> None:
+        """Each member gets each view, in order, in its own time."""
+        delay = self.world.rng.uniform(0.001, 0.03)
+        self.world.events.at(
+            self.world.now + delay,
+            lambda: member.run(lambda: member.replicator.view_changed(view, gap=False)),
+        )
--- /dev/null
+++ b/trials/emulated/world.py
@@ -0,0 +1,306 @@
+"""The replication of a whole fleet in emulated time: the code of `fleet/`, no sockets, hundreds of seeds.
+
+Members are stepped in one process. Links delay, cut and end; members crash, restart and pause; leases run out
+at a coordination store that is never wrong but may be unreachable. Endpoints count runs, clients retry. This
+plays the code's own decisions, not the program's sockets: for those see the trials of real processes.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import Counter, defaultdict
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from typing import Any
+
+from starlingwheel.decisions.config import RetrySafety
+from starlingwheel.fleet.frames import RecordedResponse
+from starlingwheel.fleet.replication.replicator import RequestReplicator
+from starlingwheel.fleet.replication.request import ReplicatedRequest
+
+from .events import EventQueue
+from .faults import FaultInjector, FaultRates
+from .member import DEDUPLICATION_WINDOW, TIMEOUT, EmulatedMember, Request
+from .network import HEARTBEAT_INTERVAL, Network
+from .store import POLL_INTERVAL, CoordinationStore
+
+# By turns, of the requests of a play.
+SAFETIES = (
+    RetrySafety.NON_IDEMPOTENT.value,
+    RetrySafety.IDEMPOTENT_WITH_KEY.value,
+    RetrySafety.IDEMPOTENT.value,
+)
+START_TIME = 1.0  # seconds before the first request
+CLIENT_RETRY_DELAY = 0.02  # seconds
+DEFAULT_DUPLICATE_RATE = 0.05  # part of the requests that two clients send
+REPLICATOR_COUNTS = ("given_up", "stood_in", "uncovered", "waited_out", "not_sure", "superseded", "held")
+
+
+class World:
+    """A fleet, its links, its coordination store, endpoints and clients, from one seed."""
+
+    def __init__(
+        self,
+        seed: int,
+        member_count: int = 8,
+        replicator_type: Callable[..., Any] = RequestReplicator,
+        traced_key: bytes | None = None,
+        cells: int = 1,
+    ) -> None:
+        """`traced_key`: of a request whose events are printed."""
+        self.rng = random.Random(seed)
+        self.replicator_type, self.traced_key = replicator_type, traced_key
+        self.events = EventQueue()
+        self.network = Network(self)
+        self.store = CoordinationStore(self, cells)
+        self.faults = FaultInjector(self)
+        self.members: dict[str, EmulatedMember] = {}
+        self.runs: dict[bytes, list[tuple[float, str, int]]] = defaultdict(list)
+        self.effects: dict[bytes, str] = {}
+        self.holders: dict[bytes, set[str]] = {}  # members that knew of a key's runs
+        self.all_lost: set[bytes] = set()  # ran again once all of those were lost: outside the promise
+        self.unreplicated: set[bytes] = set()  # ran with no replica: counted apart, as the promise says
+        self.responses: dict[bytes, list[tuple[float, int, int]]] = defaultdict(list)
+        self.requests: list[Request] = []
+        self.open: set[int] = set()  # numbers of requests without a response
+        self.answered_twice: list[Request] = []
+        self.log_counts: Counter[str] = Counter()
+        self._terms = 0
+        for number in range(member_count):
+            self.start(f"n{number}")
+        self.events.every(POLL_INTERVAL, self.store.step)
+        self.events.every(HEARTBEAT_INTERVAL / 2, self.network.watch)
+
+    @property
+    def now(self) -> float:
+        """Emulated time, seconds."""
+        return self.events.now
+
+    def until(self, when: float) -> None:
+        """Run until that time, seconds."""
+        self.events.run_until(when)
+
+    # Tracing.
+
+    def is_traced(self, key: bytes | None) -> bool:
+        """Events of the request of that key are printed."""
+        return self.traced_key is not None and self.traced_key == key
+
+    def print_trace(self, text: str) -> None:
+        """Print an event with the time."""
+        print(f"{self.now:.4f} {text}")
+
+    def log_event(self, member: EmulatedMember, event: str, fields: dict[str, object]) -> None:
+        """A member writes a line to its log."""
+        self.log_counts[event] += 1
+        if self.traced_key is not None and str(self.traced_key) in str(fields):
+            self.print_trace(f"{member.id} {event} {fields}")
+
+    # Processes.
+
+    def next_term(self) -> int:
+        """A number that is new with each start and each entry."""
+        self._terms += 1
+        return self._terms
+
+    def start(self, name: str) -> None:
+        """Start a member's process."""
+        member = EmulatedMember(self, name, self.next_term())
+        self.members[member.id] = member
+        self.store.enter(member)
+
+    def alive(self) -> list[EmulatedMember]:
+        """The members whose processes run or are paused."""
+        return [member for member in self.members.values() if member.alive]
+
+    def crash(self, member: EmulatedMember, restart_after: float) -> None:
+        """A process ends; another one of that name starts so many seconds later."""
+        member.alive = False
+        for link in list(member.links.values()):
+            self.network.close(link, member)
+        for request in self.requests:
+            if request.member is member and not request.end and request.number in self.open:
+                self._retry(request, "reset")
+        self.events.at(self.now + restart_after, lambda: self.start(member.name))
+        self.events.at(self.now + self.rng.uniform(0.02, 0.08), lambda: self.store.evict(member.id))
+        del self.members[member.id]
+
+    # Endpoints and clients.
+
+    def record_run(self, member: EmulatedMember, request: ReplicatedRequest, number: int, epoch: int) -> None:
+        """A request runs at an endpoint."""
+        key = request.key
+        self.runs[key].append((self.now, member.id, epoch))
+        known = self.holders.get(key)
+        if known is not None and not any(holder in self.store.leases for holder in known):
+            self.all_lost.add(key)
+        # A new coordinator does not ask an owner of another cell: what the replicas know counts.
+        view = member.replicator.view
+        outside = view.cells > 1 and request.replicas and view.cell(key) != view.cell_of(member.id)
+        self.holders[key] = {*request.replicas, *(known or ()), *(() if outside else (member.id,))}
+        if not request.replicas and len(view.members) != 1:
+            self.unreplicated.add(key)
+        if self.is_traced(key):
+            self.print_trace(f"{member.id} RUNS {number} of epoch {epoch}")
+
+    def ask(self, name: bytes, effect: str, until: float, repeat: bool = False) -> None:
+        """A client sends a request to some member, to be answered by `until`, seconds."""
+        alive = self.alive()
+        if not alive:
+            return
+        in_view = [member for member in alive if member.id in member.replicator.view]
+        member = self.rng.choice(in_view or alive)
+        self.effects[name] = effect
+        request = Request(name, effect, until, repeat, len(self.requests))
+        self.requests.append(request)
+        self.open.add(request.number)
+        request.member = member
+        if self.is_traced(name):
+            self.print_trace(f"client asks {member.id}, repeat {repeat}")
+        member.run(lambda: member.receive(request))
+        self.events.at(until, lambda: self._time_out(request))
+
+    def _time_out(self, request: Request) -> None:
+        if not request.end:
+            request.end = "late"
+            self.open.discard(request.number)
+
+    def respond(self, request: Request, response: RecordedResponse) -> None:
+        """A client gets a response."""
+        if request.end:
+            if request.end.isdigit():
+                self.answered_twice.append(request)
+            return
+        request.end = str(response.status)
+        self.open.discard(request.number)
+        if self.is_traced(request.name):
+            self.print_trace(f"answer {response.status} for try {request.number}")
+        self.responses[request.name].append((self.now, response.status, request.number))
+        if response.status == 503:
+            self._retry(request, "503", max(response.retry_after, CLIENT_RETRY_DELAY))
+
+    def _retry(self, request: Request, end: str, delay: float = CLIENT_RETRY_DELAY) -> None:
+        """A client sends its request again, if there is time left."""
+        request.end = request.end or end
+        self.open.discard(request.number)
+        if self.now + delay < request.until - CLIENT_RETRY_DELAY:
+            self.events.at(
+                self.now + delay,
+                lambda: self.ask(request.name, request.effect, request.until, repeat=True),
+            )
+
+    # Playing.
+
+    def play(
+        self,
+        seconds: float,
+        rate: float,
+        faults: FaultRates,
+        duplicate_rate: float = DEFAULT_DUPLICATE_RATE,
+        divisions: Iterable[int] = (),
+    ) -> None:
+        """So many requests a second for so long, with faults; then what is open comes to its end.
+
+        `duplicate_rate`: part of the requests that another client sends too. `divisions`: into how many cells
+        the fleet is divided, one after another, in equal parts of that time.
+        """
+        start = self.now + START_TIME
+        self.until(start)
+        for number in range(int(rate * seconds)):
+            self._schedule_request(number, start + number / rate, duplicate_rate)
+        self.faults.schedule(faults, start, seconds)
+        divisions = list(divisions)
+        for number, cells in enumerate(divisions):
+            at = start + (number + self.rng.random()) * seconds / len(divisions)
+            self._schedule_division(at, cells)
+        self.until(start + seconds + 2 * TIMEOUT)
+
+    def _schedule_request(self, number: int, at: float, duplicate_rate: float) -> None:
+        name, effect = f"w{number}".encode(), SAFETIES[number % len(SAFETIES)]
+
+        def ask() -> None:
+            self.ask(name, effect, at + TIMEOUT)
+
+        self.events.at(at, ask)
+        if self.rng.random() < duplicate_rate:
+            # Another client with that key, at the same moment or later.
+            self.events.at(at + self.rng.choice((0.0, self.rng.uniform(0, TIMEOUT / 2))), ask)
+
+    def _schedule_division(self, at: float, cells: int) -> None:
+        self.events.at(at, lambda: self.store.divide(cells))
+
+    # Verdicts.
+
+    def broken(self) -> list[str]:
+        """Promises that were not kept, from what endpoints and clients saw."""
+        broken = [f"answered twice: {r.name!r} try {r.number}" for r in self.answered_twice]
+        for name, runs in self.runs.items():
+            effect = self.effects[name]
+            if name in self.unreplicated or name in self.all_lost:
+                continue
+            if effect == RetrySafety.NON_IDEMPOTENT.value and len(runs) > 1:
+                broken.append(f"once: {name!r} ran {len(runs)} times: {runs}")
+            span = runs[-1][0] - runs[0][0]
+            if (
+                effect == RetrySafety.IDEMPOTENT_WITH_KEY.value
+                and runs[-1][0] > runs[0][0] + DEDUPLICATION_WINDOW
+            ):
+                broken.append(f"ticketed: {name!r} ran again after {span:.3f} s")
+        for name, responses in self.responses.items():
+            if any(status == 200 for _, status, _ in responses) and name not in self.runs:
+                broken.append(f"no such answer: {name!r}: {responses}")
+        return broken
+
+    def finished(self, names: Iterable[bytes]) -> int:
+        """How many of those requests were answered with success."""
+        return sum(any(status == 200 for _, status, _ in self.responses[name]) for name in names)
+
+    def counts(self) -> dict[str, int]:
+        """What happened, by kind."""
+        ends = Counter(request.end or "open" for request in self.requests)
+        names = list(self.effects)
+        counts = {"work": len(names), "finished": self.finished(names), **dict(sorted(ends.items()))}
+        exclusive = RetrySafety.NON_IDEMPOTENT.value
+        twice = [n for n in self.unreplicated if self.effects[n] == exclusive and len(self.runs[n]) > 1]
+        counts |= {"ran uncovered": len(self.unreplicated), "of these exclusive, twice": len(twice)}
+        counts["all lost"] = len(self.all_lost)
+        counts["frames"] = sum(self.network.frames.values())
+        return counts | dict(sorted(self.log_counts.items()))
+
+    def cell_counts(self) -> dict[str, int]:
+        """What happened in a fleet of several cells."""
+        counts = {"links, most": self.network.max_links, "told": self.network.frames["ViewSyncedFrame"]}
+        replicators = [member.replicator for member in self.alive()]
+        for name in REPLICATOR_COUNTS:
+            counts[name] = sum(replicator.counts[name] for replicator in replicators)
+        return counts
+
+
+@dataclass
+class Outcome:
+    """What a play has counted, and the promises that it has broken."""
+
+    seed: int
+    counts: dict[str, int] = field(default_factory=dict)
+    broken: list[str] = field(default_factory=list)
+
+
+def play(
+    seed: int,
+    member_count: int = 8,
+    seconds: float = 6.0,
+    rate: float = 150.0,
+    faults: FaultRates | None = None,
+    replicator_type: Callable[..., Any] = RequestReplicator,
+    traced_key: bytes | None = None,
+    duplicate_rate: float = DEFAULT_DUPLICATE_RATE,
+    cells: int = 1,
+    divisions: Iterable[int] = (),
+) -> Outcome:
+    """Play one seed; `replicator_type` may be a broken variant that the checks must catch."""
+    world = World(seed, member_count, replicator_type, traced_key, cells)
+    world.play(seconds, rate, faults or FaultRates(), duplicate_rate, divisions)
+    counts = world.counts()
+    if cells > 1 or divisions:
+        counts |= world.cell_counts()
+    return Outcome(seed, counts, world.broken())
