--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -35,16 +35,16 @@
     term: int = 0
 
 
-def place(name: bytes) -> int:
+def hash_position(name: bytes) -> int:
     """The hash of a name; modulo the count of cells it is the name's cell."""
     return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest(), "big")
 
 
 @functools.lru_cache(maxsize=1 << 14)
-def member_place(member: str) -> int:
+def member_position(member: str) -> int:
     """The hash of a member: of its name, so that a restart comes back to its cell."""
     name, _, _ = member.rpartition(".")
-    return place((name or member).encode())
+    return hash_position((name or member).encode())
 
 
 def digest(lines: Iterable[str]) -> int:
@@ -63,10 +63,12 @@
         self.digest = digest(lines if cells == 1 else [*lines, f"cells {cells}"])
         self._best_ranked: dict[bytes, list[str]] = {}  # by key: its coordinator and the successor
         # Members by id, of each cell that has any.
-        self.groups: dict[int, dict[str, Member]] = {0: self.members} if cells == 1 and self.members else {}
+        self.members_by_cell: dict[int, dict[str, Member]] = (
+            {0: self.members} if cells == 1 and self.members else {}
+        )
         if cells > 1:
             for member in self.members.values():
-                self.groups.setdefault(member_place(member.id) % cells, {})[member.id] = member
+                self.members_by_cell.setdefault(member_position(member.id) % cells, {})[member.id] = member
         self._cell_digests: dict[int, int] = {}
 
     def __contains__(self, member: object) -> bool:
@@ -77,35 +79,35 @@
 
     def cell(self, key: bytes) -> int:
         """The cell that is responsible for a key: the key's own, or the next that has members."""
-        return self.cell_at(place(key)) if self.cells > 1 else 0
+        return self.cell_at(hash_position(key)) if self.cells > 1 else 0
 
     def cell_at(self, position: int) -> int:
-        """The cell that is responsible for a key of that hash (`place`)."""
+        """The cell that is responsible for a key of that hash (`hash_position`)."""
         return self._next_with_members(position % self.cells) if self.cells > 1 else 0
 
     def cell_of(self, member: str) -> int:
         """The cell of a member, also of one that is not in the view."""
-        return member_place(member) % self.cells if self.cells > 1 else 0
+        return member_position(member) % self.cells if self.cells > 1 else 0
 
     def _next_with_members(self, cell: int) -> int:
-        while self.groups and cell not in self.groups:
+        while self.members_by_cell and cell not in self.members_by_cell:
             cell = (cell + 1) % self.cells
         return cell
 
     def of_cell(self, cell: int) -> dict[str, Member]:
         """The members of a cell, by id."""
-        return self.groups.get(cell, {})
+        return self.members_by_cell.get(cell, {})
 
-    def beside(self, cell: int) -> dict[str, Member]:
+    def fallback_members(self, cell: int) -> dict[str, Member]:
         """The members of the next cell, if this one has a single member: they take over after its loss."""
-        alone = self.cells > 1 and len(self.of_cell(cell)) == 1 < len(self.groups)
+        alone = self.cells > 1 and len(self.of_cell(cell)) == 1 < len(self.members_by_cell)
         return self.of_cell(self._next_with_members((cell + 1) % self.cells)) if alone else {}
 
-    def span(self, cell: int) -> Iterator[int]:
+    def served_cells(self, cell: int) -> Iterator[int]:
         """The cells for whose keys that one is responsible: itself, and the empty ones before it."""
         yield cell
         previous = (cell - 1) % self.cells
-        while previous != cell and previous not in self.groups:
+        while previous != cell and previous not in self.members_by_cell:
             yield previous
             previous = (previous - 1) % self.cells
 
@@ -120,7 +122,7 @@
         known = self._cell_digests.get(cell)
         if known is None:
             lines = [f"{m.id} {m.term}" for m in self.of_cell(cell).values()]
-            lines.append(f"cell {cell} of {self.cells}, with {sum(1 for _ in self.span(cell))}")
+            lines.append(f"cell {cell} of {self.cells}, with {sum(1 for _ in self.served_cells(cell))}")
             known = self._cell_digests[cell] = digest(lines)
         return known
 
@@ -129,10 +131,12 @@
         if self.cells == older.cells == 1:
             return set(older.members)
         fewer = min(self.cells, older.cells)
-        ours = {one % fewer for one in self.span(cell)}
+        ours = {one % fewer for one in self.served_cells(cell)}
         older_cells = (one + fewer * turn for one in ours for turn in range(older.cells // fewer))
         responsible = {older.cell_at(one) for one in older_cells}
-        return {member for one in responsible for member in (*older.of_cell(one), *older.beside(one))}
+        return {
+            member for one in responsible for member in (*older.of_cell(one), *older.fallback_members(one))
+        }
 
     # Coordinators and replicas.
 
@@ -149,7 +153,7 @@
 
         cell = self.cell(key)
         ranked = sorted(self.of_cell(cell).values(), key=weight, reverse=True)
-        return ranked + sorted(self.beside(cell).values(), key=weight, reverse=True)
+        return ranked + sorted(self.fallback_members(cell).values(), key=weight, reverse=True)
 
     def home(self, key: bytes, but: str = "") -> str:
         """The key's coordinator; with `but`, the one if that member is lost. Empty: there is none."""
--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -134,7 +134,7 @@
             request.key,
             request.owner,
             request.fingerprint,
-            request.category,
+            request.request_class,
             request.effect,
             request.deadline,
             request.response,
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -134,12 +134,12 @@
         self.views.lease_until = until
 
     @property
-    def longest(self) -> float:
+    def longest_timeout(self) -> float:
         """The longest timeout of all request classes, seconds."""
         return self.context.longest_timeout
 
-    @longest.setter
-    def longest(self, longest_timeout: float) -> None:
+    @longest_timeout.setter
+    def longest_timeout(self, longest_timeout: float) -> None:
         self.context.longest_timeout = longest_timeout
 
     @property
--- a/starlingwheel/fleet/replication/request.py
+++ b/starlingwheel/fleet/replication/request.py
@@ -8,7 +8,7 @@
 
 from ...decisions.config import RetrySafety
 from ..frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame, RequestClassRecord
-from ..membership import place
+from ..membership import hash_position
 
 # Statuses of final responses.
 FINISHED, DEFERRED, KEY_REUSED, WRITTEN_OFF = 200, 503, 422, 504
@@ -47,7 +47,7 @@
 
     key: bytes
     fingerprint: bytes  # hash of the request's method, target and body
-    category: str  # name of its request class
+    request_class: str  # its name
     effect: str  # value of its `RetrySafety`
     received_at: float
     deadline: float
@@ -84,7 +84,7 @@
         return cls(
             key=frame.key,
             fingerprint=frame.mark,
-            category=frame.category,
+            request_class=frame.category,
             effect=frame.effect,
             received_at=frame.at,
             deadline=frame.until,
@@ -95,7 +95,7 @@
             owner=frame.owner,
             state=state,
             class_record=frame.rules,
-            hash_position=place(frame.key),
+            hash_position=hash_position(frame.key),
             size=len(frame.asked.body) + OVERHEAD,
         )
 
@@ -137,7 +137,7 @@
             self.epoch,
             asks,
             self.fingerprint,
-            self.category,
+            self.request_class,
             self.effect,
             self.received_at,
             self.deadline,
--- a/starlingwheel/fleet/replication/takeover.py
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -147,7 +147,7 @@
         self.context.host.log_event(
             "cover.taken_over",
             former=former,
-            category=request.category,
+            category=request.request_class,
             may_have_run=sum(not intent.fate for intent in request.intents),
             left=time_left,
         )
--- a/starlingwheel/fleet/replication/views.py
+++ b/starlingwheel/fleet/replication/views.py
@@ -109,7 +109,7 @@
     def has_remote_replicas(self, request: ReplicatedRequest) -> bool:
         """The replicas of a request that we own are not, or not all, of our cell."""
         cell = self.view.cell_at(request.hash_position)
-        return self.is_outside(self.context.member_id, request) or bool(self.view.beside(cell))
+        return self.is_outside(self.context.member_id, request) or bool(self.view.fallback_members(cell))
 
     def agrees_on_coordinator(self, member: str, request: ReplicatedRequest, coordinator: str) -> bool:
         """That member, of another cell, names the coordinator that we do."""
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -87,7 +87,7 @@
         self.name_header = part.name_header.encode()
         self.replicator.count = part.keepers
         # Never lowered: requests that were accepted under a longer timeout must not be forgotten early.
-        self.replicator.longest = max(self.replicator.longest, self.context.longest_timeout)
+        self.replicator.longest_timeout = max(self.replicator.longest_timeout, self.context.longest_timeout)
 
     def retuned(self, terms: BalancerConfig) -> None:
         """Use another configuration of the decisions from the next message on."""
@@ -237,7 +237,7 @@
         if item.class_record:
             request_class = item.class_record.request_class()
         else:
-            request_class = self.context.request_class_for(item.category, RetrySafety(item.effect))
+            request_class = self.context.request_class_for(item.request_class, RetrySafety(item.effect))
         if request_class is None:
             self._fail(item)
             return
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -62,7 +62,7 @@
     view = MembershipView(members(5), 8)
     for key in KEYS:
         order = view.ranks(key)
-        assert order and (len(order) > 1 or len(view.groups) == 1)
+        assert order and (len(order) > 1 or len(view.members_by_cell) == 1)
         if len(view.of_cell(view.cell(key))) == 1:
             left = MembershipView([m for m in view.members.values() if m.id != order[0].id], 8)
             assert left.home(key) == order[1].id
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -6,7 +6,7 @@
 from math import inf
 
 from starlingwheel.fleet.frames import KEPT, AttemptIntentFrame, ReplicaStateFrame
-from starlingwheel.fleet.membership import Member, MembershipView, member_place
+from starlingwheel.fleet.membership import Member, MembershipView, member_position
 from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.records import Transaction
 from starlingwheel.fleet.replication.completion import RequestCompletion
@@ -128,7 +128,9 @@
     def view_changed(self, view: MembershipView, gap: bool) -> None:
         """Another view holds; some members see the old coordinators in it."""
         known = self.views.view
-        lags = known.members and view.cells != known.cells and member_place(self.context.member_id) >> 8 & 1
+        lags = (
+            known.members and view.cells != known.cells and member_position(self.context.member_id) >> 8 & 1
+        )
         super().view_changed(OutdatedView(view, known.cells) if lags else view, gap)
 
 
