--- a/starlingwheel/net/lifecycle/sidecar.py
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -16,8 +16,8 @@
 from ..coordinator import RequestCoordinator
 from ..discovery.client import DiscoveryClient
 from ..gossip.socket import GossipSocket
-from ..http.client_connection import ClientListener
-from ..http.pool import Http1Connection
+from ..http.http1 import Http1Connection
+from ..http.listener import ClientListener
 from ..state.siblings import SiblingProcesses
 from .config import ConfigError, SidecarConfig, load_config
 from .shutdown import ClientDrainer, ShutdownController
