--- a/starlingwheel/decisions/load.py
+++ b/starlingwheel/decisions/load.py
@@ -105,7 +105,7 @@
             self._reported = sum(stats.requests_held for stats in self.endpoints.by_id.values())
 
     def note_report(self, stats: EndpointStats, report: dict[str, float]) -> None:
-        """Take over a load report, by the names of `settings.REPORTED`."""
+        """Take over a load report, by the names of `settings.LOAD_REPORT_FIGURES`."""
         held, busy = report.get("held"), report.get("busy")
         if held is not None and busy is not None:
             self._note_busy(held, busy)
--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -94,14 +94,14 @@
             cell = (cell + 1) % self.cells
         return cell
 
-    def of_cell(self, cell: int) -> dict[str, Member]:
+    def members_of_cell(self, cell: int) -> dict[str, Member]:
         """The members of a cell, by id."""
         return self.members_by_cell.get(cell, {})
 
     def fallback_members(self, cell: int) -> dict[str, Member]:
         """The members of the next cell, if this one has a single member: they take over after its loss."""
-        alone = self.cells > 1 and len(self.of_cell(cell)) == 1 < len(self.members_by_cell)
-        return self.of_cell(self._next_with_members((cell + 1) % self.cells)) if alone else {}
+        alone = self.cells > 1 and len(self.members_of_cell(cell)) == 1 < len(self.members_by_cell)
+        return self.members_of_cell(self._next_with_members((cell + 1) % self.cells)) if alone else {}
 
     def served_cells(self, cell: int) -> Iterator[int]:
         """The cells for whose keys that one is responsible: itself, and the empty ones before it."""
@@ -113,7 +113,7 @@
 
     def peers(self, member_id: str) -> list[str]:
         """The other members of a member's cell."""
-        return [member for member in self.of_cell(self.cell_of(member_id)) if member != member_id]
+        return [member for member in self.members_of_cell(self.cell_of(member_id)) if member != member_id]
 
     def digest_of(self, cell: int) -> int:
         """Names the cell as this view has it: who agrees on it agrees on the coordinator of each key."""
@@ -121,7 +121,7 @@
             return self.digest
         known = self._cell_digests.get(cell)
         if known is None:
-            lines = [f"{m.id} {m.term}" for m in self.of_cell(cell).values()]
+            lines = [f"{m.id} {m.term}" for m in self.members_of_cell(cell).values()]
             lines.append(f"cell {cell} of {self.cells}, with {sum(1 for _ in self.served_cells(cell))}")
             known = self._cell_digests[cell] = digest(lines)
         return known
@@ -135,7 +135,9 @@
         older_cells = (one + fewer * turn for one in ours for turn in range(older.cells // fewer))
         responsible = {older.cell_at(one) for one in older_cells}
         return {
-            member for one in responsible for member in (*older.of_cell(one), *older.fallback_members(one))
+            member
+            for one in responsible
+            for member in (*older.members_of_cell(one), *older.fallback_members(one))
         }
 
     # Coordinators and replicas.
@@ -152,7 +154,7 @@
             return hashlib.blake2b(member.id.encode(), digest_size=8, key=key_hash).digest()
 
         cell = self.cell(key)
-        ranked = sorted(self.of_cell(cell).values(), key=weight, reverse=True)
+        ranked = sorted(self.members_of_cell(cell).values(), key=weight, reverse=True)
         return ranked + sorted(self.fallback_members(cell).values(), key=weight, reverse=True)
 
     def home(self, key: bytes, but: str = "") -> str:
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -143,12 +143,12 @@
         self.context.longest_timeout = longest_timeout
 
     @property
-    def count(self) -> int:
+    def replica_count(self) -> int:
         """Replicas per request."""
         return self.context.replica_count
 
-    @count.setter
-    def count(self, replica_count: int) -> None:
+    @replica_count.setter
+    def replica_count(self, replica_count: int) -> None:
         self.context.replica_count = replica_count
 
     @property
@@ -157,12 +157,12 @@
         return self.context.counts
 
     @property
-    def items(self) -> dict[bytes, ReplicatedRequest]:
+    def requests(self) -> dict[bytes, ReplicatedRequest]:
         """The requests that are known here, by key."""
         return self.table.requests
 
     @property
-    def kept_bytes(self) -> int:
+    def used_bytes(self) -> int:
         """Memory that they take, bytes."""
         return self.table.used_bytes
 
@@ -182,7 +182,7 @@
         return self.views.digest
 
     @property
-    def settled_now(self) -> bool:
+    def is_synced(self) -> bool:
         """All members have sent what they own under the view that holds."""
         return self.views.is_synced
 
@@ -339,11 +339,13 @@
         """Have an intent recorded; the host's `release_intent` or `cancel_intent` follows."""
         self.owner.record_intent(request, number)
 
-    def ended(self, request: ReplicatedRequest, number: int, outcome: str) -> None:
+    def attempt_not_run(self, request: ReplicatedRequest, number: int, outcome: str) -> None:
         """An attempt is known never to have run."""
         self.owner.attempt_not_run(request, number, outcome)
 
-    def answered(self, request: ReplicatedRequest, response: RecordedResponse) -> RecordedResponse | None:
+    def finish_request(
+        self, request: ReplicatedRequest, response: RecordedResponse
+    ) -> RecordedResponse | None:
         """The host's decisions have a final response.
 
         Returns what its client is to get; None: `ReplicationHost.answer` follows.
--- a/starlingwheel/fleet/replication/views.py
+++ b/starlingwheel/fleet/replication/views.py
@@ -83,7 +83,7 @@
 
     def own_cell(self) -> dict[str, Member]:
         """The members of our cell."""
-        return self.view.of_cell(self.view.cell_of(self.context.member_id))
+        return self.view.members_of_cell(self.view.cell_of(self.context.member_id))
 
     def coordinator_of(self, request: ReplicatedRequest) -> str:
         """The member that grants the request."""
--- a/starlingwheel/net/admin/call.py
+++ b/starlingwheel/net/admin/call.py
@@ -13,7 +13,7 @@
 
 from ..actor import Actor, Coroutine
 from ..context import SidecarContext
-from ..http.stream import ConnectionLostError, Stream, two_lengths
+from ..http.stream import ConnectionLostError, Stream, has_conflicting_lengths
 from ..loop import READ, WRITE
 from ..messages import CLOSE
 from ..state.overrides import OverridesLockedError
@@ -83,12 +83,12 @@
 
     def _read(self, until: float) -> Coroutine[tuple[h11.Request, bytes]]:
         request, body = None, b""
-        self.stream.want(READ)
+        self.stream.wait_for(READ)
         while True:
             event = self._next_event()
             if isinstance(event, h11.Request):
                 request = event
-                if two_lengths(event.headers):
+                if has_conflicting_lengths(event.headers):
                     raise CallRejectedError(HTTPStatus.BAD_REQUEST, "two lengths")
             elif isinstance(event, h11.Data) and request is not None:
                 body += bytes(event.data)
@@ -104,7 +104,7 @@
 
     def _next_event(self) -> object:
         try:
-            return self.stream.event()
+            return self.stream.next_event()
         except ConnectionLostError as lost:
             raise CallRejectedError(HTTPStatus.BAD_REQUEST, str(lost)) from lost
 
@@ -115,7 +115,7 @@
 
     def _receive(self, until: float, begun: bool) -> Coroutine[None]:
         """Wait for more of the request, `until` at the latest."""
-        self.stream.invite()
+        self.stream.send_continue()
         message = yield until
         if message is CLOSE:
             raise ConnectionLostError("not-needed")
@@ -161,7 +161,7 @@
         self.stream.put(h11.EndOfMessage())
         until = self.loop.now() + RESPONSE_TIMEOUT
         while not self.stream.write():
-            self.stream.want(WRITE)
+            self.stream.wait_for(WRITE)
             if (yield until) is None:
                 raise ConnectionLostError("slow-reader")
         # Answered: it is closed to make room before those that have not called yet.
--- a/starlingwheel/net/admin/listener.py
+++ b/starlingwheel/net/admin/listener.py
@@ -51,7 +51,7 @@
 
     def _accept(self) -> None:
         # Calls closed to make room give their descriptors back by the next turn: until then both are open.
-        for _ in range(min(MAX_ACCEPTS_PER_TURN, self.context.connections.calls)):
+        for _ in range(min(MAX_ACCEPTS_PER_TURN, self.context.connections.admin_call_limit)):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
@@ -59,7 +59,7 @@
             except OSError as error:
                 self.context.log("accept.failed", error=str(error))
                 return
-            if len(self.calls) >= self.context.connections.calls:
+            if len(self.calls) >= self.context.connections.admin_call_limit:
                 self._close_oldest()
             AdminCall(self.context, self, sock).begin()
 
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -115,9 +115,9 @@
             self.scheduler.tick()
 
     def _client_disconnected(self, pending: PendingRequest) -> None:
-        if not pending.owed:
+        if not pending.awaits_response:
             return
-        pending.owed = False
+        pending.awaits_response = False
         self.counts["left"] += 1
         self.scheduler.client_disconnected(pending.request)
         self._forget_if_finished(pending)
@@ -137,14 +137,16 @@
         del pending.exchanges[attempt]
         if not outcome.never_ran:
             pending.may_have_run = True
-            pending.risky_since = min(pending.risky_since, exchange.started_at)
+            pending.first_risky_at = min(pending.first_risky_at, exchange.started_at)
         if response is not None:
-            if pending.owed:
+            if pending.awaits_response:
                 self._send_final_response(pending, FinalResponse(200, response), "finished")
             else:
                 response.body.release()
         try:
-            self.scheduler.attempt_ended(AttemptEnded(attempt, outcome, took, not pending.owed, load_report))
+            self.scheduler.attempt_ended(
+                AttemptEnded(attempt, outcome, took, not pending.awaits_response, load_report)
+            )
         finally:
             self._forget_if_finished(pending)
 
@@ -156,7 +158,7 @@
         for endpoint in endpoints:
             self._update_pool(endpoint)
         self.has_endpoints = self.has_endpoints or bool(self.pools)
-        self.scheduler.endpoints_changed(event, [endpoint.listing() for endpoint in endpoints])
+        self.scheduler.endpoints_changed(event, [endpoint.to_endpoint() for endpoint in endpoints])
         if not self.has_started:
             # From the first list on: before that there is nothing to watch, poll or check.
             self.has_started = True
@@ -255,13 +257,13 @@
     # Requests in flight.
 
     def _send_final_response(self, pending: PendingRequest, response: FinalResponse, counted_as: str) -> None:
-        pending.owed = False
+        pending.awaits_response = False
         self.counts[counted_as] += 1
         pending.client.post(response)
 
     def _abandon_request(self, pending: PendingRequest) -> None:
         """Answer a request that can't be decided on, because of an error, and cancel its exchanges."""
-        if pending.owed:
+        if pending.awaits_response:
             self.context.log(
                 "work.given_up",
                 trace=pending.trace.decode("latin-1"),
@@ -273,7 +275,7 @@
         self._forget_if_finished(pending)
 
     def _forget_if_finished(self, pending: PendingRequest) -> None:
-        if pending.owed or pending.exchanges:
+        if pending.awaits_response or pending.exchanges:
             return
         if self.pending_requests.pop(pending.request, None) is not None:
             pending.body.release()
--- a/starlingwheel/net/discovery/messages.py
+++ b/starlingwheel/net/discovery/messages.py
@@ -30,7 +30,7 @@
     weight: float = 1.0
     started_ms: float | None = 0  # milliseconds since 1970; 0 or null: unknown
 
-    def listing(self) -> Endpoint:
+    def to_endpoint(self) -> Endpoint:
         """Return the entry as the decisions take it.
 
         It has no address: addresses differ from sidecar to sidecar, and decisions know endpoints by id.
--- a/starlingwheel/net/discovery/watch.py
+++ b/starlingwheel/net/discovery/watch.py
@@ -108,9 +108,9 @@
         stream = self._connect()
         answer_due = self.loop.now() + self.answer_timeout
         yield from self._send_request(stream, answer_due)
-        stream.want(READ)
+        stream.wait_for(READ)
         while True:
-            event = stream.event()
+            event = stream.next_event()
             if event is h11.NEED_DATA:
                 self._note_incomplete(stream)
                 answering = stream.http.their_state is not h11.SEND_RESPONSE
@@ -127,12 +127,12 @@
     def _connect(self) -> Stream:
         sock = connect(self.address)
         self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
-        self.stream.want(WRITE)
+        self.stream.wait_for(WRITE)
         return self.stream
 
     def _send_request(self, stream: Stream, answer_due: float) -> Coroutine[None]:
         yield from self._wait(answer_due)
-        stream.came_up()
+        stream.check_connected()
         target = f"/v1/endpoints?watch=1&from={self.version}"
         headers = [(b"Host", self.address.encode())]
         stream.put(h11.Request(method=b"GET", target=target, headers=headers), h11.EndOfMessage())
--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -26,9 +26,9 @@
 
     def write(self, exchange: Exchange) -> Coroutine[None]:
         """Write what has been put, its last byte only after the release; raises `ConnectionLostError`."""
-        gate = self.context.coordinator.gates.get(exchange)
-        if gate is not None and not gate.open and exchange.flow is None:
-            last = self.stream.keep_last()
+        gate = self.context.coordinator.held_attempts.get(exchange)
+        if gate is not None and not gate.open and exchange.body_stream is None:
+            last = self.stream.take_last_byte()
             yield from super().write(exchange)
             yield from self._wait_for_release(exchange, gate)
             self.stream.unwritten.append(last)
@@ -39,7 +39,7 @@
 
         Otherwise nobody would know of its effect once this sidecar is lost.
         """
-        self.stream.want(READ)
+        self.stream.wait_for(READ)
         while not gate.open:
             message = yield exchange.deadline
             if isinstance(message, ExchangeReleased) and message.exchange is exchange:
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -79,22 +79,22 @@
             context.log,
         )
         RequestCoordinator.__init__(self, context)
-        self.cover_by(config.cover)
+        self.replication_config_changed(config.cover)
 
-    def cover_by(self, part: ReplicationConfig) -> None:
+    def replication_config_changed(self, part: ReplicationConfig) -> None:
         """Replicate by another configuration; requests that are replicated already stay so."""
         self.replicated_classes = frozenset(part.categories)
         self.name_header = part.name_header.encode()
-        self.replicator.count = part.keepers
+        self.replicator.replica_count = part.keepers
         # Never lowered: requests that were accepted under a longer timeout must not be forgotten early.
         self.replicator.longest_timeout = max(self.replicator.longest_timeout, self.context.longest_timeout)
 
-    def retuned(self, terms: BalancerConfig) -> None:
+    def balancer_config_changed(self, terms: BalancerConfig) -> None:
         """Use another configuration of the decisions from the next message on."""
         self.scheduler.reload(terms)
 
     def _handle(self, message: object) -> None:
-        if not self.hosted(message, self.scheduler.now):
+        if not self.handle_fleet_message(message, self.scheduler.now):
             match message:
                 case RequestReceived(pending):
                     self._request_received(pending, message)
@@ -171,7 +171,7 @@
                 self.context.log("cover.other", category=pending.request.request_class.name)
                 self._respond(pending, RecordedResponse(KEY_REUSED))
             case BeginResult.WAIT:
-                if pending.owed:
+                if pending.awaits_response:
                     self.replicated[pending.request] = request
 
     def _replicate_frame(self, pending: PendingRequest, name: bytes) -> ReplicateFrame:
@@ -205,7 +205,7 @@
 
     def _client_disconnected(self, pending: PendingRequest, request: ReplicatedRequest) -> None:
         forgotten = self.replicator.client_disconnected(request, pending)
-        if not forgotten and pending.request in self.pending_requests and pending.owed:
+        if not forgotten and pending.request in self.pending_requests and pending.awaits_response:
             # A retry with its name gets its response, so attempts that are written go on with nobody waiting.
             # For a client that is gone nothing more is started, nor finished that is not written yet.
             pending.client = DISCONNECTED_CLIENT
@@ -217,7 +217,7 @@
         if pending.request in self.pending_requests:
             super()._handle(ClientDisconnected(pending))
         else:
-            pending.owed = False
+            pending.awaits_response = False
             pending.body.release()
 
     # What the replicator asks for.
@@ -271,7 +271,7 @@
             # What its client does to the former request concerns this one.
             item.waiting_clients[pending] = item.waiting_clients.pop(former)
             self.replicated.pop(former.request, None)
-            former.owed = False
+            former.awaits_response = False
             former.body.release()
             if client.pending is former:
                 client.pending = pending
@@ -285,7 +285,7 @@
         for client in list(item.waiting_clients):
             self._respond(client, response)
         item.waiting_clients.clear()
-        self.replicator.answered(item, response)
+        self.replicator.finish_request(item, response)
 
     def answer(self, item: ReplicatedRequest, client: PendingRequest, reply: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
@@ -326,9 +326,9 @@
         response: UpstreamResponse | None,
     ) -> None:
         self.zone_controller.ended(exchange, outcome, self.scheduler.now)
-        held = self.unhold(exchange)
+        held = self.release_hold(exchange)
         if held is not None and (outcome.never_ran or not (held.open and exchange.written)):
-            self.replicator.ended(held.item, held.number, outcome.value)
+            self.replicator.attempt_not_run(held.item, held.number, outcome.value)
         super()._exchange_ended(exchange, outcome, load_report, response)
 
     def _send_final_response(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
@@ -338,9 +338,9 @@
             return
         until = request.waiting_clients.pop(pending, inf)
         recorded = recorded_response(final)
-        response = self.replicator.answered(request, recorded)
+        response = self.replicator.finish_request(request, recorded)
         if response is None:
-            pending.owed = False
+            pending.awaits_response = False
             if pending.client is not DISCONNECTED_CLIENT:
                 self.replicator.wait_on(request, pending, until)
                 self.replicated[pending.request] = request
--- a/starlingwheel/net/fleet/etcd/__init__.py
+++ b/starlingwheel/net/fleet/etcd/__init__.py
@@ -6,7 +6,6 @@
 view.
 """
 
-from ..messages import LeaseRenewed
 from .errors import EtcdError, EtcdFailure, EtcdUnavailableError, UnusableReplyError
 from .http_connection import MAX_REPLY_SIZE as LONGEST
 from .lease_keeper import RENEWAL_FRACTION as RENEW
@@ -43,7 +42,6 @@
     "KeyValue",
     "LeaseGranted",
     "LeaseKeeper",
-    "LeaseRenewed",
     "MemberEvictor",
     "RangeReply",
     "StateWatcher",
--- a/starlingwheel/net/fleet/etcd/http_connection.py
+++ b/starlingwheel/net/fleet/etcd/http_connection.py
@@ -56,7 +56,7 @@
 
     def send(self, path: str, body: msgspec.Struct, deadline: float) -> Coroutine[None]:
         """Send a call, whose answer `next_event` returns."""
-        if self.stream is None or not self.stream.silent():
+        if self.stream is None or not self.stream.has_no_input():
             yield from self._open(deadline)
         stream = self._open_stream
         data = msgspec.json.encode(body)
@@ -68,9 +68,9 @@
         request = h11.Request(method=b"POST", target=path.encode(), headers=headers)
         stream.put(request, h11.Data(data=data), h11.EndOfMessage())
         while not stream.write():
-            stream.want(WRITE)
+            stream.wait_for(WRITE)
             yield from self._wait_ready(deadline)
-        stream.want(READ)
+        stream.wait_for(READ)
 
     def next_event(
         self, deadline: float, late: EtcdFailure = EtcdFailure.CALL_TIMEOUT
@@ -78,7 +78,7 @@
         """Return the next part of an answer. `late`: the reason code after the deadline."""
         stream = self._open_stream
         while True:
-            event: Any = stream.event()
+            event: Any = stream.next_event()
             if event is not h11.NEED_DATA:
                 if isinstance(event, h11.ConnectionClosed):
                     raise EtcdUnavailableError(EtcdFailure.CONNECTION_CLOSED)
@@ -114,9 +114,9 @@
         self.close()
         self.address = self.addresses[self.address_index % len(self.addresses)]
         self.stream = Stream(self.loop, self.actor, connect(self.address), h11.CLIENT, self.pool)
-        self.stream.want(WRITE)
+        self.stream.wait_for(WRITE)
         yield from self._wait_ready(deadline)
-        self.stream.came_up()
+        self.stream.check_connected()
 
     def _finish_call(self) -> None:
         """Prepare the connection for the next call, or close it where the other side ends it."""
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -90,8 +90,8 @@
             member_id, float(config.lease_s), config.zones, shortest_objective, now, scheduler, log
         )
         self.links: dict[str, Any] = {}
-        self.reaching: Callable[[str], None] = lambda member: None  # opens a link to a member
-        self.gates: dict[AttemptToken, AttemptHold] = {}
+        self.dial_link: Callable[[str], None] = lambda member: None  # opens a link to a member
+        self.held_attempts: dict[AttemptToken, AttemptHold] = {}
         self.tokens: dict[tuple[ReplicatedRequest, int], AttemptToken] = {}
         self.replicator = RequestReplicator(
             member_id, longest_timeout, config.cover.keepers, memory_limit, self, now
@@ -116,17 +116,17 @@
         """That attempt must never be written completely."""
         raise NotImplementedError
 
-    def cover_by(self, part: ReplicationConfig) -> None:
+    def replication_config_changed(self, part: ReplicationConfig) -> None:
         """Use another configuration of the replication from now on."""
         raise NotImplementedError
 
-    def retuned(self, terms: BalancerConfig) -> None:
+    def balancer_config_changed(self, terms: BalancerConfig) -> None:
         """Use another configuration of the decisions from now on."""
         raise NotImplementedError
 
     # What the fleet's actors report.
 
-    def hosted(self, message: object, now: float) -> bool:
+    def handle_fleet_message(self, message: object, now: float) -> bool:
         """Handle a message of the fleet's actors; False: it is none of these."""
         self.replicator.now = self.policy_replica.now = now
         match message:
@@ -226,13 +226,13 @@
 
     def dial(self, member: str) -> bool:
         """Open a link to a member of another cell. False: none can be opened now."""
-        self.reaching(member)
+        self.dial_link(member)
         return member in self.replicator.view
 
     def release_intent(self, request: ReplicatedRequest, number: int) -> None:
         """The attempt of that intent may be written completely."""
         if (token := self.tokens.get((request, number))) is not None:
-            self.gates[token].open = True
+            self.held_attempts[token].open = True
             self.released(token)
 
     def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
@@ -249,13 +249,13 @@
     def hold(self, token: AttemptToken, request: ReplicatedRequest, intent: AttemptIntent) -> None:
         """An attempt is to be started: `released` or `dropped` follows, perhaps at once."""
         number = self.replicator.add_intent(request, intent)
-        self.gates[token] = AttemptHold(request, number, intent.at)
+        self.held_attempts[token] = AttemptHold(request, number, intent.at)
         self.tokens[request, number] = token
         self.replicator.record_intent(request, number)
 
-    def unhold(self, token: AttemptToken) -> AttemptHold | None:
+    def release_hold(self, token: AttemptToken) -> AttemptHold | None:
         """An attempt has ended. Returns how it was held, if it was."""
-        held = self.gates.pop(token, None)
+        held = self.held_attempts.pop(token, None)
         if held is not None:
             del self.tokens[held.item, held.number]
         return held
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -94,7 +94,7 @@
         hello = HelloFrame(fleet_name, VERSION, self.member_id)
         make_heartbeat, answer_query = self.module.beat, self.policy_controller.says
         links = LinkManager(self.loop, sock, hello, self._deliver, make_heartbeat, answer_query, log, rng)
-        self.module.reaching = lambda member: links.post(DialMember(member))
+        self.module.dial_link = lambda member: links.post(DialMember(member))
         return links
 
     def begin(self) -> None:
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -85,8 +85,8 @@
             return
         config = self._balancer_config_under(policy.body, self.config)
         self.reload(keep_start_only_fields(config, self.balancer_config())[0])
-        self.module.retuned(self.balancer_config())
-        self.module.cover_by(msgspec.convert(policy.body["cover"], ReplicationConfig))
+        self.module.balancer_config_changed(self.balancer_config())
+        self.module.replication_config_changed(msgspec.convert(policy.body["cover"], ReplicationConfig))
         zones = policy.body.get("zones")
         self.module.zone_controller.configure(None if zones is None else msgspec.convert(zones, ZonesConfig))
         differing = [key for key, _, _ in document.differences(self.file, policy.body)]
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -68,17 +68,17 @@
     replicator = fleet.module.replicator
     view = replicator.view
     shard = view.cell_of(fleet.member_id)
-    shard_members = view.of_cell(shard)
+    shard_members = view.members_of_cell(shard)
     return MemberReport(
         member=fleet.member_id,
         in_view=fleet.member_id in view,
         lease_s=round(max(0.0, replicator.lease_until - fleet.loop.now()), 3),
-        settled=replicator.settled_now,
+        settled=replicator.is_synced,
         cells=ShardReport(view.cells, shard, list(shard_members), len(view.members)),
         view=list(shard_members.values()),
         links=sorted(replicator.links),
-        items=Counter(item.state.value for item in replicator.items.values()),
-        kept_bytes=replicator.kept_bytes,
+        items=Counter(item.state.value for item in replicator.requests.values()),
+        kept_bytes=replicator.used_bytes,
         counts=replicator.counts,
         reasons=fleet.reasons,
     )
--- a/starlingwheel/net/fleet/responses.py
+++ b/starlingwheel/net/fleet/responses.py
@@ -20,7 +20,7 @@
         if isinstance(message, FinalResponse) and message.response:
             message.response.body.release()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """False: attempts go on though nobody waits for them."""
         return False
 
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -87,7 +87,7 @@
             for other in pending.exchanges.values()
             if other is not exchange and other.written
         )
-        first = min(pending.risky_since, *others, inf)
+        first = min(pending.first_risky_at, *others, inf)
         window = request_class.deduplication_window
         over = self.now() >= first + max(window - HELD_UP, window / 2)
         return Refusal.WINDOW_OVER if over else None
@@ -100,11 +100,11 @@
         """
         if exchange.pending is None:
             return None
-        if not exchange.pending.owed:
+        if not exchange.pending.awaits_response:
             return Refusal.ANSWERED
         if self.now() >= exchange.deadline:
             return Refusal.TOO_LATE
-        return Refusal.CLIENT_LEFT if exchange.pending.client.has_left() else None
+        return Refusal.CLIENT_LEFT if exchange.pending.client.has_disconnected() else None
 
     def note_written(self, exchange: Exchange) -> None:
         """Count first bytes that were written too long after `refusal` let them."""
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -74,8 +74,8 @@
         )
         self.pending: PendingRequest | None = None
         context.connections.clients[self] = None
-        context.connections.unheard[self] = None
-        context.connections.note()
+        context.connections.silent_clients[self] = None
+        context.connections.update_peak()
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
@@ -90,7 +90,7 @@
         finally:
             self._close()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has disconnected, even if that has not been handled yet.
 
         In a late turn of the loop, requests are written before the end of their clients is handled.
@@ -98,7 +98,7 @@
         return (
             self.ended
             or any(isinstance(message, SocketReady) and message.hung_up for message in self.mailbox)
-            or self.stream.ended()
+            or self.stream.peer_has_closed()
         )
 
     def undelivered(self, message: object) -> None:
@@ -129,7 +129,7 @@
             self.context.log("request.unfit", status=status, reason=CloseReason.NO_BUFFERS)
         finally:
             self._release_body(accepted)
-            self.context.connections.whole(self)
+            self.context.connections.note_request_complete(self)
         # A client whose requests are rejected has to connect anew: it must not repeat them at full speed.
         yield from self._respond(status, final, close=final is None and status != 200)
         self.response_count += 1
@@ -140,7 +140,7 @@
         pending = parse_request(request, body, self, self.context, self.last_read_at)
         if self.body_stream is None:
             self.body = BufferedBody(self.context.buffer_pool)
-        if self.has_left():
+        if self.has_disconnected():
             pending.body.release()
             raise ConnectionLostError(CloseReason.CLIENT_LEFT)
         return pending
@@ -161,7 +161,7 @@
         self._await_request()
         while True:
             try:
-                event = self.stream.event()
+                event = self.stream.next_event()
             except ConnectionLostError as error:
                 raise InvalidRequestError(400, str(error)) from error
             if isinstance(event, h11.Request):
@@ -179,7 +179,7 @@
                 self.reason = CloseReason.CLIENT_CLOSED
                 return None
             else:
-                self.stream.invite()
+                self.stream.send_continue()
                 if not (yield from self._receive()):
                     return None
 
@@ -188,7 +188,7 @@
         self.stream.read_size = BUFFER_SIZE
         pipelined = self.stream.http.trailing_data[0]
         self.request_started_at = self.loop.now() if pipelined else None
-        self.stream.want(READ)
+        self.stream.wait_for(READ)
         if self.request_started_at is None and self.response_count:
             self.context.connections.idle_clients[self] = None
 
@@ -201,7 +201,7 @@
     def _receive(self) -> Coroutine[bool]:
         """Wait for more of a request and read it; False: the connection ends here."""
         while True:
-            if self.idle_reason and self.request_started_at is None and self.stream.silent():
+            if self.idle_reason and self.request_started_at is None and self.stream.has_no_input():
                 self.reason = self.idle_reason
                 return False
             message = yield self._read_deadline()
@@ -230,7 +230,7 @@
         if message is STOP:
             self.idle_reason = CloseReason.STOPPING
             return
-        if not self.response_count and self.request_started_at is not None and self.stream.silent():
+        if not self.response_count and self.request_started_at is not None and self.stream.has_no_input():
             raise ConnectionLostError(CloseReason.NOT_NEEDED)
         self.idle_reason = self.idle_reason or CloseReason.NOT_NEEDED
 
@@ -245,7 +245,7 @@
         if count:
             self.last_read_at = self.loop.now()
             if not self.response_count:
-                self.context.connections.heard(self)
+                self.context.connections.note_request_part(self)
             if self.request_started_at is None:
                 self.request_started_at = self.last_read_at
                 self.context.connections.idle_clients.pop(self, None)
@@ -277,7 +277,7 @@
         """Wait for the final response; what comes behind the request stays in the kernel's buffer."""
         self.pending = pending
         self.context.active_traces.add(pending.trace)
-        self.context.connections.whole(self)
+        self.context.connections.note_request_complete(self)
         try:
             self.context.coordinator.post(RequestReceived(pending))
             final = None
@@ -291,7 +291,7 @@
             self.context.active_traces.discard(pending.trace)
 
     def _wait_for_final(self) -> Coroutine[FinalResponse]:
-        self.stream.want(HANGUP)
+        self.stream.wait_for(HANGUP)
         while True:
             message = yield None
             if isinstance(message, FinalResponse):
@@ -325,7 +325,7 @@
     def _next_body_event(self, pending: PendingRequest, body_stream: BodyStream) -> Event:
         """Return the next event, its data added to the stream; raises `InvalidRequestError`."""
         try:
-            event = self.stream.event()
+            event = self.stream.next_event()
             if isinstance(event, h11.Data):
                 self._count_body(event.data)
                 body_stream.add(event.data)
@@ -345,12 +345,12 @@
         """Return the next message; input stays unread while there is no room for it, but for its end."""
         while not body_stream.room():
             since = self.loop.now()
-            self.stream.want(HANGUP)
+            self.stream.wait_for(HANGUP)
             message = yield None if body_stream.full else since + self.context.shortest_objective / 64
             self.paused_time += self.loop.now() - since
             if isinstance(message, FinalResponse | SocketReady):
                 return message
-        self.stream.want(READ)
+        self.stream.wait_for(READ)
         return (yield self._read_deadline())
 
     def _abandon(self, pending: PendingRequest) -> None:
@@ -365,12 +365,12 @@
         http, context = self.stream.http, self.context
         unread = http.their_state is not h11.DONE
         ending = context.stopping or context.draining or self.idle_reason is not None
-        close = close or unread or ending or context.connections.full
+        close = close or unread or ending or context.connections.is_full
         yield from self.writer.write(status, final, close)
         if close or http.our_state is not h11.DONE:
             announced = final is not None or status == 200
             self.reason = CloseReason.CLOSE_ANNOUNCED if announced else CloseReason.answered(status)
-            context.connections.leaving[self] = None
+            context.connections.answered_clients[self] = None
             yield from self.stream.finish(self.loop.now() + FINISH_TIMEOUT, MAX_DISCARDED_INPUT)
         else:
             http.start_next_cycle()
@@ -381,6 +381,6 @@
             self.context.coordinator.post(ClientDisconnected(self.pending))
         self.body.release()
         self.stream.close()
-        self.context.connections.forget_client(self)
+        self.context.connections.remove_client(self)
         reason = self.reason or CloseReason.DEFECT
         self.context.log("client.end", reason=reason, served=self.response_count)
--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -57,14 +57,14 @@
         self.idle_since = 0.0  # 0: never idle yet
         self.last_was_health_check = False
         self.endpoint = pool.entry  # as it was when this connection was begun
-        context.connections.upstream[self] = None
-        context.connections.note()
+        context.connections.to_endpoints[self] = None
+        context.connections.update_peak()
         super().__init__(context.loop)
 
     def is_usable(self) -> bool:
         """Whether a request may be written to it: the endpoint has not closed it, and will not soon."""
         fresh = self.loop.now() < idle_deadline(self.context, self.idle_since)
-        return fresh and not self.ended and self.stream.silent()
+        return fresh and not self.ended and self.stream.has_no_input()
 
     def is_quiescent(self) -> bool:
         """Whether no unsolicited response to an earlier request is to be expected any more.
@@ -113,7 +113,7 @@
         sock = connect(self.endpoint.addr)
         self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
         self.writer = self.writer_type(self.context, self.stream)
-        self.stream.want(WRITE)
+        self.stream.wait_for(WRITE)
         deadline = connect_deadline(self.context, self.loop.now())
         ready = None
         while ready is None:
@@ -127,7 +127,7 @@
                 # The exchange need not wait for this one where another has become free meanwhile.
                 self.exchange, exchange.connection = None, quiescent
                 quiescent.post(StartExchange(exchange))
-        self.stream.came_up()
+        self.stream.check_connected()
 
     # One exchange.
 
@@ -143,7 +143,7 @@
             return ExchangeResult(AttemptOutcome.NOT_SENT)
         self.pool.note_started(exchange, self.loop.now())
         yield from self.writer.send(exchange)
-        self.stream.want(READ)
+        self.stream.wait_for(READ)
         reader = self.reader = ResponseReader(self.context, self.stream, exchange, self._report)
         head = yield from reader.read()
         return self._finish_exchange(exchange, reader, head)
@@ -194,8 +194,8 @@
 
     def _check_silent(self) -> None:
         """Raise `ConnectionLostError` if anything has come that nobody waits for, even the end."""
-        if not self.stream.silent():
-            closed = self.stream.ended()
+        if not self.stream.has_no_input():
+            closed = self.stream.peer_has_closed()
             raise ConnectionLostError(CloseReason.UPSTREAM_CLOSED if closed else self._unsolicited())
 
     def _unsolicited(self) -> CloseReason:
@@ -249,6 +249,6 @@
             self.reader = None  # it refers to this connection
         if self.stream is not None:
             self.stream.close()
-        self.context.connections.upstream.pop(self, None)
+        self.context.connections.to_endpoints.pop(self, None)
         self.pool.post(ConnectionClosed(self))
         self.pool.log_closed(self.reason, self.exchange_count)
--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -70,8 +70,8 @@
         self.endpoint = pool.entry  # as it was when this connection was begun
         self.first_bytes = b""  # of what the endpoint sent
         self.exchange_count = 0
-        context.connections.upstream[self] = None
-        context.connections.note()
+        context.connections.to_endpoints[self] = None
+        context.connections.update_peak()
         super().__init__(context.loop)
 
     def has_capacity(self) -> bool:
@@ -103,7 +103,7 @@
     def _connect(self) -> Coroutine[None]:
         sock = connect(self.endpoint.addr)
         self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
-        self.stream.want(WRITE)
+        self.stream.wait_for(WRITE)
         until = connect_deadline(self.context, self.loop.now())
         while True:
             self._end_overdue()
@@ -115,7 +115,7 @@
             if message is None and self.loop.now() >= until:
                 raise ConnectionLostError(CloseReason.CONNECT_TIMED_OUT)
             self._handle_message(message)
-        self.stream.came_up()
+        self.stream.check_connected()
         self.connected = True
         self.idle_since = self.loop.now()
         self.http.initiate_connection()
@@ -132,7 +132,7 @@
             exchange = next(iter(self.waiting))
             del self.waiting[exchange]
             self._begin(exchange)
-        self.stream.want(READ if written else READ | WRITE)
+        self.stream.wait_for(READ if written else READ | WRITE)
         if self.closing and not self.streams:
             raise ConnectionLostError(CloseReason.UPSTREAM_CLOSES)
         idle_until = inf if self.streams else idle_deadline(self.context, self.idle_since)
@@ -208,7 +208,7 @@
             self._report(exchange, ExchangeResult(AttemptOutcome.NOT_SENT))
             return
         self.streams[stream_exchange.number] = stream_exchange
-        self.context.connections.idle.pop(self, None)
+        self.context.connections.idle_to_endpoints.pop(self, None)
         exchange.written = True
         self.exchange_count += 1
         self._send_body(stream_exchange)
@@ -322,7 +322,7 @@
         self.idle_since = self.loop.now()
         if not self.streams and not self.closing:
             # Where descriptors run short, a connection without an exchange makes room.
-            self.context.connections.idle[self] = None
+            self.context.connections.idle_to_endpoints[self] = None
         exchange, body = stream_exchange.exchange, stream_exchange.body
         report: dict[str, float] = {}
         if stream_exchange.status:
@@ -349,7 +349,7 @@
         self.waiting.clear()
         if self.stream is not None:
             self.stream.close()
-        self.context.connections.upstream.pop(self, None)
-        self.context.connections.idle.pop(self, None)
+        self.context.connections.to_endpoints.pop(self, None)
+        self.context.connections.idle_to_endpoints.pop(self, None)
         self.pool.post(ConnectionClosed(self))
         self.pool.log_closed(reason, self.exchange_count)
--- a/starlingwheel/net/http/listener.py
+++ b/starlingwheel/net/http/listener.py
@@ -56,7 +56,7 @@
         """Accept what waits, up to the limit of one turn (`more_waiting`); False: there is no room."""
         self.more_waiting = False
         for _ in range(MAX_ACCEPTS_PER_TURN):
-            if self.context.connections.closed:
+            if self.context.connections.is_exhausted:
                 # Otherwise connections of no use would keep others waiting until their time is up.
                 self._make_room()
                 return False
@@ -69,7 +69,7 @@
                     self.context.log("accept.failed", error=str(error))
                     return False
                 continue
-            if self._serve(sock) and self.context.connections.closed:
+            if self._serve(sock) and self.context.connections.is_exhausted:
                 break  # the descriptor of the one that was closed for it is free by the next turn
         self.more_waiting = True
         return True
--- a/starlingwheel/net/http/load_report.py
+++ b/starlingwheel/net/http/load_report.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterable
 
-from ...settings import REPORTED, SCALE
+from ...settings import LOAD_REPORT_FIGURES, SCALE
 from ..state.buffers import BufferedBody
 from ..state.requests import Exchange
 
@@ -24,7 +24,7 @@
         return {}
     for pair in text.strip().removeprefix("TEXT").split(","):
         name, _, value = pair.strip().partition("=")
-        if figure := REPORTED.get(name):
+        if figure := LOAD_REPORT_FIGURES.get(name):
             # Words, signs, infinities and duplicate figures must not reach the decisions.
             if figure in report or not NUMBER.fullmatch(value):
                 return {}
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -62,7 +62,7 @@
                         exchange.connection.post(cancel)
                 case ConnectionIdle(connection):
                     self.idle.append(connection)
-                    self.context.connections.idle[connection] = None
+                    self.context.connections.idle_to_endpoints[connection] = None
                 case ConnectionClosed(connection):
                     self.remove_idle(connection)
                 case EndpointMoved(entry):
@@ -79,7 +79,7 @@
 
     def remove_idle(self, connection: Http1Connection | Http2Connection) -> None:
         """Give no further exchange to a connection that was idle or shared."""
-        self.context.connections.idle.pop(connection, None)
+        self.context.connections.idle_to_endpoints.pop(connection, None)
         for connections in (self.idle, self.multiplexed):
             if connection in connections:
                 connections.remove(connection)
@@ -93,7 +93,7 @@
             if connection.has_capacity():
                 self._give(exchange, connection)
                 return
-        has_room = self.context.connections.room_for_upstream()
+        has_room = self.context.connections.has_room_for_endpoint()
         # Where there is no room for a new connection one is used that is not quiescent yet.
         if connection := self.take_quiescent() or (None if has_room else self._take_longest_idle()):
             self._give(exchange, connection)
--- a/starlingwheel/net/http/request_parser.py
+++ b/starlingwheel/net/http/request_parser.py
@@ -14,7 +14,7 @@
 from ..state.buffers import BufferedBody
 from ..state.requests import PendingRequest
 from .errors import InvalidRequestError
-from .stream import two_lengths
+from .stream import has_conflicting_lengths
 
 if TYPE_CHECKING:
     from ..context import SidecarContext
@@ -37,7 +37,7 @@
     Raises `InvalidRequestError` for one that could be read in two ways, and, before it is read, for one of
     more than `longest` bytes.
     """
-    if two_lengths(request.headers):
+    if has_conflicting_lengths(request.headers):
         raise InvalidRequestError(400, "two lengths")
     length = next((int(value) for name, value in request.headers if name == b"content-length"), None)
     if length is not None and length > longest:
@@ -65,7 +65,7 @@
     if trace in context.active_traces:
         raise InvalidRequestError(409, "x-trace-id is in hand")
     timeout = _timeout(headers)
-    if len(context.active_traces) >= context.connections.most_requests:
+    if len(context.active_traces) >= context.connections.max_requests:
         # Clients must not take the descriptors that their own requests need.
         raise InvalidRequestError(503, "too many connections")
     return PendingRequest(
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -38,21 +38,21 @@
     def send(self, exchange: Exchange) -> Coroutine[None]:
         """Write the whole request of an exchange; raises `ConnectionLostError`."""
         self._put(exchange)
-        if exchange.flow is not None:
-            yield from self._relay_body(exchange, exchange.flow)
+        if exchange.body_stream is not None:
+            yield from self._relay_body(exchange, exchange.body_stream)
         elif exchange.non_idempotent and self.loop.now() < self.context.resets_expected_until:
             yield from self._delay_last_byte(exchange)
         yield from self.write(exchange)
         exchange.written, self.written_at = True, self.loop.now()
-        if exchange.flow is not None:
-            exchange.count_from(self.written_at)
+        if exchange.body_stream is not None:
+            exchange.restart_clock(self.written_at)
 
     def write(self, exchange: Exchange) -> Coroutine[None]:
         """Write all that has been put to the stream; raises `ConnectionLostError`."""
         done = self.stream.write()
         self.context.gate.note_written(exchange)
         while not done:
-            self.stream.want(READ | WRITE)
+            self.stream.wait_for(READ | WRITE)
             ready = yield from next_socket_event(exchange, exchange.deadline, CloseReason.OVERDUE)
             self.check_unanswered(ready)
             self.check_wanted(exchange)
@@ -79,7 +79,7 @@
     def _put(self, exchange: Exchange) -> None:
         head = build_request(exchange, self.context, self.loop.now())
         self.stream.put(h11.Request(method=head.method, target=head.target, headers=head.headers))
-        if exchange.flow is not None:
+        if exchange.body_stream is not None:
             return
         body = exchange.pending.body.views() if exchange.pending is not None else []
         self.stream.put(*(h11.Data(data=view) for view in body), h11.EndOfMessage())
@@ -113,12 +113,12 @@
     def _write_part(self, exchange: Exchange, views: list[memoryview]) -> Coroutine[None]:
         self.stream.put(*(h11.Data(data=view) for view in views))
         while not self.stream.write():
-            self.stream.want(READ | WRITE)
+            self.stream.wait_for(READ | WRITE)
             ready = yield from next_socket_event(exchange, exchange.deadline, CloseReason.OVERDUE)
             self._check_not_rejected(exchange, ready)
 
     def _wait_for_body(self, exchange: Exchange) -> Coroutine[None]:
-        self.stream.want(READ)
+        self.stream.wait_for(READ)
         message = yield exchange.deadline
         if message is None and self.loop.now() >= exchange.deadline:
             raise ConnectionLostError(CloseReason.OVERDUE)
@@ -138,9 +138,9 @@
         A non-idempotent request is then not lost to a connection that its endpoint has closed or reset
         already: while a byte is missing none can have begun it.
         """
-        last = self.stream.keep_last()
+        last = self.stream.take_last_byte()
         yield from self.write(exchange)
-        self.stream.want(READ)
+        self.stream.wait_for(READ)
         until = self.loop.now() + LAST_BYTE_DELAY_FRACTION * self.context.shortest_objective
         while self.loop.now() < until:
             message = yield min(until, exchange.deadline)
@@ -150,7 +150,7 @@
                 raise ConnectionLostError(CloseReason.CANCELLED)
         if self.loop.now() >= exchange.deadline:
             raise ConnectionLostError(CloseReason.OVERDUE)
-        if not self.stream.silent():
+        if not self.stream.has_no_input():
             raise ConnectionLostError(CloseReason.RESET)
         self.check_wanted(exchange)
         self.stream.unwritten.append(last)
--- a/starlingwheel/net/http/response_writer.py
+++ b/starlingwheel/net/http/response_writer.py
@@ -83,14 +83,14 @@
                 self.stream.abort()
                 raise ConnectionLostError(CloseReason.UPSTREAM_BROKE)
             else:
-                self.stream.want(HANGUP)
+                self.stream.wait_for(HANGUP)
                 if isinstance(message := (yield None), SocketReady) and message.hung_up:
                     raise ConnectionLostError(CloseReason.CLIENT_LEFT)
 
     def _flush(self) -> Coroutine[None]:
         until = self.loop.now() + WRITE_STALL_TIMEOUT
         while not self.stream.write():
-            self.stream.want(WRITE)
+            self.stream.wait_for(WRITE)
             message = yield until
             if message is None and self.loop.now() >= until:
                 raise ConnectionLostError(CloseReason.SLOW_READER)
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -17,7 +17,7 @@
 from ..state.buffers import BUFFER_SIZE, BufferPool
 from .errors import CloseReason, ConnectionLostError
 
-__all__ = ["ConnectionLostError", "Stream", "connect", "two_lengths"]
+__all__ = ["ConnectionLostError", "Stream", "connect", "has_conflicting_lengths"]
 
 MAX_HEAD_LENGTH = 16384  # bytes
 MAX_VIEWS_PER_WRITE = 64
@@ -26,7 +26,7 @@
 Event = Any  # h11 has no common type of its events and its two sentinels
 
 
-def two_lengths(headers: Iterable[tuple[bytes, bytes]]) -> bool:
+def has_conflicting_lengths(headers: Iterable[tuple[bytes, bytes]]) -> bool:
     """Whether a message has both framings: a second request could hide in the body of the first."""
     names = {name for name, _ in headers}
     return b"transfer-encoding" in names and b"content-length" in names
@@ -46,7 +46,7 @@
         self.end_read = False  # the other side has closed, and that has been read
         sock.setblocking(False)
 
-    def want(self, mask: int) -> None:
+    def wait_for(self, mask: int) -> None:
         """Wait for the events of this mask from now on."""
         if not self.mask:
             self.loop.register(self.sock.fileno(), self.actor, mask)
@@ -60,7 +60,7 @@
             self.loop.unregister(self.sock.fileno())
             self.mask = 0
 
-    def came_up(self) -> None:
+    def check_connected(self) -> None:
         """Check a connection whose socket can be written; raises `ConnectionLostError` if it failed."""
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             raise ConnectionLostError(CloseReason.CONNECT_REFUSED)
@@ -80,7 +80,7 @@
         except OSError as error:
             raise ConnectionLostError(CloseReason.RESET) from error
 
-    def event(self) -> Event:
+    def next_event(self) -> Event:
         """Return h11's next event; raises `ConnectionLostError` for what is not HTTP."""
         try:
             return self.http.next_event()
@@ -93,13 +93,13 @@
         for event in events:
             self.unwritten += self.http.send_with_data_passthrough(event) or []
 
-    def invite(self) -> None:
+    def send_continue(self) -> None:
         """Send `100 Continue` to a client that waits for it."""
         if self.http.they_are_waiting_for_100_continue:
             self.put(h11.InformationalResponse(status_code=100, headers=[]))
             self.write()
 
-    def keep_last(self) -> bytes:
+    def take_last_byte(self) -> bytes:
         """Take the last byte back from what is to be written, and return it."""
         while not self.unwritten[-1]:
             self.unwritten.pop()
@@ -122,11 +122,11 @@
                 self.unwritten[0] = memoryview(self.unwritten[0])[count:]
         return True
 
-    def silent(self) -> bool:
+    def has_no_input(self) -> bool:
         """Whether nothing has come since it was last read, not even the end."""
         return self._peek() is None
 
-    def ended(self) -> bool:
+    def peer_has_closed(self) -> bool:
         """Whether the other side has closed, even if what it sent before that is still unread."""
         unread = self._peek()
         return unread == b"" or (unread is not None and self.loop.peer_has_closed(self.sock.fileno()))
@@ -148,7 +148,7 @@
         """
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
-            self.want(READ)
+            self.wait_for(READ)
             while (message := (yield until)) is not None and message is not CLOSE:
                 if most <= 0:
                     if isinstance(message, SocketReady) and message.hung_up:
@@ -160,7 +160,7 @@
                         return
                     most -= count
                 if most <= 0:
-                    self.want(HANGUP)
+                    self.wait_for(HANGUP)
 
     def abort(self) -> None:
         """Let `close` reset the connection, so that the other side can tell that a message is incomplete."""
--- a/starlingwheel/net/http/upstream_request.py
+++ b/starlingwheel/net/http/upstream_request.py
@@ -38,7 +38,7 @@
     host = next(((name, value) for name, value in pending.headers if name.lower() == b"host"), DEFAULT_HOST)
     expires_in = str(_milliseconds_left(exchange, pending, now)).encode()
     headers = [host, *forwarded, (b"X-Expires-In-Ms", expires_in)]
-    stream = exchange.flow
+    stream = exchange.body_stream
     if stream is not None and stream.length is None:
         headers.append((b"Transfer-Encoding", b"chunked"))
     elif pending.body.length or pending.method != b"GET":
--- a/starlingwheel/net/http/upstream_response.py
+++ b/starlingwheel/net/http/upstream_response.py
@@ -109,7 +109,7 @@
         """
         try:
             while True:
-                event = self.stream.event()
+                event = self.stream.next_event()
                 if isinstance(event, h11.Response):
                     self.head, self.headers = event, dict(event.headers)
                     self.length = response_length(event)
@@ -186,7 +186,7 @@
             yield inf if relay.full else self.stream.loop.now() + self.context.shortest_objective / 64
         if relay.refused:
             raise ConnectionLostError(CloseReason.CANCELLED)
-        self.stream.want(READ)
+        self.stream.wait_for(READ)
         deadline = self.stream.loop.now() + RELAY_STALL_TIMEOUT
         message = yield deadline
         if message is None and self.stream.loop.now() >= deadline:
--- a/starlingwheel/net/state/connections.py
+++ b/starlingwheel/net/state/connections.py
@@ -21,13 +21,17 @@
         self.called = called
         self.limit(most)
         self.clients: dict[Any, None] = {}
-        self.upstream: dict[Any, None] = {}  # to endpoints
-        self.idle: dict[Any, None] = {}  # to endpoints and without an exchange, the longest idle first
-        self.unheard: dict[Any, None] = {}  # clients that have not sent anything yet, the oldest first
-        self.halves: dict[Any, None] = {}  # clients within their first request, the longest silent first
+        self.to_endpoints: dict[Any, None] = {}  # to endpoints
+        self.idle_to_endpoints: dict[
+            Any, None
+        ] = {}  # to endpoints and without an exchange, the longest idle first
+        self.silent_clients: dict[Any, None] = {}  # clients that have not sent anything yet, the oldest first
+        self.partial_requests: dict[
+            Any, None
+        ] = {}  # clients within their first request, the longest silent first
         self.idle_clients: dict[Any, None] = {}  # clients between requests, the longest idle first
-        self.leaving: dict[Any, None] = {}  # clients that have their last response
-        self.worst = 0  # connections at a time, the most so far
+        self.answered_clients: dict[Any, None] = {}  # clients that have their last response
+        self.peak = 0  # connections at a time, the most so far
 
     def limit(self, most: int, processes: int = 1) -> None:
         """Allow so many descriptors in all, from now on, for so many processes of one sidecar together.
@@ -35,31 +39,38 @@
         Clients hold no more of them with two processes than with one, and move to the new one all at once: it
         is the endpoints' part that is divided.
         """
-        self.spare = max(MIN_RESERVE, int(most * RESERVE_SHARE))
-        self.calls = max(MIN_ADMIN_CALLS, int(most * ADMIN_SHARE)) if self.called else 0
-        self.most_requests = max(1, int(most * REQUEST_SHARE))  # in flight at a time
-        self.client_share = max(1, int(self.most_requests * CLOSE_IDLE_FROM))
+        self.reserve = max(MIN_RESERVE, int(most * RESERVE_SHARE))
+        self.admin_call_limit = max(MIN_ADMIN_CALLS, int(most * ADMIN_SHARE)) if self.called else 0
+        self.max_requests = max(1, int(most * REQUEST_SHARE))  # in flight at a time
+        self.client_limit = max(1, int(self.max_requests * CLOSE_IDLE_FROM))
         # Operators' calls count twice: those that make room for others stay open for one turn more.
-        self.share = max(1, (most - self.most_requests - 2 * self.spare - 2 * self.calls) // processes)
+        self.endpoint_limit = max(
+            1, (most - self.max_requests - 2 * self.reserve - 2 * self.admin_call_limit) // processes
+        )
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Another client would keep a connection for which there is no descriptor."""
-        expendable = len(self.unheard) + len(self.halves) + len(self.idle_clients) + len(self.leaving)
-        return len(self.clients) - expendable > self.client_share
+        expendable = (
+            len(self.silent_clients)
+            + len(self.partial_requests)
+            + len(self.idle_clients)
+            + len(self.answered_clients)
+        )
+        return len(self.clients) - expendable > self.client_limit
 
     @property
-    def closed(self) -> bool:
+    def is_exhausted(self) -> bool:
         """There is no descriptor even for rejecting another client."""
-        return len(self.clients) >= self.most_requests + self.spare
+        return len(self.clients) >= self.max_requests + self.reserve
 
-    def room_for_upstream(self) -> bool:
+    def has_room_for_endpoint(self) -> bool:
         """Another connection to an endpoint may be opened."""
-        return len(self.upstream) < self.share
+        return len(self.to_endpoints) < self.endpoint_limit
 
     def longest_idle(self) -> Any:  # noqa: ANN401
         """Return the connection to an endpoint that has been idle the longest; None: none is idle."""
-        return next(iter(self.idle), None)
+        return next(iter(self.idle_to_endpoints), None)
 
     def client_to_close(self, connected_before: float) -> Any:  # noqa: ANN401
         """Return a client to close, so that silent ones don't shut others out; None: there is room.
@@ -67,34 +78,40 @@
         One that has connected since `connected_before` is about to send its request: it is chosen last. A
         slow request that has begun is not closed for one that might.
         """
-        if len(self.clients) < self.client_share:
+        if len(self.clients) < self.client_limit:
             return None
-        oldest = next(iter(self.unheard), None)
+        oldest = next(iter(self.silent_clients), None)
         silent = oldest is not None and oldest.opened < connected_before
-        between = (self.idle_clients, self.halves)
-        order = (self.unheard, *between) if silent else (*between, self.unheard)
-        for expendable in (self.leaving, *order):
+        between = (self.idle_clients, self.partial_requests)
+        order = (self.silent_clients, *between) if silent else (*between, self.silent_clients)
+        for expendable in (self.answered_clients, *order):
             for client in expendable:
                 del expendable[client]
                 return client
         return None
 
-    def heard(self, client: object) -> None:
+    def note_request_part(self, client: object) -> None:
         """Another part of a client's first request has arrived."""
-        self.unheard.pop(client, None)
-        self.halves.pop(client, None)
-        self.halves[client] = None
+        self.silent_clients.pop(client, None)
+        self.partial_requests.pop(client, None)
+        self.partial_requests[client] = None
 
-    def whole(self, client: object) -> None:
+    def note_request_complete(self, client: object) -> None:
         """A client's request is complete."""
-        self.unheard.pop(client, None)
-        self.halves.pop(client, None)
+        self.silent_clients.pop(client, None)
+        self.partial_requests.pop(client, None)
 
-    def forget_client(self, client: object) -> None:
+    def remove_client(self, client: object) -> None:
         """A client's connection has ended."""
-        for group in (self.clients, self.unheard, self.halves, self.idle_clients, self.leaving):
+        for group in (
+            self.clients,
+            self.silent_clients,
+            self.partial_requests,
+            self.idle_clients,
+            self.answered_clients,
+        ):
             group.pop(client, None)
 
-    def note(self) -> None:
+    def update_peak(self) -> None:
         """Update the highest count."""
-        self.worst = max(self.worst, len(self.clients) + len(self.upstream))
+        self.peak = max(self.peak, len(self.clients) + len(self.to_endpoints))
--- a/starlingwheel/net/state/requests.py
+++ b/starlingwheel/net/state/requests.py
@@ -26,7 +26,7 @@
 
     pending: PendingRequest | None
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has closed its connection."""
 
 
@@ -41,9 +41,9 @@
     headers: Headers
     body: BufferedBody | BodyStream
     trace: bytes
-    owed: bool = True  # it has no final response yet
+    awaits_response: bool = True  # it has no final response yet
     may_have_run: bool = False  # an attempt that has ended may have had an effect
-    risky_since: float = inf  # when the first of those was sent
+    first_risky_at: float = inf  # when the first of those was sent
     exchanges: dict[Attempt, Exchange] = field(default_factory=dict)
 
     @property
@@ -67,13 +67,13 @@
     admitted_at: float = 0.0  # when the gate let it begin; 0: not yet, or its first byte is written
 
     @property
-    def flow(self) -> BodyStream | None:
+    def body_stream(self) -> BodyStream | None:
         """Its body, if that is passed on while it arrives."""
         if self.pending is not None and isinstance(self.pending.body, BodyStream):
             return self.pending.body
         return None
 
-    def count_from(self, now: float) -> None:
+    def restart_clock(self, now: float) -> None:
         """Count its time from now on: the last byte of the request has been written."""
         if self.attempt is None or self.pending is None:
             return
--- a/starlingwheel/settings.py
+++ b/starlingwheel/settings.py
@@ -17,7 +17,7 @@
 
 RETRY_SAFETY = {"free": "rerunnable", "guarded": "ticketed", "single_shot": "exclusive"}
 # Figures of a load report: the name on the wire, and the one of the decisions.
-REPORTED = {
+LOAD_REPORT_FIGURES = {
     "busy_reqs": "held",
     "inflight": "held",
     "pending": "waiting",
--- a/starlingwheel/simulator/wire.py
+++ b/starlingwheel/simulator/wire.py
@@ -18,7 +18,7 @@
 from ..decisions.config import BalancerConfig, RequestClass
 from ..decisions.events import WatchEvent
 from ..decisions.model import AttemptOutcome, Endpoint, EndpointState
-from ..settings import REPORTED, SCALE, decode
+from ..settings import LOAD_REPORT_FIGURES, SCALE, decode
 
 T = TypeVar("T")
 
@@ -274,7 +274,9 @@
 
 def _decode_load_report(text: str) -> dict[str, float]:
     pairs = (pair.split(":") for pair in text.split(",") if pair)
-    known = ((REPORTED[name], float(value)) for name, value in pairs if name in REPORTED)
+    known = (
+        (LOAD_REPORT_FIGURES[name], float(value)) for name, value in pairs if name in LOAD_REPORT_FIGURES
+    )
     return {figure: value * SCALE.get(figure, 1.0) for figure, value in known}
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -247,7 +247,7 @@
     def rested(self):
         """Turn until the connections to upstreams are idle and no second answer is expected on them."""
         rest = wire.RESTED * self.context.shortest_objective
-        idle = self.context.connections.idle
+        idle = self.context.connections.idle_to_endpoints
         self.until(lambda: idle and all(c.idle_since + rest <= self.context.loop.now() for c in idle))
 
     def all_go_to(self, i, times):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -160,13 +160,15 @@
 ) -> None:
     """All connections to endpoints but a few are in use; with each flood one more of these is needed."""
     sidecar, tracker, few = make_process(sockets), ConnectionTracker(sockets, called=True), 4
-    asked = [sidecar.ask(b"early-%d" % i) for i in range(min(tracker.share, tracker.client_share) - few)]
+    asked = [
+        sidecar.ask(b"early-%d" % i) for i in range(min(tracker.endpoint_limit, tracker.client_limit) - few)
+    ]
     sidecar.until(lambda: len(sidecar.upstream.ran) == len(asked))
     for turn in range(few):
         with sidecar.stopped():
-            for _ in range(min(120, 2 * tracker.most_requests)):
+            for _ in range(min(120, 2 * tracker.max_requests)):
                 sidecar.connect(sidecar.listen, b"" if kind == "silent" else ASKED % b"half")
-            for _ in range(min(30, 3 * tracker.calls)):
+            for _ in range(min(30, 3 * tracker.admin_call_limit)):
                 sidecar.connect(sidecar.mgmt, b"" if kind == "silent" else b"GET /_re")
             asked.append(sidecar.ask(b"late-%d" % turn))
             call = sidecar.call()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -69,7 +69,7 @@
 
 def connecting(around: Surroundings) -> Http1Connection | Http2Connection:
     """A connection to an endpoint that was begun, and none of whose socket events was read."""
-    connections = around.context.connections.upstream
+    connections = around.context.connections.to_endpoints
     while not connections:
         around.context.loop.run_once(0)
     return next(iter(connections))
@@ -266,7 +266,7 @@
         client.sendall(around.request(x_trace_id=f"t{more}"))
         around.serve()
         assert around.status(client) == 200
-        around.until(lambda: len(around.context.connections.idle) == more)  # noqa: B023
+        around.until(lambda: len(around.context.connections.idle_to_endpoints) == more)  # noqa: B023
     assert_nothing_arrives(around, first)
 
 
@@ -279,8 +279,10 @@
     client.sendall(around.request(x_trace_id="t3"))
     third = around.serve()
     assert around.status(client) == 200
-    around.until(lambda: len(around.context.connections.idle) == 3)
-    for connection, before in zip(around.context.connections.idle, (121.0, 120.5, 0.0), strict=True):
+    around.until(lambda: len(around.context.connections.idle_to_endpoints) == 3)
+    for connection, before in zip(
+        around.context.connections.idle_to_endpoints, (121.0, 120.5, 0.0), strict=True
+    ):
         connection.idle_since -= before
     client.sendall(around.request(x_trace_id="t4"))
     around.received(second)
@@ -304,7 +306,7 @@
     around.until(around.context.connections.longest_idle)
     client.sendall(around.request(x_trace_id="t2"))
     late = around.until(
-        lambda: next((c for c in around.context.connections.upstream if not c.exchange_count), None)
+        lambda: next((c for c in around.context.connections.to_endpoints if not c.exchange_count), None)
     )
     looks, rested = iter([True] * vain), ConnectionPool.take_quiescent
     monkeypatch.setattr(ConnectionPool, "take_quiescent", lambda u: None if next(looks, False) else rested(u))
@@ -313,7 +315,7 @@
         assert not around.logged("upstream.end") and late.exchange is None
     around.reply(first)
     assert around.status(client) == 200
-    around.until(lambda: len(around.context.connections.idle) == 2)
+    around.until(lambda: len(around.context.connections.idle_to_endpoints) == 2)
     # What has come up in vain has nothing to rest from.
     assert late.is_quiescent()
     client.sendall(around.request(x_trace_id="t3"))
@@ -326,7 +328,7 @@
 ) -> None:
     """There is room for one connection."""
     around, client, first = just_answered
-    around.context.connections.share = 1
+    around.context.connections.endpoint_limit = 1
     client.sendall(around.request(x_trace_id="t2"))
     around.received(first)
     around.reply(first, body=b"two")
@@ -338,7 +340,7 @@
 ) -> None:
     """There is room for one connection, and a second response comes on it meanwhile."""
     around, client, upstream = just_answered
-    around.context.connections.share, around.context.unsolicited_until = 1, float("inf")
+    around.context.connections.endpoint_limit, around.context.unsolicited_until = 1, float("inf")
     client.sendall(around.request(x_trace_id="t2"))
     pending = around.until(
         lambda: next((j for j in around.context.coordinator.pending_requests.values() if j.exchanges), None)
@@ -494,13 +496,13 @@
     make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The pause before it does not grow with their number."""
-    monkeypatch.setattr(discovery, "EMPTY_LINE", 0.1)
+    monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
     around = make_surroundings(settings={"replicasOfMe": 400, "rules": {"mustAskIn": 10000000}}, seed="4")
     around.watch(b"")
     around.until(lambda: around.context.discovery.current is None)
     assert around.logged("list.end")[0]["reason"] == "silent"
-    within = discovery.ANEW * discovery.EMPTY_LINE
-    assert around.context.discovery.move_at <= around.context.loop.now() + within
+    within = discovery.REOPEN_WITHIN * discovery.KEEPALIVE_INTERVAL
+    assert around.context.discovery.next_call_at <= around.context.loop.now() + within
     around.watch(b"")
 
 
@@ -541,7 +543,7 @@
     make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The known endpoints are used after a while."""
-    monkeypatch.setattr(discovery, "UNHEARD", 0.02)
+    monkeypatch.setattr(discovery, "USE_KNOWN_AFTER", 0.02)
     around = make_surroundings(settings=PUSHED)
     around.until(lambda: around.context.ready)
     client = around.ask()
@@ -562,20 +564,20 @@
     for calls in range(1, 10):
         around.until(lambda: len(around.logged("list.end")) >= calls)  # noqa: B023
         around.until(lambda: around.context.discovery.current is None)
-        assert around.context.discovery.move_at <= around.context.loop.now() + grace / 2
+        assert around.context.discovery.next_call_at <= around.context.loop.now() + grace / 2
 
 
 def test_an_unanswered_call_to_an_agent_is_repeated_soon(
     make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With more patience, until one is answered."""
-    monkeypatch.setattr(discovery, "EMPTY_LINE", 0.2)
+    monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
     around = make_surroundings(settings=PUSHED)
     around.accept(listener=around.discovery)
     around.until(lambda: around.context.discovery.current is None)
-    assert around.context.discovery.patience == 2 * discovery.AGENT
+    assert around.context.discovery.timeout_multiple == 2 * discovery.AGENT_ANSWER_TIMEOUT
     around.hear()
-    assert around.context.discovery.patience == discovery.AGENT
+    assert around.context.discovery.timeout_multiple == discovery.AGENT_ANSWER_TIMEOUT
 
 
 @pytest.mark.parametrize("moved", [False, True])
@@ -584,15 +586,17 @@
     around: Surroundings, monkeypatch: pytest.MonkeyPatch, answered: int, moved: bool
 ) -> None:
     """On real sockets; test_told.py tests when a second call begins, and how often."""
-    monkeypatch.setattr(discovery, "EMPTY_LINE", 0.1)
+    monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
     around.watch(b"")
-    around.context.discovery.first = around.context.discovery.patience = 1000.0  # the story may take its time
-    around.context.discovery.hangs = 0.1
+    around.context.discovery.initial_timeout_multiple = around.context.discovery.timeout_multiple = (
+        1000.0  # the story may take its time
+    )
+    around.context.discovery.hang_threshold = 0.1
     if moved:
         around.discovery = around.keep(bound())
         around.reconfigure(discovery=address(around.discovery))
     calls = [around.accept(listener=around.discovery), around.accept(listener=around.discovery)]
-    around.context.discovery.due = float("inf")
+    around.context.discovery.latest_call_at = float("inf")
     word = {"version": 9, "full": True, "servers": [around.entry(0, state="leaving")]}
     request, _ = around.received(calls[answered])
     assert request.target.endswith(b"from=0" if moved else b"from=7")
@@ -602,7 +606,7 @@
     around.received(calls[1 - answered])
     assert around.until(lambda: around.read(calls[1 - answered])) == b"end"
     assert around.context.discovery.current.address == address(around.discovery)
-    assert around.context.discovery.beside is None and len(around.logged("list.beside")) == 1
+    assert around.context.discovery.second_watch is None and len(around.logged("list.beside")) == 1
     around.say(calls[answered], word | {"version": 10})
     around.until(lambda: around.context.discovery.version == 10)
 
@@ -639,7 +643,7 @@
     client = around.client()
     text = around.request()
     client.sendall(text[:40])
-    actor = around.until(lambda: next(iter(around.context.connections.halves), None))
+    actor = around.until(lambda: next(iter(around.context.connections.partial_requests), None))
     client.sendall(text[40:])
     actor.post(CLOSE)
     around.serve()
@@ -655,7 +659,7 @@
     upstream = around.serve()
     assert around.status(client) == 200
     around.rested()
-    connection = next(iter(around.context.connections.idle))
+    connection = next(iter(around.context.connections.idle_to_endpoints))
     mailed = []
     post = connection.post
     connection.post = lambda message: (mailed.append(message), post(CLOSE), post(message))
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -40,13 +40,16 @@
     view = MembershipView(members(1600), 64)
     for key in KEYS:
         assert view.cell_of(view.home(key)) == view.cell(key)
-        assert len(view.ranks(key)) == len(view.of_cell(view.cell(key))) <= 50
+        assert len(view.ranks(key)) == len(view.members_of_cell(view.cell(key))) <= 50
 
 
 def test_doubling_the_cells_splits_each_and_halving_joins_them():
     fewer, more = MembershipView(members(200), 4), MembershipView(members(200), 8)
     for cell in range(4):
-        assert {*fewer.of_cell(cell)} == {*more.of_cell(cell), *more.of_cell(cell + 4)}
+        assert {*fewer.members_of_cell(cell)} == {
+            *more.members_of_cell(cell),
+            *more.members_of_cell(cell + 4),
+        }
     assert all(more.cell(key) % 4 == fewer.cell(key) for key in KEYS)
 
 
@@ -63,7 +66,7 @@
     for key in KEYS:
         order = view.ranks(key)
         assert order and (len(order) > 1 or len(view.members_by_cell) == 1)
-        if len(view.of_cell(view.cell(key))) == 1:
+        if len(view.members_of_cell(view.cell(key))) == 1:
             left = MembershipView([m for m in view.members.values() if m.id != order[0].id], 8)
             assert left.home(key) == order[1].id
 
@@ -224,7 +227,7 @@
     assert (
         one.replicator.view is not view
         and one.replicator.views.changed_at == before
-        and one.replicator.settled_now
+        and one.replicator.is_synced
     )
 
 
@@ -255,7 +258,7 @@
     world.until(1.6 + IDLE_LINK_TIMEOUT)
     assert request.end == "200" and coordinator.id not in owner.links
     assert not any(h.replicator.counts["taken_over"] for h in world.alive())
-    assert coordinator.replicator.items[key].response.status == 200
+    assert coordinator.replicator.requests[key].response.status == 200
 
 
 def test_an_owner_of_another_cell_is_dialled_before_a_new_coordinator_takes_over():
@@ -267,7 +270,7 @@
     world.until(1.9)
     after = world.members[owner.replicator.view.home(key)]
     assert after is not coordinator and request.end == "200" and len(world.runs[key]) == 1
-    assert not after.replicator.counts["taken_over"] and key in after.replicator.items
+    assert not after.replicator.counts["taken_over"] and key in after.replicator.requests
 
 
 def test_a_request_is_taken_over_when_its_owner_of_another_cell_is_lost():
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -82,7 +82,7 @@
     one, _, _ = world.alive()
     send_request(world, one, b"w")
     world.until(1.01)
-    frame = one.replicator.items[b"w"].to_frame(asks=False)
+    frame = one.replicator.requests[b"w"].to_frame(asks=False)
     other_frame = msgspec.structs.replace(frame, mark=b"else")
     result, _ = one.replicator.begin(other_frame, object(), 2.0)
     assert result.value == "other"
@@ -111,4 +111,4 @@
         send_request(world, world.alive()[number % 3], b"w%d" % number)
     world.until(8.0)
     replicators = [member.replicator for member in world.alive()]
-    assert all(isinstance(r, RequestReplicator) and not r.items and r.kept_bytes == 0 for r in replicators)
+    assert all(isinstance(r, RequestReplicator) and not r.requests and r.used_bytes == 0 for r in replicators)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -163,7 +163,7 @@
         if rng.random() < 0.05:
             world.until(world.now + 0.05)
     world.until(world.now + 8.0)
-    assert not one.replicator.items and not one.replicator.records.held
+    assert not one.replicator.requests and not one.replicator.records.held
 
 
 def test_a_coordinator_changes_only_with_the_members_that_change():
@@ -181,7 +181,13 @@
 
 @pytest.mark.parametrize(
     "kind",
-    [client.RangeReply, client.LeaseGranted, client.LeaseRenewed, client.TransactionReply, client.WatchLine],
+    [
+        client.RangeReply,
+        client.LeaseGranted,
+        client.KeepAliveReply,
+        client.TransactionReply,
+        client.WatchLine,
+    ],
 )
 def test_an_arbiter_that_talks_nonsense_is_turned_away_with_a_reason(kind):
     rng = random.Random(2)
@@ -349,7 +355,7 @@
     member.serve()
     assert member.status(asked) == 200
     module = member.context.coordinator
-    assert not module.replicator.items and module.replicator.counts["unnamed"] == 1
+    assert not module.replicator.requests and module.replicator.counts["unnamed"] == 1
 
 
 def test_operators_see_the_view_and_the_replicated_requests(make_surroundings, served):
@@ -425,7 +431,17 @@
     member.until(lambda: joined(member))
     counts = calls_of_the_fleet(member)
     assert counts["_name_of"] == 1
-    for name in ("begin", "add_intent", "record_intent", "answered", "add", "from_frame", "to_frame"):
+    never = (
+        "begin",
+        "add_intent",
+        "record_intent",
+        "finish_request",
+        "answered",
+        "add",
+        "from_frame",
+        "to_frame",
+    )
+    for name in (*never, "from_frame", "to_frame"):
         assert name not in counts
 
 
@@ -470,7 +486,7 @@
     member.ask("buy", b"one", x_work_name="w1")
     member.accept()
     coordinator = member.context.coordinator
-    [item] = coordinator.replicator.items.values()
+    [item] = coordinator.replicator.requests.values()
     connection = item.dispatched_client.client
     coordinator.decide(item)
     assert connection.pending is item.dispatched_client
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -65,7 +65,7 @@
         self.until_begun(MANY)
         for sock in self.upstreams:
             self.around.reply(sock)
-        self.around.until(lambda: len(self.context.connections.idle) == MANY)
+        self.around.until(lambda: len(self.context.connections.idle_to_endpoints) == MANY)
         self.leave(clients, late=0)
         self.around.until(lambda: not self.context.connections.clients)
         self.around.let_pass(QUIESCENCE_FRACTION * self.context.shortest_objective)
@@ -315,7 +315,7 @@
     peer = Peer(around)
     peer.answer(*peer.received(1))
     assert around.status(first) == 200
-    (connection,) = many.context.connections.upstream
+    (connection,) = many.context.connections.to_endpoints
     connection.stream.write = lambda: not connection.stream.unwritten  # the kernel takes nothing
     stays, leaves = around.ask(x_trace_id="stays"), around.ask(x_trace_id="leaves")
     around.until(
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -158,7 +158,7 @@
     watch, _ = around.watch({"version": 8, "servers": []})
     around.until(lambda: around.context.discovery.version == 8)
     client = around.ask("buy")
-    around.until(lambda: around.context.connections.upstream)
+    around.until(lambda: around.context.connections.to_endpoints)
     # The connection is on its way up, and the list expires before the first byte.
     around.context.lease.expires_at = around.context.loop.now()
     assert around.status(client) == 503
@@ -232,6 +232,6 @@
     sent = first.started_at
     around.reply(sock, status=500)
     around.until(lambda: pending.may_have_run)
-    assert pending.risky_since == sent
+    assert pending.first_risky_at == sent
     assert (around.context.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
     client.close()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -118,14 +118,14 @@
 
 
 def test_a_silent_watch_is_replaced(around, monkeypatch):
-    monkeypatch.setattr(discovery, "EMPTY_LINE", 0.05)
+    monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.05)
     around.watch(b"", b"")
     around.watch(b"")
     assert around.logged("list.end")[0]["reason"] == "silent"
 
 
 def test_a_watch_that_stalls_within_a_line_is_replaced_and_the_line_dropped(around, monkeypatch):
-    monkeypatch.setattr(discovery, "EMPTY_LINE", 0.05)
+    monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.05)
     watch, _ = around.watch(b"")
     half = msgspec.json.encode({"version": 8, "servers": [around.entry(0, state="leaving")]})[:-9]
     watch.sendall(b"%x\r\n%s\r\n" % (len(half), half))
@@ -191,7 +191,7 @@
     balancer.endpoints.refresh()
     assert not balancer.gossip._by_peer and not balancer.gossip.counts
     assert (
-        len(context.connections.upstream) <= 1 and not context.active_traces
+        len(context.connections.to_endpoints) <= 1 and not context.active_traces
     )  # those to the last ones are kept
     gc.collect()
     assert len([actor for _, _, held in context.loop.timers if (actor := held())]) < 10
@@ -221,7 +221,7 @@
 
 
 def test_a_new_discovery_that_is_not_up_yet_is_called_again(around, monkeypatch):
-    monkeypatch.setattr(discovery, "EMPTY_LINE", 0.2)
+    monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
     old, _ = around.watch(b"")
     around.discovery = around.keep(bound(listening=False))  # it has its address, and does not listen yet
     around.reconfigure(discovery=address(around.discovery))
@@ -252,7 +252,8 @@
     around.watch({"version": 3, "full": True, "servers": [around.entry(0)]})
     around.until(lambda: around.context.discovery.version == 3)
     assert (
-        around.context.discovery.current.address == address(last) and around.context.discovery.coming is None
+        around.context.discovery.current.address == address(last)
+        and around.context.discovery.new_watch is None
     )
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -231,7 +231,7 @@
     around = make_surroundings(upstreams=2)
     client = around.ask("buy", b"x" * MAX_REQUEST_BODY)
     i, upstream = around.until(around.accept_any)
-    carrying = around.until(lambda: next(iter(around.context.connections.upstream), None))
+    carrying = around.until(lambda: next(iter(around.context.connections.to_endpoints), None))
     carrying.stream.unwritten.append(b"more" * 4000000)  # more than the kernel takes
     around.reply(upstream)
     assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "early-answer"
@@ -563,12 +563,12 @@
     """Those that have no room even for that wait; requests in progress go on."""
     around = make_surroundings(limits={"sockets": 120})
     tracker = around.context.connections
-    tracker.client_share = tracker.most_requests = 2
-    busy = [around.ask(x_trace_id=f"busy{n}") for n in range(tracker.most_requests)]
+    tracker.client_limit = tracker.max_requests = 2
+    busy = [around.ask(x_trace_id=f"busy{n}") for n in range(tracker.max_requests)]
     around.until(lambda: len(around.context.coordinator.pending_requests) == len(busy))
     more = [around.ask(x_trace_id=f"more{n}") for n in range(64)]  # more than there is room to say it to
     assert {around.status(one) for one in more[:8]} == {503}
-    assert len(tracker.clients) <= tracker.client_share + tracker.spare
+    assert len(tracker.clients) <= tracker.client_limit + tracker.reserve
     for client in more:
         client.close()
     around.serve()
@@ -582,9 +582,9 @@
     silent = [around.client() for _ in range(200)]
     half = around.client()
     half.sendall(around.request()[:40])
-    around.until(lambda: len(around.logged("client.end")) > 200 - tracker.client_share)
+    around.until(lambda: len(around.logged("client.end")) > 200 - tracker.client_limit)
     assert {line["reason"] for line in around.logged("client.end")} == {"not-needed"}
-    assert len(tracker.clients) <= tracker.client_share + tracker.spare
+    assert len(tracker.clients) <= tracker.client_limit + tracker.reserve
     serve_one(around, around.client())
     for client in [*silent, half]:
         assert around.read(client) == b"end" or around.until(lambda: around.read(client), within=3)  # noqa: B023
@@ -595,7 +595,7 @@
 ) -> None:
     """Idle connections are closed first."""
     around = make_surroundings(limits={"sockets": 120})
-    around.context.connections.client_share = 3
+    around.context.connections.client_limit = 3
     kept = [around.client() for _ in range(3)]
     for client in kept:
         serve_one(around, client)
@@ -611,7 +611,7 @@
 ) -> None:
     """Connections whose request makes no progress are closed first."""
     around = make_surroundings(limits={"sockets": 120})
-    around.context.connections.client_share = 6
+    around.context.connections.client_limit = 6
     slow, text = around.client(), around.request(connection="keep-alive")
     for start in range(0, len(text), 8):
         slow.sendall(text[start : start + 8])
@@ -634,7 +634,7 @@
 def test_an_idle_connection_makes_room_for_a_new_one(make_surroundings: Callable[..., Surroundings]) -> None:
     """The idle connection to another endpoint is closed."""
     around = make_surroundings(upstreams=2)
-    around.context.connections.share = 1
+    around.context.connections.endpoint_limit = 1
     client = around.client()
     upstream = None
     while "not-needed" not in [line["reason"] for line in around.logged("upstream.end")]:
@@ -644,12 +644,12 @@
             around.context.loop.run_once(0.01)
         around.reply(upstream)
         assert around.status(client) == 200
-    assert len(around.context.connections.upstream) == 1
+    assert len(around.context.connections.to_endpoints) == 1
 
 
 def test_without_room_for_a_connection_requests_are_rejected(around: Surroundings) -> None:
     """With a Retry-After, and nothing is sent."""
-    around.context.connections.room_for_upstream = lambda: False
+    around.context.connections.has_room_for_endpoint = lambda: False
     client = around.ask("buy", b"one")
     answer, _ = around.answer(client)
     assert answer.status_code == 503 and float(dict(answer.headers)[b"retry-after"]) > 0
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -108,7 +108,7 @@
     for one in silent[::2]:
         one.sendall(b"PUT /_upstreams/detach HTTP/1.1\r\nHost:")
     around.let_pass(0.05)
-    assert len(around.context.admin_listener.calls) <= around.context.connections.calls
+    assert len(around.context.admin_listener.calls) <= around.context.connections.admin_call_limit
     assert detach(around) == 200
     # Calls for which there is no room are closed, the oldest first; the others end by themselves.
     assert around.until(lambda: around.read(silent[0])) == b"end"
@@ -117,7 +117,10 @@
 def test_a_call_is_closed_only_to_make_room_for_another(operated):
     around = operated(limits={"sockets": 256})
     place = around.context.admin_listener.sock.getsockname()
-    silent = [around.keep(socket.create_connection(place)) for _ in range(around.context.connections.calls)]
+    silent = [
+        around.keep(socket.create_connection(place))
+        for _ in range(around.context.connections.admin_call_limit)
+    ]
     around.let_pass(0.1)
     assert [around.read(one) for one in silent] == [None] * len(silent)
 
@@ -129,8 +132,8 @@
 
 
 def test_without_an_admin_address_nothing_listens(around):
-    assert around.context.admin_listener is None and around.context.connections.calls == 0
-    assert ConnectionTracker(1024).share > ConnectionTracker(1024, called=True).share
+    assert around.context.admin_listener is None and around.context.connections.admin_call_limit == 0
+    assert ConnectionTracker(1024).endpoint_limit > ConnectionTracker(1024, called=True).endpoint_limit
 
 
 # Detaching an endpoint.
@@ -307,8 +310,8 @@
 def test_sibling_processes_share_the_limits_of_one(operated):
     around = operated()
     context, balancer = around.context, around.context.coordinator.scheduler.balancer
-    clients = context.connections.client_share
-    alone = context.buffer_pool.most, context.connections.share
+    clients = context.connections.client_limit
+    alone = context.buffer_pool.most, context.connections.endpoint_limit
 
     class Another:
         def others(self):
@@ -316,12 +319,12 @@
 
     context.siblings = Another()
     around.until(lambda: balancer.config.process_count == 2)
-    shared = context.buffer_pool.most, context.connections.share
-    assert context.connections.client_share == clients  # they come over to the new one all at once
+    shared = context.buffer_pool.most, context.connections.endpoint_limit
+    assert context.connections.client_limit == clients  # they come over to the new one all at once
     assert all(half < whole * 0.6 for half, whole in zip(shared, alone, strict=True))
     context.siblings = None
     around.until(lambda: balancer.config.process_count == 1)
-    assert (context.buffer_pool.most, context.connections.share) == alone
+    assert (context.buffer_pool.most, context.connections.endpoint_limit) == alone
 
 
 @pytest.mark.parametrize("value", ["x", "9999", "0"])
--- a/trials/emulated/member.py
+++ b/trials/emulated/member.py
@@ -124,7 +124,7 @@
     def _write(self, request: ReplicatedRequest, number: int, intended_at: float) -> None:
         if self.world.now > intended_at + SILENCE_TIMEOUT:
             # As the program does: a pause has fallen between the intent and the write.
-            self.replicator.ended(request, number, UNSENT)
+            self.replicator.attempt_not_run(request, number, UNSENT)
             self._retry(request)
             return
         self.world.record_run(self, request, number, request.epoch)
@@ -132,7 +132,7 @@
         self.run_after(service_time, lambda: self._finish(request))
 
     def _finish(self, request: ReplicatedRequest) -> None:
-        response = self.replicator.answered(request, RecordedResponse(200, body=request.key))
+        response = self.replicator.finish_request(request, RecordedResponse(200, body=request.key))
         if response is not None:
             self._respond(request, response)
 
@@ -158,7 +158,7 @@
         self.attempts.pop(request)
         client = request.dispatched_client
         until = request.waiting_clients.pop(client, 0.0)
-        response = self.replicator.answered(request, RecordedResponse(503, RETRY_AFTER))
+        response = self.replicator.finish_request(request, RecordedResponse(503, RETRY_AFTER))
         if response is not None:
             if client is not None and not client.end:
                 self.world.respond(client, response)
@@ -170,7 +170,7 @@
         if self._may_attempt(request):
             self._start_attempt(request)
             return
-        response = self.replicator.answered(request, RecordedResponse(504))
+        response = self.replicator.finish_request(request, RecordedResponse(504))
         if response is not None:
             self._respond(request, response)
 
--- a/trials/emulated/network.py
+++ b/trials/emulated/network.py
@@ -165,7 +165,7 @@
         by_id = {member.id: member for member in running}
         for one in running:
             view = one.replicator.view
-            for member_id in view.of_cell(view.cell_of(one.id)):
+            for member_id in view.members_of_cell(view.cell_of(one.id)):
                 if member_id > one.id and member_id in by_id:
                     yield one, by_id[member_id]
 
--- a/trials/model_state.py
+++ b/trials/model_state.py
@@ -218,7 +218,7 @@
         """An endpoint answers."""
         name = self.running.pop(int(number))
         if name in self.replicators:
-            for request in list(self.replicators[name].items.values()):
+            for request in list(self.replicators[name].requests.values()):
                 self._answer(name, request, RecordedResponse(200))
 
     def _do_asks(self, name: str) -> None:
@@ -327,7 +327,7 @@
         replicator = self.replicators[name]
         client = request.dispatched_client
         until = request.waiting_clients.pop(client, 0.0)
-        given = replicator.answered(request, response)
+        given = replicator.finish_request(request, response)
         if client is None:
             return
         if given is None:
--- a/trials/model_text.py
+++ b/trials/model_text.py
@@ -11,7 +11,7 @@
     views, peers, records = replicator.views, replicator.peers, replicator.records
     synced = sorted(views.synced_digests.items())
     view_state = (views.view.digest, views.was_synced, len(views.history), synced)
-    requests = [_request_text(request) for request in replicator.items.values()]
+    requests = [_request_text(request) for request in replicator.requests.values()]
     links = len(peers.linked), list(peers.dialling), list(peers.unreachable)
     return repr((name, view_state, links, records.held, records.unagreed, requests))
 
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -102,7 +102,7 @@
             now = self.loop.now()
             if message is None:
                 self._handle_time(now)
-            elif self.hosted(message, now):
+            elif self.handle_fleet_message(message, now):
                 if (frame := getattr(message, "frame", None)) is not None:
                     self.frames[type(frame).__name__] += 1
             elif isinstance(message, RequestArrived):
@@ -150,17 +150,17 @@
     def _finish_attempts(self, now: float) -> None:
         while self.in_service and self.in_service[0][0] <= now:
             attempt = heapq.heappop(self.in_service)[2]
-            if self.unhold(attempt) is not None:
+            if self.release_hold(attempt) is not None:
                 self._record_answer(attempt.item, RecordedResponse(FINISHED))
 
     def _drop(self, attempt: HollowAttempt) -> None:
-        gate = self.unhold(attempt)
+        gate = self.release_hold(attempt)
         if gate is not None:
-            self.replicator.ended(gate.item, gate.number, UNSENT)
+            self.replicator.attempt_not_run(gate.item, gate.number, UNSENT)
             self._record_answer(attempt.item, RecordedResponse(DEFERRED))
 
     def _record_answer(self, item: ReplicatedRequest, response: RecordedResponse) -> None:
-        given = self.replicator.answered(item, response)
+        given = self.replicator.finish_request(item, response)
         self.counts["later" if given is None else f"answered_{given.status}"] += 1
 
     # What `FleetHost` asks of the deciding part
@@ -188,11 +188,11 @@
         """Drop an attempt in a turn of its own."""
         self.post(AttemptDropped(exchange))
 
-    def cover_by(self, part: ReplicationConfig) -> None:
+    def replication_config_changed(self, part: ReplicationConfig) -> None:
         """Replicate as a policy says."""
-        self.replicator.count = part.keepers
+        self.replicator.replica_count = part.keepers
 
-    def retuned(self, terms: BalancerConfig) -> None:
+    def balancer_config_changed(self, terms: BalancerConfig) -> None:
         """Count a reload of the configuration."""
         self.counts["retuned"] += 1
 
--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -254,7 +254,7 @@
     def ready(self) -> bool:
         """Whether it serves, knows what the others own, and has all its links."""
         fleet = self.fleet
-        if fleet is None or not fleet.joined or not fleet.module.replicator.settled_now:
+        if fleet is None or not fleet.joined or not fleet.module.replicator.is_synced:
             return False
         return self._wanted_links(fleet) <= fleet.links.links.keys()
 
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -159,7 +159,7 @@
             "changes": sum(host.counts["log.link.up"] + host.counts["log.link.down"] for host in hosts),
             "versions": Counter(str(host.policy_replica.in_force.version) for host in hosts),
             "doubt": sum(bool(host.policy_replica.doubt()) for host in hosts),
-            "in_hand": sum(len(host.replicator.items) for host in hosts),
+            "in_hand": sum(len(host.replicator.requests) for host in hosts),
         }
 
     def sample(self, command: Json) -> Json:
