--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -53,6 +53,18 @@
     return network
 
 
+@pytest.fixture
+def connected_pair(make_network: MakeNetwork) -> LinkNetwork:
+    """Two members of one shard, with a link."""
+    network = make_network()
+    for name in names_in_shards(1, 0, 0):
+        network.add(name)
+    network.set_view(1)
+    one, other = network.members
+    network.wait_until(lambda: connected(one, other))
+    return network
+
+
 def test_members_of_one_shard_are_linked_and_others_are_not(make_network: MakeNetwork) -> None:
     """Links follow the shards of the view."""
     network = make_network()
@@ -346,15 +358,11 @@
 
 
 def test_on_an_idle_link_a_heartbeat_is_answered_at_once_so_that_one_side_waits(
-    make_network: MakeNetwork,
+    connected_pair: LinkNetwork,
 ) -> None:
     """Both sides' heartbeats together are few."""
-    network = make_network()
-    for name in names_in_shards(1, 0, 0):
-        network.add(name)
-    network.set_view(1)
+    network = connected_pair
     one, other = network.members
-    network.wait_until(lambda: connected(one, other))
     network.advance(timing.ACTIVE_PERIOD + 0.5)
     counts = Counter({each.id: len(each.messages_of(FrameReceived)) for each in network.members})
     network.advance(3 * timing.MIN_IDLE_HEARTBEAT_INTERVAL)
@@ -391,15 +399,11 @@
 
 
 def test_request_frames_do_not_replace_heartbeats_where_a_policy_status_is_needed(
-    make_network: MakeNetwork,
+    connected_pair: LinkNetwork,
 ) -> None:
     """Heartbeats go on beside them."""
-    network = make_network()
-    for name in names_in_shards(1, 0, 0):
-        network.add(name)
-    network.set_view(1)
+    network = connected_pair
     one, other = network.members
-    network.wait_until(lambda: connected(one, other))
     link, latest = one.links.links[other.id], []
     for _ in range(40):
         link.post(CHECK_LINKS)
