--- a/tests/decision_host.py
+++ b/tests/decision_host.py
@@ -1,10 +1,15 @@
 """A host of the decisions that records what they ask for, and settings that several tests share."""
 
+import enum
 import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
 
 from starlingwheel.decisions.config import BalancerConfig, RequestClass, RetrySafety, Tenant
+from starlingwheel.decisions.endpoint_stats import EndpointStats
 from starlingwheel.decisions.events import AttemptEnded, WatchEvent
-from starlingwheel.decisions.model import AttemptOutcome, Endpoint, EndpointState, Request
+from starlingwheel.decisions.model import Attempt, AttemptOutcome, Endpoint, EndpointState, Request
 from starlingwheel.decisions.scheduler import DecisionScheduler
 
 LOOK = RequestClass("look", RetrySafety.IDEMPOTENT, latency_objective=1.0, priority_weight=1.0, timeout=3.0)
@@ -19,11 +24,29 @@
 )
 
 
+class AnswerKind(enum.Enum):
+    """How a request ended for its client."""
+
+    SUCCEEDED = enum.auto()
+    REJECTED = enum.auto()
+    FAILED = enum.auto()
+
+
+@dataclass(frozen=True, slots=True)
+class FinalAnswer:
+    """What the client of one request got."""
+
+    kind: AnswerKind
+    request: Request
+    retry_after: float = 0.0  # seconds, of a rejection
+
+
 class FakeHost:
-    """Writes down what the decisions ask for; the story says what comes back, and when."""
+    """Records what the decisions ask for; the test says what comes back, and when."""
 
-    def __init__(self, upstreams=4, seed=1, **changed):
-        agreed = {
+    def __init__(self, endpoints: int = 4, seed: int = 1, **changed: object) -> None:
+        """So many ready endpoints `u0`, `u1`, ...; `changed`: fields of `BalancerConfig`."""
+        config: dict[str, Any] = {
             "request_classes": [LOOK, BUY, MOVE],
             "zone": "here",
             "sidecars": 1,
@@ -38,85 +61,120 @@
             "max_retry_after": 2.0,
             "tenants": [Tenant("inn", 0.5), Tenant("pub", 0.5)],
         }
-        self.sent, self.ended, self.cancelled, self.told, self.probes = [], [], [], [], []
-        self.subscribed, self.alarms = 0, []
-        self.runner = DecisionScheduler(BalancerConfig(**(agreed | changed)), random.Random(seed), self, 0.0)
-        self.names = [f"u{i}" for i in range(upstreams)]
-        self.listed(WatchEvent.SNAPSHOT, *self.names)
-        self.runner.start()
-
-    def listed(self, news, *names, condition=EndpointState.READY, started=None, zone="here", cell=0):
-        entries = [Endpoint(name, zone, cell, 1.0, started, condition) for name in names]
-        self.runner.endpoints_changed(news, entries)
-
-    def take(self, category=LOOK, patience=2.0, **more):
-        request = Request(category, self.runner.now, patience, **more)
-        self.runner.accept_request(request)
+        self.attempts: list[Attempt] = []
+        self.cancelled: list[Attempt] = []
+        self.final_answers: list[FinalAnswer] = []
+        self.gossip_sent: list[bytes] = []
+        self.health_checks: list[EndpointStats] = []
+        self.watches_requested = 0
+        self.alarms: list[float] = []
+        self.scheduler = DecisionScheduler(
+            BalancerConfig(**(config | changed)), random.Random(seed), self, 0.0
+        )
+        self.endpoint_ids = [f"u{i}" for i in range(endpoints)]
+        self.list_endpoints(WatchEvent.SNAPSHOT, *self.endpoint_ids)
+        self.scheduler.start()
+
+    def list_endpoints(
+        self,
+        event: WatchEvent,
+        *endpoint_ids: str,
+        state: EndpointState = EndpointState.READY,
+        started: float | None = None,
+        zone: str = "here",
+        cell: int = 0,
+    ) -> None:
+        """What a message of discovery says of these endpoints; all are alike."""
+        entries = [Endpoint(name, zone, cell, 1.0, started, state) for name in endpoint_ids]
+        self.scheduler.endpoints_changed(event, entries)
+
+    def submit(self, request_class: RequestClass = LOOK, time_left: float = 2.0, **more: object) -> Request:
+        """A request of a client; `more`: fields of `Request`."""
+        request = Request(request_class, self.scheduler.now, time_left, **more)
+        self.scheduler.accept_request(request)
         return request
 
-    def later(self, seconds):
-        until = self.runner.now + seconds
+    def advance(self, seconds: float) -> None:
+        """Time passes, with the alarms that are due meanwhile."""
+        until = self.scheduler.now + seconds
         while due := [at for at in self.alarms if at <= until]:
             self.alarms.remove(min(due))
-            self.runner.set_time(max(self.runner.now, min(due)))
-            self.runner.tick()
-        self.runner.set_time(until)
-
-    def end(self, attempt, fate=AttemptOutcome.SUCCESS, report=None):
-        answered = fate is AttemptOutcome.SUCCESS or any(
-            request is attempt.request for _, request, _ in self.ended
-        )
-        if fate is AttemptOutcome.SUCCESS:
-            self.ended.append(("finished", attempt.request, 0.0))
-        self.runner.attempt_ended(
-            AttemptEnded(attempt, fate, self.runner.now - attempt.started_at, answered, report or {})
-        )
+            self.scheduler.set_time(max(self.scheduler.now, min(due)))
+            self.scheduler.tick()
+        self.scheduler.set_time(until)
+
+    def end_attempt(
+        self,
+        attempt: Attempt,
+        outcome: AttemptOutcome = AttemptOutcome.SUCCESS,
+        load_report: dict[str, float] | None = None,
+    ) -> None:
+        """An attempt ends now; those that it cancelled end with it."""
+        succeeded = outcome is AttemptOutcome.SUCCESS
+        answered = succeeded or any(answer.request is attempt.request for answer in self.final_answers)
+        if succeeded:
+            self.final_answers.append(FinalAnswer(AnswerKind.SUCCEEDED, attempt.request))
+        latency = self.scheduler.now - attempt.started_at
+        self.scheduler.attempt_ended(AttemptEnded(attempt, outcome, latency, answered, load_report or {}))
         for other in [other for other in self.cancelled if other.pending]:
-            self.end(other, AttemptOutcome.CANCELLED)
+            self.end_attempt(other, AttemptOutcome.CANCELLED)
 
-    def hears(self, peer, u, count):
-        self.runner.gossip_received(peer, u.gossip_tag.to_bytes(2, "big") + bytes([count]))
+    def receive_gossip(self, peer: int, endpoint: EndpointStats, count: int) -> None:
+        """One entry of a peer's gossip."""
+        tag = endpoint.gossip_tag.to_bytes(2, "big")
+        self.scheduler.gossip_received(peer, tag + bytes([count]))
 
-    def of(self, request):
-        return [attempt for attempt in self.sent if attempt.request is request]
+    def attempts_of(self, request: Request) -> list[Attempt]:
+        """The attempts of a request so far, hedges and retries among them."""
+        return [attempt for attempt in self.attempts if attempt.request is request]
 
-    def answers(self, request):
-        return [word for word, ended, _ in self.ended if ended is request]
+    def answers_to(self, request: Request) -> list[AnswerKind]:
+        """The final answers of a request; more than one would be a fault."""
+        return [answer.kind for answer in self.final_answers if answer.request is request]
 
-    def serve(self, count, took=0.1, category=LOOK):
-        """So many work items, one after another, each answered in `took`."""
+    def serve(self, count: int, took: float = 0.1, request_class: RequestClass = LOOK) -> None:
+        """So many requests, one after another, each answered in `took` seconds."""
         for _ in range(count):
-            attempt = self.of(self.take(category))[0]
-            self.later(took)
-            self.end(attempt)
+            attempt = self.attempts_of(self.submit(request_class))[0]
+            self.advance(took)
+            self.end_attempt(attempt)
 
-    # The door.
+    # What the decisions ask of their host: `DecisionHost`.
 
-    def start_attempt(self, attempt, limit):
-        self.sent.append(attempt)
+    def start_attempt(self, attempt: Attempt, limit: float) -> None:
+        """Record an attempt."""
+        self.attempts.append(attempt)
 
-    def cancel_attempt(self, attempt):
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Record a cancellation."""
         self.cancelled.append(attempt)
 
-    def reject_request(self, request, retry_after):
-        self.ended.append(("deferred", request, retry_after))
+    def reject_request(self, request: Request, retry_after: float) -> None:
+        """Record a rejection."""
+        self.final_answers.append(FinalAnswer(AnswerKind.REJECTED, request, retry_after))
 
-    def fail_request(self, request):
-        self.ended.append(("written off", request, 0.0))
+    def fail_request(self, request: Request) -> None:
+        """Record a failure."""
+        self.final_answers.append(FinalAnswer(AnswerKind.FAILED, request))
 
-    def watch_endpoints(self):
-        self.subscribed += 1
+    def watch_endpoints(self) -> None:
+        """Count it."""
+        self.watches_requested += 1
 
-    def start_health_check(self, upstream):
-        self.probes.append(upstream)
+    def start_health_check(self, endpoint: EndpointStats) -> None:
+        """Record a health check."""
+        self.health_checks.append(endpoint)
 
-    def send_gossip(self, body):
-        self.told.append(body)
+    def send_gossip(self, body: bytes) -> None:
+        """Record a message to the peers."""
+        self.gossip_sent.append(body)
 
-    def report_defect(self, request, error):
+    def report_defect(self, request: Request | None, error: Exception) -> None:
+        """Let the test fail."""
         raise error
 
-    def set_alarm(self, at):
+    def set_alarm(self, at: float) -> None:
+        """Remember when the decisions want to be called."""
         self.alarms.append(at)
 
 
@@ -136,17 +194,20 @@
 KEYS = [f"race/{i}" for i in range(400)]
 
 
-def host_with_cells(make_host, cells=4, each=3, **changed):
+MakeHost = Callable[..., FakeHost]
+
+
+def host_with_cells(make_host: MakeHost, cells: int = 4, each: int = 3, **changed: object) -> FakeHost:
     """A host with so many cells of endpoints in its own zone."""
     host = make_host(cells * each, key_affinity=True, **changed)
-    for i, name in enumerate(host.names):
-        host.listed(WatchEvent.DELTA, name, cell=i // each)
+    for i, name in enumerate(host.endpoint_ids):
+        host.list_endpoints(WatchEvent.DELTA, name, cell=i // each)
     return host
 
 
-def cell_of(host, key):
+def cell_of(host: FakeHost, key: str) -> int:
     """The cell that a request with the key goes to; it is answered at once, so that there is no load."""
-    attempt = host.of(host.take(key=key))[0]
-    host.later(0.05)
-    host.end(attempt)
+    attempt = host.attempts_of(host.submit(key=key))[0]
+    host.advance(0.05)
+    host.end_attempt(attempt)
     return attempt.endpoint.entry.cell
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -2,27 +2,27 @@
 
 import msgspec
 import pytest
-from decision_host import BUY, LOOK
+from decision_host import BUY, LOOK, AnswerKind, FakeHost
 
 from starlingwheel.decisions.config import RequestClass, RetrySafety
 from starlingwheel.decisions.model import AttemptOutcome
 
 
-def test_requests_in_flight_keep_the_attempts_they_were_accepted_with(host):
+def test_requests_in_flight_keep_the_attempts_they_were_accepted_with(host: FakeHost) -> None:
     """Two more hand-offs were allowed when it was taken; what comes later gets one."""
-    terms = host.runner.balancer.config
-    before = host.take(LOOK)
-    host.runner.reload(msgspec.structs.replace(terms, max_attempts=1))
-    after = host.take(LOOK)
+    terms = host.scheduler.balancer.config
+    before = host.submit(LOOK)
+    host.scheduler.reload(msgspec.structs.replace(terms, max_attempts=1))
+    after = host.submit(LOOK)
     for request in (before, after):
-        host.end(host.of(request)[-1], AttemptOutcome.REJECTED)
-    assert len(host.of(before)) == 2 and len(host.of(after)) == 1
-    assert host.answers(after) == ["deferred"]
+        host.end_attempt(host.attempts_of(request)[-1], AttemptOutcome.REJECTED)
+    assert len(host.attempts_of(before)) == 2 and len(host.attempts_of(after)) == 1
+    assert host.answers_to(after) == [AnswerKind.REJECTED]
 
 
-def test_a_reload_keeps_what_was_learned_and_a_new_class_begins_afresh(host):
+def test_a_reload_keeps_what_was_learned_and_a_new_class_begins_afresh(host: FakeHost) -> None:
     host.serve(40, took=0.2)
-    balancer = host.runner.balancer
+    balancer = host.scheduler.balancer
     learned = balancer.latency.typical(LOOK)
     # The same by its name, with another effect and deadline, beside a new one.
     look = RequestClass(
@@ -31,11 +31,11 @@
     gaze = RequestClass(
         "gaze", RetrySafety.IDEMPOTENT, latency_objective=0.5, priority_weight=2.0, timeout=1.0
     )
-    host.runner.reload(msgspec.structs.replace(balancer.config, request_classes=[look, gaze]))
+    host.scheduler.reload(msgspec.structs.replace(balancer.config, request_classes=[look, gaze]))
     assert balancer.latency.typical(look) == pytest.approx(learned)
     assert balancer.latency.typical(gaze) == gaze.latency_objective / 8
     assert balancer.clock.shortest_objective == 0.5 and balancer.admission._best_weight == 2.0
     assert set(balancer.latency._by_class) == {"look", "gaze"}
-    host.serve(5, category=gaze)
-    host.serve(1, category=BUY)  # dropped; still open somewhere
-    assert all(word == "finished" for word, _, _ in host.ended)
+    host.serve(5, request_class=gaze)
+    host.serve(1, request_class=BUY)  # dropped; still open somewhere
+    assert all(answer.kind is AnswerKind.SUCCEEDED for answer in host.final_answers)
--- a/tests/decisions/test_endpoint_set.py
+++ b/tests/decisions/test_endpoint_set.py
@@ -3,97 +3,106 @@
 from collections import Counter
 
 import pytest
-from decision_host import KEYS, SUBSET_SETTINGS, cell_of, host_with_cells
+from decision_host import KEYS, SUBSET_SETTINGS, AnswerKind, FakeHost, MakeHost, cell_of, host_with_cells
 
 from starlingwheel.decisions.events import WatchEvent
 from starlingwheel.decisions.model import AttemptOutcome, Endpoint, EndpointState
 
 
-def weighed(host, **sizes):
-    """The list gives sizes anew, as it does when they move with load."""
-    host.runner.endpoints_changed(
+def list_weights(host: FakeHost, **weights: float) -> None:
+    """The list gives new weights, as it does where they move with load."""
+    host.scheduler.endpoints_changed(
         WatchEvent.DELTA,
-        [Endpoint(n, "here", 0, size, None, EndpointState.READY) for n, size in sizes.items()],
+        [Endpoint(name, "here", 0, weight, None, EndpointState.READY) for name, weight in weights.items()],
     )
 
 
-def test_nothing_goes_to_an_endpoint_that_drains_or_is_gone(host):
-    host.listed(WatchEvent.DELTA, "u0", condition=EndpointState.DRAINING)
-    host.listed(WatchEvent.DELTA, "u1", condition=EndpointState.GONE)
-    host.listed(WatchEvent.SNAPSHOT, "u0", condition=EndpointState.DRAINING)
-    host.listed(WatchEvent.DELTA, "u2", "u3")
+def test_nothing_goes_to_an_endpoint_that_drains_or_is_gone(host: FakeHost) -> None:
+    host.list_endpoints(WatchEvent.DELTA, "u0", state=EndpointState.DRAINING)
+    host.list_endpoints(WatchEvent.DELTA, "u1", state=EndpointState.GONE)
+    host.list_endpoints(WatchEvent.SNAPSHOT, "u0", state=EndpointState.DRAINING)
+    host.list_endpoints(WatchEvent.DELTA, "u2", "u3")
     host.serve(20)
-    assert {attempt.endpoint.endpoint_id for attempt in host.sent} == {"u2", "u3"}
+    assert {attempt.endpoint.endpoint_id for attempt in host.attempts} == {"u2", "u3"}
 
 
-def test_all_sidecars_prefer_the_same_cell_for_a_key_and_spread_the_keys(make_host):
+def test_all_sidecars_prefer_the_same_cell_for_a_key_and_spread_the_keys(make_host: MakeHost) -> None:
     one, other = host_with_cells(make_host, seed=1), host_with_cells(make_host, seed=2)
     picked = [cell_of(one, key) for key in KEYS]
     assert sum(a == cell_of(other, key) for a, key in zip(picked, KEYS, strict=True)) > 0.9 * len(KEYS)
     assert all(0.15 < n / len(KEYS) < 0.35 for n in Counter(picked).values()) and len(set(picked)) == 4
 
 
-def test_when_a_cell_is_lost_only_its_keys_move(make_host):
+def test_when_a_cell_is_lost_only_its_keys_move(make_host: MakeHost) -> None:
     host = host_with_cells(make_host)
-    homes = {key: host.runner.balancer.endpoints.preferred_cell(key) for key in KEYS}
-    host.listed(WatchEvent.DELTA, *host.names[:3], condition=EndpointState.GONE)
-    assert 0 not in {c for key in KEYS for c in [host.runner.balancer.endpoints.preferred_cell(key)]}
+    homes = {key: host.scheduler.balancer.endpoints.preferred_cell(key) for key in KEYS}
+    host.list_endpoints(WatchEvent.DELTA, *host.endpoint_ids[:3], state=EndpointState.GONE)
+    assert 0 not in {c for key in KEYS for c in [host.scheduler.balancer.endpoints.preferred_cell(key)]}
     assert all(
-        host.runner.balancer.endpoints.preferred_cell(key) == home for key, home in homes.items() if home != 0
+        host.scheduler.balancer.endpoints.preferred_cell(key) == home
+        for key, home in homes.items()
+        if home != 0
     )
 
 
-def test_any_key_has_a_cell_and_no_key_has_none(make_host):
+def test_any_key_has_a_cell_and_no_key_has_none(make_host: MakeHost) -> None:
     host = host_with_cells(make_host)
     assert len({cell_of(host, "x" * 100_000) for _ in range(8)}) == 1
     assert len({cell_of(host, "") for _ in range(30)}) > 1
     plain = make_host(12)
-    assert len({plain.of(plain.take(key="race/1"))[0].endpoint for _ in range(8)}) > 3
+    assert len({plain.attempts_of(plain.submit(key="race/1"))[0].endpoint for _ in range(8)}) > 3
 
 
-def test_a_response_from_an_endpoint_no_longer_listed_still_counts(host):
-    request = host.take()
-    host.listed(WatchEvent.DELTA, *host.names, condition=EndpointState.GONE)
-    host.end(host.of(request)[0], report={"held": 3.0})
-    assert host.answers(request) == ["finished"] and host.answers(host.take()) == ["deferred"]
+def test_a_response_from_an_endpoint_no_longer_listed_still_counts(host: FakeHost) -> None:
+    request = host.submit()
+    host.list_endpoints(WatchEvent.DELTA, *host.endpoint_ids, state=EndpointState.GONE)
+    host.end_attempt(host.attempts_of(request)[0], load_report={"held": 3.0})
+    assert host.answers_to(request) == [AnswerKind.SUCCEEDED] and host.answers_to(host.submit()) == [
+        AnswerKind.REJECTED
+    ]
 
 
-@pytest.mark.parametrize("upstreams", [1, 400])
-def test_a_list_of_any_length_is_used(make_host, upstreams):
-    host = make_host(upstreams=upstreams, sidecars=100_000)
+@pytest.mark.parametrize("endpoints", [1, 400])
+def test_a_list_of_any_length_is_used(make_host: MakeHost, endpoints: int) -> None:
+    host = make_host(endpoints=endpoints, sidecars=100_000)
     host.serve(30)
-    assert len(host.sent) == 30
+    assert len(host.attempts) == 30
 
 
-def test_each_of_many_sidecars_uses_a_small_subset_and_all_endpoints_are_used(make_host):
+def test_each_of_many_sidecars_uses_a_small_subset_and_all_endpoints_are_used(make_host: MakeHost) -> None:
     users = dict.fromkeys([f"u{i}" for i in range(30)], 0)
     for number in range(60):
-        host = make_host(upstreams=30, seed=number, sidecar_index=number, **SUBSET_SETTINGS)
+        host = make_host(endpoints=30, seed=number, sidecar_index=number, **SUBSET_SETTINGS)
         host.serve(12)
-        used = {attempt.endpoint.endpoint_id for attempt in host.sent}
+        used = {attempt.endpoint.endpoint_id for attempt in host.attempts}
         assert len(used) <= 2
         for name in used:
             users[name] += 1
     assert min(users.values()) >= 1 and max(users.values()) <= 12
 
 
-def test_a_sidecar_whose_subset_is_dead_goes_on_with_the_next_endpoints_of_its_order(make_host):
-    host = make_host(upstreams=30, **SUBSET_SETTINGS)
+def test_a_sidecar_whose_subset_is_dead_goes_on_with_the_next_endpoints_of_its_order(
+    make_host: MakeHost,
+) -> None:
+    host = make_host(endpoints=30, **SUBSET_SETTINGS)
     host.serve(12)
-    dead = {attempt.endpoint for attempt in host.sent}
+    dead = {attempt.endpoint for attempt in host.attempts}
     for _ in range(6):
-        request = host.take()
-        while (attempt := host.of(request)[-1]).endpoint in dead and attempt.pending:
-            host.end(attempt, AttemptOutcome.CONNECT_FAILED)
+        request = host.submit()
+        while (attempt := host.attempts_of(request)[-1]).endpoint in dead and attempt.pending:
+            host.end_attempt(attempt, AttemptOutcome.CONNECT_FAILED)
         if attempt.pending:
-            host.end(attempt)
-    assert host.answers(request) == ["finished"] and host.of(request)[0].endpoint not in dead
+            host.end_attempt(attempt)
+    assert (
+        host.answers_to(request) == [AnswerKind.SUCCEEDED]
+        and host.attempts_of(request)[0].endpoint not in dead
+    )
 
 
-def test_a_live_weight_is_told_apart_from_the_capacity(make_host):
-    host = make_host(upstreams=2, weights_are_live=True, **SUBSET_SETTINGS)
-    weighed(host, u0=0.25, u1=1.0)
-    balancer = host.runner.balancer
+def test_a_live_weight_is_told_apart_from_the_capacity(make_host: MakeHost) -> None:
+    host = make_host(endpoints=2, weights_are_live=True, **SUBSET_SETTINGS)
+    list_weights(host, u0=0.25, u1=1.0)
+    balancer = host.scheduler.balancer
     full, free = balancer.endpoints.by_id["u0"], balancer.endpoints.by_id["u1"]
     assert (
         full.capacity_weight == free.capacity_weight == 1.0 and balancer.endpoints.relative_cost(full) == 1.0
@@ -101,19 +110,19 @@
     assert balancer.load.of(full) > balancer.load.of(free) and balancer.load.mean_elsewhere() > 1
 
 
-def test_endpoints_that_a_delta_does_not_name_have_not_changed(make_host):
-    host = make_host(upstreams=8, weights_are_live=True, **SUBSET_SETTINGS)
+def test_endpoints_that_a_delta_does_not_name_have_not_changed(make_host: MakeHost) -> None:
+    host = make_host(endpoints=8, weights_are_live=True, **SUBSET_SETTINGS)
     for _ in range(10):
-        host.later(0.5)
-        weighed(host, u0=0.1)
-    idle = host.runner.balancer.endpoints.by_id["u5"]
-    assert host.runner.balancer.load.of(idle) < 2 and host.of(host.take())
-
-
-def test_a_changed_live_weight_is_no_change_of_membership(make_host):
-    host = make_host(upstreams=8, weights_are_live=True, **SUBSET_SETTINGS)
-    host.take()
-    weighed(host, u0=0.5)
-    assert not host.runner.balancer.endpoints.stale
-    host.listed(WatchEvent.DELTA, "u0", condition=EndpointState.DRAINING)
-    assert host.runner.balancer.endpoints.stale
+        host.advance(0.5)
+        list_weights(host, u0=0.1)
+    idle = host.scheduler.balancer.endpoints.by_id["u5"]
+    assert host.scheduler.balancer.load.of(idle) < 2 and host.attempts_of(host.submit())
+
+
+def test_a_changed_live_weight_is_no_change_of_membership(make_host: MakeHost) -> None:
+    host = make_host(endpoints=8, weights_are_live=True, **SUBSET_SETTINGS)
+    host.submit()
+    list_weights(host, u0=0.5)
+    assert not host.scheduler.balancer.endpoints.stale
+    host.list_endpoints(WatchEvent.DELTA, "u0", state=EndpointState.DRAINING)
+    assert host.scheduler.balancer.endpoints.stale
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -1,212 +1,227 @@
 """Gossip between sidecars."""
 
 import pytest
-from decision_host import BUY, GOSSIP_SETTINGS, LOOK, POLLING_SETTINGS_OF_A_LARGE_FLEET
+from decision_host import (
+    BUY,
+    GOSSIP_SETTINGS,
+    LOOK,
+    POLLING_SETTINGS_OF_A_LARGE_FLEET,
+    AnswerKind,
+    FakeHost,
+    MakeHost,
+)
 
 from starlingwheel.decisions.events import WatchEvent
 from starlingwheel.decisions.gossip import ENDED_BY_SENDER, UNANSWERED
-from starlingwheel.decisions.model import AttemptOutcome, EndpointState
+from starlingwheel.decisions.model import Attempt, AttemptOutcome, EndpointState
 
 
-def lose(host, attempt, after=2.5):
-    host.later(after)
-    host.end(attempt, AttemptOutcome.TIMED_OUT)
+def time_out(host: FakeHost, attempt: Attempt, after: float = 2.5) -> None:
+    """The attempt gets no response."""
+    host.advance(after)
+    host.end_attempt(attempt, AttemptOutcome.TIMED_OUT)
 
 
-def tell_of(host, times):
-    """Peers tell of work at each upstream, one after another; each takes as long as it says."""
-    balancer = host.runner.balancer
+def receive_counts(host: FakeHost, latencies: dict[str, float]) -> None:
+    """A peer's counts of requests at each endpoint, one after another; each takes as long as it says."""
+    balancer = host.scheduler.balancer
     ends = []
-    for round in range(100):
-        at = round * 0.05
-        for name, time in times.items():
-            if round * 0.05 % time < 0.05:
+    for step in range(100):
+        at = step * 0.05
+        for name, latency in latencies.items():
+            if at % latency < 0.05:
                 ends.append((at, name, 1))
-                ends.append((at + time * 0.99, name, 0))
-    begin = host.runner.now
-    for at, name, n in sorted(ends):
-        host.later(max(0.0, begin + at - host.runner.now))
-        host.hears(1, balancer.endpoints.by_id[name], n)
+                ends.append((at + latency * 0.99, name, 0))
+    begin = host.scheduler.now
+    for at, name, count in sorted(ends):
+        host.advance(max(0.0, begin + at - host.scheduler.now))
+        host.receive_gossip(1, balancer.endpoints.by_id[name], count)
 
 
-def test_a_failing_endpoint_is_reported_to_peers_at_any_request_rate(make_host):
+def test_a_failing_endpoint_is_reported_to_peers_at_any_request_rate(make_host: MakeHost) -> None:
     host = make_host(gossip_allowed=True)
-    sick = host.runner.balancer.endpoints.by_id["u0"]
+    sick = host.scheduler.balancer.endpoints.by_id["u0"]
     for i in range(800):
-        request = host.take()
-        host.later(0.002)
-        for attempt in host.of(request):
-            host.end(
+        request = host.submit()
+        host.advance(0.002)
+        for attempt in host.attempts_of(request):
+            host.end_attempt(
                 attempt,
                 AttemptOutcome.RESET if attempt.endpoint is sick and i > 400 else AttemptOutcome.SUCCESS,
             )
-    assert host.runner.balancer.outliers.is_suspected(sick) or sick.probation_limit < float("inf")
+    assert host.scheduler.balancer.outliers.is_suspected(sick) or sick.probation_limit < float("inf")
 
 
-def test_a_peers_failure_keeps_non_idempotent_requests_away_for_a_while(make_host):
+def test_a_peers_failure_keeps_non_idempotent_requests_away_for_a_while(make_host: MakeHost) -> None:
     host = make_host(sidecars=3, gossip_allowed=True)
-    bad = host.runner.balancer.endpoints.by_id["u0"]
-    host.hears(1, bad, 255)
-    host.serve(30, took=0.02, category=BUY)
-    assert bad not in {attempt.endpoint for attempt in host.sent}
+    bad = host.scheduler.balancer.endpoints.by_id["u0"]
+    host.receive_gossip(1, bad, 255)
+    host.serve(30, took=0.02, request_class=BUY)
+    assert bad not in {attempt.endpoint for attempt in host.attempts}
     host.serve(30, took=0.02)
-    assert bad in {attempt.endpoint for attempt in host.sent}
-    host.later(5.0)
-    host.serve(30, category=BUY)
-    assert bad in {attempt.endpoint for attempt in host.sent[-30:]}
+    assert bad in {attempt.endpoint for attempt in host.attempts}
+    host.advance(5.0)
+    host.serve(30, request_class=BUY)
+    assert bad in {attempt.endpoint for attempt in host.attempts[-30:]}
 
 
-def test_a_failed_attempt_is_reported_to_peers_once(make_host):
-    host = make_host(upstreams=1, sidecars=3, gossip_allowed=True)
+def test_a_failed_attempt_is_reported_to_peers_once(make_host: MakeHost) -> None:
+    host = make_host(endpoints=1, sidecars=3, gossip_allowed=True)
     for _ in range(2):
-        host.end(host.of(host.take())[0], AttemptOutcome.ERROR)
-    assert sum(body[2] == 255 for body in host.told if body) == 1
+        host.end_attempt(host.attempts_of(host.submit())[0], AttemptOutcome.ERROR)
+    assert sum(body[2] == 255 for body in host.gossip_sent if body) == 1
 
 
-def test_failures_at_all_endpoints_leave_non_idempotent_requests_somewhere_to_go(make_host):
+def test_failures_at_all_endpoints_leave_non_idempotent_requests_somewhere_to_go(make_host: MakeHost) -> None:
     host = make_host(sidecars=3, gossip_allowed=True)
-    host.take()
-    for u in host.runner.balancer.endpoints.by_id.values():
-        host.hears(1, u, 255)
-    assert host.of(host.take(BUY))
+    host.submit()
+    for endpoint in host.scheduler.balancer.endpoints.by_id.values():
+        host.receive_gossip(1, endpoint, 255)
+    assert host.attempts_of(host.submit(BUY))
 
 
 @pytest.mark.parametrize("body", [b"", b"\x01", b"\x01\x02", b"\x01\x02\x03\x04", bytes(255)])
-def test_a_truncated_message_or_one_from_an_unknown_peer_is_harmless(make_host, body):
+def test_a_truncated_message_or_one_from_an_unknown_peer_is_harmless(
+    make_host: MakeHost, body: bytes
+) -> None:
     host = make_host(sidecars=3, gossip_allowed=True)
     for peer in (-1, 1, 2, 99):
-        host.runner.gossip_received(peer, body)
-    assert host.of(host.take())
+        host.scheduler.gossip_received(peer, body)
+    assert host.attempts_of(host.submit())
 
 
-def test_a_silent_peers_counts_are_dropped(make_host):
-    host = make_host(upstreams=1, sidecars=3, gossip_allowed=True)
-    host.hears(1, host.runner.balancer.endpoints.by_id["u0"], 100)
-    ahead = host.take()
-    full = host.take()
-    host.end(host.of(ahead)[0])
-    host.later(2.0)
-    host.take()
-    assert host.answers(full) == ["deferred"] and host.of(host.take())
+def test_a_silent_peers_counts_are_dropped(make_host: MakeHost) -> None:
+    host = make_host(endpoints=1, sidecars=3, gossip_allowed=True)
+    host.receive_gossip(1, host.scheduler.balancer.endpoints.by_id["u0"], 100)
+    ahead = host.submit()
+    full = host.submit()
+    host.end_attempt(host.attempts_of(ahead)[0])
+    host.advance(2.0)
+    host.submit()
+    assert host.answers_to(full) == [AnswerKind.REJECTED] and host.attempts_of(host.submit())
 
 
-def test_a_count_stands_as_long_as_its_attempt_can_be_in_flight(make_host):
+def test_a_count_stands_as_long_as_its_attempt_can_be_in_flight(make_host: MakeHost) -> None:
     slow = type(LOOK)("slow", LOOK.retry_safety, latency_objective=4.0, priority_weight=1.0, timeout=8.0)
-    host = make_host(upstreams=1, request_classes=[LOOK, slow], sidecars=3, gossip_allowed=True)
-    host.hears(1, host.runner.balancer.endpoints.by_id["u0"], 100)
-    host.later(1.9)
-    host.runner.gossip_received(2, bytes(3))
-    host.take(slow)
-    assert host.answers(host.take(slow)) == ["deferred"]
+    host = make_host(endpoints=1, request_classes=[LOOK, slow], sidecars=3, gossip_allowed=True)
+    host.receive_gossip(1, host.scheduler.balancer.endpoints.by_id["u0"], 100)
+    host.advance(1.9)
+    host.scheduler.gossip_received(2, bytes(3))
+    host.submit(slow)
+    assert host.answers_to(host.submit(slow)) == [AnswerKind.REJECTED]
 
 
-def test_gossip_about_an_endpoint_no_longer_listed_is_harmless(make_host):
+def test_gossip_about_an_endpoint_no_longer_listed_is_harmless(make_host: MakeHost) -> None:
     host = make_host(**POLLING_SETTINGS_OF_A_LARGE_FLEET)
-    request = host.take(BUY)
-    asked = list(host.probes)
-    host.listed(WatchEvent.DELTA, *host.names, condition=EndpointState.GONE)
-    for u in [*asked, asked[0]]:
-        host.runner.health_check_ended(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
-    host.later(1.0)
-    assert host.answers(request) == ["deferred"] and not host.sent
+    request = host.submit(BUY)
+    polled = list(host.health_checks)
+    host.list_endpoints(WatchEvent.DELTA, *host.endpoint_ids, state=EndpointState.GONE)
+    for endpoint in [*polled, polled[0]]:
+        host.scheduler.health_check_ended(endpoint.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+    host.advance(1.0)
+    assert host.answers_to(request) == [AnswerKind.REJECTED] and not host.attempts
 
 
-def test_an_endpoint_that_left_a_peers_attempt_unanswered_gets_nothing(make_host):
+def test_an_endpoint_that_left_a_peers_attempt_unanswered_gets_nothing(make_host: MakeHost) -> None:
     host = make_host(**GOSSIP_SETTINGS)
-    host.later(2.0)
-    u = host.runner.balancer.endpoints.by_id["u0"]
-    host.hears(1, u, UNANSWERED)
+    host.advance(2.0)
+    endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
+    host.receive_gossip(1, endpoint, UNANSWERED)
     host.serve(12, took=0.01)
-    assert u not in {attempt.endpoint for attempt in host.sent}
+    assert endpoint not in {attempt.endpoint for attempt in host.attempts}
 
 
-def test_a_peers_unanswered_attempt_tells_nothing_of_an_endpoint_that_answers_others(make_host):
+def test_a_peers_unanswered_attempt_tells_nothing_of_an_endpoint_that_answers_others(
+    make_host: MakeHost,
+) -> None:
     host = make_host(**GOSSIP_SETTINGS)
-    host.later(2.0)
-    u = host.runner.balancer.endpoints.by_id["u0"]
-    host.hears(2, u, 2)
-    host.hears(2, u, 1)  # one of them has been answered
-    host.hears(1, u, UNANSWERED)
-    assert u.probation_limit == float("inf")
+    host.advance(2.0)
+    endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
+    host.receive_gossip(2, endpoint, 2)
+    host.receive_gossip(2, endpoint, 1)  # one of them has been answered
+    host.receive_gossip(1, endpoint, UNANSWERED)
+    assert endpoint.probation_limit == float("inf")
 
 
-def test_an_unanswered_attempt_is_reported_to_peers(make_host):
+def test_an_unanswered_attempt_is_reported_to_peers(make_host: MakeHost) -> None:
     host = make_host(**GOSSIP_SETTINGS)
-    attempt = host.of(host.take())[0]
-    lose(host, attempt)
-    host.take()
-    said = b"".join(host.told)
+    attempt = host.attempts_of(host.submit())[0]
+    time_out(host, attempt)
+    host.submit()
+    said = b"".join(host.gossip_sent)
     assert attempt.endpoint.gossip_tag.to_bytes(2, "big") + bytes([UNANSWERED]) in [
         said[i : i + 3] for i in range(0, len(said), 3)
     ]
 
 
-def test_a_silent_endpoint_is_back_with_the_first_response_to_a_peer(make_host):
+def test_a_silent_endpoint_is_back_with_the_first_response_to_a_peer(make_host: MakeHost) -> None:
     host = make_host(**GOSSIP_SETTINGS)
-    host.later(2.0)
-    u = host.runner.balancer.endpoints.by_id["u0"]
-    host.hears(1, u, 1)
-    host.hears(2, u, UNANSWERED)
-    assert u.probation_limit == 1
-    host.hears(1, u, 0)
-    host.serve(40, took=0.01, category=BUY)
-    assert u in {attempt.endpoint for attempt in host.sent}
+    host.advance(2.0)
+    endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
+    host.receive_gossip(1, endpoint, 1)
+    host.receive_gossip(2, endpoint, UNANSWERED)
+    assert endpoint.probation_limit == 1
+    host.receive_gossip(1, endpoint, 0)
+    host.serve(40, took=0.01, request_class=BUY)
+    assert endpoint in {attempt.endpoint for attempt in host.attempts}
 
 
-def test_an_endpoint_ejected_for_errors_is_not_back_for_a_response_to_a_peer(make_host):
+def test_an_endpoint_ejected_for_errors_is_not_back_for_a_response_to_a_peer(make_host: MakeHost) -> None:
     host = make_host(**GOSSIP_SETTINGS)
-    u = host.runner.balancer.endpoints.by_id["u0"]
+    endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
     host.serve(40, took=0.01)
-    while u.probation_limit == float("inf"):
-        for attempt in [host.of(host.take())[0] for _ in range(4)]:
-            host.end(attempt, AttemptOutcome.ERROR if attempt.endpoint is u else AttemptOutcome.SUCCESS)
-    host.hears(1, u, 1)
-    host.hears(1, u, 0)
-    assert u.probation_limit == 1
+    while endpoint.probation_limit == float("inf"):
+        for attempt in [host.attempts_of(host.submit())[0] for _ in range(4)]:
+            host.end_attempt(
+                attempt, AttemptOutcome.ERROR if attempt.endpoint is endpoint else AttemptOutcome.SUCCESS
+            )
+    host.receive_gossip(1, endpoint, 1)
+    host.receive_gossip(1, endpoint, 0)
+    assert endpoint.probation_limit == 1
 
 
-def test_a_count_that_falls_without_a_response_is_not_taken_for_one(make_host):
+def test_a_count_that_falls_without_a_response_is_not_taken_for_one(make_host: MakeHost) -> None:
     host = make_host(**GOSSIP_SETTINGS)
-    host.later(2.0)
-    u = host.runner.balancer.endpoints.by_id["u0"]
-    tag = u.gossip_tag.to_bytes(2, "big")
-    host.hears(1, u, 1)
-    host.runner.gossip_received(1, tag + bytes([ENDED_BY_SENDER]) + tag + bytes([0]))
-    host.hears(2, u, UNANSWERED)
-    assert u.probation_limit == 1
+    host.advance(2.0)
+    endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
+    tag = endpoint.gossip_tag.to_bytes(2, "big")
+    host.receive_gossip(1, endpoint, 1)
+    host.scheduler.gossip_received(1, tag + bytes([ENDED_BY_SENDER]) + tag + bytes([0]))
+    host.receive_gossip(2, endpoint, UNANSWERED)
+    assert endpoint.probation_limit == 1
 
 
-def test_attempts_cancelled_at_a_healthy_endpoint_are_reported_as_such(make_host):
-    host = make_host(**GOSSIP_SETTINGS, upstreams=2)
+def test_attempts_cancelled_at_a_healthy_endpoint_are_reported_as_such(make_host: MakeHost) -> None:
+    host = make_host(**GOSSIP_SETTINGS, endpoints=2)
     host.serve(110, took=0.05)
-    request = host.take()
-    host.later(0.1)
-    first, copy = host.of(request)
-    host.end(copy)
-    host.take()
+    request = host.submit()
+    host.advance(0.1)
+    first, hedge = host.attempts_of(request)
+    host.end_attempt(hedge)
+    host.submit()
     assert (
         first.endpoint.gossip_tag.to_bytes(2, "big") + bytes([ENDED_BY_SENDER])
-        in host.told[-1] + host.told[-2]
+        in host.gossip_sent[-1] + host.gossip_sent[-2]
     )
 
 
-def test_gossip_about_an_endpoint_not_yet_listed_does_not_eject_it(make_host):
-    host = make_host(upstreams=2, **GOSSIP_SETTINGS)
-    later = make_host(upstreams=0, **GOSSIP_SETTINGS)
-    u = host.runner.balancer.endpoints.by_id["u1"]
-    later.hears(1, u, UNANSWERED)
-    later.hears(1, u, 255)
-    later.hears(2, u, 1)
-    later.listed(WatchEvent.SNAPSHOT, "u1")
-    assert later.of(later.take(BUY))
+def test_gossip_about_an_endpoint_not_yet_listed_does_not_eject_it(make_host: MakeHost) -> None:
+    host = make_host(endpoints=2, **GOSSIP_SETTINGS)
+    later = make_host(endpoints=0, **GOSSIP_SETTINGS)
+    endpoint = host.scheduler.balancer.endpoints.by_id["u1"]
+    later.receive_gossip(1, endpoint, UNANSWERED)
+    later.receive_gossip(1, endpoint, 255)
+    later.receive_gossip(2, endpoint, 1)
+    later.list_endpoints(WatchEvent.SNAPSHOT, "u1")
+    assert later.attempts_of(later.submit(BUY))
 
 
-def test_a_slow_endpoint_is_known_by_peers_counts(make_host):
-    host = make_host(upstreams=6, **GOSSIP_SETTINGS)
-    tell_of(host, {"u0": 0.5} | {f"u{i}": 0.1 for i in range(1, 6)})
-    slow = host.runner.balancer.endpoints.by_id["u0"]
-    assert host.runner.balancer.gossip.pace(slow) > 2
-    sent = len(host.sent)
+def test_a_slow_endpoint_is_known_by_peers_counts(make_host: MakeHost) -> None:
+    host = make_host(endpoints=6, **GOSSIP_SETTINGS)
+    receive_counts(host, {"u0": 0.5} | {f"u{i}": 0.1 for i in range(1, 6)})
+    slow = host.scheduler.balancer.endpoints.by_id["u0"]
+    assert host.scheduler.balancer.gossip.pace(slow) > 2
+    sent = len(host.attempts)
     for _ in range(60):
-        host.end(host.of(host.take())[0])
-    assert sum(attempt.endpoint is slow for attempt in host.sent[sent:]) < 6
+        host.end_attempt(host.attempts_of(host.submit())[0])
+    assert sum(attempt.endpoint is slow for attempt in host.attempts[sent:]) < 6
--- a/tests/decisions/test_load.py
+++ b/tests/decisions/test_load.py
@@ -3,84 +3,86 @@
 from math import inf
 
 import pytest
-from decision_host import BUY, POLLING_SETTINGS_OF_A_LARGE_FLEET
+from decision_host import BUY, POLLING_SETTINGS_OF_A_LARGE_FLEET, FakeHost, MakeHost
 
 from starlingwheel.decisions.model import AttemptOutcome, Request
 
 
-def crowd(host, alike, service=0.1, answers=200):
-    """Answers of upstreams that hold now more, now less, and do `alike` of them at a time."""
-    for i in range(answers):
+def load_endpoints(host: FakeHost, concurrency: int, service: float = 0.1, requests: int = 200) -> None:
+    """Responses of endpoints that hold 0 to 7 requests and serve `concurrency` of them at a time."""
+    for i in range(requests):
         held = float(i % 8)
-        for u in host.runner.balancer.endpoints.by_id.values():
-            host.runner.health_check_ended(
-                u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held, "service": service}
+        for endpoint in host.scheduler.balancer.endpoints.by_id.values():
+            host.scheduler.health_check_ended(
+                endpoint.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held, "service": service}
             )
-        for attempt in host.of(host.take()):
-            host.later(service * (1 + max(0.0, held - alike + 0.5) / alike))
-            host.end(attempt)
+        for attempt in host.attempts_of(host.submit()):
+            host.advance(service * (1 + max(0.0, held - concurrency + 0.5) / concurrency))
+            host.end_attempt(attempt)
 
 
-def test_a_request_whose_body_still_arrives_is_no_load(make_host):
-    """Uploads of seconds made upstreams look full, and all else was deferred."""
-    host = make_host(upstreams=2)
-    balancer = host.runner.balancer
+def test_a_request_whose_body_still_arrives_is_no_load(make_host: MakeHost) -> None:
+    """Uploads of seconds made endpoints look full, and all else was rejected."""
+    host = make_host(endpoints=2)
+    balancer = host.scheduler.balancer
     coming = [Request(BUY, inf, 2.0) for _ in range(12)]
     for request in coming:
-        host.runner.accept_request(request)
-    assert [len(host.of(request)) for request in coming] == [1] * 12 and balancer.load.in_flight == 0
-    host.later(10.0)  # no time limit counts yet
-    assert not host.ended and not host.cancelled
+        host.scheduler.accept_request(request)
+    assert [len(host.attempts_of(request)) for request in coming] == [1] * 12 and balancer.load.in_flight == 0
+    host.advance(10.0)  # no time limit counts yet
+    assert not host.final_answers and not host.cancelled
     host.serve(4)
-    request, attempt = coming[0], host.of(coming[0])[0]
-    request.arrived_at = attempt.started_at = host.runner.now
-    host.runner.request_body_complete(request, [attempt])
+    request, attempt = coming[0], host.attempts_of(coming[0])[0]
+    request.arrived_at = attempt.started_at = host.scheduler.now
+    host.scheduler.request_body_complete(request, [attempt])
     assert balancer.load.in_flight == 1 and list(attempt.endpoint.in_flight) == [attempt]
-    host.end(attempt)
+    host.end_attempt(attempt)
     assert balancer.load.in_flight == 0 and not attempt.endpoint.in_flight
     # One that is given up before it was whole takes nothing away that it did not add.
-    host.end(host.of(coming[1])[0], AttemptOutcome.NOT_SENT)
-    assert balancer.load.in_flight == sum(len(u.in_flight) for u in balancer.endpoints.by_id.values())
+    host.end_attempt(host.attempts_of(coming[1])[0], AttemptOutcome.NOT_SENT)
+    assert balancer.load.in_flight == sum(
+        len(endpoint.in_flight) for endpoint in balancer.endpoints.by_id.values()
+    )
     # Another's time begins with its last byte.
-    request, attempt = coming[2], host.of(coming[2])[0]
-    request.arrived_at = attempt.started_at = host.runner.now
-    host.runner.request_body_complete(request, [attempt])
-    host.later(0.5)
+    request, attempt = coming[2], host.attempts_of(coming[2])[0]
+    request.arrived_at = attempt.started_at = host.scheduler.now
+    host.scheduler.request_body_complete(request, [attempt])
+    host.advance(0.5)
     assert not host.cancelled
-    host.later(0.5)
+    host.advance(0.5)
     assert host.cancelled == [attempt]
 
 
-def test_the_concurrency_is_learned_from_responses_and_reports(make_host):
+def test_the_concurrency_is_learned_from_responses_and_reports(make_host: MakeHost) -> None:
     one, four = make_host(), make_host()
-    crowd(one, alike=1)
-    crowd(four, alike=4)
-    assert one.runner.balancer.load.concurrency < 1.4
-    assert 2.5 < four.runner.balancer.load.concurrency < 6
+    load_endpoints(one, concurrency=1)
+    load_endpoints(four, concurrency=4)
+    assert one.scheduler.balancer.load.concurrency < 1.4
+    assert 2.5 < four.scheduler.balancer.load.concurrency < 6
 
 
-def test_the_concurrency_stays_within_bounds_whatever_is_reported(make_host):
+def test_the_concurrency_stays_within_bounds_whatever_is_reported(make_host: MakeHost) -> None:
     host = make_host()
     for service, held in ((0.0, 1e9), (-1.0, -5.0), (1e9, 0.0), (0.1, 3.0)) * 50:
-        for attempt in host.of(host.take()):
-            host.later(0.05)
-            host.end(attempt, report={"held": held, "service": service})
-    assert 1 <= host.runner.balancer.load.concurrency <= 8
+        for attempt in host.attempts_of(host.submit()):
+            host.advance(0.05)
+            host.end_attempt(attempt, load_report={"held": held, "service": service})
+    assert 1 <= host.scheduler.balancer.load.concurrency <= 8
 
 
-def test_a_short_queue_is_no_reason_to_reject_a_request_with_time_for_it(make_host):
-    host = make_host(upstreams=1)
-    host.serve(60, took=0.17, category=BUY)
-    host.take(BUY), host.take(BUY)
-    assert host.of(host.take(BUY))
+def test_a_short_queue_is_no_reason_to_reject_a_request_with_time_for_it(make_host: MakeHost) -> None:
+    host = make_host(endpoints=1)
+    host.serve(60, took=0.17, request_class=BUY)
+    host.submit(BUY), host.submit(BUY)
+    assert host.attempts_of(host.submit(BUY))
 
 
 @pytest.mark.parametrize("cores", [1, 3])
-def test_the_concurrency_is_learned_from_busy_reports(make_host, cores):
+def test_the_concurrency_is_learned_from_busy_reports(make_host: MakeHost, cores: int) -> None:
     host = make_host(**POLLING_SETTINGS_OF_A_LARGE_FLEET)
     for i in range(400):
         held = i % (2 * cores + 1)
-        host.runner.health_check_ended(
+        host.scheduler.health_check_ended(
             "u0", AttemptOutcome.SUCCESS, 0.01, {"held": held, "busy": min(held, cores) / cores}
         )
-    assert abs(host.runner.balancer.load.concurrency - cores) < 0.35
+    assert abs(host.scheduler.balancer.load.concurrency - cores) < 0.35
--- a/tests/decisions/test_load_polling.py
+++ b/tests/decisions/test_load_polling.py
@@ -1,35 +1,43 @@
 """Polling endpoints for their load."""
 
-from decision_host import BUY, LOOK, POLLING_SETTINGS, POLLING_SETTINGS_OF_A_LARGE_FLEET, SUBSET_SETTINGS
+from decision_host import (
+    BUY,
+    LOOK,
+    POLLING_SETTINGS,
+    POLLING_SETTINGS_OF_A_LARGE_FLEET,
+    SUBSET_SETTINGS,
+    AnswerKind,
+    MakeHost,
+)
 
 from starlingwheel.decisions.model import AttemptOutcome
 
 
-def test_no_poll_where_responses_carry_reports_and_the_concurrency_is_high(make_host):
+def test_no_poll_where_responses_carry_reports_and_the_concurrency_is_high(make_host: MakeHost) -> None:
     host = make_host(**POLLING_SETTINGS, load_reported_in_responses=True)
-    attempt = host.of(host.take())[0]
-    host.later(0.1)
-    host.end(attempt, report={"service": 0.1})  # from which it is learned
-    host.take()
-    assert host.probes
-    host.runner.balancer.load.concurrency, asked = 3.0, len(host.probes)
-    assert host.of(host.take()) and len(host.probes) == asked
+    attempt = host.attempts_of(host.submit())[0]
+    host.advance(0.1)
+    host.end_attempt(attempt, load_report={"service": 0.1})  # from which it is learned
+    host.submit()
+    assert host.health_checks
+    host.scheduler.balancer.load.concurrency, polls = 3.0, len(host.health_checks)
+    assert host.attempts_of(host.submit()) and len(host.health_checks) == polls
 
 
-def test_no_poll_where_responses_report_only_what_is_held(make_host):
+def test_no_poll_where_responses_report_only_what_is_held(make_host: MakeHost) -> None:
     """Nothing tells how many go on at once then; the questions of a large fleet are more than it takes."""
     host = make_host(**POLLING_SETTINGS, load_reported_in_responses=True)
     for _ in range(20):
-        attempt = host.of(host.take())[0]
-        host.later(0.1)
-        host.end(attempt, report={"held": 2.0, "waiting": 0.0, "served": 10.0})
-    assert host.of(host.take()) and not host.probes
+        attempt = host.attempts_of(host.submit())[0]
+        host.advance(0.1)
+        host.end_attempt(attempt, load_report={"held": 2.0, "waiting": 0.0, "served": 10.0})
+    assert host.attempts_of(host.submit()) and not host.health_checks
     host = make_host(**POLLING_SETTINGS)
-    host.take()
-    assert host.probes
+    host.submit()
+    assert host.health_checks
 
 
-def test_gossip_where_responses_carry_reports_and_the_weight_pays_for_it(make_host):
+def test_gossip_where_responses_carry_reports_and_the_weight_pays_for_it(make_host: MakeHost) -> None:
     prices = {
         "health_checks_allowed": True,
         "health_check_price": 0.001,
@@ -40,68 +48,72 @@
     many = make_host(sidecars=100, load_reported_in_responses=True, **prices)
     plain = make_host(sidecars=20, **prices)
     for host in (few, many, plain):
-        host.take()
-    assert few.told and not many.told and not plain.told
+        host.submit()
+    assert few.gossip_sent and not many.gossip_sent and not plain.gossip_sent
 
 
-def test_of_the_endpoints_polled_the_least_loaded_gets_the_request(make_host):
+def test_of_the_endpoints_polled_the_least_loaded_gets_the_request(make_host: MakeHost) -> None:
     host = make_host(**POLLING_SETTINGS_OF_A_LARGE_FLEET)
-    request = host.take(BUY)
+    request = host.submit(BUY)
     for held in (3.0, 1.0, 2.0):
-        assert not host.of(request)
-        host.runner.health_check_ended(
-            host.probes[-1].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held}
+        assert not host.attempts_of(request)
+        host.scheduler.health_check_ended(
+            host.health_checks[-1].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": held}
         )
-    assert [attempt.endpoint for attempt in host.of(request)] == [host.probes[1]]
+    assert [attempt.endpoint for attempt in host.attempts_of(request)] == [host.health_checks[1]]
 
 
-def test_no_more_are_polled_once_one_is_free(make_host):
+def test_no_more_are_polled_once_one_is_free(make_host: MakeHost) -> None:
     host = make_host(**POLLING_SETTINGS_OF_A_LARGE_FLEET)
-    request = host.take(BUY)
-    host.runner.health_check_ended(host.probes[0].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
-    assert host.of(request)[0].endpoint is host.probes[0] and len(host.probes) == 1
+    request = host.submit(BUY)
+    host.scheduler.health_check_ended(
+        host.health_checks[0].endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0}
+    )
+    assert host.attempts_of(request)[0].endpoint is host.health_checks[0] and len(host.health_checks) == 1
 
 
-def test_endpoints_that_do_not_answer_a_poll_are_passed_over(make_host):
+def test_endpoints_that_do_not_answer_a_poll_are_passed_over(make_host: MakeHost) -> None:
     host = make_host(**POLLING_SETTINGS_OF_A_LARGE_FLEET)
-    request = host.take(BUY)
-    host.runner.health_check_ended(host.probes[0].endpoint_id, AttemptOutcome.CONNECT_FAILED, 0.01, {})
-    host.later(0.3)
-    assert host.of(request) and host.of(request)[0].endpoint not in host.probes
+    request = host.submit(BUY)
+    host.scheduler.health_check_ended(
+        host.health_checks[0].endpoint_id, AttemptOutcome.CONNECT_FAILED, 0.01, {}
+    )
+    host.advance(0.3)
+    assert host.attempts_of(request) and host.attempts_of(request)[0].endpoint not in host.health_checks
 
 
-def test_a_client_that_disconnects_during_a_poll_gets_no_answer(make_host):
+def test_a_client_that_disconnects_during_a_poll_gets_no_answer(make_host: MakeHost) -> None:
     host = make_host(**POLLING_SETTINGS_OF_A_LARGE_FLEET)
-    request = host.take(BUY)
-    host.runner.client_disconnected(request)
-    for u in host.probes:
-        host.runner.health_check_ended(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
-    host.later(3.0)
-    assert not host.sent and not host.ended
+    request = host.submit(BUY)
+    host.scheduler.client_disconnected(request)
+    for endpoint in host.health_checks:
+        host.scheduler.health_check_ended(endpoint.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+    host.advance(3.0)
+    assert not host.attempts and not host.final_answers
 
 
-def test_a_request_with_little_time_is_answered_though_no_poll_was(make_host):
+def test_a_request_with_little_time_is_answered_though_no_poll_was(make_host: MakeHost) -> None:
     host = make_host(**POLLING_SETTINGS_OF_A_LARGE_FLEET)
-    request = host.take(BUY, patience=0.1)
-    host.later(0.1)
-    assert host.answers(request) == ["deferred"] and not host.sent
+    request = host.submit(BUY, time_left=0.1)
+    host.advance(0.1)
+    assert host.answers_to(request) == [AnswerKind.REJECTED] and not host.attempts
 
 
-def test_an_endpoint_that_was_just_free_is_not_polled_again(make_host):
-    host = make_host(upstreams=1, **POLLING_SETTINGS_OF_A_LARGE_FLEET)
-    first = host.take(BUY)
-    host.runner.health_check_ended("u0", AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
-    host.end(host.of(first)[0])
-    assert host.of(host.take(BUY)) and len(host.probes) == 1
+def test_an_endpoint_that_was_just_free_is_not_polled_again(make_host: MakeHost) -> None:
+    host = make_host(endpoints=1, **POLLING_SETTINGS_OF_A_LARGE_FLEET)
+    first = host.submit(BUY)
+    host.scheduler.health_check_ended("u0", AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+    host.end_attempt(host.attempts_of(first)[0])
+    assert host.attempts_of(host.submit(BUY)) and len(host.health_checks) == 1
 
 
-def test_a_poll_that_costs_more_than_it_gains_is_not_made(make_host):
+def test_a_poll_that_costs_more_than_it_gains_is_not_made(make_host: MakeHost) -> None:
     host = make_host(**(POLLING_SETTINGS_OF_A_LARGE_FLEET | {"health_check_price": 0.05}))
-    cheap, dear = host.take(LOOK), host.take(BUY)
-    assert host.of(cheap) and not host.of(dear) and len(host.probes) == 1
+    cheap, dear = host.submit(LOOK), host.submit(BUY)
+    assert host.attempts_of(cheap) and not host.attempts_of(dear) and len(host.health_checks) == 1
 
 
-def test_gossip_where_it_costs_less_than_polling(make_host):
+def test_gossip_where_it_costs_less_than_polling(make_host: MakeHost) -> None:
     prices = {
         "gossip_allowed": True,
         "health_checks_allowed": True,
@@ -109,25 +121,27 @@
         "gossip_price": 0.01,
     }
     few, many = make_host(sidecars=4, **prices), make_host(sidecars=400, **prices)
-    few.take(), many.take()
-    assert few.told and not few.probes and many.probes and not many.told
+    few.submit(), many.submit()
+    assert few.gossip_sent and not few.health_checks and many.health_checks and not many.gossip_sent
 
 
-def test_in_a_crowded_fleet_requests_of_little_weight_poll_too(make_host):
+def test_in_a_crowded_fleet_requests_of_little_weight_poll_too(make_host: MakeHost) -> None:
     host = make_host(**(POLLING_SETTINGS_OF_A_LARGE_FLEET | {"health_check_price": 0.03}))
-    host.take(LOOK)
-    assert not host.probes
+    host.submit(LOOK)
+    assert not host.health_checks
     for _ in range(4):
-        host.take(BUY)
-        for u in host.probes[-3:]:
-            host.runner.health_check_ended(u.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 6.0})
-    before = len(host.probes)
-    host.take(LOOK)
-    assert len(host.probes) == before + 1
-
-
-def test_one_is_polled_and_where_it_is_full_another_is_drawn(make_host):
-    host = make_host(upstreams=6, **(POLLING_SETTINGS_OF_A_LARGE_FLEET | SUBSET_SETTINGS))
-    request = host.take(BUY)
-    host.runner.health_check_ended(host.probes[0].endpoint_id, AttemptOutcome.REJECTED, 0.01, {})
-    assert len(host.probes) == 1 and host.of(request)[0].endpoint is not host.probes[0]
+        host.submit(BUY)
+        for endpoint in host.health_checks[-3:]:
+            host.scheduler.health_check_ended(
+                endpoint.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 6.0}
+            )
+    before = len(host.health_checks)
+    host.submit(LOOK)
+    assert len(host.health_checks) == before + 1
+
+
+def test_one_is_polled_and_where_it_is_full_another_is_drawn(make_host: MakeHost) -> None:
+    host = make_host(endpoints=6, **(POLLING_SETTINGS_OF_A_LARGE_FLEET | SUBSET_SETTINGS))
+    request = host.submit(BUY)
+    host.scheduler.health_check_ended(host.health_checks[0].endpoint_id, AttemptOutcome.REJECTED, 0.01, {})
+    assert len(host.health_checks) == 1 and host.attempts_of(request)[0].endpoint is not host.health_checks[0]
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -54,23 +54,23 @@
         self.hosts = [self.process() for _ in range(sidecars)]
 
     def process(self, learned=True):
-        host = self.make_host(upstreams=1, seed=self.rng.getrandbits(32), **self.terms)
+        host = self.make_host(endpoints=1, seed=self.rng.getrandbits(32), **self.terms)
         if learned:
-            host.serve(40, took=self.work, category=self.look)
-        host.sent.clear()
-        host.later(self.now - host.runner.now)
+            host.serve(40, took=self.work, request_class=self.look)
+        host.attempts.clear()
+        host.advance(self.now - host.scheduler.now)
         return host
 
     def tell(self, host):
         """Of the start, or of the cold upstream as it is if the process has only begun."""
         self.at(host)
-        host.listed(WatchEvent.DELTA, "u0", started=START)
+        host.list_endpoints(WatchEvent.DELTA, "u0", started=START)
         self.told[host] = True
 
     def at(self, host):
-        host.later(self.now - host.runner.now)
+        host.advance(self.now - host.scheduler.now)
         for attempt in [attempt for attempt in host.cancelled if attempt.pending]:
-            host.end(attempt, AttemptOutcome.CANCELLED)
+            host.end_attempt(attempt, AttemptOutcome.CANCELLED)
 
     def plan(self, at, happens, *given):
         heapq.heappush(self.due, (at, next(self.order), happens, given))
@@ -80,9 +80,9 @@
         self.at(host)
         if host not in self.told:
             return
-        host.take(self.look, patience=24 * self.work)
-        while host.sent:
-            attempt = host.sent.pop()
+        host.submit(self.look, time_left=24 * self.work)
+        while host.attempts:
+            attempt = host.attempts.pop()
             # The worst that late connections can do: what was sent over a while arrives in one heap.
             at = (self.now // self.connect + 1) * self.connect if self.connect else self.now
             self.plan(at, self.arrive, host, attempt)
@@ -96,7 +96,7 @@
     def answer(self, host, attempt):
         self.at(host)
         if attempt.pending:
-            host.end(attempt)
+            host.end_attempt(attempt)
 
     def play(self):
         while self.due and self.due[0][0] < self.end:
@@ -200,10 +200,10 @@
 
     def another(host):
         fleet.at(host)
-        two = msgspec.structs.replace(host.runner.balancer.config, process_count=2)
+        two = msgspec.structs.replace(host.scheduler.balancer.config, process_count=2)
         other = fleet.process()
         for one in (host, other):
-            one.runner.reload(two)
+            one.scheduler.reload(two)
         fleet.tell(other)
         steadily(fleet, other, 20 / fleet.work / len(fleet.hosts))
 
@@ -249,13 +249,13 @@
 def test_what_waits_for_answers_to_questions_does_not_all_go_to_the_cold_one_that_answered(make_host):
     """It is asked for all while there is room for some; that is looked at again once it has answered."""
     terms = SOON | {"slow_start_initial_fraction": 0.1, "slow_start_duration": 80.0, "overload_factor": 1.0}
-    host = make_host(upstreams=1, health_checks_allowed=True, health_check_price=0.001, **terms)
-    host.later(START)
-    host.listed(WatchEvent.DELTA, "u0", started=START)
-    host.later(3.0)
-    waiting = [host.take() for _ in range(12)]
-    assert len(host.probes) == len(waiting) and not host.sent
-    for asked in host.probes:
-        host.runner.health_check_ended(asked.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
+    host = make_host(endpoints=1, health_checks_allowed=True, health_check_price=0.001, **terms)
+    host.advance(START)
+    host.list_endpoints(WatchEvent.DELTA, "u0", started=START)
+    host.advance(3.0)
+    waiting = [host.submit() for _ in range(12)]
+    assert len(host.health_checks) == len(waiting) and not host.attempts
+    for asked in host.health_checks:
+        host.scheduler.health_check_ended(asked.endpoint_id, AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
     allowed = 1.0 * (0.1 + 0.9 * 3.0 / 80.0) * 2.0 / 0.125
-    assert 0 < len(host.sent) <= allowed
+    assert 0 < len(host.attempts) <= allowed
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -4,6 +4,7 @@
 
 import pytest
 from conftest import BUY, LOOK, FakeHost, Surroundings
+from decision_host import AnswerKind
 
 from starlingwheel.decisions import lease as module
 from starlingwheel.decisions.lease import EndpointLease, LeaseState
@@ -125,29 +126,29 @@
 def test_under_an_expired_lease_requests_are_rejected_and_nothing_is_sent() -> None:
     """Nor are health checks begun."""
     host = FakeHost(health_checks_allowed=True, load_reported=True)
-    lease = host.runner.balancer.lease
+    lease = host.scheduler.balancer.lease
     lease.start(0.0)
-    host.runner.set_time(100.0)
+    host.scheduler.set_time(100.0)
     for category in (LOOK, BUY):
-        assert host.answers(host.take(category)) == ["deferred"]
-    assert not host.sent and not host.probes
+        assert host.answers_to(host.submit(category)) == [AnswerKind.REJECTED]
+    assert not host.attempts and not host.health_checks
 
 
 def test_under_an_expired_lease_attempts_in_flight_are_neither_hedged_nor_retried() -> None:
     """They are waited for."""
     host = FakeHost()
     host.serve(60)
-    lease = host.runner.balancer.lease
-    lease.prove(host.runner.now, host.runner.now)
-    looked, bought = host.take(LOOK), host.take(BUY)
-    sent = len(host.sent)
-    lease.expires_at = host.runner.now
-    host.later(0.5)
-    assert len(host.sent) == sent
-    host.end(host.of(looked)[0], AttemptOutcome.CONNECT_FAILED)
-    assert host.answers(looked) == ["deferred"] and len(host.sent) == sent
-    host.end(host.of(bought)[0])
-    assert host.answers(bought) == ["finished"]
+    lease = host.scheduler.balancer.lease
+    lease.prove(host.scheduler.now, host.scheduler.now)
+    looked, bought = host.submit(LOOK), host.submit(BUY)
+    sent = len(host.attempts)
+    lease.expires_at = host.scheduler.now
+    host.advance(0.5)
+    assert len(host.attempts) == sent
+    host.end_attempt(host.attempts_of(looked)[0], AttemptOutcome.CONNECT_FAILED)
+    assert host.answers_to(looked) == [AnswerKind.REJECTED] and len(host.attempts) == sent
+    host.end_attempt(host.attempts_of(bought)[0])
+    assert host.answers_to(bought) == [AnswerKind.SUCCEEDED]
 
 
 # The gate.
