--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -1,6 +1,7 @@
 """Calls down a tree in emulated time: small sizes, counts that a seed gives each time."""
 
 import json
+from typing import Any
 
 import pytest
 
@@ -10,77 +11,81 @@
 SMALL = {"depth": 3, "services": 1, "instances": 3, "rate": 40.0, "learn": 2.0, "lasts": 1.0, "last": 2.0}
 
 
-def small(**changed):
+def small(**changed: object) -> dict[str, Any]:
+    """The result of a small tree; `changed`: options of its plan."""
     return play(Plan(**(SMALL | changed)))
 
 
-def sends(result):
+def sends(result: dict[str, Any]) -> list[float]:
+    """By level the attempts for each call at the root."""
     return [level["sends a root call"] for level in result["levels"]]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_without_faults_the_leaf_gets_little_more_than_one_send_for_each_root_call(seed):
+def test_without_faults_the_leaf_gets_little_more_than_one_attempt_for_each_root_call(seed: int) -> None:
     result = small(seed=seed)
     assert result["answers"] == {"finished": result["calls at the root"]}
     assert 1.0 <= result["load at the leaf"] < 1.1
 
 
-def test_the_same_seed_gives_the_same_counts():
+def test_the_same_seed_gives_the_same_counts() -> None:
     assert small(seed=3) == small(seed=3)
     assert small(seed=3) != small(seed=4)
 
 
-def test_every_root_call_has_one_answer_also_where_the_leaf_fails():
+def test_every_root_call_has_one_answer_even_where_the_leaf_fails() -> None:
     for scene in ("slow", "errors", "hangs"):
         result = small(scene=scene, part=0.5)
         assert sum(result["answers"].values()) == result["calls at the root"] > 0
 
 
-def test_the_time_left_is_passed_on_and_never_grows():
+def test_the_time_left_is_passed_on_and_never_grows() -> None:
     result = small(scene="hangs", part=0.3, due=0.2)
     assert result["told longer than it had"] == 0
     worst = [level["left ms"][1] for level in result["levels"]]
     assert worst == sorted(worst, reverse=True)
 
 
-def test_an_application_that_does_not_pass_its_time_left_on_is_counted():
+def test_an_application_that_does_not_pass_its_time_left_on_is_counted() -> None:
     result = small(hands_down=False)
     assert result["told longer than it had"] > 0
 
 
-def within(result, budget):
-    """Whether no level has more second sends than the budget and what each sidecar may save up."""
+def within(result: dict[str, Any], budget: float) -> bool:
+    """Whether no level has more hedges and retries than the budget and what each sidecar may save up."""
     saved = SMALL["instances"] * Budget.SAVED / result["calls at the root"]
     levels = zip([1.0, *sends(result)], sends(result), strict=False)
     return all(below <= above * (1 + budget) + saved for above, below in levels)
 
 
-def test_a_budget_bounds_second_sends_at_every_level():
+def test_a_budget_bounds_hedges_and_retries_at_every_level() -> None:
     free, bounded = (small(scene="errors", part=0.3, budget=budget) for budget in (None, 0.05))
     assert within(bounded, 0.05) and not within(free, 0.05)
     assert bounded["load at the leaf"] < free["load at the leaf"]
 
 
-def test_non_idempotent_requests_are_never_sent_again_once_they_may_have_run():
+def test_non_idempotent_requests_are_never_retried_once_they_may_have_run() -> None:
     result = small(scene="errors", part=0.5, effect="exclusive")
     assert all(level["copy"] == level["retry"] == 0 for level in result["levels"])
 
 
-def test_nothing_is_in_flight_once_all_is_answered():
+def test_nothing_is_in_flight_once_all_calls_are_answered() -> None:
     tree = Tree(Plan(**(SMALL | {"scene": "hangs", "part": 0.5})))
     tree.play()
     assert all(server.busy_cores == 0 and not server.queue for level in tree.servers for server in level)
     assert not any(caller.pending for callers in tree.edge for caller in callers)
 
 
-def test_a_run_without_bounds_is_rejected_in_one_line_before_it_is_played(capsys):
+def test_a_run_without_bounds_is_rejected_in_one_line_before_it_begins(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     assert call_tree.main(["--depth", "70", "--rate", "-1"]) == 2
     output = capsys.readouterr()
     assert not output.out and output.err.count("\n") == 1 and "depth" in output.err and "rate" in output.err
     assert call_tree.main(["--rate", "100000"]) == 2
 
 
-def test_results_are_lines_of_json_and_a_table(capsys):
+def test_results_are_lines_of_json_and_a_table(capsys: pytest.CaptureFixture[str]) -> None:
     given = ["--depth", "2", "--services", "1", "--instances", "2", "--rate", "20", "--learn", "0.5"]
     assert call_tree.main([*given, "--last", "1", "--scene", "calm", "--budget", "0.1", "--table"]) == 0
     first, *table = capsys.readouterr().out.splitlines()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -2,6 +2,7 @@
 
 import ast
 import sys
+from collections.abc import Iterator
 from graphlib import TopologicalSorter
 from pathlib import Path
 
@@ -21,7 +22,7 @@
 }  # fmt: skip
 
 
-def runtime_imports(path):
+def runtime_imports(path: Path) -> Iterator[tuple[int, str]]:
     """(level, module) of each import that is not for type checking alone."""
     tree = ast.parse(path.read_text())
     typing_only = [node for node in tree.body if isinstance(node, ast.If)]
@@ -36,7 +37,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_a_module_of_the_decisions_imports_its_siblings_and_no_io(path):
+def test_a_module_of_the_decisions_imports_its_siblings_and_no_io(path: Path) -> None:
     for level, module in runtime_imports(path):
         if level:
             assert level == 1 and (DECISIONS / f"{module}.py").exists(), module
@@ -46,13 +47,13 @@
         assert root not in NO_IO, module
 
 
-def test_imports_of_the_decisions_have_no_circle():
+def test_imports_of_the_decisions_have_no_circle() -> None:
     graph = {path.stem: {module for level, module in runtime_imports(path) if level} for path in MODULES}
     assert len(list(TopologicalSorter(graph).static_order())) == len(MODULES)
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_no_withdrawn_name_stands_in_the_decisions(path):
+def test_no_withdrawn_name_stands_in_the_decisions(path: Path) -> None:
     tree = ast.parse(path.read_text())
     names = {node.id for node in ast.walk(tree) if isinstance(node, ast.Name)}
     names |= {node.attr for node in ast.walk(tree) if isinstance(node, ast.Attribute)}
@@ -61,7 +62,7 @@
     assert not names & WITHDRAWN
 
 
-def all_imports(path, at_start_only=False):
+def all_imports(path: Path, at_start_only: bool = False) -> Iterator[str]:
     """Modules of the program that a file imports, as paths below it.
 
     `at_start_only`: without those for type checking, and those that functions make when they run.
@@ -90,7 +91,7 @@
 }
 
 
-def test_imports_of_the_program_have_no_circle():
+def test_imports_of_the_program_have_no_circle() -> None:
     """Only modules of one folder may name each other for type checking."""
     graph = {}
     for path in sorted(PROGRAM.rglob("*.py")):
@@ -116,17 +117,17 @@
         ("net/", ("cli/", "simulator/")),
     ],
 )
-def test_a_layer_imports_nothing_above_it(layer, forbidden):
+def test_a_layer_imports_nothing_above_it(layer: str, forbidden: tuple[str, ...]) -> None:
     imported = {module for name, modules in IMPORTS.items() if name.startswith(layer) for module in modules}
     assert imported and not {module for module in imported if module.startswith(forbidden)}
 
 
-def test_only_the_start_of_the_program_imports_the_composition_root():
+def test_only_the_start_of_the_program_imports_the_composition_root() -> None:
     importers = {name for name, modules in IMPORTS.items() if "net/lifecycle/sidecar" in modules}
     assert importers == {"__main__"}
 
 
-def test_only_the_composition_root_imports_the_actors_that_stand_by_themselves():
+def test_only_the_composition_root_imports_the_actors_that_stand_by_themselves() -> None:
     for actor in ("net/admin/listener", "net/lifecycle/signals", "net/lifecycle/shutdown"):
         assert {name for name, modules in IMPORTS.items() if actor in modules} <= {
             "net/lifecycle/sidecar",
