--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,98 @@
+"""Names of code that the pages for readers quote exist: modules, classes, functions, constants and tests."""
+
+from __future__ import annotations
+
+import ast
+import re
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[1]
+CODE = ("starlingwheel", "fakes", "trials", "tests")
+# Pages on the present code; results, incidents and assumptions tell of earlier versions.
+PAGES = ["README.md"] + [
+    f"docs/{name}.md"
+    for name in (
+        "architecture",
+        "design",
+        "endings",
+        "fleet",
+        "oncall",
+        "operations",
+        "operators",
+        "policy",
+        "zones",
+    )
+]
+QUOTED = re.compile(r"`([^`\n]+)`")
+PATH = re.compile(r"[\w./-]+\.py")
+NAME = re.compile(r"[A-Za-z_]\w*(?:\.[A-Za-z_]\w*)*")
+TOOLS = {"mypy", "pip", "pytest", "python", "ruff"}
+
+
+def names_of(tree: ast.AST) -> set[str]:
+    """Every identifier of a module, and its short strings: settings, log events, header names."""
+    names: set[str] = set()
+    for node in ast.walk(tree):
+        match node:
+            case ast.FunctionDef(name=name) | ast.ClassDef(name=name):
+                names.add(name)
+            case (
+                ast.Name(id=name)
+                | ast.Attribute(attr=name)
+                | ast.arg(arg=name)
+                | ast.keyword(arg=str(name))
+            ):
+                names.add(name)
+            case ast.Constant(value=str(text)) if len(text) < 48:
+                names.update(re.findall(r"\w+", text))
+    return names
+
+
+@cache
+def known_names() -> frozenset[str]:
+    """Names in the code, and of its modules."""
+    names = set(TOOLS)
+    for folder in CODE:
+        for path in (ROOT / folder).rglob("*.py"):
+            if path == Path(__file__):
+                continue
+            names |= {path.stem, path.parent.name} | names_of(ast.parse(path.read_text()))
+    return frozenset(names)
+
+
+def exists(path: str) -> bool:
+    """Whether a quoted path is there, from the root, below the program or as the name of a module."""
+    if any((ROOT / folder / path).exists() for folder in ("", *CODE)):
+        return True
+    return any(path == found.name for folder in CODE for found in (ROOT / folder).rglob("*.py"))
+
+
+def unknown(quoted: str) -> bool:
+    """Whether a quoted text names something that does not exist; what is no name is not checked."""
+    if quoted.startswith("test_") and quoted.endswith("..."):
+        return not any(name.startswith(quoted.removesuffix("...")) for name in known_names())
+    if paths := PATH.findall(quoted):
+        return not all(exists(path) for path in paths)
+    if not NAME.fullmatch(quoted):
+        return False
+    if (ROOT / quoted).exists():
+        return False
+    return not set(quoted.split(".")) <= known_names()
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_names_that_a_page_quotes_exist(page: str) -> None:
+    """Of a quoted name each part has to stand in the code."""
+    quoted = QUOTED.findall((ROOT / page).read_text())
+    assert quoted and not sorted({text for text in quoted if unknown(text)})
+
+
+@pytest.mark.parametrize(
+    "gone", ["DiscoveryClient.no_such_method", "net/no_such_module.py", "test_no_such_..."]
+)
+def test_a_name_that_does_not_exist_is_found(gone: str) -> None:
+    """The check itself works."""
+    assert unknown(gone)
