--- a/starlingwheel/decisions/dispatch.py
+++ b/starlingwheel/decisions/dispatch.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import enum
 from math import inf
 
 from .admission import Admission
@@ -21,7 +22,7 @@
 )
 from .config import BalancerConfig
 from .endpoint_set import EndpointSet
-from .events import CLIENT_DISCONNECTED, ClientDisconnected, HealthCheckEnded, ResponseStarted
+from .events import CLIENT_DISCONNECTED, AttemptEnded, ClientDisconnected, HealthCheckEnded, ResponseStarted
 from .gossip import Gossip
 from .hedging import HedgingPolicy
 from .lease import EndpointLease
@@ -77,6 +78,15 @@
             stats.idle_connections.pop()
 
 
+class NextStep(enum.Enum):
+    """What a dispatch does next."""
+
+    ATTEMPT = enum.auto()  # the first one, a hedge or a retry
+    WAIT = enum.auto()
+    ANSWER = enum.auto()  # give the request up
+    END = enum.auto()  # the client has its response, or has disconnected
+
+
 class Dispatch:
     """One request on its way."""
 
@@ -104,13 +114,10 @@
 
     def run(self) -> DecisionCoroutine:
         """Attempts, hedges and retries, and the final answer."""
-        attempt_next = not self.attempts or self._may_retry()
-        if not attempt_next:
-            yield from self._answer()
-            return
-        while True:
+        next_step = self._first_step()
+        while next_step is not NextStep.ANSWER:
             self.give_up_at = self.parts.admission.give_up_at(self.request, self.objective)
-            if attempt_next:
+            if next_step is NextStep.ATTEMPT:
                 result = yield from self._attempt()
                 if result is CLIENT_DISCONNECTED:
                     return
@@ -118,28 +125,42 @@
                     break
             hedge_at = self.parts.hedging.due_at(self.request, self.attempts, self.hedges, self.delays)
             event = yield Wait(min(hedge_at, self.give_up_at))
-            attempt_next = False
-            if event is CLIENT_DISCONNECTED:
-                yield from self._cancel()
-                return
-            if isinstance(event, ResponseStarted):
-                yield from self._follow_stream(event.attempt)
-                return
             if event is None or isinstance(event, HealthCheckEnded):
-                if self.clock.now >= self.give_up_at:
-                    break
-                attempt_next = self.clock.now >= hedge_at and self._hedge()
+                next_step = self._time_passed(hedge_at)
                 continue
-            yield from self.parts.gossip.flush()
-            if event.request_answered:
-                yield from self._cancel()
+            next_step = yield from self._handle(event)
+            if next_step is NextStep.END:
                 return
-            if not self._is_pending():
-                attempt_next = self.clock.now < self.give_up_at and self._may_retry()
-                if not attempt_next:
-                    break
         yield from self._answer()
 
+    def _first_step(self) -> NextStep:
+        """An attempt, unless those that a lost sidecar has made forbid another one."""
+        return NextStep.ATTEMPT if not self.attempts or self._may_retry() else NextStep.ANSWER
+
+    def _time_passed(self, hedge_at: float) -> NextStep:
+        """A hedge may be due, or the request has to be given up."""
+        now = self.clock.now
+        if now >= self.give_up_at:
+            return NextStep.ANSWER
+        return NextStep.ATTEMPT if now >= hedge_at and self._hedge() else NextStep.WAIT
+
+    def _handle(self, event: AttemptEnded | ResponseStarted | ClientDisconnected) -> DecisionCoroutine:
+        """What an event of the request leads to: a `NextStep`."""
+        if isinstance(event, ClientDisconnected):
+            yield from self._cancel()
+            return NextStep.END
+        if isinstance(event, ResponseStarted):
+            yield from self._follow_stream(event.attempt)
+            return NextStep.END
+        yield from self.parts.gossip.flush()
+        if event.request_answered:
+            yield from self._cancel()
+            return NextStep.END
+        if self._is_pending():
+            return NextStep.WAIT
+        may_retry = self.clock.now < self.give_up_at and self._may_retry()
+        return NextStep.ATTEMPT if may_retry else NextStep.ANSWER
+
     def _attempt(self) -> DecisionCoroutine:
         """Start an attempt: it, or None where there is no endpoint or no time, or `CLIENT_DISCONNECTED`."""
         stats = yield from self._select()
