--- a/starlingwheel/decisions/balancer.py
+++ b/starlingwheel/decisions/balancer.py
@@ -97,7 +97,7 @@
         )
 
     def reload(self, config: BalancerConfig) -> None:
-        """Take over a configuration, whole; what was learned stays."""
+        """Take over a complete configuration; what was learned stays."""
         self.config = config
         self.lease.set_grace(config.drain_grace)
         self.clock.reload(config)
@@ -140,7 +140,7 @@
     def health_check_ended(
         self, endpoint_id: str, outcome: AttemptOutcome, load_report: dict[str, float]
     ) -> None:
-        """A health check has ended; of an endpoint that is not listed any more it tells nothing."""
+        """A health check has ended; one of an endpoint that is not listed any more is ignored."""
         if (stats := self.endpoints.by_id.get(endpoint_id)) is not None:
             self.outcomes.record_health_check(stats, outcome, load_report)
 
--- a/starlingwheel/decisions/commands.py
+++ b/starlingwheel/decisions/commands.py
@@ -52,11 +52,11 @@
 
 
 class WatchEndpoints(msgspec.Struct, frozen=True):
-    """Open the watch of the endpoint list; each of its events resumes the `Wait` of who asked."""
+    """Open the watch of the endpoint list; each of its events resumes the coroutine that yielded this."""
 
 
 class StartHealthCheck(msgspec.Struct, frozen=True):
-    """Ask an endpoint for its load; a `HealthCheckEnded` resumes the `Wait` of who asked."""
+    """Ask an endpoint for its load; a `HealthCheckEnded` resumes the coroutine that yielded this."""
 
     endpoint: EndpointStats
 
--- a/starlingwheel/decisions/dispatch.py
+++ b/starlingwheel/decisions/dispatch.py
@@ -36,7 +36,7 @@
 
 
 class RequestDispatcher:
-    """The parts that a dispatch asks. It keeps no state but the configuration."""
+    """The parts that a dispatch uses. It keeps no state but the configuration."""
 
     def __init__(
         self,
--- a/starlingwheel/decisions/gossip.py
+++ b/starlingwheel/decisions/gossip.py
@@ -22,7 +22,7 @@
 FAILURE = 255  # code: an attempt there has failed
 UNANSWERED = 254  # code beside a count: an attempt there was left unanswered
 ENDED_BY_SENDER = (
-    253  # code beside a count: an attempt has ended of itself, which tells nothing of the endpoint
+    253  # code beside a count: an attempt has ended of itself, which says nothing of the endpoint
 )
 MESSAGES_PER_OBJECTIVE = 512.0  # messages from all peers in the shortest latency objective, at most
 BURST = 4.0  # messages sent without a pause
@@ -43,7 +43,7 @@
 
 
 class Gossip:
-    """Owns what peers have told and what is still to be told to them."""
+    """Owns the counts that peers have sent and those that are still to be sent to them."""
 
     def __init__(self, clock: Clock, endpoints: EndpointSet) -> None:
         """Nothing has been heard yet; disabled until `reload`."""
@@ -61,7 +61,7 @@
         endpoints.on_refresh = self._drop_zero_counts
 
     def reload(self, config: BalancerConfig, enabled: bool) -> None:
-        """Take over a configuration. `enabled`: whether in-flight counts are told at all."""
+        """Take over a configuration. `enabled`: whether in-flight counts are sent at all."""
         self.config, self.enabled = config, enabled
 
     def _drop_zero_counts(self) -> None:
@@ -83,7 +83,7 @@
         self._pending_failures[stats] = None
 
     def note_end_without_response(self, stats: EndpointStats, unanswered: bool) -> None:
-        """An attempt has ended without a response; a peer that was told so need not find out by itself."""
+        """An attempt has ended without a response; a peer that is notified need not find out by itself."""
         self._pending_codes[stats] = (
             UNANSWERED if unanswered else self._pending_codes.get(stats, ENDED_BY_SENDER)
         )
--- a/starlingwheel/decisions/latency.py
+++ b/starlingwheel/decisions/latency.py
@@ -63,12 +63,12 @@
 
     def slowness(self, stats: EndpointStats) -> float:
         """Response times of an endpoint against those of its like."""
-        told = self.gossip.pace(stats)
+        reported = self.gossip.pace(stats)
         if stats.pace is None:
-            return told
+            return reported
         kept = 0 if self.gossip.enabled else MIN_SAMPLES_PER_ENDPOINT
         times = stats.pace.aged(self.clock.now, self.clock.renewal, kept)
-        return times.mean(prior=told, doubt=PRIOR_ENDPOINT_SAMPLES)
+        return times.mean(prior=reported, doubt=PRIOR_ENDPOINT_SAMPLES)
 
     def zone_factor(self, stats: EndpointStats) -> float:
         """How many times as long responses from the endpoint's zone take as local ones."""
--- a/starlingwheel/decisions/lease.py
+++ b/starlingwheel/decisions/lease.py
@@ -4,7 +4,7 @@
 counts as notified some time later, whether or not it arrives; from then on, plus the grace for drains, an
 attempt by the old list may reach an endpoint that drains or is gone. So the list is held as a lease: while it
 has not expired attempts may begin, and once it has none may, whatever else speaks for them. Every place that
-begins something asks `EndpointLease.allows`; nothing else decides it.
+begins an attempt calls `EndpointLease.allows`; nothing else decides it.
 
 Times are seconds on the loop's clock.
 """
@@ -16,7 +16,7 @@
 
 # What a watch misses counts as notified so long after it fell silent, or after discovery could be reached.
 MISSED_NOTICE = 6.0
-# A change may have been made so long before the last thing that was heard: discovery tells in rounds.
+# A change may have been made so long before the last message: discovery notifies in rounds.
 PUSH_DELAY = 2.0
 # A watch that ends may have ended instead of telling of a change, which then counts as notified. Measured on
 # the bench: 1.68 s at the least.
@@ -47,7 +47,7 @@
         self.pushed = pushed
         self.expires_at = inf  # until `start`: whoever has no source to lose holds the list for ever
         self.doubtful_at = inf
-        self.incomplete_since = inf  # a message has begun to arrive that is not whole
+        self.incomplete_since = inf  # an incomplete message has begun to arrive
         self.moves_by = inf  # a new source takes the place of the old one, which proves nothing past this
         self.set_grace(drain_grace)
 
@@ -64,9 +64,9 @@
         self.expires_at = now + self._unheard_notice
 
     def prove(self, now: float, begun_at: float) -> None:
-        """The watch in force has said something, whole; its first byte came at `begun_at`.
+        """A complete message of the watch in force has come; its first byte came at `begun_at`.
 
-        Of two calls that are answered together one is given up within its message: the other tells the same.
+        Of two calls that are answered together one is given up within its message: the other brings the same.
         """
         if begun_at > self.incomplete_since - self.allowance:
             self.incomplete_since = inf
--- a/starlingwheel/decisions/load.py
+++ b/starlingwheel/decisions/load.py
@@ -14,8 +14,8 @@
 from .model import Attempt
 
 QUEUE_LIMIT = 2.5  # requests at an endpoint of mean weight, for each that it does at a time
-LIVE_WEIGHT_QUEUE_FACTOR = 2.0  # times that limit where only the endpoint list tells of load
-LIVE_WEIGHT_DAMPING = 0.1  # part of the load that a live weight tells that is believed
+LIVE_WEIGHT_QUEUE_FACTOR = 2.0  # times that limit where only the endpoint list reports load
+LIVE_WEIGHT_DAMPING = 0.1  # part of the load reported by a live weight that is believed
 HEALTH_CHECK_GAIN = 0.1  # part of a mean weight that knowing the load of an endpoint may save
 MIN_BUSY_REPORTED = 4.0  # busy time in reports after which the concurrency is derived
 REPORT_PRIOR = 0.5  # reports of no load that are assumed
@@ -38,7 +38,7 @@
         """Take over a configuration."""
         self.config = config
         self._mean_weight = config.mean_priority_weight()
-        # Where only the list tells of load all sidecars see it late and alike: queues are longer.
+        # Where only the list reports load all sidecars see it late and alike: queues are longer.
         self.queue_limit = QUEUE_LIMIT * (LIVE_WEIGHT_QUEUE_FACTOR if config.weights_are_live else 1)
 
     def of(self, stats: EndpointStats) -> float:
@@ -51,7 +51,7 @@
             return self.gossip.counts.get(stats.gossip_tag, 0) / self.concurrency
         mean = self.mean_elsewhere()
         if self.config.weights_are_live:
-            # All sidecars read the same list: believed whole, they would all fill what was free.
+            # All sidecars read the same list: believed fully, they would all use the same free capacity.
             believed = (stats.requests_held - mean) * LIVE_WEIGHT_DAMPING
             return mean + believed * self.clock.decay(self._reported_at)
         requests, at = stats.load_sample or (mean * self.concurrency, self.clock.now)
@@ -77,19 +77,19 @@
         return int(gain / max(self.config.health_check_price, 1e-9))
 
     def concurrency_is_learned(self) -> bool:
-        """Something has been observed that tells how many requests an endpoint does at a time."""
+        """An observation of how many requests an endpoint serves at a time."""
         return self.queueing.n + self._busy > 0
 
     # Observations.
 
     def note_started(self, attempt: Attempt) -> None:
-        """An attempt has been sent whole."""
+        """An attempt has been sent completely."""
         attempt.endpoint.in_flight[attempt] = None
         self.gossip.note_count(attempt.endpoint)
         self.in_flight += 1
 
     def note_ended(self, attempt: Attempt) -> None:
-        """An attempt has ended, whether or not it was sent whole."""
+        """An attempt has ended, whether or not it was sent completely."""
         stats = attempt.endpoint
         self.in_flight -= stats.in_flight.pop(attempt, 0) is None
         self.gossip.note_count(stats)
@@ -99,7 +99,7 @@
         stats.load_sample = LoadSample(self.queue_limit * self.concurrency, self.clock.now)
 
     def note_list(self) -> None:
-        """The endpoint list has told of all loads: what it does not name has not changed."""
+        """The endpoint list has reported all loads; those that it does not name have not changed."""
         if self.config.weights_are_live:
             self._reported_at, self._reports = self.clock.now, len(self.endpoints.by_id)
             self._reported = sum(stats.requests_held for stats in self.endpoints.by_id.values())
@@ -134,7 +134,7 @@
         """A response at that load took so long, against an endpoint without load.
 
         Where reports tell what endpoints hold and not how busy they are, what a queued request adds to the
-        response tells how many they do at a time.
+        response shows how many they serve at a time.
         """
         self.queueing.add(load * self.concurrency, relative_time)
         self.concurrency = max(1.0, QUEUED_REQUEST_COST / self.queueing.growth(QUEUED_REQUEST_COST))
--- a/starlingwheel/decisions/model.py
+++ b/starlingwheel/decisions/model.py
@@ -24,7 +24,7 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """One entry of the endpoint list. The id only tells one endpoint from another."""
+    """One entry of the endpoint list. The id only identifies an endpoint."""
 
     endpoint_id: str
     zone: str
--- a/starlingwheel/decisions/outcomes.py
+++ b/starlingwheel/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt or of a health check tells each part."""
+"""What each part learns from the end of an attempt or of a health check."""
 
 from __future__ import annotations
 
@@ -77,11 +77,11 @@
         self.latency.learn(attempt, duration)
         stats.last_response_at = self.clock.now
         stats.latest_finished_start = max(stats.latest_finished_start, attempt.started_at)
-        self.outliers.note_outcome(stats, failed=reports_failures, told=reports_failures)
+        self.outliers.note_outcome(stats, failed=reports_failures, reported=reports_failures)
 
     def _record_failure(self, stats: EndpointStats, outcome: AttemptOutcome, reports_failures: bool) -> None:
         connect_failed = outcome is AttemptOutcome.CONNECT_FAILED
-        self.outliers.note_outcome(stats, failed=True, unresponsive=connect_failed, told=reports_failures)
+        self.outliers.note_outcome(stats, failed=True, unresponsive=connect_failed, reported=reports_failures)
         self.outliers.announce_failure(stats, connect_failed)
 
     def record_health_check(
--- a/starlingwheel/decisions/outlier_detection.py
+++ b/starlingwheel/decisions/outlier_detection.py
@@ -58,7 +58,7 @@
             return False
         if stats in self.suspects and non_idempotent and self.is_suspected(stats):
             return False
-        # No outcome ever tells of an endpoint that accepts requests and does not answer.
+        # An endpoint that accepts requests and does not answer never has an outcome.
         if stats.in_flight and self._oldest_is_silent(stats):
             return False
         if stats.probation_limit < inf:
@@ -131,9 +131,9 @@
         stats: EndpointStats,
         failed: bool,
         unresponsive: bool = False,
-        told: bool = False,
+        reported: bool = False,
     ) -> None:
-        """An attempt or a health check has ended. `told`: the endpoint itself reports many failures."""
+        """An attempt or a health check has ended. `reported`: the endpoint itself reports many failures."""
         self._count_outcome(failed)
         if not failed:
             self._note_success(stats)
@@ -144,7 +144,7 @@
         probability = common**stats.consecutive_failures
         # Rows of failures are bound to come up where one endpoint gets many attempts.
         probability *= max(1.0, self._recent / (HALF_LIFE * self.endpoints.ready_count() + 1))
-        if probability <= CHANCE_THRESHOLD or stats.probation_limit < inf or told:
+        if probability <= CHANCE_THRESHOLD or stats.probation_limit < inf or reported:
             self.eject(stats, unresponsive)
 
     def _count_outcome(self, failed: bool) -> None:
--- a/starlingwheel/decisions/retry_policy.py
+++ b/starlingwheel/decisions/retry_policy.py
@@ -46,7 +46,7 @@
         return bool(attempts) and attempts[-1].pending and self.may_send(request, attempts)
 
     def may_reject(self, request: Request, attempts: Sequence[Attempt]) -> bool:
-        """The client may be told that a retry is harmless."""
+        """The request may be rejected: a retry by the client is harmless."""
         request_class = request.request_class
         safety = request_class.retry_safety
         if safety is RetrySafety.IDEMPOTENT or first_risky_attempt(attempts) is None:
--- a/starlingwheel/decisions/scheduler.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -50,7 +50,7 @@
     def watch_endpoints(self) -> None:
         """Open the watch of the endpoint list."""
 
-    def start_health_check(self, upstream: EndpointStats) -> None:
+    def start_health_check(self, endpoint: EndpointStats) -> None:
         """Ask an endpoint for its load."""
 
     def send_gossip(self, body: bytes) -> None:
@@ -172,7 +172,7 @@
     # Other events.
 
     def endpoints_changed(self, event: WatchEvent, entries: list[Endpoint]) -> None:
-        """The endpoint watch has told something, or has failed."""
+        """A message of the endpoint watch, or its failure."""
         self.balancer.update_endpoints(event, entries)
         if self._watcher is not None:
             self._resume(self._watcher, event)
--- a/starlingwheel/decisions/selection.py
+++ b/starlingwheel/decisions/selection.py
@@ -22,7 +22,7 @@
 from .slow_start import SlowStart
 
 ACCEPTABLE_LATENCY_FRACTION = 0.42  # of the objective that the expected response may take, at full priority
-LIVE_WEIGHT_LATENCY_FACTOR = 2.0  # times that, where only the endpoint list tells of load
+LIVE_WEIGHT_LATENCY_FACTOR = 2.0  # times that, where only the endpoint list reports load
 MAX_CANDIDATES = 12  # endpoints that are examined, in the own zone and beyond it
 IDLE_TIMEOUT_FRACTION = 0.75  # of the idle timeout for which an idle connection is counted on
 
@@ -52,7 +52,7 @@
 
 
 class EndpointSelector:
-    """Owns the shares of zones in the draws; the rest is asked of the other parts."""
+    """Owns the shares of zones in the draws; all else comes from the other parts."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         outliers: OutlierDetector,
         retry_policy: RetryPolicy,
     ) -> None:
-        """The parts that are asked; `rng` makes the draws."""
+        """The parts that it uses; `rng` makes the draws."""
         self.clock, self.rng, self.lease = clock, rng, lease
         self.endpoints, self.gossip, self.load, self.latency = endpoints, gossip, load, latency
         self.slow_start, self.outliers, self.retry_policy = slow_start, outliers, retry_policy
@@ -205,7 +205,7 @@
     def _rate(self, stats: EndpointStats, search: Search) -> Candidate | None:
         load = self.load.of(stats)
         # A sidecar that rejects everything hears of nothing: it goes on with what it knows once nothing of
-        # its own is in flight, unless the endpoint list tells of load by itself.
+        # its own is in flight, unless the endpoint list itself reports load.
         informed = self.load.in_flight or self.config.weights_are_live
         strict = load >= 1 and informed and search.require_fit
         relative_cost = self.endpoints.relative_cost(stats)
--- a/starlingwheel/simulator/sidecar.py
+++ b/starlingwheel/simulator/sidecar.py
@@ -172,9 +172,9 @@
         """Open the watch of the endpoint list."""
         self.output.append(wire.encode_watch_endpoints())
 
-    def start_health_check(self, upstream: EndpointStats) -> None:
+    def start_health_check(self, endpoint: EndpointStats) -> None:
         """Ask an endpoint for its load."""
-        self.output.append(wire.encode_health_check(upstream.endpoint_id))
+        self.output.append(wire.encode_health_check(endpoint.endpoint_id))
 
     def send_gossip(self, body: bytes) -> None:
         """Send a message to all peers."""
--- a/starlingwheel/simulator/wire.py
+++ b/starlingwheel/simulator/wire.py
@@ -323,7 +323,7 @@
 
 
 def encode_health_check(endpoint_id: str) -> str:
-    """The endpoint is to be asked for its load."""
+    """The endpoint is to be polled for its load."""
     return f"HEALTH_CHECK upstream={endpoint_id}"
 
 
--- a/trials/call_tree/caller.py
+++ b/trials/call_tree/caller.py
@@ -197,7 +197,7 @@
     def watch_endpoints(self) -> None:
         """Nothing to do: the endpoints do not change."""
 
-    def start_health_check(self, upstream: EndpointStats) -> None:
+    def start_health_check(self, endpoint: EndpointStats) -> None:
         """Health checks are not allowed here."""
         raise AssertionError("nobody may ask here")
 
