--- a/starlingwheel/net/admin/call.py
+++ b/starlingwheel/net/admin/call.py
@@ -13,7 +13,8 @@
 
 from ..actor import Actor, Coroutine
 from ..context import SidecarContext
-from ..http.stream import ConnectionLostError, Stream, has_conflicting_lengths
+from ..http.errors import CloseReason, ConnectionLostError
+from ..http.stream import Stream, has_conflicting_lengths
 from ..loop import READ, WRITE
 from ..messages import CLOSE
 from ..state.overrides import OverridesLockedError
@@ -62,7 +63,7 @@
             self._log(target, endpoint_id, status, reason, opened_at)
             yield from self._write(status, body)
         except ConnectionLostError as lost:
-            self.context.log("operator.left", call=target, reason=str(lost))
+            self.context.log("operator.left", call=target, reason=lost.reason)
         except GeneratorExit:
             pass
         finally:
@@ -98,7 +99,7 @@
                     raise CallRejectedError(HTTPStatus.BAD_REQUEST, "more than one call")
                 return request, body
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionLostError("caller-left")
+                raise ConnectionLostError(CloseReason.CALLER_LEFT)
             else:
                 yield from self._receive(until, begun=request is not None)
 
@@ -118,7 +119,7 @@
         self.stream.send_continue()
         message = yield until
         if message is CLOSE:
-            raise ConnectionLostError("not-needed")
+            raise ConnectionLostError(CloseReason.NOT_NEEDED)
         if message is None:
             raise CallRejectedError(HTTPStatus.REQUEST_TIMEOUT, "half a call" if begun else "no call")
         self.stream.read()
@@ -163,7 +164,7 @@
         while not self.stream.write():
             self.stream.wait_for(WRITE)
             if (yield until) is None:
-                raise ConnectionLostError("slow-reader")
+                raise ConnectionLostError(CloseReason.SLOW_READER)
         # Answered: it is closed to make room before those that have not called yet.
         self.listener.calls.pop(self, None)
         self.listener.calls = {self: None, **self.listener.calls}
--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -1,16 +1,18 @@
 """Keeps the endpoint list of a sidecar current: one watch in use, opened again when it ends.
 
 Owns the calls to discovery and their schedule; what one call reads comes from `watch.py`. Times are seconds
-on the loop's clock; constants that are multiples are multiples of `EMPTY_LINE`.
+on the loop's clock; constants that are multiples are multiples of `KEEPALIVE_INTERVAL`.
 """
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from math import inf
 
 from ...decisions.events import WatchEvent
 from ..actor import Actor, Coroutine
 from ..context import SidecarContext
+from ..http.errors import CloseReason
 from ..messages import (
     CLOSE,
     DiscoveryMoved,
@@ -141,7 +143,7 @@
             self.current = watch
 
     def _with_jitter(self, multiple: float) -> float:
-        """Return that multiple of `EMPTY_LINE`, or a little less."""
+        """Return that multiple of `KEEPALIVE_INTERVAL`, or a little less."""
         return KEEPALIVE_INTERVAL * (multiple - JITTER * self.context.rng.random())
 
     def _call(self) -> None:
@@ -244,24 +246,24 @@
 
     def _schedule_after(self, watch: DiscoveryWatch, now: float) -> None:
         """Set when the next call begins at the latest."""
-        if watch.answered or watch.reason == WatchEndReason.REFUSED:
+        if watch.answered or watch.reason is CloseReason.CONNECT_REFUSED:
             # Its changes until then are known, or discovery could not be reached until then.
-            self.last_call_at = watch.read_at if watch.reason == WatchEndReason.SILENT else now
+            self.last_call_at = watch.read_at if watch.reason is WatchEndReason.SILENT else now
             self.latest_call_at = now + self._with_jitter(FIRST_CALL_WITHIN)
-        elif watch.reason != WatchEndReason.SILENT:
+        elif watch.reason is not WatchEndReason.SILENT:
             self._adapt_hang_threshold(watch)
 
     def _update_lease(self, watch: DiscoveryWatch, now: float) -> None:
         """Tell the lease what the end of a call or a watch means for the list."""
         lease = self.context.lease
-        busy_agent = self.pushed and watch.reason == WatchEndReason.ANSWERED_503
-        if busy_agent or watch.reason == WatchEndReason.REFUSED:
+        busy_agent = self.pushed and watch.error_status == HTTPStatus.SERVICE_UNAVAILABLE
+        if busy_agent or watch.reason is CloseReason.CONNECT_REFUSED:
             lease.miss_source(now)
         elif watch is self.current and watch.answered:
-            if watch.reason == WatchEndReason.SILENT:
+            if watch.reason is WatchEndReason.SILENT:
                 lease.fall_silent(now)
             else:
-                lease.end_watch(now, reset=watch.reason == WatchEndReason.RESET)
+                lease.end_watch(now, reset=watch.reason is CloseReason.RESET)
         self.context.gate.note_state()
 
     def _reopen(self, watch: DiscoveryWatch) -> None:
@@ -285,6 +287,6 @@
             # The decisions would spread their calls over the fleet's interval, and what is missed until then
             # would count as notified. A silent watch is found at random times anyway; one that ended may have
             # ended in place of telling a change.
-            silent = watch.reason == WatchEndReason.SILENT
+            silent = watch.reason is WatchEndReason.SILENT
             within = REOPEN_WITHIN if silent else REOPEN_ENDED_WITHIN
             self.next_call_at = now + within * KEEPALIVE_INTERVAL * self.context.rng.random()
--- a/starlingwheel/net/discovery/watch.py
+++ b/starlingwheel/net/discovery/watch.py
@@ -11,7 +11,8 @@
 
 from ..actor import Actor, Coroutine
 from ..context import SidecarContext
-from ..http.stream import ConnectionLostError, Stream, connect
+from ..http.errors import CloseReason, ConnectionLostError
+from ..http.stream import Stream, connect
 from ..loop import READ, WRITE, SocketReady
 from ..messages import CLOSE, WatchAnswered, WatchEnded, WatchMessage
 from .decoder import MessageDecoder, MessageTooLongError, UnreadableMessageError
@@ -19,20 +20,24 @@
 
 
 class WatchEndReason(enum.StrEnum):
-    """Why a watch ended, as the log has it; a lost connection's own reasons come beside these."""
+    """Why a watch ended whose connection was not lost (`CloseReason`). The values are logged."""
 
-    DEFECT = "defect"
-    STOPPED = "stopped"
-    SILENT = "silent"
-    REPLACED = "replaced"
-    ENDED = "ended"
+    SILENT = "silent"  # nothing came in time
+    REPLACED = "replaced"  # by another watch
+    ENDED = "ended"  # by discovery
+    REJECTED = "answered"  # with an error; the log adds the status
     LINE_TOO_LONG = "line-too-long"
     UNREADABLE = "unreadable"
-    WENT_BACK = "went-back"
-    # Given by the connection, or made from the status of the answer:
-    REFUSED = "refused"
-    RESET = "reset"
-    ANSWERED_503 = "answered-503"
+    WENT_BACK = "went-back"  # to an earlier version
+
+
+class WatchEndedError(Exception):
+    """The watch has to end."""
+
+    def __init__(self, reason: WatchEndReason, status: int = 0) -> None:
+        """`status`: of an error response."""
+        super().__init__(reason)
+        self.reason, self.status = reason, status
 
 
 class DiscoveryWatch(Actor):
@@ -57,7 +62,8 @@
         self.context, self.address, self.version = context, address, version
         self.answer_timeout, self.silence_timeout = answer_timeout, silence_timeout
         self.stream: Stream | None = None
-        self.reason: str = WatchEndReason.DEFECT  # why it ended
+        self.reason: CloseReason | WatchEndReason = CloseReason.DEFECT  # why it ended
+        self.error_status = 0  # of the error response that ended it; 0: there was none
         self.answered = False  # its answer has begun
         self.incomplete_since = 0.0  # when the first bytes of an incomplete message came; 0: there is none
         self.complete_message_at = 0.0  # when the first bytes of the last complete message came
@@ -72,9 +78,11 @@
         try:
             yield from self._watch()
         except ConnectionLostError as lost:
-            self.reason = str(lost)
+            self.reason = lost.reason
+        except WatchEndedError as ended:
+            self.reason, self.error_status = ended.reason, ended.status
         except GeneratorExit:
-            self.reason = WatchEndReason.STOPPED
+            self.reason = CloseReason.STOPPED
             raise
         finally:
             if self.stream is not None:
@@ -94,7 +102,7 @@
         now = self.loop.now()
         self.context.log(
             "list.end",
-            reason=self.reason,
+            reason=f"{self.reason}-{self.error_status}" if self.error_status else self.reason,
             address=self.address,
             version=self.version,
             answered=self.answered,
@@ -104,7 +112,7 @@
         )
 
     def _watch(self) -> Coroutine[None]:
-        """Ends only by `ConnectionLostError`."""
+        """Ends only by `ConnectionLostError` or `WatchEndedError`."""
         stream = self._connect()
         answer_due = self.loop.now() + self.answer_timeout
         yield from self._send_request(stream, answer_due)
@@ -122,7 +130,7 @@
             elif isinstance(event, h11.Data):
                 self._receive_data(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                raise ConnectionLostError(WatchEndReason.ENDED)
+                raise WatchEndedError(WatchEndReason.ENDED)
 
     def _connect(self) -> Stream:
         sock = connect(self.address)
@@ -140,19 +148,19 @@
             yield from self._wait(answer_due)
 
     def _wait(self, until: float) -> Coroutine[None]:
-        """Wait for the socket; raise `ConnectionLostError` at `until`, or when the watch is closed."""
+        """Wait for the socket; raise `WatchEndedError` at `until`, or when the watch is closed."""
         while True:
             message = yield until
             if message is None:
-                raise ConnectionLostError(WatchEndReason.SILENT)
+                raise WatchEndedError(WatchEndReason.SILENT)
             if message is CLOSE:
-                raise ConnectionLostError(WatchEndReason.REPLACED)
+                raise WatchEndedError(WatchEndReason.REPLACED)
             if isinstance(message, SocketReady):
                 return
 
     def _receive_response(self, response: h11.Response) -> None:
         if response.status_code != 200:
-            raise ConnectionLostError(f"answered-{response.status_code}")
+            raise WatchEndedError(WatchEndReason.REJECTED, response.status_code)
         self.answered = True
         self.context.log("list.answered", waited_s=round(self.loop.now() - self.opened_at, 3))
         self.context.discovery.post(WatchAnswered(self))
@@ -165,18 +173,18 @@
                     self._receive_message(message)
                 self._end_line()
         except MessageTooLongError as error:
-            raise ConnectionLostError(WatchEndReason.LINE_TOO_LONG) from error
+            raise WatchEndedError(WatchEndReason.LINE_TOO_LONG) from error
         except UnreadableMessageError as error:
             # The last good list stays in force, and the next call asks for the whole list.
             self.version = 0
             self.context.log("list.unreadable", error=str(error))
-            raise ConnectionLostError(WatchEndReason.UNREADABLE) from error
+            raise WatchEndedError(WatchEndReason.UNREADABLE) from error
 
     def _receive_message(self, message: DiscoveryMessage) -> None:
         if message.version < self.version and not message.full:
             # Changes out of order could put a removed endpoint back: the next call asks for the whole list.
             self.version = 0
-            raise ConnectionLostError(WatchEndReason.WENT_BACK)
+            raise WatchEndedError(WatchEndReason.WENT_BACK)
         self.version = message.version
         self.context.log(
             "list.news", version=message.version, full=message.full, entries=len(message.endpoints)
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -26,7 +26,7 @@
     BuffersExhaustedError,
 )
 from ..state.requests import PendingRequest
-from .errors import CloseReason, ConnectionLostError, InvalidRequestError
+from .errors import CloseReason, ConnectionLostError, InvalidRequestError, InvalidRequestReason
 from .request_parser import declared_length, parse_request
 from .response_writer import ResponseWriter
 from .stream import Event, Stream
@@ -51,7 +51,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.stream = Stream(context.loop, self, sock, h11.SERVER, context.buffer_pool)
         self.writer = ResponseWriter(self.stream)
-        self.reason: CloseReason | str | None = None  # why it ends
+        self.reason: CloseReason | None = None  # why it ends
         self.idle_reason: CloseReason | None = None  # why it ends as soon as it is idle
         self.response_count = 0
         self.opened = self.idle_since = context.loop.now()
@@ -114,10 +114,10 @@
                 status = final.status
         except InvalidRequestError as error:
             status = error.status
-            self.context.log("request.unfit", status=status, reason=error.reason)
+            self.context.log("request.unfit", status=status, reason=error.log_text)
         except BuffersExhaustedError:
             status = 503
-            self.context.log("request.unfit", status=status, reason=CloseReason.NO_BUFFERS)
+            self.context.log("request.unfit", status=status, reason=InvalidRequestReason.NO_BUFFERS)
         finally:
             self._release_body(accepted)
             self.context.connections.note_request_complete(self)
@@ -154,7 +154,7 @@
             try:
                 event = self.stream.next_event()
             except ConnectionLostError as error:
-                raise InvalidRequestError(400, str(error)) from error
+                raise InvalidRequestError(400, InvalidRequestReason(error.reason.value)) from error
             if isinstance(event, h11.Request):
                 request, length = event, declared_length(event, self._max_body())
                 self.stream.read_size = len(self.context.buffer_pool.scratch)
@@ -213,7 +213,7 @@
     def _read_timed_out(self) -> None:
         """Close if idle; raises `InvalidRequestError` for a request that is incomplete."""
         if self.request_started_at is not None:
-            raise InvalidRequestError(408, "half a request")
+            raise InvalidRequestError(408, InvalidRequestReason.INCOMPLETE)
         self.idle_reason = self.idle_reason or CloseReason.IDLE
 
     def _close_when_idle(self, message: object) -> None:
@@ -253,7 +253,7 @@
     def _count_body(self, data: bytes) -> None:
         self.body_received += len(data)
         if self.body_received > self._max_body():
-            raise InvalidRequestError(413, "body too long")
+            raise InvalidRequestError(413, InvalidRequestReason.BODY_TOO_LONG)
 
     def _max_body(self) -> int:
         """The most bytes that a request's body may have; over HTTP/2 a body is buffered."""
@@ -311,7 +311,7 @@
                 self._read_body(message)
             elif message is None and self.loop.now() >= self._read_deadline():
                 self._abandon(pending)
-                raise InvalidRequestError(408, "half a request")
+                raise InvalidRequestError(408, InvalidRequestReason.INCOMPLETE)
 
     def _next_body_event(self, pending: PendingRequest, body_stream: BodyStream) -> Event:
         """Return the next event, its data added to the stream; raises `InvalidRequestError`."""
@@ -322,7 +322,7 @@
                 body_stream.add(event.data)
         except (ConnectionLostError, InvalidRequestError, BuffersExhaustedError) as error:
             self._abandon(pending)
-            raise InvalidRequestError(400, str(error)) from error
+            raise InvalidRequestError(400, _stream_error_reason(error)) from error
         return event
 
     def _read_body(self, ready: SocketReady) -> None:
@@ -375,3 +375,13 @@
         self.context.connections.remove_client(self)
         reason = self.reason or CloseReason.DEFECT
         self.context.log("client.end", reason=reason, served=self.response_count)
+
+
+def _stream_error_reason(error: Exception) -> InvalidRequestReason:
+    """What is wrong with a request whose body was already being forwarded."""
+    match error:
+        case ConnectionLostError():
+            return InvalidRequestReason(error.reason.value)
+        case BuffersExhaustedError():
+            return InvalidRequestReason.NO_BUFFERS_FOR_STREAM
+    return InvalidRequestReason.STREAMED_BODY_TOO_LONG
--- a/starlingwheel/net/http/errors.py
+++ b/starlingwheel/net/http/errors.py
@@ -22,6 +22,7 @@
     # Of a client's connection.
     CLIENT_CLOSED = "client-closed"  # between requests
     STOPPING = "stopping"  # idle while the process stops
+    CALLER_LEFT = "caller-left"  # before its admin call was complete
     SLOW_READER = "slow-reader"  # the client does not read its response
     UPSTREAM_BROKE = "upstream-broke"  # in the middle of a response that was being forwarded
     CLOSE_ANNOUNCED = "told-to-close"  # the response said `Connection: close`
@@ -61,6 +62,29 @@
         return cls(f"answered-{status}")
 
 
+class InvalidRequestReason(enum.StrEnum):
+    """Why a request is answered with an error and not forwarded; the values are logged."""
+
+    MALFORMED = "malformed"
+    CUT_SHORT = "cut-short"
+    TWO_LENGTHS = "two lengths"
+    INCOMPLETE = "half a request"
+    BODY_TOO_LONG = "body too long"
+    STREAMED_BODY_TOO_LONG = "(413, 'body too long')"
+    NO_BUFFERS = "no-buffers"
+    NO_BUFFERS_FOR_STREAM = ""
+    TOO_MANY_REQUESTS = "too many connections"
+    REPEATED_HEADER = "is doubled"  # the log puts the header's name before it
+    NO_TRACE_ID = "x-trace-id is missing"
+    TRACE_ID_IN_USE = "x-trace-id is in hand"
+    NO_TIMEOUT = "x-expires-in-ms is missing or unreadable"
+    EXPIRED = "expired when it came"
+    UNKNOWN_CLASS = "unknown category"
+    PATH_DIFFERS = "path and x-qos differ"
+    WRONG_METHOD = "the method does not fit the category"
+    NO_IDEMPOTENCY_KEY = "idempotency-key is missing"
+
+
 class HttpError(Exception):
     """Base class of the errors that the HTTP modules raise."""
 
@@ -68,8 +92,8 @@
 class ConnectionLostError(HttpError):
     """The connection can't be used any more."""
 
-    def __init__(self, reason: CloseReason | str) -> None:
-        """`reason`: a `str` for a reason that only a protocol above HTTP has."""
+    def __init__(self, reason: CloseReason) -> None:
+        """`reason`: for the log, and for those who act on it."""
         super().__init__(reason)
         self.reason = reason
 
@@ -77,7 +101,12 @@
 class InvalidRequestError(HttpError):
     """A request that is answered with an error and not forwarded."""
 
-    def __init__(self, status: int, reason: str) -> None:
-        """`status`: of the response; `reason`: for the log."""
-        super().__init__(status, reason)
-        self.status, self.reason = status, reason
+    def __init__(self, status: int, reason: InvalidRequestReason, header: str = "") -> None:
+        """`status`: of the response; `header`: the name of the header at fault, for the log."""
+        super().__init__(status, reason, header)
+        self.status, self.reason, self.header = status, reason, header
+
+    @property
+    def log_text(self) -> str:
+        """What is wrong with the request, for the log."""
+        return f"{self.header} {self.reason}" if self.header else self.reason
--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -52,7 +52,7 @@
         self.stream: Stream | None = None
         self.writer: RequestWriter | None = None
         self.reader: ResponseReader | None = None
-        self.reason: CloseReason | str | None = None  # why it ends
+        self.reason: CloseReason | None = None  # why it ends
         self.exchange_count = 0
         self.idle_since = 0.0  # 0: never idle yet
         self.last_was_health_check = False
@@ -221,14 +221,14 @@
             if message is None:
                 raise ConnectionLostError(CloseReason.IDLE)
 
-    def _fail(self, reason: CloseReason | str) -> ExchangeResult:
+    def _fail(self, reason: CloseReason) -> ExchangeResult:
         """Set why the connection ends, and return how that ends the exchange."""
         self.reason = reason
         if self.exchange is not None and reason in (CloseReason.RESET, CloseReason.CUT_SHORT):
             self.writer.note_reset(self.exchange)
         return ExchangeResult(self._failed_outcome(reason))
 
-    def _failed_outcome(self, reason: CloseReason | str) -> AttemptOutcome:
+    def _failed_outcome(self, reason: CloseReason) -> AttemptOutcome:
         if reason is CloseReason.CANCELLED:
             return AttemptOutcome.CANCELLED
         written = self.exchange is not None and self.exchange.written
--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -83,7 +83,7 @@
 
     def run(self) -> Coroutine[None]:
         """Connect, then serve the socket and the mailbox until the connection ends."""
-        reason: CloseReason | str = CloseReason.DEFECT
+        reason: CloseReason = CloseReason.DEFECT
         try:
             yield from self._connect()
             while True:
@@ -340,7 +340,7 @@
             ExchangeEnded(exchange, result.outcome, result.load_report, result.response)
         )
 
-    def _close(self, reason: CloseReason | str) -> None:
+    def _close(self, reason: CloseReason) -> None:
         for stream_exchange in list(self.streams.values()):
             self._end(stream_exchange, AttemptOutcome.RESET)
         outcome = AttemptOutcome.NOT_SENT if self.connected else AttemptOutcome.CONNECT_FAILED
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -84,7 +84,7 @@
             if connection in connections:
                 connections.remove(connection)
 
-    def log_closed(self, reason: CloseReason | str | None, exchange_count: int) -> None:
+    def log_closed(self, reason: CloseReason | None, exchange_count: int) -> None:
         """Log the end of a connection."""
         self.context.log("upstream.end", reason=reason, upstream=self.entry.id, carried=exchange_count)
 
--- a/starlingwheel/net/http/request_parser.py
+++ b/starlingwheel/net/http/request_parser.py
@@ -13,7 +13,7 @@
 from ..state.body_stream import BodyStream
 from ..state.buffers import BufferedBody
 from ..state.requests import PendingRequest
-from .errors import InvalidRequestError
+from .errors import InvalidRequestError, InvalidRequestReason
 from .stream import has_conflicting_lengths
 
 if TYPE_CHECKING:
@@ -38,10 +38,10 @@
     more than `longest` bytes.
     """
     if has_conflicting_lengths(request.headers):
-        raise InvalidRequestError(400, "two lengths")
+        raise InvalidRequestError(400, InvalidRequestReason.TWO_LENGTHS)
     length = next((int(value) for name, value in request.headers if name == b"content-length"), None)
     if length is not None and length > longest:
-        raise InvalidRequestError(413, "body too long")
+        raise InvalidRequestError(413, InvalidRequestReason.BODY_TOO_LONG)
     return length
 
 
@@ -59,15 +59,15 @@
     headers = _headers_by_name(request)
     trace = headers.get(b"x-trace-id", b"")
     if not trace:
-        raise InvalidRequestError(400, "x-trace-id is missing")
+        raise InvalidRequestError(400, InvalidRequestReason.NO_TRACE_ID)
     target = ABSOLUTE_FORM.sub(b"", request.target)
     request_class = _request_class(request.method, target, headers, context)
     if trace in context.active_traces:
-        raise InvalidRequestError(409, "x-trace-id is in hand")
+        raise InvalidRequestError(409, InvalidRequestReason.TRACE_ID_IN_USE)
     timeout = _timeout(headers)
     if len(context.active_traces) >= context.connections.max_requests:
         # Clients must not take the descriptors that their own requests need.
-        raise InvalidRequestError(503, "too many connections")
+        raise InvalidRequestError(503, InvalidRequestReason.TOO_MANY_REQUESTS)
     return PendingRequest(
         request=Request(
             request_class=request_class,
@@ -90,7 +90,7 @@
     headers: dict[bytes, bytes] = {}
     for name, value in request.headers:
         if name in headers and (name.startswith(b"x-") or name == b"idempotency-key"):
-            raise InvalidRequestError(400, f"{name.decode()} is doubled")
+            raise InvalidRequestError(400, InvalidRequestReason.REPEATED_HEADER, name.decode())
         headers[name] = value
     return headers
 
@@ -102,14 +102,14 @@
     name = headers.get(b"x-qos", b"").decode("latin-1")
     request_class = context.request_class_for(name, _implied_retry_safety(method, headers))
     if request_class is None:
-        raise InvalidRequestError(404, "unknown category")
+        raise InvalidRequestError(404, InvalidRequestReason.UNKNOWN_CLASS)
     if target.lstrip(b"/").partition(b"?")[0].partition(b"/")[0] != name.encode("latin-1"):
-        raise InvalidRequestError(400, "path and x-qos differ")
+        raise InvalidRequestError(400, InvalidRequestReason.PATH_DIFFERS)
     if method != METHODS[request_class.retry_safety]:
-        raise InvalidRequestError(405, "the method does not fit the category")
+        raise InvalidRequestError(405, InvalidRequestReason.WRONG_METHOD)
     needs_key = request_class.retry_safety is RetrySafety.IDEMPOTENT_WITH_KEY
     if needs_key and not headers.get(b"idempotency-key"):
-        raise InvalidRequestError(400, "idempotency-key is missing")
+        raise InvalidRequestError(400, InvalidRequestReason.NO_IDEMPOTENCY_KEY)
     return request_class
 
 
@@ -124,8 +124,8 @@
     """The seconds for which the client waits."""
     milliseconds = headers.get(b"x-expires-in-ms", b"")
     if not milliseconds.isdigit() or len(milliseconds) > MAX_TIMEOUT_DIGITS:
-        raise InvalidRequestError(400, "x-expires-in-ms is missing or unreadable")
+        raise InvalidRequestError(400, InvalidRequestReason.NO_TIMEOUT)
     seconds = int(milliseconds) / 1000
     if seconds <= 0:
-        raise InvalidRequestError(408, "expired when it came")
+        raise InvalidRequestError(408, InvalidRequestReason.EXPIRED)
     return seconds
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -444,40 +444,41 @@
 
 
 BAD = [
-    ({"x_trace_id": None}, 400),
-    ({"x_qos": None}, 404),
-    ({"x_qos": "other"}, 404),
-    ({"x_expires_in_ms": None}, 400),
-    ({"x_expires_in_ms": "soon"}, 400),
-    ({"x_expires_in_ms": "0"}, 408),
-    ({"lead": "POST /look/1 HTTP/1.1"}, 405),
-    ({"lead": "GET /buy/1 HTTP/1.1"}, 400),
-    ({"lead": "GET /look/1 HTTP/1.1\r\nX-Qos: buy"}, 400),
-    ({"lead": "nonsense"}, 400),
-    ({"x_expires_in_ms": "+480"}, 400),
-    ({"x_expires_in_ms": "4_80"}, 400),
-    ({"x_expires_in_ms": "-5"}, 400),
-    ({"x_expires_in_ms": "9" * 5000}, 400),
-    ({"category": "buy", "content_length": "3", "transfer_encoding": "chunked"}, 400),
-    ({"category": "buy", "content_length": "-3"}, 400),
-    ({"category": "buy", "content_length": "3, 4"}, 400),
-    ({"category": "buy", "content_length": "9" * 5000}, 400),
-    ({"category": "buy", "content_length": "60000000"}, 413),
-    ({"category": "buy", "transfer_encoding": "gzip, chunked"}, 400),
-    ({"category": "move", "idempotency_key": None}, 400),
-    ({"category": "buy", "content_length": str((1 << 25) + 1)}, 413),
-    ({"x_long": "x" * 40000}, 400),
+    ({"x_trace_id": None}, 400, "x-trace-id is missing"),
+    ({"x_qos": None}, 404, "unknown category"),
+    ({"x_qos": "other"}, 404, "unknown category"),
+    ({"x_expires_in_ms": None}, 400, "x-expires-in-ms is missing or unreadable"),
+    ({"x_expires_in_ms": "soon"}, 400, "x-expires-in-ms is missing or unreadable"),
+    ({"x_expires_in_ms": "0"}, 408, "expired when it came"),
+    ({"lead": "POST /look/1 HTTP/1.1"}, 405, "the method does not fit the category"),
+    ({"lead": "GET /buy/1 HTTP/1.1"}, 400, "path and x-qos differ"),
+    ({"lead": "GET /look/1 HTTP/1.1\r\nX-Qos: buy"}, 400, "x-qos is doubled"),
+    ({"lead": "nonsense"}, 400, "malformed"),
+    ({"x_expires_in_ms": "+480"}, 400, "x-expires-in-ms is missing or unreadable"),
+    ({"x_expires_in_ms": "4_80"}, 400, "x-expires-in-ms is missing or unreadable"),
+    ({"x_expires_in_ms": "-5"}, 400, "x-expires-in-ms is missing or unreadable"),
+    ({"x_expires_in_ms": "9" * 5000}, 400, "x-expires-in-ms is missing or unreadable"),
+    ({"category": "buy", "content_length": "3", "transfer_encoding": "chunked"}, 400, "two lengths"),
+    ({"category": "buy", "content_length": "-3"}, 400, "malformed"),
+    ({"category": "buy", "content_length": "3, 4"}, 400, "malformed"),
+    ({"category": "buy", "content_length": "9" * 5000}, 400, "malformed"),
+    ({"category": "buy", "content_length": "60000000"}, 413, "body too long"),
+    ({"category": "buy", "transfer_encoding": "gzip, chunked"}, 400, "malformed"),
+    ({"category": "move", "idempotency_key": None}, 400, "idempotency-key is missing"),
+    ({"category": "buy", "content_length": str((1 << 25) + 1)}, 413, "body too long"),
+    ({"x_long": "x" * 40000}, 400, "malformed"),
 ]
 
 
-@pytest.mark.parametrize(("asked", "status"), BAD)
+@pytest.mark.parametrize(("asked", "status", "reason"), BAD)
 def test_an_invalid_request_is_answered_and_not_forwarded(
-    around: Surroundings, asked: dict[str, str], status: int
+    around: Surroundings, asked: dict[str, str], status: int, reason: str
 ) -> None:
-    """Each with its status; the connection ends."""
+    """Each with its status and a reason in the log; the connection ends."""
     client = around.ask(**asked)
     assert around.status(client) == status
-    assert around.logged("request.unfit")[0]["status"] == status
+    line = around.logged("request.unfit")[0]
+    assert (line["status"], line["reason"]) == (status, reason)
     around.quiet()
     assert around.read(client) == b"end"  # it can't ask the same again at full speed
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -23,7 +23,7 @@
 from fakes.loopback import free_address
 from starlingwheel.net.address import split
 from starlingwheel.net.discovery import watch as discovery_watch
-from starlingwheel.net.http.stream import ConnectionLostError
+from starlingwheel.net.http.errors import CloseReason, ConnectionLostError
 from starlingwheel.net.lifecycle.config import load_config
 from starlingwheel.net.lifecycle.sidecar import Sidecar
 from starlingwheel.net.loop import Loop
@@ -80,7 +80,7 @@
         behaviour = self.behaviour(call)
         if behaviour == self.REFUSED:
             ours.close(), theirs.close()
-            raise ConnectionLostError("refused")
+            raise ConnectionLostError(CloseReason.CONNECT_REFUSED)
         if behaviour == self.CUT:
             self.fill(theirs)  # it never comes up
         elif behaviour != self.HANGS:
