--- a/starlingwheel/net/admin/listener.py
+++ b/starlingwheel/net/admin/listener.py
@@ -7,21 +7,16 @@
 from __future__ import annotations
 
 import socket
-from http import HTTPStatus
 
 from ..actor import Actor, Coroutine
 from ..context import SidecarContext
 from ..loop import READ, SocketReady
 from ..messages import CLOSE
 from .call import AdminCall
-from .routes import ROUTES, AdminResult, AdminRoute, CallRejectedError, named
-
-__all__ = ["AdminCall", "AdminListener", "AdminResult", "AdminRoute", "CallRejectedError", "named"]
+from .routes import ROUTES
 
 MAX_ACCEPTS_PER_TURN = 16  # calls
 OVERRIDES_POLL_INTERVAL = 0.05  # seconds
-# Names by which net/fleet/admin.py uses them.
-BAD, CONFLICT, NOT_NOW = HTTPStatus.BAD_REQUEST, HTTPStatus.CONFLICT, HTTPStatus.SERVICE_UNAVAILABLE
 
 
 class AdminListener(Actor):
--- a/starlingwheel/net/admin/routes.py
+++ b/starlingwheel/net/admin/routes.py
@@ -20,8 +20,8 @@
 AdminHandler = Callable[[SidecarContext, bytes], AdminResult | Coroutine[AdminResult]]
 
 
-class EndpointName(msgspec.Struct):
-    """The body of a call about one endpoint."""
+class IdCommand(msgspec.Struct):
+    """The body of a call about one thing: an endpoint, a policy version, a member of a fleet."""
 
     id: str
 
@@ -42,10 +42,10 @@
     max_body_size: int = MAX_BODY_SIZE  # bytes
 
 
-def named(body: bytes) -> str:
+def decode_id(body: bytes) -> str:
     """Return the id that the body of a call names; raises `CallRejectedError`."""
     try:
-        name = msgspec.json.decode(body, type=EndpointName).id
+        name = msgspec.json.decode(body, type=IdCommand).id
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise CallRejectedError(HTTPStatus.BAD_REQUEST, str(error)) from error
     if not name:
@@ -60,11 +60,11 @@
 
 
 def _detach(context: SidecarContext, body: bytes) -> AdminResult:
-    return _override(context, named(body), context.overrides.take_out)
+    return _override(context, decode_id(body), context.overrides.take_out)
 
 
 def _attach(context: SidecarContext, body: bytes) -> AdminResult:
-    return _override(context, named(body), context.overrides.put_back)
+    return _override(context, decode_id(body), context.overrides.put_back)
 
 
 def _override(
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Generator
+from http import HTTPStatus
 from typing import Any, TypeVar
 
 import msgspec
@@ -11,7 +12,7 @@
 from ...fleet.policy.replica import DEFAULT_SWITCH_DELAY, MIN_SWITCH_DELAY, PolicyReplica
 from ...fleet.records import NAMES, NEXT, Transaction, equal
 from ...fleet.zones.planner import ZonePlanner
-from ..admin.listener import BAD, CONFLICT, NOT_NOW, AdminResult, AdminRoute, CallRejectedError, named
+from ..admin.routes import AdminResult, AdminRoute, CallRejectedError, decode_id
 from ..context import SidecarContext
 from .messages import WriteTransaction
 
@@ -58,7 +59,7 @@
     command = _decode(body, ProposalCommand)
     delay = _switch_delay(command, replica.lease)
     if faults := controller.check(command.policy):
-        raise _rejected(BAD, faults)
+        raise _rejected(HTTPStatus.BAD_REQUEST, faults)
     replica.now = context.loop.now()
     _check_may_propose(replica, command)
     transaction, proposal = replica.propose(command.policy, delay)
@@ -73,31 +74,35 @@
     delay = DEFAULT_SWITCH_DELAY * lease if command.switch_s is None else command.switch_s
     if not MIN_SWITCH_DELAY * lease < delay <= MAX_SWITCH_DELAY:
         bounds = f"{MIN_SWITCH_DELAY * lease} and {MAX_SWITCH_DELAY}"
-        raise _rejected(BAD, f"switch_s: {delay} is not between {bounds}")
+        raise _rejected(HTTPStatus.BAD_REQUEST, f"switch_s: {delay} is not between {bounds}")
     return delay
 
 
 def _check_may_propose(replica: PolicyReplica, command: ProposalCommand) -> None:
     if doubt := replica.doubt():
-        raise _rejected(NOT_NOW, f"which policy holds is not known here: {doubt}", doubt)
+        raise _rejected(
+            HTTPStatus.SERVICE_UNAVAILABLE, f"which policy holds is not known here: {doubt}", doubt
+        )
     known = replica.known
     if command.base is not None and command.base != known:
-        raise _rejected(CONFLICT, f"made from version {command.base}; {known} is in force or decided")
+        raise _rejected(
+            HTTPStatus.CONFLICT, f"made from version {command.base}; {known} is in force or decided"
+        )
     if replica.decision is not None and replica.now < replica.decision.at:
-        raise _rejected(CONFLICT, f"version {known} is decided and does not hold yet")
+        raise _rejected(HTTPStatus.CONFLICT, f"version {known} is decided and does not hold yet")
     if replica.records.next is not None:
         version = replica.records.next.policy.version
-        raise _rejected(CONFLICT, f"version {version} is proposed already")
+        raise _rejected(HTTPStatus.CONFLICT, f"version {version} is proposed already")
 
 
 def drop(context: SidecarContext, body: bytes) -> PendingResult:
     """Drop the open proposal, whose version the call names; raises `CallRejectedError`."""
     replica = context.fleet.policy_controller.policy_replica
     replica.now = context.loop.now()
-    version = named(body)
+    version = decode_id(body)
     proposal = replica.records.next
     if proposal is None or str(proposal.policy.version) != version:
-        raise _rejected(CONFLICT, f"version {version} is not an open proposal", "not open")
+        raise _rejected(HTTPStatus.CONFLICT, f"version {version} is not an open proposal", "not open")
     transaction = replica.drop(OPERATORS_REASON)
     assert transaction is not None
     yield from _write(context, transaction)
@@ -107,14 +112,14 @@
 def retire(context: SidecarContext, body: bytes) -> PendingResult:
     """Take a name off the registered ones, of which a majority is counted; raises `CallRejectedError`."""
     records = context.fleet.policy_controller.policy_replica.records
-    name = named(body)
+    name = decode_id(body)
     if name not in records.names:
-        raise _rejected(CONFLICT, f"{name!r} is not registered", "not registered")
+        raise _rejected(HTTPStatus.CONFLICT, f"{name!r} is not registered", "not registered")
     if any(member.name == name for member in records.members.values()):
-        raise _rejected(CONFLICT, f"{name!r} is there", "in the view")
+        raise _rejected(HTTPStatus.CONFLICT, f"{name!r} is there", "in the view")
     if records.next is not None:
         # Does not change of how many names a majority is while votes are given.
-        raise _rejected(CONFLICT, "a change of the policy is open", "a change is open")
+        raise _rejected(HTTPStatus.CONFLICT, "a change of the policy is open", "a change is open")
     unchanged = [equal(NAMES + name, "CREATE", records.names[name]), equal(NEXT, "CREATE", 0)]
     yield from _write(context, Transaction("retire", unchanged, [], [NAMES + name]))
     return name, b""
@@ -132,13 +137,15 @@
         controller = context.fleet.module.zone_controller
         command = _decode(body, ZoneCommand)
         if not controller.enabled:
-            raise _rejected(CONFLICT, "there is no zones part, so no plan", "no plan")
+            raise _rejected(HTTPStatus.CONFLICT, "there is no zones part, so no plan", "no plan")
         if command.zone not in {pool.entry.zone for pool in context.coordinator.pools.values()}:
-            raise _rejected(BAD, f"no upstream of a zone {command.zone!r} is listed", "unknown zone")
+            raise _rejected(
+                HTTPStatus.BAD_REQUEST, f"no upstream of a zone {command.zone!r} is listed", "unknown zone"
+            )
         controller.zone_health.now = context.loop.now()
         transaction = change(controller.zone_planner, command.zone, command.reason)
         if transaction is None:
-            raise _rejected(CONFLICT, f"zone {command.zone!r} is not left", "whole")
+            raise _rejected(HTTPStatus.CONFLICT, f"zone {command.zone!r} is not left", "whole")
         yield from _write(context, transaction)
         return command.zone, b""
 
@@ -149,7 +156,7 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise _rejected(BAD, str(error)) from error
+        raise _rejected(HTTPStatus.BAD_REQUEST, str(error)) from error
 
 
 def _write(context: SidecarContext, transaction: Transaction) -> Generator[float, Any, None]:
@@ -159,10 +166,10 @@
     until = context.loop.now() + WRITE_TIMEOUT
     while message.done is None:
         if context.loop.now() >= until:
-            raise _rejected(NOT_NOW, "the arbiter has not answered")
+            raise _rejected(HTTPStatus.SERVICE_UNAVAILABLE, "the arbiter has not answered")
         yield context.loop.now() + POLL_INTERVAL
     if not message.done:
-        raise _rejected(CONFLICT, "something changed meanwhile")
+        raise _rejected(HTTPStatus.CONFLICT, "something changed meanwhile")
 
 
 def _rejected(status: int, error: str, reason: str = "") -> CallRejectedError:
--- a/starlingwheel/net/fleet/etcd/lease_keeper.py
+++ b/starlingwheel/net/fleet/etcd/lease_keeper.py
@@ -11,7 +11,7 @@
 from ....fleet.membership import Member
 from ....fleet.records import NAMES
 from ...actor import Coroutine
-from ...http.stream import ConnectionLostError
+from ...http.errors import ConnectionLostError
 from ..messages import LeaseRenewed
 from .errors import EntryLostError, EtcdError, EtcdFailure, UnusableReplyError
 from .messages import (
--- a/starlingwheel/net/fleet/etcd/session.py
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -11,7 +11,7 @@
 
 from ....fleet.records import MEMBERS, Compare, Transaction
 from ...actor import Actor, Coroutine
-from ...http.stream import ConnectionLostError
+from ...http.errors import ConnectionLostError
 from ...loop import Loop
 from ...state.buffers import BufferPool
 from ..messages import REGISTER_AGAIN, EntryLost
--- a/starlingwheel/net/fleet/links/dialer.py
+++ b/starlingwheel/net/fleet/links/dialer.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
 
-from ...http.stream import ConnectionLostError, connect
+from ...http.errors import ConnectionLostError
+from ...http.stream import connect
 from ...messages import CLOSE
 from .errors import LinkEndReason
 from .peer_link import PeerLink
--- a/starlingwheel/net/fleet/links/liveness_check.py
+++ b/starlingwheel/net/fleet/links/liveness_check.py
@@ -8,7 +8,8 @@
 
 from ....fleet.membership import Member
 from ...actor import Actor, Coroutine
-from ...http.stream import ConnectionLostError, connect
+from ...http.errors import ConnectionLostError
+from ...http.stream import connect
 from ...loop import READ, WRITE
 from ..messages import EvictMember
 from .timing import HANDSHAKE_TIMEOUT
--- a/starlingwheel/net/fleet/links/member_query.py
+++ b/starlingwheel/net/fleet/links/member_query.py
@@ -8,7 +8,8 @@
 
 from ....fleet.frames import DecisionFrame, PolicyQueryFrame, PolicyStatusFrame
 from ...actor import Actor, Coroutine
-from ...http.stream import ConnectionLostError, connect
+from ...http.errors import ConnectionLostError
+from ...http.stream import connect
 from ...loop import READ, WRITE
 from ..messages import FrameReceived
 from .errors import LinkRejectedError
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -19,19 +19,13 @@
 from ..state.overrides import DRAINING_STATE
 from ..state.requests import Exchange
 from .errors import CloseReason
-from .http1 import QUIESCENCE_FRACTION, Http1Connection
-from .load_report import parse_load_report
 
 if TYPE_CHECKING:
     from ..context import SidecarContext
     from ..discovery.messages import DiscoveredEndpoint
+    from .http1 import Http1Connection
     from .http2 import Http2Connection
 
-__all__ = ["RESTED", "ConnectionPool", "Http1Connection", "figures"]
-
-# Former names, for users of this module.
-RESTED, figures = QUIESCENCE_FRACTION, parse_load_report
-
 
 class ConnectionPool(Actor):
     """Gives exchanges to connections: to the quiescent one used last, else to a new one."""
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -17,8 +17,6 @@
 from ..state.buffers import BUFFER_SIZE, BufferPool
 from .errors import CloseReason, ConnectionLostError
 
-__all__ = ["ConnectionLostError", "Stream", "connect", "has_conflicting_lengths"]
-
 MAX_HEAD_LENGTH = 16384  # bytes
 MAX_VIEWS_PER_WRITE = 64
 ABORT_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 seconds: close with a reset
@@ -176,7 +174,7 @@
 
 
 def connect(address: str, source: str = "") -> socket.socket:
-    """Return a socket that connects to `address`; once it can be written, `Stream.came_up` checks it.
+    """Return a socket that connects to `address`; once it can be written, `Stream.check_connected` checks it.
 
     `source`: the local host address to connect from, where that matters. Raises `ConnectionLostError`.
     """
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 from known_red import KnownRed
 
 from fakes.loopback import own_host
-from starlingwheel.net.http import pool as wire
+from starlingwheel.net.http.http1 import QUIESCENCE_FRACTION
 from starlingwheel.net.lifecycle.config import load_config
 from starlingwheel.net.lifecycle.sidecar import Sidecar
 
@@ -246,7 +246,7 @@
 
     def rested(self):
         """Turn until the connections to upstreams are idle and no second answer is expected on them."""
-        rest = wire.RESTED * self.context.shortest_objective
+        rest = QUIESCENCE_FRACTION * self.context.shortest_objective
         idle = self.context.connections.idle_to_endpoints
         self.until(lambda: idle and all(c.idle_since + rest <= self.context.loop.now() for c in idle))
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 import pytest
 from conftest import SETTINGS, categories
 
-from starlingwheel.net.http.pool import figures
+from starlingwheel.net.http.load_report import parse_load_report
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
 from starlingwheel.simulator.wire import SimulatorLine
 
@@ -118,7 +118,7 @@
 
 
 def test_times_in_load_reports_are_converted_to_seconds():
-    assert figures("TEXT inflight=3, latency_ms=120") == {"held": 3.0, "service": 0.12}
+    assert parse_load_report("TEXT inflight=3, latency_ms=120") == {"held": 3.0, "service": 0.12}
     assert SimulatorLine(1, "ENDED feedback=svc_ms:120,busy_reqs:3").load_report() == {
         "held": 3.0,
         "service": 0.12,
