--- a/starlingwheel/net/admin/listener.py
+++ b/starlingwheel/net/admin/listener.py
@@ -40,8 +40,8 @@
             message = yield self.loop.now() + OVERRIDES_POLL_INTERVAL
             if isinstance(message, SocketReady):
                 self._accept()
-            self.context.overrides_changed(self.context.overrides.read())
-            self.context.overrides.keep()
+            self.context.overrides_changed(self.context.overrides.reload())
+            self.context.overrides.store_known_ids()
             self.context.check_siblings()
 
     def _accept(self) -> None:
--- a/starlingwheel/net/admin/routes.py
+++ b/starlingwheel/net/admin/routes.py
@@ -60,11 +60,11 @@
 
 
 def _detach(context: SidecarContext, body: bytes) -> AdminResult:
-    return _override(context, decode_id(body), context.overrides.take_out)
+    return _override(context, decode_id(body), context.overrides.drain_endpoint)
 
 
 def _attach(context: SidecarContext, body: bytes) -> AdminResult:
-    return _override(context, decode_id(body), context.overrides.put_back)
+    return _override(context, decode_id(body), context.overrides.restore_endpoint)
 
 
 def _override(
--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -215,7 +215,7 @@
     @property
     def draining(self) -> bool:
         """Operators want clients sent away, while the process stays."""
-        return self.overrides.kept.lameduck
+        return self.overrides.stored.sidecar_draining
 
     def overrides_changed(self, entries: list[DiscoveredEndpoint]) -> None:
         """Operators have changed endpoints, or draining, by this process or by another of this sidecar."""
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -13,7 +13,7 @@
 from ..decisions.scheduler import DecisionScheduler
 from .actor import Actor, Coroutine
 from .context import SidecarContext
-from .discovery.messages import DiscoveredEndpoint
+from .discovery.messages import LEFT_STATE, DiscoveredEndpoint
 from .http.pool import ConnectionPool
 from .messages import (
     WATCH_ENDPOINTS,
@@ -34,7 +34,6 @@
 SERVICE_UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 HEALTH_CHECK_TIMEOUT = 1 / 2  # of the shortest latency objective
-LEFT_STATE = "left"  # the state of an endpoint that is gone, as discovery says it
 
 
 def _request_of(message: object) -> PendingRequest | None:
--- a/starlingwheel/net/discovery/messages.py
+++ b/starlingwheel/net/discovery/messages.py
@@ -12,10 +12,12 @@
 from ...decisions.events import WatchEvent
 from ...decisions.model import Endpoint, EndpointState
 
+DRAINING_STATE: Literal["leaving"] = "leaving"
+LEFT_STATE: Literal["left"] = "left"
 ENDPOINT_STATES = {
     "active": EndpointState.READY,
-    "leaving": EndpointState.DRAINING,
-    "left": EndpointState.GONE,
+    DRAINING_STATE: EndpointState.DRAINING,
+    LEFT_STATE: EndpointState.GONE,
 }
 
 
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -138,7 +138,7 @@
         command = _decode(body, ZoneCommand)
         if not controller.enabled:
             raise _rejected(HTTPStatus.CONFLICT, "there is no zones part, so no plan", "no plan")
-        if command.zone not in {pool.entry.zone for pool in context.coordinator.pools.values()}:
+        if command.zone not in {pool.endpoint.zone for pool in context.coordinator.pools.values()}:
             raise _rejected(
                 HTTPStatus.BAD_REQUEST, f"no upstream of a zone {command.zone!r} is listed", "unknown zone"
             )
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -15,8 +15,8 @@
 
 from ..decisions.config import RetrySafety
 from ..decisions.lease import HELD_UP, EndpointLease, LeaseState
-from .discovery.messages import DiscoveredEndpoint
-from .state.overrides import DRAINING_STATE, EndpointOverrides
+from .discovery.messages import DRAINING_STATE, DiscoveredEndpoint
+from .state.overrides import EndpointOverrides
 from .state.requests import Exchange, PendingRequest
 
 
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -54,9 +54,9 @@
         self.reason: CloseReason | None = None  # why it ends
         self.idle_reason: CloseReason | None = None  # why it ends as soon as it is idle
         self.response_count = 0
-        self.opened = self.idle_since = context.loop.now()
+        self.opened_at = self.idle_since = context.loop.now()
         self.request_started_at: float | None = None  # when the first byte of the current request was read
-        self.last_read_at = self.opened
+        self.last_read_at = self.opened_at
         self.body_received = 0  # bytes of the current request's body
         self.paused_time = 0.0  # seconds for which that body was not read, for want of buffers
         self.body = BufferedBody(context.buffer_pool)
@@ -246,7 +246,7 @@
         """When the next request has to have begun, or the current one to be complete."""
         if self.request_started_at is None:
             return self.idle_since + IDLE_CLOSE_FACTOR * IDLE_TIMEOUT
-        since = self.request_started_at if self.response_count else self.opened
+        since = self.request_started_at if self.response_count else self.opened_at
         deadline = since + REQUEST_TIMEOUT_FACTOR * IDLE_TIMEOUT
         return deadline + self.paused_time + self.body_received / MIN_UPLOAD_RATE
 
--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -56,7 +56,7 @@
         self.exchange_count = 0
         self.idle_since = 0.0  # 0: never idle yet
         self.last_was_health_check = False
-        self.endpoint = pool.entry  # as it was when this connection was begun
+        self.endpoint = pool.endpoint  # as it was when this connection was begun
         context.connections.to_endpoints[self] = None
         context.connections.update_peak()
         super().__init__(context.loop)
--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -67,7 +67,7 @@
         self.stream: Stream | None = None
         self.http = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
         self.idle_since = 0.0
-        self.endpoint = pool.entry  # as it was when this connection was begun
+        self.endpoint = pool.endpoint  # as it was when this connection was begun
         self.first_bytes = b""  # of what the endpoint sent
         self.exchange_count = 0
         context.connections.to_endpoints[self] = None
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -7,6 +7,7 @@
 
 from ...decisions.model import AttemptOutcome
 from ..actor import Actor, Coroutine
+from ..discovery.messages import DRAINING_STATE, LEFT_STATE, DiscoveredEndpoint
 from ..messages import (
     CLOSE,
     CancelExchange,
@@ -16,13 +17,11 @@
     ExchangeEnded,
     StartExchange,
 )
-from ..state.overrides import DRAINING_STATE
 from ..state.requests import Exchange
 from .errors import CloseReason
 
 if TYPE_CHECKING:
     from ..context import SidecarContext
-    from ..discovery.messages import DiscoveredEndpoint
     from .http1 import Http1Connection
     from .http2 import Http2Connection
 
@@ -32,9 +31,9 @@
 
     daemon = True
 
-    def __init__(self, context: SidecarContext, entry: DiscoveredEndpoint) -> None:
-        """`entry`: the endpoint as the endpoint list describes it."""
-        self.context, self.entry = context, entry
+    def __init__(self, context: SidecarContext, endpoint: DiscoveredEndpoint) -> None:
+        """`endpoint`: as the endpoint list describes it."""
+        self.context, self.endpoint = context, endpoint
         self.idle: list[Http1Connection] = []
         self.multiplexed: list[Http2Connection] = []  # where the settings allow many exchanges at once
         self.last_started_at, self.last_trace = 0.0, b""  # of the last attempt begun here; 0: none
@@ -59,8 +58,8 @@
                     self.context.connections.idle_to_endpoints[connection] = None
                 case ConnectionClosed(connection):
                     self.remove_idle(connection)
-                case EndpointMoved(entry):
-                    self._endpoint_moved(entry)
+                case EndpointMoved(endpoint):
+                    self._endpoint_moved(endpoint)
 
     def note_started(self, exchange: Exchange, now: float) -> None:
         """The first byte of an attempt is about to be written."""
@@ -80,7 +79,7 @@
 
     def log_closed(self, reason: CloseReason | None, exchange_count: int) -> None:
         """Log the end of a connection."""
-        self.context.log("upstream.end", reason=reason, upstream=self.entry.id, carried=exchange_count)
+        self.context.log("upstream.end", reason=reason, upstream=self.endpoint.id, carried=exchange_count)
 
     def _start(self, exchange: Exchange) -> None:
         for connection in self.multiplexed:
@@ -127,23 +126,26 @@
             connection.post(CLOSE)
         return None
 
-    def _endpoint_moved(self, entry: DiscoveredEndpoint | None) -> None:
+    def _endpoint_moved(self, endpoint: DiscoveredEndpoint | None) -> None:
         """Close idle connections to a process that drains or has gone, or to its former address."""
-        before = self.entry
-        moved = entry is None or (entry.addr, entry.started_ms) != (before.addr, before.started_ms)
-        if moved or entry.state == DRAINING_STATE:
+        before = self.endpoint
+        if (
+            endpoint is None
+            or endpoint.state == DRAINING_STATE
+            or (endpoint.addr, endpoint.started_ms) != (before.addr, before.started_ms)
+        ):
             for connection in [*self.idle, *self.multiplexed]:
                 self.remove_idle(connection)
                 connection.post(CLOSE)
-            self._log_moved(entry)
-        self.entry = entry or before
+            self._log_moved(endpoint)
+        self.endpoint = endpoint or before
 
-    def _log_moved(self, entry: DiscoveredEndpoint | None) -> None:
+    def _log_moved(self, endpoint: DiscoveredEndpoint | None) -> None:
         """Log the last attempt that was begun: shows whether any was begun after the notice."""
         self.context.log(
             "upstream.moved",
-            upstream=self.entry.id,
-            state=entry.state if entry is not None else "left",
+            upstream=self.endpoint.id,
+            state=endpoint.state if endpoint is not None else LEFT_STATE,
             last_begun_at=self.last_started_at,
             last_trace=self.last_trace.decode("latin-1"),
         )
--- a/starlingwheel/net/lifecycle/stats.py
+++ b/starlingwheel/net/lifecycle/stats.py
@@ -31,7 +31,7 @@
                 **context.coordinator.counts,
                 in_hand=len(context.coordinator.pending_requests),
                 upstreams=len(context.coordinator.pools),
-                out=len(context.overrides.kept.out),
+                out=len(context.overrides.stored.drained),
                 lameduck=context.draining,
                 connections=len(context.connections.clients) + len(context.connections.to_endpoints),
                 most_connections=context.connections.peak,
--- a/starlingwheel/net/state/connections.py
+++ b/starlingwheel/net/state/connections.py
@@ -81,7 +81,7 @@
         if len(self.clients) < self.client_limit:
             return None
         oldest = next(iter(self.silent_clients), None)
-        silent = oldest is not None and oldest.opened < connected_before
+        silent = oldest is not None and oldest.opened_at < connected_before
         between = (self.idle_clients, self.partial_requests)
         order = (self.silent_clients, *between) if silent else (*between, self.silent_clients)
         for expendable in (self.answered_clients, *order):
--- a/starlingwheel/net/state/overrides.py
+++ b/starlingwheel/net/state/overrides.py
@@ -13,13 +13,11 @@
 
 import msgspec
 
-from ..discovery.messages import DiscoveredEndpoint
+from ..discovery.messages import DRAINING_STATE, LEFT_STATE, DiscoveredEndpoint
 
 OVERRIDES_FILE = "starlingwheel-operators.json"
 MAX_KNOWN_IDS = 4096  # endpoint ids that are remembered, the latest
 RESTORED_RETENTION = 600.0  # seconds for which it is remembered that an endpoint was restored
-DRAINING_STATE = "leaving"  # states as discovery names them
-LEFT_STATE = "left"
 
 
 class OverridesLockedError(Exception):
@@ -27,12 +25,14 @@
 
 
 class StoredOverrides(msgspec.Struct):
-    """The file's content; its JSON has these names."""
+    """The file's content; its JSON has the names given here."""
 
-    out: dict[str, float | None] = {}  # drained endpoints by id, each with the start that discovery gave then
-    back: dict[str, tuple[float | None, float]] = {}  # restored ones: that start, and when restored, in ms
-    known: list[str] = []  # ids that were ever listed
-    lameduck: bool = False  # the sidecar itself drains
+    # Drained endpoints by id, each with the start that discovery gave then.
+    drained: dict[str, float | None] = msgspec.field(default_factory=dict, name="out")
+    # Restored ones: that start, and when they were restored, in milliseconds.
+    restored: dict[str, tuple[float | None, float]] = msgspec.field(default_factory=dict, name="back")
+    known_ids: list[str] = msgspec.field(default_factory=list, name="known")  # that were ever listed
+    sidecar_draining: bool = msgspec.field(default=False, name="lameduck")
 
 
 class OverridesFile:
@@ -105,43 +105,43 @@
         """Read what is stored. `folder`: of the file; None: the overrides end with the process."""
         self.now = now
         self.file = OverridesFile(Path(folder, OVERRIDES_FILE) if folder else None, log)
-        self.kept = StoredOverrides()
-        self.entries: dict[str, DiscoveredEndpoint] = {}  # as discovery lists them, by id
-        self.known: dict[str, None] = {}  # ids that were ever listed, the latest last
-        self.unwritten = False  # `known` has ids that are not stored
-        self.read()
+        self.stored = StoredOverrides()
+        self.discovered: dict[str, DiscoveredEndpoint] = {}  # as discovery lists them, by id
+        self.known_ids: dict[str, None] = {}  # ids that were ever listed, the latest last
+        self.has_unstored_ids = False  # `known_ids` has some that are not stored
+        self.reload()
 
     # What discovery lists.
 
-    def listed(self, whole: bool, entries: Iterable[DiscoveredEndpoint]) -> list[DiscoveredEndpoint]:
-        """Take over a snapshot (`whole`) or a delta; return its endpoints as they count here."""
-        if whole:
-            self.entries.clear()
-        joined = []
+    def listed(self, full: bool, entries: Iterable[DiscoveredEndpoint]) -> list[DiscoveredEndpoint]:
+        """Take over a snapshot (`full`) or a delta; return its endpoints as they count here."""
+        if full:
+            self.discovered.clear()
+        effective = []
         for entry in entries:
             if entry.state == LEFT_STATE:
-                self.entries.pop(entry.id, None)
+                self.discovered.pop(entry.id, None)
             else:
-                self.entries[entry.id] = entry
-                if entry.id not in self.known:
+                self.discovered[entry.id] = entry
+                if entry.id not in self.known_ids:
                     self._remember_ids([entry.id])
-                    self.unwritten = True
-            joined.append(self.joined(entry))
-        return joined
+                    self.has_unstored_ids = True
+            effective.append(self.effective(entry))
+        return effective
 
     def current(self, endpoint_id: str) -> DiscoveredEndpoint | None:
         """Return an endpoint by the latest message, handled by the coordinator or not; None: not listed."""
-        entry = self.entries.get(endpoint_id)
-        return None if entry is None else self.joined(entry)
+        entry = self.discovered.get(endpoint_id)
+        return None if entry is None else self.effective(entry)
 
-    def joined(self, entry: DiscoveredEndpoint) -> DiscoveredEndpoint:
+    def effective(self, entry: DiscoveredEndpoint) -> DiscoveredEndpoint:
         """Return an endpoint of discovery's as it counts here."""
         if entry.state == LEFT_STATE:
             return entry
-        if entry.id in self.kept.out:
+        if entry.id in self.stored.drained:
             return msgspec.structs.replace(entry, state=DRAINING_STATE)
-        if entry.id in self.kept.back:
-            start_when_drained, restored_at = self.kept.back[entry.id]
+        if entry.id in self.stored.restored:
+            start_when_drained, restored_at = self.stored.restored[entry.id]
             if entry.started_ms == start_when_drained:
                 # It may have been restarted meanwhile, and discovery not have heard of it: it starts slowly.
                 return msgspec.structs.replace(entry, started_ms=restored_at)
@@ -149,34 +149,34 @@
 
     def _remember_ids(self, ids: Iterable[str]) -> None:
         for endpoint_id in ids:
-            self.known[endpoint_id] = None
-        if len(self.known) <= MAX_KNOWN_IDS:
+            self.known_ids[endpoint_id] = None
+        if len(self.known_ids) <= MAX_KNOWN_IDS:
             return
-        in_use = {one for one in self.known if one in self.entries or one in self.kept.out}
-        others = [one for one in self.known if one not in in_use]
-        kept = [one for one in self.known if one in in_use]
-        self.known = dict.fromkeys([*others[-MAX_KNOWN_IDS // 2 :], *kept])
+        in_use = {one for one in self.known_ids if one in self.discovered or one in self.stored.drained}
+        others = [one for one in self.known_ids if one not in in_use]
+        kept = [one for one in self.known_ids if one in in_use]
+        self.known_ids = dict.fromkeys([*others[-MAX_KNOWN_IDS // 2 :], *kept])
 
     # What operators ask for. Each returns the endpoints that changed by it, or None for an id never listed,
     # and raises `OverridesLockedError`, or OSError where the file can't be written: nothing has changed then.
 
-    def take_out(self, endpoint_id: str) -> list[DiscoveredEndpoint] | None:
+    def drain_endpoint(self, endpoint_id: str) -> list[DiscoveredEndpoint] | None:
         """Drain an endpoint."""
-        entry = self.entries.get(endpoint_id)
+        entry = self.discovered.get(endpoint_id)
 
         def drain(overrides: StoredOverrides) -> None:
-            if endpoint_id not in overrides.out:
-                overrides.out[endpoint_id] = entry.started_ms if entry else None
-            overrides.back.pop(endpoint_id, None)
+            if endpoint_id not in overrides.drained:
+                overrides.drained[endpoint_id] = entry.started_ms if entry else None
+            overrides.restored.pop(endpoint_id, None)
 
         return self._change_endpoint(endpoint_id, drain)
 
-    def put_back(self, endpoint_id: str) -> list[DiscoveredEndpoint] | None:
+    def restore_endpoint(self, endpoint_id: str) -> list[DiscoveredEndpoint] | None:
         """Restore an endpoint that was drained."""
 
         def restore(overrides: StoredOverrides) -> None:
-            if endpoint_id in overrides.out:
-                overrides.back[endpoint_id] = overrides.out.pop(endpoint_id), round(self.now() * 1000)
+            if endpoint_id in overrides.drained:
+                overrides.restored[endpoint_id] = overrides.drained.pop(endpoint_id), round(self.now() * 1000)
 
         return self._change_endpoint(endpoint_id, restore)
 
@@ -184,46 +184,50 @@
         """Drain the sidecar itself, or end that."""
 
         def set_draining(overrides: StoredOverrides) -> None:
-            overrides.lameduck = on
+            overrides.sidecar_draining = on
 
-        if on != self.kept.lameduck:
+        if on != self.stored.sidecar_draining:
             self._change(set_draining)
 
     def _change_endpoint(
         self, endpoint_id: str, change: Callable[[StoredOverrides], None]
     ) -> list[DiscoveredEndpoint] | None:
-        if endpoint_id not in self.known:
-            self.read()
-        return self._change(change) if endpoint_id in self.known else None
+        if endpoint_id not in self.known_ids:
+            self.reload()
+        return self._change(change) if endpoint_id in self.known_ids else None
 
     def _change(self, change: Callable[[StoredOverrides], None]) -> list[DiscoveredEndpoint]:
         with self.file.lock():
-            overrides = msgspec.convert(msgspec.to_builtins(self.file.read(self.kept)), StoredOverrides)
+            overrides = msgspec.convert(msgspec.to_builtins(self.file.read(self.stored)), StoredOverrides)
             change(overrides)
             # By then a restored endpoint has warmed up, and ids that are gone for good are forgotten.
             oldest = (self.now() - RESTORED_RETENTION) * 1000
-            overrides.back = {one: back for one, back in overrides.back.items() if back[1] > oldest}
-            self._remember_ids(one for one in overrides.known if one not in self.known)
-            overrides.known = list(self.known)
+            overrides.restored = {
+                endpoint_id: (start, restored_at)
+                for endpoint_id, (start, restored_at) in overrides.restored.items()
+                if restored_at > oldest
+            }
+            self._remember_ids(one for one in overrides.known_ids if one not in self.known_ids)
+            overrides.known_ids = list(self.known_ids)
             self.file.write(overrides)
-            self.unwritten = False
+            self.has_unstored_ids = False
         return self._adopt(overrides)
 
     def _adopt(self, overrides: StoredOverrides) -> list[DiscoveredEndpoint]:
-        before = {endpoint_id: self.joined(entry) for endpoint_id, entry in self.entries.items()}
-        self.kept = overrides
-        self._remember_ids(one for one in overrides.known if one not in self.known)
-        after = {endpoint_id: self.joined(entry) for endpoint_id, entry in self.entries.items()}
+        before = {endpoint_id: self.effective(entry) for endpoint_id, entry in self.discovered.items()}
+        self.stored = overrides
+        self._remember_ids(one for one in overrides.known_ids if one not in self.known_ids)
+        after = {endpoint_id: self.effective(entry) for endpoint_id, entry in self.discovered.items()}
         return [entry for endpoint_id, entry in after.items() if entry != before[endpoint_id]]
 
     # What other processes of this sidecar have stored.
 
-    def read(self) -> list[DiscoveredEndpoint]:
+    def reload(self) -> list[DiscoveredEndpoint]:
         """Take over what another process has written; return the endpoints that changed by it."""
-        return self._adopt(self.file.read(self.kept)) if self.file.changed() else []
+        return self._adopt(self.file.read(self.stored)) if self.file.changed() else []
 
-    def keep(self) -> None:
+    def store_known_ids(self) -> None:
         """Store the ids that were listed since, for the process that replaces this one."""
-        if self.unwritten:
+        if self.has_unstored_ids:
             with contextlib.suppress(OverridesLockedError, OSError):
                 self._change(lambda overrides: None)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -430,7 +430,7 @@
     watch, _ = around.watch(b"")
     client = around.ask("buy", b"one")
     connection = connecting(around)
-    i = int(connection.pool.entry.id[1:])
+    i = int(connection.pool.endpoint.id[1:])
     with events_delayed(around, connection, WRITE):
         around.say(watch, {"version": 8, "servers": [around.entry(i, **changed)]})
         if read:
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -158,7 +158,7 @@
 
 def test_operators_have_a_zone_left_held_and_returned(admin):
     zone = admin.around.context.balancer_config.zone or next(
-        iter(u.entry.zone for u in admin.around.context.coordinator.pools.values())
+        iter(u.endpoint.zone for u in admin.around.context.coordinator.pools.values())
     )
     assert admin.call("PUT /_zones/leave", {"zone": "nowhere"})[0] == 400
     assert admin.call("PUT /_zones/return", {"zone": zone})[0] == 409
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -227,11 +227,11 @@
     around.context.lease.expires_at = inf
     repeat = Exchange(first.endpoint, first.pool, at, inf, first.attempt, pending)
     first.started_at = at - pending.request.request_class.deduplication_window + left
-    assert (around.context.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
+    assert (around.context.gate.refusal(first.pool.endpoint, repeat) is Refusal.WINDOW_OVER) == refused
     # The same once the first has ended in a way that may have run.
     sent = first.started_at
     around.reply(sock, status=500)
     around.until(lambda: pending.may_have_run)
     assert pending.first_risky_at == sent
-    assert (around.context.gate.refusal(first.pool.entry, repeat) is Refusal.WINDOW_OVER) == refused
+    assert (around.context.gate.refusal(first.pool.endpoint, repeat) is Refusal.WINDOW_OVER) == refused
     client.close()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -88,7 +88,7 @@
 def test_an_invalid_call_is_rejected_and_changes_nothing(operated, lead, body, extra, status):
     around = operated()
     assert around.call(lead, body, extra) == status
-    assert not around.context.overrides.kept.out and not around.context.draining
+    assert not around.context.overrides.stored.drained and not around.context.draining
     assert entry_in_decisions(around, "s0").state is EndpointState.READY
     assert [line["status"] for line in around.logged("operator.call")] == [status]
 
@@ -98,7 +98,7 @@
     body = body_naming("s0")
     extra = f"Content-Length: {len(body)}\r\n\r\n{body.decode()}PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\n"
     assert around.call("PUT /_upstreams/detach", extra=extra) == 400
-    assert not around.context.overrides.kept.out and not around.context.draining
+    assert not around.context.overrides.stored.drained and not around.context.draining
 
 
 def test_callers_that_send_nothing_do_not_keep_out_others(operated):
@@ -202,7 +202,7 @@
     one.until(lambda: entry_in_decisions(one, "s0").state is EndpointState.READY)
     assert detach(other) == 200
     after = operated(known={"version": 7, "full": True, "servers": []})
-    assert after.context.overrides.kept.out and after.context.draining
+    assert after.context.overrides.stored.drained and after.context.draining
     assert after.call("PUT /_lameduck/off") == 200
     # Nobody has listed it to this one.
     assert attach(after) == 200 and detach(after, "s9") == 404
@@ -218,7 +218,7 @@
 
 def test_a_call_succeeds_only_once_its_change_is_stored(operated, tmp_path):
     around = operated()
-    around.until(lambda: not around.context.overrides.unwritten)
+    around.until(lambda: not around.context.overrides.has_unstored_ids)
     around.context.overrides.file.path = tmp_path / "gone" / OVERRIDES_FILE
     assert detach(around) == 503
     assert entry_in_decisions(around, "s0").state is EndpointState.READY
@@ -228,20 +228,20 @@
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.listed(True, [DiscoveredEndpoint("s0")])
     with out.file.lock(), pytest.raises(OverridesLockedError):
-        out.take_out("s0")
-    assert not out.kept.out
-    assert out.take_out("s0")
+        out.drain_endpoint("s0")
+    assert not out.stored.drained
+    assert out.drain_endpoint("s0")
 
 
 def test_old_ids_are_forgotten_but_not_those_in_use(tmp_path):
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.listed(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
-    out.take_out("second")
+    out.drain_endpoint("second")
     for i in range(3 * MAX_KNOWN_IDS):
         out.listed(False, [DiscoveredEndpoint(f"s{i}"), DiscoveredEndpoint(f"s{i}", state="left")])
-    assert len(out.known) <= MAX_KNOWN_IDS + 2
-    assert out.take_out("first") and out.put_back("second") is not None
-    assert out.take_out("s0") is None
+    assert len(out.known_ids) <= MAX_KNOWN_IDS + 2
+    assert out.drain_endpoint("first") and out.restore_endpoint("second") is not None
+    assert out.drain_endpoint("s0") is None
 
 
 # Draining.
