--- a/starlingwheel/net/lifecycle/sidecar.py
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from ...decisions.config import BalancerConfig
+from ..actor import Actor
 from ..context import SidecarContext
 from ..coordinator import RequestCoordinator
 from ..discovery.client import DiscoveryClient
@@ -40,61 +41,67 @@
     ) -> None:
         """Build the actors and bind their sockets; raises `ConfigError` where an address can't be bound."""
         context = self.context = SidecarContext(config, balancer_config, environment, log_fd)
-        self.passed_socket = context.passed_socket
         # Imports inside this method: what the configuration does not ask for costs a start nothing.
         context.connection_type = Http1Connection
         if balancer_config.streams_per_connection > 1:
             from ..http.http2 import Http2Connection
 
             context.connection_type = Http2Connection
-        self.discovery = context.discovery = DiscoveryClient(context, config.known)
-        self._build_coordinator()
-        self.listener = context.listener = ClientListener(context, self._client_socket())
-        self.gossip_socket: GossipSocket | None = None
-        if config.peer_listen and balancer_config.gossip_allowed:
-            # Where a process is replaced both have the address, and the later one receives.
-            sock = bind_socket(socket.SOCK_DGRAM, config.peer_listen, reuse_address=bool(self.passed_socket))
-            self.gossip_socket = context.gossip_socket = GossipSocket(context, sock)
-        self.stats_reporter = context.stats_reporter = StatsReporter(context)
-        self.shutdown = context.shutdown = ShutdownController(context)
-        self.client_drainer = context.client_drainer = ClientDrainer(context)
+        discovery = context.discovery = DiscoveryClient(context, config.known)
+        coordinator = context.coordinator = self._build_coordinator()
+        listener = context.listener = ClientListener(context, self._client_socket())
+        gossip_socket = context.gossip_socket = self._build_gossip_socket()
+        stats_reporter = context.stats_reporter = StatsReporter(context)
+        shutdown = context.shutdown = ShutdownController(context)
+        client_drainer = context.client_drainer = ClientDrainer(context)
         if config.mgmt:
             from ..admin.listener import AdminListener
 
             context.admin_listener = AdminListener(context, bind_socket(socket.SOCK_STREAM, config.mgmt))
-        self.signals = context.signals = SignalHandler(context)
-
-    def _build_coordinator(self) -> None:
+        signals = context.signals = SignalHandler(context)
+        # In the order in which they start.
+        self.actors: list[Actor] = [
+            signals,
+            coordinator,
+            discovery,
+            listener,
+            stats_reporter,
+            shutdown,
+            client_drainer,
+        ]
+        if gossip_socket is not None:
+            self.actors.insert(0, gossip_socket)
+
+    def _build_gossip_socket(self) -> GossipSocket | None:
+        context = self.context
+        if not context.config.peer_listen or not context.balancer_config.gossip_allowed:
+            return None
+        # Where a process is replaced both have the address, and the later one receives.
+        reuse_address = bool(context.passed_socket)
+        sock = bind_socket(socket.SOCK_DGRAM, context.config.peer_listen, reuse_address)
+        return GossipSocket(context, sock)
+
+    def _build_coordinator(self) -> RequestCoordinator:
         context = self.context
         fleet_config = context.config.fleet
         if fleet_config is None:
-            self.coordinator = context.coordinator = RequestCoordinator(context)
-            return
+            return RequestCoordinator(context)
         from ..fleet.sidecar import SidecarFleet
 
-        sock = bind_socket(socket.SOCK_STREAM, fleet_config.listen, reuse_port=bool(self.passed_socket))
+        sock = bind_socket(socket.SOCK_STREAM, fleet_config.listen, reuse_port=bool(context.passed_socket))
         context.fleet = SidecarFleet(context, fleet_config, sock)
-        self.coordinator = context.coordinator = context.fleet.module
+        return context.fleet.module
 
     def _client_socket(self) -> socket.socket:
-        if self.passed_socket:
-            return adopt_listening_socket(self.passed_socket)
-        return bind_socket(socket.SOCK_STREAM, self.context.config.listen)
+        context = self.context
+        if context.passed_socket:
+            return adopt_listening_socket(context.passed_socket)
+        return bind_socket(socket.SOCK_STREAM, context.config.listen)
 
     def begin(self) -> None:
         """Start the actors."""
         context = self.context
-        if self.gossip_socket is not None:
-            self.gossip_socket.begin()
-        for actor in (
-            self.signals,
-            self.coordinator,
-            self.discovery,
-            self.listener,
-            self.stats_reporter,
-            self.shutdown,
-            self.client_drainer,
-        ):
+        for actor in self.actors:
             actor.begin()
         self._join_siblings()
         if context.admin_listener is not None:
@@ -106,7 +113,7 @@
 
     def _join_siblings(self) -> None:
         context = self.context
-        if not self.passed_socket or not (folder := context.environment.get("TMPDIR")):
+        if not context.passed_socket or not (folder := context.environment.get("TMPDIR")):
             return
         try:
             context.siblings = SiblingProcesses(folder)
