--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -8,22 +8,21 @@
 import h11
 
 from ...decisions.model import AttemptOutcome
-from ..actor import Actor, Coroutine
+from ..actor import Coroutine
 from ..gate import Refusal
-from ..loop import READ, WRITE, SocketReady
+from ..loop import READ, SocketReady
 from ..messages import (
     CLOSE,
     CancelExchange,
-    ConnectionClosed,
     ConnectionIdle,
     ExchangeEnded,
     StartExchange,
 )
 from ..state.requests import Exchange
+from .endpoint_connection import EndpointConnection
 from .errors import CloseReason, ConnectionLostError
 from .load_report import load_report_of
 from .request_writer import RequestWriter
-from .stream import Stream, connect
 from .timing import caution_deadline, connect_deadline, idle_deadline
 from .upstream_response import ExchangeResult, ResponseReader, next_socket_event, outcome_of
 
@@ -40,26 +39,19 @@
 }
 
 
-class Http1Connection(Actor):
+class Http1Connection(EndpointConnection):
     """One connection to an endpoint, from its first exchange to its end."""
 
     writer_type = RequestWriter
+    writer: RequestWriter  # set once `has_stream`
 
     def __init__(self, context: SidecarContext, pool: ConnectionPool, exchange: Exchange) -> None:
         """Prepare a connection of `pool` for a first exchange; `begin` starts it."""
-        self.context, self.pool = context, pool
         self.exchange: Exchange | None = exchange  # the one in progress whose result is not reported yet
-        self.stream: Stream | None = None
-        self.writer: RequestWriter | None = None
         self.reader: ResponseReader | None = None
         self.reason: CloseReason | None = None  # why it ends
-        self.exchange_count = 0
-        self.idle_since = 0.0  # 0: never idle yet
         self.last_was_health_check = False
-        self.endpoint = pool.endpoint  # as it was when this connection was begun
-        context.connections.to_endpoints[self] = None
-        context.connections.update_peak()
-        super().__init__(context.loop)
+        super().__init__(context, pool)
 
     def is_usable(self) -> bool:
         """Whether a request may be written to it: the endpoint has not closed it, and will not soon."""
@@ -81,16 +73,17 @@
         """Connect, then run exchange after exchange."""
         try:
             yield from self._connect()
-            if self.exchange is None:
+            exchange = self.exchange
+            if exchange is None:
                 self.pool.post(ConnectionIdle(self))
-                yield from self._wait_for_exchange()
+                exchange = yield from self._wait_for_exchange()
             while True:
-                result = yield from self._run_exchange(self.exchange)
+                result = yield from self._run_exchange(exchange)
                 if self.reason:
                     break
                 self._report(result)
                 self.pool.post(ConnectionIdle(self))
-                yield from self._wait_for_exchange()
+                exchange = yield from self._wait_for_exchange()
         except ConnectionLostError as error:
             result = self._fail(error.reason)
         except GeneratorExit:
@@ -110,10 +103,8 @@
     # Connecting.
 
     def _connect(self) -> Coroutine[None]:
-        sock = connect(self.endpoint.addr)
-        self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
+        self._begin_connecting()
         self.writer = self.writer_type(self.context, self.stream)
-        self.stream.wait_for(WRITE)
         deadline = connect_deadline(self.context, self.loop.now())
         ready = None
         while ready is None:
@@ -123,7 +114,7 @@
                 until = min(deadline, exchange.deadline)
                 pause_at = self.loop.now() + QUIESCENCE_FRACTION * self.context.shortest_objective
             ready = yield from next_socket_event(exchange, until, CloseReason.CONNECT_TIMED_OUT, pause_at)
-            if ready is None and (quiescent := self.pool.take_quiescent()):
+            if ready is None and exchange is not None and (quiescent := self.pool.take_quiescent()):
                 # The exchange need not wait for this one where another has become free meanwhile.
                 self.exchange, exchange.connection = None, quiescent
                 quiescent.post(StartExchange(exchange))
@@ -205,15 +196,15 @@
 
     # Between exchanges, and the end.
 
-    def _wait_for_exchange(self) -> Coroutine[None]:
-        """Wait for the next exchange; raises `ConnectionLostError` at the end of the idle time."""
+    def _wait_for_exchange(self) -> Coroutine[Exchange]:
+        """Return the next exchange; raises `ConnectionLostError` at the end of the idle time."""
         self.idle_since = self.loop.now()
         until = idle_deadline(self.context, self.idle_since)
         while True:
             message = yield until
             if isinstance(message, StartExchange):
                 self.exchange = message.exchange
-                return
+                return message.exchange
             if message is CLOSE or isinstance(message, SocketReady):
                 self._check_silent()
             if message is CLOSE:
@@ -247,8 +238,4 @@
         if self.reader is not None:
             self.reader.body.release()
             self.reader = None  # it refers to this connection
-        if self.stream is not None:
-            self.stream.close()
-        self.context.connections.to_endpoints.pop(self, None)
-        self.pool.post(ConnectionClosed(self))
-        self.pool.log_closed(self.reason, self.exchange_count)
+        self._end_connection(self.reason or CloseReason.DEFECT)
--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -18,17 +18,17 @@
 import h2.events
 import h2.exceptions
 import h2.settings
-import h11
 
 from ...decisions.model import AttemptOutcome
-from ..actor import Actor, Coroutine
+from ..actor import Coroutine
 from ..loop import READ, WRITE, SocketReady
-from ..messages import CLOSE, CancelExchange, ConnectionClosed, ExchangeEnded, StartExchange
+from ..messages import CLOSE, CancelExchange, ExchangeEnded, StartExchange
+from ..state.body_stream import BodyStream
 from ..state.buffers import BufferedBody, BuffersExhaustedError
-from ..state.requests import Exchange, UpstreamResponse
+from ..state.requests import Exchange, PendingRequest, UpstreamResponse
+from .endpoint_connection import EndpointConnection
 from .errors import CloseReason, ConnectionLostError
 from .load_report import load_report_of
-from .stream import Stream, connect
 from .timing import connect_deadline, idle_deadline
 from .upstream_request import build_request
 from .upstream_response import ExchangeResult, outcome_of
@@ -55,24 +55,17 @@
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
 
 
-class Http2Connection(Actor):
+class Http2Connection(EndpointConnection):
     """One connection from its first exchange to its end. An error or a break ends every exchange on it."""
 
     def __init__(self, context: SidecarContext, pool: ConnectionPool, exchange: Exchange) -> None:
         """Prepare a connection of `pool` for a first exchange; `begin` starts it."""
-        self.context, self.pool = context, pool
         self.waiting: dict[Exchange, None] = {exchange: None}  # until it is up and can be written to
         self.streams: dict[int, StreamExchange] = {}
         self.connected = self.closing = False
-        self.stream: Stream | None = None
         self.http = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
-        self.idle_since = 0.0
-        self.endpoint = pool.endpoint  # as it was when this connection was begun
         self.first_bytes = b""  # of what the endpoint sent
-        self.exchange_count = 0
-        context.connections.to_endpoints[self] = None
-        context.connections.update_peak()
-        super().__init__(context.loop)
+        super().__init__(context, pool)
 
     def has_capacity(self) -> bool:
         """Whether another exchange may be given to it."""
@@ -101,9 +94,7 @@
             self._report(message.exchange, ExchangeResult(AttemptOutcome.NOT_SENT))
 
     def _connect(self) -> Coroutine[None]:
-        sock = connect(self.endpoint.addr)
-        self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
-        self.stream.wait_for(WRITE)
+        self._begin_connecting()
         until = connect_deadline(self.context, self.loop.now())
         while True:
             self._end_overdue()
@@ -224,12 +215,19 @@
             (b":path", head.target),
         ]
         headers = [(name.lower(), value) for name, value in head.headers if name.lower() != b"host"]
-        body = exchange.pending.body.views() if exchange.pending else []
-        unsent = [bytes(view) for view in body]
+        unsent = self._body_parts(exchange.pending)
         response_body = BufferedBody(self.context.buffer_pool)
         self.http.send_headers(number, [*pseudo_headers, *headers], end_stream=not unsent)
         return StreamExchange(exchange, number, response_body, unsent)
 
+    def _body_parts(self, pending: PendingRequest | None) -> list[bytes]:
+        """Return the body of a request; None: a health check, which has none."""
+        if pending is None:
+            return []
+        if isinstance(pending.body, BodyStream):
+            raise TypeError("a body that is still coming can't be sent over HTTP/2")
+        return [bytes(view) for view in pending.body.views()]
+
     def _send_body(self, stream_exchange: StreamExchange) -> None:
         """Send as much of the body as the endpoint has window for."""
         number = stream_exchange.number
@@ -347,9 +345,5 @@
         for exchange in self.waiting:
             self._report(exchange, ExchangeResult(outcome))
         self.waiting.clear()
-        if self.stream is not None:
-            self.stream.close()
-        self.context.connections.to_endpoints.pop(self, None)
         self.context.connections.idle_to_endpoints.pop(self, None)
-        self.pool.post(ConnectionClosed(self))
-        self.pool.log_closed(reason, self.exchange_count)
+        self._end_connection(reason)
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from ...decisions.model import AttemptOutcome
 from ..actor import Actor, Coroutine
@@ -22,6 +22,7 @@
 
 if TYPE_CHECKING:
     from ..context import SidecarContext
+    from .endpoint_connection import EndpointConnection
     from .http1 import Http1Connection
     from .http2 import Http2Connection
 
@@ -70,26 +71,27 @@
         """Take the idle connection used last of those on which no unsolicited response is expected."""
         return self._first_usable(c for c in reversed(self.idle.copy()) if c.is_quiescent())
 
-    def remove_idle(self, connection: Http1Connection | Http2Connection) -> None:
+    def remove_idle(self, connection: EndpointConnection) -> None:
         """Give no further exchange to a connection that was idle or shared."""
         self.context.connections.idle_to_endpoints.pop(connection, None)
-        for connections in (self.idle, self.multiplexed):
+        both: tuple[list[Any], list[Any]] = (self.idle, self.multiplexed)
+        for connections in both:
             if connection in connections:
                 connections.remove(connection)
 
-    def log_closed(self, reason: CloseReason | None, exchange_count: int) -> None:
+    def log_closed(self, reason: CloseReason, exchange_count: int) -> None:
         """Log the end of a connection."""
         self.context.log("upstream.end", reason=reason, upstream=self.endpoint.id, carried=exchange_count)
 
     def _start(self, exchange: Exchange) -> None:
-        for connection in self.multiplexed:
-            if connection.has_capacity():
-                self._give(exchange, connection)
+        for multiplexed in self.multiplexed:
+            if multiplexed.has_capacity():
+                self._give(exchange, multiplexed)
                 return
         has_room = self.context.connections.has_room_for_endpoint()
         # Where there is no room for a new connection one is used that is not quiescent yet.
-        if connection := self.take_quiescent() or (None if has_room else self._take_longest_idle()):
-            self._give(exchange, connection)
+        if idle := self.take_quiescent() or (None if has_room else self._take_longest_idle()):
+            self._give(exchange, idle)
             return
         if not has_room and not self._make_room():
             self._report_not_sent(exchange)
@@ -99,7 +101,7 @@
             self.multiplexed.append(connection)
         connection.begin()
 
-    def _give(self, exchange: Exchange, connection: Http1Connection | Http2Connection) -> None:
+    def _give(self, exchange: Exchange, connection: EndpointConnection) -> None:
         exchange.connection = connection
         connection.post(StartExchange(exchange))
 
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -79,10 +79,12 @@
     def _put(self, exchange: Exchange) -> None:
         head = build_request(exchange, self.context, self.loop.now())
         self.stream.put(h11.Request(method=head.method, target=head.target, headers=head.headers))
-        if exchange.body_stream is not None:
-            return
-        body = exchange.pending.body.views() if exchange.pending is not None else []
-        self.stream.put(*(h11.Data(data=view) for view in body), h11.EndOfMessage())
+        pending = exchange.pending
+        if pending is not None:
+            if isinstance(pending.body, BodyStream):
+                return
+            self.stream.put_body(pending.body.views())
+        self.stream.put(h11.EndOfMessage())
 
     def _relay_body(self, exchange: Exchange, body: BodyStream) -> Coroutine[None]:
         """Write a body while it comes; the end of the message is put, but not written."""
@@ -94,7 +96,8 @@
             part = body.take()
             if part.length:
                 # What has been taken can't be sent again: this attempt is the only one.
-                exchange.pending.request.max_attempts = 1
+                if exchange.pending is not None:
+                    exchange.pending.request.max_attempts = 1
                 if body.whole:
                     self.check_wanted(exchange)
                 # With the last byte it may run: whether that arrived is not known if the connection breaks.
@@ -111,7 +114,7 @@
         self.stream.put(h11.EndOfMessage())
 
     def _write_part(self, exchange: Exchange, views: list[memoryview]) -> Coroutine[None]:
-        self.stream.put(*(h11.Data(data=view) for view in views))
+        self.stream.put_body(views)
         while not self.stream.write():
             self.stream.wait_for(READ | WRITE)
             ready = yield from next_socket_event(exchange, exchange.deadline, CloseReason.OVERDUE)
--- a/starlingwheel/net/http/response_writer.py
+++ b/starlingwheel/net/http/response_writer.py
@@ -24,9 +24,7 @@
 def response_headers(final: FinalResponse | None, close: bool) -> Headers:
     """Return the headers of a response; None: one without a body."""
     response = final.response if final else None
-    length = 0
-    if response:
-        length = response.body.length
+    length = response.body.length if response else 0
     headers = [(b"Transfer-Encoding", b"chunked")]
     if length is not None:
         headers = [(b"Content-Length", str(length).encode())]
@@ -52,18 +50,19 @@
         Raises `ConnectionLostError`.
         """
         response = final.response if final else None
+        body = response.body if response else None
         headers = response_headers(final, close)
         try:
             self.stream.put(h11.Response(status_code=status, headers=headers))
-            if response and isinstance(response.body, BodyStream):
-                yield from self._relay(response.body)
-            elif response:
-                self.stream.put(*(h11.Data(data=view) for view in response.body.views()))
+            if isinstance(body, BodyStream):
+                yield from self._relay(body)
+            elif body is not None:
+                self.stream.put_body(body.views())
             self.stream.put(h11.EndOfMessage())
             yield from self._flush()
         finally:
-            if response:
-                response.body.release()
+            if body is not None:
+                body.release()
 
     def _relay(self, body: BodyStream) -> Coroutine[None]:
         """Write a body while it comes."""
@@ -74,7 +73,7 @@
             part = body.take()
             if part.length:
                 try:
-                    self.stream.put(*(h11.Data(data=view) for view in part.views()))
+                    self.stream.put_body(part.views())
                     yield from self._flush()
                 finally:
                     part.release()
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -22,6 +22,7 @@
 ABORT_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 seconds: close with a reset
 
 Event = Any  # h11 has no common type of its events and its two sentinels
+BytesLike = Any  # h11 takes any object with a buffer, though its types say bytes
 
 
 def has_conflicting_lengths(headers: Iterable[tuple[bytes, bytes]]) -> bool:
@@ -71,7 +72,8 @@
         try:
             count = self.sock.recv_into(self.pool.scratch, self.read_size)
             self.end_read = not count
-            self.http.receive_data(memoryview(self.pool.scratch)[:count] if count else b"")
+            received: BytesLike = memoryview(self.pool.scratch)[:count] if count else b""
+            self.http.receive_data(received)
             return count
         except BlockingIOError:
             return None
@@ -91,6 +93,11 @@
         for event in events:
             self.unwritten += self.http.send_with_data_passthrough(event) or []
 
+    def put_body(self, views: Iterable[BytesLike]) -> None:
+        """Encode parts of a message's body, to be written by `write`."""
+        for view in views:
+            self.unwritten += self.http.send_with_data_passthrough(h11.Data(data=view)) or []
+
     def send_continue(self) -> None:
         """Send `100 Continue` to a client that waits for it."""
         if self.http.they_are_waiting_for_100_continue:
@@ -170,7 +177,7 @@
         self.pause()
         self.unwritten = []
         self.sock.close()
-        self.actor = None  # the two would keep each other in memory until a garbage collection
+        del self.actor  # the two would keep each other in memory until a garbage collection
 
 
 def connect(address: str, source: str = "") -> socket.socket:
--- a/starlingwheel/net/http/upstream_response.py
+++ b/starlingwheel/net/http/upstream_response.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from math import inf
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, overload
 
 import h11
 
@@ -63,6 +63,18 @@
     return AttemptOutcome.ERROR
 
 
+@overload
+def next_socket_event(
+    exchange: Exchange | None, deadline: float, on_timeout: CloseReason
+) -> Coroutine[SocketReady]: ...
+
+
+@overload
+def next_socket_event(
+    exchange: Exchange | None, deadline: float, on_timeout: CloseReason, pause_at: float
+) -> Coroutine[SocketReady | None]: ...
+
+
 def next_socket_event(
     exchange: Exchange | None, deadline: float, on_timeout: CloseReason, pause_at: float = inf
 ) -> Coroutine[SocketReady | None]:
@@ -107,18 +119,20 @@
 
         Raises `ConnectionLostError`.
         """
+        head: h11.Response  # h11 gives no other event before it
         try:
             while True:
                 event = self.stream.next_event()
                 if isinstance(event, h11.Response):
-                    self.head, self.headers = event, dict(event.headers)
+                    head = self.head = event
+                    self.headers = dict(event.headers)
                     self.length = response_length(event)
                 elif isinstance(event, h11.Data):
                     self._add(event.data)
                 elif isinstance(event, h11.EndOfMessage):
                     if self.relay is not None:
                         self.relay.end()
-                    return self.head
+                    return head
                 elif isinstance(event, h11.ConnectionClosed):
                     raise ConnectionLostError(CloseReason.UPSTREAM_CLOSED)
                 elif event is h11.NEED_DATA:
@@ -149,8 +163,10 @@
         Its first bytes are the final response, so from now on only the endpoint or the client ends it.
         """
         exchange, head = self.exchange, self.head
+        if head is None or exchange.pending is None:
+            raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
         outcome = outcome_of(head.status_code, self.headers)
-        if exchange.pending is None or outcome is not AttemptOutcome.SUCCESS:
+        if outcome is not AttemptOutcome.SUCCESS:
             raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
         report = load_report_of(head.headers, exchange, self.body)
         begun, self.body = self.body, BufferedBody(self.context.buffer_pool)
