--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -80,7 +80,7 @@
         self.listeners = [self.keep(bound()) for _ in range(upstreams)]
         self.discovery, self.peer = self.keep(bound()), self.keep(bound(socket.SOCK_DGRAM))
         servers = [self.entry(i) for i in range(upstreams)]
-        told = {
+        base_config = {
             "listen": "127.0.0.1:0",
             "discovery": address(self.discovery),
             "limits": {"memory_mb": 192, "sockets": 1024} | (limits or {}),
@@ -91,7 +91,7 @@
             "settings": SETTINGS | (settings or {}),
         }
         self.log = self.keep(tempfile.TemporaryFile())  # noqa: SIM115
-        self.told = told | config
+        self.config = base_config | config
         self.file = self.keep(tempfile.NamedTemporaryFile())  # noqa: SIM115
         self.write_configuration()
         environment = {"EDGE_CONFIG": self.file.name} | (environment or {})
@@ -103,7 +103,7 @@
     def write_configuration(self, text=b"", **changed):
         self.file.seek(0)
         self.file.truncate()
-        self.file.write(text or msgspec.json.encode(self.told | changed))
+        self.file.write(text or msgspec.json.encode(self.config | changed))
         self.file.flush()
 
     def reconfigure(self, text=b"", **changed):
--- a/tests/test_retune.py
+++ b/tests/test_configuration_reload.py
@@ -1,27 +1,32 @@
-"""Stories of new settings at SIGHUP: whole or not at all, and open work keeps the old ones."""
+"""Reload of the configuration at SIGHUP: all of it or nothing, and requests in flight keep the former one."""
 
 import copy
+from collections.abc import Callable
+from types import EllipsisType
+from typing import Any
 
 import msgspec
 import pytest
-from conftest import SETTINGS, categories
+from conftest import SETTINGS, Surroundings, categories
 
+Path = tuple[str | int, ...]  # of keys and indexes in the settings
 
-def changed(path, value):
-    """The settings with the value at a path replaced, or gone (`...`)."""
-    settings = copy.deepcopy(SETTINGS)
-    *way, last = path
-    table = settings
-    for step in way:
-        table = table[step]
+
+def changed_settings(path: Path, value: object) -> dict[str, Any]:
+    """Return the settings with the value at a path replaced, or removed (`...`)."""
+    settings: dict[str, Any] = copy.deepcopy(SETTINGS)
+    *parents, key = path
+    table: Any = settings
+    for parent in parents:
+        table = table[parent]
     if value is ...:
-        del table[last]
+        del table[key]
     else:
-        table[last] = value
+        table[key] = value
     return settings
 
 
-WRONG = [
+INVALID: list[tuple[str, Path, object | EllipsisType]] = [
     ("settings.categories[1].expiry", ("categories", 1, "expiry"), ...),
     ("settings.categories[0].expiry", ("categories", 0, "expiry"), None),
     ("expiry", ("categories", 0, "expiry"), 0),
@@ -44,10 +49,11 @@
 ]
 
 
-@pytest.mark.parametrize(("named", "path", "value"), WRONG)
-def test_nothing_is_taken_from_settings_that_are_wrong(around, named, path, value):
+@pytest.mark.parametrize(("named", "path", "value"), INVALID)
+def test_invalid_settings_change_nothing(around: Surroundings, named: str, path: Path, value: object) -> None:
+    """Neither the settings nor another field of that file; the log names the key."""
     before = around.context.config, around.context.balancer_config, around.context.discovery.address
-    around.reconfigure(settings=changed(path, value), discovery="127.0.0.1:9")
+    around.reconfigure(settings=changed_settings(path, value), discovery="127.0.0.1:9")
     [line] = around.logged("config.unusable")
     assert named in line["error"] and not around.logged("config.read")
     assert (around.context.config, around.context.balancer_config, around.context.discovery.address) == before
@@ -55,7 +61,8 @@
 
 
 @pytest.mark.parametrize("text", [b" ", b"{", b"{}", b"[]", b'{"listen":"127.0.0.1:0"}'])
-def test_nothing_is_taken_from_a_file_that_is_not_whole(around, text):
+def test_an_incomplete_file_changes_nothing(around: Surroundings, text: bytes) -> None:
+    """Half written, or without fields that a configuration must have."""
     before = around.context.config, around.context.balancer_config
     around.reconfigure(text)
     assert (
@@ -64,63 +71,69 @@
 
 
 @pytest.mark.parametrize("key", ["settings", "limits", "peers", "name"])
-def test_a_key_that_was_there_is_missed(make_surroundings, key):
+def test_a_file_without_a_key_that_was_there_is_rejected(
+    make_surroundings: Callable[..., Surroundings], key: str
+) -> None:
+    """Even one that has a default; the log names it."""
     around = make_surroundings(name="n0")
-    told = {k: v for k, v in around.told.items() if k != key}
-    around.reconfigure(msgspec.json.encode(told))
+    config = {k: v for k, v in around.config.items() if k != key}
+    around.reconfigure(msgspec.json.encode(config))
     [line] = around.logged("config.unusable")
     assert key in line["error"]
 
 
-def test_a_new_category_is_served_by_its_rules_and_a_dropped_one_still_by_its_own(around):
+def test_a_dropped_request_class_is_served_by_its_former_rules_for_a_while(around: Surroundings) -> None:
+    """So is one whose retry safety changed, while a new one is served by its own; afterwards they end."""
     times = {"dueTime": 1000000, "expiry": 2000000}
     # `look` is dropped, `buy` may be repeated now, `gaze` is new.
-    now = [
+    classes = [
         {"name": "gaze", "effect": "free"} | times,
         {"name": "buy", "effect": "guarded", "window": 2000000} | times,
         {"name": "move", "effect": "guarded", "window": 2000000} | times,
     ]
-    around.reconfigure(settings=SETTINGS | {"categories": now})
+    around.reconfigure(settings=SETTINGS | {"categories": classes})
     [line] = around.logged("config.read")
     assert line["taken_over"] == ["settings"] and line["need_restart"] == []
-    asked = [
+    requests = [
         around.request("look", x_trace_id="a"),
         around.request("buy", b"one", x_trace_id="b"),
         around.request("buy", b"one", x_trace_id="c", idempotency_key="k"),
         around.request("look", x_trace_id="d", x_qos="gaze", lead="GET /gaze/1 HTTP/1.1"),
     ]
     upstream = None
-    for text in asked:
+    for request in requests:
         client = around.client()
-        client.sendall(text)
+        client.sendall(request)
         upstream = upstream or around.accept()
         around.received(upstream)
         around.reply(upstream)
         assert around.status(client) == 200
         around.rested()
-    around.context.former_request_classes = [
-        (0.0, c) for _, c in around.context.former_request_classes
-    ]  # three seconds later
+    # Three seconds later:
+    former = around.context.former_request_classes
+    around.context.former_request_classes = [(0.0, request_class) for _, request_class in former]
     assert around.status(around.ask("look", x_trace_id="e")) == 404
     assert around.status(around.ask("buy", b"one", x_trace_id="f")) == 400
 
 
-def test_settings_are_replaced_several_times_with_work_open(around):
+def test_several_reloads_while_a_request_is_in_flight(around: Surroundings) -> None:
+    """Each is in force at once, and the request is answered though its class has been dropped."""
     client = around.ask("look")
     upstream = around.accept()
     around.received(upstream)
-    for due_time in (500000, 600000, 700000):
-        only = [c for c in categories(due_time) if c["name"] == "buy"]
+    for microseconds in (500000, 600000, 700000):
+        only = [c for c in categories(microseconds) if c["name"] == "buy"]
         around.reconfigure(settings=SETTINGS | {"categories": only})
-        assert around.context.shortest_objective == due_time / 1e6
+        objective = microseconds / 1e6
+        assert around.context.shortest_objective == objective
         clock = around.context.coordinator.scheduler.balancer.clock
-        around.until(lambda clock=clock, wanted=due_time / 1e6: clock.shortest_objective == wanted)
-    # Its category has gone twice over; it is answered all the same.
+        around.until(lambda clock=clock, objective=objective: clock.shortest_objective == objective)
     around.reply(upstream)
     assert around.status(client) == 200 and not around.logged("module.defect")
 
 
-def test_what_sockets_were_made_from_waits_for_a_restart(around):
+def test_fields_that_are_fixed_at_the_start_need_a_restart(around: Surroundings) -> None:
+    """They keep their values, and the log names them."""
     around.reconfigure(settings=SETTINGS | {"replicasOfMe": 3, "slotNo": 1})
     [line] = around.logged("config.read")
     assert line["need_restart"] == ["settings: sidecar_index", "settings: sidecars"]
