--- a/tests/test_told.py
+++ b/tests/test_discovery_client.py
@@ -4,6 +4,8 @@
 sockets are pairs whose other end is a simulated discovery, so that each run goes the same way each time.
 """
 
+from __future__ import annotations
+
 import contextlib
 import heapq
 import json
@@ -14,14 +16,19 @@
 import subprocess
 import sys
 import time
+from collections.abc import Callable, Iterator
 from itertools import count
+from pathlib import Path
+from typing import IO, Any
 
 import msgspec
 import pytest
 from conftest import SETTINGS, address, bound
 
 from fakes.loopback import free_address
+from starlingwheel.net.actor import Actor
 from starlingwheel.net.address import split
+from starlingwheel.net.context import SidecarContext
 from starlingwheel.net.discovery import watch as discovery_watch
 from starlingwheel.net.http.errors import CloseReason, ConnectionLostError
 from starlingwheel.net.lifecycle.config import load_config
@@ -38,23 +45,26 @@
 SELDOM = {"replicasOfMe": 400, "rules": {"mustAskIn": 60_000_000}}
 FLEETS = {"small": SMALL, "large": LARGE, "seldom": SELDOM, "pushed": PUSHED}
 
+Json = dict[str, Any]
+
 
 class Call:
     """One call, as discovery sees it."""
 
-    def __init__(self, caller, sock, at):
+    def __init__(self, caller: SidecarContext, sock: socket.socket, at: float) -> None:
+        """`caller`: the sidecar; `sock`: discovery's end; `at`: when it began."""
         self.caller, self.sock, self.at = caller, sock, at
         self.received, self.silent, self.written_at = b"", False, at
         sock.setblocking(False)
 
-    def request_complete(self):
-        """Its request has come."""
+    def request_complete(self) -> bool:
+        """Return whether its request has arrived."""
         with contextlib.suppress(BlockingIOError):
             self.received += self.sock.recv(65536)
         return self.received.endswith(b"\r\n\r\n")
 
-    def write(self, data):
-        """Write, if the other side is still there."""
+    def write(self, data: bytes) -> bool:
+        """Write, if the other side is still there; return whether it is."""
         try:
             self.sock.sendall(data)
             return True
@@ -62,18 +72,26 @@
             return False  # the call was given up
 
 
+# What becomes of a call: seconds until its answer, or one of the constants of `Discovery`; None: undecided.
+CallFate = float | str | None
+Behaviour = Callable[[Call], CallFate]
+
+
 class Discovery:
-    """One address. `behaviour(call)`: what becomes of a call, seconds until its answer or one of these."""
+    """A simulated discovery at one address."""
 
     REFUSED, CUT, HANGS, RESET, BUSY = "refused", "cut", "hangs", "reset", "503"
 
-    def __init__(self, world, behaviour):
+    def __init__(self, world: World, behaviour: Behaviour) -> None:
+        """`behaviour`: decides on each call."""
         self.world, self.behaviour = world, behaviour
         self.version = 1
-        self.calls, self.answered = [], []
+        self.calls: list[Call] = []
+        self.answered: list[Call] = []
         self.silent = False  # open watches get nothing any more
 
-    def connect(self, caller):
+    def connect(self, caller: SidecarContext) -> socket.socket:
+        """Return the caller's end of a connection; raises `ConnectionLostError` if it is refused."""
         ours, theirs = socket.socketpair()
         call = Call(caller, ours, self.world.now)
         self.calls.append(call)
@@ -86,10 +104,11 @@
         elif behaviour != self.HANGS:
             delay = behaviour if isinstance(behaviour, float) else 0.0
             self.world.later(delay, lambda: self.answer(call, behaviour))
-        self.world.keep(ours)
+        self.world.open_files.append(ours)
         return theirs
 
-    def fill(self, sock):
+    def fill(self, sock: socket.socket) -> None:
+        """Fill the buffers of a socket, so that it can't be written."""
         sock.setblocking(False)
         try:
             while True:
@@ -97,7 +116,8 @@
         except BlockingIOError:
             pass
 
-    def answer(self, call, behaviour):
+    def answer(self, call: Call, behaviour: CallFate) -> None:
+        """Answer a call once its request has arrived, or reset it."""
         if behaviour == self.RESET:
             call.sock.close()
         elif not call.request_complete():
@@ -109,29 +129,33 @@
             self.write_list(call)
             self.world.later(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
 
-    def write_list(self, call):
+    def write_list(self, call: Call) -> None:
+        """Write the whole list, whose one endpoint is named by the version."""
         servers = [{"id": f"v{self.version}", "addr": "127.0.0.1:1", "state": "active"}]
         text = msgspec.json.encode({"version": self.version, "full": True, "servers": servers}) + b"\n"
         call.written_at = self.world.now
         call.write(b"%x\r\n%s\r\n" % (len(text), text))
 
-    def write_empty_line(self, call):
+    def write_empty_line(self, call: Call) -> None:
+        """Write an empty line, now and at each interval."""
         if not call.silent and call.write(b"1\r\n\n\r\n"):
             call.written_at = self.world.now
             self.world.later(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
 
-    def change(self):
+    def change(self) -> None:
+        """Change the list, and write it to all open watches."""
         self.version += 1
         for call in self.answered:
             if not call.silent:
                 self.write_list(call)
 
-    def fall_silent(self):
+    def fall_silent(self) -> None:
+        """Write nothing more to the watches that are open."""
         for call in self.answered:
             call.silent = True
 
-    def end_all(self):
-        """It goes down: its watches end."""
+    def end_all(self) -> None:
+        """Close all watches, as discovery does when it goes down."""
         for call in self.answered:
             call.silent = True
             call.sock.close()
@@ -140,9 +164,14 @@
 class World:
     """The discovery clients of sidecars on one loop, whose clock moves only when nothing is left to do."""
 
-    def __init__(self, monkeypatch, tmp_path):
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+        """Put the simulated clock and sockets in place of the real ones."""
         self.now, self.count = 1000.0, count()
-        self.due, self.open_files, self.contexts, self.discoveries = [], [], [], {}
+        self.due: list[tuple[float, int, Callable[[], object]]] = []
+        self.open_files: list[IO[bytes] | socket.socket] = []
+        self.contexts: list[SidecarContext] = []
+        self.discoveries: dict[str, Discovery] = {}
+        self.log_lines: list[tuple[str, float, Json]] = []  # event, time and fields
         self.loop = Loop(self.defect)
         self.loop.now = lambda: self.now
         self.path = tmp_path / "config.json"
@@ -152,32 +181,31 @@
         )
         monkeypatch.setattr(discovery_watch.DiscoveryWatch, "begin", lambda watch: self.begin(watch))
 
-    def defect(self, actor, error):
+    def defect(self, actor: Actor, error: Exception) -> None:
+        """Fail the test by an error in an actor."""
         raise error
 
-    def begin(self, watch):
-        """A call does not tell who makes it; the test has to know."""
+    def begin(self, watch: discovery_watch.DiscoveryWatch) -> None:
+        """Start a watch, and note who makes its call."""
         self.calling = watch.context
         self.loop.start(watch)
 
-    def keep(self, thing):
-        self.open_files.append(thing)
-        return thing
-
-    def discovery(self, address, behaviour):
+    def discovery(self, address: str, behaviour: Behaviour) -> Discovery:
+        """Add a discovery at an address."""
         self.discoveries[address] = Discovery(self, behaviour)
         return self.discoveries[address]
 
-    def sidecar(self, address="a:1", seed="", **settings):
+    def sidecar(self, address: str = "a:1", seed: str = "", **settings: Any) -> SidecarContext:  # noqa: ANN401
+        """Start a sidecar's discovery client and coordinator."""
         rules = SETTINGS["rules"] | settings.pop("rules", {})
-        config = {"listen": "127.0.0.1:0", "discovery": address, "seed": seed}
-        config |= {"settings": SETTINGS | {"rules": rules} | settings}
+        all_settings = SETTINGS | {"rules": rules} | settings
+        config = {"listen": "127.0.0.1:0", "discovery": address, "seed": seed, "settings": all_settings}
         self.path.write_bytes(msgspec.json.encode(config))
         environment = {"EDGE_CONFIG": str(self.path)}
-        log = self.keep(open("/dev/null", "wb"))  # noqa: SIM115
+        log = open("/dev/null", "wb")  # noqa: SIM115
+        self.open_files.append(log)
         context = Sidecar(*load_config(environment), environment, log_fd=log.fileno()).context
-        context.lines = []
-        context.discovery.context.log = lambda event, **fields: context.lines.append(
+        context.discovery.context.log = lambda event, **fields: self.log_lines.append(
             (event, self.now, fields)
         )
         self.contexts.append(context)
@@ -187,10 +215,11 @@
         context.coordinator.begin()
         return context
 
-    def later(self, seconds, action):
+    def later(self, seconds: float, action: Callable[[], object]) -> None:
+        """Run an action after so many seconds."""
         heapq.heappush(self.due, (self.now + seconds, next(self.count), action))
 
-    def settle(self):
+    def settle(self) -> None:
         """Turn until nothing is left to do at this time."""
         quiet = 0
         while quiet < 2:
@@ -199,7 +228,8 @@
                 quiet = 0
             self.loop.run_once(0)
 
-    def run(self, until):
+    def run(self, until: float) -> None:
+        """Run until that time."""
         while True:
             self.settle()
             ahead = [self.due[0][0]] if self.due else []
@@ -211,11 +241,11 @@
             while self.due and self.due[0][0] <= self.now:
                 heapq.heappop(self.due)[2]()
 
-    def second_calls(self):
-        """The number of calls that began beside one that hung."""
-        return sum(event == "list.beside" for context in self.contexts for event, _, _ in context.lines)
+    def second_calls(self) -> int:
+        """Return the number of calls that began beside one that hung."""
+        return sum(event == "list.beside" for event, _, _ in self.log_lines)
 
-    def until_notified(self, context, version, within):
+    def until_notified(self, context: SidecarContext, version: int, within: float) -> float:
         """Run until the decisions have that version; return the seconds that it took."""
         began = self.now
         while f"v{version}" not in context.coordinator.scheduler.balancer.endpoints.by_id:
@@ -223,7 +253,8 @@
             self.run(self.now + 0.01)
         return self.now - began
 
-    def close(self):
+    def close(self) -> None:
+        """Close all sockets and files."""
         for context in self.contexts:
             if context.gossip_socket is not None:
                 context.gossip_socket.sock.close()
@@ -232,11 +263,15 @@
             thing.close()
 
 
+MakeWorld = Callable[[], World]
+
+
 @pytest.fixture
-def world(monkeypatch, tmp_path):
-    made = []
+def world(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> Iterator[MakeWorld]:
+    """Makes worlds, and closes them at the end."""
+    made: list[World] = []
 
-    def make():
+    def make() -> World:
         made.append(World(monkeypatch, tmp_path))
         return made[-1]
 
@@ -245,15 +280,15 @@
         one.close()
 
 
-def reachable_after(world, seconds, *first):
-    """The behaviour of a discovery from then on: `first` for the first calls, all others are answered.
+def reachable_after(world: World, seconds: float, *first: float | str) -> Behaviour:
+    """Return the behaviour of a discovery from then on: `first` for the first calls, all others are answered.
 
     Until then it returns None.
     """
     reachable_at = world.now + seconds
     remaining = list(first)
 
-    def behaviour(_):
+    def behaviour(_: Call) -> CallFate:
         if world.now < reachable_at:
             return None
         return remaining.pop(0) if remaining else 0.0
@@ -261,7 +296,7 @@
     return behaviour
 
 
-FIRST = {
+FIRST_CALLS: dict[str, list[float | str]] = {
     "answered": [],
     "late": [0.4],
     "hangs": [Discovery.HANGS],
@@ -271,8 +306,8 @@
 }
 
 
-def sidecar_with_watch(world, fleet, seed):
-    """A sidecar whose watch is open, at a random moment between two empty lines, and its discovery."""
+def sidecar_with_watch(world: World, fleet: str, seed: int) -> tuple[Discovery, SidecarContext]:
+    """Return a sidecar whose watch is open, at a random moment between two empty lines, and its discovery."""
     discovery = world.discovery("a:1", lambda _: 0.0)
     context = world.sidecar(seed=str(seed), **FLEETS[fleet])
     world.until_notified(context, 1, 40)
@@ -280,19 +315,22 @@
     return discovery, context
 
 
-def failing_until(reachable, down):
-    """The behaviour `down` for as long as `reachable` returns None."""
+def failing_until(reachable: Behaviour, down: CallFate) -> Behaviour:
+    """Return the behaviour `down` for as long as `reachable` returns None."""
 
-    def behaviour(call):
+    def behaviour(call: Call) -> CallFate:
         answer = reachable(call)
         return down if answer is None else answer
 
     return behaviour
 
 
-@pytest.mark.parametrize("first", FIRST)
+@pytest.mark.parametrize("first", FIRST_CALLS)
 @pytest.mark.parametrize("fleet", FLEETS)
-def test_a_change_missed_by_a_silent_watch_is_notified_in_time(world, fleet, first):
+def test_a_change_missed_by_a_silent_watch_is_notified_in_time(
+    world: MakeWorld, fleet: str, first: str
+) -> None:
+    """Whatever becomes of the first call after it; no more calls are made than needed."""
     for seed in range(8):
         w = world()
         discovery, context = sidecar_with_watch(w, fleet, seed)
@@ -301,7 +339,7 @@
         silent_at = discovery.answered[-1].written_at
         discovery.fall_silent()
         discovery.change()
-        discovery.behaviour = reachable_after(w, 0.0, *FIRST[first])
+        discovery.behaviour = reachable_after(w, 0.0, *FIRST_CALLS[first])
         w.until_notified(context, 2, 10)
         took = w.now - silent_at
         assert took <= NOTIFIED_WITHIN, (seed, took)
@@ -310,10 +348,13 @@
         assert len(discovery.calls) - calls <= (4 if fleet == "pushed" else 2)
 
 
-@pytest.mark.parametrize("first", FIRST)
+@pytest.mark.parametrize("first", FIRST_CALLS)
 @pytest.mark.parametrize("down", ["refused", "cut", "hangs", "503"])
 @pytest.mark.parametrize("fleet", FLEETS)
-def test_a_change_during_an_outage_is_notified_in_time_after_it(world, fleet, down, first):
+def test_a_change_during_an_outage_is_notified_in_time_after_it(
+    world: MakeWorld, fleet: str, down: str, first: str
+) -> None:
+    """However calls fail during the outage and after it."""
     for seed in range(6):
         w = world()
         discovery, context = sidecar_with_watch(w, fleet, seed)
@@ -322,7 +363,7 @@
         else:
             discovery.fall_silent()
         outage = 0.3 + 2.9 * seed
-        reachable = reachable_after(w, outage, *FIRST[first])
+        reachable = reachable_after(w, outage, *FIRST_CALLS[first])
         discovery.behaviour = failing_until(reachable, down)
         w.run(w.now + outage)
         discovery.version += 1
@@ -334,11 +375,14 @@
         assert len(discovery.calls) - calls <= (6 if fleet == "pushed" or first in ("503", "reset") else 3)
 
 
-@pytest.mark.parametrize("first", FIRST)
+@pytest.mark.parametrize("first", FIRST_CALLS)
 @pytest.mark.parametrize("down", ["refused", "cut", "hangs", "503"])
 @pytest.mark.parametrize("old", ["serves", "down", "hangs"])
 @pytest.mark.parametrize("fleet", FLEETS)
-def test_the_list_of_a_new_discovery_is_notified_in_time(world, fleet, old, down, first):
+def test_the_list_of_a_new_discovery_is_notified_in_time(
+    world: MakeWorld, fleet: str, old: str, down: str, first: str
+) -> None:
+    """Whatever the old one does, and however calls to the new one fail at first."""
     for seed in range(3):
         w = world()
         discovery, context = sidecar_with_watch(w, fleet, seed)
@@ -347,7 +391,7 @@
             discovery.behaviour = lambda _, old=old: Discovery.REFUSED if old == "down" else Discovery.HANGS
             w.run(w.now + 1.7 * seed)
         outage = 2.3 * seed
-        reachable = reachable_after(w, outage, *FIRST[first])
+        reachable = reachable_after(w, outage, *FIRST_CALLS[first])
         other = w.discovery("b:1", failing_until(reachable, down))
         other.version = 2
         context.discovery.post(DiscoveryMoved("b:1"))
@@ -359,7 +403,8 @@
 
 
 @pytest.mark.parametrize("fleet", ["small", "large", "seldom"])
-def test_a_call_that_waits_its_turn_is_not_replaced_by_a_second_one(world, fleet):
+def test_a_call_that_waits_its_turn_is_not_replaced_by_a_second_one(world: MakeWorld, fleet: str) -> None:
+    """At a discovery that takes nearly three seconds for an answer."""
     for seed in range(8):
         w = world()
         discovery, context = sidecar_with_watch(w, fleet, seed)
@@ -382,7 +427,10 @@
 
 @pytest.mark.parametrize("down", ["hangs", "cut", "refused", "503"])
 @pytest.mark.parametrize("fleet", ["large", "seldom"])
-def test_while_none_is_answered_calls_go_on_at_a_rate_that_allows_for_one_to_hang(world, fleet, down):
+def test_while_none_is_answered_calls_go_on_at_a_rate_that_allows_for_one_to_hang(
+    world: MakeWorld, fleet: str, down: str
+) -> None:
+    """For a minute, in which a discovery in trouble is not called too often either."""
     for seed in range(4):
         w = world()
         discovery, context = sidecar_with_watch(w, fleet, seed)
@@ -400,18 +448,22 @@
 
 
 @pytest.mark.parametrize("first, second_calls", [([], 0), ([0.4], 0), ([Discovery.HANGS], 1)])
-def test_of_many_sidecars_each_calls_once_and_once_more_where_its_call_hangs(world, first, second_calls):
+def test_of_many_sidecars_each_calls_once_and_once_more_where_its_call_hangs(
+    world: MakeWorld, first: list[float | str], second_calls: int
+) -> None:
+    """After all watches of one discovery fell silent at once."""
     w = world()
     discovery = w.discovery("a:1", lambda _: 0.0)
     contexts = [w.sidecar(seed=str(seed), **LARGE) for seed in range(40)]
     w.run(w.now + 20)
-    calls, remaining = len(discovery.calls), {}
+    calls = len(discovery.calls)
+    remaining: dict[SidecarContext, list[float | str]] = {}
     discovery.fall_silent()
     silent_at = w.now
     discovery.change()
     notified_at = {}
 
-    def behaviour(call):
+    def behaviour(call: Call) -> CallFate:
         """`first` is for the first calls of each sidecar."""
         own = remaining.setdefault(call.caller, list(first))
         return own.pop(0) if own else 0.0
@@ -427,16 +479,22 @@
     )
 
 
+LogLines = Callable[..., list[Json]]  # of the events that are named
+StartCrowded = Callable[[int, int], tuple[socket.socket, LogLines]]
+
+
 @pytest.fixture
-def crowded(tmp_path):
+def crowded(tmp_path: Path) -> Iterator[StartCrowded]:
     """A real process with few descriptors, discovery down, and more idle clients than it can serve."""
-    discovery, started, clients = bound(listening=False), [], []
+    discovery = bound(listening=False)
+    started: list[subprocess.Popen[bytes]] = []
+    clients: list[socket.socket] = []
     log = tmp_path / "log"
 
-    def lines(*events):
+    def lines(*events: str) -> list[Json]:
         return [line for line in map(json.loads, log.read_bytes().splitlines()) if line["event"] in events]
 
-    def start(configured, allowed):
+    def start(configured: int, allowed: int) -> tuple[socket.socket, LogLines]:
         listen = free_address()
         known = {"version": 1, "full": True, "servers": [{"id": "v1", "addr": "127.0.0.1:1"}]}
         path = tmp_path / "config.json"
@@ -471,7 +529,10 @@
 
 
 @pytest.mark.parametrize("configured, allowed", [(64, 64), (1024, 64)])
-def test_idle_clients_leave_discovery_its_descriptors(crowded, configured, allowed):
+def test_idle_clients_leave_discovery_its_descriptors(
+    crowded: StartCrowded, configured: int, allowed: int
+) -> None:
+    """Discovery is called, though more clients connect than there are descriptors."""
     discovery, lines = crowded(configured, allowed)
     discovery.listen()
     discovery.settimeout(30)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -585,7 +585,7 @@
 def test_of_two_calls_to_discovery_the_first_to_be_answered_stays(
     around: Surroundings, monkeypatch: pytest.MonkeyPatch, answered: int, moved: bool
 ) -> None:
-    """On real sockets; test_told.py tests when a second call begins, and how often."""
+    """On real sockets; test_discovery_client.py tests when a second call begins, and how often."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
     around.watch(b"")
     around.context.discovery.initial_timeout_multiple = around.context.discovery.timeout_multiple = (
