--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,7 @@
 """Fixtures: a host of the decisions, and the surroundings of a real sidecar."""
 
+from __future__ import annotations
+
 import contextlib
 import os
 import signal
@@ -7,6 +9,8 @@
 import struct
 import tempfile
 import time
+from collections.abc import Callable, Iterator
+from typing import IO, Any, Protocol, TypeVar
 
 import h11
 import msgspec
@@ -19,23 +23,40 @@
 from starlingwheel.net.lifecycle.config import load_config
 from starlingwheel.net.lifecycle.sidecar import Sidecar
 
+T = TypeVar("T")
+Json = dict[str, Any]
+Socket = socket.socket
+
+
+class Closeable(Protocol):
+    """What has to be closed at the end."""
+
+    def close(self) -> object:
+        """Close it."""
 
-def pytest_configure(config):
+
+CloseableT = TypeVar("CloseableT", bound=Closeable)
+
+
+def pytest_configure(config: pytest.Config) -> None:
+    """Add the plugin that passes over the tests of KNOWN-RED.txt."""
     config.pluginmanager.register(KnownRed(config), "known-red")
 
 
 @pytest.fixture
-def host():
+def host() -> FakeHost:
+    """A host of the decisions."""
     return FakeHost()
 
 
 @pytest.fixture
-def make_host():
+def make_host() -> type[FakeHost]:
+    """Makes hosts of the decisions."""
     return FakeHost
 
 
-def categories(due_time=1000000):
-    """Long enough for a busy machine; stories of time-outs say a shorter one."""
+def categories(due_time: int = 1000000) -> list[Json]:
+    """Return request classes whose times are long enough for a busy machine; `due_time`: microseconds."""
     times = {"dueTime": due_time, "expiry": 2 * due_time}
     return [
         {"name": "look", "effect": "free"} | times,
@@ -56,7 +77,8 @@
 }  # fmt: skip
 
 
-def bound(kind=socket.SOCK_STREAM, backlog=16, listening=True):
+def bound(kind: socket.SocketKind = socket.SOCK_STREAM, backlog: int = 16, listening: bool = True) -> Socket:
+    """Return a socket that is bound to a free port."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.bind((own_host(), 0))
     if kind is socket.SOCK_STREAM and listening:
@@ -65,22 +87,31 @@
     return sock
 
 
-def address(sock):
+def address(sock: Socket) -> str:
+    """Return the address that a socket is bound to, as the configuration writes it."""
     return "{}:{}".format(*sock.getsockname())
 
 
 class Surroundings:
-    """Client, upstreams, discovery and a peer of one real sidecar, all played by the story itself.
+    """Client, endpoints, discovery and a peer of one real sidecar, all played by the test itself.
 
-    Nothing happens behind its back: the sidecar's loop turns only while the story waits for something.
+    Nothing happens behind its back: the sidecar's loop turns only while the test waits for something.
     """
 
-    def __init__(self, upstreams=1, limits=None, settings=None, environment=None, **config):
-        self.open = []
+    def __init__(
+        self,
+        upstreams: int = 1,
+        limits: Json | None = None,
+        settings: Json | None = None,
+        environment: dict[str, str] | None = None,
+        **config: object,
+    ) -> None:
+        """Start the sidecar. `upstreams`: the number of endpoints; `config`: fields of the configuration."""
+        self.open: list[Closeable] = []
         self.listeners = [self.keep(bound()) for _ in range(upstreams)]
         self.discovery, self.peer = self.keep(bound()), self.keep(bound(socket.SOCK_DGRAM))
         servers = [self.entry(i) for i in range(upstreams)]
-        base_config = {
+        base_config: Json = {
             "listen": "127.0.0.1:0",
             "discovery": address(self.discovery),
             "limits": {"memory_mb": 192, "sockets": 1024} | (limits or {}),
@@ -90,7 +121,7 @@
             "known": {"version": 7, "full": True, "servers": servers},
             "settings": SETTINGS | (settings or {}),
         }
-        self.log = self.keep(tempfile.TemporaryFile())  # noqa: SIM115
+        self.log: IO[bytes] = self.keep(tempfile.TemporaryFile())  # noqa: SIM115
         self.config = base_config | config
         self.file = self.keep(tempfile.NamedTemporaryFile())  # noqa: SIM115
         self.write_configuration()
@@ -100,27 +131,31 @@
         self.sidecar.begin()
         self.until(lambda: not self.context.coordinator.mailbox)
 
-    def write_configuration(self, text=b"", **changed):
+    def write_configuration(self, text: bytes = b"", **changed: object) -> None:
+        """Write the configuration file: `text`, or the configuration with some fields changed."""
         self.file.seek(0)
         self.file.truncate()
         self.file.write(text or msgspec.json.encode(self.config | changed))
         self.file.flush()
 
-    def reconfigure(self, text=b"", **changed):
-        """What an operator does: another file, then SIGHUP."""
+    def reconfigure(self, text: bytes = b"", **changed: object) -> None:
+        """Write another configuration and have it reloaded by SIGHUP."""
         lines = len(self.logged("config.read") + self.logged("config.unusable"))
         self.write_configuration(text, **changed)
         os.kill(os.getpid(), signal.SIGHUP)
         self.until(lambda: len(self.logged("config.read") + self.logged("config.unusable")) > lines)
 
-    def keep(self, thing):
+    def keep(self, thing: CloseableT) -> CloseableT:
+        """Close it at the end of the test."""
         self.open.append(thing)
         return thing
 
-    def entry(self, i, **changed):
+    def entry(self, i: int, **changed: object) -> Json:
+        """Return an endpoint as discovery lists it, with some fields changed."""
         return {"id": f"s{i}", "addr": address(self.listeners[i]), "state": "active"} | changed
 
-    def close(self):
+    def close(self) -> None:
+        """Close all, and restore the handling of signals."""
         signal.set_wakeup_fd(-1)
         for number in (signal.SIGTERM, signal.SIGHUP):
             signal.signal(number, signal.SIG_DFL)
@@ -129,8 +164,8 @@
         for thing in self.open:
             thing.close()
 
-    def until(self, happened, within=5.0):
-        """Turn the loop until something has happened; what that was."""
+    def until(self, happened: Callable[[], T], within: float = 5.0) -> T:
+        """Run the loop until `happened` returns something true, and return that."""
         end = time.monotonic() + within
         while time.monotonic() < end:
             if result := happened():
@@ -138,23 +173,28 @@
             self.context.loop.run_once(0.01)
         raise AssertionError("it has not happened")
 
-    def let_pass(self, seconds):
-        """For what must not happen: time passes and the loop turns."""
+    def let_pass(self, seconds: float) -> None:
+        """Run the loop for so long, to show that something does not happen."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.context.loop.run_once(0.01)
 
-    def logged(self, event):
+    def logged(self, event: str) -> list[Json]:
+        """Return the lines of that event in the sidecar's log."""
         self.context.log.flush()
         self.log.seek(0)
         return [line for line in map(msgspec.json.decode, self.log) if line["event"] == event]
 
     # The client.
 
-    def client(self):
+    def client(self) -> Socket:
+        """Connect a client."""
         return self.keep(socket.create_connection(self.context.listener.sock.getsockname()))
 
-    def request(self, category="look", body=b"", lead="", **headers):
+    def request(
+        self, category: str = "look", body: bytes = b"", lead: str = "", **headers: str | None
+    ) -> bytes:
+        """Return the bytes of a request. `lead`: its first line; a header of None is left out."""
         method = "GET" if category == "look" else "POST"
         given = {"host": "a", "x-trace-id": "t1", "x-qos": category, "x-expires-in-ms": "1900"}
         if body:
@@ -166,21 +206,23 @@
         first = lead or f"{method} /{category}/1?q=2 HTTP/1.1"
         return "\r\n".join([first, *lines, "", ""]).encode() + body
 
-    def ask(self, category="look", body=b"", **headers):
+    def ask(self, category: str = "look", body: bytes = b"", **headers: str | None) -> Socket:
+        """Send a request as a new client, and return its socket."""
         client = self.client()
         client.sendall(self.request(category, body, **headers))
         return client
 
-    def call(self, lead, body=b"", extra=""):
-        """An operator's call; the status of its answer, None for a close without one."""
+    def call(self, lead: str, body: bytes = b"", extra: str = "") -> int | None:
+        """Make an admin call; return the status of its response, None for a close without one."""
         caller = self.keep(socket.create_connection(self.context.admin_listener.sock.getsockname()))
         length = f"Content-Length: {len(body)}\r\n" if body else ""
         caller.sendall(f"{lead} HTTP/1.1\r\nHost: a\r\n{length}{extra}\r\n".encode() + body)
         return self.status(caller)
 
-    def answer(self, sock, role=h11.CLIENT):
-        """The next whole message on a connection, None when it has ended without one."""
-        http, events, body = h11.Connection(role), [], b""
+    def answer(self, sock: Socket, role: type = h11.CLIENT) -> tuple[Any, bytes] | None:
+        """Return the next message on a connection, head and body; None: it has ended without one."""
+        http, body = h11.Connection(role), b""
+        events: list[Any] = []
         if role is h11.CLIENT:
             http.send(h11.Request(method="GET", target="/", headers=[("host", "a")]))
         sock.settimeout(0)
@@ -197,7 +239,8 @@
             else:
                 events.append(event)
 
-    def read(self, sock):
+    def read(self, sock: Socket) -> bytes | None:
+        """Read what has arrived; None: nothing, `b"end"`: the other side has closed."""
         sock.settimeout(0)
         try:
             return sock.recv(65536) or b"end"
@@ -206,65 +249,70 @@
         except OSError:
             return b"end"
 
-    def status(self, sock):
+    def status(self, sock: Socket) -> int | None:
+        """Return the status of the next response on a connection; None: it has ended without one."""
         answer = self.answer(sock)
         return answer[0].status_code if answer else None
 
     # The servers.
 
-    def accept(self, i=0, listener=None):
-        def accepted():
+    def accept(self, i: int = 0, listener: Socket | None = None) -> Socket:
+        """Wait for a connection to an endpoint, or at another listener."""
+
+        def accepted() -> Any:  # noqa: ANN401
             with contextlib.suppress(BlockingIOError):
                 return self.keep((listener or self.listeners[i]).accept()[0])
 
         return self.until(accepted)
 
-    def accept_any(self):
-        """The number of an upstream that somebody has connected to, and the connection."""
+    def accept_any(self) -> Any:  # noqa: ANN401
+        """Return the number of an endpoint that the sidecar has connected to, and the connection, if any."""
         for i, listener in enumerate(self.listeners):
             with contextlib.suppress(BlockingIOError):
                 return i, self.keep(listener.accept()[0])
 
-    def serve(self, i=0, **reply):
-        """Accept a connection to an upstream, take the request on it and answer."""
+    def serve(self, i: int = 0, **reply: Any) -> Socket:  # noqa: ANN401
+        """Accept a connection to an endpoint, receive the request on it and respond."""
         sock = self.accept(i)
         self.received(sock)
         self.reply(sock, **reply)
         return sock
 
-    def received(self, sock):
-        """The next whole request on a connection to an upstream."""
+    def received(self, sock: Socket) -> Any:  # noqa: ANN401
+        """Return the next request on a connection to an endpoint, head and body; None: it has ended."""
         return self.answer(sock, h11.SERVER)
 
-    def reply(self, sock, status=200, body=b"fine", extra=""):
+    def reply(self, sock: Socket, status: int = 200, body: bytes = b"fine", extra: str = "") -> None:
+        """Write a response. `extra`: header lines."""
         head = f"HTTP/1.1 {status} x\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
         sock.sendall(head.encode() + body)
 
-    def reset(self, sock):
+    def reset(self, sock: Socket) -> None:
+        """Close a connection with a reset."""
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
 
-    def rested(self):
-        """Turn until the connections to upstreams are idle and no second answer is expected on them."""
+    def rested(self) -> None:
+        """Run until the connections to endpoints are idle and no unsolicited response is expected on them."""
         rest = QUIESCENCE_FRACTION * self.context.shortest_objective
         idle = self.context.connections.idle_to_endpoints
         self.until(lambda: idle and all(c.idle_since + rest <= self.context.loop.now() for c in idle))
 
-    def all_go_to(self, i, times):
-        """So many requests, each from a new client and on a new connection, reach this upstream."""
+    def all_go_to(self, i: int, times: int) -> None:
+        """Check that so many requests, each of a new client and on a new connection, reach this endpoint."""
         for _ in range(times):
             client = self.ask(connection="close")
             self.serve(i, extra="Connection: close\r\n")
             assert self.status(client) == 200
 
-    def quiet(self, i=0, seconds=0.05):
-        """Nobody connects to an upstream."""
+    def quiet(self, i: int = 0, seconds: float = 0.05) -> None:
+        """Check that nobody connects to an endpoint."""
         self.let_pass(seconds)
         with pytest.raises(BlockingIOError):
             self.listeners[i].accept()
 
-    def watch(self, *lines, status=200):
-        """Take the sidecar's call to discovery and answer with some lines."""
+    def watch(self, *lines: Json | bytes, status: int = 200) -> tuple[Socket, bytes]:
+        """Accept the sidecar's call to discovery, write some messages, return its connection and target."""
         sock = self.accept(listener=self.discovery)
         request, _ = self.received(sock)
         sock.sendall(f"HTTP/1.1 {status} x\r\nTransfer-Encoding: chunked\r\n\r\n".encode())
@@ -272,14 +320,15 @@
             self.say(sock, line)
         return sock, request.target
 
-    def hear(self):
-        """Where the list comes unasked: what it has is told, whole; the watch."""
+    def hear(self) -> Socket:
+        """Where the list is pushed: accept the call, write a snapshot, and return the connection."""
         servers = [self.entry(i) for i in range(len(self.listeners))]
         watch, _ = self.watch({"version": 9, "full": True, "servers": servers})
         self.until(lambda: self.context.ready)
         return watch
 
-    def say(self, sock, line):
+    def say(self, sock: Socket, line: Json | bytes) -> None:
+        """Write one message, or a line as it is, to a watch."""
         text = (line if isinstance(line, bytes) else msgspec.json.encode(line)) + b"\n"
         half = len(text) // 2
         for part in (text[:half], text[half:]):
@@ -288,10 +337,11 @@
 
 
 @pytest.fixture
-def make_surroundings():
-    made = []
+def make_surroundings() -> Iterator[Callable[..., Surroundings]]:
+    """Makes real sidecars with their surroundings, and closes them at the end."""
+    made: list[Surroundings] = []
 
-    def make(**given):
+    def make(**given: Any) -> Surroundings:  # noqa: ANN401
         made.append(Surroundings(**given))
         return made[-1]
 
@@ -301,5 +351,6 @@
 
 
 @pytest.fixture
-def around(make_surroundings):
+def around(make_surroundings: Callable[..., Surroundings]) -> Surroundings:
+    """A real sidecar with its surroundings."""
     return make_surroundings()
