--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -75,7 +75,7 @@
 class GossipSender(Protocol):
     """Sends gossip to the peers."""
 
-    def tell(self, body: bytes) -> None:
+    def send(self, body: bytes) -> None:
         """Send it to each peer."""
 
 
@@ -140,11 +140,11 @@
         limits = self.config.limits
         self.process_count = processes
         buffers = int(limits.memory_mb * BUFFER_MEMORY_SHARE * 2**20 / BUFFER_SIZE / processes)
-        self.buffer_pool.limit(buffers)
+        self.buffer_pool.set_limit(buffers)
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         # Where the system allows fewer descriptors than were configured, discovery must still get its own.
         sockets = limits.sockets if soft == resource.RLIM_INFINITY else min(limits.sockets, soft)
-        self.connections.limit(sockets, processes)
+        self.connections.set_limit(sockets, processes)
 
     def check_siblings(self) -> None:
         """Look whether another process of this sidecar runs, and share the limits accordingly."""
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -184,7 +184,7 @@
         if self.context.gate.may_repeat(pending):
             pool = self.pools.get(attempt.endpoint.endpoint_id)
         deadline = attempt.started_at + limit
-        if pending.coming:
+        if pending.body_incomplete:
             # The time that the client takes to send the rest is not the endpoint's.
             attempt.started_at = inf
         exchange = Exchange(attempt.endpoint, pool, attempt.started_at, deadline, attempt, pending)
@@ -238,7 +238,7 @@
         context = self.context
         # Of two processes of one sidecar only the later one sends: peers would count its load twice.
         if context.gossip_socket is not None and not (context.stopping and context.passed_socket):
-            context.gossip_socket.tell(body)
+            context.gossip_socket.send(body)
 
     def set_alarm(self, at: float) -> None:
         """Run the decisions at that time, at the latest."""
@@ -265,7 +265,7 @@
         if pending.awaits_response:
             self.context.log(
                 "work.given_up",
-                trace=pending.trace.decode("latin-1"),
+                trace=pending.trace_id.decode("latin-1"),
                 category=pending.request.request_class.name,
             )
             self._send_final_response(pending, FinalResponse(GATEWAY_TIMEOUT), "written_off")
--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -31,9 +31,8 @@
 INITIAL_BACKOFF = 1 / 16  # times that, before a new discovery is called again; doubled each time
 REOPEN_WITHIN = 1 / 2  # times that, within which a watch that fell silent is opened again
 REOPEN_ENDED_WITHIN = 1 / 4  # the same for one that ended, after which the lease is shorter
-AGENT_ANSWER_TIMEOUT = (
-    1 / 4
-)  # times that, for which a call to an agent that pushes the list waits at first; doubled
+# Times that, for which a call to an agent that pushes the list waits at first; doubled each time.
+AGENT_ANSWER_TIMEOUT = 1 / 4
 USE_KNOWN_AFTER = 6.0  # times that, after which a start does without the agent's list
 # The changes that discovery has count as notified 3 times that later, whatever call fails or hangs.
 SECOND_CALL_WITHIN = 11 / 4  # times that, within which two calls begin while none is answered: one may hang
@@ -58,24 +57,19 @@
         self.version = known.version if known else 0
         self.address = context.config.discovery
         self.current: DiscoveryWatch | None = None  # the one in use
-        self.new_watch: DiscoveryWatch | None = (
-            None  # at the address of a new configuration, without a message
-        )
+        self.new_watch: DiscoveryWatch | None = None  # at a new address, until its first message
         self.second_watch: DiscoveryWatch | None = None  # a second call, where the first one hangs
         self.moving = False  # to the address of a new configuration
         self.next_call_at = inf  # when the next call begins after a backoff
         self.backoff = 0.0
         self.last_call_at = inf  # when the last call began, or a watch was last known to be in use
         self.latest_call_at = inf  # when the next call begins at the latest
-        self.hang_threshold = (
-            HANG_THRESHOLD * KEEPALIVE_INTERVAL
-        )  # an unanswered call counts as hanging after this
+        # After this time an unanswered call counts as hanging.
+        self.hang_threshold = HANG_THRESHOLD * KEEPALIVE_INTERVAL
         # Where the list is pushed its agent is near by, and its changes count as notified at once.
         self.pushed = not context.balancer_config.must_watch_endpoints
         self.initial_timeout_multiple = AGENT_ANSWER_TIMEOUT if self.pushed else ANSWER_TIMEOUT
-        self.timeout_multiple = (
-            self.initial_timeout_multiple
-        )  # times `KEEPALIVE_INTERVAL`: the next call's timeout
+        self.timeout_multiple = self.initial_timeout_multiple  # of `KEEPALIVE_INTERVAL`, for the next call
         # For an agent backoffs end well within the grace for drains, where the settings name one.
         grace = context.balancer_config.drain_grace / 4 if self.pushed else 0.0
         self.max_backoff = min(KEEPALIVE_INTERVAL, grace or KEEPALIVE_INTERVAL)
@@ -214,11 +208,8 @@
             self._close(before)
         if watch is not self.current:
             return
-        self.version, self.backoff, self.timeout_multiple = (
-            message.version,
-            0.0,
-            self.initial_timeout_multiple,
-        )
+        self.version, self.backoff = message.version, 0.0
+        self.timeout_multiple = self.initial_timeout_multiple
         if not watch.has_proven:
             watch.prove()  # it was not in use yet when the line was read
         if self.use_known_at < inf and not message.full:
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -192,7 +192,7 @@
             now,
             now + request.time_left,
             request.is_retry,
-            RecordedRequest(pending.method, pending.target, headers, body, pending.trace),
+            RecordedRequest(pending.method, pending.target, headers, body, pending.trace_id),
             [],
             rules=RequestClassRecord.of(request_class),
         )
--- a/starlingwheel/net/fleet/responses.py
+++ b/starlingwheel/net/fleet/responses.py
@@ -56,5 +56,5 @@
     body = final.response.body
     if isinstance(body, BodyStream):
         # A body that is forwarded while it arrives can't be given to anybody else.
-        return RecordedResponse(WRITTEN_OFF, 0.0, final.response.kind, b"")
-    return RecordedResponse(FINISHED, 0.0, final.response.kind, b"".join(body.views()))
+        return RecordedResponse(WRITTEN_OFF, 0.0, final.response.content_type, b"")
+    return RecordedResponse(FINISHED, 0.0, final.response.content_type, b"".join(body.views()))
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -47,7 +47,7 @@
         self.now = now
         self.log = log
         self.refused: Counter[Refusal] = Counter()
-        self.late = 0  # first bytes written longer after the check than the lease allows for
+        self.late_writes = 0  # first bytes written longer after the check than the lease allows for
         self.stale_rejections = 0  # requests rejected while the lease had expired
         self.violations = 0  # attempts and responses that the decisions asked for and that no rule allows
         self.last_state = LeaseState.FRESH
@@ -109,7 +109,7 @@
     def note_written(self, exchange: Exchange) -> None:
         """Count first bytes that were written too long after `refusal` let them."""
         if exchange.admitted_at and self.now() - exchange.admitted_at > HELD_UP:
-            self.late += 1
+            self.late_writes += 1
         exchange.admitted_at = 0.0
 
     def note_rejected(self) -> None:
@@ -142,6 +142,6 @@
         if not (pending.may_have_run or pending.exchanges):
             return True
         self.violations += 1
-        trace = pending.trace.decode("latin-1")
+        trace = pending.trace_id.decode("latin-1")
         self.log("gate.violation", what=violation, trace=trace, category=pending.request.request_class.name)
         return False
--- a/starlingwheel/net/gossip/socket.py
+++ b/starlingwheel/net/gossip/socket.py
@@ -69,7 +69,7 @@
                 if peer := self.peers.get(sender):
                     peer.post(body)
 
-    def tell(self, body: bytes) -> None:
+    def send(self, body: bytes) -> None:
         """Send a datagram to all peers; one that can't be sent is logged and lost."""
         if self.broadcast_address is None or len(body) > MAX_DATAGRAM_SIZE:
             return
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -60,9 +60,7 @@
         self.body_received = 0  # bytes of the current request's body
         self.paused_time = 0.0  # seconds for which that body was not read, for want of buffers
         self.body = BufferedBody(context.buffer_pool)
-        self.body_stream: BodyStream | None = (
-            None  # takes the place of `body` when that is too long to buffer
-        )
+        self.body_stream: BodyStream | None = None  # in place of a `body` that is too long to buffer
         self.pending: PendingRequest | None = None
         context.connections.clients[self] = None
         context.connections.silent_clients[self] = None
@@ -139,7 +137,7 @@
     def _release_body(self, accepted: bool) -> None:
         self.body.release()
         if self.body_stream is not None:
-            self.body_stream.break_off()
+            self.body_stream.abort()
             if not accepted:
                 self.body_stream.release()
             self.body_stream = None
@@ -267,7 +265,7 @@
     ) -> Coroutine[FinalResponse]:
         """Wait for the final response; what comes behind the request stays in the kernel's buffer."""
         self.pending = pending
-        self.context.active_traces.add(pending.trace)
+        self.context.active_traces.add(pending.trace_id)
         self.context.connections.note_request_complete(self)
         try:
             self.context.coordinator.post(RequestReceived(pending))
@@ -279,7 +277,7 @@
             self.pending = None
             return final
         finally:
-            self.context.active_traces.discard(pending.trace)
+            self.context.active_traces.discard(pending.trace_id)
 
     def _wait_for_final(self) -> Coroutine[FinalResponse]:
         self.stream.wait_for(HANGUP)
@@ -334,10 +332,10 @@
 
     def _wait_for_room(self, body_stream: BodyStream) -> Coroutine[Any]:
         """Return the next message; input stays unread while there is no room for it, but for its end."""
-        while not body_stream.room():
+        while not body_stream.has_room():
             since = self.loop.now()
             self.stream.wait_for(HANGUP)
-            message = yield None if body_stream.full else since + self.context.shortest_objective / 64
+            message = yield None if body_stream.is_full else since + self.context.shortest_objective / 64
             self.paused_time += self.loop.now() - since
             if isinstance(message, FinalResponse | SocketReady):
                 return message
--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -307,7 +307,7 @@
     def _add_data(self, stream_exchange: StreamExchange, data: bytes) -> None:
         body = stream_exchange.body
         try:
-            if body.length + len(data) > self.context.buffer_pool.large:
+            if body.length + len(data) > self.context.buffer_pool.max_body_size:
                 raise BuffersExhaustedError
             body.add(data)
         except BuffersExhaustedError:
@@ -327,8 +327,8 @@
             report = load_report_of(stream_exchange.headers, exchange, body)
         response = None
         if outcome is AttemptOutcome.SUCCESS and exchange.pending is not None:
-            kind = dict(stream_exchange.headers).get(b"content-type", b"")
-            response = UpstreamResponse(body, kind)
+            content_type = dict(stream_exchange.headers).get(b"content-type", b"")
+            response = UpstreamResponse(body, content_type)
         else:
             body.release()
         self._report(exchange, ExchangeResult(outcome, report, response))
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -37,7 +37,7 @@
         self.context, self.endpoint = context, endpoint
         self.idle: list[Http1Connection] = []
         self.multiplexed: list[Http2Connection] = []  # where the settings allow many exchanges at once
-        self.last_started_at, self.last_trace = 0.0, b""  # of the last attempt begun here; 0: none
+        self.last_started_at, self.last_trace_id = 0.0, b""  # of the last attempt begun here; 0: none
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
@@ -65,7 +65,7 @@
     def note_started(self, exchange: Exchange, now: float) -> None:
         """The first byte of an attempt is about to be written."""
         self.last_started_at = now
-        self.last_trace = exchange.pending.trace if exchange.pending is not None else b""
+        self.last_trace_id = exchange.pending.trace_id if exchange.pending is not None else b""
 
     def take_quiescent(self) -> Http1Connection | None:
         """Take the idle connection used last of those on which no unsolicited response is expected."""
@@ -149,5 +149,5 @@
             upstream=self.endpoint.id,
             state=endpoint.state if endpoint is not None else LEFT_STATE,
             last_begun_at=self.last_started_at,
-            last_trace=self.last_trace.decode("latin-1"),
+            last_trace=self.last_trace_id.decode("latin-1"),
         )
--- a/starlingwheel/net/http/request_parser.py
+++ b/starlingwheel/net/http/request_parser.py
@@ -21,9 +21,7 @@
     from .client_connection import ClientConnection
 
 MAX_TIMEOUT_DIGITS = 15
-ABSOLUTE_FORM = re.compile(
-    rb"^https?://[^/?]*", re.IGNORECASE
-)  # what a target may begin with (RFC 9112, 3.2.2)
+ABSOLUTE_FORM = re.compile(rb"^https?://[^/?]*", re.IGNORECASE)  # a target may begin so (RFC 9112, 3.2.2)
 METHODS = {
     RetrySafety.IDEMPOTENT: b"GET",
     RetrySafety.IDEMPOTENT_WITH_KEY: b"POST",
@@ -57,12 +55,12 @@
     `received_at`: when its last byte was read; of no account for a body that is still coming.
     """
     headers = _headers_by_name(request)
-    trace = headers.get(b"x-trace-id", b"")
-    if not trace:
+    trace_id = headers.get(b"x-trace-id", b"")
+    if not trace_id:
         raise InvalidRequestError(400, InvalidRequestReason.NO_TRACE_ID)
     target = ABSOLUTE_FORM.sub(b"", request.target)
     request_class = _request_class(request.method, target, headers, context)
-    if trace in context.active_traces:
+    if trace_id in context.active_traces:
         raise InvalidRequestError(409, InvalidRequestReason.TRACE_ID_IN_USE)
     timeout = _timeout(headers)
     if len(context.active_traces) >= context.connections.max_requests:
@@ -82,7 +80,7 @@
         target=target,
         headers=request.headers.raw_items(),
         body=body,
-        trace=trace,
+        trace_id=trace_id,
     )
 
 
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -90,15 +90,15 @@
         """Write a body while it comes; the end of the message is put, but not written."""
         body.sink = self.stream.actor
         yield from self.write(exchange)
-        while not body.whole:
-            if body.broken:
+        while not body.is_consumed:
+            if body.aborted:
                 raise ConnectionLostError(CloseReason.CLIENT_LEFT)
             part = body.take()
             if part.length:
                 # What has been taken can't be sent again: this attempt is the only one.
                 if exchange.pending is not None:
                     exchange.pending.request.max_attempts = 1
-                if body.whole:
+                if body.is_consumed:
                     self.check_wanted(exchange)
                 # With the last byte it may run: whether that arrived is not known if the connection breaks.
                 exchange.written = body.taken == body.length
--- a/starlingwheel/net/http/response_writer.py
+++ b/starlingwheel/net/http/response_writer.py
@@ -28,8 +28,8 @@
     headers = [(b"Transfer-Encoding", b"chunked")]
     if length is not None:
         headers = [(b"Content-Length", str(length).encode())]
-    if response and response.kind:
-        headers.append((b"Content-Type", response.kind))
+    if response and response.content_type:
+        headers.append((b"Content-Type", response.content_type))
     if final and final.retry_after > 0:
         headers.append((b"Retry-After", f"{final.retry_after:.3f}".encode()))
     if close:
@@ -69,7 +69,7 @@
         body.sink = self.stream.actor
         # A small send buffer: with megabytes in it a slow reader would seem to take nothing for that long.
         self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_BUFFERED_BODY)
-        while not body.whole:
+        while not body.is_consumed:
             part = body.take()
             if part.length:
                 try:
@@ -77,7 +77,7 @@
                     yield from self._flush()
                 finally:
                     part.release()
-            elif body.broken:
+            elif body.aborted:
                 # An incomplete response must not be taken for a complete one.
                 self.stream.abort()
                 raise ConnectionLostError(CloseReason.UPSTREAM_BROKE)
--- a/starlingwheel/net/http/upstream_response.py
+++ b/starlingwheel/net/http/upstream_response.py
@@ -139,7 +139,7 @@
                     yield from self._receive()
         finally:
             if self.relay is not None:
-                self.relay.break_off()
+                self.relay.abort()
 
     def take_body(self) -> UpstreamResponse:
         """Give the buffered body away, as the response of the exchange."""
@@ -169,8 +169,8 @@
         if outcome is not AttemptOutcome.SUCCESS:
             raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
         report = load_report_of(head.headers, exchange, self.body)
-        begun, self.body = self.body, BufferedBody(self.context.buffer_pool)
-        self.relay = BodyStream(self.context.buffer_pool, self.stream.actor, self.length, begun)
+        received, self.body = self.body, BufferedBody(self.context.buffer_pool)
+        self.relay = BodyStream(self.context.buffer_pool, self.stream.actor, self.length, received)
         response = UpstreamResponse(self.relay, self.headers.get(b"content-type", b""))
         self.on_relay(ExchangeResult(outcome, report, response))
 
@@ -196,11 +196,11 @@
             raise ConnectionLostError(CloseReason.MALFORMED)
 
     def _receive_for_relay(self, relay: BodyStream) -> Coroutine[None]:
-        while not relay.room() and not relay.refused:
+        while not relay.has_room() and not relay.cancelled:
             # The client is slow, or buffers are short: what follows waits in the kernel.
             self.stream.pause()
-            yield inf if relay.full else self.stream.loop.now() + self.context.shortest_objective / 64
-        if relay.refused:
+            yield inf if relay.is_full else self.stream.loop.now() + self.context.shortest_objective / 64
+        if relay.cancelled:
             raise ConnectionLostError(CloseReason.CANCELLED)
         self.stream.wait_for(READ)
         deadline = self.stream.loop.now() + RELAY_STALL_TIMEOUT
--- a/starlingwheel/net/lifecycle/stats.py
+++ b/starlingwheel/net/lifecycle/stats.py
@@ -35,7 +35,7 @@
                 lameduck=context.draining,
                 connections=len(context.connections.clients) + len(context.connections.to_endpoints),
                 most_connections=context.connections.peak,
-                buffers=context.buffer_pool.made,
+                buffers=context.buffer_pool.allocated,
                 memory_mb=round(resident / 2**20, 1),
                 late_ms=round(self.loop.max_timer_delay * 1000, 1),
                 slowest_ms=round(context.coordinator.slowest_turn * 1000, 1),
@@ -43,6 +43,6 @@
                 refused={why.value: count for why, count in context.gate.refused.items()},
                 rejected_stale=context.gate.stale_rejections,
                 gate_violations=context.gate.violations,
-                written_late=context.gate.late,
+                written_late=context.gate.late_writes,
             )
             self.loop.max_timer_delay = context.coordinator.slowest_turn = 0.0
--- a/starlingwheel/net/state/body_stream.py
+++ b/starlingwheel/net/state/body_stream.py
@@ -25,7 +25,7 @@
 
 
 class BodyStream:
-    """The source adds to it and ends it, or breaks it off; the sink takes from it and releases it at the end.
+    """The source adds to it and ends it, or aborts it; the sink takes from it and releases it at the end.
 
     Each end looks at it again when it gets `BODY_STREAM_CHANGED`.
     """
@@ -37,43 +37,45 @@
         "length",
         "total",
         "taken",
-        "coming",
+        "buffered",
         "ended",
-        "broken",
-        "refused",
-        "told",
+        "aborted",
+        "cancelled",
+        "sink_notified",
     )
 
-    def __init__(self, pool: BufferPool, source: StreamEnd, length: int | None, begun: BufferedBody) -> None:
-        """`length`: of the body, if it is known; `begun`: what of it has arrived already."""
+    def __init__(
+        self, pool: BufferPool, source: StreamEnd, length: int | None, received: BufferedBody
+    ) -> None:
+        """`length`: of the body, if it is known; `received`: what of it has arrived already."""
         self.pool = pool
         self.source = source
         self.length = length
         self.sink: StreamEnd | None = None
-        self.coming = begun  # arrived and not taken yet
-        self.total = begun.length  # bytes that have arrived
+        self.buffered = received  # arrived and not taken yet
+        self.total = received.length  # bytes that have arrived
         self.taken = 0  # bytes that the sink has taken
         self.ended = False  # the source has added the last byte
-        self.broken = False  # the source has broken off
-        self.refused = False  # the sink wants nothing more
-        self.told = False  # the sink has a `BodyStreamChanged` that it has not acted on
+        self.aborted = False  # the source has aborted it
+        self.cancelled = False  # the sink wants nothing more
+        self.sink_notified = False  # the sink has a `BodyStreamChanged` that it has not acted on
 
     # For the source.
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """The sink has to take something before more is added."""
-        return self.coming.length >= STREAM_WINDOW
+        return self.buffered.length >= STREAM_WINDOW
 
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         """One read more may be added."""
-        return not self.full and self.pool.left * BUFFER_SIZE > len(self.pool.scratch)
+        return not self.is_full and self.pool.available * BUFFER_SIZE > len(self.pool.scratch)
 
     def add(self, data: bytes | bytearray) -> None:
         """Append bytes. Raises `BuffersExhaustedError`."""
         self.total += len(data)
-        if not self.refused:
-            self.coming.add(data)
+        if not self.cancelled:
+            self.buffered.add(data)
         self._notify_sink()
 
     def end(self) -> None:
@@ -81,28 +83,28 @@
         self.ended = True
         self._notify_sink()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The rest of the body won't arrive; ignored after `end`."""
-        self.broken = not self.ended
+        self.aborted = not self.ended
         self._notify_sink()
 
     def _notify_sink(self) -> None:
-        if self.sink is not None and not self.told:
-            self.told = True
+        if self.sink is not None and not self.sink_notified:
+            self.sink_notified = True
             self.sink.post(BODY_STREAM_CHANGED)
 
     # For the sink.
 
     @property
-    def whole(self) -> bool:
+    def is_consumed(self) -> bool:
         """All of the body has been taken."""
-        return not self.coming.length and (self.ended or self.taken == self.length)
+        return not self.buffered.length and (self.ended or self.taken == self.length)
 
     def take(self) -> BufferedBody:
         """Return what has arrived since the last call; the sink releases it once it is written."""
-        was_full = self.full
-        self.told = False
-        part, self.coming = self.coming, BufferedBody(self.pool)
+        was_full = self.is_full
+        self.sink_notified = False
+        part, self.buffered = self.buffered, BufferedBody(self.pool)
         self.taken += part.length
         if was_full:
             self.source.post(BODY_STREAM_CHANGED)
@@ -110,7 +112,7 @@
 
     def release(self) -> None:
         """Nothing more of the body is wanted."""
-        self.coming.release()
-        if not (self.refused or self.ended):
-            self.refused = True
+        self.buffered.release()
+        if not (self.cancelled or self.ended):
+            self.cancelled = True
             self.source.post(BODY_STREAM_CHANGED)
--- a/starlingwheel/net/state/buffers.py
+++ b/starlingwheel/net/state/buffers.py
@@ -15,44 +15,45 @@
 class BufferPool:
     """Hands out buffers, at most so many at a time, and keeps those that come back."""
 
-    def __init__(self, most: int) -> None:
-        """`most`: buffers at a time."""
-        self.made = 0  # buffers that exist
+    def __init__(self, max_buffers: int) -> None:
+        """`max_buffers`: at a time."""
+        self.allocated = 0  # buffers that exist
         self.free: list[bytearray] = []
         # Sockets are read into a buffer apart, empty again before the next turn: a full pool stops no read.
         self.scratch = bytearray(MAX_REQUEST_BODY)
-        self.limit(most)
+        self.set_limit(max_buffers)
 
-    def limit(self, most: int) -> None:
+    def set_limit(self, max_buffers: int) -> None:
         """Allow so many buffers from now on."""
-        self.most = most
-        self.large = max(MAX_BUFFERED_BODY, int(most * MAX_BODY_SHARE) * BUFFER_SIZE)  # bytes of one body
+        self.max_buffers = max_buffers
+        body_buffers = int(max_buffers * MAX_BODY_SHARE)
+        self.max_body_size = max(MAX_BUFFERED_BODY, body_buffers * BUFFER_SIZE)  # bytes
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         """Return a buffer. Raises `BuffersExhaustedError`."""
         if self.free:
             return self.free.pop()
-        if self.made >= self.most:
+        if self.allocated >= self.max_buffers:
             raise BuffersExhaustedError
-        self.made += 1
+        self.allocated += 1
         return bytearray(BUFFER_SIZE)
 
-    def give(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         """Take a buffer back."""
-        if self.made > self.most:
-            self.made -= 1
+        if self.allocated > self.max_buffers:
+            self.allocated -= 1
             return
         self.free.append(buffer)
 
     @property
     def in_use(self) -> int:
         """Buffers that are handed out."""
-        return self.made - len(self.free)
+        return self.allocated - len(self.free)
 
     @property
-    def left(self) -> int:
+    def available(self) -> int:
         """Buffers that may still be handed out."""
-        return self.most - self.in_use
+        return self.max_buffers - self.in_use
 
 
 class BufferedBody:
@@ -72,7 +73,7 @@
         while rest:
             start = self.length % BUFFER_SIZE
             if start == 0:
-                self.buffers.append(self.pool.take())
+                self.buffers.append(self.pool.acquire())
             part = rest[: BUFFER_SIZE - start]
             self.buffers[-1][start : start + len(part)] = part
             self.length += len(part)
@@ -90,6 +91,6 @@
     def release(self) -> None:
         """Give the buffers back to the pool."""
         for buffer in self.buffers:
-            self.pool.give(buffer)
+            self.pool.release(buffer)
         self.buffers = []
         self.length = 0
--- a/starlingwheel/net/state/connections.py
+++ b/starlingwheel/net/state/connections.py
@@ -16,37 +16,36 @@
 class ConnectionTracker:
     """Counts open connections by kind, and says which to close first. Dicts serve as ordered sets."""
 
-    def __init__(self, most: int, called: bool = False) -> None:
-        """`most`: descriptors; `called`: operators' calls need some of them."""
-        self.called = called
-        self.limit(most)
+    def __init__(self, max_descriptors: int, admin_enabled: bool = False) -> None:
+        """`admin_enabled`: operators' calls need some of the descriptors."""
+        self.admin_enabled = admin_enabled
+        self.set_limit(max_descriptors)
         self.clients: dict[Any, None] = {}
         self.to_endpoints: dict[Any, None] = {}  # to endpoints
-        self.idle_to_endpoints: dict[
-            Any, None
-        ] = {}  # to endpoints and without an exchange, the longest idle first
+        # To endpoints and without an exchange, the longest idle first.
+        self.idle_to_endpoints: dict[Any, None] = {}
         self.silent_clients: dict[Any, None] = {}  # clients that have not sent anything yet, the oldest first
-        self.partial_requests: dict[
-            Any, None
-        ] = {}  # clients within their first request, the longest silent first
+        # Clients within their first request, the longest silent first.
+        self.partial_requests: dict[Any, None] = {}
         self.idle_clients: dict[Any, None] = {}  # clients between requests, the longest idle first
         self.answered_clients: dict[Any, None] = {}  # clients that have their last response
         self.peak = 0  # connections at a time, the most so far
 
-    def limit(self, most: int, processes: int = 1) -> None:
+    def set_limit(self, max_descriptors: int, processes: int = 1) -> None:
         """Allow so many descriptors in all, from now on, for so many processes of one sidecar together.
 
         Clients hold no more of them with two processes than with one, and move to the new one all at once: it
         is the endpoints' part that is divided.
         """
-        self.reserve = max(MIN_RESERVE, int(most * RESERVE_SHARE))
-        self.admin_call_limit = max(MIN_ADMIN_CALLS, int(most * ADMIN_SHARE)) if self.called else 0
-        self.max_requests = max(1, int(most * REQUEST_SHARE))  # in flight at a time
+        self.reserve = max(MIN_RESERVE, int(max_descriptors * RESERVE_SHARE))
+        self.admin_call_limit = 0
+        if self.admin_enabled:
+            self.admin_call_limit = max(MIN_ADMIN_CALLS, int(max_descriptors * ADMIN_SHARE))
+        self.max_requests = max(1, int(max_descriptors * REQUEST_SHARE))  # in flight at a time
         self.client_limit = max(1, int(self.max_requests * CLOSE_IDLE_FROM))
         # Operators' calls count twice: those that make room for others stay open for one turn more.
-        self.endpoint_limit = max(
-            1, (most - self.max_requests - 2 * self.reserve - 2 * self.admin_call_limit) // processes
-        )
+        for_others = self.max_requests + 2 * self.reserve + 2 * self.admin_call_limit
+        self.endpoint_limit = max(1, (max_descriptors - for_others) // processes)
 
     @property
     def is_full(self) -> bool:
--- a/starlingwheel/net/state/requests.py
+++ b/starlingwheel/net/state/requests.py
@@ -40,14 +40,14 @@
     target: bytes
     headers: Headers
     body: BufferedBody | BodyStream
-    trace: bytes
+    trace_id: bytes
     awaits_response: bool = True  # it has no final response yet
     may_have_run: bool = False  # an attempt that has ended may have had an effect
     first_risky_at: float = inf  # when the first of those was sent
     exchanges: dict[Attempt, Exchange] = field(default_factory=dict)
 
     @property
-    def coming(self) -> bool:
+    def body_incomplete(self) -> bool:
         """Its last byte has not arrived yet."""
         return isinstance(self.body, BodyStream) and not self.body.ended
 
@@ -94,4 +94,4 @@
     """The response of an endpoint to a request: complete, or passed on while it arrives."""
 
     body: BufferedBody | BodyStream
-    kind: bytes  # its Content-Type
+    content_type: bytes
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -159,7 +159,7 @@
     make_process: Callable[[int], Process], sockets: int, kind: str
 ) -> None:
     """All connections to endpoints but a few are in use; with each flood one more of these is needed."""
-    sidecar, tracker, few = make_process(sockets), ConnectionTracker(sockets, called=True), 4
+    sidecar, tracker, few = make_process(sockets), ConnectionTracker(sockets, admin_enabled=True), 4
     asked = [
         sidecar.ask(b"early-%d" % i) for i in range(min(tracker.endpoint_limit, tracker.client_limit) - few)
     ]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -197,7 +197,7 @@
     flow = around.until(
         lambda: next((j.body for j in around.context.coordinator.pending_requests.values()), None)
     )
-    around.until(lambda: flow.full)
+    around.until(lambda: flow.is_full)
     client.close()
     assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "client-left"
     assert not flow.ended
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -502,12 +502,12 @@
     flow.sink = sink
     for _ in range(17):
         flow.add(b"x" * BUFFER_SIZE)
-    assert sink.mail == [BODY_STREAM_CHANGED] and flow.full and not flow.room()
+    assert sink.mail == [BODY_STREAM_CHANGED] and flow.is_full and not flow.has_room()
     part = flow.take()
-    assert part.length == 17 * BUFFER_SIZE and source.mail == [BODY_STREAM_CHANGED] and flow.room()
+    assert part.length == 17 * BUFFER_SIZE and source.mail == [BODY_STREAM_CHANGED] and flow.has_room()
     flow.add(b"x")
     flow.release()
     part.release()
-    assert flow.refused and len(source.mail) == 2 and pool.in_use == 0
+    assert flow.cancelled and len(source.mail) == 2 and pool.in_use == 0
     flow.add(b"more")
     assert pool.in_use == 0
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -659,7 +659,7 @@
 
 def test_without_buffers_requests_are_answered_503(around: Surroundings) -> None:
     """Nothing is sent."""
-    around.context.buffer_pool.most = 0
+    around.context.buffer_pool.max_buffers = 0
     assert around.status(around.ask("buy", b"one")) == 503
     around.quiet()
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -133,7 +133,7 @@
 
 def test_without_an_admin_address_nothing_listens(around):
     assert around.context.admin_listener is None and around.context.connections.admin_call_limit == 0
-    assert ConnectionTracker(1024).endpoint_limit > ConnectionTracker(1024, called=True).endpoint_limit
+    assert ConnectionTracker(1024).endpoint_limit > ConnectionTracker(1024, admin_enabled=True).endpoint_limit
 
 
 # Detaching an endpoint.
@@ -311,7 +311,7 @@
     around = operated()
     context, balancer = around.context, around.context.coordinator.scheduler.balancer
     clients = context.connections.client_limit
-    alone = context.buffer_pool.most, context.connections.endpoint_limit
+    alone = context.buffer_pool.max_buffers, context.connections.endpoint_limit
 
     class Another:
         def others(self):
@@ -319,12 +319,12 @@
 
     context.siblings = Another()
     around.until(lambda: balancer.config.process_count == 2)
-    shared = context.buffer_pool.most, context.connections.endpoint_limit
+    shared = context.buffer_pool.max_buffers, context.connections.endpoint_limit
     assert context.connections.client_limit == clients  # they come over to the new one all at once
     assert all(half < whole * 0.6 for half, whole in zip(shared, alone, strict=True))
     context.siblings = None
     around.until(lambda: balancer.config.process_count == 1)
-    assert (context.buffer_pool.most, context.connections.endpoint_limit) == alone
+    assert (context.buffer_pool.max_buffers, context.connections.endpoint_limit) == alone
 
 
 @pytest.mark.parametrize("value", ["x", "9999", "0"])
