--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -1,16 +1,18 @@
 """Keeps the endpoint list of a sidecar current: one watch in use, opened again when it ends.
 
 Owns the calls to discovery and their schedule; what one call reads comes from `watch.py`. Times are seconds
-on the loop's clock; constants that are multiples are multiples of `EMPTY_LINE`.
+on the loop's clock; constants that are multiples are multiples of `KEEPALIVE_INTERVAL`.
 """
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from math import inf
 
 from ...decisions.events import WatchEvent
 from ..actor import Actor, Coroutine
 from ..context import SidecarContext
+from ..http.errors import CloseReason
 from ..messages import (
     CLOSE,
     DiscoveryMoved,
@@ -29,9 +31,8 @@
 INITIAL_BACKOFF = 1 / 16  # times that, before a new discovery is called again; doubled each time
 REOPEN_WITHIN = 1 / 2  # times that, within which a watch that fell silent is opened again
 REOPEN_ENDED_WITHIN = 1 / 4  # the same for one that ended, after which the lease is shorter
-AGENT_ANSWER_TIMEOUT = (
-    1 / 4
-)  # times that, for which a call to an agent that pushes the list waits at first; doubled
+# Times that, for which a call to an agent that pushes the list waits at first; doubled each time.
+AGENT_ANSWER_TIMEOUT = 1 / 4
 USE_KNOWN_AFTER = 6.0  # times that, after which a start does without the agent's list
 # The changes that discovery has count as notified 3 times that later, whatever call fails or hangs.
 SECOND_CALL_WITHIN = 11 / 4  # times that, within which two calls begin while none is answered: one may hang
@@ -56,24 +57,19 @@
         self.version = known.version if known else 0
         self.address = context.config.discovery
         self.current: DiscoveryWatch | None = None  # the one in use
-        self.new_watch: DiscoveryWatch | None = (
-            None  # at the address of a new configuration, without a message
-        )
+        self.new_watch: DiscoveryWatch | None = None  # at a new address, until its first message
         self.second_watch: DiscoveryWatch | None = None  # a second call, where the first one hangs
         self.moving = False  # to the address of a new configuration
         self.next_call_at = inf  # when the next call begins after a backoff
         self.backoff = 0.0
         self.last_call_at = inf  # when the last call began, or a watch was last known to be in use
         self.latest_call_at = inf  # when the next call begins at the latest
-        self.hang_threshold = (
-            HANG_THRESHOLD * KEEPALIVE_INTERVAL
-        )  # an unanswered call counts as hanging after this
+        # After this time an unanswered call counts as hanging.
+        self.hang_threshold = HANG_THRESHOLD * KEEPALIVE_INTERVAL
         # Where the list is pushed its agent is near by, and its changes count as notified at once.
         self.pushed = not context.balancer_config.must_watch_endpoints
         self.initial_timeout_multiple = AGENT_ANSWER_TIMEOUT if self.pushed else ANSWER_TIMEOUT
-        self.timeout_multiple = (
-            self.initial_timeout_multiple
-        )  # times `KEEPALIVE_INTERVAL`: the next call's timeout
+        self.timeout_multiple = self.initial_timeout_multiple  # of `KEEPALIVE_INTERVAL`, for the next call
         # For an agent backoffs end well within the grace for drains, where the settings name one.
         grace = context.balancer_config.drain_grace / 4 if self.pushed else 0.0
         self.max_backoff = min(KEEPALIVE_INTERVAL, grace or KEEPALIVE_INTERVAL)
@@ -141,7 +137,7 @@
             self.current = watch
 
     def _with_jitter(self, multiple: float) -> float:
-        """Return that multiple of `EMPTY_LINE`, or a little less."""
+        """Return that multiple of `KEEPALIVE_INTERVAL`, or a little less."""
         return KEEPALIVE_INTERVAL * (multiple - JITTER * self.context.rng.random())
 
     def _call(self) -> None:
@@ -212,11 +208,8 @@
             self._close(before)
         if watch is not self.current:
             return
-        self.version, self.backoff, self.timeout_multiple = (
-            message.version,
-            0.0,
-            self.initial_timeout_multiple,
-        )
+        self.version, self.backoff = message.version, 0.0
+        self.timeout_multiple = self.initial_timeout_multiple
         if not watch.has_proven:
             watch.prove()  # it was not in use yet when the line was read
         if self.use_known_at < inf and not message.full:
@@ -244,24 +237,24 @@
 
     def _schedule_after(self, watch: DiscoveryWatch, now: float) -> None:
         """Set when the next call begins at the latest."""
-        if watch.answered or watch.reason == WatchEndReason.REFUSED:
+        if watch.answered or watch.reason is CloseReason.CONNECT_REFUSED:
             # Its changes until then are known, or discovery could not be reached until then.
-            self.last_call_at = watch.read_at if watch.reason == WatchEndReason.SILENT else now
+            self.last_call_at = watch.read_at if watch.reason is WatchEndReason.SILENT else now
             self.latest_call_at = now + self._with_jitter(FIRST_CALL_WITHIN)
-        elif watch.reason != WatchEndReason.SILENT:
+        elif watch.reason is not WatchEndReason.SILENT:
             self._adapt_hang_threshold(watch)
 
     def _update_lease(self, watch: DiscoveryWatch, now: float) -> None:
         """Tell the lease what the end of a call or a watch means for the list."""
         lease = self.context.lease
-        busy_agent = self.pushed and watch.reason == WatchEndReason.ANSWERED_503
-        if busy_agent or watch.reason == WatchEndReason.REFUSED:
+        busy_agent = self.pushed and watch.error_status == HTTPStatus.SERVICE_UNAVAILABLE
+        if busy_agent or watch.reason is CloseReason.CONNECT_REFUSED:
             lease.miss_source(now)
         elif watch is self.current and watch.answered:
-            if watch.reason == WatchEndReason.SILENT:
+            if watch.reason is WatchEndReason.SILENT:
                 lease.fall_silent(now)
             else:
-                lease.end_watch(now, reset=watch.reason == WatchEndReason.RESET)
+                lease.end_watch(now, reset=watch.reason is CloseReason.RESET)
         self.context.gate.note_state()
 
     def _reopen(self, watch: DiscoveryWatch) -> None:
@@ -285,6 +278,6 @@
             # The decisions would spread their calls over the fleet's interval, and what is missed until then
             # would count as notified. A silent watch is found at random times anyway; one that ended may have
             # ended in place of telling a change.
-            silent = watch.reason == WatchEndReason.SILENT
+            silent = watch.reason is WatchEndReason.SILENT
             within = REOPEN_WITHIN if silent else REOPEN_ENDED_WITHIN
             self.next_call_at = now + within * KEEPALIVE_INTERVAL * self.context.rng.random()
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -26,7 +26,7 @@
     BuffersExhaustedError,
 )
 from ..state.requests import PendingRequest
-from .errors import CloseReason, ConnectionLostError, InvalidRequestError
+from .errors import CloseReason, ConnectionLostError, InvalidRequestError, InvalidRequestReason
 from .request_parser import declared_length, parse_request
 from .response_writer import ResponseWriter
 from .stream import Event, Stream
@@ -51,18 +51,16 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.stream = Stream(context.loop, self, sock, h11.SERVER, context.buffer_pool)
         self.writer = ResponseWriter(self.stream)
-        self.reason: CloseReason | str | None = None  # why it ends
+        self.reason: CloseReason | None = None  # why it ends
         self.idle_reason: CloseReason | None = None  # why it ends as soon as it is idle
         self.response_count = 0
-        self.opened = self.idle_since = context.loop.now()
+        self.opened_at = self.idle_since = context.loop.now()
         self.request_started_at: float | None = None  # when the first byte of the current request was read
-        self.last_read_at = self.opened
+        self.last_read_at = self.opened_at
         self.body_received = 0  # bytes of the current request's body
         self.paused_time = 0.0  # seconds for which that body was not read, for want of buffers
         self.body = BufferedBody(context.buffer_pool)
-        self.body_stream: BodyStream | None = (
-            None  # takes the place of `body` when that is too long to buffer
-        )
+        self.body_stream: BodyStream | None = None  # in place of a `body` that is too long to buffer
         self.pending: PendingRequest | None = None
         context.connections.clients[self] = None
         context.connections.silent_clients[self] = None
@@ -114,10 +112,10 @@
                 status = final.status
         except InvalidRequestError as error:
             status = error.status
-            self.context.log("request.unfit", status=status, reason=error.reason)
+            self.context.log("request.unfit", status=status, reason=error.log_text)
         except BuffersExhaustedError:
             status = 503
-            self.context.log("request.unfit", status=status, reason=CloseReason.NO_BUFFERS)
+            self.context.log("request.unfit", status=status, reason=InvalidRequestReason.NO_BUFFERS)
         finally:
             self._release_body(accepted)
             self.context.connections.note_request_complete(self)
@@ -139,7 +137,7 @@
     def _release_body(self, accepted: bool) -> None:
         self.body.release()
         if self.body_stream is not None:
-            self.body_stream.break_off()
+            self.body_stream.abort()
             if not accepted:
                 self.body_stream.release()
             self.body_stream = None
@@ -154,7 +152,7 @@
             try:
                 event = self.stream.next_event()
             except ConnectionLostError as error:
-                raise InvalidRequestError(400, str(error)) from error
+                raise InvalidRequestError(400, InvalidRequestReason(error.reason.value)) from error
             if isinstance(event, h11.Request):
                 request, length = event, declared_length(event, self._max_body())
                 self.stream.read_size = len(self.context.buffer_pool.scratch)
@@ -213,7 +211,7 @@
     def _read_timed_out(self) -> None:
         """Close if idle; raises `InvalidRequestError` for a request that is incomplete."""
         if self.request_started_at is not None:
-            raise InvalidRequestError(408, "half a request")
+            raise InvalidRequestError(408, InvalidRequestReason.INCOMPLETE)
         self.idle_reason = self.idle_reason or CloseReason.IDLE
 
     def _close_when_idle(self, message: object) -> None:
@@ -246,14 +244,14 @@
         """When the next request has to have begun, or the current one to be complete."""
         if self.request_started_at is None:
             return self.idle_since + IDLE_CLOSE_FACTOR * IDLE_TIMEOUT
-        since = self.request_started_at if self.response_count else self.opened
+        since = self.request_started_at if self.response_count else self.opened_at
         deadline = since + REQUEST_TIMEOUT_FACTOR * IDLE_TIMEOUT
         return deadline + self.paused_time + self.body_received / MIN_UPLOAD_RATE
 
     def _count_body(self, data: bytes) -> None:
         self.body_received += len(data)
         if self.body_received > self._max_body():
-            raise InvalidRequestError(413, "body too long")
+            raise InvalidRequestError(413, InvalidRequestReason.BODY_TOO_LONG)
 
     def _max_body(self) -> int:
         """The most bytes that a request's body may have; over HTTP/2 a body is buffered."""
@@ -267,7 +265,7 @@
     ) -> Coroutine[FinalResponse]:
         """Wait for the final response; what comes behind the request stays in the kernel's buffer."""
         self.pending = pending
-        self.context.active_traces.add(pending.trace)
+        self.context.active_traces.add(pending.trace_id)
         self.context.connections.note_request_complete(self)
         try:
             self.context.coordinator.post(RequestReceived(pending))
@@ -279,7 +277,7 @@
             self.pending = None
             return final
         finally:
-            self.context.active_traces.discard(pending.trace)
+            self.context.active_traces.discard(pending.trace_id)
 
     def _wait_for_final(self) -> Coroutine[FinalResponse]:
         self.stream.wait_for(HANGUP)
@@ -311,7 +309,7 @@
                 self._read_body(message)
             elif message is None and self.loop.now() >= self._read_deadline():
                 self._abandon(pending)
-                raise InvalidRequestError(408, "half a request")
+                raise InvalidRequestError(408, InvalidRequestReason.INCOMPLETE)
 
     def _next_body_event(self, pending: PendingRequest, body_stream: BodyStream) -> Event:
         """Return the next event, its data added to the stream; raises `InvalidRequestError`."""
@@ -322,7 +320,7 @@
                 body_stream.add(event.data)
         except (ConnectionLostError, InvalidRequestError, BuffersExhaustedError) as error:
             self._abandon(pending)
-            raise InvalidRequestError(400, str(error)) from error
+            raise InvalidRequestError(400, _stream_error_reason(error)) from error
         return event
 
     def _read_body(self, ready: SocketReady) -> None:
@@ -334,10 +332,10 @@
 
     def _wait_for_room(self, body_stream: BodyStream) -> Coroutine[Any]:
         """Return the next message; input stays unread while there is no room for it, but for its end."""
-        while not body_stream.room():
+        while not body_stream.has_room():
             since = self.loop.now()
             self.stream.wait_for(HANGUP)
-            message = yield None if body_stream.full else since + self.context.shortest_objective / 64
+            message = yield None if body_stream.is_full else since + self.context.shortest_objective / 64
             self.paused_time += self.loop.now() - since
             if isinstance(message, FinalResponse | SocketReady):
                 return message
@@ -375,3 +373,13 @@
         self.context.connections.remove_client(self)
         reason = self.reason or CloseReason.DEFECT
         self.context.log("client.end", reason=reason, served=self.response_count)
+
+
+def _stream_error_reason(error: Exception) -> InvalidRequestReason:
+    """What is wrong with a request whose body was already being forwarded."""
+    match error:
+        case ConnectionLostError():
+            return InvalidRequestReason(error.reason.value)
+        case BuffersExhaustedError():
+            return InvalidRequestReason.NO_BUFFERS_FOR_STREAM
+    return InvalidRequestReason.STREAMED_BODY_TOO_LONG
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from ...decisions.model import AttemptOutcome
 from ..actor import Actor, Coroutine
+from ..discovery.messages import DRAINING_STATE, LEFT_STATE, DiscoveredEndpoint
 from ..messages import (
     CLOSE,
     CancelExchange,
@@ -16,34 +17,27 @@
     ExchangeEnded,
     StartExchange,
 )
-from ..state.overrides import DRAINING_STATE
 from ..state.requests import Exchange
 from .errors import CloseReason
-from .http1 import QUIESCENCE_FRACTION, Http1Connection
-from .load_report import parse_load_report
 
 if TYPE_CHECKING:
     from ..context import SidecarContext
-    from ..discovery.messages import DiscoveredEndpoint
+    from .endpoint_connection import EndpointConnection
+    from .http1 import Http1Connection
     from .http2 import Http2Connection
 
-__all__ = ["RESTED", "ConnectionPool", "Http1Connection", "figures"]
-
-# Former names, for users of this module.
-RESTED, figures = QUIESCENCE_FRACTION, parse_load_report
-
 
 class ConnectionPool(Actor):
     """Gives exchanges to connections: to the quiescent one used last, else to a new one."""
 
     daemon = True
 
-    def __init__(self, context: SidecarContext, entry: DiscoveredEndpoint) -> None:
-        """`entry`: the endpoint as the endpoint list describes it."""
-        self.context, self.entry = context, entry
+    def __init__(self, context: SidecarContext, endpoint: DiscoveredEndpoint) -> None:
+        """`endpoint`: as the endpoint list describes it."""
+        self.context, self.endpoint = context, endpoint
         self.idle: list[Http1Connection] = []
         self.multiplexed: list[Http2Connection] = []  # where the settings allow many exchanges at once
-        self.last_started_at, self.last_trace = 0.0, b""  # of the last attempt begun here; 0: none
+        self.last_started_at, self.last_trace_id = 0.0, b""  # of the last attempt begun here; 0: none
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
@@ -65,38 +59,39 @@
                     self.context.connections.idle_to_endpoints[connection] = None
                 case ConnectionClosed(connection):
                     self.remove_idle(connection)
-                case EndpointMoved(entry):
-                    self._endpoint_moved(entry)
+                case EndpointMoved(endpoint):
+                    self._endpoint_moved(endpoint)
 
     def note_started(self, exchange: Exchange, now: float) -> None:
         """The first byte of an attempt is about to be written."""
         self.last_started_at = now
-        self.last_trace = exchange.pending.trace if exchange.pending is not None else b""
+        self.last_trace_id = exchange.pending.trace_id if exchange.pending is not None else b""
 
     def take_quiescent(self) -> Http1Connection | None:
         """Take the idle connection used last of those on which no unsolicited response is expected."""
         return self._first_usable(c for c in reversed(self.idle.copy()) if c.is_quiescent())
 
-    def remove_idle(self, connection: Http1Connection | Http2Connection) -> None:
+    def remove_idle(self, connection: EndpointConnection) -> None:
         """Give no further exchange to a connection that was idle or shared."""
         self.context.connections.idle_to_endpoints.pop(connection, None)
-        for connections in (self.idle, self.multiplexed):
+        both: tuple[list[Any], list[Any]] = (self.idle, self.multiplexed)
+        for connections in both:
             if connection in connections:
                 connections.remove(connection)
 
-    def log_closed(self, reason: CloseReason | str | None, exchange_count: int) -> None:
+    def log_closed(self, reason: CloseReason, exchange_count: int) -> None:
         """Log the end of a connection."""
-        self.context.log("upstream.end", reason=reason, upstream=self.entry.id, carried=exchange_count)
+        self.context.log("upstream.end", reason=reason, upstream=self.endpoint.id, carried=exchange_count)
 
     def _start(self, exchange: Exchange) -> None:
-        for connection in self.multiplexed:
-            if connection.has_capacity():
-                self._give(exchange, connection)
+        for multiplexed in self.multiplexed:
+            if multiplexed.has_capacity():
+                self._give(exchange, multiplexed)
                 return
         has_room = self.context.connections.has_room_for_endpoint()
         # Where there is no room for a new connection one is used that is not quiescent yet.
-        if connection := self.take_quiescent() or (None if has_room else self._take_longest_idle()):
-            self._give(exchange, connection)
+        if idle := self.take_quiescent() or (None if has_room else self._take_longest_idle()):
+            self._give(exchange, idle)
             return
         if not has_room and not self._make_room():
             self._report_not_sent(exchange)
@@ -106,7 +101,7 @@
             self.multiplexed.append(connection)
         connection.begin()
 
-    def _give(self, exchange: Exchange, connection: Http1Connection | Http2Connection) -> None:
+    def _give(self, exchange: Exchange, connection: EndpointConnection) -> None:
         exchange.connection = connection
         connection.post(StartExchange(exchange))
 
@@ -133,23 +128,26 @@
             connection.post(CLOSE)
         return None
 
-    def _endpoint_moved(self, entry: DiscoveredEndpoint | None) -> None:
+    def _endpoint_moved(self, endpoint: DiscoveredEndpoint | None) -> None:
         """Close idle connections to a process that drains or has gone, or to its former address."""
-        before = self.entry
-        moved = entry is None or (entry.addr, entry.started_ms) != (before.addr, before.started_ms)
-        if moved or entry.state == DRAINING_STATE:
+        before = self.endpoint
+        if (
+            endpoint is None
+            or endpoint.state == DRAINING_STATE
+            or (endpoint.addr, endpoint.started_ms) != (before.addr, before.started_ms)
+        ):
             for connection in [*self.idle, *self.multiplexed]:
                 self.remove_idle(connection)
                 connection.post(CLOSE)
-            self._log_moved(entry)
-        self.entry = entry or before
+            self._log_moved(endpoint)
+        self.endpoint = endpoint or before
 
-    def _log_moved(self, entry: DiscoveredEndpoint | None) -> None:
+    def _log_moved(self, endpoint: DiscoveredEndpoint | None) -> None:
         """Log the last attempt that was begun: shows whether any was begun after the notice."""
         self.context.log(
             "upstream.moved",
-            upstream=self.entry.id,
-            state=entry.state if entry is not None else "left",
+            upstream=self.endpoint.id,
+            state=endpoint.state if endpoint is not None else LEFT_STATE,
             last_begun_at=self.last_started_at,
-            last_trace=self.last_trace.decode("latin-1"),
+            last_trace=self.last_trace_id.decode("latin-1"),
         )
--- a/starlingwheel/net/http/response_writer.py
+++ b/starlingwheel/net/http/response_writer.py
@@ -24,14 +24,12 @@
 def response_headers(final: FinalResponse | None, close: bool) -> Headers:
     """Return the headers of a response; None: one without a body."""
     response = final.response if final else None
-    length = 0
-    if response:
-        length = response.body.length
+    length = response.body.length if response else 0
     headers = [(b"Transfer-Encoding", b"chunked")]
     if length is not None:
         headers = [(b"Content-Length", str(length).encode())]
-    if response and response.kind:
-        headers.append((b"Content-Type", response.kind))
+    if response and response.content_type:
+        headers.append((b"Content-Type", response.content_type))
     if final and final.retry_after > 0:
         headers.append((b"Retry-After", f"{final.retry_after:.3f}".encode()))
     if close:
@@ -52,33 +50,34 @@
         Raises `ConnectionLostError`.
         """
         response = final.response if final else None
+        body = response.body if response else None
         headers = response_headers(final, close)
         try:
             self.stream.put(h11.Response(status_code=status, headers=headers))
-            if response and isinstance(response.body, BodyStream):
-                yield from self._relay(response.body)
-            elif response:
-                self.stream.put(*(h11.Data(data=view) for view in response.body.views()))
+            if isinstance(body, BodyStream):
+                yield from self._relay(body)
+            elif body is not None:
+                self.stream.put_body(body.views())
             self.stream.put(h11.EndOfMessage())
             yield from self._flush()
         finally:
-            if response:
-                response.body.release()
+            if body is not None:
+                body.release()
 
     def _relay(self, body: BodyStream) -> Coroutine[None]:
         """Write a body while it comes."""
         body.sink = self.stream.actor
         # A small send buffer: with megabytes in it a slow reader would seem to take nothing for that long.
         self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_BUFFERED_BODY)
-        while not body.whole:
+        while not body.is_consumed:
             part = body.take()
             if part.length:
                 try:
-                    self.stream.put(*(h11.Data(data=view) for view in part.views()))
+                    self.stream.put_body(part.views())
                     yield from self._flush()
                 finally:
                     part.release()
-            elif body.broken:
+            elif body.aborted:
                 # An incomplete response must not be taken for a complete one.
                 self.stream.abort()
                 raise ConnectionLostError(CloseReason.UPSTREAM_BROKE)
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -17,13 +17,12 @@
 from ..state.buffers import BUFFER_SIZE, BufferPool
 from .errors import CloseReason, ConnectionLostError
 
-__all__ = ["ConnectionLostError", "Stream", "connect", "has_conflicting_lengths"]
-
 MAX_HEAD_LENGTH = 16384  # bytes
 MAX_VIEWS_PER_WRITE = 64
 ABORT_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 seconds: close with a reset
 
 Event = Any  # h11 has no common type of its events and its two sentinels
+BytesLike = Any  # h11 takes any object with a buffer, though its types say bytes
 
 
 def has_conflicting_lengths(headers: Iterable[tuple[bytes, bytes]]) -> bool:
@@ -73,7 +72,8 @@
         try:
             count = self.sock.recv_into(self.pool.scratch, self.read_size)
             self.end_read = not count
-            self.http.receive_data(memoryview(self.pool.scratch)[:count] if count else b"")
+            received: BytesLike = memoryview(self.pool.scratch)[:count] if count else b""
+            self.http.receive_data(received)
             return count
         except BlockingIOError:
             return None
@@ -93,6 +93,11 @@
         for event in events:
             self.unwritten += self.http.send_with_data_passthrough(event) or []
 
+    def put_body(self, views: Iterable[BytesLike]) -> None:
+        """Encode parts of a message's body, to be written by `write`."""
+        for view in views:
+            self.unwritten += self.http.send_with_data_passthrough(h11.Data(data=view)) or []
+
     def send_continue(self) -> None:
         """Send `100 Continue` to a client that waits for it."""
         if self.http.they_are_waiting_for_100_continue:
@@ -172,11 +177,11 @@
         self.pause()
         self.unwritten = []
         self.sock.close()
-        self.actor = None  # the two would keep each other in memory until a garbage collection
+        del self.actor  # the two would keep each other in memory until a garbage collection
 
 
 def connect(address: str, source: str = "") -> socket.socket:
-    """Return a socket that connects to `address`; once it can be written, `Stream.came_up` checks it.
+    """Return a socket that connects to `address`; once it can be written, `Stream.check_connected` checks it.
 
     `source`: the local host address to connect from, where that matters. Raises `ConnectionLostError`.
     """
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -197,7 +197,7 @@
     flow = around.until(
         lambda: next((j.body for j in around.context.coordinator.pending_requests.values()), None)
     )
-    around.until(lambda: flow.full)
+    around.until(lambda: flow.is_full)
     client.close()
     assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "client-left"
     assert not flow.ended
@@ -430,7 +430,7 @@
     watch, _ = around.watch(b"")
     client = around.ask("buy", b"one")
     connection = connecting(around)
-    i = int(connection.pool.entry.id[1:])
+    i = int(connection.pool.endpoint.id[1:])
     with events_delayed(around, connection, WRITE):
         around.say(watch, {"version": 8, "servers": [around.entry(i, **changed)]})
         if read:
@@ -585,7 +585,7 @@
 def test_of_two_calls_to_discovery_the_first_to_be_answered_stays(
     around: Surroundings, monkeypatch: pytest.MonkeyPatch, answered: int, moved: bool
 ) -> None:
-    """On real sockets; test_told.py tests when a second call begins, and how often."""
+    """On real sockets; test_discovery_client.py tests when a second call begins, and how often."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
     around.watch(b"")
     around.context.discovery.initial_timeout_multiple = around.context.discovery.timeout_multiple = (
