--- a/starlingwheel/fleet/frames.py
+++ b/starlingwheel/fleet/frames.py
@@ -6,45 +6,44 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 from ..decisions.config import DeduplicationScope, RequestClass, RetrySafety
 from .policy.statuses import PolicyStatus
 
-VERSION = 2  # of this protocol
-LONGEST = 1 << 18  # bytes of one frame; the bodies of a request and of its response are 64 KiB at most
-RELAYED = 64  # statuses of other members in one answer, at most
+PROTOCOL_VERSION = 2
+MAX_FRAME_SIZE = 1 << 18  # bytes; the bodies of a request and of its response are 64 KiB at most
+MAX_RELAYED_STATUSES = 64  # policy statuses of other members in one answer
 
 
 class RecordedRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A request as its client sent it. `trace`: its trace id."""
+    """A request as its client sent it."""
 
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    trace: bytes
+    trace_id: bytes
 
 
 class AttemptIntent(msgspec.Struct, array_like=True):
-    """One attempt that the owner of a request starts, or has started; without `fate` it may have run."""
+    """One attempt that the owner of a request starts, or has started; without `outcome` it may have run."""
 
-    upstream: str
+    endpoint_id: str
     zone: str
     cell: int
-    at: float
-    fate: str = ""
+    started_at: float
+    outcome: str = ""
 
 
 class RecordedResponse(msgspec.Struct, array_like=True, frozen=True):
-    """A final response. `kind` and `body`: its content type and body, with status 200 only.
-
-    `retry_after`: seconds.
-    """
+    """A final response. `content_type` and `body`: with status 200 only. `retry_after`: seconds."""
 
     status: int
     retry_after: float = 0.0
-    kind: bytes = b""
+    content_type: bytes = b""
     body: bytes = b""
 
 
@@ -85,80 +84,81 @@
 
 
 class HelloFrame(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """The first frame on a link. `cells`: of the sender's view; members that differ in them have no link."""
+    """The first frame on a link. `shard_count`: by the view; members that differ in it have no link."""
 
     fleet: str
     version: int
     member: str
-    cells: int = 1
+    shard_count: int = 1
 
 
 class HeartbeatFrame(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Sent when nothing else is: the sender is alive, under that view of its cell.
+    """Sent when nothing else is: the sender is alive, under the view of its cell with that digest.
 
-    `lapsed`: its lease may have expired. `word`: its policy status, where it may be needed; `asks`: the
-    sender needs that of the other side. `idle`: no request of the sender needs this link.
+    `in_doubt`: its lease may have expired, or another policy may be in force. `policy_status`: its own, where
+    it may be needed; `requests_policy_status`: the sender needs that of the other side. `idle`: no request of
+    the sender needs this link.
     """
 
-    view: int
-    lapsed: bool
-    word: PolicyStatus | None = None
+    view_digest: int
+    in_doubt: bool
+    policy_status: PolicyStatus | None = None
     idle: bool = False
-    asks: bool = False
+    requests_policy_status: bool = False
 
 
 class ViewSyncedFrame(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """All state that the receiver has to know under that view of its cell was sent.
+    """All state that the receiver has to know under the view of its cell with that digest was sent.
 
     Requests are granted under no older view.
     """
 
-    view: int
+    view_digest: int
 
 
 class ReplicateFrame(msgspec.Struct, array_like=True, tag=4, frozen=True):
     """A request in progress, with its history.
 
-    `asks`: the receiver is to answer whether the key is new; else it only records the request. `mark`: tells
-    requests under the same key apart. `at`, `until`: when it was received, and when its record expires.
-    `repeat`: the client says that it sends it again. `intents`: its attempts so far. `granted`: its owner was
-    told before that the key is new, perhaps by a coordinator that is gone. `rules`: the request class as it
-    was when the request was received, which holds whatever the fleet's policy becomes. `home`: the
-    coordinator as the owner sees it, where the owner is of another cell.
+    `requests_grant`: the receiver is to answer whether the key is new; else it only records the request.
+    `fingerprint`: tells requests under the same key apart. `request_class`: its name. `retry_safety`: the
+    value of its `RetrySafety`. `is_retry`: the client says so. `intents`: its attempts so far. `is_granted`:
+    its owner was told before that the key is new, perhaps by a coordinator that is gone. `class_record`: the
+    request class as it was when the request was received, which holds whatever the fleet's policy becomes.
+    `coordinator`: as the owner sees it, where the owner is of another cell.
     """
 
     key: bytes
     owner: str
     epoch: int
-    asks: bool
-    mark: bytes
-    category: str
-    effect: str
-    at: float
-    until: float
-    repeat: bool
-    asked: RecordedRequest
+    requests_grant: bool
+    fingerprint: bytes
+    request_class: str
+    retry_safety: str
+    received_at: float
+    deadline: float
+    is_retry: bool
+    request: RecordedRequest
     intents: list[AttemptIntent]
-    granted: bool = False
-    rules: RequestClassRecord | None = None
-    home: str = ""
+    is_granted: bool = False
+    class_record: RequestClassRecord | None = None
+    coordinator: str = ""
 
 
 class FindOwnerFrame(msgspec.Struct, array_like=True, tag=5, frozen=True):
     """Asks a member that would take over, where the coordinator can't be reached, who handles the request."""
 
     key: bytes
-    mark: bytes
+    fingerprint: bytes
 
 
 class AttemptIntentFrame(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """The owner of a request is about to start one more attempt. `home`: as in `ReplicateFrame`."""
+    """The owner of a request is about to start one more attempt. `coordinator`: as in `ReplicateFrame`."""
 
     key: bytes
     epoch: int
     number: int
     intent: AttemptIntent
-    home: str = ""
+    coordinator: str = ""
 
 
 class AttemptNotRunFrame(msgspec.Struct, array_like=True, tag=7, frozen=True):
@@ -175,21 +175,38 @@
 
     key: bytes
     epoch: int
-    reply: RecordedResponse
+    response: RecordedResponse
+
+
+class ReplicaVerdict(StrEnum):
+    """What a replica, or a member that was asked for the owner, says of a request. The values are sent."""
+
+    GRANTED = "new"  # no other member handles the request: the receiver does
+    RECORDED = "kept"  # who else handles it is not known to the sender
+    IN_PROGRESS = "running"  # another member handles it; its response will follow
+    FINISHED = "answered"  # the final response is in the frame
+    KEY_REUSED = "other"  # the key stands for another request
+    SUPERSEDED = "stale"  # another member has taken it over from the receiver
+    NOT_COORDINATOR = "moved"  # its coordinator is another member, as the sender sees it
+    UNKNOWN = "unknown"  # to `FindOwnerFrame`: nothing is known of it
+    CONTESTED = "asked"  # another member asks for it too: to be replicated anew once it is granted
+    OUT_OF_MEMORY = "full"  # it is not recorded
+    RESPONSE_RECORDED = "noted"
 
 
 class ReplicaStateFrame(msgspec.Struct, array_like=True, tag=9, frozen=True):
     """What a replica knows of a request.
 
-    `upto`: so many attempts are recorded. `where`: the coordinator as the replica sees it.
+    `verdict`: a `ReplicaVerdict`; others are ignored. `acknowledged_intents`: so many attempts are recorded.
+    `coordinator`: as the replica sees it.
     """
 
     key: bytes
     epoch: int
     verdict: str
-    upto: int = 0
-    reply: RecordedResponse | None = None
-    where: str = ""
+    acknowledged_intents: int = 0
+    response: RecordedResponse | None = None
+    coordinator: str = ""
 
 
 class RequestFinishedFrame(msgspec.Struct, array_like=True, tag=10, frozen=True):
@@ -197,29 +214,29 @@
 
     key: bytes
     owner: str
-    mark: bytes
-    category: str
-    effect: str
-    until: float
-    reply: RecordedResponse
+    fingerprint: bytes
+    request_class: str
+    retry_safety: str
+    deadline: float
+    response: RecordedResponse
 
 
 class PolicyQueryFrame(msgspec.Struct, array_like=True, tag=11, frozen=True):
     """Sent instead of a hello: asks which policy the receiver follows.
 
-    `known`: the latest version that the sender knows to be decided.
+    `known_version`: the latest one that the sender knows to be decided.
     """
 
     fleet: str
     version: int
-    known: int
+    known_version: int
 
 
 class PolicyStatusFrame(msgspec.Struct, array_like=True, tag=12, frozen=True):
     """The sender's policy status, and those that it has lately received over its links."""
 
-    word: PolicyStatus
-    others: list[PolicyStatus] = []
+    status: PolicyStatus
+    relayed: list[PolicyStatus] = []
 
 
 class DecisionRequestFrame(msgspec.Struct, array_like=True, tag=13, frozen=True):
@@ -236,19 +253,6 @@
     """The last frame on a link that neither side needs: the sender reads nothing more from it."""
 
 
-# Verdicts of `ReplicaStateFrame`.
-NEW = "new"  # no other member handles the request: the receiver does
-KEPT = "kept"  # recorded; who else handles it is not known to the sender
-RUNNING = "running"  # another member handles it; its response will follow
-ANSWERED = "answered"  # the final response is in the frame
-OTHER = "other"  # the key stands for another request
-STALE = "stale"  # another member has taken it over from the receiver
-MOVED = "moved"  # its coordinator is another member, as the sender sees it; `where` names it
-UNKNOWN = "unknown"  # to `FindOwnerFrame`: nothing is known of it
-ASKED = "asked"  # another member asks for it too: to be replicated anew once its coordinator has granted it
-FULL = "full"  # there is no room to record it
-NOTED = "noted"  # the final response is recorded
-
 RequestFrame = (
     ReplicateFrame
     | FindOwnerFrame
--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -68,7 +68,7 @@
         """Attempts that are not released yet never will be."""
         held, request.held_attempts = request.held_attempts, {}
         for number in held:
-            request.intents[number].fate = UNSENT
+            request.intents[number].outcome = UNSENT
             self.context.host.cancel_intent(request, number)
 
     def give_up(self, request: ReplicatedRequest, reason: str) -> None:
@@ -135,7 +135,7 @@
             request.owner,
             request.fingerprint,
             request.request_class,
-            request.effect,
+            request.retry_safety,
             request.deadline,
             request.response,
         )
@@ -146,13 +146,13 @@
         request = self.table.get(frame.key)
         if request is None:
             now, longest = self.context.now, self.context.longest_timeout
-            if self.table.is_full or not now <= frame.until <= now + 2 * longest:
+            if self.table.is_full or not now <= frame.deadline <= now + 2 * longest:
                 return
             request = self.table.add(self._finished_elsewhere(frame))
         elif request.state is RequestState.DONE or request.is_granted:
             return
         self.cancel_attempts(request)
-        self.finish(request, frame.reply)
+        self.finish(request, frame.response)
         if self.table.get(frame.key) is request:
             self.inform_successor(request, self.views.coordinator_of(request))
 
@@ -163,11 +163,11 @@
             frame.owner,
             0,
             False,
-            frame.mark,
-            frame.category,
-            frame.effect,
-            frame.until - self.context.longest_timeout,
-            frame.until,
+            frame.fingerprint,
+            frame.request_class,
+            frame.retry_safety,
+            frame.deadline - self.context.longest_timeout,
+            frame.deadline,
             True,
             NO_CONTENT,
             [],
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from .. import frames
 from ..frames import (
     AttemptIntent,
     AttemptIntentFrame,
@@ -10,6 +9,8 @@
     RecordedResponse,
     ReplicaStateFrame,
     ReplicateFrame,
+    ReplicaVerdict,
+    ResponseFrame,
 )
 from .completion import RequestCompletion
 from .context import ReplicationContext
@@ -81,14 +82,14 @@
         self, request: ReplicatedRequest, frame: ReplicateFrame, client: Client, until: float
     ) -> BeginResult:
         """Another request with that key was begun before."""
-        if request.fingerprint != frame.mark:
+        if request.fingerprint != frame.fingerprint:
             self.context.counts["other"] += 1
             return BeginResult.KEY_REUSED
         if request.state is RequestState.DONE:
             self.context.counts["answered_again"] += 1
             return BeginResult.RESPOND
         self.context.counts["joined"] += 1
-        request.deadline = max(request.deadline, frame.until)
+        request.deadline = max(request.deadline, frame.deadline)
         self.table.add_client(request, client, until)
         return BeginResult.WAIT
 
@@ -100,7 +101,7 @@
     def record_intent(self, request: ReplicatedRequest, number: int) -> None:
         """Have the intent of that number recorded, and release its attempt then."""
         if request.state is not RequestState.OWNING:
-            request.intents[number].fate = UNSENT
+            request.intents[number].outcome = UNSENT
             self.context.host.cancel_intent(request, number)
             return
         request.held_attempts[number] = None
@@ -118,7 +119,7 @@
         if request.state is RequestState.REPLICA:
             return  # the recorded intents are another member's
         if number < len(request.intents):
-            request.intents[number].fate = outcome
+            request.intents[number].outcome = outcome
         if request.state is RequestState.OWNING:
             frame = AttemptNotRunFrame(request.key, request.epoch, number, outcome)
             for member in request.replicas:
@@ -155,7 +156,7 @@
         """Another member has taken it over. An attempt that was released before may still finish it."""
         if response.status != FINISHED:
             return None
-        frame = frames.ResponseFrame(request.key, request.epoch, response)
+        frame = ResponseFrame(request.key, request.epoch, response)
         self.context.host.send_frame(request.contact, frame)
         self.completion.finish(request, response)
         return response
@@ -177,7 +178,7 @@
             return True
         if request.state is not RequestState.OWNING or request.was_taken_over:
             return False
-        if request.effect != RERUNNABLE and request.may_have_run:
+        if request.retry_safety != RERUNNABLE and request.may_have_run:
             return False  # a retry with its key learns how it ended
         self.completion.send_to_replicas(request, RecordedResponse(DEFERRED))
         self.table.forget(request)
@@ -202,21 +203,21 @@
         if request is None or request.state in (RequestState.DONE, RequestState.REPLICA):
             return
         match frame.verdict:
-            case frames.NOTED:
+            case ReplicaVerdict.RESPONSE_RECORDED:
                 self._rejection_recorded(request, member, frame)
-            case frames.RUNNING | frames.STALE:
+            case ReplicaVerdict.IN_PROGRESS | ReplicaVerdict.SUPERSEDED:
                 self._owned_elsewhere(request, member, frame)
-            case frames.ANSWERED:
+            case ReplicaVerdict.FINISHED:
                 self._answered_elsewhere(request, frame)
-            case frames.OTHER:
+            case ReplicaVerdict.KEY_REUSED:
                 self._key_reused(request)
-            case frames.UNKNOWN:
+            case ReplicaVerdict.UNKNOWN:
                 self._owner_unknown(request, member, frame)
-            case frames.NEW | frames.KEPT:
+            case ReplicaVerdict.GRANTED | ReplicaVerdict.RECORDED:
                 self._recorded(request, member, frame)
-            case frames.ASKED:
+            case ReplicaVerdict.CONTESTED:
                 self._contested(request, member, frame)
-            case frames.MOVED | frames.FULL:
+            case ReplicaVerdict.NOT_COORDINATOR | ReplicaVerdict.OUT_OF_MEMORY:
                 self._not_recorded(request, member, frame)
 
     def _rejection_recorded(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
@@ -229,13 +230,13 @@
 
     def _owned_elsewhere(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
         """Another member acts on the request; its coordinator, if that is linked, knows which one."""
-        self.completion.join(request, frame.where if frame.where in self.links else member)
+        self.completion.join(request, frame.coordinator if frame.coordinator in self.links else member)
 
     def _answered_elsewhere(self, request: ReplicatedRequest, frame: ReplicaStateFrame) -> None:
         """Another member has given the final response."""
-        if frame.reply is not None:
+        if frame.response is not None:
             self.completion.cancel_attempts(request)
-            self.completion.finish(request, frame.reply)
+            self.completion.finish(request, frame.response)
 
     def _key_reused(self, request: ReplicatedRequest) -> None:
         """The key was used for another request."""
@@ -250,7 +251,7 @@
         """The member that would replace the coordinator knows nothing of the request."""
         if request.state is RequestState.OWNING or request.contact != member:
             return
-        if frame.where or self.placement.must_wait(request):
+        if frame.coordinator or self.placement.must_wait(request):
             self.completion.give_up(request, "home-unreachable")
         else:
             self.placement.own_with_substitute(request, member)
@@ -260,8 +261,8 @@
         """A replica has recorded the request, and perhaps granted it."""
         if request.epoch != frame.epoch or member not in request.replicas:
             return
-        request.replicas[member] = max(request.replicas[member], frame.upto)
-        if frame.verdict == frames.NEW:
+        request.replicas[member] = max(request.replicas[member], frame.acknowledged_intents)
+        if frame.verdict == ReplicaVerdict.GRANTED:
             request.is_granted, request.state = True, RequestState.OWNING
             for other in [other for other, acked in request.replicas.items() if acked == NOT_SENT]:
                 self.placement.replicate_to(request, other)
@@ -278,7 +279,7 @@
     def _not_recorded(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
         """A member does not record the request."""
         request.replicas.pop(member, None)
-        if frame.verdict == frames.FULL:
+        if frame.verdict == ReplicaVerdict.OUT_OF_MEMORY:
             self._replica_full(request, member)
         else:
             self._redirected(request, member, frame)
@@ -291,16 +292,16 @@
         elif request.contact == member and not request.is_granted:
             # Our view may stay behind as long as the coordination store is unreachable.
             request.contact = ""
-            if frame.where in self.links:
-                request.contact = frame.where
-                self.placement.replicate_to(request, frame.where, asks=True)
+            if frame.coordinator in self.links:
+                request.contact = frame.coordinator
+                self.placement.replicate_to(request, frame.coordinator, requests_grant=True)
 
     def _replica_full(self, request: ReplicatedRequest, member: str) -> None:
         """A replica has no memory left for the request."""
         if not request.is_granted and member == request.contact:
-            if request.is_retry and request.effect != RERUNNABLE:
-                self.completion.give_up(request, frames.FULL)
+            if request.is_retry and request.retry_safety != RERUNNABLE:
+                self.completion.give_up(request, ReplicaVerdict.OUT_OF_MEMORY.value)
                 return
-            self.placement.own_unreplicated(request, frames.FULL)
+            self.placement.own_unreplicated(request, ReplicaVerdict.OUT_OF_MEMORY.value)
             self.placement.dispatch(request)
         self.placement.release_attempts(request)
--- a/starlingwheel/fleet/replication/placement.py
+++ b/starlingwheel/fleet/replication/placement.py
@@ -53,7 +53,7 @@
         elif coordinator == self.context.member_id and substitute:
             # Others may have a view without this member, and say who is its coordinator now.
             request.contact = substitute
-            self.replicate_to(request, substitute, asks=True)
+            self.replicate_to(request, substitute, requests_grant=True)
         else:
             self._ask_substitute(request, coordinator, substitute)
 
@@ -67,7 +67,7 @@
     def _ask_substitute(self, request: ReplicatedRequest, coordinator: str, substitute: str) -> None:
         """Its coordinator is unreachable. `substitute`: the member that would replace it, or empty."""
         reason = "no-link" if coordinator else "no-view"
-        if request.effect == RERUNNABLE:
+        if request.retry_safety == RERUNNABLE:
             if substitute:
                 self.own_with_substitute(request, substitute)
             else:
@@ -136,12 +136,12 @@
             count = max(MIN_REMOTE_REPLICAS, count)
         return view.keepers(request.key, member_id, count, ReachableMembers(self.links))
 
-    def replicate_to(self, request: ReplicatedRequest, member: str, asks: bool = False) -> None:
-        """Have one member record it. `asks`: it shall also say whether the request is new."""
+    def replicate_to(self, request: ReplicatedRequest, member: str, requests_grant: bool = False) -> None:
+        """Have one member record it. `requests_grant`: it shall also say whether the request is new."""
         request.owner = self.context.member_id
         coordinator = self.views.coordinator_of(request)
         outside = self.views.is_outside(self.context.member_id, request)
-        frame = request.to_frame(asks or coordinator == member, coordinator if outside else "")
+        frame = request.to_frame(requests_grant or coordinator == member, coordinator if outside else "")
         if self.context.host.send_frame(member, frame):
             request.replicas[member] = UNACKNOWLEDGED
 
@@ -171,7 +171,7 @@
             for member in [member for member in request.replicas if member in self.links]:
                 self.replicate_to(request, member)
             request.informed_coordinator = coordinator
-        if request.effect != RERUNNABLE and coordinator and coordinator not in chosen:
+        if request.retry_safety != RERUNNABLE and coordinator and coordinator not in chosen:
             chosen = [coordinator, *chosen]  # no attempt is released without it
         unwanted = [m for m in request.replicas if m not in chosen and not self.links.dial(m)]
         for member in unwanted:
@@ -187,7 +187,7 @@
         if self.views.coordinates(request.key) and not self.views.may_grant(request.key):
             return  # a member that took it over under the view before may act on it as well
         alone = request.was_taken_over and not request.replicas and len(self.views.view.members) > 1
-        if alone and request.effect != RERUNNABLE:
+        if alone and request.retry_safety != RERUNNABLE:
             return  # two members may each believe to have taken it over
         acknowledged = min(request.replicas.values(), default=inf)
         for number in [number for number in request.held_attempts if number < acknowledged]:
--- a/starlingwheel/fleet/replication/records.py
+++ b/starlingwheel/fleet/replication/records.py
@@ -2,7 +2,14 @@
 
 from __future__ import annotations
 
-from ..frames import NEW, AttemptIntent, Frame, RecordedResponse, ReplicaStateFrame, ReplicateFrame
+from ..frames import (
+    AttemptIntent,
+    Frame,
+    RecordedResponse,
+    ReplicaStateFrame,
+    ReplicateFrame,
+    ReplicaVerdict,
+)
 from .completion import RequestCompletion
 from .context import ReplicationContext
 from .request import ReplicatedRequest, RequestState
@@ -61,8 +68,8 @@
                 continue
             coordinator = self.views.view.home(key)
             if coordinator == named or not self.views.is_outside(member, request):
-                asks = coordinator == self.context.member_id
-                agreed.append((member, request.to_frame(asks, named)))
+                requests_grant = coordinator == self.context.member_id
+                agreed.append((member, request.to_frame(requests_grant, named)))
             else:
                 self.unagreed[member, key] = named
         return agreed
@@ -83,11 +90,13 @@
         """Tell an owner that its request is recorded, once both views name the same coordinator."""
         request, coordinator = self.table.requests[frame.key], self.views.view.home(frame.key)
         spans_cells = self.views.view.cells > 1
-        request.granted_to_owner = spans_cells and (request.granted_to_owner or state == NEW)
+        request.granted_to_owner = spans_cells and (
+            request.granted_to_owner or state == ReplicaVerdict.GRANTED
+        )
         if self.views.is_outside(member, request):
-            request.contact = frame.home  # as its owner sees it
-            if frame.home != coordinator:
-                self.unagreed[member, frame.key] = frame.home
+            request.contact = frame.coordinator  # as its owner sees it
+            if frame.coordinator != coordinator:
+                self.unagreed[member, frame.key] = frame.coordinator
                 return
             request.informed_coordinator = request.informed_coordinator or coordinator
         self.send_state(member, frame, state)
@@ -110,7 +119,7 @@
             self.record(request, frame)
         elif request.state is RequestState.REPLICA and request.epoch <= frame.epoch:
             rivals = request.owner != frame.owner and request.epoch == frame.epoch
-            if rivals and request.granted_to_owner and not frame.granted:
+            if rivals and request.granted_to_owner and not frame.is_granted:
                 return  # the record of an owner to which it was never granted
             self._merge(request, frame)
 
@@ -131,12 +140,12 @@
         if other_owner:
             request.contact, request.granted_to_owner = "", False
         spans_cells = self.views.view.cells > 1
-        request.granted_to_owner = spans_cells and (request.granted_to_owner or frame.granted)
+        request.granted_to_owner = spans_cells and (request.granted_to_owner or frame.is_granted)
         request.owner, request.epoch = frame.owner, frame.epoch
-        request.deadline = max(request.deadline, frame.until)
-        request.content, request.is_stale = frame.asked, False
+        request.deadline = max(request.deadline, frame.deadline)
+        request.content, request.is_stale = frame.request, False
         # The rules under which its owner, or the one before, accepted it.
-        request.class_record = frame.rules or request.class_record
+        request.class_record = frame.class_record or request.class_record
         # The outcome of another owner's attempt is not taken over, of two that asked at once.
         keep_outcomes = not (other_owner and same_epoch)
         request.intents = _merge_intents(request.intents, frame.intents, keep_outcomes)
@@ -150,6 +159,9 @@
     for number, intent in enumerate(known):
         if number >= len(merged):
             merged.append(intent)
-        elif keep_outcomes and (intent.upstream, intent.at) == (merged[number].upstream, merged[number].at):
-            merged[number].fate = merged[number].fate or intent.fate
+        elif keep_outcomes and (intent.endpoint_id, intent.started_at) == (
+            merged[number].endpoint_id,
+            merged[number].started_at,
+        ):
+            merged[number].outcome = merged[number].outcome or intent.outcome
     return merged
--- a/starlingwheel/fleet/replication/replica.py
+++ b/starlingwheel/fleet/replication/replica.py
@@ -5,22 +5,12 @@
 from dataclasses import dataclass
 
 from ..frames import (
-    ANSWERED,
-    ASKED,
-    FULL,
-    KEPT,
-    MOVED,
-    NEW,
-    NOTED,
-    OTHER,
-    RUNNING,
-    STALE,
-    UNKNOWN,
     AttemptIntentFrame,
     AttemptNotRunFrame,
     FindOwnerFrame,
     ReplicaStateFrame,
     ReplicateFrame,
+    ReplicaVerdict,
     ResponseFrame,
 )
 from .completion import RequestCompletion
@@ -44,7 +34,7 @@
     frame: ReplicateFrame
     request: ReplicatedRequest | None  # as recorded here
     coordinator: str  # in our view
-    asks: bool  # its owner waits to be told whether it is new
+    requests_grant: bool  # its owner waits to be told whether it is new
 
     @property
     def is_open(self) -> bool:
@@ -72,9 +62,14 @@
     def on_replicate(self, member: str, frame: ReplicateFrame) -> None:
         """A member has a request recorded that it, or a lost one, owns."""
         now, longest = self.context.now, self.context.longest_timeout
-        if not now - MAX_AGE * longest <= frame.at <= frame.until <= now + MAX_TIME_LEFT * longest:
+        if (
+            not now - MAX_AGE * longest
+            <= frame.received_at
+            <= frame.deadline
+            <= now + MAX_TIME_LEFT * longest
+        ):
             # Clocks differ too much, or the record would never expire.
-            self.records.send_state(member, frame, FULL)
+            self.records.send_state(member, frame, ReplicaVerdict.OUT_OF_MEMORY)
             return
         request = self.table.get(frame.key)
         if frame.owner != member:
@@ -84,8 +79,10 @@
             self.table.forget(request)
             request = None
         coordinator = self.views.view.home(frame.key)
-        asks = frame.asks and (coordinator == self.context.member_id or not frame.granted)
-        claim = _Claim(member, frame, request, coordinator, asks)
+        requests_grant = frame.requests_grant and (
+            coordinator == self.context.member_id or not frame.is_granted
+        )
+        claim = _Claim(member, frame, request, coordinator, requests_grant)
         if not self._redirect(claim) and not self._hold(claim):
             self._record(claim)
 
@@ -102,13 +99,15 @@
         # Only the coordinator deals with members out of the view, and only while it is linked to them.
         outsider = member not in self.views.view
         if outsider and request is not None:
-            outsider = not self.views.agrees_on_coordinator(member, request, frame.home)
-        asks_here = claim.asks and claim.is_open
-        if asks_here and frame.home == self.context.member_id and not outsider:
+            outsider = not self.views.agrees_on_coordinator(member, request, frame.coordinator)
+        asks_here = claim.requests_grant and claim.is_open
+        if asks_here and frame.coordinator == self.context.member_id and not outsider:
             self.records.hold(member, frame)  # its view is ahead of ours
             return True
         if outsider or asks_here:
-            state = ReplicaStateFrame(frame.key, frame.epoch, MOVED, where=claim.coordinator)
+            state = ReplicaStateFrame(
+                frame.key, frame.epoch, ReplicaVerdict.NOT_COORDINATOR, coordinator=claim.coordinator
+            )
             self.records.send(member, state)
             return True
         return False
@@ -116,23 +115,23 @@
     def _replaces_owner(self, claim: _Claim) -> bool:
         """Of two that ask at once the coordinator grants it to one, and any other replica follows."""
         request, frame = claim.request, claim.frame
-        if request is None or not frame.granted:
+        if request is None or not frame.is_granted:
             return False
         return self.records.is_contested(request, claim.member, frame.epoch)
 
     def _hold(self, claim: _Claim) -> bool:
         """Wait until the view is synchronised, where another coordinator may have granted it."""
         member, frame, request = claim.member, claim.frame, claim.request
-        if not claim.asks or self.views.may_grant(frame.key):
+        if not claim.requests_grant or self.views.may_grant(frame.key):
             return False
         same_owner = request is not None and request.owner == member
         if not (claim.is_open or same_owner or self._replaces_owner(claim)):
             return False
-        if frame.granted:
+        if frame.is_granted:
             self.records.record_indirect(request, frame)  # its owner may be lost meanwhile
         recorded = self.table.get(frame.key)
         if recorded is not None and recorded.state is RequestState.REPLICA and recorded.owner == member:
-            recorded.contact = frame.home
+            recorded.contact = frame.coordinator
         self.records.hold(member, frame)
         return True
 
@@ -140,13 +139,13 @@
         """Record the request, or say who else acts on it."""
         member, frame, request = claim.member, claim.frame, claim.request
         # Where the owner's view is ahead of ours we record it, and are its coordinator soon.
-        granted = NEW if claim.asks else KEPT
+        granted = ReplicaVerdict.GRANTED if claim.requests_grant else ReplicaVerdict.RECORDED
         if request is None:
             self._record_new(claim, granted)
-        elif request.fingerprint != frame.mark:
-            self.records.send_state(member, frame, OTHER)
+        elif request.fingerprint != frame.fingerprint:
+            self.records.send_state(member, frame, ReplicaVerdict.KEY_REUSED)
         elif request.state is RequestState.DONE:
-            self.records.send_state(member, frame, ANSWERED, request.response)
+            self.records.send_state(member, frame, ReplicaVerdict.FINISHED, request.response)
         elif self._accepts(claim, request):
             if self._replaces_owner(claim) and not request.is_unclaimed:
                 request.intents.clear()  # none of those was released
@@ -156,14 +155,14 @@
             self.records.is_contested(request, member, frame.epoch)
             and claim.coordinator != self.context.member_id
         ):
-            self.records.send_state(member, frame, ASKED)
+            self.records.send_state(member, frame, ReplicaVerdict.CONTESTED)
         else:
             request.waiting_members[member] = None
-            self.records.send_state(member, frame, RUNNING)
+            self.records.send_state(member, frame, ReplicaVerdict.IN_PROGRESS)
 
     def _record_new(self, claim: _Claim, granted: str) -> None:
         if self.table.is_full:
-            self.records.send_state(claim.member, claim.frame, FULL)
+            self.records.send_state(claim.member, claim.frame, ReplicaVerdict.OUT_OF_MEMORY)
             return
         self.table.add_replica(claim.frame, self.views.view.cells > 1)
         self.context.counts["kept"] += 1
@@ -175,22 +174,22 @@
         same_owner = request.state is RequestState.REPLICA and request.owner == claim.member
         if same_owner and frame.epoch >= request.epoch:
             return True
-        if frame.epoch > request.epoch or (request.is_unclaimed and frame.granted):
+        if frame.epoch > request.epoch or (request.is_unclaimed and frame.is_granted):
             return True
         return self._replaces_owner(claim)
 
     def on_find_owner(self, member: str, frame: FindOwnerFrame) -> None:
         """A member looks for the owner of a request whose coordinator it can't reach."""
         request = self.table.get(frame.key)
-        state, response = UNKNOWN, None
+        state, response = ReplicaVerdict.UNKNOWN, None
         known = (RequestState.OWNING, RequestState.REPLICA, RequestState.DONE)
         if request is not None and request.state in known:
-            if request.fingerprint != frame.mark:
-                state = OTHER
+            if request.fingerprint != frame.fingerprint:
+                state = ReplicaVerdict.KEY_REUSED
             elif request.state is RequestState.DONE:
-                state, response = ANSWERED, request.response
+                state, response = ReplicaVerdict.FINISHED, request.response
             else:
-                state = RUNNING
+                state = ReplicaVerdict.IN_PROGRESS
                 request.waiting_members[member] = None
         # Whether somebody is linked to its coordinator: nobody may replace that then.
         coordinator = self.views.view.home(frame.key)
@@ -207,19 +206,23 @@
         coordinator = self.views.view.home(key)
         coordinates = coordinator == self.context.member_id
         if request.state is RequestState.DONE:
-            self.records.send(member, ReplicaStateFrame(key, epoch, ANSWERED, 0, request.response))
+            self.records.send(
+                member, ReplicaStateFrame(key, epoch, ReplicaVerdict.FINISHED, 0, request.response)
+            )
         elif (
             member not in self.views.view
             and not coordinates
-            and not self.views.agrees_on_coordinator(member, request, frame.home)
+            and not self.views.agrees_on_coordinator(member, request, frame.coordinator)
         ):
             # Its lease has ended, and the present coordinator may have taken the request over.
-            self.records.send(member, ReplicaStateFrame(key, epoch, STALE, where=coordinator))
+            self.records.send(
+                member, ReplicaStateFrame(key, epoch, ReplicaVerdict.SUPERSEDED, coordinator=coordinator)
+            )
         elif self.records.is_contested(request, member, epoch) and not coordinates:
             return  # it was informed before
         elif request.state is not RequestState.REPLICA or (request.owner, request.epoch) != (member, epoch):
             request.waiting_members[member] = None
-            self.records.send(member, ReplicaStateFrame(key, epoch, STALE))
+            self.records.send(member, ReplicaStateFrame(key, epoch, ReplicaVerdict.SUPERSEDED))
         elif 0 <= frame.number <= len(request.intents):
             request.intents[frame.number :] = [frame.intent]
             self._acknowledge_intent(member, frame, request)
@@ -227,12 +230,14 @@
     def _acknowledge_intent(self, member: str, frame: AttemptIntentFrame, request: ReplicatedRequest) -> None:
         """Acknowledge a recorded intent, at once or when the views agree."""
         coordinator = self.views.view.home(frame.key)
-        if self.views.is_outside(member, request) and frame.home != coordinator:
-            self.records.unagreed[member, frame.key] = frame.home
+        if self.views.is_outside(member, request) and frame.coordinator != coordinator:
+            self.records.unagreed[member, frame.key] = frame.coordinator
         elif coordinator == self.context.member_id and not self.views.may_grant(frame.key):
-            self.records.hold(member, request.to_frame(asks=True, coordinator=frame.home))
+            self.records.hold(member, request.to_frame(requests_grant=True, coordinator=frame.coordinator))
         else:
-            self.records.send(member, ReplicaStateFrame(frame.key, frame.epoch, KEPT, frame.number + 1))
+            self.records.send(
+                member, ReplicaStateFrame(frame.key, frame.epoch, ReplicaVerdict.RECORDED, frame.number + 1)
+            )
 
     def on_attempt_not_run(self, member: str, frame: AttemptNotRunFrame) -> None:
         """An owner's attempt is known never to have run."""
@@ -240,12 +245,12 @@
         if request is None or (request.owner, request.epoch) != (member, frame.epoch):
             return
         if 0 <= frame.number < len(request.intents):
-            request.intents[frame.number].fate = frame.outcome
+            request.intents[frame.number].outcome = frame.outcome
 
     def on_response(self, member: str, frame: ResponseFrame) -> None:
         """A member says that a request has its final response."""
         request = self.table.get(frame.key)
-        recorded = ReplicaStateFrame(frame.key, frame.epoch, NOTED)
+        recorded = ReplicaStateFrame(frame.key, frame.epoch, ReplicaVerdict.RESPONSE_RECORDED)
         self.records.drop_held(member, frame.key)
         if request is None or request.state is RequestState.DONE:
             self.records.send(member, recorded)
@@ -253,14 +258,14 @@
             member,
             frame.epoch,
         ):
-            self.completion.finish(request, frame.reply)
+            self.completion.finish(request, frame.response)
             self.records.send(member, recorded)
         elif request.state in (RequestState.JOINED, RequestState.ASKING):
-            self.completion.finish(request, frame.reply)
-        elif frame.reply.status == FINISHED:
+            self.completion.finish(request, frame.response)
+        elif frame.response.status == FINISHED:
             # Its former owner was only cut off, and an attempt that was granted to it has finished it.
             self.completion.cancel_attempts(request)
-            self.completion.finish(request, frame.reply)
+            self.completion.finish(request, frame.response)
         else:
             request.waiting_members[member] = None
-            self.records.send(member, ReplicaStateFrame(frame.key, frame.epoch, STALE))
+            self.records.send(member, ReplicaStateFrame(frame.key, frame.epoch, ReplicaVerdict.SUPERSEDED))
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -178,7 +178,7 @@
 
     @property
     def digest(self) -> int:
-        """Of our cell in the view that holds: what `HeartbeatFrame.view` says."""
+        """Of our cell in the view that holds: what `HeartbeatFrame.view_digest` says."""
         return self.views.digest
 
     @property
--- a/starlingwheel/fleet/replication/request.py
+++ b/starlingwheel/fleet/replication/request.py
@@ -48,7 +48,7 @@
     key: bytes
     fingerprint: bytes  # hash of the request's method, target and body
     request_class: str  # its name
-    effect: str  # value of its `RetrySafety`
+    retry_safety: str  # value of its `RetrySafety`
     received_at: float
     deadline: float
     is_retry: bool
@@ -83,26 +83,28 @@
         """The request that a frame describes."""
         return cls(
             key=frame.key,
-            fingerprint=frame.mark,
-            request_class=frame.category,
-            effect=frame.effect,
-            received_at=frame.at,
-            deadline=frame.until,
-            is_retry=frame.repeat,
-            content=frame.asked,
+            fingerprint=frame.fingerprint,
+            request_class=frame.request_class,
+            retry_safety=frame.retry_safety,
+            received_at=frame.received_at,
+            deadline=frame.deadline,
+            is_retry=frame.is_retry,
+            content=frame.request,
             intents=list(frame.intents),
             epoch=frame.epoch,
             owner=frame.owner,
             state=state,
-            class_record=frame.rules,
+            class_record=frame.class_record,
             hash_position=hash_position(frame.key),
-            size=len(frame.asked.body) + OVERHEAD,
+            size=len(frame.request.body) + OVERHEAD,
         )
 
     @property
     def may_have_run(self) -> bool:
         """An attempt was released whose outcome is not known."""
-        return (self.was_taken_over or self.was_released) and any(not intent.fate for intent in self.intents)
+        return (self.was_taken_over or self.was_released) and any(
+            not intent.outcome for intent in self.intents
+        )
 
     @property
     def is_unclaimed(self) -> bool:
@@ -123,22 +125,23 @@
         """It was rejected with nothing done, or failed and may be done again."""
         if self.state is not RequestState.DONE or self.response is None:
             return False
-        may_repeat = self.effect == RERUNNABLE and self.response.status == WRITTEN_OFF
+        may_repeat = self.retry_safety == RERUNNABLE and self.response.status == WRITTEN_OFF
         return self.response.status == DEFERRED or may_repeat
 
-    def to_frame(self, asks: bool, coordinator: str = "") -> ReplicateFrame:
+    def to_frame(self, requests_grant: bool, coordinator: str = "") -> ReplicateFrame:
         """The frame that replicates it.
 
-        `asks`: the receiver shall say whether it is new. `coordinator`: as the owner of another cell sees it.
+        `requests_grant`: the receiver shall say whether it is new. `coordinator`: as the owner of another
+        cell sees it.
         """
         return ReplicateFrame(
             self.key,
             self.owner,
             self.epoch,
-            asks,
+            requests_grant,
             self.fingerprint,
             self.request_class,
-            self.effect,
+            self.retry_safety,
             self.received_at,
             self.deadline,
             self.is_retry,
--- a/starlingwheel/fleet/replication/request_table.py
+++ b/starlingwheel/fleet/replication/request_table.py
@@ -49,7 +49,7 @@
     def add_replica(self, frame: ReplicateFrame, spans_cells: bool) -> None:
         """Store a request that another member owns."""
         request = self.add(ReplicatedRequest.from_frame(frame, RequestState.REPLICA))
-        request.granted_to_owner = spans_cells and frame.granted
+        request.granted_to_owner = spans_cells and frame.is_granted
 
     def forget(self, request: ReplicatedRequest) -> None:
         """Remove a request, if it is stored."""
--- a/starlingwheel/fleet/replication/takeover.py
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -57,7 +57,7 @@
         coordinates = coordinator == self.context.member_id
         request.is_granted = request.is_granted or (coordinates and self.views.may_grant(request.key))
         self.placement.replicate(request)
-        if not request.is_granted and coordinator and request.effect == RERUNNABLE:
+        if not request.is_granted and coordinator and request.retry_safety == RERUNNABLE:
             if not request.replicas:
                 self.placement.own_unreplicated(request, "keepers-lost")
             elif coordinator not in request.replicas and self.views.is_outside(
@@ -72,7 +72,7 @@
         outside = self.views.is_outside(request.owner, request)
         if (request.owner not in self.views.view or outside) and coordinator in self.links:
             if not outside or request.informed_coordinator != coordinator:
-                self.records.send(coordinator, request.to_frame(asks=False))
+                self.records.send(coordinator, request.to_frame(requests_grant=False))
                 request.informed_coordinator = coordinator if outside else ""
             return
         # An owner whose lease has ended but that its coordinator, this member, is linked to goes on.
@@ -87,8 +87,8 @@
     def _update_waiting(self, request: ReplicatedRequest, coordinator: str) -> None:
         """This member waits for another one: ask again where that is lost or has been replaced."""
         contact_lost = request.contact not in self.links
-        asks = request.state is RequestState.ASKING
-        replaced = asks and request.contact != coordinator and coordinator in self.links
+        is_asking = request.state is RequestState.ASKING
+        replaced = is_asking and request.contact != coordinator and coordinator in self.links
         if contact_lost or replaced:
             request.replicas.clear()
             request.state = RequestState.ASKING
@@ -148,7 +148,7 @@
             "cover.taken_over",
             former=former,
             category=request.request_class,
-            may_have_run=sum(not intent.fate for intent in request.intents),
+            may_have_run=sum(not intent.outcome for intent in request.intents),
             left=time_left,
         )
         self.placement.replicate(request)
--- a/starlingwheel/fleet/replication/views.py
+++ b/starlingwheel/fleet/replication/views.py
@@ -56,7 +56,7 @@
 
     @property
     def digest(self) -> int:
-        """Of our cell in the view that holds: what `HeartbeatFrame.view` says."""
+        """Of our cell in the view that holds: what `HeartbeatFrame.view_digest` says."""
         return self.view.digest_of(self.view.cell_of(self.context.member_id))
 
     @property
@@ -135,7 +135,7 @@
         if len(cell) == 1 < len(self.view.members):
             return False  # another cell has its keys once its lease has ended
         recent = (frame for member, (at, frame) in self.heartbeats.items() if member in cell and at > since)
-        return 2 * (1 + sum(frame.view == self.digest for frame in recent)) > len(cell)
+        return 2 * (1 + sum(frame.view_digest == self.digest for frame in recent)) > len(cell)
 
     def may_grant(self, key: bytes) -> bool:
         """No other member can have granted that key.
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -194,7 +194,7 @@
             request.is_retry,
             RecordedRequest(pending.method, pending.target, headers, body, pending.trace),
             [],
-            rules=RequestClassRecord.of(request_class),
+            class_record=RequestClassRecord.of(request_class),
         )
 
     def _accept(self, request: ReplicatedRequest, pending: PendingRequest) -> None:
@@ -237,7 +237,7 @@
         if item.class_record:
             request_class = item.class_record.request_class()
         else:
-            request_class = self.context.request_class_for(item.request_class, RetrySafety(item.effect))
+            request_class = self.context.request_class_for(item.request_class, RetrySafety(item.retry_safety))
         if request_class is None:
             self._fail(item)
             return
@@ -250,12 +250,12 @@
         self._replace_pending(item, request, body)
         attempts = [
             (
-                Endpoint(intent.upstream, intent.zone, intent.cell, 1.0, None, EndpointState.GONE),
-                intent.at,
-                not intent.fate,
+                Endpoint(intent.endpoint_id, intent.zone, intent.cell, 1.0, None, EndpointState.GONE),
+                intent.started_at,
+                not intent.outcome,
             )
             for intent in item.intents
-            if intent.fate != UNSENT
+            if intent.outcome != UNSENT
         ]
         self.scheduler.accept_request(request, attempts)
 
@@ -265,7 +265,7 @@
         client = DISCONNECTED_CLIENT if former is None else former.client
         content = item.content
         pending = PendingRequest(
-            request, client, content.method, content.target, content.headers, body, content.trace
+            request, client, content.method, content.target, content.headers, body, content.trace_id
         )
         if former is not None:
             # What its client does to the former request concerns this one.
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -161,8 +161,8 @@
                 for answer in self.policy_controller.heard(frame):
                     self.send_frame(member, answer)
                 return
-            case HeartbeatFrame() if frame.word is not None:
-                self.policy_replica.heard(frame.word)
+            case HeartbeatFrame() if frame.policy_status is not None:
+                self.policy_replica.heard(frame.policy_status)
         self.replicator.frame_received(member, frame)
 
     def _view_changed(self, view: MembershipView, gap: bool) -> None:
@@ -249,7 +249,7 @@
     def hold(self, token: AttemptToken, request: ReplicatedRequest, intent: AttemptIntent) -> None:
         """An attempt is to be started: `released` or `dropped` follows, perhaps at once."""
         number = self.replicator.add_intent(request, intent)
-        self.held_attempts[token] = AttemptHold(request, number, intent.at)
+        self.held_attempts[token] = AttemptHold(request, number, intent.started_at)
         self.tokens[request, number] = token
         self.replicator.record_intent(request, number)
 
--- a/starlingwheel/net/fleet/links/activity.py
+++ b/starlingwheel/net/fleet/links/activity.py
@@ -58,7 +58,7 @@
 
     def record_heartbeat_sent(self, frame: HeartbeatFrame, now: float) -> None:
         """Take over what a heartbeat of ours says."""
-        if frame.lapsed:
+        if frame.in_doubt:
             self.need_policy(now)
         self.local_idle = frame.idle
         self.last_heartbeat = now
@@ -66,7 +66,7 @@
     def record_heartbeat_received(self, frame: HeartbeatFrame, now: float) -> None:
         """Take over what a heartbeat of the other side says."""
         self.remote_idle = frame.idle
-        if frame.lapsed:
+        if frame.in_doubt:
             self.need_policy(now)
 
     def need_policy(self, now: float) -> None:
--- a/starlingwheel/net/fleet/links/frame_reader.py
+++ b/starlingwheel/net/fleet/links/frame_reader.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ....fleet.frames import LONGEST, Frame
+from ....fleet.frames import MAX_FRAME_SIZE, Frame
 from .errors import LinkEndReason, LinkRejectedError
 
 LENGTH_PREFIX_SIZE = 4  # bytes, big endian
@@ -34,7 +34,7 @@
             length = int.from_bytes(self.held[:LENGTH_PREFIX_SIZE], "big")
             if length == 0:
                 raise LinkRejectedError(LinkEndReason.FRAME_EMPTY)
-            if length > LONGEST:
+            if length > MAX_FRAME_SIZE:
                 raise LinkRejectedError(LinkEndReason.FRAME_TOO_LONG)
             end = LENGTH_PREFIX_SIZE + length
             if len(self.held) < end:
--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -83,7 +83,7 @@
         deadline = self.loop.now() + HANDSHAKE_TIMEOUT
         if self.dialed:
             yield from self._connect(deadline)
-        hello = msgspec.structs.replace(self.manager.hello, cells=self.shard_count)
+        hello = msgspec.structs.replace(self.manager.hello, shard_count=self.shard_count)
         self.connection.send(encode_frame(hello))
         self.connection.watch(READ)
         while not self.hello_received or (self.dialed and not self.early_frames):
@@ -192,7 +192,7 @@
 
     def _handle_heartbeat(self, frame: HeartbeatFrame) -> None:
         self.activity.record_heartbeat_received(frame, self.loop.now())
-        if frame.asks:
+        if frame.requests_policy_status:
             self._send_heartbeat(self.loop.now(), with_status=True)
 
     def _send_heartbeat(self, now: float, with_status: bool = False, request_status: bool = False) -> None:
@@ -200,7 +200,7 @@
         policy_needed = with_status or now < self.activity.policy_needed_until
         heartbeat = self.manager.make_heartbeat(self.member, policy_needed)
         if request_status:
-            heartbeat = msgspec.structs.replace(heartbeat, asks=True)
+            heartbeat = msgspec.structs.replace(heartbeat, requests_policy_status=True)
         self.activity.record_heartbeat_sent(heartbeat, now)
         self.connection.send(encode_frame(heartbeat))
 
--- a/starlingwheel/net/fleet/links/timing.py
+++ b/starlingwheel/net/fleet/links/timing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ....fleet.frames import LONGEST
+from ....fleet.frames import MAX_FRAME_SIZE
 
 HEARTBEAT_INTERVAL = 0.1  # seconds between frames on an active link
 MIN_IDLE_HEARTBEAT_INTERVAL = 1.0  # seconds between frames on an idle link, with few links
@@ -20,6 +20,6 @@
 HANDSHAKE_TIMEOUT = 1.0  # seconds within which a link connects and both sides have sent a hello
 MIN_REDIAL_DELAY = 0.02  # seconds before the first redial
 MAX_REDIAL_DELAY = 0.5  # seconds at which the doubling ends
-MAX_UNSENT_BYTES = 8 * LONGEST  # bytes that wait for a slow member
+MAX_UNSENT_BYTES = 8 * MAX_FRAME_SIZE  # bytes that wait for a slow member
 MAX_PENDING_LINKS = 64  # accepted connections that have sent no hello yet
 READ_SIZE = 65536  # bytes
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -12,7 +12,7 @@
 
 from ...decisions.config import BalancerConfig
 from ...fleet.config import FleetConfig
-from ...fleet.frames import VERSION, HelloFrame
+from ...fleet.frames import PROTOCOL_VERSION, HelloFrame
 from ...fleet.membership import Member
 from ...fleet.records import Transaction
 from ...fleet.shards import ShardMap
@@ -91,7 +91,7 @@
     def _make_links(
         self, sock: socket.socket, fleet_name: str, log: Callable[..., None], rng: random.Random
     ) -> LinkManager:
-        hello = HelloFrame(fleet_name, VERSION, self.member_id)
+        hello = HelloFrame(fleet_name, PROTOCOL_VERSION, self.member_id)
         make_heartbeat, answer_query = self.module.beat, self.policy_controller.says
         links = LinkManager(self.loop, sock, hello, self._deliver, make_heartbeat, answer_query, log, rng)
         self.module.dial_link = lambda member: links.post(DialMember(member))
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -10,7 +10,7 @@
 from ...decisions.config import BalancerConfig
 from ...fleet.config import FleetConfig, ReplicationConfig, ZonesConfig
 from ...fleet.frames import (
-    RELAYED,
+    MAX_RELAYED_STATUSES,
     DecisionFrame,
     DecisionRequestFrame,
     Frame,
@@ -128,15 +128,15 @@
         assert self.module is not None
         replica = self.policy_replica
         replica.now = self.module.loop.now()
-        others = replica.lately(self.module.links, RELAYED)
+        others = replica.lately(self.module.links, MAX_RELAYED_STATUSES)
         frames: list[Frame] = [PolicyStatusFrame(replica.word(), others)]
-        return [*frames, *self._decision_frames()] if replica.known > asked.known else frames
+        return [*frames, *self._decision_frames()] if replica.known > asked.known_version else frames
 
     def heard(self, frame: Frame) -> list[Frame]:
         """Take over a frame about the policy; what is to be answered."""
         match frame:
             case PolicyStatusFrame(status, others):
-                for one in (status, *others[:RELAYED]):
+                for one in (status, *others[:MAX_RELAYED_STATUSES]):
                     self.policy_replica.heard(one)
             case DecisionRequestFrame():
                 return self._decision_frames()
--- a/starlingwheel/net/fleet/responses.py
+++ b/starlingwheel/net/fleet/responses.py
@@ -46,7 +46,7 @@
     body = buffered_body(response.body, buffer_pool)
     if body is None:
         return FinalResponse(WRITTEN_OFF)
-    return FinalResponse(FINISHED, UpstreamResponse(body, response.kind))
+    return FinalResponse(FINISHED, UpstreamResponse(body, response.content_type))
 
 
 def recorded_response(final: FinalResponse) -> RecordedResponse:
--- a/tests/link_network.py
+++ b/tests/link_network.py
@@ -50,7 +50,7 @@
         self.links = LinkManager(
             self.loop,
             self.sock,
-            hello or frames.HelloFrame("f", frames.VERSION, self.id),
+            hello or frames.HelloFrame("f", frames.PROTOCOL_VERSION, self.id),
             self.messages.append,
             self.make_heartbeat,
             lambda query: [],
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -82,8 +82,8 @@
     one, _, _ = world.alive()
     send_request(world, one, b"w")
     world.until(1.01)
-    frame = one.replicator.requests[b"w"].to_frame(asks=False)
-    other_frame = msgspec.structs.replace(frame, mark=b"else")
+    frame = one.replicator.requests[b"w"].to_frame(requests_grant=False)
+    other_frame = msgspec.structs.replace(frame, fingerprint=b"else")
     result, _ = one.replicator.begin(other_frame, object(), 2.0)
     assert result.value == "other"
 
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -307,10 +307,10 @@
 @pytest.mark.parametrize(
     ("changed", "reason"),
     [
-        ({"version": frames.VERSION + 1}, "other-version"),
-        ({"version": frames.VERSION - 1}, "other-version"),
+        ({"version": frames.PROTOCOL_VERSION + 1}, "other-version"),
+        ({"version": frames.PROTOCOL_VERSION - 1}, "other-version"),
         ({"fleet": "g"}, "other-fleet"),
-        ({"cells": 4}, "other-cells"),
+        ({"shard_count": 4}, "other-cells"),
         ({"member": "stranger.00"}, "stranger"),
     ],
 )
@@ -319,7 +319,7 @@
 ) -> None:
     """The host gets no message at all."""
     one, other = pair.members
-    hello = msgspec.structs.replace(frames.HelloFrame("f", frames.VERSION, other.id, 2), **changed)
+    hello = msgspec.structs.replace(frames.HelloFrame("f", frames.PROTOCOL_VERSION, other.id, 2), **changed)
     with socket.create_connection(one.sock.getsockname()) as caller:
         caller.sendall(
             encode_frame(hello) + encode_frame(FIRST_FRAME) + encode_frame(frames.HeartbeatFrame(1, False))
@@ -333,7 +333,7 @@
     network = make_network()
     one_name, other_name = names_in_shards(1, 0, 0)
     one = network.add(one_name)
-    other = network.add(other_name, hello=frames.HelloFrame("f", frames.VERSION, "other.00"))
+    other = network.add(other_name, hello=frames.HelloFrame("f", frames.PROTOCOL_VERSION, "other.00"))
     network.set_view(1)
     network.wait_until(lambda: one.reasons["not-who-was-called"])
     assert not one.messages_of(LinkUp) and not one.messages_of(FrameReceived)
@@ -343,7 +343,7 @@
 def test_an_incomplete_frame_is_ignored_when_the_link_ends(pair: LinkNetwork) -> None:
     """Also where it is the hello."""
     one, other = pair.members
-    hello = encode_frame(frames.HelloFrame("f", frames.VERSION, other.id, 2))
+    hello = encode_frame(frames.HelloFrame("f", frames.PROTOCOL_VERSION, other.id, 2))
     with socket.create_connection(one.sock.getsockname()) as caller:
         caller.sendall(hello + encode_frame(FIRST_FRAME)[:-1])
         pair.wait_until(lambda: one.established_links())
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -32,6 +32,13 @@
     "cover": {"categories": ["buy"]},
 }
 NAMES = ["look", "buy", "move"]
+SOME_VERDICTS = (
+    frames.ReplicaVerdict.GRANTED,
+    frames.ReplicaVerdict.IN_PROGRESS,
+    frames.ReplicaVerdict.NOT_COORDINATOR,
+    frames.ReplicaVerdict.UNKNOWN,
+    frames.ReplicaVerdict.OUT_OF_MEMORY,
+)
 
 
 def test_a_valid_configuration_is_decoded_with_its_defaults():
@@ -75,7 +82,9 @@
             b"k", "n1", 0, True, b"m", "buy", "exclusive", 1.0, 2.0, False, asked, [intent]
         ),
         frames.AttemptIntentFrame(b"k", 0, 1, intent),
-        frames.ReplicaStateFrame(b"k", 0, frames.NEW, 1, frames.RecordedResponse(200, 0.0, b"", b"y" * 10)),
+        frames.ReplicaStateFrame(
+            b"k", 0, frames.ReplicaVerdict.GRANTED, 1, frames.RecordedResponse(200, 0.0, b"", b"y" * 10)
+        ),
         frames.HeartbeatFrame(7, False),
         frames.HeartbeatFrame(7, True, policy_status(), True, True),
         frames.PolicyStatusFrame(policy_status(), [policy_status(), policy_status()]),
@@ -96,7 +105,7 @@
     ("data", "reason"),
     [
         (b"\0\0\0\0", "empty"),
-        ((frames.LONGEST + 1).to_bytes(4, "big"), "too-long"),
+        ((frames.MAX_FRAME_SIZE + 1).to_bytes(4, "big"), "too-long"),
         (b"\0\0\0\1\xc1", "unreadable"),
         (b"\0\0\0\3" + msgspec.msgpack.encode([99, 1]), "unreadable"),
     ],
@@ -140,7 +149,7 @@
         at = rng.choice((float("nan"), float("inf"), -1e300, world.now))
         intents = [frames.AttemptIntent("u", "", 0, at)] * rng.randrange(3)
         reply = frames.RecordedResponse(rng.choice((200, 503, 504, 0)))
-        verdict = rng.choice((frames.NEW, frames.RUNNING, frames.MOVED, frames.UNKNOWN, frames.FULL, "?"))
+        verdict = rng.choice((*SOME_VERDICTS, "?"))
         effect = rng.choice(("exclusive", "ticketed", "rerunnable", "?"))
         frame = rng.choice(
             [
--- a/tests/test_policy_over_links.py
+++ b/tests/test_policy_over_links.py
@@ -79,9 +79,9 @@
     def answer_query(self, query: frames.PolicyQueryFrame) -> list[frames.Frame]:
         """Return our policy status with those of others, and the decision if it is not known there."""
         self.policy_replica.now = self.loop.now()
-        others = self.policy_replica.lately(self.links.links, frames.RELAYED)
+        others = self.policy_replica.lately(self.links.links, frames.MAX_RELAYED_STATUSES)
         answers: list[frames.Frame] = [frames.PolicyStatusFrame(self.policy_replica.word(), others)]
-        if self.policy_replica.known > query.known:
+        if self.policy_replica.known > query.known_version:
             answers.append(frames.DecisionFrame(msgspec.json.encode(self.policy_replica.decision)))
         return answers
 
@@ -92,12 +92,12 @@
             return
         frame = message.frame
         if isinstance(frame, frames.PolicyStatusFrame):
-            for status in (frame.word, *frame.others):
+            for status in (frame.status, *frame.relayed):
                 self.policy_replica.heard(status)
         elif isinstance(frame, frames.DecisionFrame):
             self.policy_replica.told(msgspec.json.decode(frame.decision, type=PolicyDecision))
-        elif getattr(frame, "word", None):
-            self.policy_replica.heard(frame.word)
+        elif getattr(frame, "policy_status", None):
+            self.policy_replica.heard(frame.policy_status)
 
     def doubt(self) -> str:
         """Return why the policy is in doubt now; empty: it is not."""
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from math import inf
 
-from starlingwheel.fleet.frames import KEPT, AttemptIntentFrame, ReplicaStateFrame
+from starlingwheel.fleet.frames import AttemptIntentFrame, ReplicaStateFrame, ReplicaVerdict
 from starlingwheel.fleet.membership import Member, MembershipView, member_position
 from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.records import Transaction
@@ -45,7 +45,9 @@
         request = self.table.get(frame.key)
         if request is not None and request.state is RequestState.REPLICA:
             request.intents[frame.number :] = [frame.intent]
-        self.records.send(member, ReplicaStateFrame(frame.key, frame.epoch, KEPT, frame.number + 1))
+        self.records.send(
+            member, ReplicaStateFrame(frame.key, frame.epoch, ReplicaVerdict.RECORDED, frame.number + 1)
+        )
 
 
 class EpochNotChecked(RequestReplicator):
--- a/trials/emulated/member.py
+++ b/trials/emulated/member.py
@@ -118,7 +118,7 @@
 
     def release_intent(self, request: ReplicatedRequest, number: int) -> None:
         """Write the attempt of that intent; a pause may fall in between."""
-        intended_at = request.intents[number].at
+        intended_at = request.intents[number].started_at
         self.run_after(WRITE_DELAY, lambda: self._write(request, number, intended_at))
 
     def _write(self, request: ReplicatedRequest, number: int, intended_at: float) -> None:
@@ -177,14 +177,14 @@
     def _may_attempt(self, request: ReplicatedRequest) -> bool:
         """The rules of the program's decisions on retries and timeouts."""
         now = self.world.now
-        may_have_run = [intent for intent in request.intents if not intent.fate]
+        may_have_run = [intent for intent in request.intents if not intent.outcome]
         if now >= request.deadline:
             return False
         if not may_have_run:
             return True
-        if request.effect == RetrySafety.IDEMPOTENT_WITH_KEY.value:
-            return now < may_have_run[0].at + DEDUPLICATION_WINDOW * USED_WINDOW_FRACTION
-        return request.effect != RetrySafety.NON_IDEMPOTENT.value
+        if request.retry_safety == RetrySafety.IDEMPOTENT_WITH_KEY.value:
+            return now < may_have_run[0].started_at + DEDUPLICATION_WINDOW * USED_WINDOW_FRACTION
+        return request.retry_safety != RetrySafety.NON_IDEMPOTENT.value
 
     def _start_attempt(self, request: ReplicatedRequest) -> None:
         intent = AttemptIntent("u1", "north", 0, self.world.now)
--- a/trials/model_state.py
+++ b/trials/model_state.py
@@ -315,7 +315,7 @@
 
     def start_attempt(self, name: str, request: ReplicatedRequest) -> None:
         """A member's decisions start an attempt, or fail the request."""
-        may_have_run = any(not intent.fate for intent in request.intents)
+        may_have_run = any(not intent.outcome for intent in request.intents)
         if self.effect == RetrySafety.NON_IDEMPOTENT.value and may_have_run:
             self._answer(name, request, RecordedResponse(504))
             return
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -137,7 +137,7 @@
             False,
             RecordedRequest(b"POST", b"/" + name, [], b"", name),
             [],
-            rules=request_class,
+            class_record=request_class,
         )
         result, item = self.replicator.begin(frame, object(), deadline)
         self.counts[result.value] += 1
@@ -167,7 +167,7 @@
 
     def decide(self, item: ReplicatedRequest) -> None:
         """Take over a request: attempt it, or fail it if it may have run and may not run twice."""
-        if item.effect != RERUNNABLE and item.may_have_run:
+        if item.retry_safety != RERUNNABLE and item.may_have_run:
             self._record_answer(item, RecordedResponse(WRITTEN_OFF))
         else:
             self._start_attempt(item, self.loop.now())
