--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -57,7 +57,7 @@
         for member in members:
             self.context.host.send_frame(member, ResponseFrame(request.key, request.epoch, response))
         for client in clients:
-            self.context.host.answer(request, client, response)
+            self.context.host.respond(request, client, response)
 
     def send_to_replicas(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
         """Have the replicas record a response."""
@@ -81,7 +81,7 @@
         self.table.forget(request)
         clients, request.waiting_clients = request.waiting_clients, {}
         for client in clients:
-            self.context.host.answer(request, client, request.response)
+            self.context.host.respond(request, client, request.response)
 
     def relinquish(self, request: ReplicatedRequest) -> None:
         """It has been taken over from us, or was in flight before we asked."""
--- a/starlingwheel/fleet/replication/context.py
+++ b/starlingwheel/fleet/replication/context.py
@@ -28,10 +28,10 @@
     def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
         """That attempt must never be written completely."""
 
-    def decide(self, request: ReplicatedRequest) -> None:
+    def dispatch(self, request: ReplicatedRequest) -> None:
         """Dispatch it with its history; attempts that run already go on."""
 
-    def answer(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
+    def respond(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
 
     def log_event(self, event: str, **fields: object) -> None:
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -128,7 +128,7 @@
     def answered(self, request: ReplicatedRequest, response: RecordedResponse) -> RecordedResponse | None:
         """The host's decisions have a final response.
 
-        Returns what its client is to get; None: `ReplicationHost.answer` follows.
+        Returns what its client is to get; None: `ReplicationHost.respond` follows.
         """
         request.is_dispatched = False
         if request.state is RequestState.DONE:
@@ -164,7 +164,7 @@
     def wait_on(self, request: ReplicatedRequest, client: Client, until: float) -> None:
         """A client whose decisions have ended without a response waits for another member's."""
         if request.state is RequestState.DONE and request.response is not None:
-            self.context.host.answer(request, client, request.response)
+            self.context.host.respond(request, client, request.response)
         else:
             self.table.add_client(request, client, until)
 
--- a/starlingwheel/fleet/replication/placement.py
+++ b/starlingwheel/fleet/replication/placement.py
@@ -122,7 +122,7 @@
         if request.state is RequestState.OWNING and not request.is_dispatched:
             request.is_dispatched = True
             request.dispatched_client = next(iter(request.waiting_clients), None)
-            self.context.host.decide(request)
+            self.context.host.dispatch(request)
 
     # Replicas.
 
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -314,7 +314,7 @@
             # The response that a client which has joined waits for may be lost.
             del request.waiting_clients[client]
             self.context.counts["waited_out"] += 1
-            self.context.host.answer(request, client, RecordedResponse(WRITTEN_OFF))
+            self.context.host.respond(request, client, RecordedResponse(WRITTEN_OFF))
 
     def next_at(self) -> float:
         """When to call `tick` again, seconds on the wall clock."""
@@ -348,7 +348,7 @@
     ) -> RecordedResponse | None:
         """The host's decisions have a final response.
 
-        Returns what its client is to get; None: `ReplicationHost.answer` follows.
+        Returns what its client is to get; None: `ReplicationHost.respond` follows.
         """
         return self.owner.answered(request, response)
 
--- a/starlingwheel/fleet/replication/request.py
+++ b/starlingwheel/fleet/replication/request.py
@@ -36,7 +36,7 @@
     """What the host does with a request that has arrived."""
 
     RUN = "run"  # dispatch it now; its attempts are held until they are released
-    WAIT = "wait"  # `ReplicationHost.decide` or `answer` follows, or has been called already
+    WAIT = "wait"  # `ReplicationHost.dispatch` or `respond` follows, or has been called already
     RESPOND = "answer"  # `ReplicatedRequest.response` is its final response
     KEY_REUSED = "other"  # its idempotency key was used for another request
 
--- a/starlingwheel/net/admin/listener.py
+++ b/starlingwheel/net/admin/listener.py
@@ -34,7 +34,7 @@
         """`sock` listens already."""
         self.context, self.sock = context, sock
         self.calls: dict[AdminCall, None] = {}  # the first ones are closed first to make room
-        self.routes = ROUTES | (context.fleet.calls if context.fleet is not None else {})
+        self.routes = ROUTES | (context.fleet.admin_routes if context.fleet is not None else {})
         sock.setblocking(False)
         context.loop.register(sock.fileno(), self, READ)
         super().__init__(context.loop)
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -43,12 +43,12 @@
 
 def fleet(context: SidecarContext, body: bytes) -> AdminResult:
     """The members and links, as this sidecar sees them."""
-    return "", msgspec.json.encode(context.fleet.told()) + b"\n"
+    return "", msgspec.json.encode(context.fleet.member_report()) + b"\n"
 
 
 def policy(context: SidecarContext, body: bytes) -> AdminResult:
     """The policy in force, the open proposal and its votes."""
-    return "", msgspec.json.encode(context.fleet.policy_told()) + b"\n"
+    return "", msgspec.json.encode(context.fleet.policy_report()) + b"\n"
 
 
 def propose(context: SidecarContext, body: bytes) -> PendingResult:
@@ -122,14 +122,14 @@
 
 def zones(context: SidecarContext, body: bytes) -> AdminResult:
     """The zone plan, and what it rests on."""
-    return "", msgspec.json.encode(context.fleet.module.zone_controller.status()) + b"\n"
+    return "", msgspec.json.encode(context.fleet.host.zone_controller.status()) + b"\n"
 
 
 def zone(change: ZoneChange) -> Callable[[SidecarContext, bytes], PendingResult]:
     """The call that makes this change of the plan for a zone."""
 
     def carry_out(context: SidecarContext, body: bytes) -> PendingResult:
-        controller = context.fleet.module.zone_controller
+        controller = context.fleet.host.zone_controller
         command = _decode(body, ZoneCommand)
         if not controller.enabled:
             raise _rejected(CONFLICT, "there is no zones part, so no plan", "no plan")
@@ -170,7 +170,7 @@
     return CallRejectedError(status, reason or error, msgspec.json.encode({"error": error}) + b"\n")
 
 
-CALLS = {
+ADMIN_ROUTES = {
     b"/_fleet": AdminRoute(b"GET", fleet),
     b"/_fleet/retire": AdminRoute(b"PUT", retire),
     b"/_zones": AdminRoute(b"GET", zones),
--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -26,21 +26,21 @@
 
     def write(self, exchange: Exchange) -> Coroutine[None]:
         """Write what has been put, its last byte only after the release; raises `ConnectionLostError`."""
-        gate = self.context.coordinator.held_attempts.get(exchange)
-        if gate is not None and not gate.open and exchange.body_stream is None:
+        held: AttemptHold | None = self.context.fleet.host.held_attempts.get(exchange)
+        if held is not None and not held.is_released and exchange.body_stream is None:
             last = self.stream.take_last_byte()
             yield from super().write(exchange)
-            yield from self._wait_for_release(exchange, gate)
+            yield from self._wait_for_release(exchange, held)
             self.stream.unwritten.append(last)
         yield from super().write(exchange)
 
-    def _wait_for_release(self, exchange: Exchange, gate: AttemptHold) -> Coroutine[None]:
+    def _wait_for_release(self, exchange: Exchange, held: AttemptHold) -> Coroutine[None]:
         """Wait until another member has recorded the attempt.
 
         Otherwise nobody would know of its effect once this sidecar is lost.
         """
         self.stream.wait_for(READ)
-        while not gate.open:
+        while not held.is_released:
             message = yield exchange.deadline
             if isinstance(message, ExchangeReleased) and message.exchange is exchange:
                 break
@@ -50,7 +50,7 @@
             cancelled = isinstance(message, CancelExchange) and message.exchange is exchange
             if cancelled or self.loop.now() >= exchange.deadline:
                 raise ConnectionLostError(CloseReason.WITHHELD)
-        if self.loop.now() > gate.asked + INTENT_VALIDITY:
+        if self.loop.now() > held.started_at + INTENT_VALIDITY:
             # The process was held up between the intent and the last byte: others may have gone on since.
             raise ConnectionLostError(CloseReason.WITHHELD)
         self.check_wanted(exchange)
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -61,18 +61,18 @@
         context: SidecarContext,
         member_id: str,
         config: FleetConfig,
-        entry_lost: Callable[[EntryLost], None],
+        on_entry_lost: Callable[[EntryLost], None],
         policy_controller: PolicyController,
     ) -> None:
-        """`entry_lost` is called when this member's entry has gone from the view."""
+        """`on_entry_lost` is called when this member's entry has gone from the view."""
         self.deferred = 0  # requests rejected while it was not known which policy holds
         self.replicated: dict[Request, ReplicatedRequest] = {}
-        self.host(
+        self.set_up(
             context.loop,
             member_id,
             config,
             policy_controller,
-            entry_lost,
+            on_entry_lost,
             lambda: self.scheduler,
             (context.shortest_objective, context.longest_timeout),
             int(context.config.limits.memory_mb * REPLICA_MEMORY_FRACTION * BYTES_PER_MB),
@@ -81,17 +81,17 @@
         RequestCoordinator.__init__(self, context)
         self.replication_config_changed(config.cover)
 
-    def replication_config_changed(self, part: ReplicationConfig) -> None:
+    def replication_config_changed(self, config: ReplicationConfig) -> None:
         """Replicate by another configuration; requests that are replicated already stay so."""
-        self.replicated_classes = frozenset(part.categories)
-        self.name_header = part.name_header.encode()
-        self.replicator.replica_count = part.keepers
+        self.replicated_classes = frozenset(config.categories)
+        self.name_header = config.name_header.encode()
+        self.replicator.replica_count = config.keepers
         # Never lowered: requests that were accepted under a longer timeout must not be forgotten early.
         self.replicator.longest_timeout = max(self.replicator.longest_timeout, self.context.longest_timeout)
 
-    def balancer_config_changed(self, terms: BalancerConfig) -> None:
+    def balancer_config_changed(self, config: BalancerConfig) -> None:
         """Use another configuration of the decisions from the next message on."""
-        self.scheduler.reload(terms)
+        self.scheduler.reload(config)
 
     def _handle(self, message: object) -> None:
         if not self.handle_fleet_message(message, self.scheduler.now):
@@ -178,6 +178,7 @@
         """The request as replicas record it."""
         request, now = pending.request, self.scheduler.now
         request_class = request.request_class
+        assert isinstance(pending.body, BufferedBody), "a request with a name has its whole body"
         body = b"".join(pending.body.views())
         identity = b"\0".join((pending.method, pending.target, body))
         headers = [(bytes(header), bytes(value)) for header, value in pending.headers]
@@ -222,74 +223,80 @@
 
     # What the replicator asks for.
 
-    def released(self, exchange: Exchange) -> None:
+    def release_held_attempt(self, token: Exchange) -> None:
         """That attempt may be written completely."""
-        if exchange.connection is not None:
-            exchange.connection.post(ExchangeReleased(exchange))
+        if token.connection is not None:
+            token.connection.post(ExchangeReleased(token))
 
-    def dropped(self, exchange: Exchange) -> None:
+    def cancel_held_attempt(self, token: Exchange) -> None:
         """That attempt must never be written completely."""
-        self._cancel_exchange(exchange)
+        self._cancel_exchange(token)
 
-    def decide(self, item: ReplicatedRequest) -> None:
+    def dispatch(self, replicated: ReplicatedRequest) -> None:
         """Dispatch a request with its history, under the rules that it was accepted under."""
-        request_class: RequestClass | None
-        if item.class_record:
-            request_class = item.class_record.request_class()
-        else:
-            request_class = self.context.request_class_for(item.request_class, RetrySafety(item.retry_safety))
+        request_class = self._class_of(replicated)
         if request_class is None:
-            self._fail(item)
+            self._fail(replicated)
             return
         now = self.scheduler.now
-        request = Request(request_class, now, max(0.0, item.deadline - now), is_retry=item.is_retry)
-        body = buffered_body(item.content.body, self.context.buffer_pool)
+        time_left = max(0.0, replicated.deadline - now)
+        request = Request(request_class, now, time_left, is_retry=replicated.is_retry)
+        body = buffered_body(replicated.content.body, self.context.buffer_pool)
         if body is None:
-            self._fail(item)
+            self._fail(replicated)
             return
-        self._replace_pending(item, request, body)
+        self._replace_pending(replicated, request, body)
         attempts = [
             (
                 Endpoint(intent.endpoint_id, intent.zone, intent.cell, 1.0, None, EndpointState.GONE),
                 intent.started_at,
                 not intent.outcome,
             )
-            for intent in item.intents
+            for intent in replicated.intents
             if intent.outcome != UNSENT
         ]
         self.scheduler.accept_request(request, attempts)
 
-    def _replace_pending(self, item: ReplicatedRequest, request: Request, body: BufferedBody) -> None:
+    def _class_of(self, replicated: ReplicatedRequest) -> RequestClass | None:
+        """The class that it was accepted under; else the one of its name."""
+        if replicated.class_record:
+            return replicated.class_record.request_class()
+        retry_safety = RetrySafety(replicated.retry_safety)
+        return self.context.request_class_for(replicated.request_class, retry_safety)
+
+    def _replace_pending(self, replicated: ReplicatedRequest, request: Request, body: BufferedBody) -> None:
         """Make the request that is dispatched the one that its client, if any, waits for."""
-        former = item.dispatched_client
+        former = replicated.dispatched_client
         client = DISCONNECTED_CLIENT if former is None else former.client
-        content = item.content
+        content = replicated.content
         pending = PendingRequest(
             request, client, content.method, content.target, content.headers, body, content.trace_id
         )
         if former is not None:
             # What its client does to the former request concerns this one.
-            item.waiting_clients[pending] = item.waiting_clients.pop(former)
+            replicated.waiting_clients[pending] = replicated.waiting_clients.pop(former)
             self.replicated.pop(former.request, None)
             former.awaits_response = False
             former.body.release()
             if client.pending is former:
                 client.pending = pending
-        item.dispatched_client = pending
-        self.replicated[request] = item
+        replicated.dispatched_client = pending
+        self.replicated[request] = replicated
         self.pending_requests[request] = pending
 
-    def _fail(self, item: ReplicatedRequest) -> None:
+    def _fail(self, replicated: ReplicatedRequest) -> None:
         """Fail a request that can't be dispatched."""
         response = RecordedResponse(WRITTEN_OFF)
-        for client in list(item.waiting_clients):
+        for client in list(replicated.waiting_clients):
             self._respond(client, response)
-        item.waiting_clients.clear()
-        self.replicator.finish_request(item, response)
+        replicated.waiting_clients.clear()
+        self.replicator.finish_request(replicated, response)
 
-    def answer(self, item: ReplicatedRequest, client: PendingRequest, reply: RecordedResponse) -> None:
+    def respond(
+        self, replicated: ReplicatedRequest, client: PendingRequest, response: RecordedResponse
+    ) -> None:
         """Give the final response to a client that waits here."""
-        self._respond(client, reply)
+        self._respond(client, response)
 
     # Responses.
 
@@ -316,7 +323,7 @@
         request = self.replicated.get(attempt.request)
         if request is not None:
             intent = AttemptIntent(endpoint.endpoint_id, endpoint.zone, endpoint.cell, now)
-            self.hold(exchange, request, intent)
+            self.hold_attempt(exchange, request, intent)
 
     def _exchange_ended(
         self,
@@ -326,9 +333,9 @@
         response: UpstreamResponse | None,
     ) -> None:
         self.zone_controller.ended(exchange, outcome, self.scheduler.now)
-        held = self.release_hold(exchange)
-        if held is not None and (outcome.never_ran or not (held.open and exchange.written)):
-            self.replicator.attempt_not_run(held.item, held.number, outcome.value)
+        held = self.forget_hold(exchange)
+        if held is not None and (outcome.never_ran or not (held.is_released and exchange.written)):
+            self.replicator.attempt_not_run(held.request, held.number, outcome.value)
         super()._exchange_ended(exchange, outcome, load_report, response)
 
     def _send_final_response(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -25,6 +25,7 @@
 from ...fleet.membership import MembershipView
 from ...fleet.replication.replicator import RequestReplicator
 from ...fleet.replication.request import Client, ReplicatedRequest
+from ..actor import Actor
 from ..loop import Loop
 from ..messages import CLOSE
 from .links import encode_frame
@@ -52,26 +53,24 @@
 class AttemptHold:
     """An attempt that may be written completely only once its intent is recorded."""
 
-    __slots__ = ("item", "number", "asked", "open")
+    __slots__ = ("request", "number", "started_at", "is_released")
 
-    def __init__(self, item: ReplicatedRequest, number: int, asked: float) -> None:
-        """`number`: of the intent in the request. `asked`: when it was sent, seconds on the wall clock."""
-        self.item, self.number, self.asked = item, number, asked
-        self.open = False
+    def __init__(self, request: ReplicatedRequest, number: int, started_at: float) -> None:
+        """`number`: of the intent in the request. `started_at`: of the attempt, seconds on the wall clock."""
+        self.request, self.number, self.started_at = request, number, started_at
+        self.is_released = False
 
 
-class FleetHost:
+class FleetHost(Actor):
     """For an actor that receives the fleet's messages; a subclass adds what decides on requests."""
 
-    loop: Loop
-
-    def host(
+    def set_up(
         self,
         loop: Loop,
         member_id: str,
         config: FleetConfig,
         policy_controller: PolicyController,
-        entry_lost: Callable[[EntryLost], None],
+        on_entry_lost: Callable[[EntryLost], None],
         scheduler: Callable[[], DecisionScheduler],
         times: tuple[float, float],
         memory_limit: int,
@@ -79,11 +78,11 @@
     ) -> None:
         """Set up the replicator and the zone controller.
 
-        `entry_lost` is called when this member's entry has gone from the view. `scheduler`: whose decisions
-        the zone plan concerns. `times`: shortest latency objective and longest timeout, seconds.
+        `on_entry_lost` is called when this member's entry has gone from the view. `scheduler`: whose
+        decisions the zone plan concerns. `times`: shortest latency objective and longest timeout, seconds.
         `memory_limit`: bytes recorded for other members.
         """
-        self.member_id, self.entry_lost, self.log = member_id, entry_lost, log
+        self.member_id, self.on_entry_lost, self.log = member_id, on_entry_lost, log
         self.policy_controller, self.policy_replica = policy_controller, policy_controller.policy_replica
         now, (shortest_objective, longest_timeout) = loop.now(), times
         self.zone_controller = ZoneController(
@@ -100,27 +99,27 @@
 
     # What a subclass decides.
 
-    def decide(self, item: ReplicatedRequest) -> None:
+    def dispatch(self, request: ReplicatedRequest) -> None:
         """Dispatch a request with its history; attempts that run already go on."""
         raise NotImplementedError
 
-    def answer(self, item: ReplicatedRequest, client: Client, reply: RecordedResponse) -> None:
+    def respond(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
         raise NotImplementedError
 
-    def released(self, exchange: AttemptToken) -> None:
+    def release_held_attempt(self, token: AttemptToken) -> None:
         """That attempt may be written completely."""
         raise NotImplementedError
 
-    def dropped(self, exchange: AttemptToken) -> None:
+    def cancel_held_attempt(self, token: AttemptToken) -> None:
         """That attempt must never be written completely."""
         raise NotImplementedError
 
-    def replication_config_changed(self, part: ReplicationConfig) -> None:
+    def replication_config_changed(self, config: ReplicationConfig) -> None:
         """Use another configuration of the replication from now on."""
         raise NotImplementedError
 
-    def balancer_config_changed(self, terms: BalancerConfig) -> None:
+    def balancer_config_changed(self, config: BalancerConfig) -> None:
         """Use another configuration of the decisions from now on."""
         raise NotImplementedError
 
@@ -174,7 +173,7 @@
             ours=self.member_id in view,
         )
         if self.member_id in self.replicator.view and self.member_id not in view:
-            self.entry_lost(EntryLost())
+            self.on_entry_lost(EntryLost())
         if gap:
             # Frames may have been sent under a view in between that nobody here saw: new links synchronise.
             for link in self.links.values():
@@ -198,17 +197,17 @@
         at = self.policy_replica.next_at()
         return min(self.replicator.next_at(), at if at > now else inf)
 
-    def beat(self, member: str, worded: bool) -> HeartbeatFrame:
-        """The heartbeat for a member. `worded`: it may need our status of the policy."""
+    def make_heartbeat(self, member: str, with_policy_status: bool) -> HeartbeatFrame:
+        """The heartbeat for a member. `with_policy_status`: it may need our status of the policy."""
         self.replicator.now = self.policy_replica.now = self.loop.now()
         self.policy_replica.doubt()
-        lapsed = not self.replicator.may_decide() or self.policy_replica.uneasy
-        policy_status = self.policy_replica.word() if worded or lapsed else None
+        in_doubt = not self.replicator.may_decide() or self.policy_replica.uneasy
+        policy_status = self.policy_replica.word() if with_policy_status or in_doubt else None
         view = self.replicator.view
         # Links within our own cell stay whether they are needed or not.
         other_cell = view.cell_of(member) != view.cell_of(self.member_id)
         idle = other_cell and not self.replicator.needs_link(member)
-        return HeartbeatFrame(self.replicator.digest, lapsed, policy_status, idle)
+        return HeartbeatFrame(self.replicator.digest, in_doubt, policy_status, idle)
 
     # What the replicator asks for.
 
@@ -220,10 +219,6 @@
         link.post(SendFrame(encode_frame(frame)))
         return True
 
-    def say(self, member: str, frame: Frame) -> bool:
-        """Send a frame to a member, as `send_frame` does."""
-        return self.send_frame(member, frame)
-
     def dial(self, member: str) -> bool:
         """Open a link to a member of another cell. False: none can be opened now."""
         self.dial_link(member)
@@ -232,13 +227,13 @@
     def release_intent(self, request: ReplicatedRequest, number: int) -> None:
         """The attempt of that intent may be written completely."""
         if (token := self.tokens.get((request, number))) is not None:
-            self.held_attempts[token].open = True
-            self.released(token)
+            self.held_attempts[token].is_released = True
+            self.release_held_attempt(token)
 
     def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
         """The attempt of that intent must never be written completely."""
         if (token := self.tokens.get((request, number))) is not None:
-            self.dropped(token)
+            self.cancel_held_attempt(token)
 
     def log_event(self, event: str, **fields: object) -> None:
         """Write a line to the log."""
@@ -246,16 +241,19 @@
 
     # Attempts that wait for their intents to be recorded.
 
-    def hold(self, token: AttemptToken, request: ReplicatedRequest, intent: AttemptIntent) -> None:
-        """An attempt is to be started: `released` or `dropped` follows, perhaps at once."""
+    def hold_attempt(self, token: AttemptToken, request: ReplicatedRequest, intent: AttemptIntent) -> None:
+        """An attempt is to be started.
+
+        `release_held_attempt` or `cancel_held_attempt` follows, perhaps at once.
+        """
         number = self.replicator.add_intent(request, intent)
         self.held_attempts[token] = AttemptHold(request, number, intent.started_at)
         self.tokens[request, number] = token
         self.replicator.record_intent(request, number)
 
-    def release_hold(self, token: AttemptToken) -> AttemptHold | None:
+    def forget_hold(self, token: AttemptToken) -> AttemptHold | None:
         """An attempt has ended. Returns how it was held, if it was."""
         held = self.held_attempts.pop(token, None)
         if held is not None:
-            del self.tokens[held.item, held.number]
+            del self.tokens[held.request, held.number]
         return held
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -75,10 +75,10 @@
         member = Member(self.member_id, identity.name, address, identity.zone)
         session = (loop, part.arbiter, float(part.lease_s), pool, log, rng, part.name)
         self.lease_keeper = LeaseKeeper(*session, member=member, notify=self._deliver)
-        self.state_watcher = StateWatcher(*session, tell=self._deliver)
+        self.state_watcher = StateWatcher(*session, notify=self._deliver)
         self.member_evictor = MemberEvictor(*session)
         self.policy_controller = make_policy_controller(self.member_id)
-        self.module = make_host(self.member_id, self.policy_controller, self._entry_lost)
+        self.host = make_host(self.member_id, self.policy_controller, self._entry_lost)
         self.shard_map = ShardMap(self.member_id, float(part.lease_s), part.cell_size, loop.now())
         self.state_writer = StateWriter(
             *session, due=self._next_write, lease_id=lambda: self.lease_keeper.lease_id
@@ -92,9 +92,9 @@
         self, sock: socket.socket, fleet_name: str, log: Callable[..., None], rng: random.Random
     ) -> LinkManager:
         hello = HelloFrame(fleet_name, PROTOCOL_VERSION, self.member_id)
-        make_heartbeat, answer_query = self.module.beat, self.policy_controller.says
+        make_heartbeat, answer_query = self.host.make_heartbeat, self.policy_controller.says
         links = LinkManager(self.loop, sock, hello, self._deliver, make_heartbeat, answer_query, log, rng)
-        self.module.dial_link = lambda member: links.post(DialMember(member))
+        self.host.dial_link = lambda member: links.post(DialMember(member))
         return links
 
     def begin(self) -> None:
@@ -124,9 +124,9 @@
 
     @property
     def _in_view(self) -> bool:
-        return self.member_id in self.module.replicator.view
+        return self.member_id in self.host.replicator.view
 
-    def renewed(self, config: SidecarConfig) -> BalancerConfig:
+    def reload_config(self, config: SidecarConfig) -> BalancerConfig:
         """Return the balancer's configuration for a file that was read again.
 
         Raises `ConfigError` if the file changes what the fleet's policy decides.
@@ -138,7 +138,7 @@
 
         The replicas of our requests take them over once our links close.
         """
-        member = self.module.replicator.view.members.get(self.member_id)
+        member = self.host.replicator.view.members.get(self.member_id)
         self.leaving = True
         if member is None:
             return
@@ -148,11 +148,11 @@
         while self._in_view and self.loop.now() < deadline:
             yield self.loop.now() + timeout / LEAVE_CHECKS
 
-    def told(self) -> MemberReport:
+    def member_report(self) -> MemberReport:
         """Return the report of this member for operators."""
         return member_report(self)
 
-    def policy_told(self) -> PolicyReport:
+    def policy_report(self) -> PolicyReport:
         """Return the report of this member's policy for operators."""
         return policy_report(self.policy_controller.policy_replica, self.loop.now())
 
@@ -176,7 +176,7 @@
         if isinstance(due, Transaction):
             return due
         self.shard_map.now = now
-        for other in (self.module.zone_controller.due(now, policy_replica.leased), self.shard_map.due()):
+        for other in (self.host.zone_controller.due(now, policy_replica.leased), self.shard_map.due()):
             if isinstance(other, Transaction):
                 return other
             due = min(due, other)
@@ -191,7 +191,7 @@
         if isinstance(message, EvictMember):
             self.member_evictor.post(message)
             return
-        self.module.post(message)
+        self.host.post(message)
         if isinstance(message, ViewChanged):
             self.links.post(message)
         elif isinstance(message, StoreRead):
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -96,7 +96,7 @@
     def ask(self, member: str) -> None:
         """Have that member send its decision."""
         if self.module is not None:
-            self.module.say(member, DecisionRequestFrame())
+            self.module.send_frame(member, DecisionRequestFrame())
 
     def note(self, event: str, **fields: object) -> None:
         """Write a line to the log."""
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -65,7 +65,7 @@
 
 def member_report(fleet: FleetMember) -> MemberReport:
     """Return the report of a member."""
-    replicator = fleet.module.replicator
+    replicator = fleet.host.replicator
     view = replicator.view
     shard = view.cell_of(fleet.member_id)
     shard_members = view.members_of_cell(shard)
--- a/starlingwheel/net/fleet/sidecar.py
+++ b/starlingwheel/net/fleet/sidecar.py
@@ -7,7 +7,7 @@
 
 from ...fleet.config import FleetConfig
 from ..context import SidecarContext
-from .admin import CALLS
+from .admin import ADMIN_ROUTES
 from .connection import ReplicatedHttp1Connection
 from .coordinator import ReplicatingCoordinator
 from .member import FleetMember, MemberIdentity
@@ -18,8 +18,8 @@
 class SidecarFleet(FleetMember):
     """One sidecar's actors of the fleet, and the admin calls for them."""
 
-    module: ReplicatingCoordinator
-    calls = CALLS
+    host: ReplicatingCoordinator
+    admin_routes = ADMIN_ROUTES
 
     def __init__(self, context: SidecarContext, part: FleetConfig, sock: socket.socket) -> None:
         """`part`: the configuration's `fleet` part; `sock` listens for links."""
--- a/starlingwheel/net/lifecycle/sidecar.py
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -74,7 +74,7 @@
 
         sock = bind_socket(socket.SOCK_STREAM, fleet_config.listen, reuse_port=bool(self.passed_socket))
         context.fleet = SidecarFleet(context, fleet_config, sock)
-        self.coordinator = context.coordinator = context.fleet.module
+        self.coordinator = context.coordinator = context.fleet.host
 
     def _client_socket(self) -> socket.socket:
         if self.passed_socket:
--- a/starlingwheel/net/lifecycle/signals.py
+++ b/starlingwheel/net/lifecycle/signals.py
@@ -58,7 +58,7 @@
         try:
             config, balancer_config = reload_config(context.environment, context.config)
             if context.fleet is not None:
-                balancer_config = context.fleet.renewed(config)
+                balancer_config = context.fleet.reload_config(config)
         except ConfigError as error:
             context.log("config.unusable", error=str(error))
             return
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -497,5 +497,5 @@
     coordinator = member.context.coordinator
     [item] = coordinator.replicator.requests.values()
     connection = item.dispatched_client.client
-    coordinator.decide(item)
+    coordinator.dispatch(item)
     assert connection.pending is item.dispatched_client
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -173,7 +173,7 @@
 
 
 def test_the_report_of_a_member_that_has_gone_is_not_shown(admin, served):
-    zone_planner = admin.around.context.fleet.module.zone_controller.zone_planner
+    zone_planner = admin.around.context.fleet.host.zone_controller.zone_planner
     member_id = admin.around.context.fleet.member_id
     zone_planner.said = {"n9.ff": ZoneReport(0.0, {}), member_id: ZoneReport(0.0, {})}
     status, answer = admin.call("GET /_zones")
--- a/tests/test_state_watcher.py
+++ b/tests/test_state_watcher.py
@@ -28,7 +28,7 @@
             lambda *_, **__: None,
             None,
             "f",
-            tell=self.messages.append,
+            notify=self.messages.append,
         )
         self.watcher.revision = 1
 
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -145,7 +145,7 @@
         self.recorded: StoreRecords | None = None
         self.state_watcher = arbiter.StateWatcher(
             loop, ["127.0.0.1:1"], LEASE, BufferPool(0), lambda *_, **__: None, random.Random(1), FLEET,
-            tell=self._tell,
+            notify=self._tell,
         )  # fmt: skip
         me = self.members[0]
         self.member_id = me.id
--- a/trials/emulated/member.py
+++ b/trials/emulated/member.py
@@ -165,7 +165,7 @@
         elif client is not None:
             self.replicator.wait_on(request, client, until)
 
-    def decide(self, request: ReplicatedRequest) -> None:
+    def dispatch(self, request: ReplicatedRequest) -> None:
         """Dispatch a request with its history."""
         if self._may_attempt(request):
             self._start_attempt(request)
@@ -191,7 +191,7 @@
         number = self.replicator.add_intent(request, intent)
         self.replicator.record_intent(request, number)
 
-    def answer(self, request: ReplicatedRequest, client: Request, response: RecordedResponse) -> None:
+    def respond(self, request: ReplicatedRequest, client: Request, response: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
         if not client.end:
             self.world.respond(client, response)
@@ -221,6 +221,6 @@
         )
         result, replicated = self.replicator.begin(frame, request, request.until)
         if result is BeginResult.RUN:
-            self.decide(replicated)
+            self.dispatch(replicated)
         elif result is BeginResult.RESPOND:
             self.world.respond(request, replicated.response)
--- a/trials/model_state.py
+++ b/trials/model_state.py
@@ -377,11 +377,11 @@
     def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
         """The attempt of that intent must never be written: in the model it never was."""
 
-    def decide(self, request: ReplicatedRequest) -> None:
+    def dispatch(self, request: ReplicatedRequest) -> None:
         """Dispatch a request with its history."""
         self.model.start_attempt(self.name, request)
 
-    def answer(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
+    def respond(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
         client.end = client.end or response.status
 
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -81,7 +81,7 @@
         self.attempt_number = 0
         self.alarm_at = inf
         self.replication_seconds = 0.0  # from attempts' begin to their release, all together
-        self.host(
+        self.set_up(
             loop,
             member_id,
             part,
@@ -145,18 +145,18 @@
             self._start_attempt(item, now)
 
     def _start_attempt(self, item: ReplicatedRequest, now: float) -> None:
-        self.hold(HollowAttempt(item, now), item, AttemptIntent("u0", "", 0, now))
+        self.hold_attempt(HollowAttempt(item, now), item, AttemptIntent("u0", "", 0, now))
 
     def _finish_attempts(self, now: float) -> None:
         while self.in_service and self.in_service[0][0] <= now:
             attempt = heapq.heappop(self.in_service)[2]
-            if self.release_hold(attempt) is not None:
+            if self.forget_hold(attempt) is not None:
                 self._record_answer(attempt.item, RecordedResponse(FINISHED))
 
     def _drop(self, attempt: HollowAttempt) -> None:
-        gate = self.release_hold(attempt)
+        gate = self.forget_hold(attempt)
         if gate is not None:
-            self.replicator.attempt_not_run(gate.item, gate.number, UNSENT)
+            self.replicator.attempt_not_run(gate.request, gate.number, UNSENT)
             self._record_answer(attempt.item, RecordedResponse(DEFERRED))
 
     def _record_answer(self, item: ReplicatedRequest, response: RecordedResponse) -> None:
@@ -165,28 +165,28 @@
 
     # What `FleetHost` asks of the deciding part
 
-    def decide(self, item: ReplicatedRequest) -> None:
+    def dispatch(self, item: ReplicatedRequest) -> None:
         """Take over a request: attempt it, or fail it if it may have run and may not run twice."""
         if item.retry_safety != RERUNNABLE and item.may_have_run:
             self._record_answer(item, RecordedResponse(WRITTEN_OFF))
         else:
             self._start_attempt(item, self.loop.now())
 
-    def answer(self, item: ReplicatedRequest, client: object, reply: RecordedResponse) -> None:
+    def respond(self, item: ReplicatedRequest, client: object, response: RecordedResponse) -> None:
         """Count what a client would be answered."""
-        self.counts[f"told_{reply.status}"] += 1
+        self.counts[f"told_{response.status}"] += 1
 
-    def released(self, exchange: HollowAttempt) -> None:
+    def release_held_attempt(self, token: HollowAttempt) -> None:
         """Begin the service of an attempt whose intent is replicated."""
         now = self.loop.now()
-        self.replication_seconds += now - exchange.at
+        self.replication_seconds += now - token.at
         self.counts["released"] += 1
         self.attempt_number += 1
-        heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, exchange))
+        heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, token))
 
-    def dropped(self, exchange: HollowAttempt) -> None:
+    def cancel_held_attempt(self, token: HollowAttempt) -> None:
         """Drop an attempt in a turn of its own."""
-        self.post(AttemptDropped(exchange))
+        self.post(AttemptDropped(token))
 
     def replication_config_changed(self, part: ReplicationConfig) -> None:
         """Replicate as a policy says."""
--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -38,7 +38,7 @@
 class HollowFleet(FleetMember):
     """The actors of a hollow member."""
 
-    module: HollowHost
+    host: HollowHost
 
 
 class ClientLoad(Actor):
@@ -90,7 +90,7 @@
     def log(self, event: str, **fields: object) -> None:
         """Count what a sidecar would log."""
         if self.fleet is not None:
-            self.fleet.module.counts[f"log.{event}"] += 1
+            self.fleet.host.counts[f"log.{event}"] += 1
 
     # Start and end
 
@@ -103,7 +103,7 @@
         with MeteredSockets(self.loop, self.meter):
             self.fleet = fleet = self._make_fleet(sock)
         self.actors = [
-            fleet.module,
+            fleet.host,
             fleet.lease_keeper,
             fleet.state_watcher,
             fleet.member_evictor,
@@ -119,7 +119,7 @@
         # Its messages wait until it has begun, and those who dial wait in the kernel.
         fleet.links.queued = True
         self.loop.unregister(sock.fileno())
-        fleet.module.begin()
+        fleet.host.begin()
         fleet.lease_keeper.begin()
 
     def _make_fleet(self, sock: socket.socket) -> HollowFleet:
@@ -220,7 +220,7 @@
             self.clients.coroutine.close()
             self.clients = None
         if rate and self.fleet is not None:
-            self.clients = ClientLoad(self.loop, self.fleet.module, rate, self.rng)
+            self.clients = ClientLoad(self.loop, self.fleet.host, rate, self.rng)
             self.clients.meter = self.meter
             self.clients.begin()
 
@@ -247,14 +247,14 @@
     # State
 
     def _wanted_links(self, fleet: HollowFleet) -> set[str]:
-        wanted = set(fleet.module.replicator.view.peers(fleet.member_id)) - {fleet.member_id}
+        wanted = set(fleet.host.replicator.view.peers(fleet.member_id)) - {fleet.member_id}
         return {member for member in wanted if not self._is_cut_from(member)}
 
     @property
     def ready(self) -> bool:
         """Whether it serves, knows what the others own, and has all its links."""
         fleet = self.fleet
-        if fleet is None or not fleet.joined or not fleet.module.replicator.is_synced:
+        if fleet is None or not fleet.joined or not fleet.host.replicator.is_synced:
             return False
         return self._wanted_links(fleet) <= fleet.links.links.keys()
 
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -51,7 +51,7 @@
 
     def add_member(self, fleet: HollowFleet) -> None:
         """Add the counts of a member that runs."""
-        host = fleet.module
+        host = fleet.host
         self.counts.update(host.counts)
         self.counts.update({f"cover.{name}": count for name, count in host.replicator.counts.items()})
         self.counts["covered_us"] += round(host.replication_seconds * MICROSECONDS)
@@ -147,7 +147,7 @@
     def state(self, command: Json) -> Json:
         """Return what the run waits for."""
         running = self._running()
-        hosts = [fleet.module for _, fleet in running]
+        hosts = [fleet.host for _, fleet in running]
         views = [host.replicator.view for host in hosts]
         return {
             "members": len(running),
