--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -10,7 +10,7 @@
 from ..http.request_writer import RequestWriter
 from ..loop import READ, SocketReady
 from ..messages import CancelExchange
-from .links import BEAT, SILENCE
+from .links.timing import HEARTBEAT_INTERVAL, MISSED_HEARTBEATS
 from .messages import ExchangeReleased
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
     from .host import AttemptHold
 
 # Seconds for which a recorded intent to send is valid: as long as a silent member is waited for.
-INTENT_VALIDITY = SILENCE * BEAT
+INTENT_VALIDITY = MISSED_HEARTBEATS * HEARTBEAT_INTERVAL
 
 
 class ReplicatedRequestWriter(RequestWriter):
--- a/starlingwheel/net/fleet/etcd/session.py
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -14,7 +14,7 @@
 from ...http.stream import ConnectionLostError
 from ...loop import Loop
 from ...state.buffers import BufferPool
-from ..messages import REGISTER_AGAIN, EntryLost
+from ..messages import RESTART_WATCH, EntryLost
 from .errors import EntryLostError, EtcdError, EtcdFailure, EtcdUnavailableError
 from .http_connection import EtcdConnection
 from .messages import (
@@ -86,7 +86,7 @@
         """Raise `EtcdError` for a message that ends what is being done."""
         if isinstance(message, EntryLost):
             raise EntryLostError
-        if message is REGISTER_AGAIN:
+        if message is RESTART_WATCH:
             raise EtcdUnavailableError(EtcdFailure.WATCH_QUIET)
 
     def record_success(self) -> None:
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -30,7 +30,7 @@
 from ..messages import CLOSE
 from .links import encode_frame
 from .messages import (
-    CHECK_LINKS,
+    POLICY_STATUS_NEEDED,
     EntryLost,
     FrameReceived,
     LeaseRenewed,
@@ -133,7 +133,7 @@
                 self._frame_received(member, frame)
             case StoreRead(records, gap):
                 self.policy_replica.recorded(records, gap)
-                self._check_links_in_doubt()
+                self._ask_for_policy_statuses()
                 self.zone_controller.recorded(records, now)
             case LinkUp(member, link):
                 self.links[member] = link
@@ -149,7 +149,7 @@
             case LeaseRenewed(until, entered):
                 self.replicator.lease_until = until
                 self.policy_replica.renewed(until, entered)
-                self._check_links_in_doubt()
+                self._ask_for_policy_statuses()
             case _:
                 return False
         return True
@@ -183,14 +183,14 @@
     def tick(self) -> None:
         """Do what is due."""
         self.policy_replica.doubt()
-        self._check_links_in_doubt()
+        self._ask_for_policy_statuses()
         self.replicator.tick()
 
-    def _check_links_in_doubt(self) -> None:
+    def _ask_for_policy_statuses(self) -> None:
         """Send heartbeats at once while the policy is in doubt, since peers send its status only then."""
         if self.policy_replica.uneasy:
             for link in self.links.values():
-                link.post(CHECK_LINKS)
+                link.post(POLICY_STATUS_NEEDED)
 
     def next_at(self, now: float) -> float:
         """When to call `tick` at the latest, seconds on the wall clock."""
--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -11,7 +11,7 @@
 from ...actor import Actor, Coroutine
 from ...loop import READ, WRITE, SocketReady
 from ...messages import CLOSE
-from ..messages import CHECK_LINKS, PROBE_LINK, REQUEST_POLICY_STATUS, FrameReceived, SendFrame
+from ..messages import POLICY_STATUS_NEEDED, PROBE_LINK, REQUEST_POLICY_STATUS, FrameReceived, SendFrame
 from .activity import LinkActivity
 from .errors import LinkEndReason, LinkRejectedError
 from .frame_connection import FrameConnection
@@ -164,7 +164,7 @@
         if isinstance(message, SendFrame):
             self.activity.record_request_frame(now)
             self.connection.send(message.data)
-        elif message is CHECK_LINKS:
+        elif message is POLICY_STATUS_NEEDED:
             self.activity.need_policy(now)
         elif message is PROBE_LINK or message is REQUEST_POLICY_STATUS:
             self._send_heartbeat(now, request_status=message is REQUEST_POLICY_STATUS)
--- a/starlingwheel/net/fleet/messages.py
+++ b/starlingwheel/net/fleet/messages.py
@@ -86,7 +86,7 @@
     data: bytes
 
 
-class CheckLinks:
+class PolicyStatusNeeded:
     """To a link: the policy status of other members may be needed soon."""
 
 
@@ -98,7 +98,7 @@
     """To a link: ask the other side for its policy status, once."""
 
 
-CHECK_LINKS = CheckLinks()
+POLICY_STATUS_NEEDED = PolicyStatusNeeded()
 PROBE_LINK = ProbeLink()
 REQUEST_POLICY_STATUS = RequestPolicyStatus()
 
@@ -118,7 +118,7 @@
     """To the `StateWriter`: look again at what is due."""
 
 
-class RegisterAgain:
+class RestartWatch:
     """To the `StateWatcher`: the watch may deliver nothing any more; begin it anew."""
 
 
@@ -135,7 +135,7 @@
 
 
 WRITE_PENDING = WritePending()
-REGISTER_AGAIN = RegisterAgain()
+RESTART_WATCH = RestartWatch()
 
 
 # To a connection
--- a/starlingwheel/net/fleet/policy_poller.py
+++ b/starlingwheel/net/fleet/policy_poller.py
@@ -9,7 +9,7 @@
 from ...fleet.policy.statuses import STATUS_LIFETIME
 from ..actor import Actor, Coroutine
 from .links import LinkManager, MemberQuery
-from .messages import CHECK_LINKS, REGISTER_AGAIN
+from .messages import POLICY_STATUS_NEEDED, RESTART_WATCH
 
 MAX_QUERIES = 16  # members asked at a time
 POLL_INTERVAL = 1 / 16  # of the lifetime of a status
@@ -65,13 +65,13 @@
     def _poll(self, now: float) -> None:
         replica = self.policy_replica
         for link in self.links.links.values():
-            link.post(CHECK_LINKS)
+            link.post(POLICY_STATUS_NEEDED)
         for address in self._addresses(now):
             MemberQuery(self.links, address, replica.known).begin()
         if replica.promise is not None and now >= max(replica.promise.at, self.register_at):
             # The watch may have gone silent just when the decision is waited for.
             self.register_at = now + replica.lease
-            self.state_watcher.post(REGISTER_AGAIN)
+            self.state_watcher.post(RESTART_WATCH)
 
     def _addresses(self, now: float) -> list[str]:
         """Whom to ask now: one of each group, of those whose statuses are the oldest."""
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -11,7 +11,7 @@
 from starlingwheel.fleet import frames
 from starlingwheel.net.fleet.links import LinkManager, encode_frame, timing
 from starlingwheel.net.fleet.messages import (
-    CHECK_LINKS,
+    POLICY_STATUS_NEEDED,
     DialMember,
     EvictMember,
     FrameReceived,
@@ -406,7 +406,7 @@
     one, other = network.members
     link, latest = one.links.links[other.id], []
     for _ in range(40):
-        link.post(CHECK_LINKS)
+        link.post(POLICY_STATUS_NEEDED)
         link.post(SendFrame(encode_frame(FIRST_FRAME)))
         network.advance(timing.HEARTBEAT_INTERVAL / 2)
         latest.append(len(other.messages_of(FrameReceived)) - len(other.request_frames()))
--- a/trials/capacity/roles.py
+++ b/trials/capacity/roles.py
@@ -12,12 +12,12 @@
 from starlingwheel.fleet.policy import replica as policy
 from starlingwheel.fleet.zones import planner as zones
 from starlingwheel.net.fleet import etcd as arbiter
-from starlingwheel.net.fleet import links
+from starlingwheel.net.fleet.links import timing
 
 from .bench import SEES
 from .figures import Figures
 from .fit import line
-from .size import BURST, BYTES, CORE, DAY, HEADERS, LEASE, LINK_SOCKETS, REST, Size
+from .size import BURST, BYTES, CORE, DAY, HEADERS, IDLE_FLEET, LEASE, LINK_SOCKETS, Size
 
 
 @dataclass(frozen=True)
@@ -41,8 +41,7 @@
 
 def idle_words(peers: float) -> float:
     """Messages a second that a member sends at rest, over all its links."""
-    idle = links.IDLE[0] if isinstance(links.IDLE, tuple) else links.IDLE
-    return min(peers / idle, float(links.A_SECOND))
+    return min(peers / timing.MIN_IDLE_HEARTBEAT_INTERVAL, float(timing.IDLE_HEARTBEATS_PER_SECOND))
 
 
 def wire(words: float, size: float) -> float:
@@ -71,9 +70,8 @@
     peers = size.sidecars / cells - 1
     views = size.views / cells  # that change our own cell
     beat, synced = figures.at("frame beat"), figures.at("frame told")
-    quick = (
-        links.STAKE + links.SILENCE * links.BEAT
-    ) / links.BEAT  # messages on a link after one of a request
+    active_for = timing.ACTIVE_PERIOD + timing.MISSED_HEARTBEATS * timing.HEARTBEAT_INTERVAL
+    quick = active_for / timing.HEARTBEAT_INTERVAL  # messages on a link after one of a request
     word_core = figures.at(BURST) / 1e4  # per cent of a core for one a second
     mesh = "cells" if cells > 1 else "a limit of words a second, none of sockets"
     role = "words to members"
@@ -91,8 +89,9 @@
         ),
         Row(
             role, "processor time in the 2.3 s after a change of the view",
-            f"{peers:.0f} links x 10/s x {word_core * 1e4:.0f} us", peers / links.BEAT * word_core, "% core",
-            CORE, "extrapolated" if peers > REST[-1][0] else "measured", _bounded_by(cells),
+            f"{peers:.0f} links x 10/s x {word_core * 1e4:.0f} us",
+            peers / timing.HEARTBEAT_INTERVAL * word_core, "% core", CORE,
+            "extrapolated" if peers > IDLE_FLEET[-1].members else "measured", _bounded_by(cells),
         ),
     ]  # fmt: skip
 
@@ -104,7 +103,7 @@
 def _request_rows(size: Size, figures: Figures, cells: int) -> list[Row]:
     n, at, named = size.sidecars, figures.at, size.named_rate
     per_cell = n / cells
-    linger = size.in_hand + links.REST
+    linger = size.in_hand + timing.IDLE_LINK_TIMEOUT
     # Those that we call and those that call us, alike: each named call has a coordinator and a replica.
     outside = 2 * reached(n - (per_cell - 1), 2 * named, linger) if cells > 1 else 0.0
     replicated = sum(at(f"frame {name}") for name in ("cover", "intend", "answered")) + 3 * 2 * HEADERS
@@ -137,7 +136,9 @@
 
 def _membership_rows(size: Size, figures: Figures) -> list[Row]:
     n, at = size.sidecars, figures.at
-    at_no_members, _, _ = line((m, sent + HEADERS * segments) for m, sent, segments, *_ in REST)
+    at_no_members, _, _ = line(
+        (one.members, one.bytes_sent + HEADERS * one.segments_sent) for one in IDLE_FLEET
+    )
     role = "membership"
     return [
         Row(
--- a/trials/capacity/scale_run.py
+++ b/trials/capacity/scale_run.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from .fit import line, power
-from .size import REST
+from .size import IDLE_FLEET
 from .tables import number, table
 
 
@@ -21,7 +21,7 @@
     )
     if costs:
         return costs[len(costs) // 2]
-    return 1e4 * line((m, core) for m, _, _, core, _, _ in REST)[1]
+    return 1e4 * line((one.members, one.core_percent) for one in IDLE_FLEET)[1]
 
 
 SCALED = {
--- a/trials/capacity/size.py
+++ b/trials/capacity/size.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 DAY = 86400.0  # seconds
 HEADERS = 52  # bytes: IPv4, TCP with its timestamps
@@ -16,13 +17,24 @@
 CORE = 1.3  # per cent of a core
 LINK_SOCKETS = 64
 
-# A fleet of real processes at rest, main 1343230: members, bytes sent a second, segments out a second, per
-# cent of a core, sockets, MB. Payload by the kernel's own counts, each figure a member.
-REST = (
-    (5, 413.0, 10.0, 0.43, 6.8, 23.0),
-    (10, 710.0, 20.0, 0.46, 11.9, 23.0),
-    (15, 1001.0, 29.0, 0.49, 16.3, 23.0),
-    (18, 1179.0, 35.0, 0.60, 19.1, 23.0),
+
+class IdleFigures(NamedTuple):
+    """What one member of a fleet of real processes costs at rest."""
+
+    members: int  # of the fleet
+    bytes_sent: float  # a second, payload by the kernel's own counts
+    segments_sent: float  # a second
+    core_percent: float
+    sockets: float
+    memory_mb: float
+
+
+# Measured on main 1343230.
+IDLE_FLEET = (
+    IdleFigures(5, 413.0, 10.0, 0.43, 6.8, 23.0),
+    IdleFigures(10, 710.0, 20.0, 0.46, 11.9, 23.0),
+    IdleFigures(15, 1001.0, 29.0, 0.49, 16.3, 23.0),
+    IdleFigures(18, 1179.0, 35.0, 0.60, 19.1, 23.0),
 )
 
 
