--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -6,9 +6,9 @@
 from .context import ReplicationContext
 from .peer_links import PeerLinks
 from .request import (
-    DEFERRED,
+    NEVER_RELEASED,
     NO_CONTENT,
-    UNSENT,
+    REJECTED,
     ReplicatedRequest,
     RequestState,
 )
@@ -68,7 +68,7 @@
         """Attempts that are not released yet never will be."""
         held, request.held_attempts = request.held_attempts, {}
         for number in held:
-            request.intents[number].outcome = UNSENT
+            request.intents[number].outcome = NEVER_RELEASED
             self.context.host.cancel_intent(request, number)
 
     def give_up(self, request: ReplicatedRequest, reason: str) -> None:
@@ -76,7 +76,7 @@
         self.context.counts["given_up"] += 1
         self.context.host.log_event("cover.given_up", reason=reason)
         retry_after = RETRY_AFTER * self.context.longest_timeout
-        request.response = RecordedResponse(DEFERRED, retry_after=retry_after)
+        request.response = RecordedResponse(REJECTED, retry_after=retry_after)
         request.state = RequestState.DONE
         self.table.forget(request)
         clients, request.waiting_clients = request.waiting_clients, {}
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -17,14 +17,13 @@
 from .peer_links import PeerLinks
 from .placement import RequestPlacement
 from .request import (
-    DEFERRED,
+    FAILED,
     FINISHED,
     KEY_REUSED,
+    NEVER_RELEASED,
     NOT_SENT,
-    RERUNNABLE,
+    REJECTED,
     UNACKNOWLEDGED,
-    UNSENT,
-    WRITTEN_OFF,
     BeginResult,
     Client,
     ReplicatedRequest,
@@ -101,7 +100,7 @@
     def record_intent(self, request: ReplicatedRequest, number: int) -> None:
         """Have the intent of that number recorded, and release its attempt then."""
         if request.state is not RequestState.OWNING:
-            request.intents[number].outcome = UNSENT
+            request.intents[number].outcome = NEVER_RELEASED
             self.context.host.cancel_intent(request, number)
             return
         request.held_attempts[number] = None
@@ -136,17 +135,17 @@
         if request.state is not RequestState.OWNING:
             return self._answered_after_loss(request, response)
         others_wait = request.was_taken_over or request.waiting_members
-        if response.status == DEFERRED and request.may_have_run and others_wait:
+        if response.status == REJECTED and request.may_have_run and others_wait:
             # The lost owner may have finished it for a client: it is not rejected for another one.
-            response = RecordedResponse(WRITTEN_OFF)
+            response = RecordedResponse(FAILED)
         for member in [member for member, acked in request.replicas.items() if acked == NOT_SENT]:
             del request.replicas[member]
-        if response.status == DEFERRED and request.replicas:
+        if response.status == REJECTED and request.replicas:
             if all(member in self.links for member in request.replicas):
                 request.unacknowledged_rejection = response
                 self.completion.send_to_replicas(request, response)
                 return None
-            response = RecordedResponse(WRITTEN_OFF)
+            response = RecordedResponse(FAILED)
         self.completion.finish(request, response)
         return response
 
@@ -178,9 +177,9 @@
             return True
         if request.state is not RequestState.OWNING or request.was_taken_over:
             return False
-        if request.retry_safety != RERUNNABLE and request.may_have_run:
+        if not request.is_idempotent and request.may_have_run:
             return False  # a retry with its key learns how it ended
-        self.completion.send_to_replicas(request, RecordedResponse(DEFERRED))
+        self.completion.send_to_replicas(request, RecordedResponse(REJECTED))
         self.table.forget(request)
         return True
 
@@ -242,7 +241,7 @@
         """The key was used for another request."""
         self.completion.cancel_attempts(request)
         # Without this a replica of ours would give that response for the request that has the key.
-        self.completion.send_to_replicas(request, RecordedResponse(DEFERRED))
+        self.completion.send_to_replicas(request, RecordedResponse(REJECTED))
         request.replicas.clear()
         self.completion.finish(request, RecordedResponse(KEY_REUSED))
         self.table.forget(request)
@@ -299,7 +298,7 @@
     def _replica_full(self, request: ReplicatedRequest, member: str) -> None:
         """A replica has no memory left for the request."""
         if not request.is_granted and member == request.contact:
-            if request.is_retry and request.retry_safety != RERUNNABLE:
+            if request.is_retry and not request.is_idempotent:
                 self.completion.give_up(request, ReplicaVerdict.OUT_OF_MEMORY.value)
                 return
             self.placement.own_unreplicated(request, ReplicaVerdict.OUT_OF_MEMORY.value)
--- a/starlingwheel/fleet/replication/placement.py
+++ b/starlingwheel/fleet/replication/placement.py
@@ -8,7 +8,7 @@
 from .completion import RequestCompletion
 from .context import ReplicationContext
 from .peer_links import PeerLinks, ReachableMembers
-from .request import NOT_SENT, RERUNNABLE, UNACKNOWLEDGED, ReplicatedRequest, RequestState
+from .request import NOT_SENT, UNACKNOWLEDGED, ReplicatedRequest, RequestState
 from .request_table import RequestTable
 from .views import ViewTracker
 
@@ -67,7 +67,7 @@
     def _ask_substitute(self, request: ReplicatedRequest, coordinator: str, substitute: str) -> None:
         """Its coordinator is unreachable. `substitute`: the member that would replace it, or empty."""
         reason = "no-link" if coordinator else "no-view"
-        if request.retry_safety == RERUNNABLE:
+        if request.is_idempotent:
             if substitute:
                 self.own_with_substitute(request, substitute)
             else:
@@ -171,7 +171,7 @@
             for member in [member for member in request.replicas if member in self.links]:
                 self.replicate_to(request, member)
             request.informed_coordinator = coordinator
-        if request.retry_safety != RERUNNABLE and coordinator and coordinator not in chosen:
+        if not request.is_idempotent and coordinator and coordinator not in chosen:
             chosen = [coordinator, *chosen]  # no attempt is released without it
         unwanted = [m for m in request.replicas if m not in chosen and not self.links.dial(m)]
         for member in unwanted:
@@ -187,7 +187,7 @@
         if self.views.coordinates(request.key) and not self.views.may_grant(request.key):
             return  # a member that took it over under the view before may act on it as well
         alone = request.was_taken_over and not request.replicas and len(self.views.view.members) > 1
-        if alone and request.retry_safety != RERUNNABLE:
+        if alone and not request.is_idempotent:
             return  # two members may each believe to have taken it over
         acknowledged = min(request.replicas.values(), default=inf)
         for number in [number for number in request.held_attempts if number < acknowledged]:
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -46,37 +46,12 @@
 from .placement import RequestPlacement
 from .records import ReplicaRecords
 from .replica import ReplicaRole
-from .request import (
-    DEFERRED,
-    FINISHED,
-    KEY_REUSED,
-    RERUNNABLE,
-    UNSENT,
-    WRITTEN_OFF,
-    BeginResult,
-    Client,
-    ReplicatedRequest,
-    RequestState,
-)
+from .request import FAILED, BeginResult, Client, ReplicatedRequest, RequestState
 from .request_table import RequestTable
 from .sync import ViewSynchronizer
 from .takeover import RequestTakeover
 from .views import ViewTracker
 
-__all__ = [
-    "DEFERRED",
-    "FINISHED",
-    "KEY_REUSED",
-    "RERUNNABLE",
-    "UNSENT",
-    "WRITTEN_OFF",
-    "BeginResult",
-    "ReplicatedRequest",
-    "ReplicationHost",
-    "RequestReplicator",
-    "RequestState",
-]
-
 
 class RequestReplicator:
     """One member's part in the replication of all requests of the fleet."""
@@ -314,7 +289,7 @@
             # The response that a client which has joined waits for may be lost.
             del request.waiting_clients[client]
             self.context.counts["waited_out"] += 1
-            self.context.host.respond(request, client, RecordedResponse(WRITTEN_OFF))
+            self.context.host.respond(request, client, RecordedResponse(FAILED))
 
     def next_at(self) -> float:
         """When to call `tick` again, seconds on the wall clock."""
--- a/starlingwheel/fleet/replication/request.py
+++ b/starlingwheel/fleet/replication/request.py
@@ -11,9 +11,11 @@
 from ..membership import hash_position
 
 # Statuses of final responses.
-FINISHED, DEFERRED, KEY_REUSED, WRITTEN_OFF = 200, 503, 422, 504
-RERUNNABLE = RetrySafety.IDEMPOTENT.value
-UNSENT = "unsent"  # outcome of an attempt that was never released
+FINISHED = 200
+KEY_REUSED = 422
+REJECTED = 503
+FAILED = 504
+NEVER_RELEASED = "unsent"  # outcome of an attempt
 NOT_SENT = -2  # of a replica: the request was not sent to it yet
 UNACKNOWLEDGED = -1  # of a replica: it has not acknowledged the request yet
 OVERHEAD = 512  # bytes that a request takes beside its bodies
@@ -99,6 +101,11 @@
             size=len(frame.request.body) + OVERHEAD,
         )
 
+    @property
+    def is_idempotent(self) -> bool:
+        """It may run any number of times."""
+        return self.retry_safety == RetrySafety.IDEMPOTENT.value
+
     @property
     def may_have_run(self) -> bool:
         """An attempt was released whose outcome is not known."""
@@ -125,8 +132,8 @@
         """It was rejected with nothing done, or failed and may be done again."""
         if self.state is not RequestState.DONE or self.response is None:
             return False
-        may_repeat = self.retry_safety == RERUNNABLE and self.response.status == WRITTEN_OFF
-        return self.response.status == DEFERRED or may_repeat
+        may_repeat = self.is_idempotent and self.response.status == FAILED
+        return self.response.status == REJECTED or may_repeat
 
     def to_frame(self, requests_grant: bool, coordinator: str = "") -> ReplicateFrame:
         """The frame that replicates it.
--- a/starlingwheel/fleet/replication/takeover.py
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -8,7 +8,7 @@
 from .peer_links import PeerLinks
 from .placement import RequestPlacement
 from .records import ReplicaRecords
-from .request import RERUNNABLE, UNACKNOWLEDGED, WRITTEN_OFF, ReplicatedRequest, RequestState
+from .request import FAILED, UNACKNOWLEDGED, ReplicatedRequest, RequestState
 from .request_table import RequestTable
 from .views import ViewTracker
 
@@ -57,7 +57,7 @@
         coordinates = coordinator == self.context.member_id
         request.is_granted = request.is_granted or (coordinates and self.views.may_grant(request.key))
         self.placement.replicate(request)
-        if not request.is_granted and coordinator and request.retry_safety == RERUNNABLE:
+        if not request.is_granted and coordinator and request.is_idempotent:
             if not request.replicas:
                 self.placement.own_unreplicated(request, "keepers-lost")
             elif coordinator not in request.replicas and self.views.is_outside(
@@ -117,7 +117,7 @@
         request.replicas[member] = UNACKNOWLEDGED
         if request.unacknowledged_rejection is not None:
             # The replica may take the request over: its client is not told that nothing was done.
-            self.completion.finish(request, RecordedResponse(WRITTEN_OFF))
+            self.completion.finish(request, RecordedResponse(FAILED))
         elif self.views.has_remote_replicas(request):
             self.update(request)
 
@@ -153,7 +153,7 @@
         )
         self.placement.replicate(request)
         if time_left <= 0:
-            self.completion.finish(request, RecordedResponse(WRITTEN_OFF))
+            self.completion.finish(request, RecordedResponse(FAILED))
             return
         self.placement.dispatch(request)
 
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -22,11 +22,11 @@
     RequestClassRecord,
 )
 from ...fleet.replication.request import (
-    DEFERRED,
+    FAILED,
     FINISHED,
     KEY_REUSED,
-    UNSENT,
-    WRITTEN_OFF,
+    NEVER_RELEASED,
+    REJECTED,
     BeginResult,
     ReplicatedRequest,
 )
@@ -50,7 +50,7 @@
 BYTES_PER_MB = 2**20
 IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
 BAD_REQUEST = 400
-OUTCOMES = {FINISHED: "finished", DEFERRED: "deferred", WRITTEN_OFF: "written_off"}  # by status, as counted
+OUTCOMES = {FINISHED: "finished", REJECTED: "deferred", FAILED: "written_off"}  # by status, as counted
 
 
 class ReplicatingCoordinator(FleetHost, RequestCoordinator):
@@ -135,7 +135,7 @@
         if reason:
             self.deferred += 1
             retry_after = POLICY_RETRY_AFTER * self.policy_replica.lease
-            self._respond(pending, RecordedResponse(DEFERRED, retry_after))
+            self._respond(pending, RecordedResponse(REJECTED, retry_after))
         return bool(reason)
 
     # Requests with a name.
@@ -253,7 +253,7 @@
                 not intent.outcome,
             )
             for intent in replicated.intents
-            if intent.outcome != UNSENT
+            if intent.outcome != NEVER_RELEASED
         ]
         self.scheduler.accept_request(request, attempts)
 
@@ -286,7 +286,7 @@
 
     def _fail(self, replicated: ReplicatedRequest) -> None:
         """Fail a request that can't be dispatched."""
-        response = RecordedResponse(WRITTEN_OFF)
+        response = RecordedResponse(FAILED)
         for client in list(replicated.waiting_clients):
             self._respond(client, response)
         replicated.waiting_clients.clear()
--- a/starlingwheel/net/fleet/responses.py
+++ b/starlingwheel/net/fleet/responses.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...fleet.frames import RecordedResponse
-from ...fleet.replication.request import FINISHED, WRITTEN_OFF
+from ...fleet.replication.request import FAILED, FINISHED
 from ..messages import FinalResponse
 from ..state.body_stream import BodyStream
 from ..state.buffers import BufferedBody, BufferPool, BuffersExhaustedError
@@ -45,7 +45,7 @@
         return FinalResponse(response.status, retry_after=response.retry_after)
     body = buffered_body(response.body, buffer_pool)
     if body is None:
-        return FinalResponse(WRITTEN_OFF)
+        return FinalResponse(FAILED)
     return FinalResponse(FINISHED, UpstreamResponse(body, response.content_type))
 
 
@@ -56,5 +56,5 @@
     body = final.response.body
     if isinstance(body, BodyStream):
         # A body that is forwarded while it arrives can't be given to anybody else.
-        return RecordedResponse(WRITTEN_OFF, 0.0, final.response.kind, b"")
+        return RecordedResponse(FAILED, 0.0, final.response.kind, b"")
     return RecordedResponse(FINISHED, 0.0, final.response.kind, b"".join(body.views()))
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -4,7 +4,8 @@
 import pytest
 
 from starlingwheel.fleet.frames import RecordedRequest, ReplicateFrame
-from starlingwheel.fleet.replication.replicator import BeginResult, RequestReplicator
+from starlingwheel.fleet.replication.replicator import RequestReplicator
+from starlingwheel.fleet.replication.request import BeginResult
 from trials.broken import VARIANTS, AttemptsNotRecorded
 from trials.emulated import HARSH, Request, World, play
 from trials.model import Bounds, explore
--- a/trials/emulated/member.py
+++ b/trials/emulated/member.py
@@ -16,7 +16,7 @@
     ReplicateFrame,
 )
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.replication.request import UNSENT, BeginResult, ReplicatedRequest
+from starlingwheel.fleet.replication.request import NEVER_RELEASED, BeginResult, ReplicatedRequest
 
 if TYPE_CHECKING:
     from .network import Link
@@ -124,7 +124,7 @@
     def _write(self, request: ReplicatedRequest, number: int, intended_at: float) -> None:
         if self.world.now > intended_at + SILENCE_TIMEOUT:
             # As the program does: a pause has fallen between the intent and the write.
-            self.replicator.attempt_not_run(request, number, UNSENT)
+            self.replicator.attempt_not_run(request, number, NEVER_RELEASED)
             self._retry(request)
             return
         self.world.record_run(self, request, number, request.epoch)
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -12,12 +12,11 @@
 from starlingwheel.decisions.config import BalancerConfig
 from starlingwheel.fleet.config import FleetConfig, ReplicationConfig
 from starlingwheel.fleet.frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame
-from starlingwheel.fleet.replication.replicator import (
-    DEFERRED,
+from starlingwheel.fleet.replication.request import (
+    FAILED,
     FINISHED,
-    RERUNNABLE,
-    UNSENT,
-    WRITTEN_OFF,
+    NEVER_RELEASED,
+    REJECTED,
     BeginResult,
     ReplicatedRequest,
 )
@@ -156,8 +155,8 @@
     def _drop(self, attempt: HollowAttempt) -> None:
         gate = self.forget_hold(attempt)
         if gate is not None:
-            self.replicator.attempt_not_run(gate.request, gate.number, UNSENT)
-            self._record_answer(attempt.item, RecordedResponse(DEFERRED))
+            self.replicator.attempt_not_run(gate.request, gate.number, NEVER_RELEASED)
+            self._record_answer(attempt.item, RecordedResponse(REJECTED))
 
     def _record_answer(self, item: ReplicatedRequest, response: RecordedResponse) -> None:
         given = self.replicator.finish_request(item, response)
@@ -167,8 +166,8 @@
 
     def dispatch(self, item: ReplicatedRequest) -> None:
         """Take over a request: attempt it, or fail it if it may have run and may not run twice."""
-        if item.retry_safety != RERUNNABLE and item.may_have_run:
-            self._record_answer(item, RecordedResponse(WRITTEN_OFF))
+        if not item.is_idempotent and item.may_have_run:
+            self._record_answer(item, RecordedResponse(FAILED))
         else:
             self._start_attempt(item, self.loop.now())
 
