--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -6,9 +6,9 @@
 from .context import ReplicationContext
 from .peer_links import PeerLinks
 from .request import (
-    DEFERRED,
+    NEVER_RELEASED,
     NO_CONTENT,
-    UNSENT,
+    REJECTED,
     ReplicatedRequest,
     RequestState,
 )
@@ -57,7 +57,7 @@
         for member in members:
             self.context.host.send_frame(member, ResponseFrame(request.key, request.epoch, response))
         for client in clients:
-            self.context.host.answer(request, client, response)
+            self.context.host.respond(request, client, response)
 
     def send_to_replicas(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
         """Have the replicas record a response."""
@@ -68,7 +68,7 @@
         """Attempts that are not released yet never will be."""
         held, request.held_attempts = request.held_attempts, {}
         for number in held:
-            request.intents[number].fate = UNSENT
+            request.intents[number].outcome = NEVER_RELEASED
             self.context.host.cancel_intent(request, number)
 
     def give_up(self, request: ReplicatedRequest, reason: str) -> None:
@@ -76,12 +76,12 @@
         self.context.counts["given_up"] += 1
         self.context.host.log_event("cover.given_up", reason=reason)
         retry_after = RETRY_AFTER * self.context.longest_timeout
-        request.response = RecordedResponse(DEFERRED, retry_after=retry_after)
+        request.response = RecordedResponse(REJECTED, retry_after=retry_after)
         request.state = RequestState.DONE
         self.table.forget(request)
         clients, request.waiting_clients = request.waiting_clients, {}
         for client in clients:
-            self.context.host.answer(request, client, request.response)
+            self.context.host.respond(request, client, request.response)
 
     def relinquish(self, request: ReplicatedRequest) -> None:
         """It has been taken over from us, or was in flight before we asked."""
@@ -135,7 +135,7 @@
             request.owner,
             request.fingerprint,
             request.request_class,
-            request.effect,
+            request.retry_safety,
             request.deadline,
             request.response,
         )
@@ -146,13 +146,13 @@
         request = self.table.get(frame.key)
         if request is None:
             now, longest = self.context.now, self.context.longest_timeout
-            if self.table.is_full or not now <= frame.until <= now + 2 * longest:
+            if self.table.is_full or not now <= frame.deadline <= now + 2 * longest:
                 return
             request = self.table.add(self._finished_elsewhere(frame))
         elif request.state is RequestState.DONE or request.is_granted:
             return
         self.cancel_attempts(request)
-        self.finish(request, frame.reply)
+        self.finish(request, frame.response)
         if self.table.get(frame.key) is request:
             self.inform_successor(request, self.views.coordinator_of(request))
 
@@ -163,11 +163,11 @@
             frame.owner,
             0,
             False,
-            frame.mark,
-            frame.category,
-            frame.effect,
-            frame.until - self.context.longest_timeout,
-            frame.until,
+            frame.fingerprint,
+            frame.request_class,
+            frame.retry_safety,
+            frame.deadline - self.context.longest_timeout,
+            frame.deadline,
             True,
             NO_CONTENT,
             [],
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -46,37 +46,12 @@
 from .placement import RequestPlacement
 from .records import ReplicaRecords
 from .replica import ReplicaRole
-from .request import (
-    DEFERRED,
-    FINISHED,
-    KEY_REUSED,
-    RERUNNABLE,
-    UNSENT,
-    WRITTEN_OFF,
-    BeginResult,
-    Client,
-    ReplicatedRequest,
-    RequestState,
-)
+from .request import FAILED, BeginResult, Client, ReplicatedRequest, RequestState
 from .request_table import RequestTable
 from .sync import ViewSynchronizer
 from .takeover import RequestTakeover
 from .views import ViewTracker
 
-__all__ = [
-    "DEFERRED",
-    "FINISHED",
-    "KEY_REUSED",
-    "RERUNNABLE",
-    "UNSENT",
-    "WRITTEN_OFF",
-    "BeginResult",
-    "ReplicatedRequest",
-    "ReplicationHost",
-    "RequestReplicator",
-    "RequestState",
-]
-
 
 class RequestReplicator:
     """One member's part in the replication of all requests of the fleet."""
@@ -178,7 +153,7 @@
 
     @property
     def digest(self) -> int:
-        """Of our cell in the view that holds: what `HeartbeatFrame.view` says."""
+        """Of our cell in the view that holds: what `HeartbeatFrame.view_digest` says."""
         return self.views.digest
 
     @property
@@ -314,7 +289,7 @@
             # The response that a client which has joined waits for may be lost.
             del request.waiting_clients[client]
             self.context.counts["waited_out"] += 1
-            self.context.host.answer(request, client, RecordedResponse(WRITTEN_OFF))
+            self.context.host.respond(request, client, RecordedResponse(FAILED))
 
     def next_at(self) -> float:
         """When to call `tick` again, seconds on the wall clock."""
@@ -348,7 +323,7 @@
     ) -> RecordedResponse | None:
         """The host's decisions have a final response.
 
-        Returns what its client is to get; None: `ReplicationHost.answer` follows.
+        Returns what its client is to get; None: `ReplicationHost.respond` follows.
         """
         return self.owner.answered(request, response)
 
--- a/starlingwheel/net/lifecycle/sidecar.py
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -90,7 +90,7 @@
 
         sock = bind_socket(socket.SOCK_STREAM, fleet_config.listen, reuse_port=bool(context.passed_socket))
         context.fleet = SidecarFleet(context, fleet_config, sock)
-        return context.fleet.module
+        return context.fleet.host
 
     def _client_socket(self) -> socket.socket:
         context = self.context
--- a/trials/emulated/member.py
+++ b/trials/emulated/member.py
@@ -16,7 +16,7 @@
     ReplicateFrame,
 )
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.replication.request import UNSENT, BeginResult, ReplicatedRequest
+from starlingwheel.fleet.replication.request import NEVER_RELEASED, BeginResult, ReplicatedRequest
 
 if TYPE_CHECKING:
     from .network import Link
@@ -118,13 +118,13 @@
 
     def release_intent(self, request: ReplicatedRequest, number: int) -> None:
         """Write the attempt of that intent; a pause may fall in between."""
-        intended_at = request.intents[number].at
+        intended_at = request.intents[number].started_at
         self.run_after(WRITE_DELAY, lambda: self._write(request, number, intended_at))
 
     def _write(self, request: ReplicatedRequest, number: int, intended_at: float) -> None:
         if self.world.now > intended_at + SILENCE_TIMEOUT:
             # As the program does: a pause has fallen between the intent and the write.
-            self.replicator.attempt_not_run(request, number, UNSENT)
+            self.replicator.attempt_not_run(request, number, NEVER_RELEASED)
             self._retry(request)
             return
         self.world.record_run(self, request, number, request.epoch)
@@ -165,7 +165,7 @@
         elif client is not None:
             self.replicator.wait_on(request, client, until)
 
-    def decide(self, request: ReplicatedRequest) -> None:
+    def dispatch(self, request: ReplicatedRequest) -> None:
         """Dispatch a request with its history."""
         if self._may_attempt(request):
             self._start_attempt(request)
@@ -177,21 +177,21 @@
     def _may_attempt(self, request: ReplicatedRequest) -> bool:
         """The rules of the program's decisions on retries and timeouts."""
         now = self.world.now
-        may_have_run = [intent for intent in request.intents if not intent.fate]
+        may_have_run = [intent for intent in request.intents if not intent.outcome]
         if now >= request.deadline:
             return False
         if not may_have_run:
             return True
-        if request.effect == RetrySafety.IDEMPOTENT_WITH_KEY.value:
-            return now < may_have_run[0].at + DEDUPLICATION_WINDOW * USED_WINDOW_FRACTION
-        return request.effect != RetrySafety.NON_IDEMPOTENT.value
+        if request.retry_safety == RetrySafety.IDEMPOTENT_WITH_KEY.value:
+            return now < may_have_run[0].started_at + DEDUPLICATION_WINDOW * USED_WINDOW_FRACTION
+        return request.retry_safety != RetrySafety.NON_IDEMPOTENT.value
 
     def _start_attempt(self, request: ReplicatedRequest) -> None:
         intent = AttemptIntent("u1", "north", 0, self.world.now)
         number = self.replicator.add_intent(request, intent)
         self.replicator.record_intent(request, number)
 
-    def answer(self, request: ReplicatedRequest, client: Request, response: RecordedResponse) -> None:
+    def respond(self, request: ReplicatedRequest, client: Request, response: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
         if not client.end:
             self.world.respond(client, response)
@@ -221,6 +221,6 @@
         )
         result, replicated = self.replicator.begin(frame, request, request.until)
         if result is BeginResult.RUN:
-            self.decide(replicated)
+            self.dispatch(replicated)
         elif result is BeginResult.RESPOND:
             self.world.respond(request, replicated.response)
--- a/trials/model_state.py
+++ b/trials/model_state.py
@@ -315,7 +315,7 @@
 
     def start_attempt(self, name: str, request: ReplicatedRequest) -> None:
         """A member's decisions start an attempt, or fail the request."""
-        may_have_run = any(not intent.fate for intent in request.intents)
+        may_have_run = any(not intent.outcome for intent in request.intents)
         if self.effect == RetrySafety.NON_IDEMPOTENT.value and may_have_run:
             self._answer(name, request, RecordedResponse(504))
             return
@@ -377,11 +377,11 @@
     def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
         """The attempt of that intent must never be written: in the model it never was."""
 
-    def decide(self, request: ReplicatedRequest) -> None:
+    def dispatch(self, request: ReplicatedRequest) -> None:
         """Dispatch a request with its history."""
         self.model.start_attempt(self.name, request)
 
-    def answer(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
+    def respond(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
         client.end = client.end or response.status
 
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -12,12 +12,11 @@
 from starlingwheel.decisions.config import BalancerConfig
 from starlingwheel.fleet.config import FleetConfig, ReplicationConfig
 from starlingwheel.fleet.frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame
-from starlingwheel.fleet.replication.replicator import (
-    DEFERRED,
+from starlingwheel.fleet.replication.request import (
+    FAILED,
     FINISHED,
-    RERUNNABLE,
-    UNSENT,
-    WRITTEN_OFF,
+    NEVER_RELEASED,
+    REJECTED,
     BeginResult,
     ReplicatedRequest,
 )
@@ -81,7 +80,7 @@
         self.attempt_number = 0
         self.alarm_at = inf
         self.replication_seconds = 0.0  # from attempts' begin to their release, all together
-        self.host(
+        self.set_up(
             loop,
             member_id,
             part,
@@ -137,7 +136,7 @@
             False,
             RecordedRequest(b"POST", b"/" + name, [], b"", name),
             [],
-            rules=request_class,
+            class_record=request_class,
         )
         result, item = self.replicator.begin(frame, object(), deadline)
         self.counts[result.value] += 1
@@ -145,19 +144,19 @@
             self._start_attempt(item, now)
 
     def _start_attempt(self, item: ReplicatedRequest, now: float) -> None:
-        self.hold(HollowAttempt(item, now), item, AttemptIntent("u0", "", 0, now))
+        self.hold_attempt(HollowAttempt(item, now), item, AttemptIntent("u0", "", 0, now))
 
     def _finish_attempts(self, now: float) -> None:
         while self.in_service and self.in_service[0][0] <= now:
             attempt = heapq.heappop(self.in_service)[2]
-            if self.release_hold(attempt) is not None:
+            if self.forget_hold(attempt) is not None:
                 self._record_answer(attempt.item, RecordedResponse(FINISHED))
 
     def _drop(self, attempt: HollowAttempt) -> None:
-        gate = self.release_hold(attempt)
+        gate = self.forget_hold(attempt)
         if gate is not None:
-            self.replicator.attempt_not_run(gate.item, gate.number, UNSENT)
-            self._record_answer(attempt.item, RecordedResponse(DEFERRED))
+            self.replicator.attempt_not_run(gate.request, gate.number, NEVER_RELEASED)
+            self._record_answer(attempt.item, RecordedResponse(REJECTED))
 
     def _record_answer(self, item: ReplicatedRequest, response: RecordedResponse) -> None:
         given = self.replicator.finish_request(item, response)
@@ -165,28 +164,28 @@
 
     # What `FleetHost` asks of the deciding part
 
-    def decide(self, item: ReplicatedRequest) -> None:
+    def dispatch(self, item: ReplicatedRequest) -> None:
         """Take over a request: attempt it, or fail it if it may have run and may not run twice."""
-        if item.effect != RERUNNABLE and item.may_have_run:
-            self._record_answer(item, RecordedResponse(WRITTEN_OFF))
+        if not item.is_idempotent and item.may_have_run:
+            self._record_answer(item, RecordedResponse(FAILED))
         else:
             self._start_attempt(item, self.loop.now())
 
-    def answer(self, item: ReplicatedRequest, client: object, reply: RecordedResponse) -> None:
+    def respond(self, item: ReplicatedRequest, client: object, response: RecordedResponse) -> None:
         """Count what a client would be answered."""
-        self.counts[f"told_{reply.status}"] += 1
+        self.counts[f"told_{response.status}"] += 1
 
-    def released(self, exchange: HollowAttempt) -> None:
+    def release_held_attempt(self, token: HollowAttempt) -> None:
         """Begin the service of an attempt whose intent is replicated."""
         now = self.loop.now()
-        self.replication_seconds += now - exchange.at
+        self.replication_seconds += now - token.at
         self.counts["released"] += 1
         self.attempt_number += 1
-        heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, exchange))
+        heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, token))
 
-    def dropped(self, exchange: HollowAttempt) -> None:
+    def cancel_held_attempt(self, token: HollowAttempt) -> None:
         """Drop an attempt in a turn of its own."""
-        self.post(AttemptDropped(exchange))
+        self.post(AttemptDropped(token))
 
     def replication_config_changed(self, part: ReplicationConfig) -> None:
         """Replicate as a policy says."""
