--- a/starlingwheel/fleet/policy/transactions.py
+++ b/starlingwheel/fleet/policy/transactions.py
@@ -14,7 +14,7 @@
     NOW,
     PAST_AT,
     VOTES,
-    Compare,
+    Condition,
     PastProposal,
     Policy,
     PolicyDecision,
@@ -54,18 +54,18 @@
     decision = PolicyDecision(proposal.policy, proposal.at, proposal.number, before)
     unchanged = [
         equal(NOW, "MOD", records.now_mod),
-        Compare(MEMBERS, "MOD", "LESS", records.revision + 1, prefix=True),
-        Compare(NAMES, "MOD", "LESS", records.revision + 1, prefix=True),
+        Condition(MEMBERS, "MOD", "LESS", records.revision + 1, prefix=True),
+        Condition(NAMES, "MOD", "LESS", records.revision + 1, prefix=True),
     ]
     # A condition on a range does not see entries that are gone: those of voters are compared one by one.
     voters = list(records.members.values())[:MAX_COMPARED_MEMBERS]
     unchanged += [equal(MEMBERS + voter.id, "CREATE", voter.term) for voter in voters]
     ended = _end(records, "decide", "decided", "", now)
     return Transaction(
-        ended.what,
-        [*ended.compare, *unchanged],
+        ended.kind,
+        [*ended.conditions, *unchanged],
         [(NOW, msgspec.json.encode(decision)), *ended.put],
-        ended.erase,
+        ended.delete,
     )
 
 
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -134,7 +134,7 @@
     mod: int
 
 
-class Compare(msgspec.Struct, frozen=True):
+class Condition(msgspec.Struct, frozen=True):
     """A condition of a transaction. `prefix`: on every key that begins so."""
 
     key: str
@@ -147,16 +147,16 @@
 class Transaction(msgspec.Struct, frozen=True):
     """What is written to the coordination store if all conditions hold."""
 
-    what: str  # for the log
-    compare: list[Compare]
+    kind: str  # of change, for the log
+    conditions: list[Condition]
     put: list[tuple[str, bytes]] = []
-    erase: list[str] = []  # a key, or all keys below one that ends in a slash
+    delete: list[str] = []  # a key, or all keys below one that ends in a slash
     leased: bool = False  # what is put ends with our lease
 
 
-def equal(key: str, target: str, value: int) -> Compare:
+def equal(key: str, target: str, value: int) -> Condition:
     """The condition that the key's revision is this one; 0: there is no such key."""
-    return Compare(key, target, "EQUAL", value)
+    return Condition(key, target, "EQUAL", value)
 
 
 class StoreRecords:
@@ -253,14 +253,14 @@
             raise ValueError(f"{sharding.count} cells")
         self.cells, self.cut_at, self.cells_spoilt = sharding.count, sharding.at, False
 
-    def erase(self, key: str) -> None:
+    def delete(self, key: str) -> None:
         """Take over that a key is no more."""
         if key.startswith(MEMBERS):
             self.members.pop(key.removeprefix(MEMBERS), None)
         elif key.startswith(NAMES):
             self.names.pop(key.removeprefix(NAMES), None)
         elif key.startswith(POLICY):
-            self._erase_policy(key)
+            self._delete_policy(key)
         elif key == PLAN:
             self.plan, self.plan_mod = None, 0
         elif key.startswith(SAID):
@@ -268,7 +268,7 @@
         elif key == CELLS:
             self.cells, self.cells_mod, self.cells_spoilt = 1, 0, False
 
-    def _erase_policy(self, key: str) -> None:
+    def _delete_policy(self, key: str) -> None:
         if key == NOW:
             self.now_mod = 0
         elif key == NEXT:
--- a/starlingwheel/net/fleet/etcd/member_evictor.py
+++ b/starlingwheel/net/fleet/etcd/member_evictor.py
@@ -38,6 +38,6 @@
         key = MEMBERS + member.id
         # Only the entry that is known here: the member may have registered anew.
         condition = equal(key, "CREATE", member.term)
-        evicted = yield from self.commit(Transaction("strike", [condition], erase=[key]))
+        evicted = yield from self.commit(Transaction("strike", [condition], delete=[key]))
         if evicted:
             self.log("member.struck", member=member.id)
--- a/starlingwheel/net/fleet/etcd/session.py
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ....fleet.records import MEMBERS, Compare, Transaction
+from ....fleet.records import MEMBERS, Condition, Transaction
 from ...actor import Actor, Coroutine
 from ...http.stream import ConnectionLostError
 from ...loop import Loop
@@ -124,9 +124,9 @@
     def commit(self, transaction: Transaction, lease: str = "") -> Coroutine[bool]:
         """Return whether a transaction was carried out. `lease`: what is put belongs to it."""
         request = TransactionRequest(
-            [self._comparison(compare) for compare in transaction.compare],
+            [self._comparison(condition) for condition in transaction.conditions],
             [self._put_operation(key, value, lease) for key, value in transaction.put]
-            + [self._delete_operation(key) for key in transaction.erase],
+            + [self._delete_operation(key) for key in transaction.delete],
         )
         reply = yield from self.call(TRANSACTION_PATH, request, TransactionReply)
         self.record_success()
@@ -143,13 +143,13 @@
             delete.range_end = encode_base64(prefix_end(full_key))
         return Operation(request_delete_range=delete)
 
-    def _comparison(self, compare: Compare) -> Comparison:
-        key = self.fleet_prefix + compare.key
-        comparison = Comparison(encode_base64(key), compare.target, compare.result)
-        if compare.target == "MOD":
-            comparison.mod_revision = str(compare.value)
+    def _comparison(self, condition: Condition) -> Comparison:
+        key = self.fleet_prefix + condition.key
+        comparison = Comparison(encode_base64(key), condition.target, condition.result)
+        if condition.target == "MOD":
+            comparison.mod_revision = str(condition.value)
         else:
-            comparison.create_revision = str(compare.value)
-        if compare.prefix:
+            comparison.create_revision = str(condition.value)
+        if condition.prefix:
             comparison.range_end = encode_base64(prefix_end(key))
         return comparison
--- a/starlingwheel/net/fleet/etcd/state_watcher.py
+++ b/starlingwheel/net/fleet/etcd/state_watcher.py
@@ -113,7 +113,7 @@
             key = self._record_key(event.kv)
             view_changed = view_changed or key.startswith(MEMBERS) or key == CELLS
             if event.type == "DELETE":
-                self.records.erase(key)
+                self.records.delete(key)
             else:
                 self.put_record(event.kv)
         if received.events:
--- a/starlingwheel/net/fleet/etcd/state_writer.py
+++ b/starlingwheel/net/fleet/etcd/state_writer.py
@@ -45,11 +45,11 @@
             if isinstance(message, SocketReady):
                 self.connection.close()
             elif isinstance(message, WriteTransaction):
-                message.done = yield from self.commit(message.txn)
+                message.done = yield from self.commit(message.transaction)
             elif message is not None:
                 next_at = 0.0  # new records may have made something due
 
     def _write_due(self, transaction: Transaction) -> Coroutine[None]:
         done = yield from self.commit(transaction, self.lease_id() if transaction.leased else "")
         if not transaction.leased:
-            self.log("arbiter.wrote", what=transaction.what, done=done)
+            self.log("arbiter.wrote", what=transaction.kind, done=done)
--- a/starlingwheel/net/fleet/messages.py
+++ b/starlingwheel/net/fleet/messages.py
@@ -52,10 +52,10 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseRenewed:
-    """To the host: our lease holds until that time; `entered` is the store's revision of our entry."""
+    """To the host: our lease holds until that time; `entry_revision`: of our entry in the store."""
 
     until: float
-    entered: int
+    entry_revision: int
 
 
 @dataclass(slots=True, eq=False)
@@ -110,7 +110,7 @@
 class WriteTransaction:
     """To the `StateWriter`: write this once. `done`: whether it was carried out; None: not known yet."""
 
-    txn: Transaction
+    transaction: Transaction
     done: bool | None = None
 
 
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -138,7 +138,7 @@
                 if isinstance(txn := shard_map.due(), Transaction):
                     asked.append(txn)
             for txn in asked:
-                if txn.compare[0].value == self.records.cells_mod:
+                if txn.conditions[0].value == self.records.cells_mod:
                     self.records.revision += 1
                     self.records.put(CELLS, StoreEntry(txn.put[0][1], 2, self.records.revision))
                     self.written.append((self.now, self.records.cells, len(asked)))
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -142,7 +142,7 @@
             records.put(key, StoreEntry(bytes(data), 3, 3))
         for key in [*good, "policy/past/x", "policy/votes/x/y", "policy/votes/"]:
             records.put(key, StoreEntry(b"\xff{", 3, 3))
-            records.erase(key)
+            records.delete(key)
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"fleet":"other"}', b'{"fleet":3}', b"\xff\xfe"])
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -216,9 +216,9 @@
     def due(self) -> Transaction | float:
         """The transaction to carry out now, without the compares of members; or when to ask again."""
         due = super().due()
-        if isinstance(due, Transaction) and due.what == "decide":
-            same = [one for one in due.compare if not one.prefix and not one.key.startswith("members/")]
-            return Transaction(due.what, same, due.put, due.erase)
+        if isinstance(due, Transaction) and due.kind == "decide":
+            same = [one for one in due.conditions if not one.prefix and not one.key.startswith("members/")]
+            return Transaction(due.kind, same, due.put, due.delete)
         return due
 
 
--- a/trials/emulated_member.py
+++ b/trials/emulated_member.py
@@ -43,7 +43,7 @@
         self.policy_replica = world.replica_type(self.id, name, LEASE, self, self.clock(), stored)
         self.records, self.events_seen = StoreRecords(), 0
         self.alive, self.paused_until = True, 0.0
-        self.renewed_at, self.entered = -inf, 0
+        self.renewed_at, self.entry_revision = -inf, 0
         self.wrote_at = -inf
         self.status_sent_at = 0.0
         self.pending_statuses: dict[str, PolicyStatus] = {}  # that came while it was paused
@@ -132,7 +132,7 @@
             members_changed = members_changed or key.startswith(MEMBERS)
             self.records.revision = revision
             if entry is None:
-                self.records.erase(key)
+                self.records.delete(key)
             else:
                 self.records.put(key, entry)
         self.events_seen = upto
@@ -159,11 +159,11 @@
             store.put(key, msgspec.json.encode(Member(self.id, self.name, self.name)))
             if NAMES + self.name not in store.entries:
                 store.put(NAMES + self.name, b"1")
-            self.entered = store.revision
+            self.entry_revision = store.revision
         world.leases[key] = world.now + LEASE
         self.renewed_at = world.now
         if world.rng.random() < RENEWAL_REPLY_CHANCE:  # else the reply is lost
-            self.policy_replica.renewed(self.clock() + LEASE, self.entered)
+            self.policy_replica.renewed(self.clock() + LEASE, self.entry_revision)
 
     def _send_statuses(self) -> None:
         world = self.world
@@ -198,5 +198,5 @@
             # It may reach the store late, when what it was made from is over.
             is_prompt = world.rng.random() < PROMPT_WRITE_CHANCE
             delay = PROMPT_WRITE if is_prompt else world.rng.uniform(0, LEASE / 3)
-            delay = world.write_delays.get(due.what, delay)
+            delay = world.write_delays.get(due.kind, delay)
             world.at(world.now + delay, lambda: world.reaches_store(self) and world.store.write(due))
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -66,7 +66,7 @@
         self.down_until = 0.0
         self.cut: dict[str, float] = {}  # a name, and until when it can't reach the store
         self.stalled: dict[str, float] = {}
-        self.write_delays: dict[str, float] = {}  # of transactions, by what they are
+        self.write_delays: dict[str, float] = {}  # of transactions, by kind
         self.apart: dict[tuple[str, str], float] = {}
         self.members: dict[str, EmulatedMember] = {}
         self.log_counts: Counter[str] = Counter()
@@ -120,7 +120,7 @@
         self.leases.pop(entry, None)
         if entry in self.store.entries:
             self.store.revision += 1
-            self.store.erase(entry)
+            self.store.delete(entry)
 
     # Faults and changes.
 
--- a/trials/emulated_store.py
+++ b/trials/emulated_store.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from starlingwheel.fleet.records import NOW, Compare, PolicyDecision, StoreEntry, Transaction
+from starlingwheel.fleet.records import NOW, Condition, PolicyDecision, StoreEntry, Transaction
 
 ABSENT = StoreEntry(b"", 0, 0)  # what a condition on a missing key compares with
 
@@ -16,15 +16,15 @@
         """An empty store at revision 1."""
         self.revision = 1
         self.entries: dict[str, StoreEntry] = {}
-        self.events: list[tuple[int, str, StoreEntry | None]] = []  # revision, key, None where it was erased
+        self.events: list[tuple[int, str, StoreEntry | None]] = []  # revision, key, None where it was deleted
         self.decided: list[PolicyDecision] = []
         self.calls = 0
 
     def holds(self, transaction: Transaction) -> bool:
         """Whether all conditions of the transaction hold."""
-        return all(self._matches(condition) for condition in transaction.compare)
+        return all(self._matches(condition) for condition in transaction.conditions)
 
-    def _matches(self, condition: Compare) -> bool:
+    def _matches(self, condition: Condition) -> bool:
         if condition.prefix:
             found = [entry for key, entry in self.entries.items() if key.startswith(condition.key)]
         else:
@@ -42,11 +42,11 @@
         self.revision += 1
         for key, value in transaction.put:
             self.put(key, value)
-        for erased in transaction.erase:
-            is_prefix = erased.endswith("/")
-            keys = [key for key in self.entries if key == erased or (is_prefix and key.startswith(erased))]
+        for deleted in transaction.delete:
+            is_prefix = deleted.endswith("/")
+            keys = [key for key in self.entries if key == deleted or (is_prefix and key.startswith(deleted))]
             for key in keys:
-                self.erase(key)
+                self.delete(key)
         return True
 
     def put(self, key: str, value: bytes) -> None:
@@ -58,7 +58,7 @@
         if key == NOW:
             self.decided.append(msgspec.json.decode(value, type=PolicyDecision))
 
-    def erase(self, key: str) -> None:
-        """Erase one entry at the present revision."""
+    def delete(self, key: str) -> None:
+        """Delete one entry at the present revision."""
         del self.entries[key]
         self.events.append((self.revision, key, None))
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -281,7 +281,7 @@
         for revision, key, entry in events[self.events_seen :]:
             self.records.revision = revision
             if entry is None:
-                self.records.erase(key)
+                self.records.delete(key)
             else:
                 self.records.put(key, entry)
         self.events_seen = len(events)
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -263,7 +263,7 @@
     def _expire(self, name: str) -> None:
         entry = self._entry(name)
         self.store.revision += 1
-        self.store.erase(entry)
+        self.store.delete(entry)
 
     def _tick(self) -> None:
         self.remaining["ticks"] -= 1
@@ -298,7 +298,7 @@
             for revision, key, entry in store.events[self.events_seen[name] :]:
                 records.revision = revision
                 if entry is None:
-                    records.erase(key)
+                    records.delete(key)
                 else:
                     records.put(key, entry)
         replica.recorded(records.copy(), gap)
@@ -335,7 +335,7 @@
             self.remaining,
             self.now,
             sorted(self.cut),
-            [(name, transaction.what) for name, transaction in self.delayed],
+            [(name, transaction.kind) for name, transaction in self.delayed],
             sorted(self.leases.items()),
             self.took_old_after_switch,
             self.took_new,
