--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -202,8 +202,8 @@
         """Take over what the coordination store holds. `gap`: changes in between may not have been seen."""
         before, self.records = self.records, records
         self._follow_members(before, gap)
-        if records.now is not None:
-            self._adopt(records.now)
+        if records.decision is not None:
+            self._adopt(records.decision)
         self.ended = max([self.ended, *records.past])
         promise = self.promise
         if promise is not None and records.revision >= promise.number and not self._is_open(promise):
@@ -212,7 +212,7 @@
         if not self.sure and self.member_id in records.members:
             self.sure = True
             self.host.note("policy.known", version=self.in_force.version)
-        proposal = records.next
+        proposal = records.proposal
         if proposal is not None and self.member_id in records.members and not self._has_voted(proposal):
             self._cast_vote(proposal)
 
@@ -224,7 +224,7 @@
         if gap:
             self.voter_left_at = self.now
         changed = before.members.keys() != records.members.keys()
-        if changed and records.next is not None:
+        if changed and records.proposal is not None:
             gone = before.members.keys() - records.members.keys()
             if any(records.votes.get(member) != "" for member in gone):
                 self.voter_left_at = self.now
@@ -236,7 +236,7 @@
             self._store()
 
     def _is_open(self, proposal: PolicyProposal) -> bool:
-        return self.records.next is not None and self.records.next.number == proposal.number
+        return self.records.proposal is not None and self.records.proposal.number == proposal.number
 
     # Which policy holds.
 
@@ -316,16 +316,16 @@
 
     def drop(self, reason: str) -> Transaction | None:
         """Drop the open proposal; None: there is none."""
-        if self.records.next is None and not self.records.is_next_unreadable:
+        if self.records.proposal is None and not self.records.is_proposal_unreadable:
             return None
         return transactions.drop(self.records, reason, self.now)
 
     def due(self) -> Transaction | float:
         """What to write now, or when to ask again."""
         records = self.records
-        proposal = records.next
-        if records.is_next_unreadable:
-            return self._in_turn("spoilt", records.next_mod, lambda: self.drop("nobody can read it"))
+        proposal = records.proposal
+        if records.is_proposal_unreadable:
+            return self._in_turn("spoilt", records.proposal_mod, lambda: self.drop("nobody can read it"))
         if proposal is None or self.member_id not in records.members:
             return inf
         if not self._has_voted(proposal):
@@ -391,7 +391,7 @@
 
     def _turn(self, number: int) -> int:
         """How many other members write before this one; 0 for the author."""
-        proposal = self.records.next
+        proposal = self.records.proposal
         if proposal is not None and proposal.author == self.member_id:
             return 0
         members = sorted(self.records.members)
--- a/starlingwheel/fleet/policy/transactions.py
+++ b/starlingwheel/fleet/policy/transactions.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from ..records import (
-    MEMBERS,
-    NAMES,
-    NEXT,
-    NOW,
-    PAST_AT,
-    VOTES,
+    DECISION_KEY,
+    MEMBERS_PREFIX,
+    NAMES_PREFIX,
+    PAST_PREFIX,
+    PROPOSAL_KEY,
+    VOTES_PREFIX,
     Condition,
     PastProposal,
     Policy,
@@ -31,17 +31,17 @@
 
 def propose(records: StoreRecords, proposal: PolicyProposal) -> Transaction:
     """Open a proposal, unless there is one or another policy was decided meanwhile."""
-    unchanged = [equal(NEXT, "CREATE", 0), equal(NOW, "MOD", records.now_mod)]
-    return Transaction("propose", unchanged, [(NEXT, msgspec.json.encode(proposal))])
+    unchanged = [equal(PROPOSAL_KEY, "CREATE", 0), equal(DECISION_KEY, "MOD", records.decision_mod)]
+    return Transaction("propose", unchanged, [(PROPOSAL_KEY, msgspec.json.encode(proposal))])
 
 
 def vote(records: StoreRecords, number: int, member_id: str, reason: str) -> Transaction:
     """Vote on the proposal of that number: against it for that reason, or yes if it is empty."""
-    key = f"{VOTES}{number}/{member_id}"
+    key = f"{VOTES_PREFIX}{number}/{member_id}"
     unchanged = [
-        equal(NEXT, "MOD", records.next_mod),
+        equal(PROPOSAL_KEY, "MOD", records.proposal_mod),
         equal(key, "CREATE", 0),
-        equal(MEMBERS + member_id, "CREATE", records.members[member_id].term),
+        equal(MEMBERS_PREFIX + member_id, "CREATE", records.members[member_id].term),
     ]
     return Transaction("vote", unchanged, [(key, msgspec.json.encode(reason))])
 
@@ -53,18 +53,18 @@
     """
     decision = PolicyDecision(proposal.policy, proposal.at, proposal.number, before)
     unchanged = [
-        equal(NOW, "MOD", records.now_mod),
-        Condition(MEMBERS, "MOD", "LESS", records.revision + 1, prefix=True),
-        Condition(NAMES, "MOD", "LESS", records.revision + 1, prefix=True),
+        equal(DECISION_KEY, "MOD", records.decision_mod),
+        Condition(MEMBERS_PREFIX, "MOD", "LESS", records.revision + 1, prefix=True),
+        Condition(NAMES_PREFIX, "MOD", "LESS", records.revision + 1, prefix=True),
     ]
     # A condition on a range does not see entries that are gone: those of voters are compared one by one.
     voters = list(records.members.values())[:MAX_COMPARED_MEMBERS]
-    unchanged += [equal(MEMBERS + voter.id, "CREATE", voter.term) for voter in voters]
+    unchanged += [equal(MEMBERS_PREFIX + voter.id, "CREATE", voter.term) for voter in voters]
     ended = _end(records, "decide", "decided", "", now)
     return Transaction(
         ended.kind,
         [*ended.conditions, *unchanged],
-        [(NOW, msgspec.json.encode(decision)), *ended.put],
+        [(DECISION_KEY, msgspec.json.encode(decision)), *ended.put],
         ended.delete,
     )
 
@@ -76,12 +76,12 @@
 
 def _end(records: StoreRecords, what: str, outcome: str, reason: str, now: float) -> Transaction:
     """What ends a proposal either way: its entry and votes go, its end is remembered."""
-    number, proposal = records.next_mod, records.next
+    number, proposal = records.proposal_mod, records.proposal
     version, digest, author = 0, "", ""  # of one that can't be read
     if proposal is not None:
         version, digest, author = proposal.policy.version, proposal.policy.digest, proposal.author
     past = PastProposal(number, version, digest, outcome, reason[:MAX_REASON_LENGTH], now, author)
     oldest = sorted(records.past)[: 1 - REMEMBERED_PROPOSALS]
-    erase = [NEXT, f"{VOTES}{number}/", *(f"{PAST_AT}{old}" for old in oldest)]
-    put = [(f"{PAST_AT}{number}", msgspec.json.encode(past))]
-    return Transaction(what, [equal(NEXT, "MOD", number)], put, erase)
+    erase = [PROPOSAL_KEY, f"{VOTES_PREFIX}{number}/", *(f"{PAST_PREFIX}{old}" for old in oldest)]
+    put = [(f"{PAST_PREFIX}{number}", msgspec.json.encode(past))]
+    return Transaction(what, [equal(PROPOSAL_KEY, "MOD", number)], put, erase)
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -12,11 +12,17 @@
 from .membership import MOST_CELLS, Member, MembershipView
 from .policy.document import Body
 
-POLICY = "policy/"
-NOW, NEXT, VOTES, PAST_AT = "policy/now", "policy/next", "policy/votes/", "policy/past/"
-MEMBERS, NAMES = "members/", "names/"
-PLAN, SAID = "zones/plan", "zones/said/"
-CELLS = "cells"
+# Keys under the fleet's name. A prefix is followed by what stands in the comment.
+POLICY_PREFIX = "policy/"
+DECISION_KEY = "policy/now"
+PROPOSAL_KEY = "policy/next"
+VOTES_PREFIX = "policy/votes/"  # proposal's number, slash, member
+PAST_PREFIX = "policy/past/"  # proposal's number
+MEMBERS_PREFIX = "members/"  # member
+NAMES_PREFIX = "names/"  # member's name
+ZONE_PLAN_KEY = "zones/plan"
+ZONE_REPORTS_PREFIX = "zones/said/"  # member
+CELLS_KEY = "cells"
 
 
 class Policy(msgspec.Struct, frozen=True):
@@ -165,18 +171,18 @@
     def __init__(self, cells: int = 0) -> None:
         """`cells`: as in the records before, kept where the entry can't be read; 0: not known."""
         self.revision = 0
-        self.cells_before = cells
+        self.previous_cells = cells
         self.cells = 1  # into how many the fleet is divided; 0: not known
-        self.cut_at = 0.0  # since when, seconds on the wall clock
+        self.divided_at = 0.0  # since when, seconds on the wall clock
         self.cells_mod = 0
-        self.cells_spoilt = False  # the entry can't be read
+        self.cells_unreadable = False  # the entry can't be read
         self.members: dict[str, Member] = {}
         self.names: dict[str, int] = {}  # registered names, and the revisions of their entries
-        self.now: PolicyDecision | None = None
-        self.now_mod = 0
-        self.next: PolicyProposal | None = None
-        self.next_mod = 0
-        self.is_next_unreadable = False  # there is a proposal that nobody can read
+        self.decision: PolicyDecision | None = None
+        self.decision_mod = 0
+        self.proposal: PolicyProposal | None = None
+        self.proposal_mod = 0
+        self.is_proposal_unreadable = False  # there is a proposal that nobody can read
         self.votes: dict[str, str] = {}  # on the open proposal, by member: a reason against it, empty: yes
         self.past: dict[int, PastProposal] = {}
         self.plan: ZonePlan | None = None
@@ -193,7 +199,9 @@
     def view(self) -> MembershipView:
         """The members; empty while it is not known here into how many cells the fleet is divided."""
         return (
-            MembershipView(self.members.values(), self.cells, self.cut_at) if self.cells else MembershipView()
+            MembershipView(self.members.values(), self.cells, self.divided_at)
+            if self.cells
+            else MembershipView()
         )
 
     def put(self, key: str, entry: StoreEntry) -> str:
@@ -201,24 +209,26 @@
         try:
             self._put(key, entry)
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError):
-            if key.startswith(MEMBERS):
-                self.members.pop(key.removeprefix(MEMBERS), None)
+            if key.startswith(MEMBERS_PREFIX):
+                self.members.pop(key.removeprefix(MEMBERS_PREFIX), None)
             return "unreadable"
         return ""
 
     def _put(self, key: str, entry: StoreEntry) -> None:
-        if key.startswith(MEMBERS):
-            self._put_member(key.removeprefix(MEMBERS), entry)
-        elif key.startswith(NAMES):
-            self.names[key.removeprefix(NAMES)] = entry.create
-        elif key.startswith(POLICY):
+        if key.startswith(MEMBERS_PREFIX):
+            self._put_member(key.removeprefix(MEMBERS_PREFIX), entry)
+        elif key.startswith(NAMES_PREFIX):
+            self.names[key.removeprefix(NAMES_PREFIX)] = entry.create
+        elif key.startswith(POLICY_PREFIX):
             self._put_policy(key, entry)
-        elif key == PLAN:
+        elif key == ZONE_PLAN_KEY:
             self.plan_mod, self.plan = entry.mod, None
             self.plan = msgspec.json.decode(entry.value, type=ZonePlan)
-        elif key.startswith(SAID):
-            self.said[key.removeprefix(SAID)] = msgspec.json.decode(entry.value, type=ZoneReport)
-        elif key == CELLS:
+        elif key.startswith(ZONE_REPORTS_PREFIX):
+            self.said[key.removeprefix(ZONE_REPORTS_PREFIX)] = msgspec.json.decode(
+                entry.value, type=ZoneReport
+            )
+        elif key == CELLS_KEY:
             self._put_cells(entry)
 
     def _put_member(self, member_id: str, entry: StoreEntry) -> None:
@@ -228,51 +238,51 @@
         self.members[member.id] = msgspec.structs.replace(member, term=entry.create)
 
     def _put_policy(self, key: str, entry: StoreEntry) -> None:
-        if key == NOW:
-            self.now_mod = entry.mod  # also of one that can't be read, so that it can be replaced
-            self.now = msgspec.json.decode(entry.value, type=PolicyDecision)
-        elif key == NEXT:
-            self.next, self.next_mod, self.is_next_unreadable = None, entry.mod, True
+        if key == DECISION_KEY:
+            self.decision_mod = entry.mod  # also of one that can't be read, so that it can be replaced
+            self.decision = msgspec.json.decode(entry.value, type=PolicyDecision)
+        elif key == PROPOSAL_KEY:
+            self.proposal, self.proposal_mod, self.is_proposal_unreadable = None, entry.mod, True
             proposal = msgspec.json.decode(entry.value, type=PolicyProposal)
-            self.next = msgspec.structs.replace(proposal, number=entry.create)
-            self.is_next_unreadable = False
-        elif key.startswith(VOTES):
-            number, _, member = key.removeprefix(VOTES).partition("/")
-            if int(number) == self.next_mod:
+            self.proposal = msgspec.structs.replace(proposal, number=entry.create)
+            self.is_proposal_unreadable = False
+        elif key.startswith(VOTES_PREFIX):
+            number, _, member = key.removeprefix(VOTES_PREFIX).partition("/")
+            if int(number) == self.proposal_mod:
                 self.votes[member] = msgspec.json.decode(entry.value, type=str)
-        elif key.startswith(PAST_AT):
+        elif key.startswith(PAST_PREFIX):
             past = msgspec.json.decode(entry.value, type=PastProposal)
             self.past[past.number] = past
 
     def _put_cells(self, entry: StoreEntry) -> None:
         # An entry that can't be read is not taken for one cell: coordinators would be others than elsewhere.
-        self.cells = self.cells if self.revision else self.cells_before
-        self.cells_mod, self.cells_spoilt = entry.mod, True
+        self.cells = self.cells if self.revision else self.previous_cells
+        self.cells_mod, self.cells_unreadable = entry.mod, True
         sharding = msgspec.json.decode(entry.value, type=Sharding)
         if not 1 <= sharding.count <= MOST_CELLS or sharding.count & (sharding.count - 1):
             raise ValueError(f"{sharding.count} cells")
-        self.cells, self.cut_at, self.cells_spoilt = sharding.count, sharding.at, False
+        self.cells, self.divided_at, self.cells_unreadable = sharding.count, sharding.at, False
 
     def delete(self, key: str) -> None:
         """Take over that a key is no more."""
-        if key.startswith(MEMBERS):
-            self.members.pop(key.removeprefix(MEMBERS), None)
-        elif key.startswith(NAMES):
-            self.names.pop(key.removeprefix(NAMES), None)
-        elif key.startswith(POLICY):
+        if key.startswith(MEMBERS_PREFIX):
+            self.members.pop(key.removeprefix(MEMBERS_PREFIX), None)
+        elif key.startswith(NAMES_PREFIX):
+            self.names.pop(key.removeprefix(NAMES_PREFIX), None)
+        elif key.startswith(POLICY_PREFIX):
             self._delete_policy(key)
-        elif key == PLAN:
+        elif key == ZONE_PLAN_KEY:
             self.plan, self.plan_mod = None, 0
-        elif key.startswith(SAID):
-            self.said.pop(key.removeprefix(SAID), None)
-        elif key == CELLS:
-            self.cells, self.cells_mod, self.cells_spoilt = 1, 0, False
+        elif key.startswith(ZONE_REPORTS_PREFIX):
+            self.said.pop(key.removeprefix(ZONE_REPORTS_PREFIX), None)
+        elif key == CELLS_KEY:
+            self.cells, self.cells_mod, self.cells_unreadable = 1, 0, False
 
     def _delete_policy(self, key: str) -> None:
-        if key == NOW:
-            self.now_mod = 0
-        elif key == NEXT:
-            self.next, self.next_mod, self.is_next_unreadable, self.votes = None, 0, False, {}
-        elif key.startswith(PAST_AT):
-            number = key.removeprefix(PAST_AT)
+        if key == DECISION_KEY:
+            self.decision_mod = 0
+        elif key == PROPOSAL_KEY:
+            self.proposal, self.proposal_mod, self.is_proposal_unreadable, self.votes = None, 0, False, {}
+        elif key.startswith(PAST_PREFIX):
+            number = key.removeprefix(PAST_PREFIX)
             self.past.pop(int(number) if number.isdigit() else -1, None)
--- a/starlingwheel/fleet/shards.py
+++ b/starlingwheel/fleet/shards.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from .membership import MOST_CELLS
-from .records import CELLS, MEMBERS, Sharding, StoreRecords, Transaction, equal
+from .records import CELLS_KEY, MEMBERS_PREFIX, Sharding, StoreRecords, Transaction, equal
 
 JOIN_FRACTION = 1 / 4  # of the configured mean size: cells with fewer members are joined
 STABLE_LEASES = 2.0  # leases for which the size has to stay beyond a bound
@@ -53,7 +53,7 @@
         if members < cells * self.size * JOIN_FRACTION and cells > 1:
             return cells // 2
         # An entry that nobody can read is written again: members that start would know no cells at all.
-        return cells if records.cells_spoilt else 0
+        return cells if records.cells_unreadable else 0
 
     def due(self) -> Transaction | float:
         """The transaction to carry out now, or when to ask again (seconds)."""
@@ -69,11 +69,11 @@
             return due_at
         # A change of the cells that was made meanwhile, or our own loss, makes it void.
         unchanged = [
-            equal(CELLS, "MOD", records.cells_mod),
-            equal(MEMBERS + self.member_id, "CREATE", records.members[self.member_id].term),
+            equal(CELLS_KEY, "MOD", records.cells_mod),
+            equal(MEMBERS_PREFIX + self.member_id, "CREATE", records.members[self.member_id].term),
         ]
         sharding = msgspec.json.encode(Sharding(self.wanted, self.now))
-        return Transaction("cut", unchanged, [(CELLS, sharding)])
+        return Transaction("cut", unchanged, [(CELLS_KEY, sharding)])
 
     def _turn(self) -> int:
         """How many members write before this one; another order after each change."""
--- a/starlingwheel/fleet/zones/planner.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from ..records import PLAN, StoreRecords, Transaction, ZonePlan, ZoneReport, ZoneState, equal
+from ..records import ZONE_PLAN_KEY, StoreRecords, Transaction, ZonePlan, ZoneReport, ZoneState, equal
 from ..turns import WriteTurns
 from .capacity import ZoneCapacities
 from .evidence import ZoneEvidence, ZoneLoad
@@ -320,8 +320,8 @@
         return write_at if self.now < write_at else self._written(plan)
 
     def _written(self, plan: ZonePlan) -> Transaction:
-        unchanged = [equal(PLAN, "MOD", self.plan_mod)]
-        return Transaction("zones.plan", unchanged, [(PLAN, msgspec.json.encode(plan))])
+        unchanged = [equal(ZONE_PLAN_KEY, "MOD", self.plan_mod)]
+        return Transaction("zones.plan", unchanged, [(ZONE_PLAN_KEY, msgspec.json.encode(plan))])
 
     # Operators.
 
--- a/starlingwheel/fleet/zones/reporter.py
+++ b/starlingwheel/fleet/zones/reporter.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..membership import Member
-from ..records import MEMBERS, SAID, Transaction, ZoneHealth, ZoneReport, equal
+from ..records import MEMBERS_PREFIX, ZONE_REPORTS_PREFIX, Transaction, ZoneHealth, ZoneReport, equal
 
 MIN_INTERVAL = 1 / 4  # leases between two reports of a member, at least
 FULL_RATE_MEMBERS = 64  # members up to which counts alone are reported as often, so that the store copes
@@ -34,9 +34,11 @@
         if not self._is_worth_reporting(health, len(members), now):
             return None
         self.reported, self.reported_at = health, now
-        is_member = equal(MEMBERS + self.member_id, "CREATE", members[self.member_id].term)
+        is_member = equal(MEMBERS_PREFIX + self.member_id, "CREATE", members[self.member_id].term)
         report = msgspec.json.encode(ZoneReport(now, health))
-        return Transaction("zones.said", [is_member], [(SAID + self.member_id, report)], leased=True)
+        return Transaction(
+            "zones.said", [is_member], [(ZONE_REPORTS_PREFIX + self.member_id, report)], leased=True
+        )
 
     def _is_worth_reporting(self, health: dict[str, ZoneHealth], members: int, now: float) -> bool:
         if now > self.reported_at + MAX_INTERVAL * self.lease or self._has_changed(health):
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -9,7 +9,7 @@
 
 from ...fleet.policy import document
 from ...fleet.policy.replica import DEFAULT_SWITCH_DELAY, MIN_SWITCH_DELAY, PolicyReplica
-from ...fleet.records import NAMES, NEXT, Transaction, equal
+from ...fleet.records import NAMES_PREFIX, PROPOSAL_KEY, Transaction, equal
 from ...fleet.zones.planner import ZonePlanner
 from ..admin.listener import BAD, CONFLICT, NOT_NOW, AdminResult, AdminRoute, CallRejectedError, named
 from ..context import SidecarContext
@@ -85,8 +85,8 @@
         raise _rejected(CONFLICT, f"made from version {command.base}; {known} is in force or decided")
     if replica.decision is not None and replica.now < replica.decision.at:
         raise _rejected(CONFLICT, f"version {known} is decided and does not hold yet")
-    if replica.records.next is not None:
-        version = replica.records.next.policy.version
+    if replica.records.proposal is not None:
+        version = replica.records.proposal.policy.version
         raise _rejected(CONFLICT, f"version {version} is proposed already")
 
 
@@ -95,7 +95,7 @@
     replica = context.fleet.policy_controller.policy_replica
     replica.now = context.loop.now()
     version = named(body)
-    proposal = replica.records.next
+    proposal = replica.records.proposal
     if proposal is None or str(proposal.policy.version) != version:
         raise _rejected(CONFLICT, f"version {version} is not an open proposal", "not open")
     transaction = replica.drop(OPERATORS_REASON)
@@ -112,11 +112,11 @@
         raise _rejected(CONFLICT, f"{name!r} is not registered", "not registered")
     if any(member.name == name for member in records.members.values()):
         raise _rejected(CONFLICT, f"{name!r} is there", "in the view")
-    if records.next is not None:
+    if records.proposal is not None:
         # Does not change of how many names a majority is while votes are given.
         raise _rejected(CONFLICT, "a change of the policy is open", "a change is open")
-    unchanged = [equal(NAMES + name, "CREATE", records.names[name]), equal(NEXT, "CREATE", 0)]
-    yield from _write(context, Transaction("retire", unchanged, [], [NAMES + name]))
+    unchanged = [equal(NAMES_PREFIX + name, "CREATE", records.names[name]), equal(PROPOSAL_KEY, "CREATE", 0)]
+    yield from _write(context, Transaction("retire", unchanged, [], [NAMES_PREFIX + name]))
     return name, b""
 
 
--- a/starlingwheel/net/fleet/etcd/lease_keeper.py
+++ b/starlingwheel/net/fleet/etcd/lease_keeper.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ....fleet.membership import Member
-from ....fleet.records import NAMES
+from ....fleet.records import NAMES_PREFIX
 from ...actor import Coroutine
 from ...http.stream import ConnectionLostError
 from ..messages import LeaseRenewed
@@ -71,7 +71,9 @@
             lease_id,
         )
         # Our name outlives our entry: a majority is counted of all members that were ever registered.
-        name = PutRequest(encode_base64(f"{self.fleet_prefix}{NAMES}{self.member.name}"), encode_base64(b"1"))
+        name = PutRequest(
+            encode_base64(f"{self.fleet_prefix}{NAMES_PREFIX}{self.member.name}"), encode_base64(b"1")
+        )
         name_is_new = Comparison(name.key, "CREATE", "EQUAL", create_revision="0")
         put_entry, put_name = Operation(request_put=entry), Operation(request_put=name)
         request = TransactionRequest([name_is_new], [put_name, put_entry], [put_entry])
--- a/starlingwheel/net/fleet/etcd/member_evictor.py
+++ b/starlingwheel/net/fleet/etcd/member_evictor.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ....fleet.membership import Member
-from ....fleet.records import MEMBERS, Transaction, equal
+from ....fleet.records import MEMBERS_PREFIX, Transaction, equal
 from ...actor import Coroutine
 from ..messages import EvictMember
 from .session import MIN_BACKOFF, EtcdSession
@@ -35,7 +35,7 @@
             self.connection.close_if_readable((yield None))
 
     def _evict(self, member: Member) -> Coroutine[None]:
-        key = MEMBERS + member.id
+        key = MEMBERS_PREFIX + member.id
         # Only the entry that is known here: the member may have registered anew.
         condition = equal(key, "CREATE", member.term)
         evicted = yield from self.commit(Transaction("strike", [condition], delete=[key]))
--- a/starlingwheel/net/fleet/etcd/session.py
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ....fleet.records import MEMBERS, Condition, Transaction
+from ....fleet.records import MEMBERS_PREFIX, Condition, Transaction
 from ...actor import Actor, Coroutine
 from ...http.stream import ConnectionLostError
 from ...loop import Loop
@@ -61,7 +61,7 @@
         self.log = log
         self.rng = rng
         self.fleet_prefix = f"/{fleet}/"
-        self.members_prefix = f"{self.fleet_prefix}{MEMBERS}"
+        self.members_prefix = f"{self.fleet_prefix}{MEMBERS_PREFIX}"
         self.connection = EtcdConnection(loop, self, addresses, pool, self.check_message)
         self.backoff = 0.0  # seconds; 0: the last call succeeded
         self.reasons: Counter[str] = Counter()
--- a/starlingwheel/net/fleet/etcd/state_watcher.py
+++ b/starlingwheel/net/fleet/etcd/state_watcher.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from ....fleet.records import CELLS, MEMBERS, StoreEntry, StoreRecords
+from ....fleet.records import CELLS_KEY, MEMBERS_PREFIX, StoreEntry, StoreRecords
 from ...actor import Coroutine
 from ..messages import StoreRead, ViewChanged
 from .errors import (
@@ -111,7 +111,7 @@
             last_revision = event.kv.mod_revision
             self.revision = max(self.revision, parse_number(last_revision))
             key = self._record_key(event.kv)
-            view_changed = view_changed or key.startswith(MEMBERS) or key == CELLS
+            view_changed = view_changed or key.startswith(MEMBERS_PREFIX) or key == CELLS_KEY
             if event.type == "DELETE":
                 self.records.delete(key)
             else:
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -107,10 +107,10 @@
 
 
 def _open_proposal(records: StoreRecords) -> dict[str, object] | None:
-    if records.next is None:
+    if records.proposal is None:
         return None
     votes = {member.name: _vote(records.votes.get(member.id)) for member in records.members.values()}
-    return msgspec.to_builtins(records.next) | {"votes": votes}
+    return msgspec.to_builtins(records.proposal) | {"votes": votes}
 
 
 def _vote(objection: str | None) -> str:
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -5,7 +5,14 @@
 
 from starlingwheel.fleet.config import decode
 from starlingwheel.fleet.membership import Member, MembershipView
-from starlingwheel.fleet.records import CELLS, MEMBERS, Sharding, StoreEntry, StoreRecords, Transaction
+from starlingwheel.fleet.records import (
+    CELLS_KEY,
+    MEMBERS_PREFIX,
+    Sharding,
+    StoreEntry,
+    StoreRecords,
+    Transaction,
+)
 from starlingwheel.fleet.shards import CHANGE_INTERVAL_LEASES, MAX_TURNS, STABLE_LEASES, TURN_LEASES, ShardMap
 from trials.broken import CELL_VARIANTS, OneReplicaAwaited, OutdatedCells
 from trials.emulated import HARSH, IDLE_LINK_TIMEOUT, FaultRates, Request, World, play
@@ -92,14 +99,14 @@
 def test_an_unreadable_entry_leaves_the_known_count_of_cells_or_an_empty_view():
     for bad in (b"", b"{}", b'{"count":3}', b'{"count":0}', b'{"count":8192}', b'{"count":"4"}', b"\xff"):
         known = StoreRecords()
-        known.put(CELLS, StoreEntry(b'{"count":4}', 5, 5))
+        known.put(CELLS_KEY, StoreEntry(b'{"count":4}', 5, 5))
         known.revision = 5
-        assert known.put(CELLS, StoreEntry(bad, 5, 6)) == "unreadable"
-        assert (known.cells, known.cells_spoilt, known.cells_mod) == (4, True, 6)
+        assert known.put(CELLS_KEY, StoreEntry(bad, 5, 6)) == "unreadable"
+        assert (known.cells, known.cells_unreadable, known.cells_mod) == (4, True, 6)
         fresh, again = StoreRecords(), StoreRecords(known.cells)
         for records, cells in ((fresh, 0), (again, 4)):
-            records.put(MEMBERS + "a", StoreEntry(msgspec.json.encode(Member("a", "a", "")), 3, 3))
-            assert records.put(CELLS, StoreEntry(bad, 5, 6)) == "unreadable"
+            records.put(MEMBERS_PREFIX + "a", StoreEntry(msgspec.json.encode(Member("a", "a", "")), 3, 3))
+            assert records.put(CELLS_KEY, StoreEntry(bad, 5, 6)) == "unreadable"
             assert records.cells == cells and len(records.view().members) == bool(cells)
 
 
@@ -140,7 +147,7 @@
             for txn in asked:
                 if txn.conditions[0].value == self.records.cells_mod:
                     self.records.revision += 1
-                    self.records.put(CELLS, StoreEntry(txn.put[0][1], 2, self.records.revision))
+                    self.records.put(CELLS_KEY, StoreEntry(txn.put[0][1], 2, self.records.revision))
                     self.written.append((self.now, self.records.cells, len(asked)))
             self.publish()
 
@@ -157,7 +164,7 @@
 
 def test_cells_are_halved_only_once_the_fleet_is_much_smaller():
     store = FakeStore(60, 8)
-    store.records.put(CELLS, StoreEntry(msgspec.json.encode(Sharding(8)), 1, 1))
+    store.records.put(CELLS_KEY, StoreEntry(msgspec.json.encode(Sharding(8)), 1, 1))
     for count, cells in ((17, 8), (15, 4), (9, 4), (7, 2)):
         left = list(store.records.members)[count:]
         for member in left:
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -228,7 +228,7 @@
     ):  # fmt: skip
         got, answer = admin.call("PUT /_policy/propose", wrong)
         assert got == status and answer["error"]
-    assert admin.policy_replica.known == 0 and admin.policy_replica.records.next is None
+    assert admin.policy_replica.known == 0 and admin.policy_replica.records.proposal is None
 
 
 def test_a_second_proposal_is_rejected_and_the_first_can_be_dropped(admin, served):
@@ -237,12 +237,12 @@
     put = {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))}
     served.call(served.arbiter._put, put)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 60})[0] == 200
-    admin.around.until(lambda: admin.policy_replica.records.next)
+    admin.around.until(lambda: admin.policy_replica.records.proposal)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(4)})[0] == 409
     _, answer = admin.call("GET /_policy")
     assert answer["open"]["votes"]["n9"] == "nothing"
     assert admin.call("PUT /_policy/drop", {"id": "1"})[0] == 200
-    admin.around.until(lambda: admin.policy_replica.records.next is None)
+    admin.around.until(lambda: admin.policy_replica.records.proposal is None)
     assert admin.policy_replica.promise is None and admin.policy_replica.in_force.version == 0
 
 
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -155,8 +155,8 @@
         records = self.state_watcher.records = StoreRecords()
         records.members = {m.id: m for m in self.members}
         records.names = {m.name: m.term for m in self.members}
-        records.now, records.now_mod = PolicyDecision(held, self.now, 5, held), 6
-        records.next, records.next_mod = msgspec.structs.replace(change, number=7), 7
+        records.decision, records.decision_mod = PolicyDecision(held, self.now, 5, held), 6
+        records.proposal, records.proposal_mod = msgspec.structs.replace(change, number=7), 7
         records.votes = {m.id: "" for m in self.members[: count // 2]}
         records.said = {m.id: zone_report(i) for i, m in enumerate(self.members)}
         self.state_watcher.revision = records.revision = 10_000
@@ -215,7 +215,7 @@
         pairs += [(f"names/{m.name}", b"1") for m in self.members]
         records = self.state_watcher.records
         pairs += [(f"zones/said/{m}", msgspec.json.encode(report)) for m, report in records.said.items()]
-        pairs += [("policy/now", msgspec.json.encode(records.now))]
+        pairs += [("policy/now", msgspec.json.encode(records.decision))]
         kvs = [json.loads(event(key, value, 1))["result"]["events"][0]["kv"] for key, value in pairs]
         reply = {"header": {"revision": "1"}, "kvs": kvs, "count": str(len(kvs))}
         return json.dumps(reply, separators=(",", ":")).encode()
--- a/trials/emulated_member.py
+++ b/trials/emulated_member.py
@@ -12,7 +12,7 @@
 from starlingwheel.fleet.policy.document import Body
 from starlingwheel.fleet.policy.host import StoredPolicy
 from starlingwheel.fleet.policy.statuses import PolicyStatus
-from starlingwheel.fleet.records import MEMBERS, NAMES, Policy, StoreRecords, Transaction
+from starlingwheel.fleet.records import MEMBERS_PREFIX, NAMES_PREFIX, Policy, StoreRecords, Transaction
 
 if TYPE_CHECKING:
     from .emulated_policy import World
@@ -129,7 +129,7 @@
                 self.policy_replica.recorded(self.records.copy(), False)
                 members_changed = False
             last, changed = revision, True
-            members_changed = members_changed or key.startswith(MEMBERS)
+            members_changed = members_changed or key.startswith(MEMBERS_PREFIX)
             self.records.revision = revision
             if entry is None:
                 self.records.delete(key)
@@ -153,12 +153,12 @@
         world, store = self.world, self.world.store
         if world.now < self.renewed_at + RENEWAL_INTERVAL or not world.reaches_store(self):
             return
-        key = MEMBERS + self.id
+        key = MEMBERS_PREFIX + self.id
         if key not in store.entries:
             store.revision += 1
             store.put(key, msgspec.json.encode(Member(self.id, self.name, self.name)))
-            if NAMES + self.name not in store.entries:
-                store.put(NAMES + self.name, b"1")
+            if NAMES_PREFIX + self.name not in store.entries:
+                store.put(NAMES_PREFIX + self.name, b"1")
             self.entry_revision = store.revision
         world.leases[key] = world.now + LEASE
         self.renewed_at = world.now
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -19,7 +19,7 @@
 from starlingwheel.fleet.policy.document import Body
 from starlingwheel.fleet.policy.host import StoredPolicy
 from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY, PolicyReplica
-from starlingwheel.fleet.records import MEMBERS, NEXT, Policy
+from starlingwheel.fleet.records import MEMBERS_PREFIX, PROPOSAL_KEY, Policy
 
 from .emulated_member import LEASE, MAX_SKEW, STEP, EmulatedMember
 from .emulated_store import EmulatedStore
@@ -137,7 +137,7 @@
     def _evict(self, member: EmulatedMember) -> None:
         """Others can't reach it, and have its entry ended."""
         if self.now >= self.down_until:
-            self.end(f"{MEMBERS}{member.id}")
+            self.end(f"{MEMBERS_PREFIX}{member.id}")
 
     def fault(self, kind: str, lasts: float) -> None:
         """A fault of that kind, by its name in `FaultRates`, for so many seconds."""
@@ -162,7 +162,7 @@
             case "down":
                 self.down_until = until
             case "ended":
-                self.end(f"{MEMBERS}{one.id}")
+                self.end(f"{MEMBERS_PREFIX}{one.id}")
 
     def _split(self, alive: list[EmulatedMember], until: float) -> None:
         some = {member.name for member in self.rng.sample(alive, self.rng.randint(1, len(alive) - 1))}
@@ -183,7 +183,7 @@
         if not able:
             return
         author = self.rng.choice(able)
-        if author.policy_replica.records.next is not None:
+        if author.policy_replica.records.proposal is not None:
             return
         body: Body = {"settings": {"number": number}, "cover": {}}
         if self.rng.random() < 0.15:
@@ -268,6 +268,6 @@
         "doubts": world.log_counts["policy.doubt"],
         "words": world.statuses_sent,
         "calls": world.store.calls,
-        "open": NEXT in world.store.entries,
+        "open": PROPOSAL_KEY in world.store.entries,
     }
     return counts, broken
--- a/trials/emulated_store.py
+++ b/trials/emulated_store.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from starlingwheel.fleet.records import NOW, Condition, PolicyDecision, StoreEntry, Transaction
+from starlingwheel.fleet.records import DECISION_KEY, Condition, PolicyDecision, StoreEntry, Transaction
 
 ABSENT = StoreEntry(b"", 0, 0)  # what a condition on a missing key compares with
 
@@ -55,7 +55,7 @@
         entry = StoreEntry(value, before.create if before else self.revision, self.revision)
         self.entries[key] = entry
         self.events.append((self.revision, key, entry))
-        if key == NOW:
+        if key == DECISION_KEY:
             self.decided.append(msgspec.json.decode(value, type=PolicyDecision))
 
     def delete(self, key: str) -> None:
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.records import MEMBERS, StoreRecords, Transaction, ZonePlan
+from starlingwheel.fleet.records import MEMBERS_PREFIX, StoreRecords, Transaction, ZonePlan
 from starlingwheel.fleet.zones.health import ZoneAttemptResult, ZoneHealthTracker
 from starlingwheel.fleet.zones.planner import ZonePlanner, ZoneTraffic
 
@@ -147,7 +147,7 @@
         self.store.revision += 1
         for member in self.members:
             entry = Member(member.id, member.id, "", member.zone)
-            self.store.put(MEMBERS + member.id, msgspec.json.encode(entry))
+            self.store.put(MEMBERS_PREFIX + member.id, msgspec.json.encode(entry))
         self.records, self.events_seen = StoreRecords(), 0
         self.arrivals: dict[str, list[float]] = {zone: [] for zone in ZONES}
         self.admitted: dict[str, list[float]] = {zone: [] for zone in ZONES}  # those not rejected
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -17,7 +17,14 @@
 from starlingwheel.fleet.policy.document import Body
 from starlingwheel.fleet.policy.host import StoredPolicy
 from starlingwheel.fleet.policy.replica import PolicyReplica
-from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
+from starlingwheel.fleet.records import (
+    MEMBERS_PREFIX,
+    NAMES_PREFIX,
+    PROPOSAL_KEY,
+    Policy,
+    StoreRecords,
+    Transaction,
+)
 
 from .emulated_store import EmulatedStore
 from .model_events import FAULTS, LIMITED, Bounds, Event, EventKind
@@ -119,12 +126,12 @@
     def _renew(self, name: str) -> None:
         """Renew the lease of a member, which may enter by that."""
         replica = self.replicas[name]
-        entry = MEMBERS + replica.member_id
+        entry = MEMBERS_PREFIX + replica.member_id
         if entry not in self.store.entries:
             self.store.revision += 1
             self.store.put(entry, msgspec.json.encode(Member(replica.member_id, name, name)))
-            if NAMES + name not in self.store.entries:
-                self.store.put(NAMES + name, b"1")
+            if NAMES_PREFIX + name not in self.store.entries:
+                self.store.put(NAMES_PREFIX + name, b"1")
         self.leases[name] = self.now + LEASE
         replica.now = self.now
         replica.renewed(self.now + LEASE, self.store.entries[entry].create)
@@ -202,7 +209,7 @@
 
     def _entry(self, name: str) -> str:
         """The key of the member's entry; empty: it has none."""
-        return next((key for key in self.store.entries if key.startswith(f"{MEMBERS}{name}.")), "")
+        return next((key for key in self.store.entries if key.startswith(f"{MEMBERS_PREFIX}{name}.")), "")
 
     def apply(self, event: Event) -> None:
         """Have the event happen, with all that follows from it."""
@@ -374,7 +381,7 @@
     while waiting:
         model, history = waiting.popleft()
         found.decided += bool(model.store.decided)
-        found.dropped += not model.store.decided and NEXT not in model.store.entries
+        found.dropped += not model.store.decided and PROPOSAL_KEY not in model.store.entries
         for event in list(model.events()):
             after = model.copy()
             after.apply(event)
