--- a/starlingwheel/net/fleet/etcd/state_watcher.py
+++ b/starlingwheel/net/fleet/etcd/state_watcher.py
@@ -43,10 +43,10 @@
 class StateWatcher(EtcdSession):
     """Reads all records of the fleet, then follows each change of them in order."""
 
-    def __init__(self, *session: Any, tell: Callable[[object], None]) -> None:  # noqa: ANN401
-        """`session`: arguments of `EtcdSession`. `tell` is given each `ViewChanged` and `StoreRead`."""
+    def __init__(self, *session: Any, notify: Callable[[object], None]) -> None:  # noqa: ANN401
+        """`session`: arguments of `EtcdSession`. `notify` is given each `ViewChanged` and `StoreRead`."""
         super().__init__(*session)
-        self.notify = tell
+        self.notify = notify
         self.records = StoreRecords()
         self.revision = 0  # up to which all changes are known; 0: none is
 
@@ -131,10 +131,6 @@
         if reason:
             self.log("arbiter.entry", key=key, reason=reason)
 
-    # The former names, which trials/capacity.py uses.
-    _seen = apply_events
-    _put = put_record
-
     def _record_key(self, pair: KeyValue) -> str:
         try:
             key = b64decode(pair.key, validate=True).decode()
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -75,7 +75,7 @@
         member = Member(self.member_id, identity.name, address, identity.zone)
         session = (loop, part.arbiter, float(part.lease_s), pool, log, rng, part.name)
         self.lease_keeper = LeaseKeeper(*session, member=member, notify=self._deliver)
-        self.state_watcher = StateWatcher(*session, tell=self._deliver)
+        self.state_watcher = StateWatcher(*session, notify=self._deliver)
         self.member_evictor = MemberEvictor(*session)
         self.policy_controller = make_policy_controller(self.member_id)
         self.module = make_host(self.member_id, self.policy_controller, self._entry_lost)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -19,7 +19,17 @@
 from starlingwheel.fleet.config import decode
 from starlingwheel.fleet.membership import Member, MembershipView
 from starlingwheel.fleet.policy.replica import PolicyStatus
-from starlingwheel.net.fleet import etcd as client
+from starlingwheel.net.fleet.etcd.errors import UnusableReplyError
+from starlingwheel.net.fleet.etcd.messages import (
+    KeepAliveReply,
+    LeaseGranted,
+    RangeReply,
+    TransactionReply,
+    WatchLine,
+    decode_reply,
+    encode_base64,
+    parse_number,
+)
 from starlingwheel.net.fleet.links import FrameReader, LinkRejectedError, encode_frame
 from starlingwheel.net.fleet.messages import EvictMember
 from starlingwheel.net.messages import STOP
@@ -182,29 +192,29 @@
 @pytest.mark.parametrize(
     "kind",
     [
-        client.RangeReply,
-        client.LeaseGranted,
-        client.KeepAliveReply,
-        client.TransactionReply,
-        client.WatchLine,
+        RangeReply,
+        LeaseGranted,
+        KeepAliveReply,
+        TransactionReply,
+        WatchLine,
     ],
 )
 def test_an_arbiter_that_talks_nonsense_is_turned_away_with_a_reason(kind):
     rng = random.Random(2)
     whole = json.dumps({"header": {"revision": "3"}, "kvs": [{"key": "YQ==", "mod_revision": 4}], "ID": [1]})
     for text in ("", "{", "[]", "null", "1e999", '{"result":{"events":[{"kv":3}]}}', "[" * 5000, whole[:-5]):
-        with pytest.raises(client.UnusableReplyError):
-            client.read(text.encode(), kind)
+        with pytest.raises(UnusableReplyError):
+            decode_reply(text.encode(), kind)
     for _ in range(1000):
         data = bytes(rng.randrange(256) for _ in range(rng.randrange(60)))
-        with pytest.raises(client.UnusableReplyError):
-            client.read(data, kind)
+        with pytest.raises(UnusableReplyError):
+            decode_reply(data, kind)
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.5", "x", "9" * 30, "١"])
 def test_what_is_no_64_bit_number_is_none(text):
-    with pytest.raises((client.UnusableReplyError, ValueError)):
-        assert client.number(text) < 0
+    with pytest.raises((UnusableReplyError, ValueError)):
+        assert parse_number(text) < 0
 
 
 class Served:
@@ -293,7 +303,7 @@
     served.call(served.arbiter.compact)
     served.call(served.arbiter.cut_watches)
     other = Member("n9.ff", "n9", "127.0.0.1:1")
-    put = {"key": client.b64("/f/members/n9.ff"), "value": client.b64(msgspec.json.encode(other))}
+    put = {"key": encode_base64("/f/members/n9.ff"), "value": encode_base64(msgspec.json.encode(other))}
     served.call(served.arbiter._put, put)
     member.until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
 
@@ -303,7 +313,10 @@
     view = member.context.coordinator.replicator
     for name in ("n8", "n9"):
         other = Member(f"{name}.ff", name, "127.0.0.1:1")
-        put = {"key": client.b64(f"/f/members/{name}.ff"), "value": client.b64(msgspec.json.encode(other))}
+        put = {
+            "key": encode_base64(f"/f/members/{name}.ff"),
+            "value": encode_base64(msgspec.json.encode(other)),
+        }
         served.call(served.arbiter._put, put)
     member.until(lambda: len(view.view.members) == 3)
     for gone in [m for m in view.view.members.values() if m.name != "n0"]:
@@ -313,7 +326,7 @@
 
 def test_an_unreadable_entry_hides_no_other(member, served):
     member.until(lambda: joined(member))
-    served.call(served.arbiter._put, {"key": client.b64("/f/members/x"), "value": client.b64("{")})
+    served.call(served.arbiter._put, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")})
     member.until(lambda: member.logged("arbiter.entry"))
     assert len(member.context.coordinator.replicator.view.members) == 1
 
--- a/tests/test_state_watcher.py
+++ b/tests/test_state_watcher.py
@@ -6,7 +6,8 @@
 import pytest
 
 from starlingwheel.fleet.membership import Member, MembershipView
-from starlingwheel.net.fleet import etcd
+from starlingwheel.net.fleet.etcd import StateWatcher
+from starlingwheel.net.fleet.etcd.messages import Event, KeyValue, WatchEvents, encode_base64
 from starlingwheel.net.fleet.messages import ViewChanged
 from starlingwheel.net.loop import Loop
 
@@ -20,7 +21,7 @@
         """All records are known up to revision 1."""
         self.messages: list[object] = []
         self.loop = Loop(lambda actor, error: None)
-        self.watcher = etcd.StateWatcher(
+        self.watcher = StateWatcher(
             self.loop,
             ["127.0.0.1:1"],
             LEASE,
@@ -28,13 +29,13 @@
             lambda *_, **__: None,
             None,
             "f",
-            tell=self.messages.append,
+            notify=self.messages.append,
         )
         self.watcher.revision = 1
 
-    def receive(self, *events: etcd.Event) -> None:
+    def receive(self, *events: Event) -> None:
         """Have the watcher receive one line with these events."""
-        self.watcher.apply_events(etcd.WatchEvents(events=list(events)))
+        self.watcher.apply_events(WatchEvents(events=list(events)))
 
     @property
     def views(self) -> list[MembershipView]:
@@ -50,11 +51,11 @@
     one.loop.close()
 
 
-def event(key: str, value: object, revision: int, type_: str = "PUT") -> etcd.Event:
+def event(key: str, value: object, revision: int, type_: str = "PUT") -> Event:
     """Return a change of an entry."""
-    pair = etcd.KeyValue(etcd.b64(f"/f/{key}"), etcd.b64(msgspec.json.encode(value)))
+    pair = KeyValue(encode_base64(f"/f/{key}"), encode_base64(msgspec.json.encode(value)))
     pair.create_revision = pair.mod_revision = str(revision)
-    return etcd.Event(pair, type_)
+    return Event(pair, type_)
 
 
 def test_views_come_in_the_order_of_changes_of_members_and_of_shards(watched: Watched) -> None:
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -36,7 +36,8 @@
     ZoneReport,
 )
 from starlingwheel.fleet.zones import planner as zones
-from starlingwheel.net.fleet import etcd as arbiter
+from starlingwheel.net.fleet.etcd import StateWatcher
+from starlingwheel.net.fleet.etcd.messages import RangeReply, WatchLine, decode_reply
 from starlingwheel.net.loop import Loop
 from starlingwheel.net.state.buffers import BufferPool
 
@@ -143,9 +144,9 @@
         self.now = 1780000000.0
         loop = Loop(lambda *_: None)
         self.recorded: StoreRecords | None = None
-        self.state_watcher = arbiter.StateWatcher(
+        self.state_watcher = StateWatcher(
             loop, ["127.0.0.1:1"], LEASE, BufferPool(0), lambda *_, **__: None, random.Random(1), FLEET,
-            tell=self._tell,
+            notify=self._tell,
         )  # fmt: skip
         me = self.members[0]
         self.member_id = me.id
@@ -179,9 +180,7 @@
             self.policy_replica.due()
 
     def _receive(self, text: bytes) -> None:
-        self.state_watcher._seen(  # noqa: SLF001  # without its socket
-            arbiter.read(text, arbiter.WatchLine).result
-        )
+        self.state_watcher.apply_events(decode_reply(text, WatchLine).result)
 
     def vote(self) -> None:
         """Receive the vote of a member."""
@@ -222,10 +221,10 @@
 
     def read_full_range(self, data: bytes) -> None:
         """Read it, as a start does."""
-        ranged = arbiter.read(data, arbiter.RangeReply)
+        ranged = decode_reply(data, RangeReply)
         self.state_watcher.records = StoreRecords()
         for pair in ranged.kvs:
-            self.state_watcher._put(pair)  # noqa: SLF001  # without its socket
+            self.state_watcher.put_record(pair)
 
 
 def new_balancer(count: int) -> Balancer:
--- a/trials/capacity/roles.py
+++ b/trials/capacity/roles.py
@@ -11,8 +11,9 @@
 from starlingwheel.decisions.gossip import MESSAGES_PER_OBJECTIVE
 from starlingwheel.fleet.policy import replica as policy
 from starlingwheel.fleet.zones import planner as zones
-from starlingwheel.net.fleet import etcd as arbiter
 from starlingwheel.net.fleet import links
+from starlingwheel.net.fleet.etcd.http_connection import MAX_REPLY_SIZE
+from starlingwheel.net.fleet.etcd.state_watcher import MAX_ENTRIES
 
 from .bench import SEES
 from .figures import Figures
@@ -152,12 +153,12 @@
             "few a day",
         ),
         Row(
-            role, "entries that a start reads", f"3 x {n} of {arbiter.MOST} that are believed",
-            3.0 * n, "entries", arbiter.MOST, "read", "none yet",
+            role, "entries that a start reads", f"3 x {n} of {MAX_ENTRIES} that are believed",
+            3.0 * n, "entries", MAX_ENTRIES, "read", "none yet",
         ),
         Row(
             role, "bytes that a start reads", "members, names, evidence of zones",
-            at("whole range", n), "B", arbiter.LONGEST, figures.kind("whole range", n), "none yet",
+            at("whole range", n), "B", MAX_REPLY_SIZE, figures.kind("whole range", n), "none yet",
         ),
     ]  # fmt: skip
 
--- a/trials/capacity/totals.py
+++ b/trials/capacity/totals.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from starlingwheel.fleet.zones import planner as zones
-from starlingwheel.net.fleet import etcd as arbiter
+from starlingwheel.net.fleet.etcd.lease_keeper import RENEWAL_FRACTION
 
 from .figures import Figures
 from .size import DAY, FRAMING, HEADERS, LEASE, Size
@@ -39,7 +39,7 @@
     changes = size.changes / DAY
     member = at("member line", n) + HEADERS
     evidence, vote = at("evidence line", n) + HEADERS, at("vote line", n) + HEADERS
-    keepalives = n / (arbiter.RENEW * LEASE)
+    keepalives = n / (RENEWAL_FRACTION * LEASE)
     text = 3 * size.policy * 4 / 3
     history = report_rate * at("evidence line", n) * 3 / 4 + votes * at("vote line", n) * 3 / 4
     return [
