--- a/starlingwheel/fleet/config.py
+++ b/starlingwheel/fleet/config.py
@@ -19,14 +19,23 @@
 LEASE_BOUNDS = (1, 60)  # whole seconds: the coordination store has no finer leases
 REPLICA_BOUNDS = (1, 3)
 CELL_SIZE_BOUNDS = (0, 512)  # members
+DEFAULT_IDEMPOTENCY_KEY_HEADER = "x-work-name"
 
 
-class ReplicationConfig(msgspec.Struct, frozen=True):
-    """Which requests are replicated. `keepers`: replicas of each; `name_header`: carries idempotency keys."""
+class ReplicationConfig(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "request_classes": "categories",
+        "idempotency_key_header": "name_header",
+        "replicas": "keepers",
+    },
+):
+    """Which requests are replicated. `replicas`: of each, beside what its coordinator has."""
 
-    categories: list[str]
-    name_header: str = "x-work-name"
-    keepers: int = 1
+    request_classes: list[str]
+    idempotency_key_header: str = DEFAULT_IDEMPOTENCY_KEY_HEADER
+    replicas: int = 1
 
 
 class ZonesConfig(msgspec.Struct, frozen=True, rename={"capacities": "bears"}):
@@ -36,23 +45,27 @@
     capacities: dict[str, float] = {}  # attempts a second, of zones where it is known
 
 
-class FleetConfig(msgspec.Struct, frozen=True):
+class FleetConfig(
+    msgspec.Struct,
+    frozen=True,
+    rename={"store_addresses": "arbiter", "replication": "cover", "state_directory": "keep"},
+):
     """A sidecar's part of a fleet. Addresses are host:port.
 
     `name`: of the fleet. `listen`: for links between members; `advertise`: where others reach that, if
-    elsewhere. `arbiter`: the coordination store. `cover`: what is replicated. `keep`: the directory for the
+    elsewhere. `store_addresses`: of the coordination store. `lease_s`: seconds. `state_directory`: for the
     policy in force, which outlives the process; empty: none. `cell_size`: the members of a cell, on average,
     at most; 0: this sidecar does not divide the fleet into cells.
     """
 
     name: str
     listen: str
-    arbiter: list[str]
-    cover: ReplicationConfig
+    store_addresses: list[str]
+    replication: ReplicationConfig
     zones: ZonesConfig | None = None  # None: no common plan for zones
     advertise: str = ""
     lease_s: int = 3
-    keep: str = ""
+    state_directory: str = ""
     cell_size: int = 0
 
 
@@ -63,17 +76,17 @@
 }
 
 
-def decode(given: object, categories: list[str], streams: int) -> FleetConfig:
+def decode(given: object, class_names: list[str], streams_per_connection: int) -> FleetConfig:
     """The configuration from decoded JSON; raises `ValueError`, which names every fault with its key.
 
-    `categories`: those of the settings. `streams`: requests at a time on one upstream connection.
+    `class_names`: of the request classes of the settings. `streams_per_connection`: to an upstream.
     """
-    if faults := list(_faults(given, categories, streams)):
+    if faults := list(_faults(given, class_names, streams_per_connection)):
         raise ValueError("; ".join(faults))
     return msgspec.convert(given, FleetConfig)
 
 
-def _faults(given: object, categories: list[str], streams: int) -> Iterator[str]:
+def _faults(given: object, class_names: list[str], streams_per_connection: int) -> Iterator[str]:
     if not isinstance(given, dict):
         yield "fleet: not an object"
         return
@@ -87,14 +100,16 @@
     yield from _addresses(given.get("arbiter"), "fleet.arbiter")
     yield from _integer(given.get("lease_s", 3), "fleet.lease_s", LEASE_BOUNDS)
     yield from _integer(given.get("cell_size", 0), "fleet.cell_size", CELL_SIZE_BOUNDS)
-    keep = given.get("keep", "")
-    if not isinstance(keep, str):
-        yield f"fleet.keep: {keep!r} is no folder"
-    yield from replication_faults(given.get("cover"), categories, streams, "fleet.cover")
+    directory = given.get("keep", "")
+    if not isinstance(directory, str):
+        yield f"fleet.keep: {directory!r} is no folder"
+    yield from replication_faults(given.get("cover"), class_names, streams_per_connection, "fleet.cover")
     yield from zones_faults(given.get("zones"), "fleet.zones")
 
 
-def replication_faults(given: object, categories: list[str], streams: int, key: str) -> Iterator[str]:
+def replication_faults(
+    given: object, class_names: list[str], streams_per_connection: int, key: str
+) -> Iterator[str]:
     """Faults of the replication part, which a policy has too. `key`: under which it stands."""
     if not isinstance(given, dict):
         yield f"{key}: not an object"
@@ -105,13 +120,13 @@
         yield f"{key}.categories: not a list of categories"
     else:
         for index, name in enumerate(replicated):
-            if name not in categories:
+            if name not in class_names:
                 yield f"{key}.categories[{index}]: {name!r} is no category of the settings"
-    header = given.get("name_header", "x-work-name")
+    header = given.get("name_header", DEFAULT_IDEMPOTENCY_KEY_HEADER)
     if not isinstance(header, str) or not HEADER.fullmatch(header):
         yield f"{key}.name_header: {header!r} is no header's name in small letters"
     yield from _integer(given.get("keepers", 1), f"{key}.keepers", REPLICA_BOUNDS)
-    if streams > 1:
+    if streams_per_connection > 1:
         yield f"{key}: no hand-off can be held back where settings.caps.streamsPerConn is more than 1"
 
 
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -79,13 +79,13 @@
             context.log,
         )
         RequestCoordinator.__init__(self, context)
-        self.replication_config_changed(config.cover)
+        self.replication_config_changed(config.replication)
 
     def replication_config_changed(self, part: ReplicationConfig) -> None:
         """Replicate by another configuration; requests that are replicated already stay so."""
-        self.replicated_classes = frozenset(part.categories)
-        self.name_header = part.name_header.encode()
-        self.replicator.replica_count = part.keepers
+        self.replicated_classes = frozenset(part.request_classes)
+        self.name_header = part.idempotency_key_header.encode()
+        self.replicator.replica_count = part.replicas
         # Never lowered: requests that were accepted under a longer timeout must not be forgotten early.
         self.replicator.longest_timeout = max(self.replicator.longest_timeout, self.context.longest_timeout)
 
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -94,7 +94,7 @@
         self.held_attempts: dict[AttemptToken, AttemptHold] = {}
         self.tokens: dict[tuple[ReplicatedRequest, int], AttemptToken] = {}
         self.replicator = RequestReplicator(
-            member_id, longest_timeout, config.cover.keepers, memory_limit, self, now
+            member_id, longest_timeout, config.replication.replicas, memory_limit, self, now
         )
         policy_controller.module = self
 
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -73,7 +73,7 @@
         self.leaving = False
         self.serve_without_store_at = inf
         member = Member(self.member_id, identity.name, address, identity.zone)
-        session = (loop, part.arbiter, float(part.lease_s), pool, log, rng, part.name)
+        session = (loop, part.store_addresses, float(part.lease_s), pool, log, rng, part.name)
         self.lease_keeper = LeaseKeeper(*session, member=member, notify=self._deliver)
         self.state_watcher = StateWatcher(*session, notify=self._deliver)
         self.member_evictor = MemberEvictor(*session)
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -50,11 +50,13 @@
         """`balancer_config`: the one in force; `reload`: puts another one in force, in one step."""
         self.config, self.fleet, self.log = config, fleet, log
         self.balancer_config, self.reload = balancer_config, reload
-        self.vote_store = VoteStore(fleet.keep, fleet.name, config.name, log)
+        self.vote_store = VoteStore(fleet.state_directory, fleet.name, config.name, log)
         self.policy_replica = PolicyReplica(
             member_id, config.name, float(fleet.lease_s), self, now, self.vote_store.read()
         )
-        self.file = document.common(config.settings, fleet.cover, fleet.zones)  # the policy that it gives
+        self.file = document.common(
+            config.settings, fleet.replication, fleet.zones
+        )  # the policy that it gives
         self.module: FleetHost | None = None  # whose links the statuses go over, set once it is there
 
     # What the replica asks for; see `PolicyHost`.
@@ -112,7 +114,7 @@
     def renewed(self, config: SidecarConfig) -> BalancerConfig:
         """What a file that was read again gives; raises `ConfigError` where it changes the fleet's policy."""
         fleet = config.fleet or self.fleet
-        file = document.common(config.settings, fleet.cover, fleet.zones)
+        file = document.common(config.settings, fleet.replication, fleet.zones)
         policy = self.policy_replica.in_force
         in_force = policy.body if policy.body is not None else self.file
         if edited := document.edited(self.file, file, in_force):
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -46,7 +46,11 @@
 
 def test_a_valid_configuration_is_decoded_with_its_defaults():
     part = decode(PART, NAMES, 1)
-    assert part.lease_s == 3 and part.cover.keepers == 1 and part.cover.name_header == "x-work-name"
+    assert (
+        part.lease_s == 3
+        and part.replication.replicas == 1
+        and part.replication.idempotency_key_header == "x-work-name"
+    )
 
 
 def test_all_errors_of_a_configuration_are_reported_at_once_with_their_keys():
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -73,7 +73,7 @@
         """`part`: the configuration's `fleet` part."""
         self.counts: Counter[str] = Counter()
         self.frames: Counter[str] = Counter()
-        replicated_class = part.cover.categories[-1]
+        replicated_class = part.replication.request_classes[-1]
         self.request_class = next(c for c in config.request_classes if c.name == replicated_class)
         shortest = min(c.latency_objective for c in config.request_classes)
         longest = max(c.timeout for c in config.request_classes)
@@ -190,7 +190,7 @@
 
     def replication_config_changed(self, part: ReplicationConfig) -> None:
         """Replicate as a policy says."""
-        self.replicator.replica_count = part.keepers
+        self.replicator.replica_count = part.replicas
 
     def balancer_config_changed(self, terms: BalancerConfig) -> None:
         """Count a reload of the configuration."""
