--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -17,7 +17,7 @@
 from ..decisions.config import BalancerConfig, RequestClass, RetrySafety
 from ..decisions.events import WatchEvent
 from ..decisions.lease import EndpointLease
-from ..settings import mixed
+from ..settings import contradictions
 from .actor import Actor
 from .discovery.messages import DiscoveredEndpoint
 from .gate import AttemptGate
@@ -168,7 +168,7 @@
 
     def log_mixed_settings(self) -> None:
         """Log settings that contradict each other: no start is refused for them."""
-        for key, why in mixed(self.config.settings):
+        for key, why in contradictions(self.config.settings):
             self.log("settings.mixed", key=key, why=why)
 
     def _apply_config(self, balancer_config: BalancerConfig) -> None:
--- a/starlingwheel/net/http/load_report.py
+++ b/starlingwheel/net/http/load_report.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterable
 
-from ...settings import LOAD_REPORT_FIGURES, SCALE
+from ...settings import LOAD_REPORT_FIGURES, LOAD_REPORT_UNITS
 from ..state.buffers import BufferedBody
 from ..state.requests import Exchange
 
@@ -28,7 +28,7 @@
             # Words, signs, infinities and duplicate figures must not reach the decisions.
             if figure in report or not NUMBER.fullmatch(value):
                 return {}
-            report[figure] = float(value) * SCALE.get(figure, 1.0)
+            report[figure] = float(value) * LOAD_REPORT_UNITS.get(figure, 1.0)
     return report
 
 
--- a/starlingwheel/settings.py
+++ b/starlingwheel/settings.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 
@@ -31,7 +31,7 @@
     "svc_ms": "service",
     "latency_ms": "service",
 }
-SCALE = {"service": 1e-3}  # from the wire's unit, milliseconds, to seconds
+LOAD_REPORT_UNITS = {"service": 1e-3}  # seconds in a unit on the wire, a millisecond
 MICROSECONDS_PER_SECOND = 1e6
 
 # What `validate` checks, by key; a dot separates a table from a key in it.
@@ -48,7 +48,15 @@
     "charges.probe",
     "charges.peer",
 )
-INTEGER_KEYS = {"caps.streamsPerConn": 1, "caps.mostHandOffs": 1, "replicasOfMe": 1, "slotNo": 0}  # minimum
+# Each with its minimum.
+INTEGER_KEYS = {"caps.streamsPerConn": 1, "caps.mostHandOffs": 1, "replicasOfMe": 1, "slotNo": 0}
+
+
+class Contradiction(NamedTuple):
+    """A key that contradicts others, and the reason."""
+
+    key: str
+    reason: str
 
 
 # Checks.
@@ -79,8 +87,8 @@
         raise msgspec.ValidationError("loadReport.columns: not a list of names")
 
 
-def mixed(given: dict[str, Any]) -> Iterator[tuple[str, str]]:
-    """Yield the keys that contradict others, each with the reason.
+def contradictions(given: dict[str, Any]) -> Iterator[Contradiction]:
+    """Yield the keys that contradict others.
 
     They look like two kinds of deployment in one. Each setting can be followed as it stands, so they are
     logged and never rejected: a deployment may well name a price for what it does not allow.
@@ -90,20 +98,22 @@
     weights_are_live = _value(given, "weightKind") == "live"
     if _value_or(given, "discovery", "ask") == "ask":
         if streams > 1:
-            yield (
+            yield Contradiction(
                 "caps.streamsPerConn",
                 f"{streams}, where the list is asked for a connection carries one work item",
             )
         if weights_are_live:
-            yield "weightKind", "live, where the list is asked for weights would be older than what they tell"
+            yield Contradiction(
+                "weightKind", "live, where the list is asked for weights would be older than what they tell"
+            )
     if weights_are_live and health_checks:
-        yield "caps.probing", "true, where weights are live load is told by the list"
+        yield Contradiction("caps.probing", "true, where weights are live load is told by the list")
     if _value(given, "loadReport.how") == "on_probe" and not health_checks:
-        yield "loadReport.how", "on_probe, where probes are not allowed no report ever comes"
+        yield Contradiction("loadReport.how", "on_probe, where probes are not allowed no report ever comes")
     if _value_or(given, "charges.probe", 0) > 0 and not health_checks:
-        yield "charges.probe", "a price for probes, where they are not allowed"
+        yield Contradiction("charges.probe", "a price for probes, where they are not allowed")
     if _value_or(given, "slotNo", 0) >= _value_or(given, "replicasOfMe", 1):
-        yield "slotNo", "not below replicasOfMe"
+        yield Contradiction("slotNo", "not below replicasOfMe")
 
 
 def _is_number(value: object) -> bool:
--- a/starlingwheel/simulator/wire.py
+++ b/starlingwheel/simulator/wire.py
@@ -18,7 +18,7 @@
 from ..decisions.config import BalancerConfig, RequestClass
 from ..decisions.events import WatchEvent
 from ..decisions.model import AttemptOutcome, Endpoint, EndpointState
-from ..settings import LOAD_REPORT_FIGURES, SCALE, decode
+from ..settings import LOAD_REPORT_FIGURES, LOAD_REPORT_UNITS, decode
 
 T = TypeVar("T")
 
@@ -277,7 +277,7 @@
     known = (
         (LOAD_REPORT_FIGURES[name], float(value)) for name, value in pairs if name in LOAD_REPORT_FIGURES
     )
-    return {figure: value * SCALE.get(figure, 1.0) for figure, value in known}
+    return {figure: value * LOAD_REPORT_UNITS.get(figure, 1.0) for figure, value in known}
 
 
 def _decode_body(value: str) -> bytes:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -148,7 +148,7 @@
     assert f"settings: {named}: " in str(refused.value) and "\n" not in str(refused.value)
 
 
-MIXED = [
+CONTRADICTORY = [
     (SETTINGS, {"caps__streamsPerConn": 100}, ["caps.streamsPerConn"]),
     (SETTINGS, {"weightKind": "live"}, ["weightKind", "caps.probing"]),
     (PUSHED, {"discovery": "ask"}, ["caps.streamsPerConn", "weightKind"]),
@@ -160,7 +160,7 @@
 ]
 
 
-@pytest.mark.parametrize(("settings", "changed", "named"), MIXED)
+@pytest.mark.parametrize(("settings", "changed", "named"), CONTRADICTORY)
 def test_contradictory_settings_are_logged_once_and_followed(
     changed_settings, make_surroundings, settings, changed, named
 ):
