--- a/fakes/__main__.py
+++ b/fakes/__main__.py
@@ -7,8 +7,8 @@
 import contextlib
 import random
 
-from .endpoint_list import Listing
-from .etcd import Arbiter
+from .endpoint_list import EndpointListServer
+from .etcd import FakeEtcd
 from .upstream import Run, Upstream
 
 LOCAL = "127.0.0.1"
@@ -18,7 +18,7 @@
 
 async def arbiter(port: int) -> None:
     """A coordination store at the port."""
-    store = Arbiter()
+    store = FakeEtcd()
     store.server.host = LOCAL
     store.server.port = port
     await store.begin()
@@ -27,17 +27,17 @@
 
 
 async def upstreams(port: int) -> None:
-    """Three upstreams behind the port, and their list at it."""
+    """Three upstreams behind the port, and their endpoint list at it."""
     runs: list[Run] = []
     served = [Upstream(f"u{i}", "here", random.Random(i), SERVICE_TIME, runs) for i in range(3)]
     for number, upstream in enumerate(served):
         upstream.server.host, upstream.server.port = LOCAL, port + 1 + number
         await upstream.server.begin()
     entries = [{"id": u.name, "addr": u.server.address, "zone": u.zone, "state": "active"} for u in served]
-    listing = Listing(lambda: entries)
-    listing.server.host, listing.server.port = LOCAL, port
-    await listing.server.begin()
-    print(f"list at {listing.server.address}", flush=True)
+    endpoint_list = EndpointListServer(lambda: entries)
+    endpoint_list.server.host, endpoint_list.server.port = LOCAL, port
+    await endpoint_list.server.begin()
+    print(f"list at {endpoint_list.server.address}", flush=True)
     printed = 0
     while True:
         await asyncio.sleep(PRINT_INTERVAL)
--- a/fakes/endpoint_list.py
+++ b/fakes/endpoint_list.py
@@ -12,8 +12,8 @@
 KEEP_ALIVE_INTERVAL = 1.0  # seconds after which an empty line shows that the watch is alive
 
 
-class Listing:
-    """Discovery for one sidecar; each change sends the whole list."""
+class EndpointListServer:
+    """Discovery for one sidecar: each change sends the whole list."""
 
     def __init__(self, entries: Callable[[], list[dict[str, Any]]]) -> None:
         """`entries`: returns the list as it is now."""
--- a/fakes/etcd.py
+++ b/fakes/etcd.py
@@ -68,20 +68,21 @@
     return {name: v for name, v in encoded.items() if v not in ("0", "", False, None, [])}
 
 
-class Arbiter:
+class FakeEtcd:
     """One etcd that listens on loopback.
 
-    Faults: `down`, `slow`, `lose`, `freeze_reads`, `nonsense`, `cut_watches`, `compact`, `end_lease_of`.
+    Faults: `down`, `reply_delay`, `lost_replies`, `canned_replies`, `freeze_reads`, `abort_watches`,
+    `compact`, `expire_lease_of`.
     """
 
     def __init__(self) -> None:
         """`begin` starts it."""
         self.server = Server(self._answer)
         self.store = EtcdStore()
-        self.slow = 0.0  # seconds before each answer
-        self.lose: dict[str, int] = {}  # by path: so many replies are lost after the change was applied
-        self.nonsense: dict[str, bytes] = {}  # by path: what is answered instead
-        self.stale: dict[bytes, Entry] | None = None  # what serializable reads see
+        self.reply_delay = 0.0  # seconds before each answer
+        self.lost_replies: dict[str, int] = {}  # by path: so many are lost after the change was applied
+        self.canned_replies: dict[str, bytes] = {}  # by path: what is answered instead
+        self.stale_entries: dict[bytes, Entry] | None = None  # what serializable reads see
         self.calls: list[tuple[float, str]] = []
         self.watch_counts: Counter[str] = Counter()  # lines of all watches with events, and these
         self.watches: set[asyncio.Task[Any]] = set()
@@ -115,11 +116,11 @@
 
     def put(self, key: str, value: str) -> None:
         """Write an entry without a call."""
-        self._put({"key": encode_bytes(key.encode()), "value": encode_bytes(value.encode())})
+        self.put_encoded({"key": encode_bytes(key.encode()), "value": encode_bytes(value.encode())})
 
     # Faults
 
-    def cut_watches(self) -> None:
+    def abort_watches(self) -> None:
         """End the open watches without an answer."""
         for task in list(self.watches):
             task.cancel()
@@ -128,13 +129,13 @@
         """Forget all changes up to now."""
         self.store.compact()
 
-    def end_lease_of(self, key: str) -> None:
+    def expire_lease_of(self, key: str) -> None:
         """End the lease of an entry as if it had not been renewed in time."""
         self.store.revoke(self.entries[key.encode()].lease)
 
     def freeze_reads(self) -> None:
         """Answer serializable reads from the entries of now, from now on."""
-        self.stale = dict(self.entries)
+        self.stale_entries = dict(self.entries)
 
     async def _expire_leases(self) -> None:
         while True:
@@ -146,10 +147,10 @@
     async def _answer(self, request: Request) -> Response:
         path = request.target
         self.calls.append((asyncio.get_running_loop().time(), path))
-        if self.slow:
-            await asyncio.sleep(self.slow)
-        if path in self.nonsense:
-            return Response(200, self.nonsense[path])
+        if self.reply_delay:
+            await asyncio.sleep(self.reply_delay)
+        if path in self.canned_replies:
+            return Response(200, self.canned_replies[path])
         try:
             given = json.loads(request.body)
             if path == "/v3/watch":
@@ -162,8 +163,8 @@
             return self._error(HTTP_STATUS[error.code], error.code, error)
         except (ValueError, KeyError, TypeError) as error:
             return self._error(400, ErrorCode.INVALID_ARGUMENT, error)
-        if self.lose.get(path, 0) > 0:
-            self.lose[path] -= 1
+        if self.lost_replies.get(path, 0) > 0:
+            self.lost_replies[path] -= 1
             return RESET
         return Response(200, json.dumps(answer).encode(), {"Content-Type": "application/json"})
 
@@ -174,7 +175,7 @@
     def _handlers(self) -> dict[str, Callable[[Json], Json]]:
         return {
             "/v3/kv/range": self._range,
-            "/v3/kv/put": self._put,
+            "/v3/kv/put": self.put_encoded,
             "/v3/kv/txn": self._transaction,
             "/v3/kv/deleterange": self._delete_range,
             "/v3/lease/grant": self._grant,
@@ -201,8 +202,8 @@
     def _range(self, given: Json) -> Json:
         keys, revision = decode_range(given), decode_number(given, "revision")
         entries = self.store.entries_at(revision)
-        if given.get("serializable") and self.stale is not None and entries is self.entries:
-            entries = self.stale
+        if given.get("serializable") and self.stale_entries is not None and entries is self.entries:
+            entries = self.stale_entries
         found = sorted((entry for key, entry in entries.items() if key in keys), key=lambda e: e.key)
         limit = decode_number(given, "limit")
         shown = found[:limit] if limit else found
@@ -213,7 +214,8 @@
             more=bool(limit) and len(found) > limit,
         )
 
-    def _put(self, given: Json) -> Json:
+    def put_encoded(self, given: Json) -> Json:
+        """Write an entry, whose key and value are in base64 as in a call."""
         revision = self.store.revision + 1
         self._put_at(given, revision)
         self.store.commit(revision)
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -235,7 +235,7 @@
     # A member that never votes keeps it open.
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
     put = {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))}
-    served.call(served.arbiter._put, put)
+    served.call(served.arbiter.put_encoded, put)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 60})[0] == 200
     admin.around.until(lambda: admin.policy_replica.records.proposal)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(4)})[0] == 409
@@ -252,7 +252,7 @@
 
 def test_requests_are_rejected_while_it_is_not_known_whether_a_change_was_decided(admin, served):
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
-    served.call(served.arbiter._put, {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))})
+    served.call(served.arbiter.put_encoded, {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))})
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})[0] == 200
     around = admin.around
     around.until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -13,7 +13,7 @@
 import pytest
 from conftest import SETTINGS
 
-from fakes.etcd import Arbiter
+from fakes.etcd import FakeEtcd
 from fakes.loopback import free_address
 from starlingwheel.fleet import frames
 from starlingwheel.fleet.config import decode
@@ -231,7 +231,7 @@
         self.do(self._begin())
 
     async def _begin(self):
-        self.arbiter = Arbiter()
+        self.arbiter = FakeEtcd()
         await self.arbiter.begin()
 
     def do(self, coroutine):
@@ -285,7 +285,7 @@
 
 
 def test_a_reply_lost_after_it_was_applied_costs_one_more_attempt(member, served):
-    served.call(served.arbiter.lose.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
+    served.call(served.arbiter.lost_replies.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
     member.until(lambda: joined(member))
     assert len(members_at(served)) == 1
 
@@ -294,7 +294,7 @@
     member.until(lambda: joined(member))
     term = member.context.coordinator.replicator.view.members[member.context.fleet.member_id].term
     (key,) = members_at(served)
-    served.call(served.arbiter.end_lease_of, key.decode())
+    served.call(served.arbiter.expire_lease_of, key.decode())
     replicator = member.context.coordinator.replicator
     member_id = member.context.fleet.member_id
     member.until(
@@ -305,10 +305,10 @@
 def test_a_watch_lost_at_a_compaction_reads_everything_again(member, served):
     member.until(lambda: joined(member))
     served.call(served.arbiter.compact)
-    served.call(served.arbiter.cut_watches)
+    served.call(served.arbiter.abort_watches)
     other = Member("n9.ff", "n9", "127.0.0.1:1")
     put = {"key": encode_base64("/f/members/n9.ff"), "value": encode_base64(msgspec.json.encode(other))}
-    served.call(served.arbiter._put, put)
+    served.call(served.arbiter.put_encoded, put)
     member.until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
 
 
@@ -321,7 +321,7 @@
             "key": encode_base64(f"/f/members/{name}.ff"),
             "value": encode_base64(msgspec.json.encode(other)),
         }
-        served.call(served.arbiter._put, put)
+        served.call(served.arbiter.put_encoded, put)
     member.until(lambda: len(view.view.members) == 3)
     for gone in [m for m in view.view.members.values() if m.name != "n0"]:
         member.context.fleet.member_evictor.post(EvictMember(gone))
@@ -330,17 +330,19 @@
 
 def test_an_unreadable_entry_hides_no_other(member, served):
     member.until(lambda: joined(member))
-    served.call(served.arbiter._put, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")})
+    served.call(
+        served.arbiter.put_encoded, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")}
+    )
     member.until(lambda: member.logged("arbiter.entry"))
     assert len(member.context.coordinator.replicator.view.members) == 1
 
 
 @pytest.mark.parametrize("path", ["/v3/kv/range", "/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive"])
 def test_unreadable_replies_of_the_store_are_counted_and_survived(make_surroundings, served, path):
-    served.call(served.arbiter.nonsense.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
+    served.call(served.arbiter.canned_replies.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
     member = enter(make_surroundings, served)
     member.until(lambda: member.context.fleet.reasons["unreadable"])
-    served.call(served.arbiter.nonsense.clear)
+    served.call(served.arbiter.canned_replies.clear)
     member.until(lambda: joined(member))
     assert not member.logged("defect")
 
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -182,6 +182,6 @@
 
 def test_an_unreadable_plan_counts_as_none(admin, served):
     put = {"key": b64("/f/zones/plan"), "value": "e30x"}
-    served.call(served.arbiter._put, put)
+    served.call(served.arbiter.put_encoded, put)
     admin.around.until(lambda: admin.around.logged("arbiter.entry"))
     assert zone_shares_of(admin) == {}
--- a/trials/added.py
+++ b/trials/added.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from typing import Any
 
-from fakes.endpoint_list import Listing
+from fakes.endpoint_list import EndpointListServer
 from fakes.loopback import free_address, own_host
 
 from .processes import die_with_parent, processor_time
@@ -274,7 +274,7 @@
             ["-m", "trials.added", str(count), str(service)], cwd=ROOT, stdout=subprocess.PIPE
         )
         sidecar = None
-        listing = Listing(lambda: servers)
+        listing = EndpointListServer(lambda: servers)
         try:
             direct = json.loads(await asyncio.to_thread(endpoints.stdout.readline))
             servers = [
--- a/trials/policy_faults.py
+++ b/trials/policy_faults.py
@@ -78,14 +78,14 @@
                 await asyncio.sleep(fault.lasts)
                 await store.begin()
             case "lost":
-                store.lose["/v3/kv/txn"] = self.rng.randint(1, 4)
+                store.lost_replies["/v3/kv/txn"] = self.rng.randint(1, 4)
             case "watch":
                 store.compact()
-                store.cut_watches()
+                store.abort_watches()
             case "ended":
                 prefixes = [f"members/{sidecar.name}.".encode() for sidecar in some]
                 for key in [key for prefix in prefixes for key in store.entries if prefix in key]:
-                    store.end_lease_of(key.decode())
+                    store.expire_lease_of(key.decode())
 
     async def _lose(self, sidecar: Sidecar, fault: PolicyFault) -> None:
         if fault.kind == "stop":
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from fakes.clients import Clients, Work
-from fakes.endpoint_list import Listing
-from fakes.etcd import Arbiter
+from fakes.endpoint_list import EndpointListServer
+from fakes.etcd import FakeEtcd
 from fakes.http1 import Broken, Caller
 from fakes.loopback import free_ports, own_host
 from fakes.relay import Relay, Way
@@ -76,7 +76,7 @@
         self.relays: list[Relay] = []
         self.front = Relay(lambda: (self.host, self.fleet_port), rig.rng)
         self.to_arbiter = Relay(lambda: (rig.arbiter.server.host, rig.arbiter.server.port), rig.rng)
-        self.list = Listing(self._entries)
+        self.list = EndpointListServer(self._entries)
         self.paths = {kind: rig.folder / f"{self.name}.{kind}" for kind in ("json", "log")}
 
     @property
@@ -227,7 +227,7 @@
         self.categories = categories
         self.seed, self.root, self.fleet, self.lease = seed, root, fleet, lease
         self.cell_size, self.cut = cell_size, cut
-        self.arbiter = Arbiter()
+        self.arbiter = FakeEtcd()
         self.rng = random.Random(seed)
         self.kept = tempfile.TemporaryDirectory(prefix="trial-", dir=MEMORY)
         self.folder = Path(self.kept.name)
--- a/trials/scale/etcd_process.py
+++ b/trials/scale/etcd_process.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from fakes.etcd import Arbiter
+from fakes.etcd import FakeEtcd
 
 from .counts import Sample, Traffic, resident, traffic
 
@@ -25,7 +25,7 @@
 class TrafficCounter:
     """What the sockets of the fake etcd carry, also those that have ended."""
 
-    def __init__(self, etcd: Arbiter) -> None:
+    def __init__(self, etcd: FakeEtcd) -> None:
         """Count from now on."""
         self.etcd = etcd
         self.ended = Traffic()
@@ -63,7 +63,7 @@
         return sample
 
 
-async def execute(command: Json, etcd: Arbiter, counter: TrafficCounter) -> Json:
+async def execute(command: Json, etcd: FakeEtcd, counter: TrafficCounter) -> Json:
     """Carry out one command, and return its answer."""
     match command["do"]:
         case "begin" | "up":
@@ -88,7 +88,7 @@
 
 async def serve() -> None:
     """Carry out the commands of standard input until its end."""
-    etcd = Arbiter()
+    etcd = FakeEtcd()
     counter = TrafficCounter(etcd)
     loop = asyncio.get_running_loop()
     counting = loop.create_task(counter.run())
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -134,15 +134,15 @@
             await asyncio.sleep(lasts)
             await arbiter.begin()
         elif kind == "arbiter_slow":
-            arbiter.slow = 0.3
+            arbiter.reply_delay = 0.3
             await asyncio.sleep(lasts)
-            arbiter.slow = 0.0
+            arbiter.reply_delay = 0.0
         elif kind == "reply_lost":
             for path in PATHS:
-                arbiter.lose[path] = 1
+                arbiter.lost_replies[path] = 1
         elif kind == "watch_cut":
             arbiter.compact()
-            arbiter.cut_watches()
+            arbiter.abort_watches()
         elif kind == "lease_ended":
             for key in [k for k in arbiter.entries if f"/{one.name}.".encode() in k]:
-                arbiter.end_lease_of(key.decode())
+                arbiter.expire_lease_of(key.decode())
