--- a/fakes/clients.py
+++ b/fakes/clients.py
@@ -1,4 +1,4 @@
-"""Clients that send at a fixed rate (open loop), name their requests, and retry at another sidecar."""
+"""Clients that send at a fixed rate (open loop), with idempotency keys, and retry at another sidecar."""
 
 from __future__ import annotations
 
@@ -12,142 +12,171 @@
 METHODS = {"look": "GET", "buy": "POST", "move": "POST"}
 MIN_TIME_LEFT = 0.02  # seconds before the deadline, after which nothing is sent any more
 DEFAULT_RETRY_AFTER = 0.02  # seconds
+OPEN = "open"  # outcome of an attempt that has not ended
 
 
 @dataclass
-class Try:
-    """One request of a piece of work: what came of it, and when. `end`: a status, or how it broke."""
+class ClientAttempt:
+    """One attempt of a request. `outcome`: a status, or how the connection or the wait ended."""
 
-    at: float
+    started_at: float
     sidecar: str
-    trace: str
-    end: str = "open"
-    ended: float = 0.0
+    trace_id: str
+    outcome: str = OPEN
+    ended_at: float = 0.0  # 0: it has not ended
     body: bytes = b""
 
 
 @dataclass
-class Work:
-    """A request of a client, with all tries of it."""
+class ClientRequest:
+    """A request of a client, with all attempts of it. `name`: its idempotency key, if it has one."""
 
     name: str
-    category: str
-    at: float
-    until: float
-    tries: list[Try] = field(default_factory=list)
-    twin: str = ""  # the sidecar that a second client of the same name comes to at the same time
+    request_class: str
+    started_at: float
+    deadline: float
+    attempts: list[ClientAttempt] = field(default_factory=list)
+    duplicate_sidecar: str = ""  # that a second client sends the same to; empty: there is none
 
     @property
-    def answers(self) -> list[str]:
+    def statuses(self) -> list[str]:
         """The statuses that came."""
-        return [t.end for t in self.tries if t.end.isdigit()]
+        return [attempt.outcome for attempt in self.attempts if attempt.outcome.isdigit()]
 
     @property
-    def finished(self) -> bool:
-        """One of the tries succeeded."""
-        return "200" in self.answers
+    def succeeded(self) -> bool:
+        """One of the attempts succeeded."""
+        return "200" in self.statuses
 
 
 class Clients:
     """All clients of a trial. `addresses` tells where the sidecars listen."""
 
-    def __init__(self, addresses: dict[str, str], rng: random.Random, waits: float = 2.0) -> None:
-        """`waits`: seconds until a client gives its request up."""
+    def __init__(self, addresses: dict[str, str], rng: random.Random, timeout: float = 2.0) -> None:
+        """`timeout`: seconds until a client gives its request up."""
         self.callers = {name: Caller(address) for name, address in addresses.items()}
-        self.names, self.rng, self.waits = list(addresses), rng, waits
-        self.done: list[Work] = []
-        self.open: set[asyncio.Task[None]] = set()
-        self.body: Callable[[Work], bytes] = lambda work: work.name.encode()
-        self.avoid: set[str] = set()  # sidecars that no client goes to at first
+        self.sidecars, self.rng, self.timeout = list(addresses), rng, timeout
+        self.requests: list[ClientRequest] = []
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.make_body: Callable[[ClientRequest], bytes] = lambda request: request.name.encode()
+        self.avoided: set[str] = set()  # sidecars that no client sends to unless there is no other
 
     async def send(
         self,
         rate: float,
         seconds: float,
-        categories: dict[str, float],
-        named: bool = True,
-        twins: float = 0.0,
+        class_weights: dict[str, float],
+        keyed: bool = True,
+        duplicate_rate: float = 0.0,
     ) -> None:
-        """Send `rate` requests a second, each when it is due, whatever became of those before."""
+        """Send `rate` requests a second, each when it is due, whatever became of those before.
+
+        `keyed`: with idempotency keys. `duplicate_rate`: the fraction that a second client sends too.
+        """
         loop = asyncio.get_running_loop()
         start = loop.time()
         for number in range(int(rate * seconds)):
             due = start + number / rate
             await asyncio.sleep(max(0.0, due - loop.time()))
-            category = self.rng.choices([*categories], [*categories.values()])[0]
-            able = [n for n in self.names if n not in self.avoid] or self.names
-            home = self.rng.choice(able)
-            twin = self.rng.choice(able) if self.rng.random() < twins else ""
-            self.begin(f"w{len(self.done)}", category, home, named, twin)
-
-    def begin(self, name: str, category: str, sidecar: str, named: bool = True, twin: str = "") -> Work:
-        """Send one request, and the same from a second client where `twin` names a sidecar."""
+            request_class = self.rng.choices([*class_weights], [*class_weights.values()])[0]
+            sidecars = [name for name in self.sidecars if name not in self.avoided] or self.sidecars
+            sidecar = self.rng.choice(sidecars)
+            duplicate_sidecar = self.rng.choice(sidecars) if self.rng.random() < duplicate_rate else ""
+            self.start_request(f"w{len(self.requests)}", request_class, sidecar, keyed, duplicate_sidecar)
+
+    def start_request(
+        self,
+        name: str,
+        request_class: str,
+        sidecar: str,
+        keyed: bool = True,
+        duplicate_sidecar: str = "",
+    ) -> ClientRequest:
+        """Send one request, and the same from a second client where `duplicate_sidecar` names a sidecar."""
         now = asyncio.get_running_loop().time()
-        work = Work(name, category, now, now + self.waits, twin=twin)
-        self.done.append(work)
-        for number, first in enumerate([sidecar, twin] if twin else [sidecar]):
-            task = asyncio.create_task(self._follow(work, first, named, number))
-            self.open.add(task)
-            task.add_done_callback(self.open.discard)
-        return work
-
-    def join(self, work: Work, sidecar: str) -> None:
-        """Send a request again, from a second client at another sidecar."""
-        work.twin = sidecar
-        task = asyncio.create_task(self._follow(work, sidecar, True, 1))
-        self.open.add(task)
-        task.add_done_callback(self.open.discard)
-
-    async def _follow(self, work: Work, sidecar: str, named: bool, client: int) -> None:
-        """Retry at other sidecars until there is a final answer: a broken or rejected try is not one."""
+        request = ClientRequest(
+            name, request_class, now, now + self.timeout, duplicate_sidecar=duplicate_sidecar
+        )
+        self.requests.append(request)
+        self._start_client(request, sidecar, keyed, client=0)
+        if duplicate_sidecar:
+            self._start_client(request, duplicate_sidecar, keyed, client=1)
+        return request
+
+    def send_duplicate(self, request: ClientRequest, sidecar: str) -> None:
+        """Send a request again, from a second client to another sidecar."""
+        request.duplicate_sidecar = sidecar
+        self._start_client(request, sidecar, keyed=True, client=1)
+
+    def _start_client(self, request: ClientRequest, sidecar: str, keyed: bool, client: int) -> None:
+        task = asyncio.create_task(self._send_until_final(request, sidecar, keyed, client))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def _send_until_final(self, request: ClientRequest, sidecar: str, keyed: bool, client: int) -> None:
+        """Retry at other sidecars until a final answer: one that is neither rejected nor cut off."""
         loop = asyncio.get_running_loop()
         number = 0
-        while (time_left := work.until - loop.time()) > MIN_TIME_LEFT:
-            one = Try(loop.time(), sidecar, f"{work.name}-{client}-{number}")
-            work.tries.append(one)
-            headers = self._headers(work, one, time_left, named, is_retry=number > 0)
-            wait = await self._send_once(work, one, headers, time_left)
-            one.ended = loop.time()
-            if one.end.isdigit() and one.end != "503":
+        while (time_left := request.deadline - loop.time()) > MIN_TIME_LEFT:
+            attempt = ClientAttempt(loop.time(), sidecar, f"{request.name}-{client}-{number}")
+            request.attempts.append(attempt)
+            headers = self._headers(request, attempt, time_left, keyed, is_retry=number > 0)
+            wait = await self._send_attempt(request, attempt, headers, time_left)
+            attempt.ended_at = loop.time()
+            if attempt.outcome.isdigit() and attempt.outcome != "503":
                 return
             number += 1
-            others = [n for n in self.names if n != sidecar and n not in self.avoid]
-            sidecar = self.rng.choice(others or self.names)
+            others = [name for name in self.sidecars if name != sidecar and name not in self.avoided]
+            sidecar = self.rng.choice(others or self.sidecars)
             await asyncio.sleep(wait)
 
-    def _headers(self, work: Work, one: Try, time_left: float, named: bool, is_retry: bool) -> dict[str, str]:
-        headers = {"X-Trace-Id": one.trace, "X-Qos": work.category}
+    def _headers(
+        self,
+        request: ClientRequest,
+        attempt: ClientAttempt,
+        time_left: float,
+        keyed: bool,
+        is_retry: bool,
+    ) -> dict[str, str]:
+        headers = {"X-Trace-Id": attempt.trace_id, "X-Qos": request.request_class}
         headers["X-Expires-In-Ms"] = str(int(time_left * 1000))
-        if named:
-            headers["X-Work-Name"] = work.name
-        if work.category == "move":
-            headers["Idempotency-Key"] = work.name
+        if keyed:
+            headers["X-Work-Name"] = request.name
+        if request.request_class == "move":
+            headers["Idempotency-Key"] = request.name
         if is_retry:
             headers["X-Second-Try"] = "1"
         return headers
 
-    async def _send_once(self, work: Work, one: Try, headers: dict[str, str], time_left: float) -> float:
-        """Record how the try ends; return the seconds to wait before the next one."""
-        method = METHODS[work.category]
-        body = b"" if method == "GET" else self.body(work)
+    async def _send_attempt(
+        self,
+        request: ClientRequest,
+        attempt: ClientAttempt,
+        headers: dict[str, str],
+        time_left: float,
+    ) -> float:
+        """Record the outcome of the attempt; return the seconds to wait before the next one."""
+        method = METHODS[request.request_class]
+        target = f"/{request.request_class}/{request.name}"
+        body = b"" if method == "GET" else self.make_body(request)
         wait = DEFAULT_RETRY_AFTER
         try:
             async with asyncio.timeout(time_left):
-                call = self.callers[one.sidecar].call(method, f"/{work.category}/{work.name}", headers, body)
-                status, received, one.body = await call
-            one.end = str(status)
+                call = self.callers[attempt.sidecar].call(method, target, headers, body)
+                status, received, attempt.body = await call
+            attempt.outcome = str(status)
             wait = float(received.get("Retry-After", received.get("retry-after", DEFAULT_RETRY_AFTER)))
         except TimeoutError:
-            one.end = "late"
+            attempt.outcome = "late"
         except Broken as broken:
-            one.end = str(broken)
+            attempt.outcome = str(broken)
         return wait
 
-    async def rest(self, within: float) -> None:
+    async def finish(self, within: float) -> None:
         """Wait at most `within` seconds for the open requests, then cancel them."""
-        if self.open:
-            await asyncio.wait(list(self.open), timeout=within)
-        for task in list(self.open):
+        if self.tasks:
+            await asyncio.wait(list(self.tasks), timeout=within)
+        for task in list(self.tasks):
             task.cancel()
         for caller in self.callers.values():
             caller.close()
--- a/trials/cost.py
+++ b/trials/cost.py
@@ -35,14 +35,14 @@
     verdict = Verdict()
     async with Rig(seed, sidecars, service=SERVICE, root=root, fleet=fleet) as rig:
         owner, *others = rig.sidecars
-        rig.clients.avoid |= {s.name for s in others}
+        rig.clients.avoided |= {s.name for s in others}
         for rate, named in ((rate, named) for rate in rates for named in (False, True, False, True)):
             before = used(owner), sum(map(used, others))
-            first = len(rig.clients.done)
-            await rig.clients.send(rate, SECONDS, {"look": 1.0, "buy": 1.0}, named=named)
+            first = len(rig.clients.requests)
+            await rig.clients.send(rate, SECONDS, {"look": 1.0, "buy": 1.0}, keyed=named)
             await asyncio.sleep(0.3)
-            works = rig.clients.done[first:]
-            waits = sorted(w.tries[0].ended - w.tries[0].at for w in works if w.finished)
+            works = rig.clients.requests[first:]
+            waits = sorted(w.attempts[0].ended_at - w.attempts[0].started_at for w in works if w.succeeded)
             what = ("named" if named else "unnamed") + (f" at {rate:.0f}" if len(rates) > 1 else "")
             count = verdict.counts.get(f"{what}, median", 0)
             figures = {
--- a/trials/hard.py
+++ b/trials/hard.py
@@ -20,13 +20,13 @@
             rig.lose(sidecar)
         killed_at = asyncio.get_running_loop().time()
         verdict = await rig.judged(sending)
-        later = [w for w in rig.clients.done if w.at > killed_at + rig.lease]
+        later = [w for w in rig.clients.requests if w.started_at > killed_at + rig.lease]
         # Requests from before the next view are outside the promise: counted, but not held against it.
-        early = [w.name for w in rig.clients.done if w.at <= killed_at + rig.lease]
+        early = [w.name for w in rig.clients.requests if w.started_at <= killed_at + rig.lease]
         verdict.broken = [b for b in verdict.broken if not any(f" {name} " in f"{b} " for name in early)]
         verdict.counts["after the next view"] = len(later)
-        verdict.counts["of these finished"] = sum(w.finished for w in later)
-        if any(not w.finished for w in later):
+        verdict.counts["of these finished"] = sum(w.succeeded for w in later)
+        if any(not w.succeeded for w in later):
             verdict.broken.append("work that came after the next view was not finished")
         return verdict
 
@@ -34,16 +34,16 @@
 async def bodies(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """A loss while requests with bodies of 60 KiB are open."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
-        rig.clients.body = lambda work: work.name.encode().ljust(60 * 1024, b".")
+        rig.clients.make_body = lambda work: work.name.encode().ljust(60 * 1024, b".")
         sending = asyncio.create_task(rig.clients.send(60.0, 2.0, {"buy": 1.0, "move": 1.0}))
         await asyncio.sleep(1.0)
         lost = rig.rng.choice(rig.sidecars)
         affected = rig.lose(lost)
         verdict = await rig.judged(sending)
         verdict.counts["in hand at the loss"] = len(affected)
-        verdict.counts["ticketed of these"] = sum(w.category == "move" for w in affected)
-        verdict.counts["of those finished"] = sum(w.category == "move" and w.finished for w in affected)
-        if any(w.category == "move" and not w.finished for w in affected):
+        verdict.counts["ticketed of these"] = sum(w.request_class == "move" for w in affected)
+        verdict.counts["of those finished"] = sum(w.request_class == "move" and w.succeeded for w in affected)
+        if any(w.request_class == "move" and not w.succeeded for w in affected):
             verdict.broken.append("ticketed work was lost with its sidecar")
         return verdict
 
@@ -52,15 +52,15 @@
     """A replica that hangs holds up no request without a name."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
         slow = rig.rng.choice(rig.sidecars)
-        rig.clients.avoid.add(slow.name)
+        rig.clients.avoided.add(slow.name)
         slow.signal(signal.SIGSTOP)
-        await rig.clients.send(100.0, 1.5, {"look": 1.0, "buy": 1.0}, named=False)
+        await rig.clients.send(100.0, 1.5, {"look": 1.0, "buy": 1.0}, keyed=False)
         slow.signal(signal.SIGCONT)
-        await rig.clients.rest(rig.clients.waits + 1)
-        works = rig.clients.done
-        again = [w for w in works if len(w.tries) > 1 or not w.finished]
+        await rig.clients.finish(rig.clients.timeout + 1)
+        works = rig.clients.requests
+        again = [w for w in works if len(w.attempts) > 1 or not w.succeeded]
         verdict = Verdict(
-            {"work": len(works), "finished": sum(w.finished for w in works), "held up": len(again)}
+            {"work": len(works), "finished": sum(w.succeeded for w in works), "held up": len(again)}
         )
         if again:
             verdict.broken.append(f"work without a name was held up: {[w.name for w in again][:5]}")
@@ -70,17 +70,17 @@
 async def woken(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """A coordinator is stopped for a second with open requests, whose clients retry, and then woken."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
-        rig.clients.waits = 3.0
+        rig.clients.timeout = 3.0
         sending = asyncio.create_task(rig.clients.send(150.0, 2.0, MIX))
         await asyncio.sleep(0.8)
         owner = rig.rng.choice(rig.sidecars)
         affected = rig.in_hand(owner)
         owner.signal(signal.SIGSTOP)
-        rig.clients.avoid.add(owner.name)
+        rig.clients.avoided.add(owner.name)
         for work in affected:
             # Another client of that name does not wait until it wakes.
             others = [s.name for s in rig.sidecars if s is not owner]
-            rig.clients.join(work, rig.rng.choice(others))
+            rig.clients.send_duplicate(work, rig.rng.choice(others))
         await asyncio.sleep(1.0)
         owner.signal(signal.SIGCONT)
         verdict = await rig.judged(sending)
@@ -94,16 +94,16 @@
         sending = asyncio.create_task(rig.clients.send(120.0, 6.0, MIX))
         for sidecar in rig.sidecars[:3]:
             await asyncio.sleep(0.5)
-            rig.clients.avoid.add(sidecar.name)
+            rig.clients.avoided.add(sidecar.name)
             sidecar.signal(signal.SIGTERM)
             while sidecar.alive:
                 await asyncio.sleep(0.02)
             sidecar.start()
             await sidecar.ready()
-            rig.clients.avoid.discard(sidecar.name)
+            rig.clients.avoided.discard(sidecar.name)
         verdict = await rig.judged(sending)
-        if any(not w.finished for w in rig.clients.done):
-            lost = [w.name for w in rig.clients.done if not w.finished]
+        if any(not w.succeeded for w in rig.clients.requests):
+            lost = [w.name for w in rig.clients.requests if not w.succeeded]
             verdict.broken.append(f"work was lost at a planned stop: {lost[:5]}")
         return verdict
 
@@ -113,7 +113,7 @@
 ) -> Verdict:
     """The fleet is cut in two, and again, under load; sidecars are lost right after, and cells are joined."""
     async with Rig(seed, sidecars, root=root, fleet=fleet, lease=1, cell_size=cell_size, cut=False) as rig:
-        sending = asyncio.create_task(rig.clients.send(80.0, 34.0, MIX, twins=0.05))
+        sending = asyncio.create_task(rig.clients.send(80.0, 34.0, MIX, duplicate_rate=0.05))
         counts, lost = [1], 0
         until = asyncio.get_running_loop().time() + 33.0
         while asyncio.get_running_loop().time() < until:
@@ -150,7 +150,7 @@
         verdict = await rig.judged(sending)
         doubts = sum(line["reason"] == "alone" for s in rig.sidecars for line in s.logged("policy.doubt"))
         uncovered = sum(len(s.logged("cover.none", "cover.given_up")) for s in rig.sidecars)
-        held_up = [w.name for w in rig.clients.done if not w.finished or len(w.tries) > 1]
+        held_up = [w.name for w in rig.clients.requests if not w.succeeded or len(w.attempts) > 1]
         verdict.counts |= {"doubts": doubts, "uncovered or given up": uncovered, "held up": len(held_up)}
         verdict.counts["with a lease still"] = sum(t["lease_s"] > 0 for t in told)
         if doubts or uncovered or held_up:
--- a/trials/loss.py
+++ b/trials/loss.py
@@ -31,7 +31,7 @@
         in_hand = rig.lose(lost)
         verdict = await rig.judged(sending)
         verdict.counts["in hand at the loss"] = len(in_hand)
-        verdict.counts["of these finished"] = sum(w.finished for w in in_hand)
-        verdict.counts["of these written off"] = sum("504" in w.answers for w in in_hand)
+        verdict.counts["of these finished"] = sum(w.succeeded for w in in_hand)
+        verdict.counts["of these written off"] = sum("504" in w.statuses for w in in_hand)
         verdict.counts["of these ran twice"] = sum(len(rig.of(w.name)) > 1 for w in in_hand)
         return verdict
--- a/trials/outage.py
+++ b/trials/outage.py
@@ -25,15 +25,15 @@
         for what, seconds, now in (("before", CALM, "ok"), ("failing", FAILS, mode), ("after", AFTER, "ok")):
             for upstream in rig.upstreams:
                 upstream.mode = now
-            first = len(rig.clients.done)
-            await rig.clients.send(RATE, seconds, {"look": 1.0}, named=False)
-            parts.append((what, rig.clients.done[first:]))
-        await asyncio.sleep(rig.clients.waits + 0.5)  # all are answered, or given up
+            first = len(rig.clients.requests)
+            await rig.clients.send(RATE, seconds, {"look": 1.0}, keyed=False)
+            parts.append((what, rig.clients.requests[first:]))
+        await asyncio.sleep(rig.clients.timeout + 0.5)  # all are answered, or given up
         for what, works in parts:
             if what == "after":
-                works = [w for w in works if w.at > works[-1].at - (AFTER - BACK)]
+                works = [w for w in works if w.started_at > works[-1].started_at - (AFTER - BACK)]
             verdict.counts[what] = len(works)
-            verdict.counts[f"{what}, answered"] = well = sum(w.finished for w in works)
+            verdict.counts[f"{what}, answered"] = well = sum(w.succeeded for w in works)
         if well < len(works) * ANSWERED:
             verdict.broken.append(f"{BACK} s after all are well again {well} of {len(works)} are answered")
     return verdict
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from fakes.clients import Clients, Work
+from fakes.clients import ClientRequest, Clients
 from fakes.endpoint_list import EndpointListServer
 from fakes.etcd import FakeEtcd
 from fakes.http1 import Broken, Caller
@@ -277,23 +277,23 @@
         one.front.ways[other.host] = ways[::-1]
         return ways
 
-    def in_hand(self, sidecar: Sidecar) -> list[Work]:
+    def in_hand(self, sidecar: Sidecar) -> list[ClientRequest]:
         """Return the requests whose clients wait for an answer of that sidecar."""
-        tries = [(w, w.tries[-1]) for w in self.clients.done if w.tries]
-        return [w for w, last in tries if last.end == "open" and last.sidecar == sidecar.name]
+        tries = [(w, w.attempts[-1]) for w in self.clients.requests if w.attempts]
+        return [w for w, last in tries if last.outcome == "open" and last.sidecar == sidecar.name]
 
-    def lose(self, sidecar: Sidecar) -> list[Work]:
+    def lose(self, sidecar: Sidecar) -> list[ClientRequest]:
         """Kill a sidecar for good, and send new clients elsewhere; return its open requests."""
         hurt = self.in_hand(sidecar)
         sidecar.kill()
-        self.clients.avoid.add(sidecar.name)
+        self.clients.avoided.add(sidecar.name)
         return hurt
 
     async def judged(self, sending: asyncio.Task[None]) -> Verdict:
         """Wait until all requests have ended, then judge."""
         await sending
-        await self.clients.rest(self.clients.waits + 1)
-        return judge(self.clients.done, self.runs, self.start)
+        await self.clients.finish(self.clients.timeout + 1)
+        return judge(self.clients.requests, self.runs, self.start)
 
     async def __aenter__(self) -> Rig:
         """Start all; raises `RuntimeError` where a process is not ready in time."""
@@ -343,7 +343,7 @@
         raise RuntimeError(f"no view of {members}: " + self.told())
 
     async def _end(self) -> None:
-        await self.clients.rest(0)
+        await self.clients.finish(0)
         for sidecar in self.sidecars:
             sidecar.signal(signal.SIGCONT)
             sidecar.kill()
--- a/trials/storm.py
+++ b/trials/storm.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from fakes.clients import Work
+from fakes.clients import ClientRequest
 
 from .rig import ROOT, Rig
 from .timetable import ARBITER, LINKS, LOSSES, Lost, Player, drawn
@@ -58,7 +58,7 @@
     async with Rig(seed, sidecars, root=root, fleet=fleet, cell_size=cell_size) as rig:
         (rig.folder / "start").write_text(f"{time.time()}\n")
         player = Player(rig)
-        sending = asyncio.create_task(rig.clients.send(rate, count * every, MIX, twins=0.05))
+        sending = asyncio.create_task(rig.clients.send(rate, count * every, MIX, duplicate_rate=0.05))
         faults = drawn(seed, count, every, kinds, sidecars, longest)
         (rig.folder / "faults").write_text("\n".join(map(str, faults)))
         await player.play(faults)
@@ -73,23 +73,26 @@
 
 def _count_losses(verdict: Verdict, rig: Rig, lost: list[Lost]) -> None:
     """Count what became of the requests that were open where a process was killed."""
-    affected: list[Work] = []
+    affected: list[ClientRequest] = []
     takeover_times = []
     for loss in lost:
-        for work in rig.clients.done:
-            cut_off = any(t.sidecar == loss.name and t.at < loss.at <= (t.ended or 1e18) for t in work.tries)
-            if not cut_off or work.until < loss.at + MIN_TIME_LEFT or work.twin:
+        for work in rig.clients.requests:
+            cut_off = any(
+                t.sidecar == loss.name and t.started_at < loss.at <= (t.ended_at or 1e18)
+                for t in work.attempts
+            )
+            if not cut_off or work.deadline < loss.at + MIN_TIME_LEFT or work.duplicate_sidecar:
                 continue
             affected.append(work)
             later = [r.at - loss.at for r in rig.of(work.name) if r.at > loss.at and r.sidecar != loss.name]
-            if work.category != "buy" and later:
+            if work.request_class != "buy" and later:
                 takeover_times.append(min(later))
-    retryable = [w for w in affected if w.category != "buy"]
+    retryable = [w for w in affected if w.request_class != "buy"]
     verdict.counts |= {
         "losses": len(lost),
         "in hand at a loss": len(affected),
         "free or ticketed of these": len(retryable),
-        "of those finished": sum(w.finished for w in retryable),
+        "of those finished": sum(w.succeeded for w in retryable),
     }
     if takeover_times:
         takeover_times.sort()
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -85,11 +85,11 @@
         self.busy.add(one.name)
         self.lost.append(Lost(one.name, asyncio.get_running_loop().time()))
         one.kill()
-        self.rig.clients.avoid.add(one.name)
+        self.rig.clients.avoided.add(one.name)
         await asyncio.sleep(lasts / 2)
         one.start()
         await one.ready()
-        self.rig.clients.avoid.discard(one.name)
+        self.rig.clients.avoided.discard(one.name)
         self.busy.discard(one.name)
 
     async def _stop(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
--- a/trials/verdict.py
+++ b/trials/verdict.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from fakes.clients import Work
+from fakes.clients import ClientRequest
 from fakes.upstream import Run
 
 NON_IDEMPOTENT, WITH_KEY = {"buy"}, {"move"}  # categories
@@ -26,15 +26,19 @@
         return not self.broken
 
 
-def history(work: Work, runs: list[Run], start: float) -> str:
+def history(work: ClientRequest, runs: list[Run], start: float) -> str:
     """Return what became of a request at all processes, in the order of time."""
-    steps = [(t.at, f"client asks {t.sidecar} ({t.trace})") for t in work.tries]
-    steps += [(t.ended, f"{t.sidecar} answers {t.end} ({t.trace})") for t in work.tries if t.end != "open"]
+    steps = [(t.started_at, f"client asks {t.sidecar} ({t.trace_id})") for t in work.attempts]
+    steps += [
+        (t.ended_at, f"{t.sidecar} answers {t.outcome} ({t.trace_id})")
+        for t in work.attempts
+        if t.outcome != "open"
+    ]
     steps += [(r.at, f"runs at {r.upstream}, from {r.sidecar} ({r.trace})") for r in runs]
     return "; ".join(f"{at - start:.3f} {step}" for at, step in sorted(steps))
 
 
-def judge(works: list[Work], runs: list[Run], start: float = 0.0) -> Verdict:
+def judge(works: list[ClientRequest], runs: list[Run], start: float = 0.0) -> Verdict:
     """Check the promise that each request runs once, over all processes."""
     verdict = Verdict()
     runs_by_name: dict[str, list[Run]] = {}
@@ -51,33 +55,33 @@
     return verdict
 
 
-def _count_end(ends: Counter[str], work: Work, runs: list[Run]) -> None:
-    answers = work.answers
-    if work.finished:
+def _count_end(ends: Counter[str], work: ClientRequest, runs: list[Run]) -> None:
+    answers = work.statuses
+    if work.succeeded:
         ends["finished"] += 1
     elif answers:
         ends["written off" if answers[-1] == "504" else f"ended {answers[-1]}"] += 1
     else:
         ends["no answer"] += 1
-    retried = len(work.tries) > 1 + bool(work.twin)
+    retried = len(work.attempts) > 1 + bool(work.duplicate_sidecar)
     ends["came again"] += retried
-    ends["finished after coming again"] += retried and work.finished
-    if work.category in NON_IDEMPOTENT and len(runs) > 1:
+    ends["finished after coming again"] += retried and work.succeeded
+    if work.request_class in NON_IDEMPOTENT and len(runs) > 1:
         ends["ran twice"] += 1
-    if work.finished and not runs:
+    if work.succeeded and not runs:
         ends["finished, never ran"] += 1
 
 
-def _broken_promises(work: Work, runs: list[Run]) -> Iterator[str]:
-    if work.category in NON_IDEMPOTENT and len(runs) > 1:
+def _broken_promises(work: ClientRequest, runs: list[Run]) -> Iterator[str]:
+    if work.request_class in NON_IDEMPOTENT and len(runs) > 1:
         yield f"once: {work.name} ran {len(runs)} times"
-    last_answer = work.answers[-1:] if not work.twin else []
-    if work.finished and last_answer == ["503"]:
+    last_answer = work.statuses[-1:] if not work.duplicate_sidecar else []
+    if work.succeeded and last_answer == ["503"]:
         yield f"contradicted: {work.name}"
-    if work.category in WITH_KEY and runs and runs[-1].at > runs[0].at + DEDUPLICATION_WINDOW:
+    if work.request_class in WITH_KEY and runs and runs[-1].at > runs[0].at + DEDUPLICATION_WINDOW:
         yield f"ticketed: {work.name} ran too late"
-    for one in work.tries:
-        if one.end == "200" and not one.body.startswith(f"{work.name} by ".encode()):
+    for one in work.attempts:
+        if one.outcome == "200" and not one.body.startswith(f"{work.name} by ".encode()):
             yield f"another's answer: {work.name}: {one.body!r}"
-    if work.finished and not runs:
+    if work.succeeded and not runs:
         yield f"no such answer: {work.name}"
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -140,7 +140,7 @@
     async with rig:
         loop = asyncio.get_running_loop()
         sending = asyncio.create_task(
-            rig.clients.send(RATE, FAILS_AFTER + FAILS_FOR + after, MIX, named=False)
+            rig.clients.send(RATE, FAILS_AFTER + FAILS_FOR + after, MIX, keyed=False)
         )
         await asyncio.sleep(FAILS_AFTER)
         failed = loop.time()
@@ -153,7 +153,7 @@
         back = loop.time()
         await played.act(rig, False)
         await sending
-        await rig.clients.rest(rig.clients.waits + 1)
+        await rig.clients.finish(rig.clients.timeout + 1)
         verdict = Verdict()
         _count(verdict, rig, played.zones, failed, back, after)
         if fleet:
@@ -171,17 +171,17 @@
 def _count(
     verdict: Verdict, rig: Rig, zones: tuple[str, ...], failed: float, back: float, after: float
 ) -> None:
-    requests = rig.clients.done
-    meanwhile = [request for request in requests if failed <= request.at < back]
-    first_ends = Counter(request.tries[0].end for request in meanwhile if request.tries)
+    requests = rig.clients.requests
+    meanwhile = [request for request in requests if failed <= request.started_at < back]
+    first_ends = Counter(request.attempts[0].outcome for request in meanwhile if request.attempts)
     usual = _share(rig, zones, failed - 2.0, failed)
     seconds = [back + second for second in range(int(after))]
     shares = [round(_share(rig, zones, at, at + 1.0) / max(usual, MIN_SHARE), 2) for at in seconds]
     verdict.counts |= {
         "work": len(requests),
-        "finished": sum(request.finished for request in requests),
+        "finished": sum(request.succeeded for request in requests),
         "while it failed": len(meanwhile),
-        "finished of these": sum(request.finished for request in meanwhile),
+        "finished of these": sum(request.succeeded for request in meanwhile),
         "first answers": dict(sorted(first_ends.items())),
         "sent there meanwhile": len(_sent(rig, zones, failed, back)),
         "by second": [len(_sent(rig, zones, failed + i, failed + i + 1)) for i in range(int(back - failed))],
