--- a/fakes/clients.py
+++ b/fakes/clients.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .http1 import Broken, Caller
+from .http1 import ConnectionBrokenError, HttpClient
 
 METHODS = {"look": "GET", "buy": "POST", "move": "POST"}
 MIN_TIME_LEFT = 0.02  # seconds before the deadline, after which nothing is sent any more
@@ -54,7 +54,7 @@
 
     def __init__(self, addresses: dict[str, str], rng: random.Random, timeout: float = 2.0) -> None:
         """`timeout`: seconds until a client gives its request up."""
-        self.callers = {name: Caller(address) for name, address in addresses.items()}
+        self.http_clients = {name: HttpClient(address) for name, address in addresses.items()}
         self.sidecars, self.rng, self.timeout = list(addresses), rng, timeout
         self.requests: list[ClientRequest] = []
         self.tasks: set[asyncio.Task[None]] = set()
@@ -162,14 +162,14 @@
         wait = DEFAULT_RETRY_AFTER
         try:
             async with asyncio.timeout(time_left):
-                call = self.callers[attempt.sidecar].call(method, target, headers, body)
+                call = self.http_clients[attempt.sidecar].call(method, target, headers, body)
                 status, received, attempt.body = await call
             attempt.outcome = str(status)
             wait = float(received.get("Retry-After", received.get("retry-after", DEFAULT_RETRY_AFTER)))
         except TimeoutError:
             attempt.outcome = "late"
-        except Broken as broken:
-            attempt.outcome = str(broken)
+        except ConnectionBrokenError as error:
+            attempt.outcome = str(error)
         return wait
 
     async def finish(self, within: float) -> None:
@@ -178,5 +178,5 @@
             await asyncio.wait(list(self.tasks), timeout=within)
         for task in list(self.tasks):
             task.cancel()
-        for caller in self.callers.values():
+        for caller in self.http_clients.values():
             caller.close()
--- a/fakes/http1.py
+++ b/fakes/http1.py
@@ -14,7 +14,7 @@
 
 from .loopback import own_host
 
-CHUNK = 65536  # bytes read at once
+READ_SIZE = 65536  # bytes read at once
 MAX_BIND_ATTEMPTS = 50
 BIND_RETRY_INTERVAL = 0.1  # seconds
 
@@ -69,35 +69,34 @@
 
 
 @contextlib.asynccontextmanager
-async def left(reader: asyncio.StreamReader) -> AsyncIterator[None]:
-    """Cancel the current task when the other side ends, which writing alone may not notice for long."""
-    inside = asyncio.current_task()
-    assert inside is not None
+async def canceled_when_closed(reader: asyncio.StreamReader) -> AsyncIterator[None]:
+    """Cancel the current task when the other side closes, which writing alone may not notice for long."""
+    task = asyncio.current_task()
+    assert task is not None
 
-    def ended(read: asyncio.Task[bytes]) -> None:
+    def check_closed(read: asyncio.Task[bytes]) -> None:
         if not read.cancelled() and (read.exception() is not None or not read.result()):
-            inside.cancel()
+            task.cancel()
 
-    reading = asyncio.create_task(reader.read(CHUNK))
-    reading.add_done_callback(ended)
+    reading = asyncio.create_task(reader.read(READ_SIZE))
+    reading.add_done_callback(check_closed)
     try:
         yield
     finally:
-        reading.remove_done_callback(ended)
+        reading.remove_done_callback(check_closed)
         reading.cancel()
 
 
 class Server:
-    """Listens on loopback; `handler` answers each request. `stop` and `begin` may be called in turns."""
+    """Listens on loopback; `handler` answers each request. `stop` and `begin` may alternate."""
 
     def __init__(self, handler: Handler, host: str = "") -> None:
         """`host`: where to listen; empty: on a host that no other process uses."""
         self.handler, self.host, self.port = handler, host or own_host(), 0
         self.server: asyncio.Server | None = None
-        self.open: dict[asyncio.StreamWriter, asyncio.Task[Any]] = {}
-        self.ends: Callable[[asyncio.StreamWriter], None] = (
-            lambda writer: None
-        )  # called before a connection closes
+        self.connections: dict[asyncio.StreamWriter, asyncio.Task[Any]] = {}
+        # Called before a connection closes.
+        self.on_close: Callable[[asyncio.StreamWriter], None] = lambda writer: None
 
     @property
     def address(self) -> str:
@@ -125,22 +124,22 @@
             return
         server, self.server = self.server, None
         server.close()
-        for writer, task in list(self.open.items()):
-            self.ends(writer)
-            del self.open[writer]
+        for writer, task in list(self.connections.items()):
+            self.on_close(writer)
+            del self.connections[writer]
             abort(writer)
             task.cancel()
         await asyncio.sleep(0)
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open[writer] = asyncio.current_task()  # type: ignore[assignment]
+        self.connections[writer] = asyncio.current_task()  # type: ignore[assignment]
         try:
             await self._serve(reader, writer)
         except (OSError, h11.ProtocolError, asyncio.CancelledError):
             pass
         finally:
-            if self.open.pop(writer, None) is not None:
-                self.ends(writer)
+            if self.connections.pop(writer, None) is not None:
+                self.on_close(writer)
             with contextlib.suppress(OSError, RuntimeError):
                 writer.close()
 
@@ -164,7 +163,7 @@
         while True:
             event = connection.http.next_event()
             if event is h11.NEED_DATA:
-                connection.http.receive_data(await connection.reader.read(CHUNK))
+                connection.http.receive_data(await connection.reader.read(READ_SIZE))
             elif isinstance(event, h11.Request):
                 head = event
             elif isinstance(event, h11.Data):
@@ -186,7 +185,7 @@
         out = http.send(h11.Response(status_code=response.status, reason=b"x", headers=headers)) or b""
         if response.parts is not None:
             writer.write(out)
-            async with left(connection.reader):
+            async with canceled_when_closed(connection.reader):
                 async for part in response.parts:
                     writer.write(http.send(h11.Data(data=part)) or b"")
                     await writer.drain()
@@ -197,12 +196,12 @@
         await writer.drain()
 
 
-class Broken(Exception):  # noqa: N818  # the name that other modules use
+class ConnectionBrokenError(Exception):
     """A connection ended without a complete response; the text says when."""
 
 
-class Caller:
-    """Calls one address over persistent connections."""
+class HttpClient:
+    """Sends requests to one address over persistent connections."""
 
     def __init__(self, address: str) -> None:
         """`address`: host:port."""
@@ -213,7 +212,10 @@
     async def call(
         self, method: str, target: str, headers: dict[str, str], body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """Return status, headers and body. Raises `Broken`; a cancelled call closes its connection."""
+        """Return status, headers and body; raises `ConnectionBrokenError`.
+
+        A cancelled call closes its connection.
+        """
         connection = self._take_idle() or await self._connect()
         reusable = False
         try:
@@ -224,7 +226,7 @@
                 reusable = True
             return response.status_code, _decoded(response), response_body
         except (OSError, h11.ProtocolError) as error:
-            raise Broken("reset") from error
+            raise ConnectionBrokenError("reset") from error
         finally:
             if not reusable:
                 connection.writer.close()
@@ -241,7 +243,7 @@
         try:
             reader, writer = await asyncio.open_connection(self.host, self.port)
         except OSError as error:
-            raise Broken("refused") from error
+            raise ConnectionBrokenError("refused") from error
         return Connection(reader, writer, h11.Connection(h11.CLIENT))
 
     def _send(
@@ -261,9 +263,9 @@
         while True:
             event = connection.http.next_event()
             if event is h11.NEED_DATA:
-                data = await connection.reader.read(CHUNK)
+                data = await connection.reader.read(READ_SIZE)
                 if not data and response is None:
-                    raise Broken("closed")
+                    raise ConnectionBrokenError("closed")
                 connection.http.receive_data(data)
             elif isinstance(event, h11.Response):
                 response = event
@@ -272,7 +274,7 @@
             elif isinstance(event, h11.EndOfMessage) and response is not None:
                 return response, body
             elif isinstance(event, h11.ConnectionClosed):
-                raise Broken("closed")
+                raise ConnectionBrokenError("closed")
 
     def close(self) -> None:
         """Close the idle connections."""
--- a/fakes/relay.py
+++ b/fakes/relay.py
@@ -8,42 +8,45 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .http1 import CHUNK, abort
+from .http1 import READ_SIZE, abort
 from .loopback import own_host
 
+Address = tuple[str, int]  # host and port
+
 
 @dataclass
-class Way:
+class LinkDirection:
     """One direction of a link. Times are seconds."""
 
-    cut: bool = False  # nothing gets through and no side notices: what comes waits
+    blocked: bool = False  # nothing gets through and no side notices: what comes waits
     delay: float = 0.0
-    loss: float = 0.0  # share of pieces that come a retransmission later
-    again: float = 0.2  # the delay of a retransmission
+    loss: float = 0.0  # fraction of reads that come a retransmission later
+    retransmission_delay: float = 0.2
 
 
 class Relay:
-    """Listens for one side and connects to the other; `fore` is the way of who connects, `back` the other.
-
-    `said` is called with each new connection to the far side: its own address there, by which the far side
-    knows whose it is.
-    """
+    """Listens for one side and connects to the other."""
 
     def __init__(
         self,
-        target: Callable[[], tuple[str, int]],
+        target: Callable[[], Address],
         rng: random.Random,
         host: str = "",
-        said: Callable[[tuple[str, int], tuple[str, int]], None] | None = None,
+        on_connect: Callable[[Address, Address], None] | None = None,
     ) -> None:
-        """`target`: returns where to connect to, asked for each connection. `host`: where to listen."""
-        self.target, self.rng, self.host, self.said = target, rng, host or own_host(), said
+        """`target`: returns where to connect to, asked for each connection. `host`: where to listen.
+
+        `on_connect`: called with our own address on each new connection to the other side, by which that
+        side knows whose it is, and with the address of who connected.
+        """
+        self.target, self.rng, self.host, self.on_connect = target, rng, host or own_host(), on_connect
         self.port = 0
-        self.ways: dict[str, tuple[Way, Way]] = {}  # by the host that connects
-        self.refusing: set[str] = set()
+        # By the host that connects: from it, and to it.
+        self.links: dict[str, tuple[LinkDirection, LinkDirection]] = {}
+        self.refused_hosts: set[str] = set()  # empty: all
         self.server: asyncio.Server | None = None
-        self.open: dict[tuple[asyncio.StreamWriter, asyncio.StreamWriter], str] = {}
-        self.pieces = 0  # reads forwarded so far, both ways
+        self.connections: dict[tuple[asyncio.StreamWriter, asyncio.StreamWriter], str] = {}
+        self.forwarded_reads = 0  # in both directions
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -51,12 +54,12 @@
         """Where it listens, host:port."""
         return f"{self.host}:{self.port}"
 
-    def link(self, source: str = "") -> tuple[Way, Way]:
-        """The ways of who connects from that host; empty: of all that have none of their own."""
-        return self.ways.setdefault(source, (Way(), Way()))
+    def link(self, source: str = "") -> tuple[LinkDirection, LinkDirection]:
+        """The directions from that host and to it; empty: of all that have none of their own."""
+        return self.links.setdefault(source, (LinkDirection(), LinkDirection()))
 
-    def _ways(self, source: str) -> tuple[Way, Way]:
-        return self.ways.get(source) or self.link()
+    def _link_of(self, source: str) -> tuple[LinkDirection, LinkDirection]:
+        return self.links.get(source) or self.link()
 
     async def begin(self) -> None:
         """Listen."""
@@ -75,7 +78,7 @@
 
     def reset(self, source: str | None = None) -> None:
         """Reset the connections that are open, of one host or of all."""
-        for pair, host in list(self.open.items()):
+        for pair, host in list(self.connections.items()):
             if source in (None, host):
                 for writer in pair:
                     abort(writer)
@@ -87,23 +90,26 @@
         self.tasks.add(task)
         pair: tuple[asyncio.StreamWriter, asyncio.StreamWriter] | None = None
         try:
-            if source in self.refusing or "" in self.refusing:
+            if source in self.refused_hosts or "" in self.refused_hosts:
                 abort(writer)
                 return
-            while self._ways(source)[0].cut:
+            while self._link_of(source)[0].blocked:
                 await asyncio.sleep(0.01)
             host, port = self.target()
             try:
-                far_reader, far_writer = await asyncio.open_connection(host, port)
+                target_reader, target_writer = await asyncio.open_connection(host, port)
             except OSError:
                 abort(writer)
                 return
-            if self.said is not None:
-                self.said(far_writer.get_extra_info("sockname")[:2], writer.get_extra_info("peername")[:2])
-            pair = (writer, far_writer)
-            self.open[pair] = source
+            if self.on_connect is not None:
+                self.on_connect(
+                    target_writer.get_extra_info("sockname")[:2], writer.get_extra_info("peername")[:2]
+                )
+            pair = (writer, target_writer)
+            self.connections[pair] = source
             await asyncio.gather(
-                self._pass(reader, far_writer, source, 0), self._pass(far_reader, writer, source, 1)
+                self._forward(reader, target_writer, source, 0),
+                self._forward(target_reader, writer, source, 1),
             )
         except (OSError, asyncio.CancelledError):
             pass
@@ -112,27 +118,28 @@
             for one in pair or (writer,):
                 abort(one)
             if pair:
-                self.open.pop(pair, None)
+                self.connections.pop(pair, None)
 
-    async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: str, way: int
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: str, direction: int
     ) -> None:
         try:
-            while data := await reader.read(CHUNK):
-                self.pieces += 1
-                now = self._ways(source)[way]
-                wait = now.delay + (now.again if now.loss and self.rng.random() < now.loss else 0.0)
+            while data := await reader.read(READ_SIZE):
+                self.forwarded_reads += 1
+                link = self._link_of(source)[direction]
+                is_lost = link.loss > 0 and self.rng.random() < link.loss
+                wait = link.delay + (link.retransmission_delay if is_lost else 0.0)
                 if wait:
                     await asyncio.sleep(wait)
-                while self._ways(source)[way].cut:
+                while self._link_of(source)[direction].blocked:
                     await asyncio.sleep(0.005)
                 writer.write(data)
                 await writer.drain()
             with contextlib.suppress(OSError, RuntimeError):
                 writer.write_eof()
         except ConnectionError:
-            # A reset on one side becomes one on the other, but not while the way is cut.
-            while self._ways(source)[way].cut:
+            # A reset on one side becomes one on the other, but not while the direction is blocked.
+            while self._link_of(source)[direction].blocked:
                 await asyncio.sleep(0.005)
             abort(writer)
             raise
--- a/tests/test_fleet_trials.py
+++ b/tests/test_fleet_trials.py
@@ -77,9 +77,9 @@
     async def sent_in_two_seconds():
         async with Rig(1, sidecars=4, upstreams=3) as rig:
             await asyncio.sleep(3.0)
-            before = sum(s.front.pieces for s in rig.sidecars)
+            before = sum(s.front.forwarded_reads for s in rig.sidecars)
             await asyncio.sleep(2.0)
-            return sum(s.front.pieces for s in rig.sidecars) - before
+            return sum(s.front.forwarded_reads for s in rig.sidecars) - before
 
     # Six links, two sides, two seconds: one heartbeat a second each, where a needed link has ten.
     assert asyncio.run(sent_in_two_seconds()) <= 6 * 2 * 4
--- a/trials/endpoint_list/process.py
+++ b/trials/endpoint_list/process.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from fakes.discovery import Front
-from fakes.http1 import Broken, Caller
+from fakes.http1 import ConnectionBrokenError, HttpClient
 from fakes.loopback import free_ports, own_host
 
 from ..processes import die_with_parent
@@ -32,7 +32,7 @@
         self.trial, self.number, self.front = trial, number, front
         host = own_host(1 + number % 250)
         self.address = f"{host}:{free_ports(host, 1)[0]}"
-        self.caller = Caller(self.address)
+        self.caller = HttpClient(self.address)
         self.process: subprocess.Popen[bytes] | None = None
         self.started = 0  # processes so far
         self.known = [dict(entry) for entry in trial.discovery.entries.values()]
@@ -85,7 +85,7 @@
         """Wait until it accepts requests; raises `RuntimeError` where it does not."""
         until = asyncio.get_running_loop().time() + START
         while asyncio.get_running_loop().time() < until and self.alive:
-            with contextlib.suppress(Broken):
+            with contextlib.suppress(ConnectionBrokenError):
                 if (await self.caller.call("GET", "/ready", {}))[0] == 200:
                     return
             await asyncio.sleep(0.02)
--- a/trials/endpoint_list/trial.py
+++ b/trials/endpoint_list/trial.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from fakes.discovery import Discovery
-from fakes.http1 import Broken, Handler, Request, Response, Server
+from fakes.http1 import ConnectionBrokenError, Handler, Request, Response, Server
 
 from ..rig import MEMORY, ROOT, START
 from ..verdict import Verdict
@@ -189,11 +189,11 @@
                 self.broken.append(f"answer: {trace} has that of another request")
         except TimeoutError:
             request.end, request.disconnected_at = "left" if disconnects else "late", loop.time()
-        except Broken as broken:
+        except ConnectionBrokenError as broken:
             request.end = str(broken)
 
     async def _call(self, sidecar: Process, request: ClientRequest) -> tuple[int, bytes]:
-        """Send the request; return status and body. Raises `Broken`."""
+        """Send the request; return status and body. Raises `ConnectionBrokenError`."""
         headers = {"X-Trace-Id": request.trace, "X-Qos": request.category}
         headers["X-Expires-In-Ms"] = str(int(DEADLINE * 1000))
         if request.category == "move":
@@ -202,7 +202,7 @@
         reused = bool(sidecar.caller.idle)
         try:
             status, _, body = await sidecar.caller.call(*call)
-        except Broken:
+        except ConnectionBrokenError:
             # An idle connection may have been closed between two requests: once more, on a new one.
             if not reused or self.runs[request.trace]:
                 raise
--- a/trials/policy.py
+++ b/trials/policy.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from fakes.http1 import Broken
+from fakes.http1 import ConnectionBrokenError
 
 from .policy_faults import FaultInjector
 from .policy_observer import Change, PolicyObserver, judge
@@ -220,7 +220,7 @@
     loop = asyncio.get_running_loop()
     for sidecar in rng.sample(rig.sidecars, len(rig.sidecars))[:PROPOSERS]:
         began_at = loop.time()
-        with contextlib.suppress(Broken, TimeoutError, OSError):
+        with contextlib.suppress(ConnectionBrokenError, TimeoutError, OSError):
             call = {"policy": body(change.label, tenants)}
             change.proposal_status, _ = await sidecar.told("PUT", "/_policy/propose", call)
             if change.proposal_status in (200, 503):  # 503: it may be written, as the store tells
--- a/trials/policy_faults.py
+++ b/trials/policy_faults.py
@@ -106,10 +106,10 @@
         if fault.kind == "half_down":
             await self.rig.arbiter.down()
         for way in ways:
-            way.cut = True
+            way.blocked = True
         await asyncio.sleep(fault.lasts)
         for way in ways:
-            way.cut = False
+            way.blocked = False
         if fault.kind == "half_down":
             await self.rig.arbiter.begin()
 
--- a/trials/policy_observer.py
+++ b/trials/policy_observer.py
@@ -10,7 +10,7 @@
 import contextlib
 from dataclasses import dataclass, field
 
-from fakes.http1 import Broken, Caller
+from fakes.http1 import ConnectionBrokenError, HttpClient
 
 from .rig import Rig, Sidecar
 
@@ -55,7 +55,7 @@
         self.requests = 0
 
     async def _ask_all_the_time(self, sidecar: Sidecar) -> None:
-        caller = Caller(sidecar.address)
+        caller = HttpClient(sidecar.address)
         open_: set[asyncio.Task[None]] = set()
         while True:
             for label in self.labels[-LABELS_ASKED:]:
@@ -64,12 +64,12 @@
                 task.add_done_callback(open_.discard)
             await asyncio.sleep(ASK_INTERVAL)
 
-    async def _ask(self, caller: Caller, sidecar: Sidecar, label: str) -> None:
+    async def _ask(self, caller: HttpClient, sidecar: Sidecar, label: str) -> None:
         loop = asyncio.get_running_loop()
         self.requests += 1
         headers = {"X-Trace-Id": f"q{self.requests}", "X-Qos": label, "X-Expires-In-Ms": "1900"}
         asked = loop.time()
-        with contextlib.suppress(Broken, TimeoutError):
+        with contextlib.suppress(ConnectionBrokenError, TimeoutError):
             async with asyncio.timeout(REQUEST_TIMEOUT):
                 status, _, _ = await caller.call("GET", f"/{label}/x", headers)
                 self.answers.append(Answer(label, asked, loop.time(), sidecar.name, status))
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -19,9 +19,9 @@
 from fakes.clients import ClientRequest, Clients
 from fakes.endpoint_list import EndpointListServer
 from fakes.etcd import FakeEtcd
-from fakes.http1 import Broken, Caller
+from fakes.http1 import ConnectionBrokenError, HttpClient
 from fakes.loopback import free_ports, own_host
-from fakes.relay import Relay, Way
+from fakes.relay import LinkDirection, Relay
 from fakes.upstream import Run, Upstream
 
 from .processes import PR_SET_PDEATHSIG, die_with_parent
@@ -101,7 +101,7 @@
             def note(far: tuple[str, int], near: tuple[str, int], u: Upstream = upstream) -> None:
                 u.origins[far] = self.name
 
-            relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.rng, said=note)
+            relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.rng, on_connect=note)
             await relay.begin()
             self.relays.append(relay)
 
@@ -137,9 +137,9 @@
 
     async def ready(self) -> None:
         """Wait until it accepts requests; raises `RuntimeError` where it does not."""
-        caller, until = Caller(self.address), asyncio.get_running_loop().time() + START
+        caller, until = HttpClient(self.address), asyncio.get_running_loop().time() + START
         while asyncio.get_running_loop().time() < until:
-            with contextlib.suppress(Broken):
+            with contextlib.suppress(ConnectionBrokenError):
                 if (await caller.call("GET", "/ready", {}))[0] == 200:
                     caller.close()
                     return
@@ -150,7 +150,7 @@
 
     async def told(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
         """Make an admin call; return the status and the decoded body of its response."""
-        caller = Caller(f"{self.host}:{self.mgmt}")
+        caller = HttpClient(f"{self.host}:{self.mgmt}")
         data = b"" if body is None else json.dumps(body).encode()
         try:
             async with asyncio.timeout(3.0):
@@ -177,7 +177,7 @@
 
     async def sees_cells(self, members: int, cells: int) -> bool:
         """It has a view of so many members in so many cells, and links to all of its own cell."""
-        with contextlib.suppress(Broken, TimeoutError):
+        with contextlib.suppress(ConnectionBrokenError, TimeoutError):
             _, told = await self.told("GET", "/_fleet")
             cut = told["cells"]
             linked = set(cut["members"]) <= {*told["links"], told["member"]}
@@ -267,14 +267,14 @@
         """The number of cells when all members are in."""
         return cells_of(len(self.sidecars), self.cell_size)
 
-    def between(self, one: Sidecar, other: Sidecar) -> tuple[Way, Way]:
+    def between(self, one: Sidecar, other: Sidecar) -> tuple[LinkDirection, LinkDirection]:
         """Return both ways of the link between two sidecars: from the first to the second, and back.
 
         Either may be the one that connects; the faults are the same.
         """
-        ways = Way(), Way()
-        other.front.ways[one.host] = ways
-        one.front.ways[other.host] = ways[::-1]
+        ways = LinkDirection(), LinkDirection()
+        other.front.links[one.host] = ways
+        one.front.links[other.host] = ways[::-1]
         return ways
 
     def in_hand(self, sidecar: Sidecar) -> list[ClientRequest]:
--- a/trials/scale/etcd_process.py
+++ b/trials/scale/etcd_process.py
@@ -30,7 +30,7 @@
         self.etcd = etcd
         self.ended = Traffic()
         self.last: dict[asyncio.StreamWriter, Traffic] = {}
-        etcd.server.ends = self._connection_ends
+        etcd.server.on_close = self._connection_ends
 
     def _count(self, writer: asyncio.StreamWriter) -> None:
         sock = writer.get_extra_info("socket")
@@ -44,7 +44,7 @@
 
     def count_all(self) -> None:
         """Count the open sockets."""
-        for writer in list(self.etcd.server.open):
+        for writer in list(self.etcd.server.connections):
             self._count(writer)
 
     async def run(self) -> None:
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -104,16 +104,16 @@
     async def _cut(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
         ways = self.rig.between(one, other)
         for way in ways:
-            way.cut = True
+            way.blocked = True
         await asyncio.sleep(lasts)
         for way in ways:
-            way.cut = False
+            way.blocked = False
 
     async def _one_way(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
         way, _ = self.rig.between(one, other)
-        way.cut = True
+        way.blocked = True
         await asyncio.sleep(lasts)
-        way.cut = False
+        way.blocked = False
 
     async def _delay(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
         ways = self.rig.between(one, other)
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -61,14 +61,14 @@
         for upstream, relay in zip(rig.upstreams, sidecar.relays, strict=True):
             if upstream.zone == FAILING:
                 for way in relay.link():
-                    way.cut = on
+                    way.blocked = on
 
 
 async def _cut_store(rig: Rig, on: bool) -> None:
     """Between its sidecars and the coordination store."""
     for sidecar in (s for s in rig.sidecars if s.zone == FAILING):
         for way in sidecar.to_arbiter.link():
-            way.cut = on
+            way.blocked = on
 
 
 async def _flap(rig: Rig, on: bool) -> None:
