--- a/fakes/__main__.py
+++ b/fakes/__main__.py
@@ -42,7 +42,7 @@
     while True:
         await asyncio.sleep(PRINT_INTERVAL)
         for run in runs[printed:]:
-            print(f"{run.upstream} runs {run.name} ({run.category})", flush=True)
+            print(f"{run.upstream} runs {run.name} ({run.request_class})", flush=True)
         printed = len(runs)
 
 
--- a/fakes/discovery.py
+++ b/fakes/discovery.py
@@ -1,8 +1,8 @@
 """Discovery for all sidecars of a trial: calls are answered in turn, watches stay open, both can fail.
 
-Each sidecar has a front, an address of its own, so that it is known which one was notified of what, and when.
-By the protocol a change counts as notified once it is written, whether or not it arrives, and 6 s after it
-was missed. Times are seconds of the running loop's clock.
+Each sidecar has a frontend, an address of its own, so that it is known which one was notified of what, and
+when. By the protocol a change counts as notified once it is written, whether or not it arrives, and 6 s after
+it was missed. Times are seconds of the running loop's clock.
 """
 
 from __future__ import annotations
@@ -20,13 +20,12 @@
 from .http1 import abort
 from .loopback import own_host
 
-KEEP_ALIVE = 2.0  # seconds after which an open watch has an empty line
-NOTIFIED_WITHIN = 6.0  # seconds after which what a sidecar missed counts as notified
-# After the end of a watch that ends instead of telling of a change, which then counts as notified: the least
-# that was measured on the bench.
-ENDED_NOTIFIED = 1.68
+KEEP_ALIVE_INTERVAL = 2.0  # seconds after which an open watch has an empty line
+MISSED_CHANGE_TIMEOUT = 6.0  # seconds after which what a sidecar missed counts as notified
+# Seconds after which a change counts as notified whose watch was closed instead of a message.
+CLOSED_WATCH_TIMEOUT = 1.68
 OK_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+UNAVAILABLE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 
 class Fault(enum.Enum):
@@ -36,18 +35,18 @@
     ENDED = "ended"  # half of it, then the end of the connection
     RESET = "reset"  # half of it, then a reset
     STALLED = "stalled"  # half of it, then nothing more
-    INSTEAD = "instead"  # the connection ends instead of the message
+    CLOSED_BEFORE = "instead"  # the end of the connection without any of it
 
 
 @dataclass(eq=False)
-class Call:
+class DiscoveryCall:
     """One call, from its request to the end of its watch."""
 
-    front: Front
+    frontend: Frontend
     version: int  # that the sidecar has
     writer: asyncio.StreamWriter
     watching: bool = False
-    silent: bool = False
+    stalled: bool = False
     ended: asyncio.Event = field(default_factory=asyncio.Event)
 
     def write(self, data: bytes) -> None:
@@ -61,24 +60,24 @@
         self.ended.set()
 
 
-class Front:
+class Frontend:
     """The address that one sidecar calls, and what its present process counts as notified of."""
 
-    def __init__(self, discovery: Discovery, number: int) -> None:
+    def __init__(self, discovery: FakeDiscovery, number: int) -> None:
         """`number`: of the sidecar."""
         self.discovery, self.number = discovery, number
         self.server: asyncio.Server | None = None
         self.address = ""
-        self.calls: set[Call] = set()
-        self.restarted()
+        self.calls: set[DiscoveryCall] = set()
+        self.process_restarted()
 
-    def restarted(self) -> None:
+    def process_restarted(self) -> None:
         """A new process has started: only what is written to it counts."""
         self.started_at = asyncio.get_running_loop().time()
         for call in self.calls:
             call.end()  # what is still written to the last process does not count for this one
         self.written: list[tuple[float, int]] = []  # when which version was written
-        self.silent_since = inf
+        self.stalled_since = inf
 
     async def begin(self) -> None:
         """Listen."""
@@ -96,9 +95,9 @@
     def notified_at(self, version: int, made_at: float) -> float:
         """Return when this process counts as notified of a change; that may be in the future."""
         written = min((at for at, written in self.written if written >= version), default=inf)
-        missed = max(made_at, self.started_at, self.discovery.up_since) + NOTIFIED_WITHIN
-        if self.silent_since < inf:
-            missed = min(missed, max(made_at, self.silent_since + NOTIFIED_WITHIN))
+        missed = max(made_at, self.started_at, self.discovery.up_since) + MISSED_CHANGE_TIMEOUT
+        if self.stalled_since < inf:
+            missed = min(missed, max(made_at, self.stalled_since + MISSED_CHANGE_TIMEOUT))
         return min(written, missed)
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -107,14 +106,14 @@
             head = await reader.readuntil(b"\r\n\r\n")
             target = head.split(b" ")[1].decode()
             known = int(target.rpartition("from=")[2]) if "from=" in target else 0
-            call = Call(self, known, writer)
+            call = DiscoveryCall(self, known, writer)
             self.calls.add(call)
-            self.discovery.take(call)
-            gone = asyncio.ensure_future(reader.read(1))
-            over = asyncio.ensure_future(call.ended.wait())
-            await asyncio.wait({gone, over}, return_when=asyncio.FIRST_COMPLETED)
-            gone.cancel()
-            over.cancel()
+            self.discovery.enqueue(call)
+            closed = asyncio.ensure_future(reader.read(1))
+            ended = asyncio.ensure_future(call.ended.wait())
+            await asyncio.wait({closed, ended}, return_when=asyncio.FIRST_COMPLETED)
+            closed.cancel()
+            ended.cancel()
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
         finally:
@@ -124,7 +123,7 @@
             writer.close()
 
 
-class Discovery:
+class FakeDiscovery:
     """The service. Its attributes are its state and its faults; a trial sets them as it goes."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -133,9 +132,9 @@
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changed_at: dict[str, tuple[int, float]] = {}  # version and time of an entry's last change
-        self.fronts: list[Front] = []
-        self.waiting: deque[Call] = deque()
-        self.arrived = asyncio.Event()
+        self.frontends: list[Frontend] = []
+        self.queue: deque[DiscoveryCall] = deque()
+        self.call_queued = asyncio.Event()
         self.up_since = -inf
         self.down = False  # each call ends with 503 after `longest_wait`
         self.calls_per_second = inf
@@ -145,23 +144,23 @@
         self.worker: asyncio.Task[None] | None = None
 
     async def begin(self, count: int) -> None:
-        """Open a front for each of so many sidecars."""
+        """Open a frontend for each of so many sidecars."""
         for number in range(count):
-            front = Front(self, number)
-            await front.begin()
-            self.fronts.append(front)
+            frontend = Frontend(self, number)
+            await frontend.begin()
+            self.frontends.append(frontend)
         self.worker = asyncio.create_task(self._work())
 
     async def stop(self) -> None:
-        """Stop all fronts."""
+        """Stop all frontends."""
         if self.worker is not None:
             self.worker.cancel()
-        for front in self.fronts:
-            await front.stop()
+        for frontend in self.frontends:
+            await frontend.stop()
 
     # The list.
 
-    def list(self, *entries: dict[str, Any]) -> None:
+    def add_entries(self, *entries: dict[str, Any]) -> None:
         """Add entries without a new version, as before the start."""
         self.entries |= {entry["id"]: entry for entry in entries}
 
@@ -172,8 +171,8 @@
         for entry in entries:
             self.entries[entry["id"]] = entry
             self.changed_at[entry["id"]] = self.version, loop.time()
-        for front in self.fronts:
-            for call in front.calls:
+        for frontend in self.frontends:
+            for call in frontend.calls:
                 if call.watching:
                     loop.call_later(self.push_delay, self._push, call)
 
@@ -190,56 +189,56 @@
 
     # Calls and watches.
 
-    def take(self, call: Call) -> None:
+    def enqueue(self, call: DiscoveryCall) -> None:
         """Queue a call for its turn."""
-        self.waiting.append(call)
-        self.arrived.set()
+        self.queue.append(call)
+        self.call_queued.set()
         asyncio.get_running_loop().call_later(self.longest_wait, self._time_out, call)
 
-    def _time_out(self, call: Call) -> None:
-        if call in self.waiting:
-            self.waiting.remove(call)
-            call.write(BUSY)
+    def _time_out(self, call: DiscoveryCall) -> None:
+        if call in self.queue:
+            self.queue.remove(call)
+            call.write(UNAVAILABLE)
             call.end()
 
     async def _work(self) -> None:
         while True:
-            if not self.waiting or self.down:
-                self.arrived.clear()
+            if not self.queue or self.down:
+                self.call_queued.clear()
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self.arrived.wait(), 0.02)
+                    await asyncio.wait_for(self.call_queued.wait(), 0.02)
                 continue
-            call = self.waiting.popleft()
+            call = self.queue.popleft()
             if call.ended.is_set():
                 continue
             self._answer(call)
             await asyncio.sleep(1 / self.calls_per_second)
 
-    def _answer(self, call: Call) -> None:
+    def _answer(self, call: DiscoveryCall) -> None:
         loop = asyncio.get_running_loop()
         call.write(OK_HEAD)
         call.watching = True
-        call.front.silent_since = inf
+        call.frontend.stalled_since = inf
         self._write(call, self.message(call.version), Fault.NONE)
-        loop.call_later(KEEP_ALIVE, self._keep_alive, call)
+        loop.call_later(KEEP_ALIVE_INTERVAL, self._keep_alive, call)
 
-    def _push(self, call: Call) -> None:
-        if call.watching and not call.silent and call.version < self.version:
+    def _push(self, call: DiscoveryCall) -> None:
+        if call.watching and not call.stalled and call.version < self.version:
             self._write(call, self.message(call.version), self.push_fault)
 
-    def _write(self, call: Call, message: bytes, fault: Fault) -> None:
+    def _write(self, call: DiscoveryCall, message: bytes, fault: Fault) -> None:
         call.version = self.version
-        later = ENDED_NOTIFIED if fault is Fault.INSTEAD else 0.0
-        call.front.written.append((asyncio.get_running_loop().time() + later, self.version))
+        later = CLOSED_WATCH_TIMEOUT if fault is Fault.CLOSED_BEFORE else 0.0
+        call.frontend.written.append((asyncio.get_running_loop().time() + later, self.version))
         chunk = b"%x\r\n%s\r\n" % (len(message), message)
         if fault is Fault.NONE:
             call.write(chunk)
             return
-        if fault is not Fault.INSTEAD:
+        if fault is not Fault.CLOSED_BEFORE:
             call.write(chunk[: len(chunk) // 2])
         if fault is Fault.STALLED:
-            call.silent = True
-            call.front.silent_since = asyncio.get_running_loop().time()
+            call.stalled = True
+            call.frontend.stalled_since = asyncio.get_running_loop().time()
             return
         if fault is Fault.RESET:
             # What was written before goes first: the kernel drops what is unread at a reset.
@@ -248,37 +247,37 @@
             return
         call.end()
 
-    def _keep_alive(self, call: Call) -> None:
-        if call.watching and not call.silent and not call.ended.is_set():
+    def _keep_alive(self, call: DiscoveryCall) -> None:
+        if call.watching and not call.stalled and not call.ended.is_set():
             call.write(b"1\r\n\n\r\n")
-            asyncio.get_running_loop().call_later(KEEP_ALIVE, self._keep_alive, call)
+            asyncio.get_running_loop().call_later(KEEP_ALIVE_INTERVAL, self._keep_alive, call)
 
     # Faults.
 
-    def fall_silent(self) -> None:
+    def stall_watches(self) -> None:
         """Write nothing more to the open watches; calls that come later are served."""
         now = asyncio.get_running_loop().time()
-        for front in self.fronts:
-            for call in front.calls:
-                if call.watching and not call.silent:
-                    call.silent = True
-                    front.silent_since = now
+        for frontend in self.frontends:
+            for call in frontend.calls:
+                if call.watching and not call.stalled:
+                    call.stalled = True
+                    frontend.stalled_since = now
 
     def reset_watches(self) -> None:
         """Reset all open watches."""
-        for front in self.fronts:
-            for call in list(front.calls):
+        for frontend in self.frontends:
+            for call in list(frontend.calls):
                 if call.watching:
                     abort(call.writer)
                     call.end()
 
     def go_down(self) -> None:
-        """Reset the watches and answer no call until `retry_after`."""
+        """Reset the watches and answer no call until `come_up`."""
         self.down = True
         self.reset_watches()
 
-    def retry_after(self) -> None:
-        """Be up again."""
+    def come_up(self) -> None:
+        """Answer calls again."""
         self.down = False
         self.up_since = asyncio.get_running_loop().time()
-        self.arrived.set()
+        self.call_queued.set()
--- a/trials/endpoint_list/cases.py
+++ b/trials/endpoint_list/cases.py
@@ -52,7 +52,7 @@
 
     async def play_faults(trial: Trial) -> None:
         await asyncio.sleep(0.5)
-        trial.discovery.fall_silent()
+        trial.discovery.stall_watches()
         trial.discovery.down = True
         await asyncio.sleep(1.0)
         trial.drain("s0")
@@ -66,7 +66,7 @@
 
     async def play_faults(trial: Trial) -> None:
         await asyncio.sleep(0.5)
-        trial.discovery.push_fault = Fault.INSTEAD
+        trial.discovery.push_fault = Fault.CLOSED_BEFORE
         trial.drain("s0")
         await answer_nobody(trial, 7.5)
 
--- a/trials/endpoint_list/faults.py
+++ b/trials/endpoint_list/faults.py
@@ -52,7 +52,7 @@
     async def crowd(self, seconds: float) -> None:
         """Discovery answers few calls a second, and makes the others wait."""
         discovery = self.trial.discovery
-        discovery.calls_per_second = len(discovery.fronts) / (1.0 + 4.0 * self.rng.random())
+        discovery.calls_per_second = len(discovery.frontends) / (1.0 + 4.0 * self.rng.random())
         discovery.longest_wait = self.rng.choice((1.0, 2.0, 3.0))
         await asyncio.sleep(seconds)
         discovery.calls_per_second = inf
@@ -61,11 +61,11 @@
         """Discovery is down."""
         self.trial.discovery.go_down()
         await asyncio.sleep(seconds)
-        self.trial.discovery.retry_after()
+        self.trial.discovery.come_up()
 
     async def silence(self, seconds: float) -> None:
         """All watches fall silent."""
-        self.trial.discovery.fall_silent()
+        self.trial.discovery.stall_watches()
         await asyncio.sleep(seconds / 4)
 
     async def reset(self, seconds: float) -> None:
--- a/trials/endpoint_list/process.py
+++ b/trials/endpoint_list/process.py
@@ -10,7 +10,7 @@
 import sys
 from typing import TYPE_CHECKING, Any
 
-from fakes.discovery import Front
+from fakes.discovery import Frontend
 from fakes.http1 import ConnectionBrokenError, HttpClient
 from fakes.loopback import free_ports, own_host
 
@@ -27,7 +27,7 @@
 class Process:
     """One sidecar: its configuration, its process, and the front of discovery that it calls."""
 
-    def __init__(self, trial: Trial, number: int, front: Front) -> None:
+    def __init__(self, trial: Trial, number: int, front: Frontend) -> None:
         """Not started yet."""
         self.trial, self.number, self.front = trial, number, front
         host = own_host(1 + number % 250)
@@ -41,7 +41,7 @@
     def start(self) -> None:
         """Start a process, under the name and address of the one before."""
         self.started += 1
-        self.front.restarted()
+        self.front.process_restarted()
         self.caller.close()  # its connections are those of the process before
         self.path.with_suffix(".json").write_text(json.dumps(self._configuration()))
         environment = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
@@ -57,7 +57,7 @@
         settings = {
             "categories": CATEGORIES, "caps": CAPS, "discovery": "ask", "slotNo": self.number,
             "rules": {"mustAskIn": 10_000_000, "drainGrace": int(GRACE * 1e6)},
-            "replicasOfMe": len(self.trial.discovery.fronts),
+            "replicasOfMe": len(self.trial.discovery.frontends),
         }  # fmt: skip
         return {
             "name": f"n{self.number}", "listen": self.address, "discovery": self.front.address,
--- a/trials/endpoint_list/trial.py
+++ b/trials/endpoint_list/trial.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from fakes.discovery import Discovery
+from fakes.discovery import FakeDiscovery
 from fakes.http1 import ConnectionBrokenError, Handler, Request, Response, Server
 
 from ..rig import MEMORY, ROOT, START
@@ -69,15 +69,17 @@
         """Start all; raises `RuntimeError` where a sidecar is not ready in time."""
         self.stack = contextlib.AsyncExitStack()
         self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory(dir=MEMORY)))
-        self.discovery = Discovery(self.rng)
+        self.discovery = FakeDiscovery(self.rng)
         for number in range(self.server_count):
             name = f"s{number}"
             server = Server(self._handler(name))
             await server.begin()
             self.servers[name] = server
-            self.discovery.list(self.entry(name))
+            self.discovery.add_entries(self.entry(name))
         await self.discovery.begin(self.sidecar_count)
-        self.sidecars = [Process(self, number, front) for number, front in enumerate(self.discovery.fronts)]
+        self.sidecars = [
+            Process(self, number, front) for number, front in enumerate(self.discovery.frontends)
+        ]
         try:
             for sidecar in self.sidecars:
                 sidecar.start()
@@ -111,7 +113,7 @@
     async def until_all_are_notified(self) -> None:
         """Wait until each sidecar has an open watch with the present version."""
         until = asyncio.get_running_loop().time() + START
-        fronts = self.discovery.fronts
+        fronts = self.discovery.frontends
         while not all(
             any(c.watching and c.version == self.discovery.version for c in f.calls) for f in fronts
         ):
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -99,7 +99,7 @@
         for upstream in self.rig.upstreams:
 
             def note(far: tuple[str, int], near: tuple[str, int], u: Upstream = upstream) -> None:
-                u.origins[far] = self.name
+                u.sidecars[far] = self.name
 
             relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.rng, on_connect=note)
             await relay.begin()
--- a/trials/storm.py
+++ b/trials/storm.py
@@ -84,7 +84,11 @@
             if not cut_off or work.deadline < loss.at + MIN_TIME_LEFT or work.duplicate_sidecar:
                 continue
             affected.append(work)
-            later = [r.at - loss.at for r in rig.of(work.name) if r.at > loss.at and r.sidecar != loss.name]
+            later = [
+                r.started_at - loss.at
+                for r in rig.of(work.name)
+                if r.started_at > loss.at and r.sidecar != loss.name
+            ]
             if work.request_class != "buy" and later:
                 takeover_times.append(min(later))
     retryable = [w for w in affected if w.request_class != "buy"]
--- a/trials/verdict.py
+++ b/trials/verdict.py
@@ -34,7 +34,7 @@
         for t in work.attempts
         if t.outcome != "open"
     ]
-    steps += [(r.at, f"runs at {r.upstream}, from {r.sidecar} ({r.trace})") for r in runs]
+    steps += [(r.started_at, f"runs at {r.upstream}, from {r.sidecar} ({r.trace_id})") for r in runs]
     return "; ".join(f"{at - start:.3f} {step}" for at, step in sorted(steps))
 
 
@@ -78,7 +78,11 @@
     last_answer = work.statuses[-1:] if not work.duplicate_sidecar else []
     if work.succeeded and last_answer == ["503"]:
         yield f"contradicted: {work.name}"
-    if work.request_class in WITH_KEY and runs and runs[-1].at > runs[0].at + DEDUPLICATION_WINDOW:
+    if (
+        work.request_class in WITH_KEY
+        and runs
+        and runs[-1].started_at > runs[0].started_at + DEDUPLICATION_WINDOW
+    ):
         yield f"ticketed: {work.name} ran too late"
     for one in work.attempts:
         if one.outcome == "200" and not one.body.startswith(f"{work.name} by ".encode()):
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -52,7 +52,7 @@
 
 async def _slow(rig: Rig, on: bool) -> None:
     for upstream in _upstreams(rig, FAILING):
-        upstream.slower = 10.0 if on else 1.0
+        upstream.slowdown = 10.0 if on else 1.0
 
 
 async def _cut(rig: Rig, on: bool) -> None:
@@ -81,8 +81,8 @@
     await _refuse(rig, on)
     if not on:
         for upstream in _upstreams(rig, FAILING):
-            upstream.cold_since = asyncio.get_running_loop().time()
-            rig.listed[upstream.name] = {"startedMs": round(rig.wall(upstream.cold_since) * 1000)}
+            upstream.process_started_at = asyncio.get_running_loop().time()
+            rig.listed[upstream.name] = {"startedMs": round(rig.wall(upstream.process_started_at) * 1000)}
 
 
 @dataclass(frozen=True)
@@ -165,7 +165,7 @@
 
 def _sent(rig: Rig, zones: tuple[str, ...], begin: float, end: float) -> list[Run]:
     names = {u.name for u in rig.upstreams if u.zone in zones}
-    return [run for run in rig.runs if run.upstream in names and begin <= run.at < end]
+    return [run for run in rig.runs if run.upstream in names and begin <= run.started_at < end]
 
 
 def _count(
@@ -196,7 +196,7 @@
 
 
 def _sent_all(rig: Rig, begin: float, end: float) -> list[Run]:
-    return [run for run in rig.runs if begin <= run.at < end]
+    return [run for run in rig.runs if begin <= run.started_at < end]
 
 
 def plans(rig: Rig) -> list[tuple[float, dict[str, dict[str, object]]]]:
