--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,8 +19,8 @@
 )
 from trials.rig import ROOT
 from trials.scale import limits
-from trials.scale.__main__ import main, parsed, played
-from trials.scale.slopes import KNEE, checked, chosen, fitted, predicted
+from trials.scale.__main__ import main, parse_arguments, play_size
+from trials.scale.slopes import KNEE, check_fit, choose_fit, fit_form, predict
 
 RUN = [sys.executable, "-m", "trials.scale"]
 
@@ -46,11 +46,11 @@
 
 def run(size: int, *more: str) -> dict[str, dict[str, Any]]:
     """Return the lines of a small run by role."""
-    given = parsed(["--sizes", str(size), "--phases", "rest", "--seconds", "3", *more])
-    plan, why = limits.planned(size, given.real, given.alone, given.cell_size, os.cpu_count() or 1)
+    given = parse_arguments(["--sizes", str(size), "--phases", "rest", "--seconds", "3", *more])
+    plan, why = limits.make_plan(size, given.real, given.alone, given.cell_size, os.cpu_count() or 1)
     assert plan is not None, why
     lines: list[dict[str, Any]] = []
-    assert asyncio.run(played(plan, given, lines.append)), lines
+    assert asyncio.run(play_size(plan, given, lines.append)), lines
     return {line["role"]: line for line in lines}
 
 
@@ -89,7 +89,7 @@
     given: list[str], word: str, capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The line names what is wrong."""
-    monkeypatch.setattr("trials.scale.__main__.played", None)
+    monkeypatch.setattr("trials.scale.__main__.play_size", None)
     assert main(given) == 2
     out, err = capfd.readouterr()
     assert out == "" and err.count("\n") == 1 and word in err
@@ -100,11 +100,11 @@
 ) -> None:
     """The plan says which of them it is."""
     monkeypatch.setattr(limits.resource, "getrlimit", lambda what: (256, resource.RLIM_INFINITY))
-    plan, why = limits.planned(400, 5, 2, 0, 8)
+    plan, why = limits.make_plan(400, 5, 2, 0, 8)
     assert plan is None and "descriptors" in why
     monkeypatch.undo()
     monkeypatch.setattr(limits, "machine_memory", lambda: (2 << 30, 1 << 30))
-    plan, why = limits.planned(400, 5, 2, 0, 8)
+    plan, why = limits.make_plan(400, 5, 2, 0, 8)
     assert plan is None and "MB" in why
 
 
@@ -112,7 +112,7 @@
     """Each member may have a link to each other."""
     monkeypatch.setattr(limits.resource, "getrlimit", lambda what: (20_000, 20_000))
     monkeypatch.setattr(limits, "machine_memory", lambda: (64 << 30, 64 << 30))
-    plan, why = limits.planned(400, 5, 2, 0, 8)
+    plan, why = limits.make_plan(400, 5, 2, 0, 8)
     assert plan is not None and plan.hollow + plan.real == 400
     assert all(count * 400 < 20_000 for count in plan.shared)
 
@@ -156,33 +156,33 @@
 def test_a_slope_is_distinguished_from_a_constant_and_from_a_square() -> None:
     """With the parts that the points were made of."""
     sizes = [25, 50, 100, 200]
-    assert chosen({n: 7.0 for n in sizes}).form == "constant"
-    linear = chosen({n: 3.0 + 2.0 * n for n in sizes})
-    assert linear.form == "linear" and linear.parts == pytest.approx((3.0, 2.0, 0.0))
-    square = chosen({n: 1.0 + 0.5 * n + 0.25 * n * n for n in sizes})
-    assert square.form == "square" and square.parts == pytest.approx((1.0, 0.5, 0.25))
-    assert square.remains == pytest.approx(0.0, abs=1e-6)
+    assert choose_fit({n: 7.0 for n in sizes}).form == "constant"
+    linear = choose_fit({n: 3.0 + 2.0 * n for n in sizes})
+    assert linear.form == "linear" and linear.coefficients == pytest.approx((3.0, 2.0, 0.0))
+    square = choose_fit({n: 1.0 + 0.5 * n + 0.25 * n * n for n in sizes})
+    assert square.form == "square" and square.coefficients == pytest.approx((1.0, 0.5, 0.25))
+    assert square.residual == pytest.approx(0.0, abs=1e-6)
 
 
 def test_noise_is_not_taken_for_a_slope() -> None:
     """A part that explains little is left out."""
     noisy = {25: 100.0, 50: 101.0, 100: 99.5, 200: 100.4}
-    assert chosen(noisy).form == "constant"
+    assert choose_fit(noisy).form == "constant"
 
 
 def test_the_largest_size_is_predicted_from_the_smaller_ones() -> None:
     """And compared with what was measured."""
-    told = checked({25: 27.0, 50: 52.0, 100: 102.0, 200: 302.0})
+    told = check_fit({25: 27.0, 50: 52.0, 100: 102.0, 200: 302.0})
     assert told.largest == 200 and told.predicted == pytest.approx(202.0)
     assert told.error == pytest.approx(-100 / 302)
     # One that kinks shows in what remains too.
-    assert told.fit.remains > 1.0 or told.fit.form == "square"
+    assert told.fit.residual > 1.0 or told.fit.form == "square"
 
 
 def test_more_parts_than_sizes_are_rejected() -> None:
     """A fit would be arbitrary."""
     with pytest.raises(ValueError, match="2 sizes for 3 parts"):
-        fitted({25: 1.0, 50: 2.0}, "square")
+        fit_form({25: 1.0, 50: 2.0}, "square")
 
 
 def test_a_prediction_uses_only_smaller_sizes_beyond_the_knee() -> None:
@@ -191,5 +191,5 @@
         {"role": "hollow", "phase": "rest", "cell_size": 0, "size": n, "messages_out": float(max(n, KNEE))}
         for n in (KNEE // 5, KNEE // 2, 2 * KNEE, 4 * KNEE, 16 * KNEE)
     ]
-    (told,) = predicted(lines, 8 * KNEE, 0, ["rest"])
+    (told,) = predict(lines, 8 * KNEE, 0, ["rest"])
     assert told["messages_out"] == pytest.approx(8.0 * KNEE) and told["predicts"] == "rest"
--- a/trials/scale/__main__.py
+++ b/trials/scale/__main__.py
@@ -18,7 +18,7 @@
 from typing import Any, TextIO
 
 from .fleet import FleetStuckError
-from .limits import ALONE, REAL, Plan, planned
+from .limits import DEFAULT_ALONE_MEMBERS, DEFAULT_REAL_MEMBERS, Plan, make_plan
 from .options import LEASE, LINKS_PER_SECOND, RunOptions
 from .phases import PHASES
 from .run import Run
@@ -27,7 +27,7 @@
 Output = Callable[[dict[str, Any]], None]
 
 
-def sizes(text: str) -> list[int]:
+def parse_sizes(text: str) -> list[int]:
     """Return a list of whole numbers. Raises `ArgumentTypeError`."""
     try:
         return [int(one) for one in text.split(",")]
@@ -35,7 +35,7 @@
         raise argparse.ArgumentTypeError(f"{text!r} is no list of whole numbers") from error
 
 
-def phases(text: str) -> list[str]:
+def parse_phases(text: str) -> list[str]:
     """Return a list of names of phases. Raises `ArgumentTypeError`."""
     given = text.split(",")
     if unknown := [one for one in given if one not in PHASES]:
@@ -43,20 +43,32 @@
     return given
 
 
-def parsed(arguments: list[str] | None = None) -> argparse.Namespace:
+def parse_arguments(arguments: list[str] | None = None) -> argparse.Namespace:
     """Return the arguments of the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m trials.scale",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    parser.add_argument("--sizes", type=sizes, default=[25, 50], help="members, real ones included (25,50)")
-    parser.add_argument("--phases", type=phases, default=["rest", "restart", "lost"], help=", ".join(PHASES))
+    parser.add_argument(
+        "--sizes", type=parse_sizes, default=[25, 50], help="members, real ones included (25,50)"
+    )
+    parser.add_argument(
+        "--phases", type=parse_phases, default=["rest", "restart", "lost"], help=", ".join(PHASES)
+    )
     parser.add_argument("--seed", type=int, default=1, help="draws who is lost and restarted, and the work")
     parser.add_argument("--cell-size", type=int, default=0, help="members of a cell on the mean; 0: one cell")
-    parser.add_argument("--real", type=int, default=REAL, help=f"real processes among them ({REAL})")
     parser.add_argument(
-        "--alone", type=int, default=ALONE, help=f"hollow ones with a loop of their own ({ALONE})"
+        "--real",
+        type=int,
+        default=DEFAULT_REAL_MEMBERS,
+        help=f"real processes among them ({DEFAULT_REAL_MEMBERS})",
+    )
+    parser.add_argument(
+        "--alone",
+        type=int,
+        default=DEFAULT_ALONE_MEMBERS,
+        help=f"hollow ones with a loop of their own ({DEFAULT_ALONE_MEMBERS})",
     )
     parser.add_argument("--seconds", type=float, default=10.0, help="of each phase (10)")
     parser.add_argument(
@@ -74,7 +86,7 @@
     return parser.parse_args(arguments)
 
 
-def fault(given: argparse.Namespace) -> tuple[list[Plan], str]:
+def make_plans(given: argparse.Namespace) -> tuple[list[Plan], str]:
     """The plans of all sizes, or the first thing that is wrong, in one line."""
     if given.cell_size < 0:
         return [], f"--cell-size {given.cell_size}: at least 0"
@@ -88,24 +100,24 @@
         return [], f"--alone {given.alone}: at least 0"
     plans = []
     for size in given.sizes:
-        plan, why = planned(size, given.real, given.alone, given.cell_size, os.cpu_count() or 1)
+        plan, why = make_plan(size, given.real, given.alone, given.cell_size, os.cpu_count() or 1)
         if plan is None:
             return [], why
         plans.append(plan)
     return plans, ""
 
 
-async def played(plan: Plan, given: argparse.Namespace, out: Output) -> bool:
+async def play_size(plan: Plan, given: argparse.Namespace, out: Output) -> bool:
     """Play one size; whether it got to its end."""
     options = RunOptions(
         plan,
         seed=given.seed,
         cell_size=given.cell_size,
         seconds=given.seconds,
-        rate=given.rate,
-        every=given.every,
+        requests_per_second=given.rate,
+        restart_interval=given.every,
         lease=given.lease,
-        pace=given.pace,
+        links_per_second=given.pace,
         phases=given.phases,
     )
     run = Run(options, out)
@@ -141,9 +153,9 @@
     def write_predictions(self, plan: Plan, given: argparse.Namespace) -> None:
         """Write what smaller sizes predict for this one, if two have been measured."""
         if len({line["size"] for line in self.measured}) > 1:
-            from .slopes import predicted  # needs numpy, which a run of one size does not
+            from .slopes import predict  # needs numpy, which a run of one size does not
 
-            for line in predicted(self.measured, plan.size, given.cell_size, given.phases):
+            for line in predict(self.measured, plan.size, given.cell_size, given.phases):
                 self(line)
 
 
@@ -159,15 +171,15 @@
     """Play all sizes, up to the first that ends early: what is stuck at one size is so at a larger one."""
     for plan in plans:
         out.write_predictions(plan, given)
-        if not asyncio.run(played(plan, given, out)):
+        if not asyncio.run(play_size(plan, given, out)):
             return False
     return True
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Run the command line, and return the exit code."""
-    given = parsed(arguments)
-    plans, why = fault(given)
+    given = parse_arguments(arguments)
+    plans, why = make_plans(given)
     if why:
         print(f"trials.scale: {why}", file=sys.stderr)
         return 2
--- a/trials/scale/counts.py
+++ b/trials/scale/counts.py
@@ -7,6 +7,7 @@
 import os
 import socket
 import struct
+from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
@@ -14,7 +15,8 @@
 
 TCP_INFO = 11  # socket option
 TCP_INFO_SIZE = 256  # bytes
-HEADERS = 52  # bytes of a segment's IPv4 and TCP headers with timestamps, as loopback and most networks send
+# Bytes of a segment's IPv4 and TCP headers with timestamps, as loopback and most networks send them.
+HEADER_SIZE = 52
 PIDFD_GETFD = 438  # system call
 PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")  # bytes
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
@@ -42,22 +44,30 @@
         self.segments_in += sign * other.segments_in
 
 
+class SocketKind(StrEnum):
+    """What a socket is connected to: the field of a `Sample` that counts it."""
+
+    LINK = "links"
+    STORE = "store"
+
+
 class Sample(msgspec.Struct):
-    """One member, or one process, at one moment. Bytes of links and of the arbiter's calls apart."""
+    """One member, or one process, at one moment. Traffic of links and of calls of the store apart."""
 
     links: Traffic = msgspec.field(default_factory=Traffic)
-    arbiter: Traffic = msgspec.field(default_factory=Traffic)
+    store: Traffic = msgspec.field(default_factory=Traffic)
     sockets: int = 0
     cpu_s: float = 0.0
     memory: int = 0  # bytes resident
-    each: dict[str, tuple[str, Traffic]] = {}  # by socket, where one that has ended is not seen
+    # By the socket's inode, where one that has ended is not seen.
+    by_socket: dict[str, tuple[SocketKind, Traffic]] = {}
 
 
 _buffer = ctypes.create_string_buffer(TCP_INFO_SIZE)
 _length = ctypes.c_uint32(TCP_INFO_SIZE)
 
 
-def traffic(fd: int) -> Traffic | None:
+def socket_traffic(fd: int) -> Traffic | None:
     """Return the counts of a socket; None: that is no TCP socket, or is closed."""
     _length.value = TCP_INFO_SIZE
     if libc.getsockopt(fd, socket.IPPROTO_TCP, TCP_INFO, _buffer, ctypes.byref(_length)):
@@ -70,37 +80,37 @@
     return Traffic(sent, received, data_out, data_in, segments_out, segments_in)
 
 
-def resident(pid: int | str = "self") -> int:
+def resident_memory(pid: int | str = "self") -> int:
     """Return the resident memory of a process in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_SIZE
 
 
-def used(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Return the processor time of a process so far in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-def since(before: Sample, after: Sample) -> Sample:
+def difference_of(before: Sample, after: Sample) -> Sample:
     """Return the difference of two samples, of sockets that are still open."""
     difference = Sample(sockets=after.sockets, cpu_s=after.cpu_s - before.cpu_s, memory=after.memory)
-    for kind in ("links", "arbiter"):
+    for kind in SocketKind:
         total = getattr(difference, kind)
         total.add(getattr(after, kind))
         total.add(getattr(before, kind), -1)
-    for inode, (kind, counted) in after.each.items():
+    for inode, (kind, counted) in after.by_socket.items():
         getattr(difference, kind).add(counted)
-        if inode in before.each:
-            getattr(difference, kind).add(before.each[inode][1], -1)
+        if inode in before.by_socket:
+            getattr(difference, kind).add(before.by_socket[inode][1], -1)
     return difference
 
 
-def process(pid: int, host: str, not_ports: set[int], arbiter: tuple[str, int]) -> Sample:
+def process_sample(pid: int, host: str, not_ports: set[int], store: tuple[str, int]) -> Sample:
     """Return a sample of another process of ours.
 
     Its links are the sockets of `host` but for `not_ports`. Sockets that have ended are not counted.
     """
-    sample = Sample(cpu_s=used(pid), memory=resident(pid))
+    sample = Sample(cpu_s=cpu_seconds(pid), memory=resident_memory(pid))
     pidfd = os.pidfd_open(pid)
     try:
         for name in os.listdir(f"/proc/{pid}/fd"):
@@ -112,14 +122,14 @@
                 if copy < 0:
                     continue
                 with socket.socket(fileno=copy) as sock:
-                    _count_socket(sample, inode, sock, host, not_ports, arbiter)
+                    _count_socket(sample, inode, sock, host, not_ports, store)
     finally:
         os.close(pidfd)
     return sample
 
 
 def _count_socket(
-    sample: Sample, inode: str, sock: socket.socket, host: str, not_ports: set[int], arbiter: tuple[str, int]
+    sample: Sample, inode: str, sock: socket.socket, host: str, not_ports: set[int], store: tuple[str, int]
 ) -> None:
     if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM:
         return
@@ -128,14 +138,14 @@
         peer: Any = sock.getpeername()
     except OSError:
         peer = None  # it listens
-    counted = traffic(sock.fileno())
+    counted = socket_traffic(sock.fileno())
     if counted is None:
         return
-    if peer == arbiter:
-        sample.each[inode] = "arbiter", counted
+    if peer == store:
+        sample.by_socket[inode] = SocketKind.STORE, counted
         sample.sockets += 1
     elif local[0] == host and local[1] not in not_ports:
-        sample.each[inode] = "links", counted
+        sample.by_socket[inode] = SocketKind.LINK, counted
         sample.sockets += 1
 
 
--- a/trials/scale/etcd_process.py
+++ b/trials/scale/etcd_process.py
@@ -16,7 +16,7 @@
 
 from fakes.etcd import FakeEtcd
 
-from .counts import Sample, Traffic, resident, traffic
+from .counts import Sample, Traffic, resident_memory, socket_traffic
 
 COUNT_INTERVAL = 0.2  # seconds between counts of all sockets: of one that has ended the last count is taken
 Json = dict[str, Any]
@@ -34,7 +34,7 @@
 
     def _count(self, writer: asyncio.StreamWriter) -> None:
         sock = writer.get_extra_info("socket")
-        if sock is not None and sock.fileno() >= 0 and (now := traffic(sock.fileno())) is not None:
+        if sock is not None and sock.fileno() >= 0 and (now := socket_traffic(sock.fileno())) is not None:
             self.last[writer] = now
 
     def _connection_ends(self, writer: asyncio.StreamWriter) -> None:
@@ -56,10 +56,10 @@
     def sample(self) -> Sample:
         """Return the counts of this process as of now."""
         self.count_all()
-        sample = Sample(cpu_s=time.process_time(), memory=resident(), sockets=len(self.last))
-        sample.arbiter.add(self.ended)
+        sample = Sample(cpu_s=time.process_time(), memory=resident_memory(), sockets=len(self.last))
+        sample.store.add(self.ended)
         for last in self.last.values():
-            sample.arbiter.add(last)
+            sample.store.add(last)
         return sample
 
 
--- a/trials/scale/figures.py
+++ b/trials/scale/figures.py
@@ -10,7 +10,7 @@
 
 from . import counts
 from .control import Process
-from .counts import HEADERS, Sample
+from .counts import HEADER_SIZE, Sample
 
 MAX_TRACES = 3  # of defects in a line
 MEBIBYTE = 2**20  # bytes
@@ -32,12 +32,12 @@
 
     def add(self, before: Sample, after: Sample) -> None:
         """Add a member by its samples before and after."""
-        difference = counts.since(before, after)
+        difference = counts.difference_of(before, after)
         self.members += 1
         self.sockets += difference.sockets
         self.own_cpu += difference.cpu_s
         self.traffic.add(difference.links)
-        self.store_traffic.add(difference.arbiter)
+        self.store_traffic.add(difference.store)
 
     def add_process(self, before: Sample, after: Sample) -> None:
         """Add a member that has a process of its own."""
@@ -67,7 +67,7 @@
         payload, segments = getattr(total, f"bytes_{way}"), getattr(total, f"segments_{way}")
         return {
             f"bytes_{way}": round(payload * each, 1),
-            f"wire_{way}": round((payload + HEADERS * segments) * each, 1),
+            f"wire_{way}": round((payload + HEADER_SIZE * segments) * each, 1),
             f"messages_{way}": round(getattr(total, f"messages_{way}") * each, 2),
             f"segments_{way}": round(segments * each, 2),
             f"arbiter_bytes_{way}": round(getattr(self.store_traffic, f"bytes_{way}") * each, 1),
--- a/trials/scale/fleet.py
+++ b/trials/scale/fleet.py
@@ -19,9 +19,9 @@
 from ..rig import CAPS, CATEGORIES, ZONES, cells_of
 from . import counts
 from .control import Process
-from .limits import MEMORY
+from .limits import MEMORY_FRACTION
 from .options import RunOptions
-from .real import Real
+from .real import RealSidecars
 
 PORT = 7950  # of every hollow member, each on an address of its own
 NETWORKS = range(64, 250)  # 127.x: the addresses of one run
@@ -49,7 +49,7 @@
         self.worker_of: dict[str, Process] = {}  # by the name of a hollow member
         self.alone: set[str] = set()  # hollow members with a process of their own
         self.base_memory: dict[Process, int] = {}  # bytes of a process before its members were there
-        self.real: Real | None = None
+        self.real: RealSidecars | None = None
         self.address_lock: socket.socket | None = None
         self.start_figures: Json = {}
         self.shard_count = 1
@@ -73,7 +73,7 @@
         await self.wait_for(lambda: self.registered(self.plan.hollow), "not all have entered")
         entered = self._report("all have entered", began)
         store_address = (address["host"], address["port"])
-        self.real = Real(self.options.seed, self.plan.real, part, self.plan.size, store_address)
+        self.real = RealSidecars(self.options.seed, self.plan.real, part, self.plan.size, store_address)
         await self.real.__aenter__()
         await self.wait_for(lambda: self.registered(self.plan.size), "not all real ones have entered")
         joined = self._report("real ones have entered", began)
@@ -122,7 +122,7 @@
 
     async def _begin_workers(self, network: int, part: Json) -> None:
         number = 0
-        memory_limit = int(counts.machine_memory()[0] * MEMORY / self.plan.processes)
+        memory_limit = int(counts.machine_memory()[0] * MEMORY_FRACTION / self.plan.processes)
         member_counts = [*self.plan.shared, *[1] * self.plan.alone]
         for index, (worker, count) in enumerate(zip(self.workers, member_counts, strict=True)):
             members = []
@@ -140,7 +140,7 @@
                 settings=self._settings(number),
                 fleet=part,
                 seed=self.options.seed,
-                most=memory_limit,
+                memory_limit=memory_limit,
             )
             self.base_memory[worker] = answer["memory"]
 
@@ -167,7 +167,7 @@
         due = time.monotonic()
         for number, name in enumerate(sorted(self.worker_of, reverse=True)):
             await self.ask_members([name], "link")
-            due += min(number + self.plan.real, links_per_member) / self.options.pace
+            due += min(number + self.plan.real, links_per_member) / self.options.links_per_second
             await asyncio.sleep(max(0.0, due - time.monotonic()))
 
     def _report(self, what: str, began: float) -> float:
--- a/trials/scale/limits.py
+++ b/trials/scale/limits.py
@@ -8,15 +8,15 @@
 
 from .counts import machine_memory
 
-REAL = 5  # real processes
-ALONE = 2  # hollow members that have a process of their own
+DEFAULT_REAL_MEMBERS = 5  # real processes
+DEFAULT_ALONE_MEMBERS = 2  # hollow members that have a process of their own
 MAX_MEMBERS = 4000  # of a run
 MAX_PROCESSES = 300
 MAX_DESCRIPTORS = 20_000  # of a process
 DESCRIPTOR_FRACTION = 3 / 4  # that is planned for: while links are dialed again, each takes more
 PROCESS_DESCRIPTORS = 64  # of a process, beside those of members
 MEMBER_DESCRIPTORS = 10  # of a member, beside its links: the store, listening, liveness checks
-MEMORY = 1 / 2  # of the machine's
+MEMORY_FRACTION = 1 / 2  # of the machine's
 PROCESS_MEMORY = 32 << 20  # bytes
 MEMBER_MEMORY = 320 << 10  # bytes
 LINK_END_MEMORY = 12 << 10  # bytes
@@ -42,7 +42,7 @@
         return self.real + self.alone + len(self.shared) + 2
 
 
-def planned(size: int, real: int, alone: int, cell_size: int, cores: int) -> tuple[Plan | None, str]:
+def make_plan(size: int, real: int, alone: int, cell_size: int, cores: int) -> tuple[Plan | None, str]:
     """Return how a fleet of that size is laid out, or None and why it can't be."""
     if real < 1:
         return None, f"{real} real processes: at least one is needed to compare with"
@@ -73,7 +73,7 @@
         return None, f"size {size}: {plan.processes} processes are needed, {MAX_PROCESSES} are allowed"
     needed = plan.processes * PROCESS_MEMORY + plan.size * MEMBER_MEMORY + plan.size * links * LINK_END_MEMORY
     total, free = machine_memory()
-    allowed = min(int(total * MEMORY), free)
+    allowed = min(int(total * MEMORY_FRACTION), free)
     if needed > allowed:
         why = f"size {size}: {needed >> 20} MB are needed, {allowed >> 20} MB may be taken"
         return None, why
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -10,7 +10,7 @@
 from starlingwheel.net.fleet.links import LinkManager
 from starlingwheel.net.loop import Loop
 
-from .counts import Sample, Traffic, traffic
+from .counts import Sample, Traffic, socket_traffic
 
 NANOSECONDS = 1e9  # of a second
 
@@ -33,10 +33,10 @@
         """Return the counts as of now."""
         sample = Sample(sockets=len(self.sockets), cpu_s=self.own_ns / NANOSECONDS)
         sample.links.add(self.ended_links)
-        sample.arbiter.add(self.ended_store_calls)
+        sample.store.add(self.ended_store_calls)
         for descriptor, to_store in self.sockets.items():
-            if (now := traffic(descriptor)) is not None:
-                (sample.arbiter if to_store else sample.links).add(now)
+            if (now := socket_traffic(descriptor)) is not None:
+                (sample.store if to_store else sample.links).add(now)
         return sample
 
 
@@ -68,7 +68,7 @@
         if (actor := self.actors_by_descriptor.get(fd)) is not None:
             meter = self.meter_of(actor)
             to_store = meter.sockets.pop(fd, False)
-            if (last := traffic(fd)) is not None:
+            if (last := socket_traffic(fd)) is not None:
                 (meter.ended_store_calls if to_store else meter.ended_links).add(last)
         super().unregister(fd)
 
--- a/trials/scale/options.py
+++ b/trials/scale/options.py
@@ -18,8 +18,8 @@
     seed: int = 1
     cell_size: int = 0  # members of a shard on the mean; 0: one shard
     seconds: float = 10.0  # of a phase
-    rate: float = 1.0  # requests with a name a second, a member, in the phase `work`
-    every: float = 4.0  # seconds between restarts
+    requests_per_second: float = 1.0  # of a member, with idempotency keys, in the phase `work`
+    restart_interval: float = 4.0  # seconds
     lease: int = LEASE
-    pace: float = LINKS_PER_SECOND
+    links_per_second: float = LINKS_PER_SECOND
     phases: list[str] = field(default_factory=lambda: ["rest", "restart", "lost"])
--- a/trials/scale/phases.py
+++ b/trials/scale/phases.py
@@ -38,7 +38,7 @@
 
     async def work(self) -> None:
         """Each hollow member has clients."""
-        rate = self.options.rate
+        rate = self.options.requests_per_second
         await self.fleet.ask_all("work", rate=rate)
         await asyncio.sleep(SETTLE_TIME)
         async with self.measure("work") as added:
@@ -49,15 +49,15 @@
     async def restart(self) -> None:
         """One hollow member is killed and started again, over and over."""
         async with self.measure("restart") as added:
-            until = time.monotonic() + max(self.options.seconds, self.options.every)
+            until = time.monotonic() + max(self.options.seconds, self.options.restart_interval)
             restarts = 0
             while time.monotonic() < until:
                 names = [self.rng.choice(self.fleet.shared_names)]
                 await self.fleet.ask_members(names, "kill")
                 await self.fleet.ask_members(names, "start")
                 restarts += 1
-                await asyncio.sleep(self.options.every)
-            added |= {"restarts": restarts, "every_s": self.options.every}
+                await asyncio.sleep(self.options.restart_interval)
+            added |= {"restarts": restarts, "every_s": self.options.restart_interval}
 
     async def lost(self) -> None:
         """An eleventh of all members is killed at once; once all others see that, they start again."""
--- a/trials/scale/plot.py
+++ b/trials/scale/plot.py
@@ -9,7 +9,7 @@
 
 import matplotlib
 
-from .slopes import points, read
+from .slopes import mean_by_size, read_lines
 
 matplotlib.use("Agg")
 
@@ -31,7 +31,7 @@
     for panel, (name, label) in zip(panels.flat, FIGURES.items(), strict=True):
         for cell_size in cells:
             for role in ("arbiter",) if name == "watch_events_s" else ("hollow", "real", "alone"):
-                found = points(lines, role, phase, name, cell_size)
+                found = mean_by_size(lines, role, phase, name, cell_size)
                 if found:
                     what = f"{role}, " + (f"cells of {cell_size}" if cell_size else "one cell")
                     panel.plot(list(found), list(found.values()), marker="o", label=what)
@@ -53,7 +53,7 @@
     parser.add_argument("--output", type=Path, required=True)
     given = parser.parse_args(arguments)
     try:
-        lines = read(given.files)
+        lines = read_lines(given.files)
         drawn(lines, given.phase).savefig(given.output, dpi=100)
     except (OSError, ValueError) as error:
         print(f"trials.scale.plot: {error}", file=sys.stderr)
--- a/trials/scale/real.py
+++ b/trials/scale/real.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 from ..rig import ROOT, Rig, Sidecar
-from .counts import Sample, process
+from .counts import Sample, process_sample
 
 UPSTREAMS = 3
 POLL_INTERVAL = 0.1  # seconds between looks at whether all are ready
 MIN_SOCKETS = 1024  # that a sidecar may have, where the fleet does not need more
 
 
-class Real(Rig):
+class RealSidecars(Rig):
     """The rig of a fleet whose other members and store are other processes of the run."""
 
     def __init__(
@@ -47,7 +47,9 @@
         for sidecar in self.sidecars:
             if sidecar.alive and sidecar.process is not None:
                 not_ports = {sidecar.port, sidecar.mgmt}
-                samples[sidecar.name] = process(sidecar.process.pid, sidecar.host, not_ports, self.address)
+                samples[sidecar.name] = process_sample(
+                    sidecar.process.pid, sidecar.host, not_ports, self.address
+                )
         return samples
 
     async def all_ready(self, within: float) -> bool:
--- a/trials/scale/slopes.py
+++ b/trials/scale/slopes.py
@@ -34,21 +34,21 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """`parts`: constant, a member, a pair of members (n squared); those that the form leaves out are 0."""
+    """`coefficients`: constant, a member, a pair of members (n squared); 0: the form leaves it out."""
 
     form: str
-    parts: tuple[float, float, float]
-    remains: float  # root of the mean square of what remains, in the figure's own unit
+    coefficients: tuple[float, float, float]
+    residual: float  # root of the mean square of what remains, in the figure's own unit
     sizes: tuple[int, ...]
 
     def at(self, size: float) -> float:
         """Return the figure at a size."""
-        constant, linear, square = self.parts
+        constant, linear, square = self.coefficients
         return constant + linear * size + square * size**2
 
 
 @dataclass(frozen=True)
-class Checked:
+class CheckedFit:
     """A fit of all sizes, and the prediction of the largest one from the others; None: too few sizes."""
 
     fit: Fit
@@ -64,7 +64,7 @@
         return (self.predicted - self.measured) / self.measured
 
 
-def fitted(points: Mapping[int, float], form: str) -> Fit:
+def fit_form(points: Mapping[int, float], form: str) -> Fit:
     """Return the least squares of that form. Raises `ValueError` for fewer sizes than parts."""
     count = FORMS[form]
     if len(points) < count:
@@ -75,43 +75,43 @@
     scale = sizes.max()
     columns = np.vander(sizes / scale, count, increasing=True)
     solved = np.linalg.lstsq(columns, values, rcond=None)[0]
-    remains = float(np.sqrt(np.mean((columns @ solved - values) ** 2)))
+    residual = float(np.sqrt(np.mean((columns @ solved - values) ** 2)))
     parts = [float(p) / scale**i for i, p in enumerate(solved)] + [0.0] * (3 - count)
-    return Fit(form, (parts[0], parts[1], parts[2]), remains, tuple(int(n) for n in sizes))
+    return Fit(form, (parts[0], parts[1], parts[2]), residual, tuple(int(n) for n in sizes))
 
 
-def chosen(points: Mapping[int, float]) -> Fit:
+def choose_fit(points: Mapping[int, float]) -> Fit:
     """The simplest form beyond which no part is worth it. A square needs a size more than it has parts.
 
     Two sizes leave nothing of a linear form: only the prediction of a third one tells whether it holds.
     """
-    most = max(abs(value) for value in points.values()) or 1.0
+    largest = max(abs(value) for value in points.values()) or 1.0
     forms = [form for form, least in MIN_SIZES.items() if len(points) >= least]
-    best = fitted(points, forms[0])
+    best = fit_form(points, forms[0])
     for form in forms[1:]:
-        if best.remains <= NEGLIGIBLE * most:
+        if best.residual <= NEGLIGIBLE * largest:
             break
-        further = fitted(points, form)
-        if further.remains < (1 - MIN_GAIN) * best.remains:
+        further = fit_form(points, form)
+        if further.residual < (1 - MIN_GAIN) * best.residual:
             best = further
     return best
 
 
-def checked(points: Mapping[int, float]) -> Checked:
+def check_fit(points: Mapping[int, float]) -> CheckedFit:
     """Return the fit of all sizes, with the prediction of the largest one."""
     largest = max(points)
     smaller = {size: value for size, value in points.items() if size != largest}
-    predicted = chosen(smaller).at(largest) if len(smaller) > 1 else None
-    return Checked(chosen(points), largest, points[largest], predicted)
+    predicted = choose_fit(smaller).at(largest) if len(smaller) > 1 else None
+    return CheckedFit(choose_fit(points), largest, points[largest], predicted)
 
 
-def read(paths: Iterable[Path]) -> list[dict[str, Any]]:
+def read_lines(paths: Iterable[Path]) -> list[dict[str, Any]]:
     """Return the measured lines of files."""
     lines = [json.loads(line) for path in paths for line in path.read_text().splitlines() if line.strip()]
     return [line for line in lines if "phase" in line]
 
 
-def points(
+def mean_by_size(
     lines: Iterable[Mapping[str, Any]], role: str, phase: str, figure: str, cell_size: int
 ) -> dict[int, float]:
     """Return the mean of all seeds by size."""
@@ -136,7 +136,7 @@
         yield f"{min(by_size)} to {max(by_size)}", dict(by_size)
 
 
-def predicted(
+def predict(
     lines: list[dict[str, Any]], size: int, cell_size: int, phases: Iterable[str]
 ) -> list[dict[str, Any]]:
     """Return what smaller sizes predict for that one: a line for each phase and role."""
@@ -145,11 +145,12 @@
         for role in ("hollow", "alone", "real", "arbiter"):
             figures = {}
             for figure in FIGURES:
-                below = {n: v for n, v in points(lines, role, phase, figure, cell_size).items() if n < size}
+                by_size = mean_by_size(lines, role, phase, figure, cell_size)
+                below = {n: v for n, v in by_size.items() if n < size}
                 if phase == "rest" and role != "arbiter" and size > KNEE:
                     below = {n: v for n, v in below.items() if n > KNEE}
                 if len(below) > 1:
-                    figures[figure] = float(f"{chosen(below).at(size):.4g}")
+                    figures[figure] = float(f"{choose_fit(below).at(size):.4g}")
             if figures:
                 predictions.append(
                     {"predicts": phase, "size": size, "cell_size": cell_size, "role": role} | figures
@@ -167,16 +168,18 @@
     kinds = sorted({(line["cell_size"], line["phase"], line["role"]) for line in lines})
     for cell_size, phase, role in kinds:
         for figure in FIGURES:
-            by_size = points(lines, role, phase, figure, cell_size)
+            by_size = mean_by_size(lines, role, phase, figure, cell_size)
             for span, some in ranges(by_size, role, phase, knee):
                 if any(some.values()) and len(some) >= MIN_SIZES_PER_ROW:
-                    rows.append(_row(str(cell_size or "all"), phase, role, figure, span, checked(some), size))
+                    rows.append(
+                        _row(str(cell_size or "all"), phase, role, figure, span, check_fit(some), size)
+                    )
     return "\n".join(rows)
 
 
-def _row(cells: str, phase: str, role: str, figure: str, span: str, check: Checked, size: int) -> str:
+def _row(cells: str, phase: str, role: str, figure: str, span: str, check: CheckedFit, size: int) -> str:
     fit = check.fit
-    constant, linear, square = (f"{part:.4g}" if part else "-" for part in fit.parts)
+    constant, linear, square = (f"{part:.4g}" if part else "-" for part in fit.coefficients)
     comparison = f"{check.largest}: {check.measured:.4g}, no prediction: too few sizes"
     if check.predicted is not None:
         error = "-" if check.error is None else f"{check.error:+.1%}"
@@ -184,7 +187,7 @@
     word = "extrapolated " if size > check.largest else ""
     return (
         f"| {cells} | {phase} | {role} | {figure} | {span} | {constant} | {linear} | {square} "
-        f"| {fit.remains:.3g} | {comparison} | {word}{fit.at(size):.4g} |"
+        f"| {fit.residual:.3g} | {comparison} | {word}{fit.at(size):.4g} |"
     )
 
 
@@ -200,7 +203,7 @@
     parser.add_argument("--role", help="only this one")
     given = parser.parse_args(arguments)
     try:
-        lines = read(given.files)
+        lines = read_lines(given.files)
     except (OSError, ValueError) as error:
         print(f"trials.scale.slopes: {error}", file=sys.stderr)
         return 2
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -19,7 +19,7 @@
 from starlingwheel.net.loop import READ
 from starlingwheel.net.state.buffers import BufferPool
 
-from .counts import resident
+from .counts import resident_memory
 from .member import HollowFleet, HollowMember
 from .metered import MeteredLoop
 
@@ -86,11 +86,11 @@
         """Make the members."""
         # A fleet that grows without end must not take the machine's memory from other processes.
         hard_limit = resource.getrlimit(resource.RLIMIT_AS)[1]
-        resource.setrlimit(resource.RLIMIT_AS, (command["most"], hard_limit))
+        resource.setrlimit(resource.RLIMIT_AS, (command["memory_limit"], hard_limit))
         for name, host in command["members"]:
             self.members[name] = HollowMember(self.loop, self.pool, name, host, command["port"], command)
         gc.collect()
-        return {"memory": resident(), "pid": os.getpid()}
+        return {"memory": resident_memory(), "pid": os.getpid()}
 
     def enter(self, command: Json) -> Json:
         """Register members in the store."""
@@ -175,7 +175,7 @@
             "members": {name: msgspec.to_builtins(sample) for name, sample in meters.items()},
             "nobody": msgspec.to_builtins(self.loop.shared_meter.sample()),
             "cpu_s": time.process_time(),
-            "memory": resident(),
+            "memory": resident_memory(),
             "ready_s": {member.name: member.ready_s for member, _ in self._running()},
             "counts": totals.counts,
             "frames": totals.frames,
