--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -79,13 +79,13 @@
             context.log,
         )
         RequestCoordinator.__init__(self, context)
-        self.replication_config_changed(config.cover)
+        self.replication_config_changed(config.replication)
 
     def replication_config_changed(self, config: ReplicationConfig) -> None:
         """Replicate by another configuration; requests that are replicated already stay so."""
-        self.replicated_classes = frozenset(config.categories)
-        self.name_header = config.name_header.encode()
-        self.replicator.replica_count = config.keepers
+        self.replicated_classes = frozenset(config.request_classes)
+        self.name_header = config.idempotency_key_header.encode()
+        self.replicator.replica_count = config.replicas
         # Never lowered: requests that were accepted under a longer timeout must not be forgotten early.
         self.replicator.longest_timeout = max(self.replicator.longest_timeout, self.context.longest_timeout)
 
--- a/starlingwheel/net/fleet/etcd/state_watcher.py
+++ b/starlingwheel/net/fleet/etcd/state_watcher.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from ....fleet.records import CELLS, MEMBERS, StoreEntry, StoreRecords
+from ....fleet.records import CELLS_KEY, MEMBERS_PREFIX, StoreEntry, StoreRecords
 from ...actor import Coroutine
 from ..messages import StoreRead, ViewChanged
 from .errors import (
@@ -111,9 +111,9 @@
             last_revision = event.kv.mod_revision
             self.revision = max(self.revision, parse_number(last_revision))
             key = self._record_key(event.kv)
-            view_changed = view_changed or key.startswith(MEMBERS) or key == CELLS
+            view_changed = view_changed or key.startswith(MEMBERS_PREFIX) or key == CELLS_KEY
             if event.type == "DELETE":
-                self.records.erase(key)
+                self.records.delete(key)
             else:
                 self.put_record(event.kv)
         if received.events:
@@ -131,10 +131,6 @@
         if reason:
             self.log("arbiter.entry", key=key, reason=reason)
 
-    # The former names, which trials/capacity.py uses.
-    _seen = apply_events
-    _put = put_record
-
     def _record_key(self, pair: KeyValue) -> str:
         try:
             key = b64decode(pair.key, validate=True).decode()
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -142,7 +142,7 @@
             records.put(key, StoreEntry(bytes(data), 3, 3))
         for key in [*good, "policy/past/x", "policy/votes/x/y", "policy/votes/"]:
             records.put(key, StoreEntry(b"\xff{", 3, 3))
-            records.erase(key)
+            records.delete(key)
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"fleet":"other"}', b'{"fleet":3}', b"\xff\xfe"])
@@ -228,21 +228,21 @@
     ):  # fmt: skip
         got, answer = admin.call("PUT /_policy/propose", wrong)
         assert got == status and answer["error"]
-    assert admin.policy_replica.known == 0 and admin.policy_replica.records.next is None
+    assert admin.policy_replica.known == 0 and admin.policy_replica.records.proposal is None
 
 
 def test_a_second_proposal_is_rejected_and_the_first_can_be_dropped(admin, served):
     # A member that never votes keeps it open.
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
     put = {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))}
-    served.call(served.arbiter._put, put)
+    served.call(served.arbiter.put_encoded, put)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 60})[0] == 200
-    admin.around.until(lambda: admin.policy_replica.records.next)
+    admin.around.until(lambda: admin.policy_replica.records.proposal)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(4)})[0] == 409
     _, answer = admin.call("GET /_policy")
     assert answer["open"]["votes"]["n9"] == "nothing"
     assert admin.call("PUT /_policy/drop", {"id": "1"})[0] == 200
-    admin.around.until(lambda: admin.policy_replica.records.next is None)
+    admin.around.until(lambda: admin.policy_replica.records.proposal is None)
     assert admin.policy_replica.promise is None and admin.policy_replica.in_force.version == 0
 
 
@@ -252,7 +252,7 @@
 
 def test_requests_are_rejected_while_it_is_not_known_whether_a_change_was_decided(admin, served):
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
-    served.call(served.arbiter._put, {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))})
+    served.call(served.arbiter.put_encoded, {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))})
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})[0] == 200
     around = admin.around
     around.until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -13,13 +13,23 @@
 import pytest
 from conftest import SETTINGS
 
-from fakes.etcd import Arbiter
+from fakes.etcd import FakeEtcd
 from fakes.loopback import free_address
 from starlingwheel.fleet import frames
 from starlingwheel.fleet.config import decode
 from starlingwheel.fleet.membership import Member, MembershipView
 from starlingwheel.fleet.policy.replica import PolicyStatus
-from starlingwheel.net.fleet import etcd as client
+from starlingwheel.net.fleet.etcd.errors import UnusableReplyError
+from starlingwheel.net.fleet.etcd.messages import (
+    KeepAliveReply,
+    LeaseGranted,
+    RangeReply,
+    TransactionReply,
+    WatchLine,
+    decode_reply,
+    encode_base64,
+    parse_number,
+)
 from starlingwheel.net.fleet.links import FrameReader, LinkRejectedError, encode_frame
 from starlingwheel.net.fleet.messages import EvictMember
 from starlingwheel.net.messages import STOP
@@ -43,7 +53,11 @@
 
 def test_a_valid_configuration_is_decoded_with_its_defaults():
     part = decode(PART, NAMES, 1)
-    assert part.lease_s == 3 and part.cover.keepers == 1 and part.cover.name_header == "x-work-name"
+    assert (
+        part.lease_s == 3
+        and part.replication.replicas == 1
+        and part.replication.idempotency_key_header == "x-work-name"
+    )
 
 
 def test_all_errors_of_a_configuration_are_reported_at_once_with_their_keys():
@@ -191,29 +205,29 @@
 @pytest.mark.parametrize(
     "kind",
     [
-        client.RangeReply,
-        client.LeaseGranted,
-        client.KeepAliveReply,
-        client.TransactionReply,
-        client.WatchLine,
+        RangeReply,
+        LeaseGranted,
+        KeepAliveReply,
+        TransactionReply,
+        WatchLine,
     ],
 )
 def test_an_arbiter_that_talks_nonsense_is_turned_away_with_a_reason(kind):
     rng = random.Random(2)
     whole = json.dumps({"header": {"revision": "3"}, "kvs": [{"key": "YQ==", "mod_revision": 4}], "ID": [1]})
     for text in ("", "{", "[]", "null", "1e999", '{"result":{"events":[{"kv":3}]}}', "[" * 5000, whole[:-5]):
-        with pytest.raises(client.UnusableReplyError):
-            client.read(text.encode(), kind)
+        with pytest.raises(UnusableReplyError):
+            decode_reply(text.encode(), kind)
     for _ in range(1000):
         data = bytes(rng.randrange(256) for _ in range(rng.randrange(60)))
-        with pytest.raises(client.UnusableReplyError):
-            client.read(data, kind)
+        with pytest.raises(UnusableReplyError):
+            decode_reply(data, kind)
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.5", "x", "9" * 30, "١"])
 def test_what_is_no_64_bit_number_is_none(text):
-    with pytest.raises((client.UnusableReplyError, ValueError)):
-        assert client.number(text) < 0
+    with pytest.raises((UnusableReplyError, ValueError)):
+        assert parse_number(text) < 0
 
 
 class Served:
@@ -226,7 +240,7 @@
         self.do(self._begin())
 
     async def _begin(self):
-        self.arbiter = Arbiter()
+        self.arbiter = FakeEtcd()
         await self.arbiter.begin()
 
     def do(self, coroutine):
@@ -280,7 +294,7 @@
 
 
 def test_a_reply_lost_after_it_was_applied_costs_one_more_attempt(member, served):
-    served.call(served.arbiter.lose.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
+    served.call(served.arbiter.lost_replies.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
     member.until(lambda: joined(member))
     assert len(members_at(served)) == 1
 
@@ -289,7 +303,7 @@
     member.until(lambda: joined(member))
     term = member.context.coordinator.replicator.view.members[member.context.fleet.member_id].term
     (key,) = members_at(served)
-    served.call(served.arbiter.end_lease_of, key.decode())
+    served.call(served.arbiter.expire_lease_of, key.decode())
     replicator = member.context.coordinator.replicator
     member_id = member.context.fleet.member_id
     member.until(
@@ -300,10 +314,10 @@
 def test_a_watch_lost_at_a_compaction_reads_everything_again(member, served):
     member.until(lambda: joined(member))
     served.call(served.arbiter.compact)
-    served.call(served.arbiter.cut_watches)
+    served.call(served.arbiter.abort_watches)
     other = Member("n9.ff", "n9", "127.0.0.1:1")
-    put = {"key": client.b64("/f/members/n9.ff"), "value": client.b64(msgspec.json.encode(other))}
-    served.call(served.arbiter._put, put)
+    put = {"key": encode_base64("/f/members/n9.ff"), "value": encode_base64(msgspec.json.encode(other))}
+    served.call(served.arbiter.put_encoded, put)
     member.until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
 
 
@@ -312,8 +326,11 @@
     view = member.context.coordinator.replicator
     for name in ("n8", "n9"):
         other = Member(f"{name}.ff", name, "127.0.0.1:1")
-        put = {"key": client.b64(f"/f/members/{name}.ff"), "value": client.b64(msgspec.json.encode(other))}
-        served.call(served.arbiter._put, put)
+        put = {
+            "key": encode_base64(f"/f/members/{name}.ff"),
+            "value": encode_base64(msgspec.json.encode(other)),
+        }
+        served.call(served.arbiter.put_encoded, put)
     member.until(lambda: len(view.view.members) == 3)
     for gone in [m for m in view.view.members.values() if m.name != "n0"]:
         member.context.fleet.member_evictor.post(EvictMember(gone))
@@ -322,17 +339,19 @@
 
 def test_an_unreadable_entry_hides_no_other(member, served):
     member.until(lambda: joined(member))
-    served.call(served.arbiter._put, {"key": client.b64("/f/members/x"), "value": client.b64("{")})
+    served.call(
+        served.arbiter.put_encoded, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")}
+    )
     member.until(lambda: member.logged("arbiter.entry"))
     assert len(member.context.coordinator.replicator.view.members) == 1
 
 
 @pytest.mark.parametrize("path", ["/v3/kv/range", "/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive"])
 def test_unreadable_replies_of_the_store_are_counted_and_survived(make_surroundings, served, path):
-    served.call(served.arbiter.nonsense.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
+    served.call(served.arbiter.canned_replies.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
     member = enter(make_surroundings, served)
     member.until(lambda: member.context.fleet.reasons["unreadable"])
-    served.call(served.arbiter.nonsense.clear)
+    served.call(served.arbiter.canned_replies.clear)
     member.until(lambda: joined(member))
     assert not member.logged("defect")
 
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -36,7 +36,8 @@
     ZoneReport,
 )
 from starlingwheel.fleet.zones import planner as zones
-from starlingwheel.net.fleet import etcd as arbiter
+from starlingwheel.net.fleet.etcd import StateWatcher
+from starlingwheel.net.fleet.etcd.messages import RangeReply, WatchLine, decode_reply
 from starlingwheel.net.loop import Loop
 from starlingwheel.net.state.buffers import BufferPool
 
@@ -143,7 +144,7 @@
         self.now = 1780000000.0
         loop = Loop(lambda *_: None)
         self.recorded: StoreRecords | None = None
-        self.state_watcher = arbiter.StateWatcher(
+        self.state_watcher = StateWatcher(
             loop, ["127.0.0.1:1"], LEASE, BufferPool(0), lambda *_, **__: None, random.Random(1), FLEET,
             notify=self._tell,
         )  # fmt: skip
@@ -155,8 +156,8 @@
         records = self.state_watcher.records = StoreRecords()
         records.members = {m.id: m for m in self.members}
         records.names = {m.name: m.term for m in self.members}
-        records.now, records.now_mod = PolicyDecision(held, self.now, 5, held), 6
-        records.next, records.next_mod = msgspec.structs.replace(change, number=7), 7
+        records.decision, records.decision_mod = PolicyDecision(held, self.now, 5, held), 6
+        records.proposal, records.proposal_mod = msgspec.structs.replace(change, number=7), 7
         records.votes = {m.id: "" for m in self.members[: count // 2]}
         records.said = {m.id: zone_report(i) for i, m in enumerate(self.members)}
         self.state_watcher.revision = records.revision = 10_000
@@ -179,9 +180,7 @@
             self.policy_replica.due()
 
     def _receive(self, text: bytes) -> None:
-        self.state_watcher._seen(  # noqa: SLF001  # without its socket
-            arbiter.read(text, arbiter.WatchLine).result
-        )
+        self.state_watcher.apply_events(decode_reply(text, WatchLine).result)
 
     def vote(self) -> None:
         """Receive the vote of a member."""
@@ -215,17 +214,17 @@
         pairs += [(f"names/{m.name}", b"1") for m in self.members]
         records = self.state_watcher.records
         pairs += [(f"zones/said/{m}", msgspec.json.encode(report)) for m, report in records.said.items()]
-        pairs += [("policy/now", msgspec.json.encode(records.now))]
+        pairs += [("policy/now", msgspec.json.encode(records.decision))]
         kvs = [json.loads(event(key, value, 1))["result"]["events"][0]["kv"] for key, value in pairs]
         reply = {"header": {"revision": "1"}, "kvs": kvs, "count": str(len(kvs))}
         return json.dumps(reply, separators=(",", ":")).encode()
 
     def read_full_range(self, data: bytes) -> None:
         """Read it, as a start does."""
-        ranged = arbiter.read(data, arbiter.RangeReply)
+        ranged = decode_reply(data, RangeReply)
         self.state_watcher.records = StoreRecords()
         for pair in ranged.kvs:
-            self.state_watcher._put(pair)  # noqa: SLF001  # without its socket
+            self.state_watcher.put_record(pair)
 
 
 def new_balancer(count: int) -> Balancer:
--- a/trials/endpoint_list/process.py
+++ b/trials/endpoint_list/process.py
@@ -10,8 +10,8 @@
 import sys
 from typing import TYPE_CHECKING, Any
 
-from fakes.discovery import Front
-from fakes.http1 import Broken, Caller
+from fakes.discovery import Frontend
+from fakes.http1 import ConnectionBrokenError, HttpClient
 from fakes.loopback import free_ports, own_host
 
 from ..processes import die_with_parent
@@ -27,12 +27,12 @@
 class Process:
     """One sidecar: its configuration, its process, and the front of discovery that it calls."""
 
-    def __init__(self, trial: Trial, number: int, front: Front) -> None:
+    def __init__(self, trial: Trial, number: int, front: Frontend) -> None:
         """Not started yet."""
         self.trial, self.number, self.front = trial, number, front
         host = own_host(1 + number % 250)
         self.address = f"{host}:{free_ports(host, 1)[0]}"
-        self.caller = Caller(self.address)
+        self.caller = HttpClient(self.address)
         self.process: subprocess.Popen[bytes] | None = None
         self.started = 0  # processes so far
         self.known = [dict(entry) for entry in trial.discovery.entries.values()]
@@ -41,7 +41,7 @@
     def start(self) -> None:
         """Start a process, under the name and address of the one before."""
         self.started += 1
-        self.front.restarted()
+        self.front.process_restarted()
         self.caller.close()  # its connections are those of the process before
         self.path.with_suffix(".json").write_text(json.dumps(self._configuration()))
         environment = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
@@ -57,7 +57,7 @@
         settings = {
             "categories": CATEGORIES, "caps": CAPS, "discovery": "ask", "slotNo": self.number,
             "rules": {"mustAskIn": 10_000_000, "drainGrace": int(GRACE * 1e6)},
-            "replicasOfMe": len(self.trial.discovery.fronts),
+            "replicasOfMe": len(self.trial.discovery.frontends),
         }  # fmt: skip
         return {
             "name": f"n{self.number}", "listen": self.address, "discovery": self.front.address,
@@ -85,7 +85,7 @@
         """Wait until it accepts requests; raises `RuntimeError` where it does not."""
         until = asyncio.get_running_loop().time() + START
         while asyncio.get_running_loop().time() < until and self.alive:
-            with contextlib.suppress(Broken):
+            with contextlib.suppress(ConnectionBrokenError):
                 if (await self.caller.call("GET", "/ready", {}))[0] == 200:
                     return
             await asyncio.sleep(0.02)
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -16,12 +16,12 @@
 from pathlib import Path
 from typing import Any
 
-from fakes.clients import Clients, Work
-from fakes.endpoint_list import Listing
-from fakes.etcd import Arbiter
-from fakes.http1 import Broken, Caller
+from fakes.clients import ClientRequest, Clients
+from fakes.endpoint_list import EndpointListServer
+from fakes.etcd import FakeEtcd
+from fakes.http1 import ConnectionBrokenError, HttpClient
 from fakes.loopback import free_ports, own_host
-from fakes.relay import Relay, Way
+from fakes.relay import LinkDirection, Relay
 from fakes.upstream import Run, Upstream
 
 from .processes import PR_SET_PDEATHSIG, die_with_parent
@@ -76,7 +76,7 @@
         self.relays: list[Relay] = []
         self.front = Relay(lambda: (self.host, self.fleet_port), rig.rng)
         self.to_arbiter = Relay(lambda: (rig.arbiter.server.host, rig.arbiter.server.port), rig.rng)
-        self.list = Listing(self._entries)
+        self.list = EndpointListServer(self._entries)
         self.paths = {kind: rig.folder / f"{self.name}.{kind}" for kind in ("json", "log")}
 
     @property
@@ -99,9 +99,9 @@
         for upstream in self.rig.upstreams:
 
             def note(far: tuple[str, int], near: tuple[str, int], u: Upstream = upstream) -> None:
-                u.origins[far] = self.name
+                u.sidecars[far] = self.name
 
-            relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.rng, said=note)
+            relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.rng, on_connect=note)
             await relay.begin()
             self.relays.append(relay)
 
@@ -137,9 +137,9 @@
 
     async def ready(self) -> None:
         """Wait until it accepts requests; raises `RuntimeError` where it does not."""
-        caller, until = Caller(self.address), asyncio.get_running_loop().time() + START
+        caller, until = HttpClient(self.address), asyncio.get_running_loop().time() + START
         while asyncio.get_running_loop().time() < until:
-            with contextlib.suppress(Broken):
+            with contextlib.suppress(ConnectionBrokenError):
                 if (await caller.call("GET", "/ready", {}))[0] == 200:
                     caller.close()
                     return
@@ -150,7 +150,7 @@
 
     async def told(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
         """Make an admin call; return the status and the decoded body of its response."""
-        caller = Caller(f"{self.host}:{self.mgmt}")
+        caller = HttpClient(f"{self.host}:{self.mgmt}")
         data = b"" if body is None else json.dumps(body).encode()
         try:
             async with asyncio.timeout(3.0):
@@ -177,7 +177,7 @@
 
     async def sees_cells(self, members: int, cells: int) -> bool:
         """It has a view of so many members in so many cells, and links to all of its own cell."""
-        with contextlib.suppress(Broken, TimeoutError):
+        with contextlib.suppress(ConnectionBrokenError, TimeoutError):
             _, told = await self.told("GET", "/_fleet")
             cut = told["cells"]
             linked = set(cut["members"]) <= {*told["links"], told["member"]}
@@ -227,7 +227,7 @@
         self.categories = categories
         self.seed, self.root, self.fleet, self.lease = seed, root, fleet, lease
         self.cell_size, self.cut = cell_size, cut
-        self.arbiter = Arbiter()
+        self.arbiter = FakeEtcd()
         self.rng = random.Random(seed)
         self.kept = tempfile.TemporaryDirectory(prefix="trial-", dir=MEMORY)
         self.folder = Path(self.kept.name)
@@ -267,33 +267,33 @@
         """The number of cells when all members are in."""
         return cells_of(len(self.sidecars), self.cell_size)
 
-    def between(self, one: Sidecar, other: Sidecar) -> tuple[Way, Way]:
+    def between(self, one: Sidecar, other: Sidecar) -> tuple[LinkDirection, LinkDirection]:
         """Return both ways of the link between two sidecars: from the first to the second, and back.
 
         Either may be the one that connects; the faults are the same.
         """
-        ways = Way(), Way()
-        other.front.ways[one.host] = ways
-        one.front.ways[other.host] = ways[::-1]
+        ways = LinkDirection(), LinkDirection()
+        other.front.links[one.host] = ways
+        one.front.links[other.host] = ways[::-1]
         return ways
 
-    def in_hand(self, sidecar: Sidecar) -> list[Work]:
+    def in_hand(self, sidecar: Sidecar) -> list[ClientRequest]:
         """Return the requests whose clients wait for an answer of that sidecar."""
-        tries = [(w, w.tries[-1]) for w in self.clients.done if w.tries]
-        return [w for w, last in tries if last.end == "open" and last.sidecar == sidecar.name]
+        tries = [(w, w.attempts[-1]) for w in self.clients.requests if w.attempts]
+        return [w for w, last in tries if last.outcome == "open" and last.sidecar == sidecar.name]
 
-    def lose(self, sidecar: Sidecar) -> list[Work]:
+    def lose(self, sidecar: Sidecar) -> list[ClientRequest]:
         """Kill a sidecar for good, and send new clients elsewhere; return its open requests."""
         hurt = self.in_hand(sidecar)
         sidecar.kill()
-        self.clients.avoid.add(sidecar.name)
+        self.clients.avoided.add(sidecar.name)
         return hurt
 
     async def judged(self, sending: asyncio.Task[None]) -> Verdict:
         """Wait until all requests have ended, then judge."""
         await sending
-        await self.clients.rest(self.clients.waits + 1)
-        return judge(self.clients.done, self.runs, self.start)
+        await self.clients.finish(self.clients.timeout + 1)
+        return judge(self.clients.requests, self.runs, self.start)
 
     async def __aenter__(self) -> Rig:
         """Start all; raises `RuntimeError` where a process is not ready in time."""
@@ -343,7 +343,7 @@
         raise RuntimeError(f"no view of {members}: " + self.told())
 
     async def _end(self) -> None:
-        await self.clients.rest(0)
+        await self.clients.finish(0)
         for sidecar in self.sidecars:
             sidecar.signal(signal.SIGCONT)
             sidecar.kill()
--- a/trials/scale/etcd_process.py
+++ b/trials/scale/etcd_process.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from fakes.etcd import Arbiter
+from fakes.etcd import FakeEtcd
 
-from .counts import Sample, Traffic, resident, traffic
+from .counts import Sample, Traffic, resident_memory, socket_traffic
 
 COUNT_INTERVAL = 0.2  # seconds between counts of all sockets: of one that has ended the last count is taken
 Json = dict[str, Any]
@@ -25,16 +25,16 @@
 class TrafficCounter:
     """What the sockets of the fake etcd carry, also those that have ended."""
 
-    def __init__(self, etcd: Arbiter) -> None:
+    def __init__(self, etcd: FakeEtcd) -> None:
         """Count from now on."""
         self.etcd = etcd
         self.ended = Traffic()
         self.last: dict[asyncio.StreamWriter, Traffic] = {}
-        etcd.server.ends = self._connection_ends
+        etcd.server.on_close = self._connection_ends
 
     def _count(self, writer: asyncio.StreamWriter) -> None:
         sock = writer.get_extra_info("socket")
-        if sock is not None and sock.fileno() >= 0 and (now := traffic(sock.fileno())) is not None:
+        if sock is not None and sock.fileno() >= 0 and (now := socket_traffic(sock.fileno())) is not None:
             self.last[writer] = now
 
     def _connection_ends(self, writer: asyncio.StreamWriter) -> None:
@@ -44,7 +44,7 @@
 
     def count_all(self) -> None:
         """Count the open sockets."""
-        for writer in list(self.etcd.server.open):
+        for writer in list(self.etcd.server.connections):
             self._count(writer)
 
     async def run(self) -> None:
@@ -56,14 +56,14 @@
     def sample(self) -> Sample:
         """Return the counts of this process as of now."""
         self.count_all()
-        sample = Sample(cpu_s=time.process_time(), memory=resident(), sockets=len(self.last))
-        sample.arbiter.add(self.ended)
+        sample = Sample(cpu_s=time.process_time(), memory=resident_memory(), sockets=len(self.last))
+        sample.store.add(self.ended)
         for last in self.last.values():
-            sample.arbiter.add(last)
+            sample.store.add(last)
         return sample
 
 
-async def execute(command: Json, etcd: Arbiter, counter: TrafficCounter) -> Json:
+async def execute(command: Json, etcd: FakeEtcd, counter: TrafficCounter) -> Json:
     """Carry out one command, and return its answer."""
     match command["do"]:
         case "begin" | "up":
@@ -88,7 +88,7 @@
 
 async def serve() -> None:
     """Carry out the commands of standard input until its end."""
-    etcd = Arbiter()
+    etcd = FakeEtcd()
     counter = TrafficCounter(etcd)
     loop = asyncio.get_running_loop()
     counting = loop.create_task(counter.run())
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -85,11 +85,11 @@
         self.busy.add(one.name)
         self.lost.append(Lost(one.name, asyncio.get_running_loop().time()))
         one.kill()
-        self.rig.clients.avoid.add(one.name)
+        self.rig.clients.avoided.add(one.name)
         await asyncio.sleep(lasts / 2)
         one.start()
         await one.ready()
-        self.rig.clients.avoid.discard(one.name)
+        self.rig.clients.avoided.discard(one.name)
         self.busy.discard(one.name)
 
     async def _stop(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
@@ -104,16 +104,16 @@
     async def _cut(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
         ways = self.rig.between(one, other)
         for way in ways:
-            way.cut = True
+            way.blocked = True
         await asyncio.sleep(lasts)
         for way in ways:
-            way.cut = False
+            way.blocked = False
 
     async def _one_way(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
         way, _ = self.rig.between(one, other)
-        way.cut = True
+        way.blocked = True
         await asyncio.sleep(lasts)
-        way.cut = False
+        way.blocked = False
 
     async def _delay(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
         ways = self.rig.between(one, other)
@@ -134,15 +134,15 @@
             await asyncio.sleep(lasts)
             await arbiter.begin()
         elif kind == "arbiter_slow":
-            arbiter.slow = 0.3
+            arbiter.reply_delay = 0.3
             await asyncio.sleep(lasts)
-            arbiter.slow = 0.0
+            arbiter.reply_delay = 0.0
         elif kind == "reply_lost":
             for path in PATHS:
-                arbiter.lose[path] = 1
+                arbiter.lost_replies[path] = 1
         elif kind == "watch_cut":
             arbiter.compact()
-            arbiter.cut_watches()
+            arbiter.abort_watches()
         elif kind == "lease_ended":
             for key in [k for k in arbiter.entries if f"/{one.name}.".encode() in k]:
-                arbiter.end_lease_of(key.decode())
+                arbiter.expire_lease_of(key.decode())
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -52,7 +52,7 @@
 
 async def _slow(rig: Rig, on: bool) -> None:
     for upstream in _upstreams(rig, FAILING):
-        upstream.slower = 10.0 if on else 1.0
+        upstream.slowdown = 10.0 if on else 1.0
 
 
 async def _cut(rig: Rig, on: bool) -> None:
@@ -61,14 +61,14 @@
         for upstream, relay in zip(rig.upstreams, sidecar.relays, strict=True):
             if upstream.zone == FAILING:
                 for way in relay.link():
-                    way.cut = on
+                    way.blocked = on
 
 
 async def _cut_store(rig: Rig, on: bool) -> None:
     """Between its sidecars and the coordination store."""
     for sidecar in (s for s in rig.sidecars if s.zone == FAILING):
         for way in sidecar.to_arbiter.link():
-            way.cut = on
+            way.blocked = on
 
 
 async def _flap(rig: Rig, on: bool) -> None:
@@ -81,8 +81,8 @@
     await _refuse(rig, on)
     if not on:
         for upstream in _upstreams(rig, FAILING):
-            upstream.cold_since = asyncio.get_running_loop().time()
-            rig.listed[upstream.name] = {"startedMs": round(rig.wall(upstream.cold_since) * 1000)}
+            upstream.process_started_at = asyncio.get_running_loop().time()
+            rig.listed[upstream.name] = {"startedMs": round(rig.wall(upstream.process_started_at) * 1000)}
 
 
 @dataclass(frozen=True)
@@ -140,7 +140,7 @@
     async with rig:
         loop = asyncio.get_running_loop()
         sending = asyncio.create_task(
-            rig.clients.send(RATE, FAILS_AFTER + FAILS_FOR + after, MIX, named=False)
+            rig.clients.send(RATE, FAILS_AFTER + FAILS_FOR + after, MIX, keyed=False)
         )
         await asyncio.sleep(FAILS_AFTER)
         failed = loop.time()
@@ -153,7 +153,7 @@
         back = loop.time()
         await played.act(rig, False)
         await sending
-        await rig.clients.rest(rig.clients.waits + 1)
+        await rig.clients.finish(rig.clients.timeout + 1)
         verdict = Verdict()
         _count(verdict, rig, played.zones, failed, back, after)
         if fleet:
@@ -165,23 +165,23 @@
 
 def _sent(rig: Rig, zones: tuple[str, ...], begin: float, end: float) -> list[Run]:
     names = {u.name for u in rig.upstreams if u.zone in zones}
-    return [run for run in rig.runs if run.upstream in names and begin <= run.at < end]
+    return [run for run in rig.runs if run.upstream in names and begin <= run.started_at < end]
 
 
 def _count(
     verdict: Verdict, rig: Rig, zones: tuple[str, ...], failed: float, back: float, after: float
 ) -> None:
-    requests = rig.clients.done
-    meanwhile = [request for request in requests if failed <= request.at < back]
-    first_ends = Counter(request.tries[0].end for request in meanwhile if request.tries)
+    requests = rig.clients.requests
+    meanwhile = [request for request in requests if failed <= request.started_at < back]
+    first_ends = Counter(request.attempts[0].outcome for request in meanwhile if request.attempts)
     usual = _share(rig, zones, failed - 2.0, failed)
     seconds = [back + second for second in range(int(after))]
     shares = [round(_share(rig, zones, at, at + 1.0) / max(usual, MIN_SHARE), 2) for at in seconds]
     verdict.counts |= {
         "work": len(requests),
-        "finished": sum(request.finished for request in requests),
+        "finished": sum(request.succeeded for request in requests),
         "while it failed": len(meanwhile),
-        "finished of these": sum(request.finished for request in meanwhile),
+        "finished of these": sum(request.succeeded for request in meanwhile),
         "first answers": dict(sorted(first_ends.items())),
         "sent there meanwhile": len(_sent(rig, zones, failed, back)),
         "by second": [len(_sent(rig, zones, failed + i, failed + i + 1)) for i in range(int(back - failed))],
@@ -196,7 +196,7 @@
 
 
 def _sent_all(rig: Rig, begin: float, end: float) -> list[Run]:
-    return [run for run in rig.runs if begin <= run.at < end]
+    return [run for run in rig.runs if begin <= run.started_at < end]
 
 
 def plans(rig: Rig) -> list[tuple[float, dict[str, dict[str, object]]]]:
