--- a/starlingwheel/cli/policy.py
+++ b/starlingwheel/cli/policy.py
@@ -49,7 +49,7 @@
         fail(ExitCode.REJECTED, str(unusable))
     if config.fleet is None:
         fail(ExitCode.REJECTED, f"{file}: fleet: missing")
-    body = document.common(config.settings, config.fleet.cover, config.fleet.zones)
+    body = document.policy_of(config.settings, config.fleet.cover, config.fleet.zones)
     click.echo(json.dumps(body, indent=2))
 
 
--- a/starlingwheel/fleet/policy/document.py
+++ b/starlingwheel/fleet/policy/document.py
@@ -54,7 +54,7 @@
     return hashlib.blake2b(encode(body), digest_size=8).hexdigest()
 
 
-def common(
+def policy_of(
     settings: dict[str, Any], replication: ReplicationConfig, zones: ZonesConfig | None = None
 ) -> Body:
     """The policy that a configuration gives: the part that it has in common with others."""
--- a/starlingwheel/fleet/policy/host.py
+++ b/starlingwheel/fleet/policy/host.py
@@ -27,17 +27,17 @@
     def check(self, body: Body) -> str:
         """Why this sidecar can't follow that policy; empty: it can."""
 
-    def keep(self, kept: StoredPolicy) -> None:
-        """Have it outlive the process; `kept` tells when it does."""
+    def store(self, stored: StoredPolicy) -> None:
+        """Have it outlive the process; `store_state` tells when it does."""
 
-    def kept(self) -> str | None:
-        """Whether what `keep` was given last is stored; empty: it is; None: not yet; else why it can't be."""
+    def store_state(self) -> str | None:
+        """Whether what `store` was given last is stored: empty: it is; None: not yet; else why not."""
 
-    def rule(self, policy: Policy) -> None:
+    def put_in_force(self, policy: Policy) -> None:
         """Put this policy in force."""
 
-    def ask(self, member: str) -> None:
+    def request_decision(self, member: str) -> None:
         """Have that member send its decision."""
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Write a line to the log."""
--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -25,9 +25,7 @@
 from .document import Body, digest
 from .host import PolicyHost, StoredPolicy
 from .statuses import PeerStatuses, PolicyStatus
-from .transactions import MAX_COMPARED_MEMBERS, MAX_REASON_LENGTH, REMEMBERED_PROPOSALS
-
-__all__ = ["AHEAD", "COMPARED", "PolicyHost", "PolicyReplica", "PolicyStatus", "StoredPolicy"]
+from .transactions import MAX_REASON_LENGTH, REMEMBERED_PROPOSALS, Vote
 
 DEFAULT_SWITCH_DELAY = 3.0  # leases from a proposal to its switch time
 MIN_SWITCH_DELAY = 1.5  # leases from a vote to the switch time, at least
@@ -38,80 +36,79 @@
 REMEMBERED_WRITES = 4 * REMEMBERED_PROPOSALS
 LATE_MARGIN = 1 / 1000  # of a lease past the switch time, when a proposal that is not decided is dropped
 NAMED_MEMBERS = 8  # at most, in the reason for which a proposal is dropped
-AHEAD, COMPARED = DEFAULT_SWITCH_DELAY, MAX_COMPARED_MEMBERS
 
 
 class PolicyReplica:
     """One member's part of the fleet's one policy. Times are seconds on the wall clock."""
 
     def __init__(
-        self, member_id: str, name: str, lease: float, host: PolicyHost, now: float, kept: StoredPolicy
+        self, member_id: str, name: str, lease: float, host: PolicyHost, now: float, stored: StoredPolicy
     ) -> None:
-        """`lease`: seconds. `kept`: what a former process of this name has stored."""
+        """`lease`: seconds. `stored`: what a former process of this name has stored."""
         self.member_id, self.name, self.lease, self.host, self.now = member_id, name, lease, host, now
         self.started_at = now
-        self.kept = kept
+        self.stored = stored
         self.records = StoreRecords()
         self.in_force = Policy()
-        self.decision = kept.decision
-        self.promise = kept.promise
-        self.ended = kept.ended
-        self.names = list(kept.names)
-        self.started_from_file = bool(kept.names)
-        self.sure = False  # it is known what is decided: read since our entry, or by a majority's statuses
-        self.lease_until, self.entered = -inf, 0  # the end of our lease, and the revision of our entry
-        self.statuses = PeerStatuses(name, lease)
-        self.vote: tuple[int, str] | None = None  # the proposal's number, and the reason against it
+        self.decision = stored.decision
+        self.promise = stored.promise
+        self.ended = stored.ended
+        self.registered_names = list(stored.names)
+        self.started_from_file = bool(stored.names)
+        self.is_decision_known = False  # read since our entry, or told by a majority's statuses
+        self.lease_until, self.entry_revision = -inf, 0  # the end of our lease, and the revision of our entry
+        self.peer_statuses = PeerStatuses(name, lease)
+        self.vote: Vote | None = None  # the latest
         self.turns = WriteTurns(WRITE_DELAY * lease, MAX_WRITE_DELAYS, REMEMBERED_WRITES)
         self.voter_left_at = now  # when a member that had not voted yes was last seen to go
-        self.doubt_since = 0.0  # 0: not in doubt
+        self.unavailable_since = 0.0  # 0: requests may be taken
         self.counts: Counter[str] = Counter()
-        self.doubted = 0.0  # seconds in doubt, all together
+        self.unavailable_seconds = 0.0  # all together
 
     # Questions of the host.
 
-    def doubt(self) -> str:
+    def unavailable_reason(self) -> str:
         """Why no request may be taken now; empty: `in_force` holds."""
         self._update_in_force()
-        reason = self._doubt()
-        if bool(reason) != bool(self.doubt_since):
+        reason = self._find_unavailable_reason()
+        if bool(reason) != bool(self.unavailable_since):
             if reason:
-                self.doubt_since = self.now
-                self.host.note("policy.doubt", reason=reason, version=self.in_force.version)
+                self.unavailable_since = self.now
+                self.host.log_event("policy.doubt", reason=reason, version=self.in_force.version)
             else:
-                lasted = self.now - self.doubt_since
-                self.doubted += lasted
-                self.host.note("policy.sure", after=round(lasted, 3))
-                self.doubt_since = 0.0
+                lasted = self.now - self.unavailable_since
+                self.unavailable_seconds += lasted
+                self.host.log_event("policy.sure", after=round(lasted, 3))
+                self.unavailable_since = 0.0
         return reason
 
-    def _doubt(self) -> str:
-        if not self.sure:
+    def _find_unavailable_reason(self) -> str:
+        if not self.is_decision_known:
             return "unknown"
         if self.promise is not None and self.now >= self.promise.at:
             return "undecided"
         # The lease is compared with the clock at each request, in case this process was paused. Past it the
         # statuses of the others count, which grow old too.
-        return "" if self.now < self._leased() or self.now < self._agreed_until() else "alone"
+        return "" if self.now < self._lease_valid_until() or self.now < self._agreed_until() else "alone"
 
-    def _leased(self) -> float:
+    def _lease_valid_until(self) -> float:
         """Until when nothing can have been decided without us.
 
         A lease taken anew does not count before our own entry was seen, with what was decided in between.
         """
-        seen = self.member_id in self.records.members and self.records.revision >= self.entered
+        seen = self.member_id in self.records.members and self.records.revision >= self.entry_revision
         return self.lease_until if seen else -inf
 
     def _agreed_until(self) -> float:
-        return self.statuses.agreed_until(self.now, self._count)
+        return self.peer_statuses.agreed_until(self.now, self._count_agreed_until)
 
-    def _count(self) -> float:
+    def _count_agreed_until(self) -> float:
         """Until when more than half of the registered names are known to follow the same policy."""
-        return self.statuses.count(self.names, self.in_force, self.now)
+        return self.peer_statuses.count(self.registered_names, self.in_force, self.now)
 
-    def next_at(self) -> float:
-        """When to call `doubt` again, whatever comes."""
-        times = [self.uneasy_at()]
+    def next_check_at(self) -> float:
+        """When to call `unavailable_reason` again, whatever comes."""
+        times = [self.needs_statuses_at()]
         if self.decision is not None:
             times.append(self.decision.at)
         if self.promise is not None:
@@ -119,38 +116,38 @@
         return min((at for at in times if at > self.now), default=inf)
 
     @property
-    def leased(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether our lease holds."""
-        return self.now < self._leased()
+        return self.now < self._lease_valid_until()
 
     @property
-    def uneasy(self) -> bool:
+    def needs_statuses(self) -> bool:
         """Whether the statuses of others may be needed soon, or are."""
-        return self.now > self.uneasy_at() or bool(self._doubt())
+        return self.now > self.needs_statuses_at() or bool(self._find_unavailable_reason())
 
-    def uneasy_at(self) -> float:
+    def needs_statuses_at(self) -> float:
         """When our lease is so near its end that the statuses of others may be needed."""
-        return self._leased() - RENEWAL_MARGIN * self.lease
+        return self._lease_valid_until() - RENEWAL_MARGIN * self.lease
 
     @property
-    def known(self) -> int:
+    def decided_version(self) -> int:
         """The latest version that is known to be decided; it may take effect later."""
         return self.decision.policy.version if self.decision else 0
 
     @property
-    def words(self) -> dict[str, PolicyStatus]:
+    def statuses(self) -> dict[str, PolicyStatus]:
         """The latest status of each member."""
-        return self.statuses.by_member
+        return self.peer_statuses.by_member
 
-    @words.setter
-    def words(self, statuses: dict[str, PolicyStatus]) -> None:
-        self.statuses.by_member = statuses
+    @statuses.setter
+    def statuses(self, statuses: dict[str, PolicyStatus]) -> None:
+        self.peer_statuses.by_member = statuses
 
-    def lately(self, members: Container[str], most: int) -> list[PolicyStatus]:
+    def recent_statuses(self, members: Container[str], limit: int) -> list[PolicyStatus]:
         """Statuses of these members that others may still count, the youngest first, to be relayed."""
-        return self.statuses.recent(members, most, self.now)
+        return self.peer_statuses.recent(members, limit, self.now)
 
-    def word(self) -> PolicyStatus:
+    def status(self) -> PolicyStatus:
         """Our own status, now."""
         self._update_in_force()
         switch_at = self.decision.at if self.decision and self.decision.at > self.now else inf
@@ -161,44 +158,44 @@
             version=self.in_force.version,
             digest=self.in_force.digest,
             until=min(switch_at, self.promise.at if self.promise else inf),
-            known=self.known,
+            known=self.decided_version,
             ended=self.ended,
-            sure=self.sure or self.started_from_file,
+            sure=self.is_decision_known or self.started_from_file,
         )
 
     # Input from the host.
 
-    def begin(self) -> None:
+    def restore(self) -> None:
         """Put in force what was stored."""
         self._update_in_force()
 
-    def heard(self, status: PolicyStatus) -> None:
+    def receive_status(self, status: PolicyStatus) -> None:
         """Take over the status of a member, from itself or relayed."""
-        if not self.statuses.add(status, self.in_force):
+        if not self.peer_statuses.add(status, self.in_force):
             return
-        if status.known > self.known:
-            self.host.ask(status.member)
+        if status.known > self.decided_version:
+            self.host.request_decision(status.member)
         elif self.promise is not None and status.sure and self._is_dropped(self.promise, status):
             self._release_promise("dropped, as a member says")
         is_late = self.now >= self.started_at + ASSUME_AFTER * self.lease
-        if not self.sure and is_late and self.now < self._agreed_until():
-            self.sure = True
-            self.host.note("policy.assumed", version=self.in_force.version)
+        if not self.is_decision_known and is_late and self.now < self._agreed_until():
+            self.is_decision_known = True
+            self.host.log_event("policy.assumed", version=self.in_force.version)
 
     @staticmethod
     def _is_dropped(proposal: PolicyProposal, status: PolicyStatus) -> bool:
         return status.ended >= proposal.number and status.known < proposal.policy.version
 
-    def renewed(self, until: float, entered: int) -> None:
-        """Our lease holds until then, counted from before it was asked for; the revision of our entry."""
-        self.lease_until, self.entered = until, entered
+    def lease_renewed(self, until: float, entry_revision: int) -> None:
+        """Our lease holds until then, counted from before it was asked for."""
+        self.lease_until, self.entry_revision = until, entry_revision
 
-    def told(self, decision: PolicyDecision) -> None:
+    def receive_decision(self, decision: PolicyDecision) -> None:
         """Take over a decision that a member knows of."""
         if decision.policy.body is not None and digest(decision.policy.body) == decision.policy.digest:
             self._adopt(decision)
 
-    def recorded(self, records: StoreRecords, gap: bool) -> None:
+    def update_records(self, records: StoreRecords, gap: bool) -> None:
         """Take over what the coordination store holds. `gap`: changes in between may not have been seen."""
         before, self.records = self.records, records
         self._follow_members(before, gap)
@@ -209,9 +206,9 @@
         if promise is not None and records.revision >= promise.number and not self._is_open(promise):
             self.ended = max(self.ended, promise.number)
             self._release_promise("dropped")
-        if not self.sure and self.member_id in records.members:
-            self.sure = True
-            self.host.note("policy.known", version=self.in_force.version)
+        if not self.is_decision_known and self.member_id in records.members:
+            self.is_decision_known = True
+            self.host.log_event("policy.known", version=self.in_force.version)
         proposal = records.next
         if proposal is not None and self.member_id in records.members and not self._has_voted(proposal):
             self._cast_vote(proposal)
@@ -229,10 +226,10 @@
             if any(records.votes.get(member) != "" for member in gone):
                 self.voter_left_at = self.now
         if changed or before.names.keys() != records.names.keys() or gap:
-            self.names = sorted(records.names)
-            self.statuses.invalidate_count()
+            self.registered_names = sorted(records.names)
+            self.peer_statuses.invalidate_count()
             members = records.members.values()
-            self.kept.addresses = {m.name: m.address for m in members if m.name != self.name}
+            self.stored.addresses = {m.name: m.address for m in members if m.name != self.name}
             self._store()
 
     def _is_open(self, proposal: PolicyProposal) -> bool:
@@ -241,7 +238,7 @@
     # Which policy holds.
 
     def _adopt(self, decision: PolicyDecision) -> None:
-        if decision.policy.version <= self.known:
+        if decision.policy.version <= self.decided_version:
             return
         self.decision = decision
         self.ended = max(self.ended, decision.number)
@@ -249,7 +246,7 @@
             self.promise = None
         self._store()
         self.counts["decided"] += 1
-        self.host.note("policy.decided", version=decision.policy.version, at=round(decision.at, 3))
+        self.host.log_event("policy.decided", version=decision.policy.version, at=round(decision.at, 3))
         self._update_in_force()
 
     def _release_promise(self, reason: str) -> None:
@@ -257,7 +254,7 @@
         self._store()
         if promise is not None:
             self.counts["released"] += 1
-            self.host.note("policy.released", version=promise.policy.version, reason=reason)
+            self.host.log_event("policy.released", version=promise.policy.version, reason=reason)
 
     def _update_in_force(self) -> None:
         if self.decision is None:
@@ -265,39 +262,39 @@
         policy = self.decision.policy if self.now >= self.decision.at else self.decision.before
         if policy.version != self.in_force.version and policy.body is not None:
             self.in_force = policy
-            self.statuses.invalidate_count()
+            self.peer_statuses.invalidate_count()
             self.counts["switched"] += 1
-            self.host.note("policy.in_force", version=policy.version, digest=policy.digest)
-            self.host.rule(policy)
+            self.host.log_event("policy.in_force", version=policy.version, digest=policy.digest)
+            self.host.put_in_force(policy)
 
     def _store(self) -> None:
-        kept = self.kept
-        kept.decision, kept.promise, kept.ended = self.decision, self.promise, self.ended
-        kept.names = self.names
-        self.host.keep(kept)
+        stored = self.stored
+        stored.decision, stored.promise, stored.ended = self.decision, self.promise, self.ended
+        stored.names = self.registered_names
+        self.host.store(stored)
 
     # Voting.
 
     def _has_voted(self, proposal: PolicyProposal) -> bool:
-        return self.vote is not None and self.vote[0] == proposal.number
+        return self.vote is not None and self.vote.proposal_number == proposal.number
 
     def _cast_vote(self, proposal: PolicyProposal) -> None:
         """Vote on the proposal, once."""
         reason = self._objection(proposal)
         if not reason:
-            if self.now >= self._leased():
+            if self.now >= self._lease_valid_until():
                 return  # not now: no one counts on our vote, and our lease may come back
             self.promise = proposal
             self._store()
-        self.vote = proposal.number, reason[:MAX_REASON_LENGTH]
+        self.vote = Vote(proposal.number, reason[:MAX_REASON_LENGTH])
         self.counts["no" if reason else "yes"] += 1
-        self.host.note("policy.vote", version=proposal.policy.version, yes=not reason, reason=reason)
+        self.host.log_event("policy.vote", version=proposal.policy.version, yes=not reason, reason=reason)
 
     def _objection(self, proposal: PolicyProposal) -> str:
         """Why this member can't follow the proposal; empty: it can."""
         policy = proposal.policy
-        if policy.version != self.known + 1:
-            return f"version {policy.version} does not follow {self.known}"
+        if policy.version != self.decided_version + 1:
+            return f"version {policy.version} does not follow {self.decided_version}"
         if policy.body is None or digest(policy.body) != policy.digest:
             return "its digest is another one's"
         if proposal.at - self.now < MIN_SWITCH_DELAY * self.lease:
@@ -310,7 +307,7 @@
 
     def propose(self, body: Body, delay: float) -> tuple[Transaction, PolicyProposal]:
         """A change that takes effect `delay` seconds from now. The caller has checked it."""
-        policy = Policy(self.known + 1, digest(body), body)
+        policy = Policy(self.decided_version + 1, digest(body), body)
         proposal = PolicyProposal(policy, self.now + delay, self.now, self.member_id)
         return transactions.propose(self.records, proposal), proposal
 
@@ -337,13 +334,12 @@
     def _vote_due(self, proposal: PolicyProposal) -> Transaction | float:
         """Our vote; a yes only once it is stored, so that it still binds after a restart."""
         assert self.vote is not None
-        _, reason = self.vote
-        if not reason and (fault := self.host.kept()) != "":
+        if not self.vote.reason and (fault := self.host.store_state()) != "":
             if fault is None:
                 return self.now + WRITE_DELAY * self.lease
             reason = f"it can't be kept here: {fault}"[:MAX_REASON_LENGTH]
-            self.promise, self.vote = None, (proposal.number, reason)
-        return transactions.vote(self.records, proposal.number, self.member_id, reason)
+            self.promise, self.vote = None, Vote(proposal.number, reason)
+        return transactions.vote(self.records, self.vote, self.member_id)
 
     def _end_due(self, proposal: PolicyProposal) -> Transaction | float:
         """Decide the proposal, or drop it, if it is time for either."""
@@ -355,13 +351,13 @@
             return self._in_turn("no", number, lambda: self.drop(reason))
         if self.now > proposal.at:
             return self._in_turn("late", number, lambda: self.drop(self._why_late(votes)))
-        complete = len(votes) == len(records.members) and self._enough(votes)
+        complete = len(votes) == len(records.members) and self._is_majority(votes)
         # A member that went without a vote may follow the old policy for as long as its lease lasts.
         if complete and self.voter_left_at <= proposal.at - self.lease:
             return self._in_turn("yes", number, lambda: self._decide(proposal))
         return proposal.at + LATE_MARGIN * self.lease
 
-    def _enough(self, votes: Collection[str]) -> bool:
+    def _is_majority(self, votes: Collection[str]) -> bool:
         """Whether the members that have voted are more than half of the registered names."""
         names = {self.records.members[member].name for member in votes} & self.records.names.keys()
         return 2 * len(names) > len(self.records.names)
@@ -370,7 +366,7 @@
         missing = [member.name for member in self.records.members.values() if member.id not in votes]
         if missing:
             return f"no word in time from {', '.join(sorted(missing)[:NAMED_MEMBERS])}"
-        if not self._enough(votes):
+        if not self._is_majority(votes):
             return f"{len(votes)} of {len(self.records.names)} registered were there"
         return "not decided in time"
 
--- a/starlingwheel/fleet/policy/transactions.py
+++ b/starlingwheel/fleet/policy/transactions.py
@@ -29,21 +29,28 @@
 MAX_REASON_LENGTH = 300  # characters
 
 
+class Vote(msgspec.Struct, frozen=True):
+    """A member's vote on a proposal."""
+
+    proposal_number: int
+    reason: str  # against it; empty: yes
+
+
 def propose(records: StoreRecords, proposal: PolicyProposal) -> Transaction:
     """Open a proposal, unless there is one or another policy was decided meanwhile."""
     unchanged = [equal(NEXT, "CREATE", 0), equal(NOW, "MOD", records.now_mod)]
     return Transaction("propose", unchanged, [(NEXT, msgspec.json.encode(proposal))])
 
 
-def vote(records: StoreRecords, number: int, member_id: str, reason: str) -> Transaction:
-    """Vote on the proposal of that number: against it for that reason, or yes if it is empty."""
-    key = f"{VOTES}{number}/{member_id}"
+def vote(records: StoreRecords, vote: Vote, member_id: str) -> Transaction:
+    """Write the vote of that member."""
+    key = f"{VOTES}{vote.proposal_number}/{member_id}"
     unchanged = [
         equal(NEXT, "MOD", records.next_mod),
         equal(key, "CREATE", 0),
         equal(MEMBERS + member_id, "CREATE", records.members[member_id].term),
     ]
-    return Transaction("vote", unchanged, [(key, msgspec.json.encode(reason))])
+    return Transaction("vote", unchanged, [(key, msgspec.json.encode(vote.reason))])
 
 
 def decide(records: StoreRecords, proposal: PolicyProposal, before: Policy, now: float) -> Transaction:
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -78,9 +78,9 @@
 
 
 def _check_may_propose(replica: PolicyReplica, command: ProposalCommand) -> None:
-    if doubt := replica.doubt():
+    if doubt := replica.unavailable_reason():
         raise _rejected(NOT_NOW, f"which policy holds is not known here: {doubt}", doubt)
-    known = replica.known
+    known = replica.decided_version
     if command.base is not None and command.base != known:
         raise _rejected(CONFLICT, f"made from version {command.base}; {known} is in force or decided")
     if replica.decision is not None and replica.now < replica.decision.at:
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -122,7 +122,7 @@
         """Reject a request while it is not known which policy holds; else it is accepted under that one."""
         # A clock read in this turn may be from before a pause.
         self.policy_replica.now = self.loop.now()
-        reason = self.policy_replica.doubt()
+        reason = self.policy_replica.unavailable_reason()
         request = pending.request
         request_class = self.context.request_classes.get(request.request_class.name)
         if not reason and request_class is not request.request_class:
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -96,7 +96,7 @@
         self.replicator = RequestReplicator(
             member_id, longest_timeout, config.cover.keepers, memory_limit, self, now
         )
-        policy_controller.module = self
+        policy_controller.fleet_host = self
 
     # What a subclass decides.
 
@@ -133,7 +133,7 @@
             case FrameReceived(member, frame):
                 self._frame_received(member, frame)
             case StoreRead(records, gap):
-                self.policy_replica.recorded(records, gap)
+                self.policy_replica.update_records(records, gap)
                 self._check_links_in_doubt()
                 self.zone_controller.recorded(records, now)
             case LinkUp(member, link):
@@ -149,7 +149,7 @@
                 self.replicator.link_failed(member)
             case LeaseRenewed(until, entered):
                 self.replicator.lease_until = until
-                self.policy_replica.renewed(until, entered)
+                self.policy_replica.lease_renewed(until, entered)
                 self._check_links_in_doubt()
             case _:
                 return False
@@ -158,11 +158,11 @@
     def _frame_received(self, member: str, frame: Frame) -> None:
         match frame:
             case PolicyStatusFrame() | DecisionRequestFrame() | DecisionFrame():
-                for answer in self.policy_controller.heard(frame):
+                for answer in self.policy_controller.receive_frame(frame):
                     self.send_frame(member, answer)
                 return
             case HeartbeatFrame() if frame.word is not None:
-                self.policy_replica.heard(frame.word)
+                self.policy_replica.receive_status(frame.word)
         self.replicator.frame_received(member, frame)
 
     def _view_changed(self, view: MembershipView, gap: bool) -> None:
@@ -183,27 +183,27 @@
 
     def tick(self) -> None:
         """Do what is due."""
-        self.policy_replica.doubt()
+        self.policy_replica.unavailable_reason()
         self._check_links_in_doubt()
         self.replicator.tick()
 
     def _check_links_in_doubt(self) -> None:
         """Send heartbeats at once while the policy is in doubt, since peers send its status only then."""
-        if self.policy_replica.uneasy:
+        if self.policy_replica.needs_statuses:
             for link in self.links.values():
                 link.post(CHECK_LINKS)
 
     def next_at(self, now: float) -> float:
         """When to call `tick` at the latest, seconds on the wall clock."""
-        at = self.policy_replica.next_at()
+        at = self.policy_replica.next_check_at()
         return min(self.replicator.next_at(), at if at > now else inf)
 
     def beat(self, member: str, worded: bool) -> HeartbeatFrame:
         """The heartbeat for a member. `worded`: it may need our status of the policy."""
         self.replicator.now = self.policy_replica.now = self.loop.now()
-        self.policy_replica.doubt()
-        lapsed = not self.replicator.may_decide() or self.policy_replica.uneasy
-        policy_status = self.policy_replica.word() if worded or lapsed else None
+        self.policy_replica.unavailable_reason()
+        lapsed = not self.replicator.may_decide() or self.policy_replica.needs_statuses
+        policy_status = self.policy_replica.status() if worded or lapsed else None
         view = self.replicator.view
         # Links within our own cell stay whether they are needed or not.
         other_cell = view.cell_of(member) != view.cell_of(self.member_id)
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -23,7 +23,8 @@
 from .host import FleetHost
 from .links import LinkManager
 from .messages import WRITE_PENDING, DialMember, EntryLost, EvictMember, StoreRead, ViewChanged
-from .policy import PolicyController, PolicyPoller
+from .policy import PolicyController
+from .policy_poller import PolicyPoller
 from .reports import MemberReport, PolicyReport, member_report, policy_report
 
 if TYPE_CHECKING:
@@ -92,7 +93,7 @@
         self, sock: socket.socket, fleet_name: str, log: Callable[..., None], rng: random.Random
     ) -> LinkManager:
         hello = HelloFrame(fleet_name, VERSION, self.member_id)
-        make_heartbeat, answer_query = self.module.beat, self.policy_controller.says
+        make_heartbeat, answer_query = self.module.beat, self.policy_controller.answer_query
         links = LinkManager(self.loop, sock, hello, self._deliver, make_heartbeat, answer_query, log, rng)
         self.module.dial_link = lambda member: links.post(DialMember(member))
         return links
@@ -100,7 +101,7 @@
     def begin(self) -> None:
         """Start the actors, in this order."""
         self.serve_without_store_at = self.loop.now() + STORE_TIMEOUT_LEASES * self.lease
-        self.policy_controller.policy_replica.begin()
+        self.policy_controller.policy_replica.restore()
         actors: tuple[Actor, ...] = (
             self.links,
             self.lease_keeper,
@@ -120,7 +121,7 @@
         elsewhere, or follow a policy that is no longer in force.
         """
         waited = self.loop.now() > self.serve_without_store_at
-        return (self._in_view or waited) and self.policy_controller.policy_replica.sure
+        return (self._in_view or waited) and self.policy_controller.policy_replica.is_decision_known
 
     @property
     def _in_view(self) -> bool:
@@ -131,7 +132,7 @@
 
         Raises `ConfigError` if the file changes what the fleet's policy decides.
         """
-        return self.policy_controller.renewed(config)
+        return self.policy_controller.reloaded_config(config)
 
     def leave(self) -> Coroutine[None]:
         """Leave the view before the process ends: others need not wait for our lease, nor check on us.
@@ -176,7 +177,7 @@
         if isinstance(due, Transaction):
             return due
         self.shard_map.now = now
-        for other in (self.module.zone_controller.due(now, policy_replica.leased), self.shard_map.due()):
+        for other in (self.module.zone_controller.due(now, policy_replica.holds_lease), self.shard_map.due()):
             if isinstance(other, Transaction):
                 return other
             due = min(due, other)
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -54,8 +54,8 @@
         self.policy_replica = PolicyReplica(
             member_id, config.name, float(fleet.lease_s), self, now, self.vote_store.read()
         )
-        self.file = document.common(config.settings, fleet.cover, fleet.zones)  # the policy that it gives
-        self.module: FleetHost | None = None  # whose links the statuses go over, set once it is there
+        self.file = document.policy_of(config.settings, fleet.cover, fleet.zones)  # the policy that it gives
+        self.fleet_host: FleetHost | None = None  # whose links the statuses go over, set once it is there
 
     # What the replica asks for; see `PolicyHost`.
 
@@ -71,34 +71,36 @@
             faults = [f"{name}: needs a restart" for name in fixed]
         return "; ".join(faults)
 
-    def keep(self, kept: StoredPolicy) -> None:
+    def store(self, stored: StoredPolicy) -> None:
         """Have it outlive the process."""
-        self.vote_store.write(kept)
+        self.vote_store.write(stored)
 
-    def kept(self) -> str | None:
-        """Empty: what was given to `keep` is stored; None: not yet; else why it can't be."""
+    def store_state(self) -> str | None:
+        """Empty: what was given to `store` is stored; None: not yet; else why it can't be."""
         return self.vote_store.state
 
-    def rule(self, policy: Policy) -> None:
+    def put_in_force(self, policy: Policy) -> None:
         """Put the policy in force."""
-        if policy.body is None or self.module is None:
+        if policy.body is None or self.fleet_host is None:
             return
         config = self._balancer_config_under(policy.body, self.config)
         self.reload(keep_start_only_fields(config, self.balancer_config())[0])
-        self.module.balancer_config_changed(self.balancer_config())
-        self.module.replication_config_changed(msgspec.convert(policy.body["cover"], ReplicationConfig))
+        self.fleet_host.balancer_config_changed(self.balancer_config())
+        self.fleet_host.replication_config_changed(msgspec.convert(policy.body["cover"], ReplicationConfig))
         zones = policy.body.get("zones")
-        self.module.zone_controller.configure(None if zones is None else msgspec.convert(zones, ZonesConfig))
+        self.fleet_host.zone_controller.configure(
+            None if zones is None else msgspec.convert(zones, ZonesConfig)
+        )
         differing = [key for key, _, _ in document.differences(self.file, policy.body)]
         if differing:
             self.log("policy.file_differs", version=policy.version, keys=differing[:MAX_LOGGED_DIFFERENCES])
 
-    def ask(self, member: str) -> None:
+    def request_decision(self, member: str) -> None:
         """Have that member send its decision."""
-        if self.module is not None:
-            self.module.say(member, DecisionRequestFrame())
+        if self.fleet_host is not None:
+            self.fleet_host.say(member, DecisionRequestFrame())
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Write a line to the log."""
         self.log(event, **fields)
 
@@ -109,10 +111,10 @@
 
     # Questions of the sidecar and of other members.
 
-    def renewed(self, config: SidecarConfig) -> BalancerConfig:
+    def reloaded_config(self, config: SidecarConfig) -> BalancerConfig:
         """What a file that was read again gives; raises `ConfigError` where it changes the fleet's policy."""
         fleet = config.fleet or self.fleet
-        file = document.common(config.settings, fleet.cover, fleet.zones)
+        file = document.policy_of(config.settings, fleet.cover, fleet.zones)
         policy = self.policy_replica.in_force
         in_force = policy.body if policy.body is not None else self.file
         if edited := document.edited(self.file, file, in_force):
@@ -123,26 +125,26 @@
         self.file, self.config = file, msgspec.structs.replace(self.config, settings=config.settings)
         return self._balancer_config_under(in_force, config)
 
-    def says(self, asked: PolicyQueryFrame) -> list[Frame]:
+    def answer_query(self, query: PolicyQueryFrame) -> list[Frame]:
         """The answer to a member that we have no link with: our status, and those received over our links."""
-        assert self.module is not None
+        assert self.fleet_host is not None
         replica = self.policy_replica
-        replica.now = self.module.loop.now()
-        others = replica.lately(self.module.links, RELAYED)
-        frames: list[Frame] = [PolicyStatusFrame(replica.word(), others)]
-        return [*frames, *self._decision_frames()] if replica.known > asked.known else frames
+        replica.now = self.fleet_host.loop.now()
+        others = replica.recent_statuses(self.fleet_host.links, RELAYED)
+        frames: list[Frame] = [PolicyStatusFrame(replica.status(), others)]
+        return [*frames, *self._decision_frames()] if replica.decided_version > query.known else frames
 
-    def heard(self, frame: Frame) -> list[Frame]:
+    def receive_frame(self, frame: Frame) -> list[Frame]:
         """Take over a frame about the policy; what is to be answered."""
         match frame:
             case PolicyStatusFrame(status, others):
-                for one in (status, *others[:RELAYED]):
-                    self.policy_replica.heard(one)
+                for each in (status, *others[:RELAYED]):
+                    self.policy_replica.receive_status(each)
             case DecisionRequestFrame():
                 return self._decision_frames()
             case DecisionFrame(data):
                 try:
-                    self.policy_replica.told(msgspec.json.decode(data, type=PolicyDecision))
+                    self.policy_replica.receive_decision(msgspec.json.decode(data, type=PolicyDecision))
                 except (msgspec.DecodeError, UnicodeDecodeError) as error:
                     self.log("policy.unreadable", error=str(error))
         return []
--- a/starlingwheel/net/fleet/policy_poller.py
+++ b/starlingwheel/net/fleet/policy_poller.py
@@ -50,16 +50,16 @@
             while self.loop.now() < until:
                 yield until
             now = self.policy_replica.now = self.loop.now()
-            if self.policy_replica.uneasy:
+            if self.policy_replica.needs_statuses:
                 self._poll(now)
 
     def _next_poll_at(self) -> float:
         replica, now = self.policy_replica, self.loop.now()
         jitter = JITTER_MIN + JITTER_RANGE * self.rng.random()
         until = now + POLL_INTERVAL * self.status_lifetime * jitter
-        uneasy_at = replica.uneasy_at()
-        if uneasy_at > now and not replica.doubt_since:
-            until = max(until, min(uneasy_at, now + self.status_lifetime))
+        needed_at = replica.needs_statuses_at()
+        if needed_at > now and not replica.unavailable_since:
+            until = max(until, min(needed_at, now + self.status_lifetime))
         return until
 
     def _poll(self, now: float) -> None:
@@ -67,7 +67,7 @@
         for link in self.links.links.values():
             link.post(CHECK_LINKS)
         for address in self._addresses(now):
-            MemberQuery(self.links, address, replica.known).begin()
+            MemberQuery(self.links, address, replica.decided_version).begin()
         if replica.promise is not None and now >= max(replica.promise.at, self.register_at):
             # The watch may have gone silent just when the decision is waited for.
             self.register_at = now + replica.lease
@@ -96,7 +96,7 @@
         view, replica = self.links.view, self.policy_replica
         present = {member.name: member.address for member in view.members.values()}
         linked = {view.members[member].name for member in self.links.links if member in view}
-        absent = {name: at for name, at in replica.kept.addresses.items() if name not in present}
+        absent = {name: at for name, at in replica.stored.addresses.items() if name not in present}
         own_address, own_cell = present.get(replica.name, ""), view.cell_of(replica.member_id)
         groups: dict[Group, list[str]] = {}
         for name, address in (absent | present).items():
@@ -110,7 +110,7 @@
         view = self.links.view
         own_cell = view.cell_of(self.policy_replica.member_id)
         latest: dict[Group, float] = {}
-        for status in self.policy_replica.words.values():
+        for status in self.policy_replica.statuses.values():
             cell = view.cell_of(status.member)
             group = status.name if cell == own_cell else cell
             latest[group] = max(status.at, latest.get(group, -inf))
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -87,20 +87,20 @@
 def policy_report(policy_replica: PolicyReplica, now: float) -> PolicyReport:
     """Return the report of a member's policy."""
     policy_replica.now = now
-    doubt = policy_replica.doubt()  # first: it brings the other figures up to date
+    doubt = policy_replica.unavailable_reason()  # first: it brings the other figures up to date
     records, decision = policy_replica.records, policy_replica.decision
     return PolicyReport(
         in_force=policy_replica.in_force,
         decided=None if decision is None else decision.policy.version,
         decided_at=None if decision is None else decision.at,
         doubt=doubt,
-        doubted_s=round(policy_replica.doubted, 3),
+        doubted_s=round(policy_replica.unavailable_seconds, 3),
         open=_open_proposal(records),
         past=[records.past[number] for number in sorted(records.past)],
-        registered=policy_replica.names,
+        registered=policy_replica.registered_names,
         words={
             status.name: PolicyStatusReport(status.version, round(now - status.at, 3))
-            for status in policy_replica.words.values()
+            for status in policy_replica.statuses.values()
         },
         counts=policy_replica.counts,
     )
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -16,7 +16,8 @@
 
 from fakes.loopback import free_address
 from starlingwheel.fleet.policy import document
-from starlingwheel.fleet.policy.replica import PolicyReplica, StoredPolicy
+from starlingwheel.fleet.policy.host import StoredPolicy
+from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.records import StoreEntry, StoreRecords
 from starlingwheel.net.fleet.policy import VoteStore
 from trials import policy
@@ -210,7 +211,7 @@
     status, answer = admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})
     assert status == 200 and answer["version"] == 1
     around = admin.around
-    around.until(lambda: admin.policy_replica.known == 1)
+    around.until(lambda: admin.policy_replica.decided_version == 1)
     assert admin.policy_replica.in_force.version == 0 and around.context.longest_timeout < 3
     around.until(lambda: admin.policy_replica.in_force.version == 1)
     assert around.context.longest_timeout == 3 and around.context.loop.now() >= answer["at"]
@@ -228,7 +229,7 @@
     ):  # fmt: skip
         got, answer = admin.call("PUT /_policy/propose", wrong)
         assert got == status and answer["error"]
-    assert admin.policy_replica.known == 0 and admin.policy_replica.records.next is None
+    assert admin.policy_replica.decided_version == 0 and admin.policy_replica.records.next is None
 
 
 def test_a_second_proposal_is_rejected_and_the_first_can_be_dropped(admin, served):
@@ -257,7 +258,7 @@
     around = admin.around
     around.until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
     served.do(served.arbiter.down())
-    around.until(lambda: admin.policy_replica.doubt() == "undecided")
+    around.until(lambda: admin.policy_replica.unavailable_reason() == "undecided")
     assert around.status(around.ask("buy", b"one")) == 503
     served.do(served.arbiter.begin())
     around.until(lambda: admin.policy_replica.promise is None)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -18,7 +18,7 @@
 from starlingwheel.fleet import frames
 from starlingwheel.fleet.config import decode
 from starlingwheel.fleet.membership import Member, MembershipView
-from starlingwheel.fleet.policy.replica import PolicyStatus
+from starlingwheel.fleet.policy.statuses import PolicyStatus
 from starlingwheel.net.fleet import etcd as client
 from starlingwheel.net.fleet.links import FrameReader, LinkRejectedError, encode_frame
 from starlingwheel.net.fleet.messages import EvictMember
--- a/tests/test_policy_over_links.py
+++ b/tests/test_policy_over_links.py
@@ -9,11 +9,13 @@
 
 from starlingwheel.fleet import frames
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.policy import document as common
-from starlingwheel.fleet.policy.replica import PolicyReplica, PolicyStatus, StoredPolicy
+from starlingwheel.fleet.policy import document
+from starlingwheel.fleet.policy.host import StoredPolicy
+from starlingwheel.fleet.policy.replica import PolicyReplica
+from starlingwheel.fleet.policy.statuses import PolicyStatus
 from starlingwheel.fleet.records import Policy, PolicyDecision, StoreRecords
 from starlingwheel.net.fleet.messages import FrameReceived
-from starlingwheel.net.fleet.policy import PolicyPoller
+from starlingwheel.net.fleet.policy_poller import PolicyPoller
 
 LEASE = 1.0  # seconds
 SHARDS = 8
@@ -33,20 +35,20 @@
         """Accept a policy."""
         return ""
 
-    def keep(self, kept: object) -> None:
+    def store(self, stored: object) -> None:
         """Store nothing."""
 
-    def kept(self) -> str:
+    def store_state(self) -> str:
         """Have nothing stored."""
         return ""
 
-    def rule(self, policy: object) -> None:
+    def put_in_force(self, policy: object) -> None:
         """Apply nothing."""
 
-    def ask(self, member: str) -> None:
+    def request_decision(self, member: str) -> None:
         """Ask nobody."""
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Record a note."""
         self.notes.append((event, fields))
 
@@ -71,17 +73,17 @@
     def make_heartbeat(self, member: str, with_status: bool) -> frames.HeartbeatFrame:
         """Return a heartbeat, with the policy status where it may be needed."""
         self.policy_replica.now = self.loop.now()
-        self.policy_replica.doubt()
-        lapsed = self.policy_replica.uneasy
-        status = self.policy_replica.word() if with_status or lapsed else None
+        self.policy_replica.unavailable_reason()
+        lapsed = self.policy_replica.needs_statuses
+        status = self.policy_replica.status() if with_status or lapsed else None
         return frames.HeartbeatFrame(1, lapsed, status, True)
 
     def answer_query(self, query: frames.PolicyQueryFrame) -> list[frames.Frame]:
         """Return our policy status with those of others, and the decision if it is not known there."""
         self.policy_replica.now = self.loop.now()
-        others = self.policy_replica.lately(self.links.links, frames.RELAYED)
-        answers: list[frames.Frame] = [frames.PolicyStatusFrame(self.policy_replica.word(), others)]
-        if self.policy_replica.known > query.known:
+        others = self.policy_replica.recent_statuses(self.links.links, frames.RELAYED)
+        answers: list[frames.Frame] = [frames.PolicyStatusFrame(self.policy_replica.status(), others)]
+        if self.policy_replica.decided_version > query.known:
             answers.append(frames.DecisionFrame(msgspec.json.encode(self.policy_replica.decision)))
         return answers
 
@@ -93,16 +95,16 @@
         frame = message.frame
         if isinstance(frame, frames.PolicyStatusFrame):
             for status in (frame.word, *frame.others):
-                self.policy_replica.heard(status)
+                self.policy_replica.receive_status(status)
         elif isinstance(frame, frames.DecisionFrame):
-            self.policy_replica.told(msgspec.json.decode(frame.decision, type=PolicyDecision))
+            self.policy_replica.receive_decision(msgspec.json.decode(frame.decision, type=PolicyDecision))
         elif getattr(frame, "word", None):
-            self.policy_replica.heard(frame.word)
+            self.policy_replica.receive_status(frame.word)
 
-    def doubt(self) -> str:
-        """Return why the policy is in doubt now; empty: it is not."""
+    def unavailable_reason(self) -> str:
+        """Return why no request may be taken now; empty: the policy in force holds."""
         self.policy_replica.now = self.loop.now()
-        return self.policy_replica.doubt()
+        return self.policy_replica.unavailable_reason()
 
 
 class PolicyNetwork(LinkNetwork):
@@ -120,9 +122,9 @@
         records.names = {one.member.name: 1 for one in self.members}
         for one in self.members:
             one.policy_replica.now = one.loop.now()
-            one.policy_replica.recorded(records.copy(), True)
-            one.policy_replica.renewed(one.loop.now() + LEASE, 1)
-            assert not one.doubt()
+            one.policy_replica.update_records(records.copy(), True)
+            one.policy_replica.lease_renewed(one.loop.now() + LEASE, 1)
+            assert not one.unavailable_reason()
         self.set_view(SHARDS)
 
     def members_that_doubted(self) -> list[str]:
@@ -166,10 +168,10 @@
     doubts: set[str] = set()
     while len(doubts) < len(network.members) and network.clock() < until:
         network.step()
-        doubts |= {one.id for one in network.members if one.doubt()}
+        doubts |= {one.id for one in network.members if one.unavailable_reason()}
     all_doubt = len(doubts) == len(network.members)
     network.advance(LEASE)
-    all_doubt = all_doubt and all(one.doubt() == "alone" for one in network.members)
+    all_doubt = all_doubt and all(one.unavailable_reason() == "alone" for one in network.members)
     network.members += hung
     return all_doubt
 
@@ -185,16 +187,16 @@
     make_policy_network: MakePolicyNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With relayed statuses dated anew, members would not doubt."""
-    lately = PolicyReplica.lately
+    recent_statuses = PolicyReplica.recent_statuses
 
-    def younger(self: PolicyReplica, members: Iterable[str], most: int) -> list[PolicyStatus]:
-        known = {**self.words}
-        self.words = {m: msgspec.structs.replace(w, at=self.now) for m, w in known.items()}
-        passed = lately(self, self.words, most)
-        self.words = known
-        return passed
+    def younger(self: PolicyReplica, members: Iterable[str], limit: int) -> list[PolicyStatus]:
+        known = {**self.statuses}
+        self.statuses = {m: msgspec.structs.replace(w, at=self.now) for m, w in known.items()}
+        relayed = recent_statuses(self, self.statuses, limit)
+        self.statuses = known
+        return relayed
 
-    monkeypatch.setattr(PolicyReplica, "lately", younger)
+    monkeypatch.setattr(PolicyReplica, "recent_statuses", younger)
     assert not all_doubt_after_losing_a_majority(make_policy_network(2))
 
 
@@ -206,10 +208,10 @@
     cut = network.members[0]
     for _ in range(8):
         for one in network.members[1:]:
-            one.policy_replica.renewed(one.loop.now() + LEASE, 1)
+            one.policy_replica.lease_renewed(one.loop.now() + LEASE, 1)
         network.advance(LEASE / 2)
-    assert not network.members_that_doubted() and cut.policy_replica.uneasy
-    assert all(not one.policy_replica.uneasy for one in network.members[1:])
+    assert not network.members_that_doubted() and cut.policy_replica.needs_statuses
+    assert all(not one.policy_replica.needs_statuses for one in network.members[1:])
 
 
 def test_a_decision_that_a_single_member_knows_reaches_all(make_policy_network: MakePolicyNetwork) -> None:
@@ -217,11 +219,15 @@
     network = make_policy_network(4)
     network.advance(1.5 * LEASE)
     body = {"settings": {}}
-    policy = Policy(1, common.digest(body), body)
-    network.members[5].policy_replica.told(PolicyDecision(policy, network.clock() + 60.0, 7, Policy()))
+    policy = Policy(1, document.digest(body), body)
+    network.members[5].policy_replica.receive_decision(
+        PolicyDecision(policy, network.clock() + 60.0, 7, Policy())
+    )
     unlinked = [one for one in network.members if network.members[5].id not in one.links.links]
     assert len(unlinked) > 12
-    network.wait_until(lambda: all(one.policy_replica.known == 1 for one in unlinked), within=1.25 * LEASE)
+    network.wait_until(
+        lambda: all(one.policy_replica.decided_version == 1 for one in unlinked), within=1.25 * LEASE
+    )
 
 
 def test_a_status_counts_by_its_own_age_whoever_relays_it() -> None:
@@ -235,15 +241,15 @@
         for i in range(2)
     )
     for each in (one, other):
-        each.recorded(records, True)
+        each.update_records(records, True)
     third = PolicyStatus("n2.00", "n2", 10.0, 0, "", 1e9, 0, 0, True)
     other.now = 10.4
-    other.heard(third)
+    other.receive_status(third)
     one.now = 10.8
-    for word in other.lately(members, 8):
-        one.heard(word)
-    assert not one.doubt()
+    for status in other.recent_statuses(members, 8):
+        one.receive_status(status)
+    assert not one.unavailable_reason()
     one.now = 10.0 + LEASE
-    assert one.doubt() == "alone"
+    assert one.unavailable_reason() == "alone"
     other.now = one.now
-    assert other.lately(members, 8) == []
+    assert other.recent_statuses(members, 8) == []
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -172,26 +172,26 @@
 class NoBinding(PolicyReplica):
     """A yes binds until the switch time only: then it is taken for dropped."""
 
-    def _doubt(self) -> str:
+    def _find_unavailable_reason(self) -> str:
         if self.promise is not None and self.now >= self.promise.at:
             self.promise = None
-        return super()._doubt()
+        return super()._find_unavailable_reason()
 
 
 class Minority(PolicyReplica):
     """Those in the view decide, however few they are."""
 
-    def _enough(self, votes: Iterable[str]) -> bool:
+    def _is_majority(self, votes: Iterable[str]) -> bool:
         return True
 
 
 class NoDoubt(PolicyReplica):
     """Who does not know whether a change was decided goes on at its switch time."""
 
-    def _doubt(self) -> str:
+    def _find_unavailable_reason(self) -> str:
         promise, self.promise = self.promise, None
         try:
-            return super()._doubt()
+            return super()._find_unavailable_reason()
         finally:
             self.promise = promise
 
@@ -199,15 +199,19 @@
 class LeaseTrustedOver(PolicyReplica):
     """A lease once held is taken to hold, across a pause and a cut."""
 
-    def _leased(self) -> float:
-        return inf if self.entered else -inf
+    def _lease_valid_until(self) -> float:
+        return inf if self.entry_revision else -inf
 
 
-class AnyWord(PolicyReplica):
-    """The words of others count however old they are."""
+class StatusesNeverExpire(PolicyReplica):
+    """The statuses of others count however old they are."""
 
-    def _count(self) -> float:
-        return inf if super()._count() > -inf or len(self.words) * 2 > len(self.names) else -inf
+    def _count_agreed_until(self) -> float:
+        return (
+            inf
+            if super()._count_agreed_until() > -inf or len(self.statuses) * 2 > len(self.registered_names)
+            else -inf
+        )
 
 
 class LooseDecision(PolicyReplica):
@@ -222,7 +226,7 @@
         return due
 
 
-POLICY_VARIANTS = [NoBinding, Minority, NoDoubt, LeaseTrustedOver, AnyWord, LooseDecision]
+POLICY_VARIANTS = [NoBinding, Minority, NoDoubt, LeaseTrustedOver, StatusesNeverExpire, LooseDecision]
 
 
 class MinorityLeaves(ZonePlanner):
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -25,8 +25,10 @@
     ViewSyncedFrame,
 )
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.policy import replica as policy
-from starlingwheel.fleet.policy.replica import PolicyReplica, PolicyStatus
+from starlingwheel.fleet.policy.host import StoredPolicy
+from starlingwheel.fleet.policy.replica import PolicyReplica
+from starlingwheel.fleet.policy.statuses import PolicyStatus
+from starlingwheel.fleet.policy.transactions import Vote
 from starlingwheel.fleet.records import (
     Policy,
     PolicyDecision,
@@ -86,19 +88,22 @@
         """Every policy is accepted."""
         return ""
 
-    def keep(self, kept: object) -> None:
+    def store(self, stored: object) -> None:
         """Store nothing."""
 
-    def kept(self) -> str | None:
+    def store_state(self) -> str | None:
         """Nothing failed to be stored."""
         return ""
 
-    def rule(self, policy_: object) -> None:
+    def put_in_force(self, policy_: object) -> None:
         """Apply no policy."""
 
-    def ask(self, member: str) -> None:
+    def request_decision(self, member: str) -> None:
         """Ask no member."""
 
+    def log_event(self, event: str, **fields: object) -> None:
+        """Log nothing."""
+
     def note(self, event: str, **fields: object) -> None:
         """Log nothing."""
 
@@ -160,11 +165,9 @@
         records.votes = {m.id: "" for m in self.members[: count // 2]}
         records.said = {m.id: zone_report(i) for i, m in enumerate(self.members)}
         self.state_watcher.revision = records.revision = 10_000
-        self.policy_replica = PolicyReplica(
-            me.id, me.name, LEASE, NullHost(), self.now, policy.StoredPolicy(FLEET)
-        )
-        self.policy_replica.sure, self.policy_replica.vote = True, (7, "")
-        self.policy_replica.renewed(self.now + LEASE, 1)
+        self.policy_replica = PolicyReplica(me.id, me.name, LEASE, NullHost(), self.now, StoredPolicy(FLEET))
+        self.policy_replica.is_decision_known, self.policy_replica.vote = True, Vote(7, "")
+        self.policy_replica.lease_renewed(self.now + LEASE, 1)
         tracker = zones.ZoneHealthTracker(2.0, self.now)
         self.zone_planner = zones.ZonePlanner(me.id, LEASE, {}, {}, NullHost(), tracker)
         self.revision = 10_000
@@ -174,7 +177,7 @@
         records = getattr(message, "records", None)
         if records is not None:
             self.recorded = records
-            self.policy_replica.recorded(records, False)
+            self.policy_replica.update_records(records, False)
             self.zone_planner.recorded(records)
             self.policy_replica.due()
 
--- a/trials/capacity/roles.py
+++ b/trials/capacity/roles.py
@@ -9,7 +9,8 @@
 from math import exp, nan
 
 from starlingwheel.decisions.gossip import MESSAGES_PER_OBJECTIVE
-from starlingwheel.fleet.policy import replica as policy
+from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY
+from starlingwheel.fleet.policy.transactions import MAX_COMPARED_MEMBERS
 from starlingwheel.fleet.zones import planner as zones
 from starlingwheel.net.fleet import etcd as arbiter
 from starlingwheel.net.fleet import links
@@ -183,12 +184,12 @@
             texts, "B/s", BYTES, "paper", "48 KiB at most each; none yet for that size",
         ),
         Row(
-            role, "proposal to switch, unless told", f"{policy.AHEAD:.0f} leases of {LEASE:.0f} s",
-            policy.AHEAD * LEASE, "s", size.force, "read", "a shorter lease, or `--switch`",
+            role, "proposal to switch, unless told", f"{DEFAULT_SWITCH_DELAY:.0f} leases of {LEASE:.0f} s",
+            DEFAULT_SWITCH_DELAY * LEASE, "s", size.force, "read", "a shorter lease, or `--switch`",
         ),
         Row(
-            role, "members that a decision compares", f"of {policy.COMPARED}", float(n), "members",
-            policy.COMPARED, "read", "none yet",
+            role, "members that a decision compares", f"of {MAX_COMPARED_MEMBERS}", float(n), "members",
+            MAX_COMPARED_MEMBERS, "read", "none yet",
         ),
     ]  # fmt: skip
 
--- a/trials/emulated_member.py
+++ b/trials/emulated_member.py
@@ -48,7 +48,7 @@
         self.status_sent_at = 0.0
         self.pending_statuses: dict[str, PolicyStatus] = {}  # that came while it was paused
         self.must_read_all = True
-        self.policy_replica.begin()
+        self.policy_replica.restore()
 
     def clock(self) -> float:
         """The time by its own clock."""
@@ -60,26 +60,26 @@
         """A policy may name members that can't follow it."""
         return "not here" if self.name in body["settings"].get("not", []) else ""
 
-    def keep(self, kept: StoredPolicy) -> None:
+    def store(self, stored: StoredPolicy) -> None:
         """Store it in the world's files."""
-        self.world.files[self.name] = copy.copy(kept)
+        self.world.files[self.name] = copy.copy(stored)
 
-    def kept(self) -> str | None:
+    def store_state(self) -> str | None:
         """All is stored at once."""
         return ""
 
-    def rule(self, policy: Policy) -> None:
+    def put_in_force(self, policy: Policy) -> None:
         """Nothing has to be put in force."""
 
-    def ask(self, member: str) -> None:
+    def request_decision(self, member: str) -> None:
         """Take over the decision of that member, if it can be reached."""
         other = self.world.members.get(member)
         if other is None or not self.world.is_linked(self, other):
             return
         if other.policy_replica.decision is not None:
-            self.policy_replica.told(other.policy_replica.decision)
+            self.policy_replica.receive_decision(other.policy_replica.decision)
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Count the event."""
         self.world.log_counts[event] += 1
         if self.world.trace:
@@ -100,7 +100,7 @@
         self.policy_replica.now = self.clock()
         self._take_requests()
         for status in self.pending_statuses.values():
-            self.policy_replica.heard(status)
+            self.policy_replica.receive_status(status)
         self.pending_statuses.clear()
         self._take_requests()
         self._follow_watch()
@@ -111,7 +111,7 @@
         self._take_requests()
 
     def _take_requests(self) -> None:
-        if not self.policy_replica.doubt():
+        if not self.policy_replica.unavailable_reason():
             self.world.observe(self, self.policy_replica.in_force)
 
     def _follow_watch(self) -> None:
@@ -126,7 +126,7 @@
         changed, members_changed, last = False, False, 0
         for revision, key, entry in world.store.events[self.events_seen : upto]:
             if members_changed and revision != last:
-                self.policy_replica.recorded(self.records.copy(), False)
+                self.policy_replica.update_records(self.records.copy(), False)
                 members_changed = False
             last, changed = revision, True
             members_changed = members_changed or key.startswith(MEMBERS)
@@ -137,7 +137,7 @@
                 self.records.put(key, entry)
         self.events_seen = upto
         if changed:
-            self.policy_replica.recorded(self.records.copy(), False)
+            self.policy_replica.update_records(self.records.copy(), False)
 
     def _read_all(self) -> None:
         store = self.world.store
@@ -146,7 +146,7 @@
             self.records.put(key, store.entries[key])
         self.events_seen = len(store.events)
         self.records.revision = store.revision
-        self.policy_replica.recorded(self.records.copy(), True)
+        self.policy_replica.update_records(self.records.copy(), True)
         self.must_read_all = False
 
     def _renew_lease(self) -> None:
@@ -163,7 +163,7 @@
         world.leases[key] = world.now + LEASE
         self.renewed_at = world.now
         if world.rng.random() < RENEWAL_REPLY_CHANCE:  # else the reply is lost
-            self.policy_replica.renewed(self.clock() + LEASE, self.entered)
+            self.policy_replica.lease_renewed(self.clock() + LEASE, self.entered)
 
     def _send_statuses(self) -> None:
         world = self.world
@@ -172,7 +172,9 @@
             return
         self.status_sent_at = world.now
         for other in list(world.members.values()):
-            if other is self or not (self.policy_replica.uneasy or other.policy_replica.uneasy):
+            if other is self or not (
+                self.policy_replica.needs_statuses or other.policy_replica.needs_statuses
+            ):
                 continue
             if other.alive and world.is_linked(self, other):
                 self._send_status(other)
@@ -180,13 +182,13 @@
     def _send_status(self, other: EmulatedMember) -> None:
         world = self.world
         made_at = self.clock() - world.rng.uniform(0, STATUS_DELAY)
-        status = msgspec.structs.replace(self.policy_replica.word(), at=made_at)
+        status = msgspec.structs.replace(self.policy_replica.status(), at=made_at)
         world.statuses_sent += 1
         if world.now < other.paused_until:
             other.pending_statuses[self.id] = status
         else:
             other.policy_replica.now = other.clock()
-            other.policy_replica.heard(status)
+            other.policy_replica.receive_status(status)
 
     def _write(self) -> None:
         world = self.world
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -179,7 +179,11 @@
             for member in self.members.values()
             if member.alive and self.now >= member.paused_until and self.reaches_store(member)
         ]
-        able = [m for m in able if m.policy_replica.sure and not m.policy_replica.doubt()]
+        able = [
+            m
+            for m in able
+            if m.policy_replica.is_decision_known and not m.policy_replica.unavailable_reason()
+        ]
         if not able:
             return
         author = self.rng.choice(able)
@@ -242,7 +246,7 @@
         return [
             member.id
             for member in alive
-            if member.policy_replica.doubt() or member.policy_replica.in_force.version != last
+            if member.policy_replica.unavailable_reason() or member.policy_replica.in_force.version != last
         ]
 
 
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -41,32 +41,32 @@
         """Every member can follow every policy."""
         return ""
 
-    def keep(self, kept: StoredPolicy) -> None:
+    def store(self, stored: StoredPolicy) -> None:
         """Store it in the model's files."""
         if self.model is not None:
-            self.model.files[self.name] = copy.copy(kept)
+            self.model.files[self.name] = copy.copy(stored)
 
-    def kept(self) -> str | None:
+    def store_state(self) -> str | None:
         """All is stored at once."""
         return ""
 
-    def rule(self, policy: Policy) -> None:
+    def put_in_force(self, policy: Policy) -> None:
         """Nothing has to be put in force."""
 
-    def ask(self, member: str) -> None:
+    def request_decision(self, member: str) -> None:
         """Remember who asked for whose decision."""
         if self.model is not None:
             self.model.decisions_asked.append((self.name, member))
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Nothing is logged."""
 
 
 def copy_replica(replica: PolicyReplica, host: ModelHost) -> PolicyReplica:
     """A copy of a member that shares what is never changed in place."""
     other = copy.copy(replica)
-    other.host, other.kept = host, copy.copy(replica.kept)
-    other.statuses, other.turns = replica.statuses.copy(), replica.turns.copy()
+    other.host, other.stored = host, copy.copy(replica.stored)
+    other.peer_statuses, other.turns = replica.peer_statuses.copy(), replica.turns.copy()
     other.counts = replica.counts.copy()
     return other
 
@@ -114,7 +114,7 @@
         replica = self.replica_type(member_id, name, LEASE, host, self.now, stored)
         self.replicas[name] = replica
         self.records[name], self.events_seen[name] = StoreRecords(), UNREAD
-        replica.begin()
+        replica.restore()
 
     def _renew(self, name: str) -> None:
         """Renew the lease of a member, which may enter by that."""
@@ -127,7 +127,7 @@
                 self.store.put(NAMES + name, b"1")
         self.leases[name] = self.now + LEASE
         replica.now = self.now
-        replica.renewed(self.now + LEASE, self.store.entries[entry].create)
+        replica.lease_renewed(self.now + LEASE, self.store.entries[entry].create)
 
     def copy(self) -> Model:
         """A state of its own."""
@@ -278,12 +278,12 @@
 
     def _send_status(self, sender: str, receiver: str) -> None:
         """A status, and the decisions that are asked for because of it."""
-        self.replicas[receiver].heard(self.replicas[sender].word())
+        self.replicas[receiver].receive_status(self.replicas[sender].status())
         for asking, member_id in self.decisions_asked:
             replica = self.replicas.get(asking)
             asked = next((other for other in self.replicas.values() if other.member_id == member_id), None)
             if replica is not None and asked is not None and asked.decision is not None:
-                replica.told(asked.decision)
+                replica.receive_decision(asked.decision)
         self.decisions_asked.clear()
 
     def _watch(self, name: str) -> None:
@@ -301,14 +301,14 @@
                     records.erase(key)
                 else:
                     records.put(key, entry)
-        replica.recorded(records.copy(), gap)
+        replica.update_records(records.copy(), gap)
         self.events_seen[name] = len(store.events)
 
     def _take_requests(self) -> None:
         """Requests that come now, at every member."""
         for name, replica in self.replicas.items():
             replica.now = self.now
-            if name in self.stopped or replica.doubt():
+            if name in self.stopped or replica.unavailable_reason():
                 continue
             version = replica.in_force.version
             self.took_old_after_switch |= version == 0 and self.now >= SWITCH_DELAY
@@ -319,8 +319,9 @@
         """The text of a state: two of one text go on alike."""
         replicas = [
             (
-                name, r.member_id, r.in_force.version, r.known, r.promise and r.promise.number, r.ended,
-                r.sure, r.lease_until, r.entered, r.vote, sorted(r.words.items()), r.records.revision,
+                name, r.member_id, r.in_force.version, r.decided_version, r.promise and r.promise.number,
+                r.ended, r.is_decision_known, r.lease_until, r.entry_revision, r.vote,
+                sorted(r.statuses.items()), r.records.revision,
                 r.voter_left_at, sorted(r.turns.due_since.items()), self.events_seen[name],
                 r.started_from_file,
             )
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -119,7 +119,7 @@
         self._finish_attempts(now)
 
     def _begin_request(self, name: bytes, now: float) -> None:
-        if self.policy_replica.doubt():
+        if self.policy_replica.unavailable_reason():
             self.counts["in_doubt"] += 1
             return
         request_class = self.request_class
--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -169,7 +169,7 @@
         """Follow the records of the store."""
         fleet = self.fleet
         assert fleet is not None
-        fleet.policy_controller.policy_replica.begin()
+        fleet.policy_controller.policy_replica.restore()
         for actor in (fleet.state_watcher, fleet.member_evictor, fleet.state_writer, fleet.policy_poller):
             actor.begin()
 
