--- a/starlingwheel/fleet/policy/document.py
+++ b/starlingwheel/fleet/policy/document.py
@@ -9,13 +9,13 @@
 import difflib
 import hashlib
 from collections.abc import Iterable, Iterator
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 from ..config import ReplicationConfig, ZonesConfig, replication_faults, zones_faults
 
-OWN_KEYS = ("locality", "slotNo", "replicasOfMe")  # of the settings: which sidecar this is
+MEMBER_KEYS = ("locality", "slotNo", "replicasOfMe")  # of the settings: which sidecar this is
 KNOWN_KEYS = {  # by table of the settings; "" is their top level
     "": {
         "categories", "caps", "rules", "tenants", "discovery", "weightKind", "loadReport", "charges",
@@ -35,11 +35,11 @@
     },
     "tenants": {"name", "share"},
 }  # fmt: skip
-PARTS = {"settings", "cover", "zones"}
+POLICY_KEYS = {"settings", "cover", "zones"}
 MAX_SIZE = 48 * 1024  # bytes of an encoded policy
 MAX_MEMORY_FRACTION = 1 / 4096  # of a sidecar's memory limit that a policy may take
 MAX_DURATION = 1e12  # as the settings give it
-EFFECTS = ("free", "guarded", "single_shot")
+RETRY_SAFETIES = ("free", "guarded", "single_shot")
 encoder = msgspec.json.Encoder(order="sorted")
 Body = dict[str, Any]
 
@@ -58,14 +58,14 @@
     settings: dict[str, Any], replication: ReplicationConfig, zones: ZonesConfig | None = None
 ) -> Body:
     """The policy that a configuration gives: the part that it has in common with others."""
-    shared = {key: value for key, value in settings.items() if key not in OWN_KEYS}
+    shared = {key: value for key, value in settings.items() if key not in MEMBER_KEYS}
     body = {"settings": shared, "cover": msgspec.to_builtins(replication)}
     return body if zones is None else body | {"zones": msgspec.to_builtins(zones)}
 
 
-def merged(body: Body, settings: dict[str, Any]) -> dict[str, Any]:
+def merge_settings(body: Body, settings: dict[str, Any]) -> dict[str, Any]:
     """The settings of a sidecar under a policy: the policy's, and its own keys."""
-    return dict(body["settings"]) | {key: settings[key] for key in OWN_KEYS if key in settings}
+    return dict(body["settings"]) | {key: settings[key] for key in MEMBER_KEYS if key in settings}
 
 
 def faults(body: object, known: dict[str, Any], memory_mb: float) -> list[str]:
@@ -81,7 +81,9 @@
     if not isinstance(body, dict):
         yield "policy: not an object"
         return
-    yield from (f"{key}: unknown; known are cover, settings, zones" for key in sorted(set(body) - PARTS))
+    yield from (
+        f"{key}: unknown; known are cover, settings, zones" for key in sorted(set(body) - POLICY_KEYS)
+    )
     settings = body.get("settings")
     if not isinstance(settings, dict):
         yield "settings: not an object"
@@ -89,7 +91,7 @@
     size, limit = len(encode(body)), min(MAX_SIZE, int(memory_mb * 2**20 * MAX_MEMORY_FRACTION))
     if size > limit:
         yield f"policy: {size} bytes; {limit} are taken here"
-    yield from (f"settings.{key}: is each sidecar's own" for key in OWN_KEYS if key in settings)
+    yield from (f"settings.{key}: is each sidecar's own" for key in MEMBER_KEYS if key in settings)
     yield from _unknown_keys(settings, known)
     categories = settings.get("categories")
     yield from _category_faults(categories)
@@ -104,7 +106,7 @@
 def _unknown_keys(settings: dict[str, Any], known: dict[str, Any]) -> Iterator[str]:
     for path, given, also_known in _tables(settings, known):
         table, _, _ = path.partition("[")
-        names = KNOWN_KEYS[table] | set(also_known) | (set(OWN_KEYS) if not table else set())
+        names = KNOWN_KEYS[table] | set(also_known) | (set(MEMBER_KEYS) if not table else set())
         for key in sorted(set(given) - names):
             near = difflib.get_close_matches(key, names, 1)
             hint = f"; near: {near[0]}" if near else ""
@@ -153,16 +155,24 @@
             yield f"{key}.name: {name!r} stands there twice"
         else:
             names.add(name)
-        if category.get("effect", "free") not in EFFECTS:
-            yield f"{key}.effect: {category['effect']!r} is none of {', '.join(EFFECTS)}"
+        if category.get("effect", "free") not in RETRY_SAFETIES:
+            yield f"{key}.effect: {category['effect']!r} is none of {', '.join(RETRY_SAFETIES)}"
         for duration in ("dueTime", "expiry"):
             value = category.get(duration)
             if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < MAX_DURATION:
                 yield f"{key}.{duration}: {value!r} is no positive number"
 
 
-def differences(left: object, right: object, key: str = "") -> Iterator[tuple[str, object, object]]:
-    """Where two policies differ: the key, and both values; None: it is not there."""
+class Difference(NamedTuple):
+    """A key in which two policies differ, and both values; None: it is not there."""
+
+    key: str
+    left: object
+    right: object
+
+
+def differences(left: object, right: object, key: str = "") -> Iterator[Difference]:
+    """Where two policies differ."""
     if isinstance(left, dict) and isinstance(right, dict):
         for name in sorted(set(left) | set(right)):
             yield from differences(left.get(name), right.get(name), f"{key}.{name}" if key else name)
@@ -170,18 +180,18 @@
         for index, pair in enumerate(zip(left, right, strict=True)):
             yield from differences(*pair, f"{key}[{index}]")
     elif left != right:
-        yield key, left, right
+        yield Difference(key, left, right)
 
 
-def edited(before: Body, now: Body, in_force: Body) -> list[str]:
+def conflicting_edits(before: Body, now: Body, in_force: Body) -> list[str]:
     """Where a file that is read again differs from the policy in force by an edit, each with its key.
 
     What the file said `before` already is only old, not edited: a fleet whose files are as they were before
     the last change of policy can still change what is a sidecar's own.
     """
-    changed_keys = {key for key, _, _ in differences(now, before)}
+    edited_keys = {one.key for one in differences(now, before)}
     return [
-        f"{key}: {given!r}, where the policy in force says {held!r}"
-        for key, given, held in differences(now, in_force)
-        if any(key.startswith(changed) or changed.startswith(key) for changed in changed_keys)
+        f"{one.key}: {one.left!r}, where the policy in force says {one.right!r}"
+        for one in differences(now, in_force)
+        if any(one.key.startswith(edited) or edited.startswith(one.key) for edited in edited_keys)
     ]
--- a/starlingwheel/fleet/policy/host.py
+++ b/starlingwheel/fleet/policy/host.py
@@ -10,14 +10,14 @@
 from .document import Body
 
 
-class StoredPolicy(msgspec.Struct):
+class StoredPolicy(msgspec.Struct, rename={"ended_proposal": "ended", "registered_names": "names"}):
     """What outlives a process, as the votes file holds it."""
 
     fleet: str
     decision: PolicyDecision | None = None
     promise: PolicyProposal | None = None  # what we have voted for, while it is open
-    ended: int = 0  # the number of the latest proposal known to have ended
-    names: list[str] = []  # registered in the fleet
+    ended_proposal: int = 0  # the number of the latest one known to have ended
+    registered_names: list[str] = []
     addresses: dict[str, str] = {}  # of other members, by name
 
 
--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -52,9 +52,9 @@
         self.in_force = Policy()
         self.decision = stored.decision
         self.promise = stored.promise
-        self.ended = stored.ended
-        self.registered_names = list(stored.names)
-        self.started_from_file = bool(stored.names)
+        self.ended_proposal = stored.ended_proposal
+        self.registered_names = list(stored.registered_names)
+        self.started_from_file = bool(stored.registered_names)
         self.is_decision_known = False  # read since our entry, or told by a majority's statuses
         self.lease_until, self.entry_revision = -inf, 0  # the end of our lease, and the revision of our entry
         self.peer_statuses = PeerStatuses(name, lease)
@@ -154,13 +154,13 @@
         return PolicyStatus(
             member=self.member_id,
             name=self.name,
-            at=self.now,
+            made_at=self.now,
             version=self.in_force.version,
             digest=self.in_force.digest,
-            until=min(switch_at, self.promise.at if self.promise else inf),
-            known=self.decided_version,
-            ended=self.ended,
-            sure=self.is_decision_known or self.started_from_file,
+            follows_until=min(switch_at, self.promise.at if self.promise else inf),
+            decided_version=self.decided_version,
+            ended_proposal=self.ended_proposal,
+            is_decision_known=self.is_decision_known or self.started_from_file,
         )
 
     # Input from the host.
@@ -173,9 +173,9 @@
         """Take over the status of a member, from itself or relayed."""
         if not self.peer_statuses.add(status, self.in_force):
             return
-        if status.known > self.decided_version:
+        if status.decided_version > self.decided_version:
             self.host.request_decision(status.member)
-        elif self.promise is not None and status.sure and self._is_dropped(self.promise, status):
+        elif self.promise is not None and status.is_decision_known and self._is_dropped(self.promise, status):
             self._release_promise("dropped, as a member says")
         is_late = self.now >= self.started_at + ASSUME_AFTER * self.lease
         if not self.is_decision_known and is_late and self.now < self._agreed_until():
@@ -184,7 +184,7 @@
 
     @staticmethod
     def _is_dropped(proposal: PolicyProposal, status: PolicyStatus) -> bool:
-        return status.ended >= proposal.number and status.known < proposal.policy.version
+        return status.ended_proposal >= proposal.number and status.decided_version < proposal.policy.version
 
     def lease_renewed(self, until: float, entry_revision: int) -> None:
         """Our lease holds until then, counted from before it was asked for."""
@@ -201,10 +201,10 @@
         self._follow_members(before, gap)
         if records.now is not None:
             self._adopt(records.now)
-        self.ended = max([self.ended, *records.past])
+        self.ended_proposal = max([self.ended_proposal, *records.past])
         promise = self.promise
         if promise is not None and records.revision >= promise.number and not self._is_open(promise):
-            self.ended = max(self.ended, promise.number)
+            self.ended_proposal = max(self.ended_proposal, promise.number)
             self._release_promise("dropped")
         if not self.is_decision_known and self.member_id in records.members:
             self.is_decision_known = True
@@ -241,8 +241,8 @@
         if decision.policy.version <= self.decided_version:
             return
         self.decision = decision
-        self.ended = max(self.ended, decision.number)
-        if self.promise is not None and self.promise.number <= self.ended:
+        self.ended_proposal = max(self.ended_proposal, decision.number)
+        if self.promise is not None and self.promise.number <= self.ended_proposal:
             self.promise = None
         self._store()
         self.counts["decided"] += 1
@@ -269,8 +269,12 @@
 
     def _store(self) -> None:
         stored = self.stored
-        stored.decision, stored.promise, stored.ended = self.decision, self.promise, self.ended
-        stored.names = self.registered_names
+        stored.decision, stored.promise, stored.ended_proposal = (
+            self.decision,
+            self.promise,
+            self.ended_proposal,
+        )
+        stored.registered_names = self.registered_names
         self.host.store(stored)
 
     # Voting.
--- a/starlingwheel/fleet/policy/statuses.py
+++ b/starlingwheel/fleet/policy/statuses.py
@@ -24,13 +24,13 @@
 
     member: str
     name: str
-    at: float
+    made_at: float
     version: int
     digest: str
-    until: float  # from then on it may have to follow another policy
-    known: int  # the latest version that it knows to be decided
-    ended: int  # the latest proposal that it knows to have ended
-    sure: bool  # it knows what is decided
+    follows_until: float  # from then on it may have to follow another policy
+    decided_version: int  # the latest that it knows to be decided
+    ended_proposal: int  # the latest that it knows to have ended
+    is_decision_known: bool  # it knows what is decided
 
 
 class PeerStatuses:
@@ -43,7 +43,7 @@
         self.member_of_name: dict[str, str] = {}
         self.counted_until: float | None = None  # the last count; None: it does not hold any more
         self.counted_at = -inf
-        self.renewed = False  # statuses were renewed since, which can only have prolonged it
+        self.renewed_since_count = False  # statuses have been, which can only have prolonged it
 
     def copy(self) -> PeerStatuses:
         """A copy with statuses of its own."""
@@ -54,13 +54,13 @@
     def add(self, status: PolicyStatus, policy: Policy) -> bool:
         """Take over a status unless it is older than the one known. `policy`: which is in force here."""
         before = self.by_member.get(status.member)
-        if before is not None and before.at > status.at:
+        if before is not None and before.made_at > status.made_at:
             return False
         self.by_member[status.member] = status
         until_before = -inf if before is None else self.valid_until(before, policy)
         is_only_of_name = self.member_of_name.setdefault(status.name, status.member) == status.member
         if is_only_of_name and self.valid_until(status, policy) >= until_before:
-            self.renewed = True
+            self.renewed_since_count = True
         else:
             self.invalidate_count()
         return True
@@ -73,24 +73,28 @@
         """Statuses of these members that others may still count, the youngest first."""
         oldest = now - STATUS_LIFETIME * self.lease
         statuses = [
-            status for status in self.by_member.values() if status.at > oldest and status.member in members
+            status
+            for status in self.by_member.values()
+            if status.made_at > oldest and status.member in members
         ]
-        return sorted(statuses, key=lambda status: -status.at)[:limit]
+        return sorted(statuses, key=lambda status: -status.made_at)[:limit]
 
     def valid_until(self, status: PolicyStatus, policy: Policy) -> float:
         """Until when the status counts, by its own time, however it came here; -inf: not at all."""
-        is_same = (status.version, status.digest) == (policy.version, policy.digest) and status.sure
-        return min(status.at + STATUS_LIFETIME * self.lease, status.until) if is_same else -inf
+        is_same = (status.version, status.digest) == (policy.version, policy.digest)
+        if not is_same or not status.is_decision_known:
+            return -inf
+        return min(status.made_at + STATUS_LIFETIME * self.lease, status.follows_until)
 
     def agreed_until(self, now: float, count: Callable[[], float]) -> float:
         """Until when a majority is known to follow the same policy, by `count`, called where it is needed."""
         until = self.counted_until
-        if until is not None and self.renewed and now >= until:
+        if until is not None and self.renewed_since_count and now >= until:
             # Does not count a large fleet anew for each status that comes.
             until = None if now >= self.counted_at + RECOUNT_INTERVAL * self.lease else until
         if until is None:
             until = self.counted_until = count()
-            self.renewed, self.counted_at = False, now
+            self.renewed_since_count, self.counted_at = False, now
         return until
 
     def count(self, names: Collection[str], policy: Policy, now: float) -> float:
@@ -99,7 +103,9 @@
         Forgets statuses that are too old to count.
         """
         oldest = now - STATUS_LIFETIME * self.lease
-        self.by_member = {member: status for member, status in self.by_member.items() if status.at > oldest}
+        self.by_member = {
+            member: status for member, status in self.by_member.items() if status.made_at > oldest
+        }
         self.member_of_name = {status.name: member for member, status in self.by_member.items()}
         until: dict[str, float] = {}
         for status in self.by_member.values():
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -54,7 +54,8 @@
         self.policy_replica = PolicyReplica(
             member_id, config.name, float(fleet.lease_s), self, now, self.vote_store.read()
         )
-        self.file = document.policy_of(config.settings, fleet.cover, fleet.zones)  # the policy that it gives
+        # The policy that the configuration file gives.
+        self.file_policy = document.policy_of(config.settings, fleet.cover, fleet.zones)
         self.fleet_host: FleetHost | None = None  # whose links the statuses go over, set once it is there
 
     # What the replica asks for; see `PolicyHost`.
@@ -91,7 +92,7 @@
         self.fleet_host.zone_controller.configure(
             None if zones is None else msgspec.convert(zones, ZonesConfig)
         )
-        differing = [key for key, _, _ in document.differences(self.file, policy.body)]
+        differing = [one.key for one in document.differences(self.file_policy, policy.body)]
         if differing:
             self.log("policy.file_differs", version=policy.version, keys=differing[:MAX_LOGGED_DIFFERENCES])
 
@@ -106,7 +107,7 @@
 
     def _balancer_config_under(self, body: Body, config: SidecarConfig) -> BalancerConfig:
         """What a configuration file gives under that policy; raises `ConfigError`."""
-        settings = document.merged(body, config.settings)
+        settings = document.merge_settings(body, config.settings)
         return balancer_config_of(msgspec.structs.replace(config, settings=settings), "policy")
 
     # Questions of the sidecar and of other members.
@@ -114,15 +115,16 @@
     def reloaded_config(self, config: SidecarConfig) -> BalancerConfig:
         """What a file that was read again gives; raises `ConfigError` where it changes the fleet's policy."""
         fleet = config.fleet or self.fleet
-        file = document.policy_of(config.settings, fleet.cover, fleet.zones)
+        file_policy = document.policy_of(config.settings, fleet.cover, fleet.zones)
         policy = self.policy_replica.in_force
-        in_force = policy.body if policy.body is not None else self.file
-        if edited := document.edited(self.file, file, in_force):
+        in_force = policy.body if policy.body is not None else self.file_policy
+        if edits := document.conflicting_edits(self.file_policy, file_policy, in_force):
             raise ConfigError(
                 f"version {policy.version} of the fleet's policy holds, a change is to be proposed: "
-                + "; ".join(edited)
+                + "; ".join(edits)
             )
-        self.file, self.config = file, msgspec.structs.replace(self.config, settings=config.settings)
+        self.file_policy = file_policy
+        self.config = msgspec.structs.replace(self.config, settings=config.settings)
         return self._balancer_config_under(in_force, config)
 
     def answer_query(self, query: PolicyQueryFrame) -> list[Frame]:
--- a/starlingwheel/net/fleet/policy_poller.py
+++ b/starlingwheel/net/fleet/policy_poller.py
@@ -39,7 +39,7 @@
         """`lease`: seconds."""
         self.links, self.policy_replica, self.state_watcher = links, policy_replica, state_watcher
         self.rng, self.status_lifetime = rng, STATUS_LIFETIME * lease
-        self.register_at = -inf
+        self.register_again_at = -inf
         self.asked_at: dict[Group, float] = {}  # the last time, by group
         super().__init__(links.loop)
 
@@ -68,9 +68,9 @@
             link.post(CHECK_LINKS)
         for address in self._addresses(now):
             MemberQuery(self.links, address, replica.decided_version).begin()
-        if replica.promise is not None and now >= max(replica.promise.at, self.register_at):
+        if replica.promise is not None and now >= max(replica.promise.at, self.register_again_at):
             # The watch may have gone silent just when the decision is waited for.
-            self.register_at = now + replica.lease
+            self.register_again_at = now + replica.lease
             self.state_watcher.post(REGISTER_AGAIN)
 
     def _addresses(self, now: float) -> list[str]:
@@ -113,5 +113,5 @@
         for status in self.policy_replica.statuses.values():
             cell = view.cell_of(status.member)
             group = status.name if cell == own_cell else cell
-            latest[group] = max(status.at, latest.get(group, -inf))
+            latest[group] = max(status.made_at, latest.get(group, -inf))
         return latest
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -99,7 +99,7 @@
         past=[records.past[number] for number in sorted(records.past)],
         registered=policy_replica.registered_names,
         words={
-            status.name: PolicyStatusReport(status.version, round(now - status.at, 3))
+            status.name: PolicyStatusReport(status.version, round(now - status.made_at, 3))
             for status in policy_replica.statuses.values()
         },
         counts=policy_replica.counts,
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -83,7 +83,7 @@
 
 
 def body(**changed):
-    settings = {k: v for k, v in SETTINGS.items() if k not in document.OWN_KEYS} | changed
+    settings = {k: v for k, v in SETTINGS.items() if k not in document.MEMBER_KEYS} | changed
     return {"settings": settings, "cover": {"categories": ["buy"]}}
 
 
@@ -118,10 +118,10 @@
 
 def test_only_edits_of_a_file_conflict_with_the_policy_in_force():
     old, in_force = body(), body(rules={"mustAskIn": 5})
-    assert document.edited(old, old, in_force) == []
-    (fault,) = document.edited(old, body(rules={"mustAskIn": 7}), in_force)
+    assert document.conflicting_edits(old, old, in_force) == []
+    (fault,) = document.conflicting_edits(old, body(rules={"mustAskIn": 7}), in_force)
     assert fault == "settings.rules.mustAskIn: 7, where the policy in force says 5"
-    assert document.edited(old, in_force, in_force) == []
+    assert document.conflicting_edits(old, in_force, in_force) == []
 
 
 def test_unreadable_records_hide_no_others_and_raise_nothing():
@@ -149,17 +149,17 @@
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"fleet":"other"}', b'{"fleet":3}', b"\xff\xfe"])
 def test_an_unusable_votes_file_counts_as_missing_and_is_logged(tmp_path, data):
     lines = []
-    keep = VoteStore(str(tmp_path), "f", "n0", lambda event, **fields: lines.append(event))
-    keep.path.write_bytes(data)
-    assert keep.read() == StoredPolicy("f") and lines == ["policy.unreadable"]
+    vote_store = VoteStore(str(tmp_path), "f", "n0", lambda event, **fields: lines.append(event))
+    vote_store.path.write_bytes(data)
+    assert vote_store.read() == StoredPolicy("f") and lines == ["policy.unreadable"]
 
 
 def test_the_state_of_the_votes_file_says_why_it_cant_be_written(tmp_path):
-    keep = VoteStore(str(tmp_path / "gone"), "f", "n0", lambda event, **fields: None)
-    keep.write(StoredPolicy("f", ended=3))
-    while keep.state is None:
+    vote_store = VoteStore(str(tmp_path / "gone"), "f", "n0", lambda event, **fields: None)
+    vote_store.write(StoredPolicy("f", ended_proposal=3))
+    while vote_store.state is None:
         pass
-    assert "No such file" in keep.state
+    assert "No such file" in vote_store.state
 
 
 # One real sidecar.
--- a/tests/test_policy_over_links.py
+++ b/tests/test_policy_over_links.py
@@ -191,7 +191,7 @@
 
     def younger(self: PolicyReplica, members: Iterable[str], limit: int) -> list[PolicyStatus]:
         known = {**self.statuses}
-        self.statuses = {m: msgspec.structs.replace(w, at=self.now) for m, w in known.items()}
+        self.statuses = {m: msgspec.structs.replace(w, made_at=self.now) for m, w in known.items()}
         relayed = recent_statuses(self, self.statuses, limit)
         self.statuses = known
         return relayed
--- a/trials/emulated_member.py
+++ b/trials/emulated_member.py
@@ -182,7 +182,7 @@
     def _send_status(self, other: EmulatedMember) -> None:
         world = self.world
         made_at = self.clock() - world.rng.uniform(0, STATUS_DELAY)
-        status = msgspec.structs.replace(self.policy_replica.status(), at=made_at)
+        status = msgspec.structs.replace(self.policy_replica.status(), made_at=made_at)
         world.statuses_sent += 1
         if world.now < other.paused_until:
             other.pending_statuses[self.id] = status
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -320,7 +320,7 @@
         replicas = [
             (
                 name, r.member_id, r.in_force.version, r.decided_version, r.promise and r.promise.number,
-                r.ended, r.is_decision_known, r.lease_until, r.entry_revision, r.vote,
+                r.ended_proposal, r.is_decision_known, r.lease_until, r.entry_revision, r.vote,
                 sorted(r.statuses.items()), r.records.revision,
                 r.voter_left_at, sorted(r.turns.due_since.items()), self.events_seen[name],
                 r.started_from_file,
@@ -328,7 +328,7 @@
             for name, r in self.replicas.items()
         ]  # fmt: skip
         files = [
-            (name, stored.promise and stored.promise.number, stored.ended, stored.decision is None)
+            (name, stored.promise and stored.promise.number, stored.ended_proposal, stored.decision is None)
             for name, stored in self.files.items()
         ]
         entries = [(key, entry.create, entry.mod) for key, entry in sorted(self.store.entries.items())]
