--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -9,7 +9,8 @@
 from starlingwheel.fleet.shards import CHANGE_INTERVAL_LEASES, MAX_TURNS, STABLE_LEASES, TURN_LEASES, ShardMap
 from trials.broken import CELL_VARIANTS, OneReplicaAwaited, OutdatedCells
 from trials.emulated import HARSH, IDLE_LINK_TIMEOUT, FaultRates, Request, World, play
-from trials.model import QUIET, Bounds, explore
+from trials.model_replication import explore
+from trials.model_replication_events import SETTLES, Bounds, Event, EventKind
 
 CALM = FaultRates(0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
 CUT_OFF = FaultRates(
@@ -299,15 +300,31 @@
     assert any(outcome.broken for outcome in plays)
 
 
-GRANTED = (("asks", "g"), *[("arrives", "g", "a")] * 2, *[("arrives", "a", "g")] * 2)
+CLIENT_SENDS = Event(EventKind.CLIENT_SENDS, "g")
+SHARDS_CHANGE = Event(EventKind.SHARDS_CHANGE)
+TO_COORDINATOR = Event(EventKind.FRAME_ARRIVES, "g", "a")
+TO_OWNER = Event(EventKind.FRAME_ARRIVES, "a", "g")
+GRANTED = (CLIENT_SENDS, TO_COORDINATOR, TO_COORDINATOR, TO_OWNER, TO_OWNER)
+
+
+def view_changes(*names):
+    return [Event(EventKind.VIEW_CHANGES, name) for name in names]
+
+
 LOST_HOME = Bounds(
-    members=("g", "h", "a", "c"), cells=2, again=0, twins=1, linked=True, fall=("a",),
-    begun=(*GRANTED, ("crashes", "a"), ("views", "c"), ("views", "h"), ("arrives", "h", "c")),
+    members=("g", "h", "a", "c"), shards=2, retries=0, duplicates=1, is_linked=True, may_crash=("a",),
+    earlier_events=(
+        *GRANTED, Event(EventKind.CRASHES, "a"), *view_changes("c", "h"),
+        Event(EventKind.FRAME_ARRIVES, "h", "c"),
+    ),
 )  # fmt: skip
 WHO = ("g", "a", "c", "i", "b")
 CUT_ANEW = Bounds(
-    members=WHO, crashes=0, again=0, twins=1, linked=True, recuts=1,
-    begun=(("recuts",), *(("views", m) for m in WHO), QUIET, ("asks", "g"), QUIET, ("twin", "b")),
+    members=WHO, crashes=0, retries=0, duplicates=1, is_linked=True, shard_changes=1,
+    earlier_events=(
+        SHARDS_CHANGE, *view_changes(*WHO), SETTLES, CLIENT_SENDS, SETTLES,
+        Event(EventKind.DUPLICATE_SENT, "b"),
+    ),
 )  # fmt: skip
 
 
@@ -315,13 +332,13 @@
 def test_the_model_finds_the_order_that_breaks_a_variant_and_none_that_breaks_replication(kind, bounds):
     assert explore("exclusive", bounds, kind).broken
     explored = explore("exclusive", bounds)
-    assert explored.whole and not explored.broken
+    assert explored.complete and not explored.broken
 
 
 @pytest.mark.parametrize("cells", [1, 2])
 def test_every_order_of_a_change_of_the_cells_keeps_the_promise(cells):
     bounds = Bounds(
-        members=("g", "a", "b"), cells=cells, crashes=0, again=0, twins=1, recuts=1, linked=True,
-        states=4000, begun=(("asks", "g"), ("recuts",)),
+        members=("g", "a", "b"), shards=cells, crashes=0, retries=0, duplicates=1, shard_changes=1,
+        is_linked=True, max_states=4000, earlier_events=(CLIENT_SENDS, SHARDS_CHANGE),
     )  # fmt: skip
     assert not explore("exclusive", bounds).broken
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -7,7 +7,8 @@
 from starlingwheel.fleet.replication.replicator import BeginResult, RequestReplicator
 from trials.broken import VARIANTS, AttemptsNotRecorded
 from trials.emulated import HARSH, Request, World, play
-from trials.model import Bounds, explore
+from trials.model_replication import explore
+from trials.model_replication_events import Bounds
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -32,11 +33,11 @@
 
 def test_every_order_of_one_crash_keeps_the_promise():
     explored = explore("exclusive", Bounds())
-    assert explored.whole and not explored.broken and explored.states > 1000
+    assert explored.complete and not explored.broken and explored.states > 1000
 
 
 def test_the_model_finds_the_order_that_breaks_a_variant():
-    assert explore("exclusive", Bounds(twins=1, states=5000), AttemptsNotRecorded).broken
+    assert explore("exclusive", Bounds(duplicates=1, max_states=5000), AttemptsNotRecorded).broken
 
 
 def synced_world(members):
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -23,8 +23,8 @@
 from trials import policy
 from trials.broken import POLICY_VARIANTS, LeaseTrustedOver, NoBinding, NoDoubt
 from trials.emulated_policy import QUIET, play
-from trials.model_events import Bounds
 from trials.model_policy import explore
+from trials.model_policy_events import Bounds
 from trials.policy_scenes import SCENES
 from trials.rig import ROOT, Rig
 
@@ -55,7 +55,9 @@
     assert any(scene(kind).broken() for scene in SCENES.values())
 
 
-@pytest.mark.parametrize("bounds", [Bounds(cuts=0, words=0, stalls=1), Bounds(cuts=0, words=0, stops=1)])
+@pytest.mark.parametrize(
+    "bounds", [Bounds(cuts=0, statuses=0, watch_stalls=1), Bounds(cuts=0, statuses=0, pauses=1)]
+)
 def test_every_order_of_one_change_keeps_the_promise(bounds):
     exploration = explore(bounds)
     assert exploration.complete and not exploration.broken and exploration.decided and exploration.dropped
@@ -63,7 +65,7 @@
 
 @pytest.mark.parametrize("kind", [NoBinding, NoDoubt, LeaseTrustedOver])
 def test_the_model_finds_the_order_that_breaks_a_variant(kind):
-    assert explore(Bounds(cuts=0, words=0, stops=1), kind).broken
+    assert explore(Bounds(cuts=0, statuses=0, pauses=1), kind).broken
 
 
 @pytest.mark.xdist_group("trials-1")
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -7,20 +7,22 @@
 from __future__ import annotations
 
 import copy
-from collections import deque
+from collections import Counter
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.policy.document import Body
 from starlingwheel.fleet.policy.host import StoredPolicy
 from starlingwheel.fleet.policy.replica import PolicyReplica
-from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, Policy, StoreRecords, Transaction
+from starlingwheel.fleet.records import MEMBERS, NAMES, NEXT, StoreRecords, Transaction
 
 from .emulated_store import EmulatedStore
-from .model_events import FAULTS, LIMITED, Bounds, Event, EventKind
+from .model_policy_events import FAULTS, LIMITED, Bounds, Event, EventKind
+from .model_policy_host import DecisionRequest, ModelHost, copy_replica
+from .model_search import Exploration, search
 
 LEASE, SWITCH_DELAY, TICK = 1.0, 3.0, 1.0  # seconds
 MEMBER_NAMES = ("a", "b", "c")
@@ -30,45 +32,11 @@
 ReplicaType = Callable[..., PolicyReplica]
 
 
-class ModelHost:
-    """What a member asks of its host: the model does what matters."""
+class DelayedWrite(NamedTuple):
+    """A transaction that has not reached the store yet, and the name of its member."""
 
-    def __init__(self, model: Model | None, name: str) -> None:
-        """Without a model, what is asked leaves no trace."""
-        self.model, self.name = model, name
-
-    def check(self, body: Body) -> str:
-        """Every member can follow every policy."""
-        return ""
-
-    def store(self, stored: StoredPolicy) -> None:
-        """Store it in the model's files."""
-        if self.model is not None:
-            self.model.files[self.name] = copy.copy(stored)
-
-    def store_state(self) -> str | None:
-        """All is stored at once."""
-        return ""
-
-    def put_in_force(self, policy: Policy) -> None:
-        """Nothing has to be put in force."""
-
-    def request_decision(self, member: str) -> None:
-        """Remember who asked for whose decision."""
-        if self.model is not None:
-            self.model.decisions_asked.append((self.name, member))
-
-    def log_event(self, event: str, **fields: object) -> None:
-        """Nothing is logged."""
-
-
-def copy_replica(replica: PolicyReplica, host: ModelHost) -> PolicyReplica:
-    """A copy of a member that shares what is never changed in place."""
-    other = copy.copy(replica)
-    other.host, other.stored = host, copy.copy(replica.stored)
-    other.peer_statuses, other.turns = replica.peer_statuses.copy(), replica.turns.copy()
-    other.counts = replica.counts.copy()
-    return other
+    member: str
+    transaction: Transaction
 
 
 @dataclass
@@ -83,16 +51,16 @@
     files: dict[str, StoredPolicy] = field(default_factory=dict)
     leases: dict[str, float] = field(default_factory=dict)
     cut: set[str] = field(default_factory=set)
-    stopped: set[str] = field(default_factory=set)
+    paused: set[str] = field(default_factory=set)
     stalled: set[str] = field(default_factory=set)
-    delayed: list[tuple[str, Transaction]] = field(default_factory=list)
+    delayed: list[DelayedWrite] = field(default_factory=list)
     remaining: dict[str, int] = field(default_factory=dict)  # of each of `LIMITED`
-    decisions_asked: list[tuple[str, str]] = field(default_factory=list)
+    decision_requests: list[DecisionRequest] = field(default_factory=list)
     now: float = 0.0
     started: int = 0
-    took_old_after_switch: bool = False
-    took_new: bool = False
-    took_new_before_switch: bool = False
+    served_old_after_switch: bool = False
+    served_new: bool = False
+    served_new_before_switch: bool = False
 
     def begin(self, bounds: Bounds) -> Model:
         """All members have entered and know it, and one has proposed the change."""
@@ -141,50 +109,50 @@
         other.records = {name: records.copy() for name, records in self.records.items()}
         for name in ("events_seen", "files", "leases", "remaining"):
             setattr(other, name, dict(getattr(self, name)))
-        other.cut, other.stopped, other.stalled = set(self.cut), set(self.stopped), set(self.stalled)
+        other.cut, other.paused, other.stalled = set(self.cut), set(self.paused), set(self.stalled)
         other.delayed = self.delayed[:]
-        other.decisions_asked = []
+        other.decision_requests = []
         return other
 
     # What may happen next.
 
     def events(self) -> Iterator[Event]:
         """All events that may happen in this state."""
-        for name in sorted(self.stopped):
-            yield Event(EventKind.GOES_ON, name)
+        for name in sorted(self.paused):
+            yield Event(EventKind.RESUMES, name)
         for name in self.replicas:
-            if name not in self.stopped:
+            if name not in self.paused:
                 yield from self._events_of(name)
         for name in MEMBER_NAMES:
             if name not in self.replicas:
                 yield Event(EventKind.STARTS, name)
         for place in range(len(self.delayed)):
-            yield Event(EventKind.ARRIVES, str(place))
-        if self.remaining["words"]:
+            yield Event(EventKind.WRITE_ARRIVES, place=place)
+        if self.remaining["statuses"]:
             yield from self._status_events()
         yield from self._expiry_events()
         if self.remaining["ticks"]:
-            yield Event(EventKind.TICKS)
+            yield Event(EventKind.TIME_PASSES)
 
     def _expiry_events(self) -> Iterator[Event]:
         for name, until in self.leases.items():
             if until <= self.now and self._entry(name):
-                yield Event(EventKind.EXPIRES, name)
+                yield Event(EventKind.LEASE_EXPIRES, name)
 
     def _events_of(self, name: str) -> Iterator[Event]:
         """What a member may do, or what may happen to it."""
         if name not in self.cut and self._has_to_write(name):
             yield Event(EventKind.WRITES, name)
-            if self.remaining["late"]:
-                yield Event(EventKind.WRITES_LATE, name)
+            if self.remaining["delayed_writes"]:
+                yield Event(EventKind.WRITE_DELAYED, name)
         if self.remaining["crashes"]:
             yield Event(EventKind.CRASHES, name)
-        if self.remaining["stops"]:
-            yield Event(EventKind.STOPS, name)
+        if self.remaining["pauses"]:
+            yield Event(EventKind.PAUSES, name)
         if self.remaining["cuts"] and name not in self.cut:
-            yield Event(EventKind.CUT, name)
-        if self.remaining["stalls"] and name not in self.stalled:
-            yield Event(EventKind.STALLS, name)
+            yield Event(EventKind.CUT_OFF, name)
+        if self.remaining["watch_stalls"] and name not in self.stalled:
+            yield Event(EventKind.WATCH_STALLS, name)
 
     def _has_to_write(self, name: str) -> bool:
         replica = self.replicas[name]
@@ -197,8 +165,8 @@
         for sender in self.replicas:
             for receiver in self.replicas:
                 pair = {sender, receiver}
-                if sender != receiver and not pair & self.stopped and pair & (self.cut | self.stalled):
-                    yield Event(EventKind.SAYS, sender, receiver)
+                if sender != receiver and not pair & self.paused and pair & (self.cut | self.stalled):
+                    yield Event(EventKind.STATUS_SENT, sender, receiver)
 
     def _entry(self, name: str) -> str:
         """The key of the member's entry; empty: it has none."""
@@ -211,7 +179,7 @@
         self._apply(event)
         # Requests may come before what the store has done is known, and after.
         self._take_requests()
-        for name in self.replicas.keys() - self.cut - self.stopped - self.stalled:
+        for name in self.replicas.keys() - self.cut - self.paused - self.stalled:
             if self.events_seen[name] != len(self.store.events):
                 self._watch(name)
         self._take_requests()
@@ -222,42 +190,39 @@
             self._apply_fault(event.kind, name)
             return
         match event.kind:
-            case EventKind.WATCHES:
-                self._watch(name)
             case EventKind.WRITES:
                 self.store.write(self._due(name))
-            case EventKind.ARRIVES:
-                _, transaction = self.delayed.pop(int(name))
-                self.store.write(transaction)
+            case EventKind.WRITE_ARRIVES:
+                self.store.write(self.delayed.pop(event.place).transaction)
             case EventKind.STARTS:
                 self._start(name)
                 if name not in self.cut:
                     self._renew(name)
-            case EventKind.SAYS:
-                self.remaining["words"] -= 1
+            case EventKind.STATUS_SENT:
+                self.remaining["statuses"] -= 1
                 self._send_status(name, event.receiver)
-            case EventKind.EXPIRES:
+            case EventKind.LEASE_EXPIRES:
                 self._expire(name)
-            case EventKind.TICKS:
+            case EventKind.TIME_PASSES:
                 self._tick()
 
     def _apply_fault(self, kind: EventKind, name: str) -> None:
         match kind:
-            case EventKind.STOPS:
-                self.remaining["stops"] -= 1
-                self.stopped.add(name)
-            case EventKind.GOES_ON:
-                self.stopped.discard(name)
+            case EventKind.PAUSES:
+                self.remaining["pauses"] -= 1
+                self.paused.add(name)
+            case EventKind.RESUMES:
+                self.paused.discard(name)
             case EventKind.CRASHES:
                 self.remaining["crashes"] -= 1
                 del self.replicas[name]
-            case EventKind.CUT:
+            case EventKind.CUT_OFF:
                 self.remaining["cuts"] -= 1
                 self.cut.add(name)
-            case EventKind.WRITES_LATE:
-                self.remaining["late"] -= 1
-                self.delayed.append((name, self._due(name)))
-            case EventKind.STALLS:
+            case EventKind.WRITE_DELAYED:
+                self.remaining["delayed_writes"] -= 1
+                self.delayed.append(DelayedWrite(name, self._due(name)))
+            case EventKind.WATCH_STALLS:
                 pass  # not modelled: the state stays as it is
 
     def _expire(self, name: str) -> None:
@@ -268,7 +233,7 @@
     def _tick(self) -> None:
         self.remaining["ticks"] -= 1
         self.now += TICK
-        for name in self.replicas.keys() - self.cut - self.stopped:
+        for name in self.replicas.keys() - self.cut - self.paused:
             self._renew(name)
 
     def _due(self, name: str) -> Transaction:
@@ -279,12 +244,15 @@
     def _send_status(self, sender: str, receiver: str) -> None:
         """A status, and the decisions that are asked for because of it."""
         self.replicas[receiver].receive_status(self.replicas[sender].status())
-        for asking, member_id in self.decisions_asked:
-            replica = self.replicas.get(asking)
-            asked = next((other for other in self.replicas.values() if other.member_id == member_id), None)
+        for request in self.decision_requests:
+            replica = self.replicas.get(request.sender)
+            asked = self._replica_of(request.member_id)
             if replica is not None and asked is not None and asked.decision is not None:
                 replica.receive_decision(asked.decision)
-        self.decisions_asked.clear()
+        self.decision_requests.clear()
+
+    def _replica_of(self, member_id: str) -> PolicyReplica | None:
+        return next((replica for replica in self.replicas.values() if replica.member_id == member_id), None)
 
     def _watch(self, name: str) -> None:
         replica, records, store = self.replicas[name], self.records[name], self.store
@@ -308,12 +276,12 @@
         """Requests that come now, at every member."""
         for name, replica in self.replicas.items():
             replica.now = self.now
-            if name in self.stopped or replica.unavailable_reason():
+            if name in self.paused or replica.unavailable_reason():
                 continue
             version = replica.in_force.version
-            self.took_old_after_switch |= version == 0 and self.now >= SWITCH_DELAY
-            self.took_new |= version == 1
-            self.took_new_before_switch |= version == 1 and self.now < SWITCH_DELAY
+            self.served_old_after_switch |= version == 0 and self.now >= SWITCH_DELAY
+            self.served_new |= version == 1
+            self.served_new_before_switch |= version == 1 and self.now < SWITCH_DELAY
 
     def key(self) -> str:
         """The text of a state: two of one text go on alike."""
@@ -336,60 +304,40 @@
             self.remaining,
             self.now,
             sorted(self.cut),
-            [(name, transaction.what) for name, transaction in self.delayed],
+            [(write.member, write.transaction.what) for write in self.delayed],
             sorted(self.leases.items()),
-            self.took_old_after_switch,
-            self.took_new,
+            self.served_old_after_switch,
+            self.served_new,
         )
         return repr((replicas, sorted(files), entries, world))
 
     def broken(self) -> str:
         """The promise that was broken on the way to this state; empty: none."""
         decided = bool(self.store.decided)
-        if self.took_old_after_switch and decided:
+        if self.served_old_after_switch and decided:
             return "decided, and work was taken under the old one after the switch time"
-        if self.took_new and not decided:
+        if self.served_new and not decided:
             return "work was taken under one that was not decided"
-        if self.took_new_before_switch:
+        if self.served_new_before_switch:
             return "work was taken under the new one before the switch time"
         return ""
 
 
 @dataclass
-class Exploration:
-    """What was found."""
+class PolicyExploration(Exploration[Event]):
+    """What a search of the model has found."""
 
-    states: int
-    complete: bool  # all states within the bounds were seen
-    broken: list[tuple[str, list[Event]]]  # a promise, and the history that breaks it
     decided: int = 0  # states in which the change is decided
     dropped: int = 0
 
 
-def explore(bounds: Bounds, replica_type: ReplicaType = PolicyReplica) -> Exploration:
-    """Breadth first; the first history that breaks a promise is the shortest."""
-    first = Model(replica_type).begin(bounds)
-    seen = {first.key()}
-    waiting: deque[tuple[Model, list[Event]]] = deque([(first, [])])
-    found = Exploration(1, True, [])
-    while waiting:
-        model, history = waiting.popleft()
-        found.decided += bool(model.store.decided)
-        found.dropped += not model.store.decided and NEXT not in model.store.entries
-        for event in list(model.events()):
-            after = model.copy()
-            after.apply(event)
-            if fault := after.broken():
-                found.states, found.complete = len(seen), False
-                found.broken.append((fault, [*history, event]))
-                return found
-            key = after.key()
-            if key in seen:
-                continue
-            if len(seen) >= bounds.states:
-                found.states, found.complete = len(seen), False
-                return found
-            seen.add(key)
-            waiting.append((after, [*history, event]))
-    found.states = len(seen)
-    return found
+def explore(bounds: Bounds, replica_type: ReplicaType = PolicyReplica) -> PolicyExploration:
+    """All orders within the bounds."""
+    counts: Counter[str] = Counter()
+
+    def count_end(model: Model) -> None:
+        counts["decided"] += bool(model.store.decided)
+        counts["dropped"] += not model.store.decided and NEXT not in model.store.entries
+
+    found = search(Model(replica_type).begin(bounds), Model.copy, bounds.max_states, count_end)
+    return PolicyExploration(found.states, found.complete, found.broken, counts["decided"], counts["dropped"])
--- a/trials/model_state.py
+++ b/trials/model_replication_state.py
@@ -2,60 +2,24 @@
 
 from __future__ import annotations
 
-import copy
 from collections import deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from typing import Any
 
 from starlingwheel.decisions.config import RetrySafety
-from starlingwheel.fleet.frames import AttemptIntent, Frame, RecordedRequest, RecordedResponse, ReplicateFrame
+from starlingwheel.fleet.frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame
 from starlingwheel.fleet.membership import Member, MembershipView
 from starlingwheel.fleet.replication.request import BeginResult, ReplicatedRequest
 
-from .model_text import replicator_text
+from .model_replication_events import LIMITED, LINK_EVENTS, SETTLES, Bounds, Event, EventKind
+from .model_replication_host import Client, ModelHost, UnsentAttempt
+from .model_replication_text import replicator_text
 
-MEMBERS = ("a", "b", "c")
 TIMEOUT = 100.0  # seconds, of the request: longer than any history
 MEMORY_LIMIT = 1 << 20  # bytes recorded for other members
 KEY = b"x"
 LINK_END = "end"  # in place of a frame: the link has ended at the other side
-Event = tuple[str, ...]  # its name, and the members or numbers that it concerns
-QUIET: Event = ("quiet",)
-
-
-@dataclass(frozen=True)
-class Bounds:
-    """How often each fault may happen in one history."""
-
-    crashes: int = 1
-    cuts: int = 0
-    again: int = 1  # retries of clients
-    twins: int = 0  # requests of other clients with the same key
-    states: int = 60_000  # explored at most
-    members: tuple[str, ...] = MEMBERS
-    cells: int = 1
-    recuts: int = 0  # one cell into two, or two into one
-    misses: int = 0  # a link that is dialled does not come up, though its member lives
-    rests: int = 0  # a link between cells that neither side needs ends
-    linked: bool = False  # there are links between cells too, as if left by earlier requests
-    fall: tuple[str, ...] = ()  # who may crash; empty: anybody
-    begun: tuple[Event, ...] = ()  # what has happened before; `QUIET`: all frames have arrived
-
-
-COUNTED = ("crashes", "cuts", "again", "twins", "recuts", "misses", "rests")  # bounds that events use up
-
-
-class Client:
-    """One attempt of a client."""
-
-    def __init__(self, number: int) -> None:
-        """`number`: of the attempts before."""
-        self.number, self.end = number, 0
-
-    def __repr__(self) -> str:
-        """Number and status, as the text of a state has them."""
-        return f"c{self.number}:{self.end}"
 
 
 @dataclass
@@ -67,17 +31,17 @@
     replicators: dict[str, Any] = field(default_factory=dict)
     queues: dict[tuple[str, str], deque[Any]] = field(default_factory=dict)  # frames under way
     links: set[tuple[str, str]] = field(default_factory=set)
-    writes: list[tuple[str, int]] = field(default_factory=list)  # attempts that are released, not written yet
+    unsent: list[UnsentAttempt] = field(default_factory=list)
     running: list[str] = field(default_factory=list)  # members whose attempts run at an endpoint
     runs: int = 0
     clients: list[Client] = field(default_factory=list)
-    asked: dict[str, str] = field(default_factory=dict)  # by number of a client: the member that it asked
-    left: dict[str, int] = field(default_factory=dict)  # how often each counted event may still happen
+    asked: dict[int, str] = field(default_factory=dict)  # by number of a client: the member that it asked
+    remaining: dict[str, int] = field(default_factory=dict)  # of each of `LIMITED`
     views: list[MembershipView] = field(default_factory=list)  # one after another
     seen_view: dict[str, int] = field(default_factory=dict)  # by member: the view that it has seen last
     dialling: set[tuple[str, str]] = field(default_factory=set)
-    last: str = ""  # member that another client asks
-    fall: tuple[str, ...] = ()
+    duplicate_at: str = ""  # the member that another client sends to
+    may_crash: tuple[str, ...] = ()  # empty: anybody
 
     @property
     def view(self) -> MembershipView:
@@ -87,9 +51,10 @@
     def begin(self, bounds: Bounds) -> Model:
         """Start all members, and make happen what has happened before."""
         members = [Member(name, name, "", name) for name in bounds.members]
-        self.views, self.last = [MembershipView(members, bounds.cells)], bounds.members[-1]
-        self.fall = bounds.fall
-        self.left = {name: getattr(bounds, name) for name in COUNTED}
+        self.views = [MembershipView(members, bounds.shards)]
+        self.duplicate_at = bounds.members[-1]
+        self.may_crash = bounds.may_crash
+        self.remaining = {name: getattr(bounds, name) for name in LIMITED}
         for name in bounds.members:
             host = ModelHost(self, name)
             self.replicators[name] = self.replicator_type(name, TIMEOUT, 1, MEMORY_LIMIT, host, 0.0)
@@ -99,14 +64,14 @@
             for other in bounds.members:
                 if one != other:
                     self.queues[one, other] = deque()
-                    if bounds.linked or self._are_peers(one, other):
+                    if bounds.is_linked or self._are_peers(one, other):
                         self.links.add((one, other))
         for name in bounds.members:
             self.replicators[name].view_changed(self.view, True)
         for one, other in sorted(self.links):
             self.replicators[one].link_up(other)
-        for event in (QUIET, *bounds.begun):
-            self.do(event)
+        for event in (SETTLES, *bounds.earlier_events):
+            self.apply(event)
         return self
 
     # What may happen next.
@@ -115,65 +80,65 @@
         """All events that may happen in this state."""
         for way, queue in self.queues.items():
             if queue and way[1] in self.replicators:
-                yield ("arrives", *way)
-        for number in range(len(self.writes)):
-            yield ("writes", str(number))
-        for number in range(len(self.running)):
-            yield ("finishes", str(number))
+                yield Event(EventKind.FRAME_ARRIVES, *way)
+        for place in range(len(self.unsent)):
+            yield Event(EventKind.ATTEMPT_SENT, place=place)
+        for place in range(len(self.running)):
+            yield Event(EventKind.ATTEMPT_ENDS, place=place)
         if not self.clients:
-            yield ("asks", next(iter(self.replicators)))
+            yield Event(EventKind.CLIENT_SENDS, next(iter(self.replicators)))
             return
         yield from self._link_events()
         yield from self._member_events()
         yield from self._client_events()
-        if self.left["recuts"]:
-            yield ("recuts",)
+        if self.remaining["shard_changes"]:
+            yield Event(EventKind.SHARDS_CHANGE)
 
     def _link_events(self) -> Iterator[Event]:
         for one, other in sorted(self.dialling):
             if other not in self.replicators or self._may_link(one, other):
-                yield ("reaches", one, other)
-            if other in self.replicators and self.left["misses"]:
-                yield ("misses", one, other)
+                yield Event(EventKind.DIAL_ENDS, one, other)
+            if other in self.replicators and self.remaining["failed_dials"]:
+                yield Event(EventKind.DIAL_FAILS, one, other)
         for one, other in sorted(self.queues):
             if one >= other or one not in self.replicators or other not in self.replicators:
                 continue
             peers = self._are_peers(one, other)
             if (one, other) not in self.dialling and peers and self._may_link(one, other):
-                yield ("links", one, other)
-            may_rest = self.left["rests"] and (one, other) in self.links and not peers
-            if may_rest and not self._is_needed(one, other):
-                yield ("rests", one, other)
+                yield Event(EventKind.LINK_UP, one, other)
+            may_close = self.remaining["idle_closes"] and (one, other) in self.links and not peers
+            if may_close and not self._is_needed(one, other):
+                yield Event(EventKind.LINK_IDLE, one, other)
 
     def _member_events(self) -> Iterator[Event]:
         for name in self.replicators:
             if self.seen_view[name] < len(self.views) - 1:
-                yield ("views", name)
-            may_crash = self.left["crashes"] and len(self.replicators) > 2
-            if may_crash and name in (self.fall or self.replicators):
-                yield ("crashes", name)
-        if self.left["cuts"]:
+                yield Event(EventKind.VIEW_CHANGES, name)
+            may_crash = self.remaining["crashes"] and len(self.replicators) > 2
+            if may_crash and name in (self.may_crash or self.replicators):
+                yield Event(EventKind.CRASHES, name)
+        if self.remaining["cuts"]:
             for one, other in sorted(self.links):
                 if one < other:
-                    yield ("cuts", one, other)
+                    yield Event(EventKind.LINK_CUT, one, other)
 
     def _client_events(self) -> Iterator[Event]:
         clients_lost = all(
-            client.end or self.asked[str(client.number)] not in self.replicators for client in self.clients
+            client.status or self.asked[client.number] not in self.replicators for client in self.clients
         )
-        if clients_lost and self.left["again"] and self.clients[-1].end not in (200, 504):
+        if clients_lost and self.remaining["retries"] and self.clients[-1].status not in (200, 504):
             for name in self.replicators:
-                yield ("asks", name)
-        if self.left["twins"] and self.last in self.replicators:
-            yield ("twin", self.last)
+                yield Event(EventKind.CLIENT_SENDS, name)
+        if self.remaining["duplicates"] and self.duplicate_at in self.replicators:
+            yield Event(EventKind.DUPLICATE_SENT, self.duplicate_at)
 
     def _are_peers(self, one: str, other: str) -> bool:
-        """They are of one cell, as one of them sees it: they keep a link."""
+        """They are of one shard, as one of them sees it: they keep a link."""
         seen = {self.views[self.seen_view[name]] for name in (one, other) if name in self.seen_view}
         return any(view.cell_of(one) == view.cell_of(other) for view in seen or {self.view})
 
     def _may_link(self, one: str, other: str) -> bool:
-        """No frame is left of a link before, and both know as many cells."""
+        """No frame is left of a link before, and both know as many shards."""
         ways = (one, other), (other, one)
         used = any(way in self.links or self.queues[way] for way in ways)
         views = [self.views[self.seen_view[name]] for name in (one, other)]
@@ -185,21 +150,55 @@
 
     # What happens.
 
-    def do(self, event: Event) -> None:
-        """Make an event happen."""
-        name, *arguments = event
-        getattr(self, f"_do_{name}")(*arguments)
-
-    def _do_quiet(self) -> None:
+    def apply(self, event: Event) -> None:
+        """Have the event happen, with all that follows from it."""
+        if event.kind in LINK_EVENTS:
+            self._apply_link_event(event.kind, event.member, event.peer)
+            return
+        match event.kind:
+            case EventKind.ATTEMPT_SENT:
+                self._send_attempt(event.place)
+            case EventKind.ATTEMPT_ENDS:
+                self._end_attempt(event.place)
+            case EventKind.CLIENT_SENDS:
+                self._send_or_retry(event.member)
+            case EventKind.DUPLICATE_SENT:
+                self._send_duplicate(event.member)
+            case EventKind.VIEW_CHANGES:
+                self._change_view(event.member)
+            case EventKind.SHARDS_CHANGE:
+                self._change_shards()
+            case EventKind.CRASHES:
+                self._crash(event.member)
+            case EventKind.SETTLES:
+                self._settle()
+
+    def _apply_link_event(self, kind: EventKind, one: str, other: str) -> None:
+        match kind:
+            case EventKind.FRAME_ARRIVES:
+                self._deliver_frame(one, other)
+            case EventKind.LINK_UP:
+                self._link(one, other)
+            case EventKind.LINK_CUT:
+                self._cut_link(one, other)
+            case EventKind.LINK_IDLE:
+                self._close_idle_link(one, other)
+            case EventKind.DIAL_ENDS:
+                self._end_dial(one, other)
+            case EventKind.DIAL_FAILS:
+                self.remaining["failed_dials"] -= 1
+                self._fail_link(one, other)
+
+    def _settle(self) -> None:
         """All frames arrive, and all links come up."""
         while self.dialling or any(self.queues.values()):
             for way in sorted(self.dialling):
-                self.do(("reaches", *way))
+                self._end_dial(*way)
             for way in self.queues:
                 if self.queues[way]:
-                    self.do(("arrives", *way))
+                    self._deliver_frame(*way)
 
-    def _do_arrives(self, one: str, other: str) -> None:
+    def _deliver_frame(self, one: str, other: str) -> None:
         """The next frame from one member to another arrives."""
         frame = self.queues[one, other].popleft()
         if frame == LINK_END:
@@ -207,75 +206,71 @@
         elif (other, one) in self.links:
             self.replicators[other].frame_received(one, frame)
 
-    def _do_writes(self, number: str) -> None:
-        """A released attempt is written."""
-        name, _ = self.writes.pop(int(number))
+    def _send_attempt(self, place: int) -> None:
+        """A released attempt is sent to an endpoint."""
+        name = self.unsent.pop(place).member
         if name in self.replicators:
             self.runs += 1
             self.running.append(name)
 
-    def _do_finishes(self, number: str) -> None:
+    def _end_attempt(self, place: int) -> None:
         """An endpoint answers."""
-        name = self.running.pop(int(number))
+        name = self.running.pop(place)
         if name in self.replicators:
             for request in list(self.replicators[name].requests.values()):
                 self._answer(name, request, RecordedResponse(200))
 
-    def _do_asks(self, name: str) -> None:
+    def _send_or_retry(self, name: str) -> None:
         """A client sends the request to a member, or retries it there."""
         is_retry = bool(self.clients)
-        self.left["again"] -= is_retry
+        self.remaining["retries"] -= is_retry
         self._ask(name, is_retry)
 
-    def _do_twin(self, name: str) -> None:
+    def _send_duplicate(self, name: str) -> None:
         """Another client sends a request with the same key."""
-        self.left["twins"] -= 1
+        self.remaining["duplicates"] -= 1
         self._ask(name, is_retry=False)
 
-    def _do_views(self, name: str) -> None:
+    def _change_view(self, name: str) -> None:
         """A member sees the next view."""
         self.seen_view[name] += 1
         self.replicators[name].view_changed(self.views[self.seen_view[name]], False)
 
-    def _do_recuts(self) -> None:
-        """The count of cells changes."""
-        self.left["recuts"] -= 1
+    def _change_shards(self) -> None:
+        """The count of shards changes."""
+        self.remaining["shard_changes"] -= 1
         self.views.append(MembershipView(self.view.members.values(), 1 if self.view.cells == 2 else 2))
 
-    def _do_links(self, one: str, other: str) -> None:
+    def _link(self, one: str, other: str) -> None:
         """A link comes up."""
         self.links |= {(one, other), (other, one)}
         for name, peer in ((one, other), (other, one)):
             self.dialling.discard((name, peer))
             self.replicators[name].link_up(peer)
 
-    def _do_reaches(self, one: str, other: str) -> None:
+    def _end_dial(self, one: str, other: str) -> None:
         """A link that is dialled comes up, or fails where the other member is lost."""
         if other in self.replicators:
-            self._do_links(one, other)
+            self._link(one, other)
         else:
             self._fail_link(one, other)
 
-    def _do_misses(self, one: str, other: str) -> None:
-        """A link that is dialled does not come up."""
-        self.left["misses"] -= 1
-        self._fail_link(one, other)
-
     def _fail_link(self, one: str, other: str) -> None:
+        """A link that is dialled does not come up."""
         self.dialling.discard((one, other))
         self.replicators[one].link_failed(other)
 
-    def _do_rests(self, one: str, other: str) -> None:
+    def _close_idle_link(self, one: str, other: str) -> None:
         """One side ends a link that neither needs; the other notices in order."""
-        self.left["rests"] -= 1
+        self.remaining["idle_closes"] -= 1
         self.queues[one, other].append(LINK_END)
         self._close(one, other)
 
-    def _do_crashes(self, name: str) -> None:
+    def _crash(self, name: str) -> None:
         """A member is lost; the view without it follows."""
-        self.left["crashes"] -= 1
+        self.remaining["crashes"] -= 1
         del self.replicators[name]
-        self.writes = [write for write in self.writes if write[0] != name]
+        self.unsent = [attempt for attempt in self.unsent if attempt.member != name]
         for one, other in list(self.links):
             if one == name:
                 self.links.discard((one, other))
@@ -285,9 +280,9 @@
         self.views.append(MembershipView(members, self.view.cells))
         self.seen_view = {member: self.seen_view[member] for member in self.replicators}
 
-    def _do_cuts(self, one: str, other: str) -> None:
+    def _cut_link(self, one: str, other: str) -> None:
         """Nothing in between arrives; both sides notice the silence, each by itself."""
-        self.left["cuts"] -= 1
+        self.remaining["cuts"] -= 1
         for way in ((one, other), (other, one)):
             self.queues[way].clear()
             self.queues[way].append(LINK_END)
@@ -302,7 +297,7 @@
     def _ask(self, name: str, is_retry: bool) -> None:
         client = Client(len(self.clients))
         self.clients.append(client)
-        self.asked[str(client.number)] = name
+        self.asked[client.number] = name
         content = RecordedRequest(b"", b"", [], b"", b"")
         frame = ReplicateFrame(
             KEY, name, 0, False, b"", "c", self.effect, 0.0, TIMEOUT, is_retry, content, []
@@ -311,7 +306,7 @@
         if result is BeginResult.RUN:
             self.start_attempt(name, request)
         elif result is BeginResult.RESPOND:
-            client.end = request.response.status
+            client.status = request.response.status
 
     def start_attempt(self, name: str, request: ReplicatedRequest) -> None:
         """A member's decisions start an attempt, or fail the request."""
@@ -333,7 +328,7 @@
         if given is None:
             replicator.wait_on(request, client, until)
         else:
-            client.end = client.end or given.status
+            client.status = client.status or given.status
 
     # Verdict, and comparison of states.
 
@@ -346,44 +341,6 @@
     def key(self) -> str:
         """The text of a state: two of one text go on alike."""
         replicators = [replicator_text(name, member) for name, member in self.replicators.items()]
-        events = (self.queues, sorted(self.links), sorted(self.writes), self.running, self.runs, self.clients)
+        events = (self.queues, sorted(self.links), sorted(self.unsent), self.running, self.runs, self.clients)
         views = [view.digest for view in self.views]
-        return repr((replicators, events, self.left, self.seen_view, views, sorted(self.dialling)))
-
-
-class ModelHost:
-    """Carries out what a member's replicator decides, in the model."""
-
-    def __init__(self, model: Model, name: str) -> None:
-        """`name`: of the member."""
-        self.model, self.name = model, name
-
-    def dial(self, member: str) -> bool:
-        """Open a link to a member of another cell."""
-        self.model.dialling.add((self.name, member))
-        return True
-
-    def send_frame(self, member: str, frame: Frame) -> bool:
-        """Send a frame to a member. False: there is no link to it now."""
-        if (self.name, member) not in self.model.links:
-            return False
-        self.model.queues[self.name, member].append(copy.deepcopy(frame))
-        return True
-
-    def release_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """The attempt of that intent may be written."""
-        self.model.writes.append((self.name, number))
-
-    def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """The attempt of that intent must never be written: in the model it never was."""
-
-    def decide(self, request: ReplicatedRequest) -> None:
-        """Dispatch a request with its history."""
-        self.model.start_attempt(self.name, request)
-
-    def answer(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
-        """Give the final response to a client that waits here."""
-        client.end = client.end or response.status
-
-    def log_event(self, event: str, **fields: object) -> None:
-        """The model writes no log."""
+        return repr((replicators, events, self.remaining, self.seen_view, views, sorted(self.dialling)))
