--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -21,7 +21,7 @@
 from starlingwheel.fleet.records import StoreEntry, StoreRecords
 from starlingwheel.net.fleet.policy import VoteStore
 from trials import policy
-from trials.broken import POLICY_VARIANTS, LeaseTrustedOver, NoBinding, NoDoubt
+from trials.broken import POLICY_VARIANTS, ServesUndecided, TrustsLease, VoteNotBinding
 from trials.emulated_policy import QUIET, play
 from trials.model_policy import explore
 from trials.model_policy_events import Bounds
@@ -31,18 +31,18 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_under_all_faults_the_fleet_follows_one_policy(seed):
-    counts, broken = play(seed)
-    assert not broken and counts["taken"] > 10_000 and not counts["open"]
+    played = play(seed)
+    assert not played.broken and played.requests_taken > 10_000 and not played.is_proposal_open
 
 
 def test_without_faults_each_change_is_decided_unless_a_member_votes_no():
-    total = [play(seed, faults=QUIET)[0] for seed in range(4)]
-    assert sum(c["proposed"] for c in total) == 24 and sum(c["decided"] for c in total) > 15
+    plays = [play(seed, faults=QUIET) for seed in range(4)]
+    assert sum(one.proposed for one in plays) == 24 and sum(one.decided for one in plays) > 15
 
 
 def test_fifty_members_follow_one_policy():
-    counts, broken = play(3, members=50, changes=2)
-    assert not broken and counts["decided"]
+    played = play(3, members=50, changes=2)
+    assert not played.broken and played.decided
 
 
 @pytest.mark.parametrize("scene", SCENES)
@@ -63,7 +63,7 @@
     assert exploration.complete and not exploration.broken and exploration.decided and exploration.dropped
 
 
-@pytest.mark.parametrize("kind", [NoBinding, NoDoubt, LeaseTrustedOver])
+@pytest.mark.parametrize("kind", [VoteNotBinding, ServesUndecided, TrustsLease])
 def test_the_model_finds_the_order_that_breaks_a_variant(kind):
     assert explore(Bounds(cuts=0, statuses=0, pauses=1), kind).broken
 
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -169,7 +169,7 @@
 CELL_VARIANTS = [OutdatedCells, OneReplicaAwaited, AnyCoordinatorAccepted]
 
 
-class NoBinding(PolicyReplica):
+class VoteNotBinding(PolicyReplica):
     """A yes binds until the switch time only: then it is taken for dropped."""
 
     def _find_unavailable_reason(self) -> str:
@@ -178,14 +178,14 @@
         return super()._find_unavailable_reason()
 
 
-class Minority(PolicyReplica):
+class MinorityDecides(PolicyReplica):
     """Those in the view decide, however few they are."""
 
     def _is_majority(self, votes: Iterable[str]) -> bool:
         return True
 
 
-class NoDoubt(PolicyReplica):
+class ServesUndecided(PolicyReplica):
     """Who does not know whether a change was decided goes on at its switch time."""
 
     def _find_unavailable_reason(self) -> str:
@@ -196,7 +196,7 @@
             self.promise = promise
 
 
-class LeaseTrustedOver(PolicyReplica):
+class TrustsLease(PolicyReplica):
     """A lease once held is taken to hold, across a pause and a cut."""
 
     def _lease_valid_until(self) -> float:
@@ -207,14 +207,11 @@
     """The statuses of others count however old they are."""
 
     def _count_agreed_until(self) -> float:
-        return (
-            inf
-            if super()._count_agreed_until() > -inf or len(self.statuses) * 2 > len(self.registered_names)
-            else -inf
-        )
+        is_agreed = super()._count_agreed_until() > -inf
+        return inf if is_agreed or len(self.statuses) * 2 > len(self.registered_names) else -inf
 
 
-class LooseDecision(PolicyReplica):
+class DecisionIgnoresMembers(PolicyReplica):
     """A decision that is not made void by members that have come since."""
 
     def due(self) -> Transaction | float:
@@ -226,7 +223,14 @@
         return due
 
 
-POLICY_VARIANTS = [NoBinding, Minority, NoDoubt, LeaseTrustedOver, StatusesNeverExpire, LooseDecision]
+POLICY_VARIANTS = [
+    VoteNotBinding,
+    MinorityDecides,
+    ServesUndecided,
+    TrustsLease,
+    StatusesNeverExpire,
+    DecisionIgnoresMembers,
+]
 
 
 class MinorityLeaves(ZonePlanner):
--- a/trials/emulated_member.py
+++ b/trials/emulated_member.py
@@ -93,7 +93,7 @@
             return
         if self.world.now >= self.paused_until:
             self._run()
-        self.world.at(self.world.now + STEP * self.world.rng.uniform(0.5, 1.5), self.step)
+        self.world.schedule(self.world.now + STEP * self.world.rng.uniform(0.5, 1.5), self.step)
 
     def _run(self) -> None:
         # After a pause, what has waited is met in any order: requests may come first.
@@ -117,7 +117,7 @@
     def _follow_watch(self) -> None:
         """The watch: late by a while, in order; nothing while the store can't be reached."""
         world = self.world
-        if not world.reaches_store(self) or world.now < world.stalled.get(self.name, 0.0):
+        if not world.reaches_store(self) or world.now < world.watch_stalled_until.get(self.name, 0.0):
             return
         if self.must_read_all:
             self._read_all()
@@ -201,4 +201,4 @@
             is_prompt = world.rng.random() < PROMPT_WRITE_CHANCE
             delay = PROMPT_WRITE if is_prompt else world.rng.uniform(0, LEASE / 3)
             delay = world.write_delays.get(due.what, delay)
-            world.at(world.now + delay, lambda: world.reaches_store(self) and world.store.write(due))
+            world.schedule(world.now + delay, lambda: world.reaches_store(self) and world.store.write(due))
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, fields
 from math import inf
-from typing import Any
+from typing import NamedTuple
 
 from starlingwheel.fleet.policy.document import Body
 from starlingwheel.fleet.policy.host import StoredPolicy
@@ -27,7 +27,6 @@
 EXPIRY_INTERVAL = 0.05  # seconds between two looks at which leases have expired
 BEGIN = 3.0  # seconds until the first change
 
-Play = tuple[dict[str, Any], list[str]]  # counts, and promises that were broken
 ReplicaType = Callable[..., PolicyReplica]
 
 
@@ -36,20 +35,57 @@
     """How often a second each fault happens, over the fleet."""
 
     crash: float = 0.3
-    forget: float = 0.1  # a crash that loses what was stored
+    crash_without_file: float = 0.1  # a crash that loses what was stored
     pause: float = 0.4
-    cut: float = 0.3  # from the store
-    stalled: float = 0.3  # sees no changes there, while it renews its lease
-    apart: float = 0.15  # two from each other
-    split: float = 0.1  # some from the others and the store
-    down: float = 0.08  # the store
-    ended: float = 0.1  # an entry in the store
-    longest: float = 10.0  # seconds, of a fault
+    store_cut: float = 0.3  # of a member from the store
+    watch_stall: float = 0.3  # a member sees no changes in the store, while it renews its lease
+    link_cut: float = 0.15  # of two members from each other
+    partition: float = 0.1  # some from the others and the store
+    store_outage: float = 0.08
+    entry_loss: float = 0.1  # of a member's entry in the store
+    max_duration: float = 10.0  # seconds, of a fault
 
 
 QUIET = FaultRates(*[0.0] * (len(fields(FaultRates)) - 1))
 
 
+@dataclass(frozen=True)
+class PolicyPlay:
+    """What a play has counted, and the promises that were broken."""
+
+    decided: int
+    proposed: int
+    requests_taken: int
+    unavailable: int  # how often members could not know which policy held
+    statuses_sent: int
+    store_calls: int
+    is_proposal_open: bool
+    broken: list[str]
+
+
+class ScheduledAction(NamedTuple):
+    """What happens at a time in seconds; `number` orders what happens at the same time."""
+
+    when: float
+    number: int
+    action: Callable[[], object]
+
+
+class PolicyKey(NamedTuple):
+    """A policy as one member follows it."""
+
+    member: str
+    version: int
+    digest: str
+
+
+class ServedSpan(NamedTuple):
+    """When a member has first and last taken requests under a policy."""
+
+    first: float
+    last: float
+
+
 class World:
     """A fleet, its store and links, from one seed. Times are seconds."""
 
@@ -58,34 +94,36 @@
     ) -> None:
         """`trace`: print the members' log."""
         self.rng, self.replica_type, self.trace = random.Random(seed), replica_type, trace
-        self.now, self.scheduled, self.started, self.statuses_sent = 0.0, 0, 0, 0
-        self.queue: list[tuple[float, int, Callable[[], object]]] = []
+        self.now, self.started, self.statuses_sent = 0.0, 0, 0
+        self.scheduled = 0  # actions so far: of two at one time, the one scheduled first comes first
+        self.queue: list[ScheduledAction] = []
         self.files: dict[str, StoredPolicy] = {}
         self.store = EmulatedStore()
         self.leases: dict[str, float] = {}
-        self.down_until = 0.0
-        self.cut: dict[str, float] = {}  # a name, and until when it can't reach the store
-        self.stalled: dict[str, float] = {}
+        self.store_down_until = 0.0
+        self.store_cut_until: dict[str, float] = {}  # by name of the member that can't reach the store
+        self.watch_stalled_until: dict[str, float] = {}  # by name of the member that sees no changes
         self.write_delays: dict[str, float] = {}  # of transactions, by what they are
-        self.apart: dict[tuple[str, str], float] = {}
+        self.link_cut_until: dict[tuple[str, str], float] = {}  # by the names of both members
         self.members: dict[str, EmulatedMember] = {}
         self.log_counts: Counter[str] = Counter()
-        self.observed: dict[tuple[str, int, str], list[float]] = {}  # first and last, by member and policy
+        self.observed: dict[PolicyKey, ServedSpan] = {}
         self.requests_taken = 0
         for number in range(members):
             self.start(f"n{number}")
-        self.at(0.0, self._expire)
+        self.schedule(0.0, self._expire)
 
-    def at(self, when: float, action: Callable[[], object]) -> None:
+    def schedule(self, when: float, action: Callable[[], object]) -> None:
         """Schedule an action."""
         self.scheduled += 1
-        heapq.heappush(self.queue, (when, self.scheduled, action))
+        heapq.heappush(self.queue, ScheduledAction(when, self.scheduled, action))
 
-    def until(self, when: float) -> None:
+    def run_until(self, when: float) -> None:
         """Play up to that time."""
-        while self.queue and self.queue[0][0] <= when:
-            self.now, _, action = heapq.heappop(self.queue)
-            action()
+        while self.queue and self.queue[0].when <= when:
+            scheduled = heapq.heappop(self.queue)
+            self.now = scheduled.when
+            scheduled.action()
         self.now = when
 
     def start(self, name: str) -> None:
@@ -93,29 +131,30 @@
         self.started += 1
         member = EmulatedMember(self, name, self.started)
         self.members[member.id] = member
-        self.at(self.now + self.rng.uniform(0, STEP), member.step)
+        self.schedule(self.now + self.rng.uniform(0, STEP), member.step)
 
     def reaches_store(self, member: EmulatedMember) -> bool:
         """Whether the member can reach the store now."""
-        return self.now >= self.down_until and self.now >= self.cut.get(member.name, 0.0)
+        return self.now >= self.store_down_until and self.now >= self.store_cut_until.get(member.name, 0.0)
 
     def is_linked(self, member: EmulatedMember, other: EmulatedMember) -> bool:
         """Whether the two can reach each other now."""
-        return self.now >= self.apart.get((member.name, other.name), 0.0)
+        return self.now >= self.link_cut_until.get((member.name, other.name), 0.0)
 
     def observe(self, member: EmulatedMember, policy: Policy) -> None:
         """The member takes requests under that policy now."""
         self.requests_taken += 1
-        span = self.observed.setdefault((member.id, policy.version, policy.digest), [self.now, self.now])
-        span[1] = self.now
+        key = PolicyKey(member.id, policy.version, policy.digest)
+        before = self.observed.get(key)
+        self.observed[key] = ServedSpan(self.now if before is None else before.first, self.now)
 
     def _expire(self) -> None:
-        if self.now >= self.down_until:
+        if self.now >= self.store_down_until:
             for entry in [entry for entry, until in self.leases.items() if until <= self.now]:
-                self.end(entry)
-        self.at(self.now + EXPIRY_INTERVAL, self._expire)
+                self.end_lease(entry)
+        self.schedule(self.now + EXPIRY_INTERVAL, self._expire)
 
-    def end(self, entry: str) -> None:
+    def end_lease(self, entry: str) -> None:
         """End a member's lease, and its entry with it."""
         self.leases.pop(entry, None)
         if entry in self.store.entries:
@@ -124,53 +163,53 @@
 
     # Faults and changes.
 
-    def crash(self, member: EmulatedMember, restart_after: float, forget: bool) -> None:
-        """Kill a member; it starts again after so many seconds, with its file unless it is to `forget`."""
+    def crash(self, member: EmulatedMember, restart_after: float, loses_file: bool) -> None:
+        """Kill a member; it starts again after so many seconds, with its file unless `loses_file`."""
         member.alive = False
         self.members.pop(member.id, None)
-        if forget:
+        if loses_file:
             self.files.pop(member.name, None)
         if self.rng.random() < 0.7:
-            self.at(self.now + 0.1, lambda: self._evict(member))
-        self.at(self.now + restart_after, lambda: self.start(member.name))
+            self.schedule(self.now + 0.1, lambda: self._evict(member))
+        self.schedule(self.now + restart_after, lambda: self.start(member.name))
 
     def _evict(self, member: EmulatedMember) -> None:
         """Others can't reach it, and have its entry ended."""
-        if self.now >= self.down_until:
-            self.end(f"{MEMBERS}{member.id}")
+        if self.now >= self.store_down_until:
+            self.end_lease(f"{MEMBERS}{member.id}")
 
-    def fault(self, kind: str, lasts: float) -> None:
+    def fault(self, kind: str, duration: float) -> None:
         """A fault of that kind, by its name in `FaultRates`, for so many seconds."""
         alive = [member for member in self.members.values() if member.alive]
         if len(alive) < 2:
             return
         one, other = self.rng.sample(alive, 2)
-        until = self.now + lasts
+        until = self.now + duration
         match kind:
-            case "crash" | "forget":
-                self.crash(one, lasts, kind == "forget")
+            case "crash" | "crash_without_file":
+                self.crash(one, duration, kind == "crash_without_file")
             case "pause":
                 one.paused_until = until
-            case "cut":
-                self.cut[one.name] = until
-            case "apart":
-                self.apart[one.name, other.name] = self.apart[other.name, one.name] = until
-            case "stalled":
-                self.stalled[one.name] = until
-            case "split":
-                self._split(alive, until)
-            case "down":
-                self.down_until = until
-            case "ended":
-                self.end(f"{MEMBERS}{one.id}")
-
-    def _split(self, alive: list[EmulatedMember], until: float) -> None:
+            case "store_cut":
+                self.store_cut_until[one.name] = until
+            case "link_cut":
+                self.link_cut_until[one.name, other.name] = self.link_cut_until[other.name, one.name] = until
+            case "watch_stall":
+                self.watch_stalled_until[one.name] = until
+            case "partition":
+                self._partition(alive, until)
+            case "store_outage":
+                self.store_down_until = until
+            case "entry_loss":
+                self.end_lease(f"{MEMBERS}{one.id}")
+
+    def _partition(self, alive: list[EmulatedMember], until: float) -> None:
         some = {member.name for member in self.rng.sample(alive, self.rng.randint(1, len(alive) - 1))}
         others = {member.name for member in alive} - some
         for name in some:
-            self.cut[name] = until
+            self.store_cut_until[name] = until
             for other in others:
-                self.apart[name, other] = self.apart[other, name] = until
+                self.link_cut_until[name, other] = self.link_cut_until[other, name] = until
 
     def propose(self, number: int) -> None:
         """Have some member that can propose a policy of that number."""
@@ -199,23 +238,25 @@
 
     def play(self, changes: int, faults: FaultRates, rest: float = 20.0) -> None:
         """`changes` one after another under faults, then `rest` seconds without."""
-        self.until(BEGIN)
+        self.run_until(BEGIN)
         interval = DEFAULT_SWITCH_DELAY * LEASE * 1.4
         for number in range(changes):
             begin = BEGIN + number * interval
-            self.at(begin + self.rng.uniform(0, 0.5), lambda n=number: self.propose(n))
+            self.schedule(begin + self.rng.uniform(0, 0.5), lambda n=number: self.propose(n))
             for kind, rate in vars(faults).items():
-                if kind != "longest":
-                    self._schedule_faults(kind, rate, begin, interval, faults.longest)
-        self.until(BEGIN + changes * interval + faults.longest + rest)
+                if kind != "max_duration":
+                    self._schedule_faults(kind, rate, begin, interval, faults.max_duration)
+        self.run_until(BEGIN + changes * interval + faults.max_duration + rest)
 
-    def _schedule_faults(self, kind: str, rate: float, begin: float, interval: float, longest: float) -> None:
+    def _schedule_faults(
+        self, kind: str, rate: float, begin: float, interval: float, max_duration: float
+    ) -> None:
         for _ in range(int(rate * interval) + (self.rng.random() < rate * interval % 1)):
-            lasts = self.rng.uniform(0.1, self.rng.choice((2.0, longest)))
+            duration = self.rng.uniform(0.1, self.rng.choice((2.0, max_duration)))
             # Half of them near the proposal, when votes are given and counted.
             is_near = self.rng.random() < 0.5
             when = begin + (self.rng.gauss(0.3, 0.6) if is_near else self.rng.uniform(0, interval))
-            self.at(max(self.now, when), lambda k=kind, t=lasts: self.fault(k, t))
+            self.schedule(max(self.now, when), lambda k=kind, d=duration: self.fault(k, d))
 
     # Verdicts.
 
@@ -257,21 +298,20 @@
     faults: FaultRates | None = None,
     replica_type: ReplicaType = PolicyReplica,
     trace: bool = False,
-) -> Play:
-    """Counts, and promises that were broken."""
+) -> PolicyPlay:
+    """Play changes under faults, and judge them."""
     world = World(seed, members, replica_type, trace)
     world.play(changes, faults if faults is not None else FaultRates())
     broken = world.broken()
     if behind := world.behind():
         broken.append(f"behind at the end: {behind[:4]}")
-    counts = {
-        "seed": seed,
-        "decided": len(world.store.decided),
-        "proposed": world.log_counts["proposed"],
-        "taken": world.requests_taken,
-        "doubts": world.log_counts["policy.doubt"],
-        "words": world.statuses_sent,
-        "calls": world.store.calls,
-        "open": NEXT in world.store.entries,
-    }
-    return counts, broken
+    return PolicyPlay(
+        decided=len(world.store.decided),
+        proposed=world.log_counts["proposed"],
+        requests_taken=world.requests_taken,
+        unavailable=world.log_counts["policy.doubt"],
+        statuses_sent=world.statuses_sent,
+        store_calls=world.store.calls,
+        is_proposal_open=NEXT in world.store.entries,
+        broken=broken,
+    )
--- a/trials/policy_scenes.py
+++ b/trials/policy_scenes.py
@@ -8,12 +8,12 @@
 
 SWITCH_DELAY = DEFAULT_SWITCH_DELAY * LEASE  # seconds
 TICK = 0.001  # seconds, where a scene waits for something
-VOTES = "policy/votes"
+VOTES_PREFIX = "policy/votes"
 
 
 def _begun(members: int, replica_type: ReplicaType, trace: bool) -> tuple[World, list[EmulatedMember]]:
     world = World(7, members, replica_type, trace)
-    world.until(BEGIN)
+    world.run_until(BEGIN)
     return world, list(world.members.values())
 
 
@@ -25,70 +25,80 @@
     return world.now + SWITCH_DELAY
 
 
-def _isolate(world: World, some: list[EmulatedMember], until: float, leased: bool = False) -> None:
-    """Cut these off from the others and from the store; `leased`: it still renews their leases."""
+def _isolate(world: World, some: list[EmulatedMember], until: float, lease_renewed: bool = False) -> None:
+    """Cut these off from the others and from the store; `lease_renewed`: their leases hold."""
     for member in some:
-        (world.stalled if leased else world.cut)[member.name] = until
+        (world.watch_stalled_until if lease_renewed else world.store_cut_until)[member.name] = until
         for other in world.members.values():
             if other not in some:
-                world.apart[member.name, other.name] = world.apart[other.name, member.name] = until
+                world.link_cut_until[member.name, other.name] = until
+                world.link_cut_until[other.name, member.name] = until
 
 
-def minority(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
+def majority_cut_off(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
     """Most are cut off and go on; the few others have the store."""
     world, members = _begun(8, replica_type, trace)
     _isolate(world, members[:5], 20.0)
-    world.until(6.0)
-    world.until(_proposed(world, members[7]) + 4.0)
+    world.run_until(6.0)
+    world.run_until(_proposed(world, members[7]) + 4.0)
     return world
 
 
-def unseen(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
+def watch_stalled_after_vote(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
     """One votes yes and sees no more of the proposal, though its lease is renewed."""
     world, members = _begun(5, replica_type, trace)
     switch_at = _proposed(world, members[0])
     voter = members[3]
-    while not any(key.endswith(voter.id) for key in world.store.entries if key.startswith(VOTES)):
-        world.until(world.now + TICK)
-    _isolate(world, [voter], 30.0, leased=True)
-    world.until(switch_at + 3.0)
+    while not any(key.endswith(voter.id) for key in world.store.entries if key.startswith(VOTES_PREFIX)):
+        world.run_until(world.now + TICK)
+    _isolate(world, [voter], 30.0, lease_renewed=True)
+    world.run_until(switch_at + 3.0)
     return world
 
 
-def slept(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
+def paused_before_vote(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
     """One is paused before its vote, until after the switch time."""
     world, members = _begun(5, replica_type, trace)
     members[3].paused_until = BEGIN + SWITCH_DELAY + 1.0
-    world.until(_proposed(world, members[0]) + 3.0)
+    world.run_until(_proposed(world, members[0]) + 3.0)
     return world
 
 
-def alone(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
+def cut_off_after_lease(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
     """One has enough statuses of the others once its lease is over, then none."""
     world, members = _begun(5, replica_type, trace)
-    world.cut[members[3].name] = 40.0
-    world.until(6.0)
+    world.store_cut_until[members[3].name] = 40.0
+    world.run_until(6.0)
     _isolate(world, members[3:4], 40.0)
-    world.until(_proposed(world, members[0]) + 3.0)
+    world.run_until(_proposed(world, members[0]) + 3.0)
     return world
 
 
-def late(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
+def decision_delayed(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
     """A decision is on its way while a member enters that can't follow it and is cut off."""
     world, members = _begun(5, replica_type, trace)
     world.write_delays["decide"] = 0.4
     switch_at = _proposed(world, members[0], "n9")
-    while sum(key.startswith(VOTES) for key in world.store.entries) < 5:
-        world.until(world.now + TICK)
-    world.until(world.now + 0.15)
+    while sum(key.startswith(VOTES_PREFIX) for key in world.store.entries) < 5:
+        world.run_until(world.now + TICK)
+    world.run_until(world.now + 0.15)
     world.write_delays["vote"] = 50.0
     world.start("n9")
     (entered,) = [member for member in world.members.values() if member.name == "n9"]
     while entered.id not in entered.records.members:
-        world.until(world.now + TICK)
-    _isolate(world, [entered], 30.0, leased=True)
-    world.until(switch_at + 3.0)
+        world.run_until(world.now + TICK)
+    _isolate(world, [entered], 30.0, lease_renewed=True)
+    world.run_until(switch_at + 3.0)
     return world
 
 
-SCENES = {scene.__name__: scene for scene in (minority, unseen, slept, alone, late)}
+SCENES = {
+    scene.__name__: scene
+    for scene in (
+        majority_cut_off,
+        watch_stalled_after_vote,
+        paused_before_vote,
+        cut_off_after_lease,
+        decision_delayed,
+    )
+}
