--- a/trials/policy.py
+++ b/trials/policy.py
@@ -14,7 +14,7 @@
 
 from fakes.http1 import Broken
 
-from .policy_faults import FaultInjector
+from .policy_faults import FaultInjector, FaultKind
 from .policy_observer import Change, PolicyObserver, judge
 from .rig import CAPS, CATEGORIES, ROOT, TIMES, Rig
 from .verdict import Verdict
@@ -67,7 +67,7 @@
     return ""
 
 
-def _rig(seed: int, sidecars: int, root: Path, fleet: bool) -> Rig:
+def _make_rig(seed: int, sidecars: int, root: Path, fleet: bool) -> Rig:
     categories = body("a0")["settings"]["categories"]
     return Rig(
         seed, sidecars, upstreams=4, service=0.01, root=root, fleet=fleet, lease=LEASE, categories=categories,
@@ -75,7 +75,7 @@
     )  # fmt: skip
 
 
-def _rng(seed: int) -> random.Random:
+def _make_rng(seed: int) -> random.Random:
     return random.Random(f"{seed}-policy")
 
 
@@ -83,8 +83,8 @@
     seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True, count: int = 7, faulty: bool = True
 ) -> Verdict:
     """`count` changes, one after another, each with faults in some phase of it."""
-    async with _rig(seed, sidecars, root, fleet) as rig:
-        rng = _rng(seed)
+    async with _make_rig(seed, sidecars, root, fleet) as rig:
+        rng = _make_rng(seed)
         observer, injector = PolicyObserver(rig), FaultInjector(rig, rng)
         made: list[Change] = []
         await asyncio.sleep(0.5)
@@ -107,14 +107,16 @@
     playing = [asyncio.create_task(injector.play(fault, begin)) for fault in faults if injector is not None]
     await asyncio.sleep(PROPOSED_AFTER)
     if fleet:
-        is_too_large = any(fault.kind == "no" for fault in faults)
+        is_too_large = any(fault.kind == FaultKind.UNFIT_POLICY for fault in faults)
         await _propose(rig, rng, change, LARGE_POLICY_TENANTS if is_too_large else 0)
     else:
         await _rewrite_files(rig, change)
     await asyncio.gather(*playing)
     if fleet:
         # All that failed is back by now, so the change comes to an end.
-        await _until(lambda: not change.proposal_status or bool(outcome(rig, change.label)), ENDED_WITHIN)
+        await _wait_until(
+            lambda: not change.proposal_status or bool(outcome(rig, change.label)), ENDED_WITHIN
+        )
         change.outcome = outcome(rig, change.label)
 
 
@@ -122,23 +124,23 @@
     """Wait until all serve under the last policy that was decided; those that do not are noted."""
     loop = asyncio.get_running_loop()
     in_force = ([change for change in made if change.outcome == "decided"] or [Change("a0")])[-1]
-    await asyncio.sleep(max(0.0, in_force.at - loop.time()))
+    await asyncio.sleep(max(0.0, in_force.switch_at - loop.time()))
     since = loop.time()
 
     def behind() -> list[str]:
         return [s.name for s in rig.sidecars if not observer.serves(s, in_force.label, since)]
 
-    await _until(lambda: not behind(), seconds)
+    await _wait_until(lambda: not behind(), seconds)
     if behind():
         made[-1].faults.append(f"behind {in_force.label}: {behind()}")
 
 
-async def quiet(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> Verdict:
+async def store_outage(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """The store is gone for twenty leases: no request is deferred for it, and a change waits."""
-    async with _rig(seed, sidecars, root, fleet) as rig:
-        rng, change = _rng(seed), Change("a1")
+    async with _make_rig(seed, sidecars, root, fleet) as rig:
+        rng, change = _make_rng(seed), Change("a1")
         observer, loop = PolicyObserver(rig), asyncio.get_running_loop()
-        await _change(rig, rng, change, 1.0)
+        await _change_without_faults(rig, rng, change, 1.0)
         gone_at = loop.time()
         await rig.arbiter.down()
         await asyncio.sleep(20.0 * LEASE)
@@ -147,7 +149,7 @@
         await asyncio.sleep(3.0 * LEASE)
         observer.stop()
         verdict = _verdict(rig, observer, [change])
-        meanwhile = [a for a in observer.answers if gone_at < a.asked < back_at and a.label == "a1"]
+        meanwhile = [a for a in observer.answers if gone_at < a.asked_at < back_at and a.label == "a1"]
         deferred = sum(answer.status != 200 for answer in meanwhile)
         verdict.counts |= {"asked while it was gone": len(meanwhile), "not finished of these": deferred}
         if deferred:
@@ -155,19 +157,21 @@
         return verdict
 
 
-async def restart(seed: int, sidecars: int = 6, root: Path = ROOT, fleet: bool = True) -> Verdict:
+async def restart_without_store(
+    seed: int, sidecars: int = 6, root: Path = ROOT, fleet: bool = True
+) -> Verdict:
     """After a change all are killed while the store is gone: by what they stored they follow the new one."""
-    async with _rig(seed, sidecars, root, fleet) as rig:
-        rng, change = _rng(seed), Change("a1")
+    async with _make_rig(seed, sidecars, root, fleet) as rig:
+        rng, change = _make_rng(seed), Change("a1")
         observer, loop = PolicyObserver(rig), asyncio.get_running_loop()
-        await _change(rig, rng, change, 0.5)
+        await _change_without_faults(rig, rng, change, 0.5)
         await rig.arbiter.down()
         for sidecar in rig.sidecars:
             sidecar.kill()
         since = loop.time()
         for sidecar in rig.sidecars:
             sidecar.start()
-        await _until(lambda: all(observer.serves(s, "a1", since) for s in rig.sidecars), 20.0)
+        await _wait_until(lambda: all(observer.serves(s, "a1", since) for s in rig.sidecars), 20.0)
         back = [sidecar.name for sidecar in rig.sidecars if observer.serves(sidecar, "a1", since)]
         took = loop.time() - since
         observer.stop()
@@ -178,10 +182,10 @@
         return verdict
 
 
-async def replaced(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
+async def rolling_restart(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """Sidecars are told to stop and started anew while changes are made."""
-    async with _rig(seed, sidecars, root, fleet) as rig:
-        rng, observer = _rng(seed), PolicyObserver(rig)
+    async with _make_rig(seed, sidecars, root, fleet) as rig:
+        rng, observer = _make_rng(seed), PolicyObserver(rig)
         made = [Change(f"a{number}") for number in range(1, 4)]
         for change in made:
             observer.follow(change.label)
@@ -191,32 +195,34 @@
                 assert sidecar.process is not None
                 await asyncio.to_thread(sidecar.process.wait)
                 sidecar.start()
-            await _until(lambda c=change: not c.proposal_status or bool(outcome(rig, c.label)), ENDED_WITHIN)
+            await _wait_until(
+                lambda c=change: not c.proposal_status or bool(outcome(rig, c.label)), ENDED_WITHIN
+            )
             change.outcome = outcome(rig, change.label)
-            await asyncio.sleep(max(0.0, change.at + 0.5 - asyncio.get_running_loop().time()))
+            await asyncio.sleep(max(0.0, change.switch_at + 0.5 - asyncio.get_running_loop().time()))
         observer.stop()
         return _verdict(rig, observer, made)
 
 
-CASES = {"quiet": quiet, "restart": restart, "replaced": replaced}
+CASES = {"quiet": store_outage, "restart": restart_without_store, "replaced": rolling_restart}
 
 
-async def _until(holds: Callable[[], bool], seconds: float) -> None:
+async def _wait_until(holds: Callable[[], bool], seconds: float) -> None:
     until = asyncio.get_running_loop().time() + seconds
     while not holds() and asyncio.get_running_loop().time() < until:
         await asyncio.sleep(POLL_INTERVAL)
 
 
-async def _change(rig: Rig, rng: random.Random, change: Change, after: float) -> None:
-    """One change without faults, until so many seconds past its switch time."""
+async def _change_without_faults(rig: Rig, rng: random.Random, change: Change, rest: float) -> None:
+    """One change without faults, until `rest` seconds past its switch time."""
     await _propose(rig, rng, change, 0)
-    await _until(lambda: bool(outcome(rig, change.label)), 5.0)
+    await _wait_until(lambda: bool(outcome(rig, change.label)), 5.0)
     change.outcome = outcome(rig, change.label)
-    await asyncio.sleep(max(0.0, change.at + after - asyncio.get_running_loop().time()))
+    await asyncio.sleep(max(0.0, change.switch_at + rest - asyncio.get_running_loop().time()))
 
 
 async def _propose(rig: Rig, rng: random.Random, change: Change, tenants: int) -> None:
-    """At any sidecar that takes it."""
+    """Propose the change at any sidecar that takes it."""
     loop = asyncio.get_running_loop()
     for sidecar in rng.sample(rig.sidecars, len(rig.sidecars))[:PROPOSERS]:
         began_at = loop.time()
@@ -228,20 +234,20 @@
     proposal = rig.arbiter.entries.get(NEXT_KEY)
     found = json.loads(proposal.value) if proposal else decision_in_store(rig)
     if found is not None:
-        change.at = began_at + found["at"] - rig.wall(began_at)
+        change.switch_at = began_at + found["at"] - rig.wall(began_at)
     if change.proposal_status == 200:
-        await _until(lambda: bool(outcome(rig, change.label)), 2.0)
+        await _wait_until(lambda: bool(outcome(rig, change.label)), 2.0)
         change.ended_after = loop.time() - began_at
 
 
 async def _rewrite_files(rig: Rig, change: Change) -> None:
-    """Without a fleet, each by itself: another file, and the signal. One file is broken."""
+    """Without a fleet, give each sidecar another file and the signal. One file is broken."""
     rig.categories = body(change.label)["settings"]["categories"]
     for sidecar in rig.sidecars:
         text = json.dumps(sidecar.configuration())
         sidecar.paths["json"].write_text(text if sidecar is not rig.sidecars[-1] else text[:-5])
         sidecar.signal(signal.SIGHUP)
-    change.at, change.outcome = asyncio.get_running_loop().time(), "decided"
+    change.switch_at, change.outcome = asyncio.get_running_loop().time(), "decided"
 
 
 def _verdict(rig: Rig, observer: PolicyObserver, made: list[Change]) -> Verdict:
@@ -257,7 +263,8 @@
         verdict.broken.append(f"a defect: {defects[0]}")
     if verdict.broken:
         verdict.broken += [
-            f"{c.label}: {c.proposal_status} {c.outcome} at {c.at - rig.start:.3f}: {c.faults}" for c in made
+            f"{c.label}: {c.proposal_status} {c.outcome} at {c.switch_at - rig.start:.3f}: {c.faults}"
+            for c in made
         ]
     doubts = [line["after"] for sidecar in rig.sidecars for line in sidecar.logged("policy.sure")]
     outcomes = Counter(change.outcome or "not taken" for change in made)
