--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -79,11 +79,11 @@
 
 
 def _check_may_propose(replica: PolicyReplica, command: ProposalCommand) -> None:
-    if doubt := replica.doubt():
+    if doubt := replica.unavailable_reason():
         raise _rejected(
             HTTPStatus.SERVICE_UNAVAILABLE, f"which policy holds is not known here: {doubt}", doubt
         )
-    known = replica.known
+    known = replica.decided_version
     if command.base is not None and command.base != known:
         raise _rejected(
             HTTPStatus.CONFLICT, f"made from version {command.base}; {known} is in force or decided"
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -54,10 +54,9 @@
         self.policy_replica = PolicyReplica(
             member_id, config.name, float(fleet.lease_s), self, now, self.vote_store.read()
         )
-        self.file = document.common(
-            config.settings, fleet.replication, fleet.zones
-        )  # the policy that it gives
-        self.module: FleetHost | None = None  # whose links the statuses go over, set once it is there
+        # The policy that the configuration file gives.
+        self.file_policy = document.policy_of(config.settings, fleet.replication, fleet.zones)
+        self.fleet_host: FleetHost | None = None  # whose links the statuses go over, set once it is there
 
     # What the replica asks for; see `PolicyHost`.
 
@@ -73,78 +72,83 @@
             faults = [f"{name}: needs a restart" for name in fixed]
         return "; ".join(faults)
 
-    def keep(self, kept: StoredPolicy) -> None:
+    def store(self, stored: StoredPolicy) -> None:
         """Have it outlive the process."""
-        self.vote_store.write(kept)
+        self.vote_store.write(stored)
 
-    def kept(self) -> str | None:
-        """Empty: what was given to `keep` is stored; None: not yet; else why it can't be."""
+    def store_state(self) -> str | None:
+        """Empty: what was given to `store` is stored; None: not yet; else why it can't be."""
         return self.vote_store.state
 
-    def rule(self, policy: Policy) -> None:
+    def put_in_force(self, policy: Policy) -> None:
         """Put the policy in force."""
-        if policy.body is None or self.module is None:
+        if policy.body is None or self.fleet_host is None:
             return
         config = self._balancer_config_under(policy.body, self.config)
         self.reload(keep_start_only_fields(config, self.balancer_config())[0])
-        self.module.balancer_config_changed(self.balancer_config())
-        self.module.replication_config_changed(msgspec.convert(policy.body["cover"], ReplicationConfig))
+        self.fleet_host.balancer_config_changed(self.balancer_config())
+        self.fleet_host.replication_config_changed(msgspec.convert(policy.body["cover"], ReplicationConfig))
         zones = policy.body.get("zones")
-        self.module.zone_controller.configure(None if zones is None else msgspec.convert(zones, ZonesConfig))
-        differing = [key for key, _, _ in document.differences(self.file, policy.body)]
+        self.fleet_host.zone_controller.configure(
+            None if zones is None else msgspec.convert(zones, ZonesConfig)
+        )
+        differing = [one.key for one in document.differences(self.file_policy, policy.body)]
         if differing:
             self.log("policy.file_differs", version=policy.version, keys=differing[:MAX_LOGGED_DIFFERENCES])
 
-    def ask(self, member: str) -> None:
+    def request_decision(self, member: str) -> None:
         """Have that member send its decision."""
-        if self.module is not None:
-            self.module.send_frame(member, DecisionRequestFrame())
+        if self.fleet_host is not None:
+            self.fleet_host.send_frame(member, DecisionRequestFrame())
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Write a line to the log."""
         self.log(event, **fields)
 
     def _balancer_config_under(self, body: Body, config: SidecarConfig) -> BalancerConfig:
         """What a configuration file gives under that policy; raises `ConfigError`."""
-        settings = document.merged(body, config.settings)
+        settings = document.merge_settings(body, config.settings)
         return balancer_config_of(msgspec.structs.replace(config, settings=settings), "policy")
 
     # Questions of the sidecar and of other members.
 
-    def renewed(self, config: SidecarConfig) -> BalancerConfig:
+    def reloaded_config(self, config: SidecarConfig) -> BalancerConfig:
         """What a file that was read again gives; raises `ConfigError` where it changes the fleet's policy."""
         fleet = config.fleet or self.fleet
-        file = document.common(config.settings, fleet.replication, fleet.zones)
+        file_policy = document.policy_of(config.settings, fleet.replication, fleet.zones)
         policy = self.policy_replica.in_force
-        in_force = policy.body if policy.body is not None else self.file
-        if edited := document.edited(self.file, file, in_force):
+        in_force = policy.body if policy.body is not None else self.file_policy
+        if edits := document.conflicting_edits(self.file_policy, file_policy, in_force):
             raise ConfigError(
                 f"version {policy.version} of the fleet's policy holds, a change is to be proposed: "
-                + "; ".join(edited)
+                + "; ".join(edits)
             )
-        self.file, self.config = file, msgspec.structs.replace(self.config, settings=config.settings)
+        self.file_policy = file_policy
+        self.config = msgspec.structs.replace(self.config, settings=config.settings)
         return self._balancer_config_under(in_force, config)
 
-    def says(self, asked: PolicyQueryFrame) -> list[Frame]:
+    def answer_query(self, query: PolicyQueryFrame) -> list[Frame]:
         """The answer to a member that we have no link with: our status, and those received over our links."""
-        assert self.module is not None
+        assert self.fleet_host is not None
         replica = self.policy_replica
-        replica.now = self.module.loop.now()
-        others = replica.lately(self.module.links, MAX_RELAYED_STATUSES)
-        frames: list[Frame] = [PolicyStatusFrame(replica.word(), others)]
-        return [*frames, *self._decision_frames()] if replica.known > asked.known_version else frames
-
-    def heard(self, frame: Frame) -> list[Frame]:
+        replica.now = self.fleet_host.loop.now()
+        others = replica.recent_statuses(self.fleet_host.links, MAX_RELAYED_STATUSES)
+        frames: list[Frame] = [PolicyStatusFrame(replica.status(), others)]
+        if replica.decided_version > query.known_version:
+            frames += self._decision_frames()
+        return frames
+
+    def receive_frame(self, frame: Frame) -> list[Frame]:
         """Take over a frame about the policy; what is to be answered."""
         match frame:
             case PolicyStatusFrame(status, others):
-                for one in (status, *others[:MAX_RELAYED_STATUSES]):
-                    self.policy_replica.heard(one)
+                for each in (status, *others[:MAX_RELAYED_STATUSES]):
+                    self.policy_replica.receive_status(each)
             case DecisionRequestFrame():
                 return self._decision_frames()
             case DecisionFrame(data):
                 try:
-                    self.policy_replica.told(msgspec.json.decode(data, type=PolicyDecision))
+                    self.policy_replica.receive_decision(msgspec.json.decode(data, type=PolicyDecision))
                 except (msgspec.DecodeError, UnicodeDecodeError) as error:
                     self.log("policy.unreadable", error=str(error))
         return []
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -16,32 +16,33 @@
 
 from fakes.loopback import free_address
 from starlingwheel.fleet.policy import document
-from starlingwheel.fleet.policy.replica import PolicyReplica, StoredPolicy
+from starlingwheel.fleet.policy.host import StoredPolicy
+from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.records import StoreEntry, StoreRecords
 from starlingwheel.net.fleet.policy import VoteStore
 from trials import policy
-from trials.broken import POLICY_VARIANTS, LeaseTrustedOver, NoBinding, NoDoubt
+from trials.broken import POLICY_VARIANTS, ServesUndecided, TrustsLease, VoteNotBinding
 from trials.emulated_policy import QUIET, play
-from trials.model_events import Bounds
 from trials.model_policy import explore
+from trials.model_policy_events import Bounds
 from trials.policy_scenes import SCENES
 from trials.rig import ROOT, Rig
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_under_all_faults_the_fleet_follows_one_policy(seed):
-    counts, broken = play(seed)
-    assert not broken and counts["taken"] > 10_000 and not counts["open"]
+    played = play(seed)
+    assert not played.broken and played.requests_taken > 10_000 and not played.is_proposal_open
 
 
 def test_without_faults_each_change_is_decided_unless_a_member_votes_no():
-    total = [play(seed, faults=QUIET)[0] for seed in range(4)]
-    assert sum(c["proposed"] for c in total) == 24 and sum(c["decided"] for c in total) > 15
+    plays = [play(seed, faults=QUIET) for seed in range(4)]
+    assert sum(one.proposed for one in plays) == 24 and sum(one.decided for one in plays) > 15
 
 
 def test_fifty_members_follow_one_policy():
-    counts, broken = play(3, members=50, changes=2)
-    assert not broken and counts["decided"]
+    played = play(3, members=50, changes=2)
+    assert not played.broken and played.decided
 
 
 @pytest.mark.parametrize("scene", SCENES)
@@ -54,15 +55,17 @@
     assert any(scene(kind).broken() for scene in SCENES.values())
 
 
-@pytest.mark.parametrize("bounds", [Bounds(cuts=0, words=0, stalls=1), Bounds(cuts=0, words=0, stops=1)])
+@pytest.mark.parametrize(
+    "bounds", [Bounds(cuts=0, statuses=0, watch_stalls=1), Bounds(cuts=0, statuses=0, pauses=1)]
+)
 def test_every_order_of_one_change_keeps_the_promise(bounds):
     exploration = explore(bounds)
     assert exploration.complete and not exploration.broken and exploration.decided and exploration.dropped
 
 
-@pytest.mark.parametrize("kind", [NoBinding, NoDoubt, LeaseTrustedOver])
+@pytest.mark.parametrize("kind", [VoteNotBinding, ServesUndecided, TrustsLease])
 def test_the_model_finds_the_order_that_breaks_a_variant(kind):
-    assert explore(Bounds(cuts=0, words=0, stops=1), kind).broken
+    assert explore(Bounds(cuts=0, statuses=0, pauses=1), kind).broken
 
 
 @pytest.mark.xdist_group("trials-1")
@@ -82,7 +85,7 @@
 
 
 def body(**changed):
-    settings = {k: v for k, v in SETTINGS.items() if k not in document.OWN_KEYS} | changed
+    settings = {k: v for k, v in SETTINGS.items() if k not in document.MEMBER_KEYS} | changed
     return {"settings": settings, "cover": {"categories": ["buy"]}}
 
 
@@ -117,10 +120,10 @@
 
 def test_only_edits_of_a_file_conflict_with_the_policy_in_force():
     old, in_force = body(), body(rules={"mustAskIn": 5})
-    assert document.edited(old, old, in_force) == []
-    (fault,) = document.edited(old, body(rules={"mustAskIn": 7}), in_force)
+    assert document.conflicting_edits(old, old, in_force) == []
+    (fault,) = document.conflicting_edits(old, body(rules={"mustAskIn": 7}), in_force)
     assert fault == "settings.rules.mustAskIn: 7, where the policy in force says 5"
-    assert document.edited(old, in_force, in_force) == []
+    assert document.conflicting_edits(old, in_force, in_force) == []
 
 
 def test_unreadable_records_hide_no_others_and_raise_nothing():
@@ -148,17 +151,17 @@
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"fleet":"other"}', b'{"fleet":3}', b"\xff\xfe"])
 def test_an_unusable_votes_file_counts_as_missing_and_is_logged(tmp_path, data):
     lines = []
-    keep = VoteStore(str(tmp_path), "f", "n0", lambda event, **fields: lines.append(event))
-    keep.path.write_bytes(data)
-    assert keep.read() == StoredPolicy("f") and lines == ["policy.unreadable"]
+    vote_store = VoteStore(str(tmp_path), "f", "n0", lambda event, **fields: lines.append(event))
+    vote_store.path.write_bytes(data)
+    assert vote_store.read() == StoredPolicy("f") and lines == ["policy.unreadable"]
 
 
 def test_the_state_of_the_votes_file_says_why_it_cant_be_written(tmp_path):
-    keep = VoteStore(str(tmp_path / "gone"), "f", "n0", lambda event, **fields: None)
-    keep.write(StoredPolicy("f", ended=3))
-    while keep.state is None:
+    vote_store = VoteStore(str(tmp_path / "gone"), "f", "n0", lambda event, **fields: None)
+    vote_store.write(StoredPolicy("f", ended_proposal=3))
+    while vote_store.state is None:
         pass
-    assert "No such file" in keep.state
+    assert "No such file" in vote_store.state
 
 
 # One real sidecar.
@@ -210,7 +213,7 @@
     status, answer = admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})
     assert status == 200 and answer["version"] == 1
     around = admin.around
-    around.until(lambda: admin.policy_replica.known == 1)
+    around.until(lambda: admin.policy_replica.decided_version == 1)
     assert admin.policy_replica.in_force.version == 0 and around.context.longest_timeout < 3
     around.until(lambda: admin.policy_replica.in_force.version == 1)
     assert around.context.longest_timeout == 3 and around.context.loop.now() >= answer["at"]
@@ -228,7 +231,7 @@
     ):  # fmt: skip
         got, answer = admin.call("PUT /_policy/propose", wrong)
         assert got == status and answer["error"]
-    assert admin.policy_replica.known == 0 and admin.policy_replica.records.proposal is None
+    assert admin.policy_replica.decided_version == 0 and admin.policy_replica.records.proposal is None
 
 
 def test_a_second_proposal_is_rejected_and_the_first_can_be_dropped(admin, served):
@@ -257,7 +260,7 @@
     around = admin.around
     around.until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
     served.do(served.arbiter.down())
-    around.until(lambda: admin.policy_replica.doubt() == "undecided")
+    around.until(lambda: admin.policy_replica.unavailable_reason() == "undecided")
     assert around.status(around.ask("buy", b"one")) == 503
     served.do(served.arbiter.begin())
     around.until(lambda: admin.policy_replica.promise is None)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -18,7 +18,7 @@
 from starlingwheel.fleet import frames
 from starlingwheel.fleet.config import decode
 from starlingwheel.fleet.membership import Member, MembershipView
-from starlingwheel.fleet.policy.replica import PolicyStatus
+from starlingwheel.fleet.policy.statuses import PolicyStatus
 from starlingwheel.net.fleet.etcd.errors import UnusableReplyError
 from starlingwheel.net.fleet.etcd.messages import (
     KeepAliveReply,
