--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,13 +9,15 @@
 import sys
 import threading
 import time
+from collections.abc import Callable
+from pathlib import Path
 
 import msgspec
 import pytest
-from conftest import SETTINGS, address, bound
+from conftest import SETTINGS, Surroundings, address, bound
 
 from fakes.loopback import free_address
-from starlingwheel.decisions.model import EndpointState
+from starlingwheel.decisions.model import Endpoint, EndpointState
 from starlingwheel.net.address import split
 from starlingwheel.net.discovery.messages import DiscoveredEndpoint
 from starlingwheel.net.lifecycle.config import ConfigError
@@ -28,35 +30,44 @@
 )
 from starlingwheel.net.state.siblings import SiblingProcesses
 
+MakeOperated = Callable[..., Surroundings]
+
 
 @pytest.fixture
-def operated(make_surroundings, tmp_path):
-    def make(**given):
+def operated(make_surroundings: Callable[..., Surroundings], tmp_path: Path) -> MakeOperated:
+    """Makes sidecars with an admin address; overrides are kept in one folder."""
+
+    def make(**given: object) -> Surroundings:
         return make_surroundings(mgmt="127.0.0.1:0", environment={"TMPDIR": str(tmp_path)}, **given)
 
     return make
 
 
-def body_naming(name):
+def body_naming(name: str) -> bytes:
+    """Return the body of a call about an endpoint."""
     return json.dumps({"id": name}).encode()
 
 
-def entry_in_decisions(around, name):
+def entry_in_decisions(around: Surroundings, name: str) -> Endpoint:
+    """Return an endpoint as the decisions know it."""
     return around.context.coordinator.scheduler.balancer.endpoints.by_id[name].entry
 
 
-def detach(around, name="s0"):
+def detach(around: Surroundings, name: str = "s0") -> int | None:
+    """Have an endpoint detached; return the status."""
     return around.call("PUT /_upstreams/detach", body_naming(name))
 
 
-def attach(around, name="s0"):
+def attach(around: Surroundings, name: str = "s0") -> int | None:
+    """Have an endpoint attached again; return the status."""
     return around.call("PUT /_upstreams/attach", body_naming(name))
 
 
 # The calls.
 
 
-def test_ready_tells_whether_clients_are_accepted(operated):
+def test_ready_tells_whether_clients_are_accepted(operated: MakeOperated) -> None:
+    """503 until the endpoint list is known."""
     around = operated(known=None)
     assert around.call("GET /_ready") == 503
     around.watch({"version": 9, "full": True, "servers": [around.entry(0)]})
@@ -85,7 +96,10 @@
         ("nothing", b"", "", 400),
     ],
 )
-def test_an_invalid_call_is_rejected_and_changes_nothing(operated, lead, body, extra, status):
+def test_an_invalid_call_is_rejected_and_changes_nothing(
+    operated: MakeOperated, lead: str, body: bytes, extra: str, status: int
+) -> None:
+    """It is logged with its status."""
     around = operated()
     assert around.call(lead, body, extra) == status
     assert not around.context.overrides.stored.drained and not around.context.draining
@@ -93,7 +107,8 @@
     assert [line["status"] for line in around.logged("operator.call")] == [status]
 
 
-def test_of_two_calls_on_one_connection_neither_is_carried_out(operated):
+def test_of_two_calls_on_one_connection_neither_is_carried_out(operated: MakeOperated) -> None:
+    """The second begins in what follows the first one's body."""
     around = operated()
     body = body_naming("s0")
     extra = f"Content-Length: {len(body)}\r\n\r\n{body.decode()}PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\n"
@@ -101,7 +116,8 @@
     assert not around.context.overrides.stored.drained and not around.context.draining
 
 
-def test_callers_that_send_nothing_do_not_keep_out_others(operated):
+def test_callers_that_send_nothing_do_not_keep_out_others(operated: MakeOperated) -> None:
+    """There are never more open calls than their part of the descriptors."""
     around = operated(limits={"sockets": 256})
     place = around.context.admin_listener.sock.getsockname()
     silent = [around.keep(socket.create_connection(place)) for _ in range(20)]
@@ -114,7 +130,8 @@
     assert around.until(lambda: around.read(silent[0])) == b"end"
 
 
-def test_a_call_is_closed_only_to_make_room_for_another(operated):
+def test_a_call_is_closed_only_to_make_room_for_another(operated: MakeOperated) -> None:
+    """As many as there is room for stay open."""
     around = operated(limits={"sockets": 256})
     place = around.context.admin_listener.sock.getsockname()
     silent = [
@@ -125,13 +142,17 @@
     assert [around.read(one) for one in silent] == [None] * len(silent)
 
 
-def test_an_admin_address_in_use_ends_the_start_with_one_line(make_surroundings, around):
+def test_an_admin_address_in_use_ends_the_start_with_one_line(
+    make_surroundings: Callable[..., Surroundings], around: Surroundings
+) -> None:
+    """The error fits on one line of the log."""
     with pytest.raises(ConfigError) as refused:
         make_surroundings(mgmt=address(around.listeners[0]))
     assert "\n" not in str(refused.value)
 
 
-def test_without_an_admin_address_nothing_listens(around):
+def test_without_an_admin_address_nothing_listens(around: Surroundings) -> None:
+    """And no descriptors are reserved for calls."""
     assert around.context.admin_listener is None and around.context.connections.admin_call_limit == 0
     assert ConnectionTracker(1024).endpoint_limit > ConnectionTracker(1024, admin_enabled=True).endpoint_limit
 
@@ -139,7 +160,8 @@
 # Detaching an endpoint.
 
 
-def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(operated):
+def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(operated: MakeOperated) -> None:
+    """Not even after a restart, a removal or a new snapshot."""
     around = operated(upstreams=2)
     watch, _ = around.watch(b"")
     assert detach(around) == 200 and detach(around) == 200
@@ -154,7 +176,8 @@
     around.quiet(0)
 
 
-def test_one_attach_undoes_all_detaches_and_slow_start_begins(operated):
+def test_one_attach_undoes_all_detaches_and_slow_start_begins(operated: MakeOperated) -> None:
+    """The moment of the call counts as its start."""
     around = operated(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
     around.watch(b"")
     before = entry_in_decisions(around, "s0")
@@ -174,7 +197,8 @@
     )
 
 
-def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(operated):
+def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(operated: MakeOperated) -> None:
+    """Once discovery lists a new one."""
     around = operated()
     watch, _ = around.watch(b"")
     assert detach(around) == 200 and attach(around) == 200
@@ -183,7 +207,8 @@
     around.until(lambda: entry_in_decisions(around, "s0").started_at == started / 1000)
 
 
-def test_idle_connections_to_a_detached_endpoint_are_closed(operated):
+def test_idle_connections_to_a_detached_endpoint_are_closed(operated: MakeOperated) -> None:
+    """At once, not after their idle time."""
     around = operated()
     client = around.ask()
     upstream = around.serve()
@@ -192,7 +217,8 @@
     assert around.until(lambda: around.read(upstream)) == b"end"
 
 
-def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(operated):
+def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(operated: MakeOperated) -> None:
+    """Two that run side by side, and one that starts later."""
     one, other = operated(), operated()
     assert detach(one) == 200
     other.until(lambda: entry_in_decisions(other, "s0").state is EndpointState.DRAINING)
@@ -209,14 +235,18 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"{", b'{"out":7}', b"\xff\x00"])
-def test_an_unreadable_overrides_file_stops_neither_start_nor_call(operated, tmp_path, text):
+def test_an_unreadable_overrides_file_stops_neither_start_nor_call(
+    operated: MakeOperated, tmp_path: Path, text: bytes
+) -> None:
+    """It is logged, and replaced by the next call."""
     (tmp_path / OVERRIDES_FILE).write_bytes(text)
     around = operated()
     assert around.logged("operators.unreadable")
     assert detach(around) == 200 and "s0" in json.loads((tmp_path / OVERRIDES_FILE).read_bytes())["out"]
 
 
-def test_a_call_succeeds_only_once_its_change_is_stored(operated, tmp_path):
+def test_a_call_succeeds_only_once_its_change_is_stored(operated: MakeOperated, tmp_path: Path) -> None:
+    """Where the file can't be written the call gets 503, and nothing changes."""
     around = operated()
     around.until(lambda: not around.context.overrides.has_unstored_ids)
     around.context.overrides.file.path = tmp_path / "gone" / OVERRIDES_FILE
@@ -224,7 +254,8 @@
     assert entry_in_decisions(around, "s0").state is EndpointState.READY
 
 
-def test_an_overrides_file_locked_by_another_process_is_retried(tmp_path):
+def test_an_overrides_file_locked_by_another_process_is_retried(tmp_path: Path) -> None:
+    """A locked file raises an error and changes nothing."""
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.listed(True, [DiscoveredEndpoint("s0")])
     with out.file.lock(), pytest.raises(OverridesLockedError):
@@ -233,7 +264,8 @@
     assert out.drain_endpoint("s0")
 
 
-def test_old_ids_are_forgotten_but_not_those_in_use(tmp_path):
+def test_old_ids_are_forgotten_but_not_those_in_use(tmp_path: Path) -> None:
+    """However many ids were ever listed."""
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.listed(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
     out.drain_endpoint("second")
@@ -247,7 +279,8 @@
 # Draining.
 
 
-def test_draining_sends_clients_away_and_can_be_undone(operated):
+def test_draining_sends_clients_away_and_can_be_undone(operated: MakeOperated) -> None:
+    """Each response ends its connection, idle ones are closed, and readiness is denied."""
     around = operated()
     idle, kept = around.client(), around.client()
     kept.sendall(around.request())
@@ -256,7 +289,7 @@
     assert around.call("PUT /_lameduck/on") == 200
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
     assert around.call("GET /_ready") == 200
-    # Requests that still come are served, on new and on idle connections, and config to close.
+    # Requests that still come are served, on new and on idle connections, and told to close.
     for client in (around.client(), kept):
         around.rested()
         client.sendall(around.request())
@@ -278,7 +311,8 @@
     assert [line["on"] for line in around.logged("lameduck")] == [True, False]
 
 
-def test_a_stop_while_draining_ends_the_process(operated):
+def test_a_stop_while_draining_ends_the_process(operated: MakeOperated) -> None:
+    """Both send clients away."""
     around = operated()
     around.context.loop.running = True
     assert around.call("PUT /_lameduck/on") == 200
@@ -289,7 +323,8 @@
 # Replacing the process.
 
 
-def test_a_sibling_process_is_seen_while_it_lives(tmp_path):
+def test_a_sibling_process_is_seen_while_it_lives(tmp_path: Path) -> None:
+    """By its lock, which ends with it."""
     text = f"""if True:
         from starlingwheel.net.state.siblings import SiblingProcesses
         siblings = SiblingProcesses({str(tmp_path)!r})
@@ -307,28 +342,30 @@
     siblings.close()
 
 
-def test_sibling_processes_share_the_limits_of_one(operated):
+def test_sibling_processes_share_the_limits_of_one(operated: MakeOperated) -> None:
+    """Buffers and connections to endpoints are divided, clients' descriptors are not."""
     around = operated()
     context, balancer = around.context, around.context.coordinator.scheduler.balancer
     clients = context.connections.client_limit
     alone = context.buffer_pool.max_buffers, context.connections.endpoint_limit
 
-    class Another:
-        def others(self):
+    class AnotherProcess:
+        def others(self) -> bool:
             return True
 
-    context.siblings = Another()
+    context.siblings = AnotherProcess()
     around.until(lambda: balancer.config.process_count == 2)
     shared = context.buffer_pool.max_buffers, context.connections.endpoint_limit
     assert context.connections.client_limit == clients  # they come over to the new one all at once
-    assert all(half < whole * 0.6 for half, whole in zip(shared, alone, strict=True))
+    assert all(half < full * 0.6 for half, full in zip(shared, alone, strict=True))
     context.siblings = None
     around.until(lambda: balancer.config.process_count == 1)
     assert (context.buffer_pool.max_buffers, context.connections.endpoint_limit) == alone
 
 
 @pytest.mark.parametrize("value", ["x", "9999", "0"])
-def test_an_invalid_passed_socket_ends_the_start_with_one_line(tmp_path, value):
+def test_an_invalid_passed_socket_ends_the_start_with_one_line(tmp_path: Path, value: str) -> None:
+    """It names the variable, and the exit code is 2."""
     config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path = tmp_path / "config.json"
     path.write_bytes(msgspec.json.encode(config))
@@ -338,15 +375,18 @@
     assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and b"EDGE_PASSED_SOCKET" in done.stderr
 
 
-class Upstreams:
-    """One upstream on threads of its own: counts how often it ran each trace."""
+class CountingEndpoint:
+    """An endpoint on threads of its own: counts how often it ran each trace id."""
 
-    def __init__(self):
-        self.listener, self.ran = bound(backlog=128), {}
+    def __init__(self) -> None:
+        """Start to accept connections."""
+        self.listener = bound(backlog=128)
+        self.ran: dict[bytes, int] = {}
         self.listener.settimeout(None)
         threading.Thread(target=self.accept, daemon=True).start()
 
-    def accept(self):
+    def accept(self) -> None:
+        """Accept connections until the listener is closed."""
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -354,7 +394,8 @@
                 return
             threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
 
-    def serve(self, sock):
+    def serve(self, sock: socket.socket) -> None:
+        """Answer the requests of one connection."""
         with sock, sock.makefile("rb") as lines:
             while line := lines.readline():
                 if line.lower().startswith(b"x-trace-id:"):
@@ -366,15 +407,19 @@
 
 
 @pytest.mark.xdist_group("trials-1")
-def test_under_load_a_process_is_replaced_and_no_request_is_lost_or_run_twice(tmp_path):
-    """Clients with kept connections go on asking while a second process takes over the passed socket."""
-    upstream, passed, rng = Upstreams(), bound(backlog=256), random.Random(5)
-    place = address(upstream.listener)
+def test_under_load_a_process_is_replaced_and_no_request_is_lost_or_run_twice(tmp_path: Path) -> None:
+    """Clients with kept connections go on sending while a second process takes over the passed socket."""
+    endpoint, passed, rng = CountingEndpoint(), bound(backlog=256), random.Random(5)
+    place = address(endpoint.listener)
     servers = [{"id": f"s{i}", "addr": place, "state": "active"} for i in range(8)]
     settings = SETTINGS | {"caps": SETTINGS["caps"] | {"mayDuplicate": False, "mostHandOffs": 1}}
-    processes, ended, lost, answered, deferred = [], threading.Event(), [], [], []
+    processes: list[subprocess.Popen[bytes]] = []
+    ended = threading.Event()
+    lost: list[str] = []
+    answered: list[str] = []
+    rejected: list[str] = []
 
-    def start(number):
+    def start(number: int) -> subprocess.Popen[bytes]:
         mgmt = free_address()
         path = tmp_path / f"config{number}.json"
         config = {"listen": address(passed), "discovery": "127.0.0.1:1", "settings": settings}
@@ -402,7 +447,7 @@
                 pass
             time.sleep(0.02)
 
-    def client(name, pauses):
+    def client(name: str, pauses: random.Random) -> None:
         sock, count = None, 0
         while not ended.is_set():
             trace, count = f"{name}-{count}", count + 1
@@ -416,7 +461,7 @@
                     break
                 got += data
             else:
-                (answered if trace.encode() in got else deferred).append(trace)
+                (answered if trace.encode() in got else rejected).append(trace)
             if b"connection: close" in got.lower() or trace in lost:
                 sock.close()
                 sock = None
@@ -441,8 +486,8 @@
         for one in clients:
             one.join()
         assert second.poll() is None
-        assert not lost and max(upstream.ran.values()) == 1  # some may be deferred on a busy machine
-        assert {trace.encode() for trace in answered} == set(upstream.ran)
+        assert not lost and max(endpoint.ran.values()) == 1  # some may be rejected on a busy machine
+        assert {trace.encode() for trace in answered} == set(endpoint.ran)
         counts = [json.loads(line) for line in (tmp_path / "log1").read_bytes().splitlines()]
         assert [line["count"] for line in counts if line["event"] == "processes"][:1] == [2]
     finally:
@@ -450,5 +495,5 @@
         for process in processes:
             process.kill()
             process.wait()
-        upstream.listener.close()
+        endpoint.listener.close()
         passed.close()
