--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Stories of the list, peers, start, stop and the log of a real sidecar."""
+"""The endpoint list, peers, start, reload, shutdown, log and loop of a real sidecar."""
 
 import gc
 import os
@@ -7,14 +7,17 @@
 import subprocess
 import sys
 import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
 
 import msgspec
 import pytest
-from conftest import SETTINGS, address, bound, categories
+from conftest import SETTINGS, Surroundings, address, bound, categories
 
 from fakes.loopback import free_address
 from starlingwheel.decisions.model import EndpointState
-from starlingwheel.net.actor import Actor
+from starlingwheel.net.actor import Actor, Coroutine
 from starlingwheel.net.address import split
 from starlingwheel.net.discovery import client as discovery
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
@@ -22,18 +25,25 @@
 from starlingwheel.net.loop import READ, Loop
 from starlingwheel.net.messages import STOP
 
+MakeSurroundings = Callable[..., Surroundings]
+Program = Callable[[], tuple[subprocess.Popen[bytes], tuple[str, int]]]  # the process and its address
 
-def serve(around, client, i=0):
+
+def serve(around: Surroundings, client: socket.socket, i: int = 0) -> socket.socket:
+    """Serve one request of a client at an endpoint; return the endpoint's connection."""
     client.sendall(around.request())
     upstream = around.serve(i=i)
     assert around.status(client) == 200
     return upstream
 
 
-# The list.
+# The endpoint list.
 
 
-def test_a_message_in_pieces_is_followed_and_draining_endpoints_get_no_requests(make_surroundings):
+def test_a_message_in_pieces_is_followed_and_draining_endpoints_get_no_requests(
+    make_surroundings: MakeSurroundings,
+) -> None:
+    """The first call asks for what changed since the known list."""
     around = make_surroundings(upstreams=2)
     watch, target = around.watch(b"")
     assert target == b"/v1/endpoints?watch=1&from=7"
@@ -43,7 +53,10 @@
     around.quiet(0)
 
 
-def test_a_watch_message_is_read_ahead_of_requests_that_came_just_before_it(make_surroundings):
+def test_a_watch_message_is_read_ahead_of_requests_that_came_just_before_it(
+    make_surroundings: MakeSurroundings,
+) -> None:
+    """Each time an endpoint begins to drain, though its idle connection is there."""
     around = make_surroundings(upstreams=2)
     watch, _ = around.watch(b"")
     client = around.client()
@@ -58,7 +71,8 @@
     around.quiet(0)
 
 
-def test_an_attempt_at_an_endpoint_removed_since_can_still_be_cancelled(around):
+def test_an_attempt_at_an_endpoint_removed_since_can_still_be_cancelled(around: Surroundings) -> None:
+    """Its connection ends when the client disconnects."""
     watch, _ = around.watch(b"")
     client = around.ask("buy", b"one")
     upstream = around.accept()
@@ -69,14 +83,16 @@
     assert around.until(lambda: around.read(upstream)) == b"end"
 
 
-def test_a_snapshot_removes_endpoints_that_it_does_not_name(make_surroundings):
+def test_a_snapshot_removes_endpoints_that_it_does_not_name(make_surroundings: MakeSurroundings) -> None:
+    """On the network side and in the decisions."""
     around = make_surroundings(upstreams=2)
     around.watch({"version": 9, "full": True, "servers": [around.entry(1)]})
     around.until(lambda: list(around.context.coordinator.pools) == ["s1"])
     assert list(around.context.coordinator.scheduler.balancer.endpoints.by_id) == ["s1"]
 
 
-def test_an_address_may_change_under_a_known_id(around):
+def test_an_address_may_change_under_a_known_id(around: Surroundings) -> None:
+    """Connections to the former address are closed."""
     watch, _ = around.watch(b"")
     client = around.client()
     kept = serve(around, client)
@@ -99,7 +115,10 @@
         ([b"\xff"], "unreadable"),
     ],
 )
-def test_after_an_unreadable_line_the_last_list_stays_and_a_snapshot_is_asked_for(around, lines, reason):
+def test_after_an_unreadable_line_the_last_list_stays_and_a_snapshot_is_asked_for(
+    around: Surroundings, lines: list[dict[str, Any] | bytes], reason: str
+) -> None:
+    """What came before that line has been taken over."""
     around.watch(*lines)
     _, target = around.watch(b"")
     assert target.endswith(b"from=0")
@@ -107,7 +126,8 @@
     serve(around, around.client())
 
 
-def test_a_failed_call_and_an_ended_watch_are_followed_by_new_calls(around):
+def test_a_failed_call_and_an_ended_watch_are_followed_by_new_calls(around: Surroundings) -> None:
+    """The list stays in force meanwhile."""
     sock, _ = around.watch(status=503)
     assert around.until(lambda: around.logged("list.end"))[-1]["reason"] == "answered-503"
     sock, _ = around.watch(b"")
@@ -117,14 +137,18 @@
     serve(around, around.client())
 
 
-def test_a_silent_watch_is_replaced(around, monkeypatch):
+def test_a_silent_watch_is_replaced(around: Surroundings, monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a time without a byte."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.05)
     around.watch(b"", b"")
     around.watch(b"")
     assert around.logged("list.end")[0]["reason"] == "silent"
 
 
-def test_a_watch_that_stalls_within_a_line_is_replaced_and_the_line_dropped(around, monkeypatch):
+def test_a_watch_that_stalls_within_a_line_is_replaced_and_the_line_dropped(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The next call asks for changes after the last complete message."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.05)
     watch, _ = around.watch(b"")
     half = msgspec.json.encode({"version": 8, "servers": [around.entry(0, state="leaving")]})[:-9]
@@ -134,7 +158,10 @@
     serve(around, around.client())
 
 
-def test_after_changes_of_an_older_version_a_snapshot_is_asked_for(make_surroundings):
+def test_after_changes_of_an_older_version_a_snapshot_is_asked_for(
+    make_surroundings: MakeSurroundings,
+) -> None:
+    """They are not taken over."""
     around = make_surroundings(upstreams=2)
     watch, _ = around.watch({"version": 9, "servers": [around.entry(0, state="leaving")]})
     around.until(lambda: around.context.discovery.version == 9)
@@ -146,8 +173,9 @@
 
 
 def test_with_an_outdated_known_list_requests_are_rejected_promptly_until_the_watch_answers(
-    make_surroundings,
-):
+    make_surroundings: MakeSurroundings,
+) -> None:
+    """No process listens at the addresses that it names."""
     around = make_surroundings(upstreams=3)
     for listener in around.listeners[:2]:
         listener.close()
@@ -160,7 +188,8 @@
     serve(around, around.client(), i=3)
 
 
-def test_thousands_of_removed_endpoints_leave_nothing_behind(around):
+def test_thousands_of_removed_endpoints_leave_nothing_behind(around: Surroundings) -> None:
+    """Neither pools and connections nor what the decisions, gossip and timers kept of them."""
     watch, _ = around.watch(b"")
     context, balancer = around.context, around.context.coordinator.scheduler.balancer
     for version in range(8, 108):
@@ -190,19 +219,19 @@
     balancer.endpoints.stale = True
     balancer.endpoints.refresh()
     assert not balancer.gossip._by_peer and not balancer.gossip.counts
-    assert (
-        len(context.connections.to_endpoints) <= 1 and not context.active_traces
-    )  # those to the last ones are kept
+    # Connections to the last ones are kept.
+    assert len(context.connections.to_endpoints) <= 1 and not context.active_traces
     gc.collect()
     assert len([actor for _, _, held in context.loop.timers if (actor := held())]) < 10
 
 
-# New configurations.
+# Reload.
 
 
 def test_a_new_discovery_is_called_at_once_and_the_old_watch_serves_until_its_first_message(
-    make_surroundings,
-):
+    make_surroundings: MakeSurroundings,
+) -> None:
+    """The new one is asked for a snapshot."""
     around = make_surroundings(upstreams=2)
     old, _ = around.watch(b"")
     before, around.discovery = around.discovery, around.keep(bound())
@@ -220,7 +249,10 @@
     before.close()
 
 
-def test_a_new_discovery_that_is_not_up_yet_is_called_again(around, monkeypatch):
+def test_a_new_discovery_that_is_not_up_yet_is_called_again(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Even once the old watch has ended too."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
     old, _ = around.watch(b"")
     around.discovery = around.keep(bound(listening=False))  # it has its address, and does not listen yet
@@ -232,7 +264,8 @@
     around.until(lambda: around.context.discovery.version == 1)
 
 
-def test_an_unusable_configuration_leaves_the_one_before_in_force(around):
+def test_an_unusable_configuration_leaves_the_one_before_in_force(around: Surroundings) -> None:
+    """A later reload of the same file as before changes nothing either."""
     watch, _ = around.watch(b"")
     around.reconfigure(text=b"{")
     around.reconfigure()
@@ -242,7 +275,10 @@
     around.until(lambda: around.context.discovery.version == 8)
 
 
-def test_fields_that_need_a_restart_are_logged_and_the_last_of_several_changes_holds(around):
+def test_fields_that_need_a_restart_are_logged_and_the_last_of_several_changes_holds(
+    around: Surroundings,
+) -> None:
+    """The watch moves to the last address."""
     around.watch(b"")
     first, last = around.keep(bound()), around.keep(bound())
     around.reconfigure(discovery=address(first))
@@ -260,8 +296,11 @@
 # Peers.
 
 
-def test_gossip_of_a_peer_is_received_and_that_of_a_stranger_is_not(around, monkeypatch):
-    received = []
+def test_gossip_of_a_peer_is_received_and_that_of_a_stranger_is_not(
+    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Nor what is empty or too long."""
+    received: list[tuple[int, bytes]] = []
     monkeypatch.setattr(
         around.context.coordinator.scheduler,
         "gossip_received",
@@ -281,7 +320,8 @@
     assert received == [(1, b"yes")]
 
 
-def test_a_flood_of_datagrams_does_not_pile_up(around):
+def test_a_flood_of_datagrams_does_not_pile_up(around: Surroundings) -> None:
+    """What can't be handled is left to the kernel to drop."""
     to = around.context.gossip_socket.sock.getsockname()
     most = 0
     for _ in range(50):
@@ -293,7 +333,8 @@
     serve(around, around.client())
 
 
-def test_what_is_out_is_told_to_all_peers_by_ids(around):
+def test_what_is_out_is_told_to_all_peers_by_ids(around: Surroundings) -> None:
+    """A count of requests in flight, behind the tag of the endpoint."""
     around.ask()
     upstream = around.accept()
     around.received(upstream)
@@ -318,7 +359,10 @@
         ),
     ],
 )
-def test_the_error_of_an_unusable_configuration_names_the_key(tmp_path, text, named):
+def test_the_error_of_an_unusable_configuration_names_the_key(
+    tmp_path: Path, text: bytes, named: str
+) -> None:
+    """Or the file, where it can't be read; on one line."""
     path = tmp_path / "config.json"
     path.write_bytes(text)
     with pytest.raises(ConfigError) as refused:
@@ -326,7 +370,8 @@
     assert named in str(refused.value) and "\n" not in str(refused.value)
 
 
-def test_a_sidecar_without_an_endpoint_list_is_not_ready(make_surroundings):
+def test_a_sidecar_without_an_endpoint_list_is_not_ready(make_surroundings: MakeSurroundings) -> None:
+    """It rejects requests until the first message."""
     around = make_surroundings(known=None)
     assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
     assert around.status(around.ask("buy", b"one")) == 503
@@ -336,17 +381,17 @@
 
 
 @pytest.fixture
-def program(tmp_path):
-    """Starts the program itself, as its users do; the list is empty."""
+def program(tmp_path: Path) -> Iterator[Program]:
+    """Starts the program itself, as its users do; the endpoint list is empty."""
     listen = free_address()
     config = {"listen": listen, "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path = tmp_path / "config.json"
     path.write_bytes(msgspec.json.encode(config))
     command = [sys.executable, "-m", "starlingwheel"]
     environment = os.environ | {"EDGE_CONFIG": str(path)}
-    started = []
+    started: list[subprocess.Popen[bytes]] = []
 
-    def start():
+    def start() -> tuple[subprocess.Popen[bytes], tuple[str, int]]:
         process = subprocess.Popen(command, env=environment, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
         started.append(process)
         assert b'"start"' in process.stdout.readline()
@@ -358,14 +403,16 @@
         process.communicate()
 
 
-def test_the_program_starts_and_ends_at_a_signal(program):
+def test_the_program_starts_and_ends_at_a_signal(program: Program) -> None:
+    """With exit code 0 and nothing on standard error."""
     process, _ = program()
     process.send_signal(signal.SIGTERM)
     out, errors = process.communicate(timeout=10)
     assert process.returncode == 0 and errors == b"" and b'"event":"end"' in out
 
 
-def test_a_reload_does_not_end_the_program(program):
+def test_a_reload_does_not_end_the_program(program: Program) -> None:
+    """It answers clients afterwards."""
     process, listen = program()
     process.send_signal(signal.SIGHUP)
     while b'"config.read"' not in (line := process.stdout.readline()):
@@ -378,7 +425,8 @@
     assert process.returncode == 0
 
 
-def test_after_a_kill_the_program_starts_again_at_its_address(program):
+def test_after_a_kill_the_program_starts_again_at_its_address(program: Program) -> None:
+    """Though a client's connection to the former process is open."""
     process, listen = program()
     with socket.create_connection(listen):
         process.kill()
@@ -389,16 +437,18 @@
             assert again.recv(64).startswith(b"HTTP/1.1 503")  # it has no list yet
 
 
-def test_an_unusable_start_ends_with_one_line():
+def test_an_unusable_start_ends_with_one_line() -> None:
+    """It names the file, and the exit code is 2."""
     command = [sys.executable, "-m", "starlingwheel"]
     done = subprocess.run(command, env={**os.environ, "EDGE_CONFIG": "/nowhere"}, capture_output=True)
     assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and b"/nowhere" in done.stderr
 
 
-# Stop.
+# Shutdown.
 
 
-def test_a_shutdown_answers_all_accepted_requests_and_then_ends(make_surroundings):
+def test_a_shutdown_answers_all_accepted_requests_and_then_ends(make_surroundings: MakeSurroundings) -> None:
+    """Requests that come during the first moments too; idle clients are closed."""
     around = make_surroundings(settings={"categories": categories(4000000)})
     loop = around.context.loop
     loop.running = True
@@ -427,7 +477,8 @@
 # The log and the loop.
 
 
-def test_a_slow_reader_of_the_log_costs_lines_and_never_the_loop():
+def test_a_slow_reader_of_the_log_costs_lines_and_never_the_loop() -> None:
+    """The log says how many once the reader goes on."""
     reader, writer = os.pipe()
     log = EventLog(time.time, writer)
     for n in range(2 * MAX_BUFFERED // 100):
@@ -444,7 +495,8 @@
     os.close(reader)
 
 
-def test_a_closed_log_does_not_end_the_sidecar():
+def test_a_closed_log_does_not_end_the_sidecar() -> None:
+    """Lines are dropped then."""
     reader, writer = os.pipe()
     os.close(reader)
     log = EventLog(time.time, writer)
@@ -453,12 +505,13 @@
     os.close(writer)
 
 
-def test_messages_are_handled_before_timers():
+def test_messages_are_handled_before_timers() -> None:
+    """In a turn in which both are due."""
     ours, theirs = socket.socketpair()
-    seen = []
+    seen: list[object] = []
 
     class Waiting(Actor):
-        def run(self):
+        def run(self) -> Coroutine[None]:
             self.loop.register(ours.fileno(), self, READ)
             seen.append((yield self.loop.now() + 0.01))
 
@@ -472,17 +525,19 @@
     theirs.close()
 
 
-def test_an_actor_that_waits_for_a_past_time_does_not_stop_the_others():
+def test_an_actor_that_waits_for_a_past_time_does_not_stop_the_others() -> None:
+    """It runs once a turn."""
+
     class Hasty(Actor):
-        def run(self):
+        def run(self) -> Coroutine[None]:
             while True:
                 yield self.loop.now() - 1
 
     class Patient(Actor):
-        def run(self):
+        def run(self) -> Coroutine[None]:
             got.append((yield self.loop.now()))
 
-    got = []
+    got: list[object] = []
     loop = Loop(lambda actor, error: pytest.fail(repr(error)))
     actors = [Hasty(loop), Patient(loop)]
     for actor in actors:
@@ -493,15 +548,18 @@
     loop.close()
 
 
-def test_a_daemon_actor_restarts_after_an_error():
+def test_a_daemon_actor_restarts_after_an_error() -> None:
+    """The messages behind the one that failed are handled."""
+
     class Fragile(Actor):
         daemon = True
 
-        def run(self):
+        def run(self) -> Coroutine[None]:
             while True:
                 got.append(1 / (yield None))
 
-    got, defects = [], []
+    got: list[float] = []
+    defects: list[Exception] = []
     loop = Loop(lambda actor, error: defects.append(error))
     actor = Fragile(loop)
     actor.begin()
