--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -376,7 +376,9 @@
 
 
 @pytest.mark.parametrize("comes", ["at rest", "behind its answer", "as it is to be used"])
-def test_a_second_answer_makes_wary(around: Surroundings, comes: str) -> None:
+def test_after_a_second_response_unsolicited_ones_are_expected_for_a_while(
+    around: Surroundings, comes: str
+) -> None:
     """Whenever it comes, unsolicited responses are expected for a while."""
     client = around.ask()
     first = around.accept()
@@ -614,7 +616,7 @@
 # Stop, start and room.
 
 
-def test_all_that_wait_at_the_listener_are_let_in_before_it_closes(around: Surroundings) -> None:
+def test_all_clients_in_the_backlog_are_accepted_before_the_listener_closes(around: Surroundings) -> None:
     """More than one turn accepts."""
     waiting = [around.ask(lead="GET /ready HTTP/1.1") for _ in range(MAX_ACCEPTS_PER_TURN + 40)]
     around.context.listener.post(STOP)
@@ -622,7 +624,7 @@
     assert [around.status(client) for client in waiting] == [200] * len(waiting)
 
 
-def test_a_second_word_to_stop_cuts_nothing_short(
+def test_a_second_stop_signal_does_not_shorten_the_shutdown(
     around: Surroundings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Neither does a third: the listener stays open until the time for that is over."""
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -59,7 +59,7 @@
 
 
 def head_and(around: Surroundings, sock: socket.socket) -> tuple[bytes, bytes]:
-    """The head of an answer, and what came behind it."""
+    """Return the head of a response, and what came behind it."""
     got = b""
     while b"\r\n\r\n" not in got:
         got += around.until(lambda: around.read(sock))
@@ -87,7 +87,7 @@
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body[:1000])
     head, got = head_and(around, client)
     assert b"200" in head and b"%d" % len(body) in head
-    # Its work item is done with: a long answer keeps no place at its upstream, and nothing cuts it.
+    # The request has ended: a long response takes no capacity of its endpoint, and no deadline ends it.
     around.until(lambda: not around.context.coordinator.pending_requests)
     upstream.sendall(body[1000:])
     assert got + read_all(around, client, len(body) - len(got)) == body
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -333,7 +333,7 @@
     serve(around, around.client())
 
 
-def test_what_is_out_is_told_to_all_peers_by_ids(around: Surroundings) -> None:
+def test_requests_in_flight_are_gossiped_to_all_peers(around: Surroundings) -> None:
     """A count of requests in flight, behind the tag of the endpoint."""
     around.ask()
     upstream = around.accept()
