--- a/starlingwheel/net/http/errors.py
+++ b/starlingwheel/net/http/errors.py
@@ -70,9 +70,9 @@
     TWO_LENGTHS = "two lengths"
     INCOMPLETE = "half a request"
     BODY_TOO_LONG = "body too long"
-    STREAMED_BODY_TOO_LONG = "(413, 'body too long')"
+    STREAMED_BODY_TOO_LONG = "(413, 'body too long')"  # found while it was being forwarded; answered with 400
     NO_BUFFERS = "no-buffers"
-    NO_BUFFERS_FOR_STREAM = ""
+    NO_BUFFERS_FOR_STREAM = ""  # likewise
     TOO_MANY_REQUESTS = "too many connections"
     REPEATED_HEADER = "is doubled"  # the log puts the header's name before it
     NO_TRACE_ID = "x-trace-id is missing"
