--- a/trials/emulated_member.py
+++ b/trials/emulated_member.py
@@ -122,20 +122,20 @@
         if self.must_read_all:
             self._read_all()
             return
-        upto = len(world.store.events) if world.rng.random() < WATCH_CHANCE else self.events_seen
-        changed, members_changed, last = False, False, 0
-        for revision, key, entry in world.store.events[self.events_seen : upto]:
-            if members_changed and revision != last:
+        end = len(world.store.events) if world.rng.random() < WATCH_CHANCE else self.events_seen
+        changed, members_changed, last_revision = False, False, 0
+        for revision, key, entry in world.store.events[self.events_seen : end]:
+            if members_changed and revision != last_revision:
                 self.policy_replica.recorded(self.records.copy(), False)
                 members_changed = False
-            last, changed = revision, True
+            last_revision, changed = revision, True
             members_changed = members_changed or key.startswith(MEMBERS_PREFIX)
             self.records.revision = revision
             if entry is None:
                 self.records.delete(key)
             else:
                 self.records.put(key, entry)
-        self.events_seen = upto
+        self.events_seen = end
         if changed:
             self.policy_replica.recorded(self.records.copy(), False)
 
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -36,8 +36,8 @@
 class HollowAttempt:
     """One attempt of a request, which is sent nowhere."""
 
-    item: ReplicatedRequest
-    at: float
+    request: ReplicatedRequest
+    started_at: float
 
 
 @dataclass(slots=True, eq=False)
@@ -139,28 +139,28 @@
             [],
             rules=request_class,
         )
-        result, item = self.replicator.begin(frame, object(), deadline)
+        result, request = self.replicator.begin(frame, object(), deadline)
         self.counts[result.value] += 1
         if result is BeginResult.RUN:
-            self._start_attempt(item, now)
+            self._start_attempt(request, now)
 
-    def _start_attempt(self, item: ReplicatedRequest, now: float) -> None:
-        self.hold(HollowAttempt(item, now), item, AttemptIntent("u0", "", 0, now))
+    def _start_attempt(self, request: ReplicatedRequest, now: float) -> None:
+        self.hold(HollowAttempt(request, now), request, AttemptIntent("u0", "", 0, now))
 
     def _finish_attempts(self, now: float) -> None:
         while self.in_service and self.in_service[0][0] <= now:
             attempt = heapq.heappop(self.in_service)[2]
             if self.release_hold(attempt) is not None:
-                self._record_answer(attempt.item, RecordedResponse(FINISHED))
+                self._record_answer(attempt.request, RecordedResponse(FINISHED))
 
     def _drop(self, attempt: HollowAttempt) -> None:
         gate = self.release_hold(attempt)
         if gate is not None:
             self.replicator.attempt_not_run(gate.item, gate.number, UNSENT)
-            self._record_answer(attempt.item, RecordedResponse(DEFERRED))
+            self._record_answer(attempt.request, RecordedResponse(DEFERRED))
 
-    def _record_answer(self, item: ReplicatedRequest, response: RecordedResponse) -> None:
-        given = self.replicator.finish_request(item, response)
+    def _record_answer(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
+        given = self.replicator.finish_request(request, response)
         self.counts["later" if given is None else f"answered_{given.status}"] += 1
 
     # What `FleetHost` asks of the deciding part
@@ -179,7 +179,7 @@
     def released(self, exchange: HollowAttempt) -> None:
         """Begin the service of an attempt whose intent is replicated."""
         now = self.loop.now()
-        self.replication_seconds += now - exchange.at
+        self.replication_seconds += now - exchange.started_at
         self.counts["released"] += 1
         self.attempt_number += 1
         heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, exchange))
