--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -35,8 +35,8 @@
 class HollowAttempt:
     """One attempt of a request, which is sent nowhere."""
 
-    item: ReplicatedRequest
-    at: float
+    request: ReplicatedRequest
+    started_at: float
 
 
 @dataclass(slots=True, eq=False)
@@ -138,60 +138,60 @@
             [],
             class_record=request_class,
         )
-        result, item = self.replicator.begin(frame, object(), deadline)
+        result, request = self.replicator.begin(frame, object(), deadline)
         self.counts[result.value] += 1
         if result is BeginResult.RUN:
-            self._start_attempt(item, now)
+            self._start_attempt(request, now)
 
-    def _start_attempt(self, item: ReplicatedRequest, now: float) -> None:
-        self.hold_attempt(HollowAttempt(item, now), item, AttemptIntent("u0", "", 0, now))
+    def _start_attempt(self, request: ReplicatedRequest, now: float) -> None:
+        self.hold_attempt(HollowAttempt(request, now), request, AttemptIntent("u0", "", 0, now))
 
     def _finish_attempts(self, now: float) -> None:
         while self.in_service and self.in_service[0][0] <= now:
             attempt = heapq.heappop(self.in_service)[2]
             if self.forget_hold(attempt) is not None:
-                self._record_answer(attempt.item, RecordedResponse(FINISHED))
+                self._record_answer(attempt.request, RecordedResponse(FINISHED))
 
     def _drop(self, attempt: HollowAttempt) -> None:
         gate = self.forget_hold(attempt)
         if gate is not None:
             self.replicator.attempt_not_run(gate.request, gate.number, NEVER_RELEASED)
-            self._record_answer(attempt.item, RecordedResponse(REJECTED))
+            self._record_answer(attempt.request, RecordedResponse(REJECTED))
 
-    def _record_answer(self, item: ReplicatedRequest, response: RecordedResponse) -> None:
-        given = self.replicator.finish_request(item, response)
+    def _record_answer(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
+        given = self.replicator.finish_request(request, response)
         self.counts["later" if given is None else f"answered_{given.status}"] += 1
 
     # What `FleetHost` asks of the deciding part
 
-    def dispatch(self, item: ReplicatedRequest) -> None:
+    def dispatch(self, request: ReplicatedRequest) -> None:
         """Take over a request: attempt it, or fail it if it may have run and may not run twice."""
-        if not item.is_idempotent and item.may_have_run:
-            self._record_answer(item, RecordedResponse(FAILED))
+        if not request.is_idempotent and request.may_have_run:
+            self._record_answer(request, RecordedResponse(FAILED))
         else:
-            self._start_attempt(item, self.loop.now())
+            self._start_attempt(request, self.loop.now())
 
-    def respond(self, item: ReplicatedRequest, client: object, response: RecordedResponse) -> None:
+    def respond(self, request: ReplicatedRequest, client: object, response: RecordedResponse) -> None:
         """Count what a client would be answered."""
         self.counts[f"told_{response.status}"] += 1
 
-    def release_held_attempt(self, token: HollowAttempt) -> None:
+    def release_held_attempt(self, exchange: HollowAttempt) -> None:
         """Begin the service of an attempt whose intent is replicated."""
         now = self.loop.now()
-        self.replication_seconds += now - token.at
+        self.replication_seconds += now - exchange.started_at
         self.counts["released"] += 1
         self.attempt_number += 1
-        heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, token))
+        heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, exchange))
 
-    def cancel_held_attempt(self, token: HollowAttempt) -> None:
+    def cancel_held_attempt(self, exchange: HollowAttempt) -> None:
         """Drop an attempt in a turn of its own."""
-        self.post(AttemptDropped(token))
+        self.post(AttemptDropped(exchange))
 
     def replication_config_changed(self, part: ReplicationConfig) -> None:
         """Replicate as a policy says."""
         self.replicator.replica_count = part.replicas
 
-    def balancer_config_changed(self, terms: BalancerConfig) -> None:
+    def balancer_config_changed(self, config: BalancerConfig) -> None:
         """Count a reload of the configuration."""
         self.counts["retuned"] += 1
 
