--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -332,7 +332,7 @@
             given = ("policy", "propose", str(file), "--switch", "1.6", *at)
             decided = await asyncio.to_thread(command, *given)
             early = await asyncio.to_thread(command, *given)
-            while (await rig.sidecars[0].told("GET", "/_policy"))[1]["in_force"]["version"] == 0:
+            while (await rig.sidecars[0].admin_call("GET", "/_policy"))[1]["in_force"]["version"] == 0:
                 await asyncio.sleep(0.05)
             shown = await asyncio.to_thread(command, "policy", "show", *at)
             rig.sidecars[2].signal(signal.SIGSTOP)
--- a/trials/added.py
+++ b/trials/added.py
@@ -28,7 +28,7 @@
 from fakes.loopback import free_address, own_host
 
 from .processes import die_with_parent, processor_time
-from .rig import CAPS, CATEGORIES, MEMORY, ROOT, START
+from .rig import CAPS, CATEGORIES, MEMORY_FOLDER, READY_TIMEOUT, ROOT
 from .verdict import Verdict
 
 CLIENTS = 8
@@ -197,7 +197,7 @@
 
 async def ready(address: str, log: Path) -> None:
     """Wait until the sidecar accepts requests; raises `RuntimeError` where it does not."""
-    until = time.monotonic() + START
+    until = time.monotonic() + READY_TIMEOUT
     while time.monotonic() < until:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection(*address.split(":"))
@@ -268,7 +268,7 @@
     start the program, as under a profiler. One sidecar is played, whatever `sidecars` and `fleet` say.
     """
     verdict = Verdict()
-    with tempfile.TemporaryDirectory(prefix="added-", dir=MEMORY) as name:
+    with tempfile.TemporaryDirectory(prefix="added-", dir=MEMORY_FOLDER) as name:
         folder = Path(name)
         endpoints = start_python(
             ["-m", "trials.added", str(count), str(service)], cwd=ROOT, stdout=subprocess.PIPE
--- a/trials/endpoint_list/process.py
+++ b/trials/endpoint_list/process.py
@@ -15,7 +15,7 @@
 from fakes.loopback import free_ports, own_host
 
 from ..processes import die_with_parent
-from ..rig import CAPS, CATEGORIES, START
+from ..rig import CAPS, CATEGORIES, READY_TIMEOUT
 
 if TYPE_CHECKING:
     from .trial import Trial
@@ -83,7 +83,7 @@
 
     async def ready(self) -> None:
         """Wait until it accepts requests; raises `RuntimeError` where it does not."""
-        until = asyncio.get_running_loop().time() + START
+        until = asyncio.get_running_loop().time() + READY_TIMEOUT
         while asyncio.get_running_loop().time() < until and self.alive:
             with contextlib.suppress(Broken):
                 if (await self.caller.call("GET", "/ready", {}))[0] == 200:
--- a/trials/endpoint_list/trial.py
+++ b/trials/endpoint_list/trial.py
@@ -21,7 +21,7 @@
 from fakes.discovery import Discovery
 from fakes.http1 import Broken, Handler, Request, Response, Server
 
-from ..rig import MEMORY, ROOT, START
+from ..rig import MEMORY_FOLDER, READY_TIMEOUT, ROOT
 from ..verdict import Verdict
 from .process import GRACE, Process
 
@@ -68,7 +68,7 @@
     async def __aenter__(self) -> Trial:
         """Start all; raises `RuntimeError` where a sidecar is not ready in time."""
         self.stack = contextlib.AsyncExitStack()
-        self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory(dir=MEMORY)))
+        self.folder = Path(self.stack.enter_context(tempfile.TemporaryDirectory(dir=MEMORY_FOLDER)))
         self.discovery = Discovery(self.rng)
         for number in range(self.server_count):
             name = f"s{number}"
@@ -110,7 +110,7 @@
 
     async def until_all_are_notified(self) -> None:
         """Wait until each sidecar has an open watch with the present version."""
-        until = asyncio.get_running_loop().time() + START
+        until = asyncio.get_running_loop().time() + READY_TIMEOUT
         fronts = self.discovery.fronts
         while not all(
             any(c.watching and c.version == self.discovery.version for c in f.calls) for f in fronts
--- a/trials/hard.py
+++ b/trials/hard.py
@@ -74,7 +74,7 @@
         sending = asyncio.create_task(rig.clients.send(150.0, 2.0, MIX))
         await asyncio.sleep(0.8)
         owner = rig.rng.choice(rig.sidecars)
-        affected = rig.in_hand(owner)
+        affected = rig.open_requests(owner)
         owner.signal(signal.SIGSTOP)
         rig.clients.avoid.add(owner.name)
         for work in affected:
@@ -118,7 +118,7 @@
         until = asyncio.get_running_loop().time() + 33.0
         while asyncio.get_running_loop().time() < until:
             there = next(s for s in rig.sidecars if s.alive)
-            count = (await there.told("GET", "/_fleet"))[1]["cells"]["count"]
+            count = (await there.admin_call("GET", "/_fleet"))[1]["cells"]["count"]
             if count != counts[-1]:
                 counts.append(count)
                 # At each cut one is killed for good; at the last one all but two.
@@ -146,13 +146,13 @@
         await asyncio.sleep(1.0)
         await rig.arbiter.down()
         await asyncio.sleep(8.0)
-        told = [(await s.told("GET", "/_fleet"))[1] for s in rig.sidecars]
+        reports = [(await s.admin_call("GET", "/_fleet"))[1] for s in rig.sidecars]
         verdict = await rig.judged(sending)
         doubts = sum(line["reason"] == "alone" for s in rig.sidecars for line in s.logged("policy.doubt"))
         uncovered = sum(len(s.logged("cover.none", "cover.given_up")) for s in rig.sidecars)
         held_up = [w.name for w in rig.clients.done if not w.finished or len(w.tries) > 1]
         verdict.counts |= {"doubts": doubts, "uncovered or given up": uncovered, "held up": len(held_up)}
-        verdict.counts["with a lease still"] = sum(t["lease_s"] > 0 for t in told)
+        verdict.counts["with a lease still"] = sum(report["lease_s"] > 0 for report in reports)
         if doubts or uncovered or held_up:
             verdict.broken.append(f"the arbiter's loss was seen, by {held_up[:5]}")
         return verdict
--- a/trials/loss.py
+++ b/trials/loss.py
@@ -24,8 +24,8 @@
         await asyncio.sleep(seconds / 2)
         # The one with the most open requests: without any the trial would show nothing.
         for _ in range(20):
-            lost = max(rig.sidecars, key=lambda s: len(rig.in_hand(s)))
-            if len(rig.in_hand(lost)) > 1:
+            lost = max(rig.sidecars, key=lambda s: len(rig.open_requests(s)))
+            if len(rig.open_requests(lost)) > 1:
                 break
             await asyncio.sleep(0.01)
         in_hand = rig.lose(lost)
--- a/trials/parts.py
+++ b/trials/parts.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from . import added
-from .rig import MEMORY
+from .rig import MEMORY_FOLDER
 
 PLACES = (
     # A part of a path or of a builtin's name, and the part of the program; the first that fits counts.
@@ -36,20 +36,20 @@
     ("fleet/", "cover"),
     ("net/", "the rest of net"),
 )
-START = ("importlib", "<frozen", "marshal", "{built-in method builtins.exec}", "posix.stat")
+START_MARKS = ("importlib", "<frozen", "marshal", "{built-in method builtins.exec}", "posix.stat")
 
 
 def whose(place: tuple[str, int, str]) -> str:
     """Return the part of the program that a function of the profile belongs to."""
     text = f"{place[0]} {place[2]}"
-    if any(mark in text for mark in START):
+    if any(mark in text for mark in START_MARKS):
         return "start"
     return next((name for part, name in PLACES if part in text), "builtins and library")
 
 
 async def play(seed: int, rate: float, seconds: float) -> dict[str, Any]:
     """Return shares of processor time, per cent, without that of waiting and of the start."""
-    with tempfile.TemporaryDirectory(prefix="parts-", dir=MEMORY) as folder:
+    with tempfile.TemporaryDirectory(prefix="parts-", dir=MEMORY_FOLDER) as folder:
         out = Path(folder) / "profile"
         command = ("-m", "cProfile", "-o", str(out), "-m", "starlingwheel")
         verdict = await added.play(seed, rates=(rate,), seconds=seconds, command=command)
--- a/trials/policy.py
+++ b/trials/policy.py
@@ -222,7 +222,7 @@
         began_at = loop.time()
         with contextlib.suppress(Broken, TimeoutError, OSError):
             call = {"policy": body(change.label, tenants)}
-            change.proposal_status, _ = await sidecar.told("PUT", "/_policy/propose", call)
+            change.proposal_status, _ = await sidecar.admin_call("PUT", "/_policy/propose", call)
             if change.proposal_status in (200, 503):  # 503: it may be written, as the store tells
                 break
     proposal = rig.arbiter.entries.get(NEXT_KEY)
--- a/trials/rest.py
+++ b/trials/rest.py
@@ -22,9 +22,9 @@
 class Direct(Rig):
     """A rig whose sidecars reach each other and the coordination store without relays."""
 
-    def further(self, sidecar: Sidecar) -> dict[str, Any]:
+    def extra_config(self, sidecar: Sidecar) -> dict[str, Any]:
         """Return the further parts of a sidecar's configuration."""
-        parts = super().further(sidecar)
+        parts = super().extra_config(sidecar)
         parts["fleet"] |= {"advertise": "", "arbiter": [self.arbiter.server.address]}
         return parts
 
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -24,15 +24,14 @@
 from fakes.relay import Relay, Way
 from fakes.upstream import Run, Upstream
 
-from .processes import PR_SET_PDEATHSIG, die_with_parent
+from .processes import die_with_parent
 from .verdict import Verdict, judge
 
 LOGS = os.environ.get("TRIAL_LOGS", "")  # a folder in which the processes' logs stay, for a look
 ROOT = Path(__file__).parent.parent
-# In memory, where possible: the files of many processes may be too much for a slow disk.
-MEMORY = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
-START = 20.0  # seconds in which all are ready, however busy the machine is
-DIE_WITH_PARENT = PR_SET_PDEATHSIG  # the name that trials/scale uses
+# The files of many processes may be too much for a slow disk.
+MEMORY_FOLDER = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
+READY_TIMEOUT = 20.0  # seconds, however busy the machine is
 ZONES = ("north", "east", "south")
 TIMES = {"dueTime": 1_000_000, "expiry": 2_000_000}
 CATEGORIES = [
@@ -46,8 +45,8 @@
 }  # fmt: skip
 
 
-MODULE = ["-m", "starlingwheel"]
-AHEAD = (
+PROGRAM = ["-m", "starlingwheel"]
+PROGRAM_WITH_CLOCK_AHEAD = (
     "import sys, time; real = time.time; time.time = lambda: real() + {};"
     "from starlingwheel.net.lifecycle.sidecar import main; sys.exit(main())"
 )  # the program under a clock that is ahead
@@ -121,23 +120,24 @@
             "seed": f"{self.rig.seed}-{self.name}",
             "known": {"version": 0, "full": True, "servers": self._entries()},
             "settings": settings,
-        } | self.rig.further(self)
+        } | self.rig.extra_config(self)
 
     def start(self) -> None:
         """Start a process, under the name and addresses of the one before."""
         self.paths["json"].write_text(json.dumps(self.configuration()))
         # Without a folder for operators' overrides: all sidecars would share it.
         environment = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
+        program = ["-c", PROGRAM_WITH_CLOCK_AHEAD.format(self.ahead)] if self.ahead else PROGRAM
         with self.paths["log"].open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-B", *(["-c", AHEAD.format(self.ahead)] if self.ahead else MODULE)],
+                [sys.executable, "-B", *program],
                 cwd=self.rig.root, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
                 env=environment | {"EDGE_CONFIG": str(self.paths["json"])}, preexec_fn=die_with_parent,
             )  # fmt: skip
 
     async def ready(self) -> None:
         """Wait until it accepts requests; raises `RuntimeError` where it does not."""
-        caller, until = Caller(self.address), asyncio.get_running_loop().time() + START
+        caller, until = Caller(self.address), asyncio.get_running_loop().time() + READY_TIMEOUT
         while asyncio.get_running_loop().time() < until:
             with contextlib.suppress(Broken):
                 if (await caller.call("GET", "/ready", {}))[0] == 200:
@@ -148,7 +148,7 @@
             await asyncio.sleep(0.02)
         raise RuntimeError(f"{self.name} is not ready: {self.paths['log'].read_text()[-2000:]}")
 
-    async def told(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
+    async def admin_call(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
         """Make an admin call; return the status and the decoded body of its response."""
         caller = Caller(f"{self.host}:{self.mgmt}")
         data = b"" if body is None else json.dumps(body).encode()
@@ -178,10 +178,10 @@
     async def sees_cells(self, members: int, cells: int) -> bool:
         """It has a view of so many members in so many cells, and links to all of its own cell."""
         with contextlib.suppress(Broken, TimeoutError):
-            _, told = await self.told("GET", "/_fleet")
-            cut = told["cells"]
-            linked = set(cut["members"]) <= {*told["links"], told["member"]}
-            return (cut["fleet_members"], cut["count"]) == (members, cells) and linked
+            _, report = await self.admin_call("GET", "/_fleet")
+            cells_report = report["cells"]
+            linked = set(cells_report["members"]) <= {*report["links"], report["member"]}
+            return (cells_report["fleet_members"], cells_report["count"]) == (members, cells) and linked
         return False
 
     def sees(self, members: int) -> bool:
@@ -229,8 +229,8 @@
         self.cell_size, self.cut = cell_size, cut
         self.arbiter = Arbiter()
         self.rng = random.Random(seed)
-        self.kept = tempfile.TemporaryDirectory(prefix="trial-", dir=MEMORY)
-        self.folder = Path(self.kept.name)
+        self.temporary_folder = tempfile.TemporaryDirectory(prefix="trial-", dir=MEMORY_FOLDER)
+        self.folder = Path(self.temporary_folder.name)
         self.runs: list[Run] = []
         self.start = 0.0  # when all were up
         self.listed: dict[str, dict[str, Any]] = {}  # what the list says otherwise of an upstream
@@ -245,7 +245,7 @@
             self.sidecars[number].memory_mb = megabytes
         self.clients = Clients({s.name: s.address for s in self.sidecars}, random.Random(f"{seed}-clients"))
 
-    def further(self, sidecar: Sidecar) -> dict[str, Any]:
+    def extra_config(self, sidecar: Sidecar) -> dict[str, Any]:
         """Return the further parts of a sidecar's configuration."""
         if not self.fleet:
             return {}
@@ -277,17 +277,17 @@
         one.front.ways[other.host] = ways[::-1]
         return ways
 
-    def in_hand(self, sidecar: Sidecar) -> list[Work]:
+    def open_requests(self, sidecar: Sidecar) -> list[Work]:
         """Return the requests whose clients wait for an answer of that sidecar."""
         tries = [(w, w.tries[-1]) for w in self.clients.done if w.tries]
         return [w for w, last in tries if last.end == "open" and last.sidecar == sidecar.name]
 
     def lose(self, sidecar: Sidecar) -> list[Work]:
         """Kill a sidecar for good, and send new clients elsewhere; return its open requests."""
-        hurt = self.in_hand(sidecar)
+        affected = self.open_requests(sidecar)
         sidecar.kill()
         self.clients.avoid.add(sidecar.name)
-        return hurt
+        return affected
 
     async def judged(self, sending: asyncio.Task[None]) -> Verdict:
         """Wait until all requests have ended, then judge."""
@@ -321,16 +321,16 @@
             sidecar.start()
         await asyncio.gather(*(sidecar.ready() for sidecar in self.sidecars))
         if self.fleet:
-            await self.met(len(self.sidecars))
+            await self.wait_for_view(len(self.sidecars))
         self.start = asyncio.get_running_loop().time()
 
-    def told(self) -> str:
+    def log_ends(self) -> str:
         """Return the ends of the processes' logs."""
         return "\n".join(f"{s.name}: {s.paths['log'].read_text()[-1500:]}" for s in self.sidecars)
 
-    async def met(self, members: int) -> None:
+    async def wait_for_view(self, members: int) -> None:
         """Wait until each that is alive has a view of so many members and a link to each of its cell."""
-        until = asyncio.get_running_loop().time() + START
+        until = asyncio.get_running_loop().time() + READY_TIMEOUT
         alive = [s for s in self.sidecars if s.alive]
         while asyncio.get_running_loop().time() < until:
             if self.cell_size:
@@ -340,7 +340,7 @@
             if all(seen):
                 return
             await asyncio.sleep(0.05)
-        raise RuntimeError(f"no view of {members}: " + self.told())
+        raise RuntimeError(f"no view of {members}: " + self.log_ends())
 
     async def _end(self) -> None:
         await self.clients.rest(0)
@@ -356,7 +356,7 @@
         await self.arbiter.stop()
         if LOGS:
             shutil.copytree(self.folder, Path(LOGS) / f"seed-{self.seed}", dirs_exist_ok=True)
-        self.kept.cleanup()
+        self.temporary_folder.cleanup()
 
     def defects(self) -> list[dict[str, Any]]:
         """Return the log lines that tell of faults in the code."""
--- a/trials/scale/control.py
+++ b/trials/scale/control.py
@@ -10,7 +10,8 @@
 import sys
 from typing import Any
 
-from ..rig import DIE_WITH_PARENT, ROOT
+from ..processes import PR_SET_PDEATHSIG
+from ..rig import ROOT
 
 ANSWER_TIMEOUT = 120.0  # seconds, however busy the machine is
 MAX_LINE_SIZE = 1 << 24  # bytes
@@ -18,7 +19,7 @@
 
 def die_with_parent() -> None:
     """Have this process killed when the run ends, also when the run is killed itself."""
-    ctypes.CDLL(None).prctl(DIE_WITH_PARENT, signal.SIGKILL)
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is for the run, which ends its processes by id
 
 
--- a/trials/scale/phases.py
+++ b/trials/scale/phases.py
@@ -82,13 +82,13 @@
         sidecar = self.fleet.real.sidecars[0]
         async with self.measure("policy") as added:
             proposal = {"policy": body(f"s{self.options.seed}")}
-            status, answer = await sidecar.told("PUT", "/_policy/propose", proposal)
+            status, answer = await sidecar.admin_call("PUT", "/_policy/propose", proposal)
             began = time.monotonic()
             in_force = status == 200 and await self._policy_in_force(str(answer.get("version")), began)
             how = "in force" if in_force else "not in force"
             added |= {"status": status, "how": how, "took_s": round(time.monotonic() - began, 3)}
             if status == 200:
-                past = (await sidecar.told("GET", "/_policy"))[1]["past"]
+                past = (await sidecar.admin_call("GET", "/_policy"))[1]["past"]
                 added["past"] = [{key: one[key] for key in ("how", "why", "version")} for one in past[-1:]]
             else:
                 added["past"] = answer
--- a/trials/scale/real.py
+++ b/trials/scale/real.py
@@ -32,13 +32,13 @@
         self.part, self.size, self.address = part, size, address
         self.arbiter = ExternalStore(*address)  # type: ignore[assignment]
 
-    def further(self, sidecar: Sidecar) -> dict[str, Any]:
+    def extra_config(self, sidecar: Sidecar) -> dict[str, Any]:
         """Return the configuration's fleet part and limits."""
         listen = f"{sidecar.host}:{sidecar.fleet_port}"
         limits = {"memory_mb": sidecar.memory_mb, "sockets": max(MIN_SOCKETS, 3 * self.size)}
         return {"fleet": self.part | {"listen": listen}, "limits": limits}
 
-    async def met(self, members: int) -> None:
+    async def wait_for_view(self, members: int) -> None:
         """Return at once: the run itself waits, since it knows how many members there are."""
 
     def samples(self) -> dict[str, Sample]:
@@ -54,7 +54,7 @@
         """Whether all are in the view and settled within so many seconds."""
         until = asyncio.get_running_loop().time() + within
         while asyncio.get_running_loop().time() < until:
-            reports = [(await sidecar.told("GET", "/_fleet"))[1] for sidecar in self.sidecars]
+            reports = [(await sidecar.admin_call("GET", "/_fleet"))[1] for sidecar in self.sidecars]
             sizes = {report["cells"]["fleet_members"] for report in reports}
             if all(report["in_view"] and report["settled"] for report in reports) and sizes == {self.size}:
                 return True
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -117,9 +117,9 @@
 
     planned = True
 
-    def further(self, sidecar: Sidecar) -> dict[str, object]:
+    def extra_config(self, sidecar: Sidecar) -> dict[str, object]:
         """What the configuration of that sidecar has beside the common keys."""
-        configuration = super().further(sidecar)
+        configuration = super().extra_config(sidecar)
         if self.fleet and self.planned:
             configuration["fleet"]["zones"] = {"regions": REGIONS}
         return configuration
