--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -101,7 +101,7 @@
                 case ClientDisconnected(pending) if (
                     request := self.replicated.get(pending.request)
                 ) is not None:
-                    self._client_disconnected(pending, request)
+                    self._replicated_client_disconnected(pending, request)
                 case None:
                     self.tick()
                     super()._handle(message)
@@ -204,7 +204,7 @@
         self.pending_requests[pending.request] = pending
         self.scheduler.accept_request(pending.request)
 
-    def _client_disconnected(self, pending: PendingRequest, request: ReplicatedRequest) -> None:
+    def _replicated_client_disconnected(self, pending: PendingRequest, request: ReplicatedRequest) -> None:
         forgotten = self.replicator.client_disconnected(request, pending)
         if not forgotten and pending.request in self.pending_requests and pending.awaits_response:
             # A retry with its name gets its response, so attempts that are written go on with nobody waiting.
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -518,3 +518,17 @@
     connection = item.dispatched_client.client
     coordinator.dispatch(item)
     assert connection.pending is item.dispatched_client
+
+
+@pytest.mark.parametrize("headers", [{}, {"x_work_name": "w1"}])
+def test_a_client_that_disconnects_is_counted_and_causes_no_error(member, headers):
+    """Also of a request that the replicator knows nothing of."""
+    member.until(lambda: joined(member))
+    client = member.ask("buy", b"one", **headers)
+    member.received(member.accept())
+    client.close()
+    member.until(lambda: member.logged("client.end"))
+    member.let_pass(0.05)
+    assert not member.logged("module.defect")
+    if not headers:
+        assert member.context.coordinator.counts["left"] == 1
