--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -55,10 +55,10 @@
 class MembershipView:
     """The members that hold a lease, and their cells. Does not change."""
 
-    def __init__(self, members: Iterable[Member] = (), cells: int = 1, cut_at: float = 0.0) -> None:
-        """`cells`: their count, a power of two. `cut_at`: when that was set, seconds on the wall clock."""
+    def __init__(self, members: Iterable[Member] = (), cells: int = 1, divided_at: float = 0.0) -> None:
+        """`cells`: their count, a power of two. `divided_at`: since when, seconds on the wall clock."""
         self.members = {member.id: member for member in sorted(members, key=lambda m: m.id)}
-        self.cells, self.cut_at = cells, cut_at
+        self.cells, self.divided_at = cells, divided_at
         lines = [f"{m.id} {m.term}" for m in self.members.values()]
         self.digest = digest(lines if cells == 1 else [*lines, f"cells {cells}"])
         self._best_ranked: dict[bytes, list[str]] = {}  # by key: its coordinator and the successor
@@ -142,7 +142,7 @@
 
     # Coordinators and replicas.
 
-    def ranks(self, key: bytes) -> list[Member]:
+    def ranked_members(self, key: bytes) -> list[Member]:
         """All members of the key's cell, best first, by rendezvous hashing.
 
         A member that goes moves only the keys that it coordinates. After the only member of a cell come those
@@ -157,31 +157,31 @@
         ranked = sorted(self.members_of_cell(cell).values(), key=weight, reverse=True)
         return ranked + sorted(self.fallback_members(cell).values(), key=weight, reverse=True)
 
-    def home(self, key: bytes, but: str = "") -> str:
-        """The key's coordinator; with `but`, the one if that member is lost. Empty: there is none."""
+    def coordinator(self, key: bytes, excluding: str = "") -> str:
+        """The key's coordinator; with `excluding`, the one if that member is lost. Empty: there is none."""
         ranked = self._best_ranked.get(key)
         if ranked is None:
             # Cached, since each frame about a request asks for it, and ranking hashes all members.
             if len(self._best_ranked) >= MAX_CACHED_KEYS:
                 self._best_ranked.clear()
-            ranked = self._best_ranked[key] = [member.id for member in self.ranks(key)[:2]]
-        return next((member for member in ranked if member != but), "")
+            ranked = self._best_ranked[key] = [member.id for member in self.ranked_members(key)[:2]]
+        return next((member for member in ranked if member != excluding), "")
 
-    def keepers(self, key: bytes, owner: str, count: int, reached: Container[str]) -> list[str]:
+    def replicas(self, key: bytes, owner: str, count: int, reachable: Container[str]) -> list[str]:
         """The replicas of a request that `owner` has under that key.
 
         These are the coordinator, or the one in the owner's place; as many more as `count` says; and one in
         another zone than the owner's, if there is one, so that the loss of a zone does not take both the
-        request and its records. `reached`: members that can be reached; it is asked for no more than needed.
+        request and its records. `reachable`: asked for no more members than needed.
         """
         zone = self.members[owner].zone if owner in self.members else None
         chosen: list[Member] = []
-        for member in self.ranks(key):
+        for member in self.ranked_members(key):
             if member.id == owner:
                 continue
             enough = len(chosen) >= count
             if enough and not all(replica.zone == zone for replica in chosen):
                 break
-            if (not enough or member.zone != zone) and member.id in reached:
+            if (not enough or member.zone != zone) and member.id in reachable:
                 chosen.append(member)
         return [member.id for member in chosen]
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -167,7 +167,7 @@
         self.revision = 0
         self.cells_before = cells
         self.cells = 1  # into how many the fleet is divided; 0: not known
-        self.cut_at = 0.0  # since when, seconds on the wall clock
+        self.divided_at = 0.0  # since when, seconds on the wall clock
         self.cells_mod = 0
         self.cells_spoilt = False  # the entry can't be read
         self.members: dict[str, Member] = {}
@@ -193,7 +193,9 @@
     def view(self) -> MembershipView:
         """The members; empty while it is not known here into how many cells the fleet is divided."""
         return (
-            MembershipView(self.members.values(), self.cells, self.cut_at) if self.cells else MembershipView()
+            MembershipView(self.members.values(), self.cells, self.divided_at)
+            if self.cells
+            else MembershipView()
         )
 
     def put(self, key: str, entry: StoreEntry) -> str:
@@ -251,7 +253,7 @@
         sharding = msgspec.json.decode(entry.value, type=Sharding)
         if not 1 <= sharding.count <= MOST_CELLS or sharding.count & (sharding.count - 1):
             raise ValueError(f"{sharding.count} cells")
-        self.cells, self.cut_at, self.cells_spoilt = sharding.count, sharding.at, False
+        self.cells, self.divided_at, self.cells_spoilt = sharding.count, sharding.at, False
 
     def erase(self, key: str) -> None:
         """Take over that a key is no more."""
--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -122,7 +122,7 @@
             return
         if not self.views.is_outside(request.owner, request):
             return
-        member = self.views.view.home(request.key, but=coordinator)
+        member = self.views.view.coordinator(request.key, excluding=coordinator)
         if member in self.links and member != request.informed_coordinator:
             request.informed_coordinator = member
             self._send_finished(request, member)
--- a/starlingwheel/fleet/replication/placement.py
+++ b/starlingwheel/fleet/replication/placement.py
@@ -42,7 +42,7 @@
                 request.state, request.contact = RequestState.ASKING, ""
                 return
         else:
-            ranked = self.views.view.ranks(request.key)
+            ranked = self.views.view.ranked_members(request.key)
             substitute = next((member.id for member in ranked if member.id in self.links), "")
         request.contact = ""
         if coordinator == self.context.member_id and self.views.may_decide():
@@ -130,11 +130,11 @@
         """Who is to record it, the coordinator first, of the members that can be reached."""
         view, member_id, count = self.views.view, self.context.member_id, self.context.replica_count
         if not self.views.has_remote_replicas(request):
-            return view.keepers(request.key, member_id, count, self.links)
+            return view.replicas(request.key, member_id, count, self.links)
         if self.views.is_outside(member_id, request):
             # The coordinator may be lost before an owner that nobody there waits for has told the next one.
             count = max(MIN_REMOTE_REPLICAS, count)
-        return view.keepers(request.key, member_id, count, ReachableMembers(self.links))
+        return view.replicas(request.key, member_id, count, ReachableMembers(self.links))
 
     def replicate_to(self, request: ReplicatedRequest, member: str, asks: bool = False) -> None:
         """Have one member record it. `asks`: it shall also say whether the request is new."""
--- a/starlingwheel/fleet/replication/records.py
+++ b/starlingwheel/fleet/replication/records.py
@@ -59,7 +59,7 @@
             request = self.table.get(key)
             if request is None or request.state is not RequestState.REPLICA or request.owner != member:
                 continue
-            coordinator = self.views.view.home(key)
+            coordinator = self.views.view.coordinator(key)
             if coordinator == named or not self.views.is_outside(member, request):
                 asks = coordinator == self.context.member_id
                 agreed.append((member, request.to_frame(asks, named)))
@@ -81,7 +81,7 @@
 
     def acknowledge(self, member: str, frame: ReplicateFrame, state: str) -> None:
         """Tell an owner that its request is recorded, once both views name the same coordinator."""
-        request, coordinator = self.table.requests[frame.key], self.views.view.home(frame.key)
+        request, coordinator = self.table.requests[frame.key], self.views.view.coordinator(frame.key)
         spans_cells = self.views.view.cells > 1
         request.granted_to_owner = spans_cells and (request.granted_to_owner or state == NEW)
         if self.views.is_outside(member, request):
--- a/starlingwheel/fleet/replication/replica.py
+++ b/starlingwheel/fleet/replication/replica.py
@@ -83,7 +83,7 @@
         if request is not None and request.key_is_reusable:
             self.table.forget(request)
             request = None
-        coordinator = self.views.view.home(frame.key)
+        coordinator = self.views.view.coordinator(frame.key)
         asks = frame.asks and (coordinator == self.context.member_id or not frame.granted)
         claim = _Claim(member, frame, request, coordinator, asks)
         if not self._redirect(claim) and not self._hold(claim):
@@ -193,7 +193,7 @@
                 state = RUNNING
                 request.waiting_members[member] = None
         # Whether somebody is linked to its coordinator: nobody may replace that then.
-        coordinator = self.views.view.home(frame.key)
+        coordinator = self.views.view.coordinator(frame.key)
         reachable = coordinator in self.links or coordinator == self.context.member_id
         where = coordinator if reachable else ""
         self.records.send(member, ReplicaStateFrame(frame.key, 0, state, 0, response, where))
@@ -204,7 +204,7 @@
         request = self.table.get(key)
         if request is None:
             return  # recording it was rejected, or it is over
-        coordinator = self.views.view.home(key)
+        coordinator = self.views.view.coordinator(key)
         coordinates = coordinator == self.context.member_id
         if request.state is RequestState.DONE:
             self.records.send(member, ReplicaStateFrame(key, epoch, ANSWERED, 0, request.response))
@@ -226,7 +226,7 @@
 
     def _acknowledge_intent(self, member: str, frame: AttemptIntentFrame, request: ReplicatedRequest) -> None:
         """Acknowledge a recorded intent, at once or when the views agree."""
-        coordinator = self.views.view.home(frame.key)
+        coordinator = self.views.view.coordinator(frame.key)
         if self.views.is_outside(member, request) and frame.home != coordinator:
             self.records.unagreed[member, frame.key] = frame.home
         elif coordinator == self.context.member_id and not self.views.may_grant(frame.key):
--- a/starlingwheel/fleet/replication/takeover.py
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -76,7 +76,7 @@
                 request.informed_coordinator = coordinator if outside else ""
             return
         # An owner whose lease has ended but that its coordinator, this member, is linked to goes on.
-        successor = self.views.view.home(request.key, but=request.owner)
+        successor = self.views.view.coordinator(request.key, excluding=request.owner)
         if request.owner in self.links or successor != self.context.member_id:
             return
         # An owner of another cell does not send what it owns by itself: it is dialled.
--- a/starlingwheel/fleet/replication/views.py
+++ b/starlingwheel/fleet/replication/views.py
@@ -46,7 +46,7 @@
         the next cell, which was responsible for our cell's keys as long as ours was empty.
         """
         cell = self.own_cell()
-        recently_changed = self.context.now < view.cut_at + self.context.longest_timeout
+        recently_changed = self.context.now < view.divided_at + self.context.longest_timeout
         counts = [view.cells // 2] if recently_changed else []
         possible = [MembershipView(view.members.values(), count) for count in counts]
         if len(cell) <= MAX_SIMULTANEOUS_STARTS:
@@ -87,11 +87,11 @@
 
     def coordinator_of(self, request: ReplicatedRequest) -> str:
         """The member that grants the request."""
-        return self.view.home(request.key)
+        return self.view.coordinator(request.key)
 
     def coordinates(self, key: bytes) -> bool:
         """This member is the key's coordinator."""
-        return self.view.home(key) == self.context.member_id
+        return self.view.coordinator(key) == self.context.member_id
 
     def holders(self) -> set[str]:
         """Members that have to send us what they know before we grant what we became coordinator of."""
@@ -113,7 +113,7 @@
 
     def agrees_on_coordinator(self, member: str, request: ReplicatedRequest, coordinator: str) -> bool:
         """That member, of another cell, names the coordinator that we do."""
-        return self.is_outside(member, request) and coordinator == self.view.home(request.key)
+        return self.is_outside(member, request) and coordinator == self.view.coordinator(request.key)
 
     def has_changed_for(self, request: ReplicatedRequest, before: MembershipView) -> bool:
         """Something that concerns the request has changed since that view."""
@@ -145,5 +145,5 @@
         return (
             self.may_decide()
             and self.was_synced
-            and all(view.home(key) == self.context.member_id for view in self.history)
+            and all(view.coordinator(key) == self.context.member_id for view in self.history)
         )
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -31,7 +31,7 @@
 def test_a_view_of_one_cell_ranks_all_members():
     view = MembershipView(members(12))
     assert view.digest == MembershipView(members(12), 1).digest != MembershipView(members(12), 2).digest
-    assert len(view.ranks(b"x")) == 12 and view.peers("n3.0003") == [
+    assert len(view.ranked_members(b"x")) == 12 and view.peers("n3.0003") == [
         m for m in view.members if m != "n3.0003"
     ]
 
@@ -39,8 +39,8 @@
 def test_a_coordinator_is_of_its_keys_cell_and_few_members_are_ranked_in_a_large_fleet():
     view = MembershipView(members(1600), 64)
     for key in KEYS:
-        assert view.cell_of(view.home(key)) == view.cell(key)
-        assert len(view.ranks(key)) == len(view.members_of_cell(view.cell(key))) <= 50
+        assert view.cell_of(view.coordinator(key)) == view.cell(key)
+        assert len(view.ranked_members(key)) == len(view.members_of_cell(view.cell(key))) <= 50
 
 
 def test_doubling_the_cells_splits_each_and_halving_joins_them():
@@ -64,11 +64,11 @@
 def test_the_next_cell_is_responsible_for_an_empty_one_and_succeeds_a_single_member():
     view = MembershipView(members(5), 8)
     for key in KEYS:
-        order = view.ranks(key)
+        order = view.ranked_members(key)
         assert order and (len(order) > 1 or len(view.members_by_cell) == 1)
         if len(view.members_of_cell(view.cell(key))) == 1:
             left = MembershipView([m for m in view.members.values() if m.id != order[0].id], 8)
-            assert left.home(key) == order[1].id
+            assert left.coordinator(key) == order[1].id
 
 
 def test_members_that_may_know_a_key_by_an_older_view_are_its_holders():
@@ -82,8 +82,8 @@
     for now in views:
         for then in views:
             for key in KEYS:
-                kept = {m.id for m in then.ranks(key)[:2]}
-                assert kept <= now.holders(now.cell_of(now.home(key)), then)
+                kept = {m.id for m in then.ranked_members(key)[:2]}
+                assert kept <= now.holders(now.cell_of(now.coordinator(key)), then)
 
 
 # The count of cells.
@@ -241,7 +241,7 @@
     request = Request(name, "exclusive", world.now + 1.5, False, 0)
     world.requests.append(request)
     owner.run(lambda: owner.receive(request))
-    return owner, world.members[view.home(name)], name, request
+    return owner, world.members[view.coordinator(name)], name, request
 
 
 def test_a_link_between_cells_is_opened_for_a_request_and_closed_when_idle():
@@ -268,7 +268,7 @@
     world.until(1.02)
     world.crash(coordinator, 9.0)
     world.until(1.9)
-    after = world.members[owner.replicator.view.home(key)]
+    after = world.members[owner.replicator.view.coordinator(key)]
     assert after is not coordinator and request.end == "200" and len(world.runs[key]) == 1
     assert not after.replicator.counts["taken_over"] and key in after.replicator.requests
 
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -59,7 +59,7 @@
     one, other = world.alive()
     world.network.cut_until[one.name, other.name] = world.network.cut_until[other.name, one.name] = 100.0
     world.until(1.6)
-    home = one.replicator.view.home
+    home = one.replicator.view.coordinator
     name = next(n for n in (f"x{i}".encode() for i in range(99)) if home(n) == other.id)
     content = RecordedRequest(b"POST", b"/x", [], b"", b"")
     frame = ReplicateFrame(
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -170,12 +170,12 @@
     members = [Member(f"n{i}", f"n{i}", "", "ab"[i % 2]) for i in range(12)]
     view, less = MembershipView(members), MembershipView(members[1:])
     keys = [b"%d" % i for i in range(600)]
-    assert all(less.home(k) == view.home(k) for k in keys if view.home(k) != "n0")
-    assert all(less.home(k) == view.home(k, but="n0") for k in keys)
-    counts = [sum(view.home(k) == m.id for k in keys) for m in members]
+    assert all(less.coordinator(k) == view.coordinator(k) for k in keys if view.coordinator(k) != "n0")
+    assert all(less.coordinator(k) == view.coordinator(k, excluding="n0") for k in keys)
+    counts = [sum(view.coordinator(k) == m.id for k in keys) for m in members]
     assert min(counts) > 25
     for key in keys:
-        keepers = view.keepers(key, "n0", 1, view.members)
+        keepers = view.replicas(key, "n0", 1, view.members)
         assert "n0" not in keepers and any(view.members[k].zone == "b" for k in keepers)
 
 
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -114,12 +114,12 @@
 
     def __init__(self, view: MembershipView, cells: int) -> None:
         """`cells`: their count before."""
-        super().__init__(view.members.values(), view.cells, view.cut_at)
+        super().__init__(view.members.values(), view.cells, view.divided_at)
         self.old = MembershipView(view.members.values(), cells)
 
-    def ranks(self, key: bytes) -> list[Member]:
+    def ranked_members(self, key: bytes) -> list[Member]:
         """The members that are responsible for a key, as before."""
-        return self.old.ranks(key)
+        return self.old.ranked_members(key)
 
 
 class OutdatedCells(RequestReplicator):
--- a/trials/capacity/measure.py
+++ b/trials/capacity/measure.py
@@ -91,9 +91,9 @@
         balancer.endpoints.refresh()
 
     return [
-        ("home", lambda: view.home(rng.randbytes(KEY_SIZE))),
-        (f"home, in cells of {CELL} at most", lambda: view_in_cells.home(rng.randbytes(KEY_SIZE))),
-        ("keepers", lambda: view.keepers(rng.randbytes(KEY_SIZE), everybody[0].id, 1, ids)),
+        ("home", lambda: view.coordinator(rng.randbytes(KEY_SIZE))),
+        (f"home, in cells of {CELL} at most", lambda: view_in_cells.coordinator(rng.randbytes(KEY_SIZE))),
+        ("keepers", lambda: view.replicas(rng.randbytes(KEY_SIZE), everybody[0].id, 1, ids)),
         ("view", lambda: MembershipView(everybody)),
         (f"view, in cells of {CELL} at most", lambda: MembershipView(everybody, cells)),
         ("list change, decided", change_endpoint),
--- a/trials/emulated/store.py
+++ b/trials/emulated/store.py
@@ -23,7 +23,7 @@
         """`cells`: into how many the fleet is divided from the start."""
         self.world = world
         self.leases: dict[str, tuple[Member, float]] = {}  # by member id, with the end
-        self.cells, self.cut_at = cells, -TIMEOUT
+        self.cells, self.divided_at = cells, -TIMEOUT
         self.down_until = 0.0
         self._last_digest = -1
 
@@ -38,7 +38,7 @@
 
     def divide(self, cells: int) -> None:
         """The fleet is divided into so many cells from now on."""
-        self.cells, self.cut_at = cells, self.world.now
+        self.cells, self.divided_at = cells, self.world.now
 
     def step(self) -> None:
         """Renew and end leases; tell members if the view has changed."""
@@ -50,7 +50,7 @@
                 self._renew(member)
         for member_id in [member_id for member_id, (_, until) in self.leases.items() if until <= now]:
             del self.leases[member_id]
-        view = MembershipView((member for member, _ in self.leases.values()), self.cells, self.cut_at)
+        view = MembershipView((member for member, _ in self.leases.values()), self.cells, self.divided_at)
         if view.digest != self._last_digest:
             self._last_digest = view.digest
             for member in self.world.alive():
