--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -1,11 +1,11 @@
-"""Who is in the fleet, and who is responsible for what: the members that hold a lease, divided into cells.
+"""Who is in the fleet, and who is responsible for what: the members that hold a lease, divided into shards.
 
 A view's digest names it: an entry of the coordination store never comes back, so two views of one digest are
 the same set at the same time.
 
-A member is of one cell, by a hash of its name; a key is of one, by a hash of the key. The members that record
-a request are of its key's cell: finding them is bounded, however large the fleet. With twice as many cells
-each is split in two, with half as many two are joined; a member that comes or goes moves no other one.
+A member is of one shard, by a hash of its name; a key is of one, by a hash of the key. The members that
+record a request are of its key's shard: finding them is bounded, however large the fleet. With twice as many
+shards each is split in two, with half as many two are merged; a member that comes or goes moves no other one.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import msgspec
 
 MAX_CACHED_KEYS = 4096  # keys whose coordinator and successor are cached
-MOST_CELLS = 4096
+MAX_SHARDS = 4096
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -36,13 +36,13 @@
 
 
 def hash_position(name: bytes) -> int:
-    """The hash of a name; modulo the count of cells it is the name's cell."""
+    """The hash of a name; modulo the count of shards it is the name's shard."""
     return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest(), "big")
 
 
 @functools.lru_cache(maxsize=1 << 14)
 def member_position(member: str) -> int:
-    """The hash of a member: of its name, so that a restart comes back to its cell."""
+    """The hash of a member: of its name, so that a restart comes back to its shard."""
     name, _, _ = member.rpartition(".")
     return hash_position((name or member).encode())
 
@@ -53,109 +53,115 @@
 
 
 class MembershipView:
-    """The members that hold a lease, and their cells. Does not change."""
+    """The members that hold a lease, and their shards. Does not change."""
 
-    def __init__(self, members: Iterable[Member] = (), cells: int = 1, divided_at: float = 0.0) -> None:
-        """`cells`: their count, a power of two. `divided_at`: since when, seconds on the wall clock."""
+    def __init__(self, members: Iterable[Member] = (), shard_count: int = 1, divided_at: float = 0.0) -> None:
+        """`shard_count`, a power of two. `divided_at`: since when, seconds on the wall clock."""
         self.members = {member.id: member for member in sorted(members, key=lambda m: m.id)}
-        self.cells, self.divided_at = cells, divided_at
+        self.shard_count, self.divided_at = shard_count, divided_at
         lines = [f"{m.id} {m.term}" for m in self.members.values()]
-        self.digest = digest(lines if cells == 1 else [*lines, f"cells {cells}"])
+        self.digest = digest(lines if shard_count == 1 else [*lines, f"cells {shard_count}"])
         self._best_ranked: dict[bytes, list[str]] = {}  # by key: its coordinator and the successor
-        # Members by id, of each cell that has any.
-        self.members_by_cell: dict[int, dict[str, Member]] = (
-            {0: self.members} if cells == 1 and self.members else {}
+        # Members by id, of each shard that has any.
+        self.members_by_shard: dict[int, dict[str, Member]] = (
+            {0: self.members} if shard_count == 1 and self.members else {}
         )
-        if cells > 1:
+        if shard_count > 1:
             for member in self.members.values():
-                self.members_by_cell.setdefault(member_position(member.id) % cells, {})[member.id] = member
-        self._cell_digests: dict[int, int] = {}
+                self.members_by_shard.setdefault(member_position(member.id) % shard_count, {})[member.id] = (
+                    member
+                )
+        self._shard_digests: dict[int, int] = {}
 
     def __contains__(self, member: object) -> bool:
         """The member of that id is in the view."""
         return member in self.members
 
-    # Cells.
+    # Shards.
 
-    def cell(self, key: bytes) -> int:
-        """The cell that is responsible for a key: the key's own, or the next that has members."""
-        return self.cell_at(hash_position(key)) if self.cells > 1 else 0
+    def shard_of_key(self, key: bytes) -> int:
+        """The shard that is responsible for a key: the key's own, or the next that has members."""
+        return self.shard_of_position(hash_position(key)) if self.shard_count > 1 else 0
 
-    def cell_at(self, position: int) -> int:
-        """The cell that is responsible for a key of that hash (`hash_position`)."""
-        return self._next_with_members(position % self.cells) if self.cells > 1 else 0
+    def shard_of_position(self, position: int) -> int:
+        """The shard that is responsible for a key of that hash (`hash_position`)."""
+        return self._next_with_members(position % self.shard_count) if self.shard_count > 1 else 0
 
-    def cell_of(self, member: str) -> int:
-        """The cell of a member, also of one that is not in the view."""
-        return member_position(member) % self.cells if self.cells > 1 else 0
+    def shard_of_member(self, member: str) -> int:
+        """The shard of a member, also of one that is not in the view."""
+        return member_position(member) % self.shard_count if self.shard_count > 1 else 0
 
-    def _next_with_members(self, cell: int) -> int:
-        while self.members_by_cell and cell not in self.members_by_cell:
-            cell = (cell + 1) % self.cells
-        return cell
+    def _next_with_members(self, shard: int) -> int:
+        while self.members_by_shard and shard not in self.members_by_shard:
+            shard = (shard + 1) % self.shard_count
+        return shard
 
-    def members_of_cell(self, cell: int) -> dict[str, Member]:
-        """The members of a cell, by id."""
-        return self.members_by_cell.get(cell, {})
+    def members_of_shard(self, shard: int) -> dict[str, Member]:
+        """The members of a shard, by id."""
+        return self.members_by_shard.get(shard, {})
 
-    def fallback_members(self, cell: int) -> dict[str, Member]:
-        """The members of the next cell, if this one has a single member: they take over after its loss."""
-        alone = self.cells > 1 and len(self.members_of_cell(cell)) == 1 < len(self.members_by_cell)
-        return self.members_of_cell(self._next_with_members((cell + 1) % self.cells)) if alone else {}
+    def fallback_members(self, shard: int) -> dict[str, Member]:
+        """The members of the next shard, if this one has a single member: they take over after its loss."""
+        alone = self.shard_count > 1 and len(self.members_of_shard(shard)) == 1 < len(self.members_by_shard)
+        return self.members_of_shard(self._next_with_members((shard + 1) % self.shard_count)) if alone else {}
 
-    def served_cells(self, cell: int) -> Iterator[int]:
-        """The cells for whose keys that one is responsible: itself, and the empty ones before it."""
-        yield cell
-        previous = (cell - 1) % self.cells
-        while previous != cell and previous not in self.members_by_cell:
+    def served_shards(self, shard: int) -> Iterator[int]:
+        """The shards for whose keys that one is responsible: itself, and the empty ones before it."""
+        yield shard
+        previous = (shard - 1) % self.shard_count
+        while previous != shard and previous not in self.members_by_shard:
             yield previous
-            previous = (previous - 1) % self.cells
+            previous = (previous - 1) % self.shard_count
 
     def peers(self, member_id: str) -> list[str]:
-        """The other members of a member's cell."""
-        return [member for member in self.members_of_cell(self.cell_of(member_id)) if member != member_id]
-
-    def digest_of(self, cell: int) -> int:
-        """Names the cell as this view has it: who agrees on it agrees on the coordinator of each key."""
-        if self.cells == 1:
+        """The other members of a member's shard."""
+        return [
+            member for member in self.members_of_shard(self.shard_of_member(member_id)) if member != member_id
+        ]
+
+    def shard_digest(self, shard: int) -> int:
+        """Names the shard as this view has it: who agrees on it agrees on the coordinator of each key."""
+        if self.shard_count == 1:
             return self.digest
-        known = self._cell_digests.get(cell)
+        known = self._shard_digests.get(shard)
         if known is None:
-            lines = [f"{m.id} {m.term}" for m in self.members_of_cell(cell).values()]
-            lines.append(f"cell {cell} of {self.cells}, with {sum(1 for _ in self.served_cells(cell))}")
-            known = self._cell_digests[cell] = digest(lines)
+            lines = [f"{m.id} {m.term}" for m in self.members_of_shard(shard).values()]
+            lines.append(
+                f"cell {shard} of {self.shard_count}, with {sum(1 for _ in self.served_shards(shard))}"
+            )
+            known = self._shard_digests[shard] = digest(lines)
         return known
 
-    def holders(self, cell: int, older: MembershipView) -> set[str]:
-        """Members that may know, by an older view, of a key for which this cell is responsible now."""
-        if self.cells == older.cells == 1:
+    def holders(self, shard: int, older: MembershipView) -> set[str]:
+        """Members that may know, by an older view, of a key for which this shard is responsible now."""
+        if self.shard_count == older.shard_count == 1:
             return set(older.members)
-        fewer = min(self.cells, older.cells)
-        ours = {one % fewer for one in self.served_cells(cell)}
-        older_cells = (one + fewer * turn for one in ours for turn in range(older.cells // fewer))
-        responsible = {older.cell_at(one) for one in older_cells}
+        fewer = min(self.shard_count, older.shard_count)
+        ours = {one % fewer for one in self.served_shards(shard)}
+        older_shards = (one + fewer * turn for one in ours for turn in range(older.shard_count // fewer))
+        responsible = {older.shard_of_position(one) for one in older_shards}
         return {
             member
             for one in responsible
-            for member in (*older.members_of_cell(one), *older.fallback_members(one))
+            for member in (*older.members_of_shard(one), *older.fallback_members(one))
         }
 
     # Coordinators and replicas.
 
     def ranked_members(self, key: bytes) -> list[Member]:
-        """All members of the key's cell, best first, by rendezvous hashing.
+        """All members of the key's shard, best first, by rendezvous hashing.
 
-        A member that goes moves only the keys that it coordinates. After the only member of a cell come those
-        that are responsible if it is lost.
+        A member that goes moves only the keys that it coordinates. After the only member of a shard come
+        those that are responsible if it is lost.
         """
         key_hash = hashlib.blake2b(key, digest_size=8).digest()
 
         def weight(member: Member) -> bytes:
             return hashlib.blake2b(member.id.encode(), digest_size=8, key=key_hash).digest()
 
-        cell = self.cell(key)
-        ranked = sorted(self.members_of_cell(cell).values(), key=weight, reverse=True)
-        return ranked + sorted(self.fallback_members(cell).values(), key=weight, reverse=True)
+        shard = self.shard_of_key(key)
+        ranked = sorted(self.members_of_shard(shard).values(), key=weight, reverse=True)
+        return ranked + sorted(self.fallback_members(shard).values(), key=weight, reverse=True)
 
     def coordinator(self, key: bytes, excluding: str = "") -> str:
         """The key's coordinator; with `excluding`, the one if that member is lost. Empty: there is none."""
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .membership import MOST_CELLS, Member, MembershipView
+from .membership import MAX_SHARDS, Member, MembershipView
 from .policy.document import Body
 
 POLICY = "policy/"
@@ -251,7 +251,7 @@
         self.cells = self.cells if self.revision else self.cells_before
         self.cells_mod, self.cells_spoilt = entry.mod, True
         sharding = msgspec.json.decode(entry.value, type=Sharding)
-        if not 1 <= sharding.count <= MOST_CELLS or sharding.count & (sharding.count - 1):
+        if not 1 <= sharding.count <= MAX_SHARDS or sharding.count & (sharding.count - 1):
             raise ValueError(f"{sharding.count} cells")
         self.cells, self.divided_at, self.cells_spoilt = sharding.count, sharding.at, False
 
--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -34,7 +34,7 @@
         was_replica = request.state is RequestState.REPLICA
         of_other_cell = was_replica and self.views.is_outside(request.owner, request)
         informed = coordinator in request.replicas and (
-            self.views.view.cells == 1 or coordinator in self.links
+            self.views.view.shard_count == 1 or coordinator in self.links
         )
         # An owner of another cell informs the coordinator that it sees by itself.
         informed = informed or (of_other_cell and request.contact == coordinator)
--- a/starlingwheel/fleet/replication/peer_links.py
+++ b/starlingwheel/fleet/replication/peer_links.py
@@ -74,7 +74,7 @@
 
     def dial_holders(self) -> None:
         """Dial the members of other cells that have to send us what they own, after a change of the cells."""
-        if self.views.view.cells > 1 and not self.views.is_synced:
+        if self.views.view.shard_count > 1 and not self.views.is_synced:
             for member in sorted(self.views.holders() - self.views.own_cell().keys()):
                 if not self.views.is_synced_by(member):
                     self.dial(member)
--- a/starlingwheel/fleet/replication/records.py
+++ b/starlingwheel/fleet/replication/records.py
@@ -82,7 +82,7 @@
     def acknowledge(self, member: str, frame: ReplicateFrame, state: str) -> None:
         """Tell an owner that its request is recorded, once both views name the same coordinator."""
         request, coordinator = self.table.requests[frame.key], self.views.view.coordinator(frame.key)
-        spans_cells = self.views.view.cells > 1
+        spans_cells = self.views.view.shard_count > 1
         request.granted_to_owner = spans_cells and (request.granted_to_owner or state == NEW)
         if self.views.is_outside(member, request):
             request.contact = frame.home  # as its owner sees it
@@ -96,8 +96,8 @@
 
     def is_contested(self, request: ReplicatedRequest, member: str, epoch: int) -> bool:
         """Another member asks for it as well, and it is not known here whom the coordinator granted it."""
-        if self.views.view.cells == 1 or request.is_unclaimed:
-            return self.views.view.cells > 1
+        if self.views.view.shard_count == 1 or request.is_unclaimed:
+            return self.views.view.shard_count > 1
         ungranted = request.state is RequestState.REPLICA and not request.granted_to_owner
         return ungranted and request.epoch == epoch and request.owner != member
 
@@ -105,7 +105,7 @@
         """Record what another member owns, or owned; it goes before what was not granted to this member."""
         if request is None:
             if not self.table.is_full:
-                self.table.add_replica(frame, self.views.view.cells > 1)
+                self.table.add_replica(frame, self.views.view.shard_count > 1)
         elif request.is_unclaimed:
             self.record(request, frame)
         elif request.state is RequestState.REPLICA and request.epoch <= frame.epoch:
@@ -130,7 +130,7 @@
         other_owner = request.owner != frame.owner
         if other_owner:
             request.contact, request.granted_to_owner = "", False
-        spans_cells = self.views.view.cells > 1
+        spans_cells = self.views.view.shard_count > 1
         request.granted_to_owner = spans_cells and (request.granted_to_owner or frame.granted)
         request.owner, request.epoch = frame.owner, frame.epoch
         request.deadline = max(request.deadline, frame.until)
--- a/starlingwheel/fleet/replication/replica.py
+++ b/starlingwheel/fleet/replication/replica.py
@@ -165,7 +165,7 @@
         if self.table.is_full:
             self.records.send_state(claim.member, claim.frame, FULL)
             return
-        self.table.add_replica(claim.frame, self.views.view.cells > 1)
+        self.table.add_replica(claim.frame, self.views.view.shard_count > 1)
         self.context.counts["kept"] += 1
         self.records.acknowledge(claim.member, claim.frame, granted)
 
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -210,7 +210,9 @@
                 self.takeover.update(request)
         self.replica.acknowledge_agreed()
         for member in list(self.peers.linked):
-            if gap or before.digest_of(before.cell_of(member)) != view.digest_of(view.cell_of(member)):
+            if gap or before.shard_digest(before.shard_of_member(member)) != view.shard_digest(
+                view.shard_of_member(member)
+            ):
                 self._send_synced(member)
         self.peers.dial_holders()
         self.sync.finish_if_synced()
@@ -218,7 +220,7 @@
     def _send_synced(self, member: str) -> None:
         """All that concerns a member under this view was sent to it."""
         view = self.views.view
-        frame = ViewSyncedFrame(view.digest_of(view.cell_of(member)))
+        frame = ViewSyncedFrame(view.shard_digest(view.shard_of_member(member)))
         self.context.host.send_frame(member, frame)
 
     def link_up(self, member: str) -> None:
--- a/starlingwheel/fleet/replication/request_table.py
+++ b/starlingwheel/fleet/replication/request_table.py
@@ -89,9 +89,9 @@
 
     def concerning(self, member: str, view: MembershipView) -> list[ReplicatedRequest]:
         """Requests that a link to that member may concern."""
-        if view.cells == 1:
+        if view.shard_count == 1:
             return list(self.requests.values())
-        cell, cell_at = view.cell_of(member), view.cell_at
+        cell, cell_at = view.shard_of_member(member), view.shard_of_position
         return [
             request
             for request in self.requests.values()
--- a/starlingwheel/fleet/replication/views.py
+++ b/starlingwheel/fleet/replication/views.py
@@ -31,12 +31,12 @@
     def replace(self, view: MembershipView, gap: bool) -> None:
         """Another view holds. `gap`: there may have been others in between."""
         before, self.view = self.view, view
-        if not gap and before.digest_of(before.cell_of(self.context.member_id)) == self.digest:
+        if not gap and before.shard_digest(before.shard_of_member(self.context.member_id)) == self.digest:
             return
         self.changed_at = self.context.now
         self.was_synced = self.was_synced and not gap
         self.history = [*self.history, view] if self.was_synced else [view]
-        if not self.was_synced and view.cells > 1:
+        if not self.was_synced and view.shard_count > 1:
             self.history = [*self._possible_predecessors(view), view]
 
     def _possible_predecessors(self, view: MembershipView) -> list[MembershipView]:
@@ -47,17 +47,17 @@
         """
         cell = self.own_cell()
         recently_changed = self.context.now < view.divided_at + self.context.longest_timeout
-        counts = [view.cells // 2] if recently_changed else []
+        counts = [view.shard_count // 2] if recently_changed else []
         possible = [MembershipView(view.members.values(), count) for count in counts]
         if len(cell) <= MAX_SIMULTANEOUS_STARTS:
             others = [m for m in view.members.values() if m.id not in cell]
-            possible += [MembershipView(others, count) for count in (*counts, view.cells)]
+            possible += [MembershipView(others, count) for count in (*counts, view.shard_count)]
         return possible
 
     @property
     def digest(self) -> int:
         """Of our cell in the view that holds: what `HeartbeatFrame.view` says."""
-        return self.view.digest_of(self.view.cell_of(self.context.member_id))
+        return self.view.shard_digest(self.view.shard_of_member(self.context.member_id))
 
     @property
     def is_synced(self) -> bool:
@@ -83,7 +83,7 @@
 
     def own_cell(self) -> dict[str, Member]:
         """The members of our cell."""
-        return self.view.members_of_cell(self.view.cell_of(self.context.member_id))
+        return self.view.members_of_shard(self.view.shard_of_member(self.context.member_id))
 
     def coordinator_of(self, request: ReplicatedRequest) -> str:
         """The member that grants the request."""
@@ -95,20 +95,22 @@
 
     def holders(self) -> set[str]:
         """Members that have to send us what they know before we grant what we became coordinator of."""
-        if self.view.cells == 1:
+        if self.view.shard_count == 1:
             return set(self.view.members)
-        cell = self.view.cell_of(self.context.member_id)
+        cell = self.view.shard_of_member(self.context.member_id)
         known = set().union(*(self.view.holders(cell, older) for older in self.history))
         return {member for member in known if member in self.view}
 
     def is_outside(self, member: str, request: ReplicatedRequest) -> bool:
         """That member is not of the cell whose members record the request."""
         view = self.view
-        return view.cells > 1 and view.cell_of(member) != view.cell_at(request.hash_position)
+        return view.shard_count > 1 and view.shard_of_member(member) != view.shard_of_position(
+            request.hash_position
+        )
 
     def has_remote_replicas(self, request: ReplicatedRequest) -> bool:
         """The replicas of a request that we own are not, or not all, of our cell."""
-        cell = self.view.cell_at(request.hash_position)
+        cell = self.view.shard_of_position(request.hash_position)
         return self.is_outside(self.context.member_id, request) or bool(self.view.fallback_members(cell))
 
     def agrees_on_coordinator(self, member: str, request: ReplicatedRequest, coordinator: str) -> bool:
@@ -117,8 +119,11 @@
 
     def has_changed_for(self, request: ReplicatedRequest, before: MembershipView) -> bool:
         """Something that concerns the request has changed since that view."""
-        now, then = self.view.cell_at(request.hash_position), before.cell_at(request.hash_position)
-        changed = before.digest_of(then) != self.view.digest_of(now)
+        now, then = (
+            self.view.shard_of_position(request.hash_position),
+            before.shard_of_position(request.hash_position),
+        )
+        changed = before.shard_digest(then) != self.view.shard_digest(now)
         replica_gone = any(member not in self.view for member in request.replicas)
         return changed or request.owner not in self.view or replica_gone
 
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -169,7 +169,7 @@
         self.log(
             "view",
             members=len(view.members),
-            cells=view.cells,
+            cells=view.shard_count,
             digest=view.digest,
             ours=self.member_id in view,
         )
@@ -206,7 +206,7 @@
         policy_status = self.policy_replica.word() if worded or lapsed else None
         view = self.replicator.view
         # Links within our own cell stay whether they are needed or not.
-        other_cell = view.cell_of(member) != view.cell_of(self.member_id)
+        other_cell = view.shard_of_member(member) != view.shard_of_member(self.member_id)
         idle = other_cell and not self.replicator.needs_link(member)
         return HeartbeatFrame(self.replicator.digest, lapsed, policy_status, idle)
 
--- a/starlingwheel/net/fleet/links/manager.py
+++ b/starlingwheel/net/fleet/links/manager.py
@@ -144,7 +144,7 @@
         if link.member and hello.member != link.member:
             raise LinkRejectedError(LinkEndReason.UNEXPECTED_MEMBER)
         # Our hello may be older than our view: both sides compare the same two hellos.
-        if not hello.cells == link.shard_count == self.view.cells:
+        if not hello.cells == link.shard_count == self.view.shard_count:
             raise LinkRejectedError(LinkEndReason.OTHER_SHARD_COUNT)
         if hello.member not in self.view:
             # It may be in a view that has not arrived here yet; it dials again.
--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -34,7 +34,7 @@
         self.member = member
         self.dialed = bool(member)
         self.hello_received = False
-        self.shard_count = manager.view.cells  # as our hello says
+        self.shard_count = manager.view.shard_count  # as our hello says
         self.connection = FrameConnection(manager.loop, self, sock)
         self.activity = LinkActivity(self.connection, lambda: len(manager.links))
         self.early_frames: list[Frame] = []  # those that came with the hello
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -196,5 +196,5 @@
             self.links.post(message)
         elif isinstance(message, StoreRead):
             self.shard_map.now = self.loop.now()
-            self.shard_map.recorded(message.records)
+            self.shard_map.update_records(message.records)
             self.state_writer.post(WRITE_PENDING)
--- a/starlingwheel/net/fleet/policy_poller.py
+++ b/starlingwheel/net/fleet/policy_poller.py
@@ -97,21 +97,21 @@
         present = {member.name: member.address for member in view.members.values()}
         linked = {view.members[member].name for member in self.links.links if member in view}
         absent = {name: at for name, at in replica.kept.addresses.items() if name not in present}
-        own_address, own_cell = present.get(replica.name, ""), view.cell_of(replica.member_id)
+        own_address, own_cell = present.get(replica.name, ""), view.shard_of_member(replica.member_id)
         groups: dict[Group, list[str]] = {}
         for name, address in (absent | present).items():
             if name not in linked and address and address != own_address:
-                cell = view.cell_of(f"{name}.")
+                cell = view.shard_of_member(f"{name}.")
                 groups.setdefault(name if cell == own_cell else cell, []).append(address)
         return groups
 
     def _latest_statuses(self) -> dict[Group, float]:
         """When the latest status of each group was made."""
         view = self.links.view
-        own_cell = view.cell_of(self.policy_replica.member_id)
+        own_cell = view.shard_of_member(self.policy_replica.member_id)
         latest: dict[Group, float] = {}
         for status in self.policy_replica.words.values():
-            cell = view.cell_of(status.member)
+            cell = view.shard_of_member(status.member)
             group = status.name if cell == own_cell else cell
             latest[group] = max(status.at, latest.get(group, -inf))
         return latest
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -67,14 +67,14 @@
     """Return the report of a member."""
     replicator = fleet.module.replicator
     view = replicator.view
-    shard = view.cell_of(fleet.member_id)
-    shard_members = view.members_of_cell(shard)
+    shard = view.shard_of_member(fleet.member_id)
+    shard_members = view.members_of_shard(shard)
     return MemberReport(
         member=fleet.member_id,
         in_view=fleet.member_id in view,
         lease_s=round(max(0.0, replicator.lease_until - fleet.loop.now()), 3),
         settled=replicator.is_synced,
-        cells=ShardReport(view.cells, shard, list(shard_members), len(view.members)),
+        cells=ShardReport(view.shard_count, shard, list(shard_members), len(view.members)),
         view=list(shard_members.values()),
         links=sorted(replicator.links),
         items=Counter(item.state.value for item in replicator.requests.values()),
--- a/tests/link_network.py
+++ b/tests/link_network.py
@@ -142,7 +142,7 @@
     """Return a name in each of these shards, in the order of the alphabet."""
     names, number = [], 0
     for shard in shards:
-        while MembershipView([], count).cell_of(f"n{number:03d}.00") != shard:
+        while MembershipView([], count).shard_of_member(f"n{number:03d}.00") != shard:
             number += 1
         names.append(f"n{number:03d}")
         number += 1
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -39,34 +39,34 @@
 def test_a_coordinator_is_of_its_keys_cell_and_few_members_are_ranked_in_a_large_fleet():
     view = MembershipView(members(1600), 64)
     for key in KEYS:
-        assert view.cell_of(view.coordinator(key)) == view.cell(key)
-        assert len(view.ranked_members(key)) == len(view.members_of_cell(view.cell(key))) <= 50
+        assert view.shard_of_member(view.coordinator(key)) == view.shard_of_key(key)
+        assert len(view.ranked_members(key)) == len(view.members_of_shard(view.shard_of_key(key))) <= 50
 
 
 def test_doubling_the_cells_splits_each_and_halving_joins_them():
     fewer, more = MembershipView(members(200), 4), MembershipView(members(200), 8)
     for cell in range(4):
-        assert {*fewer.members_of_cell(cell)} == {
-            *more.members_of_cell(cell),
-            *more.members_of_cell(cell + 4),
+        assert {*fewer.members_of_shard(cell)} == {
+            *more.members_of_shard(cell),
+            *more.members_of_shard(cell + 4),
         }
-    assert all(more.cell(key) % 4 == fewer.cell(key) for key in KEYS)
+    assert all(more.shard_of_key(key) % 4 == fewer.shard_of_key(key) for key in KEYS)
 
 
 def test_a_member_that_comes_or_goes_moves_no_other_and_a_restart_returns_to_its_cell():
     view, less = MembershipView(members(60), 4), MembershipView(members(60)[1:], 4)
-    assert all(view.cell_of(m) == less.cell_of(m) for m in less.members)
-    assert view.cell_of("n0.0000") == view.cell_of("n0.ffff")
-    changed = [cell for cell in range(4) if view.digest_of(cell) != less.digest_of(cell)]
-    assert changed == [view.cell_of("n0.0000")]
+    assert all(view.shard_of_member(m) == less.shard_of_member(m) for m in less.members)
+    assert view.shard_of_member("n0.0000") == view.shard_of_member("n0.ffff")
+    changed = [cell for cell in range(4) if view.shard_digest(cell) != less.shard_digest(cell)]
+    assert changed == [view.shard_of_member("n0.0000")]
 
 
 def test_the_next_cell_is_responsible_for_an_empty_one_and_succeeds_a_single_member():
     view = MembershipView(members(5), 8)
     for key in KEYS:
         order = view.ranked_members(key)
-        assert order and (len(order) > 1 or len(view.members_by_cell) == 1)
-        if len(view.members_of_cell(view.cell(key))) == 1:
+        assert order and (len(order) > 1 or len(view.members_by_shard) == 1)
+        if len(view.members_of_shard(view.shard_of_key(key))) == 1:
             left = MembershipView([m for m in view.members.values() if m.id != order[0].id], 8)
             assert left.coordinator(key) == order[1].id
 
@@ -83,7 +83,7 @@
         for then in views:
             for key in KEYS:
                 kept = {m.id for m in then.ranked_members(key)[:2]}
-                assert kept <= now.holders(now.cell_of(now.coordinator(key)), then)
+                assert kept <= now.holders(now.shard_of_member(now.coordinator(key)), then)
 
 
 # The count of cells.
@@ -126,7 +126,7 @@
     def publish(self):
         for shard_map in self.shard_maps.values():
             shard_map.now = self.now
-            shard_map.recorded(self.records.copy())
+            shard_map.update_records(self.records.copy())
 
     def step(self, seconds):
         until = self.now + seconds
@@ -220,7 +220,9 @@
     world.until(1.0)
     one = world.alive()[0]
     view = one.replicator.view
-    other = next(h for h in world.alive() if view.cell_of(h.id) not in (view.cell_of(one.id), 0))
+    other = next(
+        h for h in world.alive() if view.shard_of_member(h.id) not in (view.shard_of_member(one.id), 0)
+    )
     before = one.replicator.views.changed_at
     world.crash(other, 0.5)
     world.until(3.0)
@@ -236,7 +238,7 @@
     owner = world.alive()[0]
     view = owner.replicator.view
     names = (b"x%d" % i for i in range(99))
-    name = next(n for n in names if view.cell(n) != view.cell_of(owner.id))
+    name = next(n for n in names if view.shard_of_key(n) != view.shard_of_member(owner.id))
     world.effects[name] = "exclusive"
     request = Request(name, "exclusive", world.now + 1.5, False, 0)
     world.requests.append(request)
--- a/tests/test_state_watcher.py
+++ b/tests/test_state_watcher.py
@@ -70,7 +70,7 @@
         event("cells", {"count": 4}, 5),
         event("cells", None, 6, "DELETE"),
     )
-    views = [(len(view.members), view.cells) for view in watched.views]
+    views = [(len(view.members), view.shard_count) for view in watched.views]
     assert views == [(1, 1), (1, 2), (2, 2), (3, 4), (3, 1)]
     assert len({view.digest for view in watched.views}) == 5
 
@@ -81,4 +81,4 @@
     member = Member("n0.00", "n0", "")
     watched.receive(event("members/n0.00", member, 2), event("cells", {"count": 4}, 3))
     watched.receive(event("cells", value, 4))
-    assert watched.views[-1].cells == 4
+    assert watched.views[-1].shard_count == 4
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -114,7 +114,7 @@
 
     def __init__(self, view: MembershipView, cells: int) -> None:
         """`cells`: their count before."""
-        super().__init__(view.members.values(), view.cells, view.divided_at)
+        super().__init__(view.members.values(), view.shard_count, view.divided_at)
         self.old = MembershipView(view.members.values(), cells)
 
     def ranked_members(self, key: bytes) -> list[Member]:
@@ -129,9 +129,11 @@
         """Another view holds; some members see the old coordinators in it."""
         known = self.views.view
         lags = (
-            known.members and view.cells != known.cells and member_position(self.context.member_id) >> 8 & 1
+            known.members
+            and view.shard_count != known.shard_count
+            and member_position(self.context.member_id) >> 8 & 1
         )
-        super().view_changed(OutdatedView(view, known.cells) if lags else view, gap)
+        super().view_changed(OutdatedView(view, known.shard_count) if lags else view, gap)
 
 
 class CoordinatorSuffices(RequestPlacement):
--- a/trials/emulated/network.py
+++ b/trials/emulated/network.py
@@ -138,7 +138,7 @@
     def _is_idle(self, link: Link, member: EmulatedMember, other: EmulatedMember) -> bool:
         """A link between cells that neither side needs any more."""
         view = member.replicator.view
-        if view.cells == 1 or view.cell_of(member.id) == view.cell_of(other.id):
+        if view.shard_count == 1 or view.shard_of_member(member.id) == view.shard_of_member(other.id):
             return False
         if self.world.now < link.used_at + IDLE_LINK_TIMEOUT:
             return False
@@ -157,7 +157,7 @@
 
     def _peers(self, running: list[EmulatedMember]) -> Iterator[tuple[EmulatedMember, EmulatedMember]]:
         """Pairs of members that keep a link: all that are of one cell."""
-        if self.world.store.cells == 1 and all(member.replicator.view.cells == 1 for member in running):
+        if self.world.store.cells == 1 and all(member.replicator.view.shard_count == 1 for member in running):
             for number, one in enumerate(running):
                 for other in running[number + 1 :]:
                     yield one, other
@@ -165,7 +165,7 @@
         by_id = {member.id: member for member in running}
         for one in running:
             view = one.replicator.view
-            for member_id in view.members_of_cell(view.cell_of(one.id)):
+            for member_id in view.members_of_shard(view.shard_of_member(one.id)):
                 if member_id > one.id and member_id in by_id:
                     yield one, by_id[member_id]
 
@@ -173,7 +173,7 @@
     def _know_each_other(one: EmulatedMember, other: EmulatedMember) -> bool:
         """Each is in the other's view, and both views have as many cells."""
         views = one.replicator.view, other.replicator.view
-        return other.id in views[0] and one.id in views[1] and views[0].cells == views[1].cells
+        return other.id in views[0] and one.id in views[1] and views[0].shard_count == views[1].shard_count
 
     def _connect(self, one: EmulatedMember, other: EmulatedMember) -> None:
         link = Link((one, other), self.world.now)
--- a/trials/emulated/world.py
+++ b/trials/emulated/world.py
@@ -136,7 +136,11 @@
             self.all_lost.add(key)
         # A new coordinator does not ask an owner of another cell: what the replicas know counts.
         view = member.replicator.view
-        outside = view.cells > 1 and request.replicas and view.cell(key) != view.cell_of(member.id)
+        outside = (
+            view.shard_count > 1
+            and request.replicas
+            and view.shard_of_key(key) != view.shard_of_member(member.id)
+        )
         self.holders[key] = {*request.replicas, *(known or ()), *(() if outside else (member.id,))}
         if not request.replicas and len(view.members) != 1:
             self.unreplicated.add(key)
--- a/trials/model_state.py
+++ b/trials/model_state.py
@@ -170,14 +170,19 @@
     def _are_peers(self, one: str, other: str) -> bool:
         """They are of one cell, as one of them sees it: they keep a link."""
         seen = {self.views[self.seen_view[name]] for name in (one, other) if name in self.seen_view}
-        return any(view.cell_of(one) == view.cell_of(other) for view in seen or {self.view})
+        return any(view.shard_of_member(one) == view.shard_of_member(other) for view in seen or {self.view})
 
     def _may_link(self, one: str, other: str) -> bool:
         """No frame is left of a link before, and both know as many cells."""
         ways = (one, other), (other, one)
         used = any(way in self.links or self.queues[way] for way in ways)
         views = [self.views[self.seen_view[name]] for name in (one, other)]
-        return not used and views[0].cells == views[1].cells and other in views[0] and one in views[1]
+        return (
+            not used
+            and views[0].shard_count == views[1].shard_count
+            and other in views[0]
+            and one in views[1]
+        )
 
     def _is_needed(self, one: str, other: str) -> bool:
         """One side needs the link."""
@@ -240,7 +245,7 @@
     def _do_recuts(self) -> None:
         """The count of cells changes."""
         self.left["recuts"] -= 1
-        self.views.append(MembershipView(self.view.members.values(), 1 if self.view.cells == 2 else 2))
+        self.views.append(MembershipView(self.view.members.values(), 1 if self.view.shard_count == 2 else 2))
 
     def _do_links(self, one: str, other: str) -> None:
         """A link comes up."""
@@ -282,7 +287,7 @@
                 self.queues[one, other].append(LINK_END)
         self.dialling = {way for way in self.dialling if way[0] != name}
         members = (member for member in self.view.members.values() if member.id in self.replicators)
-        self.views.append(MembershipView(members, self.view.cells))
+        self.views.append(MembershipView(members, self.view.shard_count))
         self.seen_view = {member: self.seen_view[member] for member in self.replicators}
 
     def _do_cuts(self, one: str, other: str) -> None:
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -153,7 +153,7 @@
             "members": len(running),
             "ready": sum(member.ready for member, _ in running),
             "sizes": Counter(str(len(view.members)) for view in views),
-            "cells": sorted({view.cells for view in views}),
+            "cells": sorted({view.shard_count for view in views}),
             "views": Counter(str(view.digest) for view in views),
             "links": sum(len(fleet.links.links) for _, fleet in running),
             "changes": sum(host.counts["log.link.up"] + host.counts["log.link.down"] for host in hosts),
