--- a/starlingwheel/fleet/zones/capacity.py
+++ b/starlingwheel/fleet/zones/capacity.py
@@ -9,7 +9,7 @@
 from .evidence import ZoneEvidence, ZoneLoad
 from .health import ELSEWHERE_FRACTION, FAILING_FRACTION
 
-HEADROOM = 1.5  # times the highest rate at which a zone was healthy: its estimated capacity
+CAPACITY_HEADROOM = 1.5  # times the highest rate at which a zone was healthy: its estimated capacity
 RATE_DECAY = 0.99  # of that rate, with each window
 
 
@@ -32,7 +32,7 @@
                 decayed = self.healthy_rates.get(name, 0.0) * RATE_DECAY
                 self.healthy_rates[name] = max(decayed, load.rate)
 
-    def observed(
+    def observed_capacities(
         self, plan: ZonePlan, zones: Mapping[str, ZoneState], evidence: ZoneEvidence
     ) -> dict[str, float]:
         """The capacities in the plan, and of zones that reject attempts while others are left."""
@@ -42,7 +42,7 @@
                 capacities[name] = load.rate
         return capacities
 
-    def spare(self, excluded: Iterable[str], plan: ZonePlan, loads: Mapping[str, ZoneLoad]) -> float:
+    def spare_capacity(self, excluded: Iterable[str], plan: ZonePlan, loads: Mapping[str, ZoneLoad]) -> float:
         """What the healthy zones with all their traffic could take beside it."""
         excluded, spare = set(excluded), 0.0
         for name, load in loads.items():
@@ -51,7 +51,7 @@
             capacity = (
                 self.configured.get(name)
                 or plan.capacities.get(name)
-                or HEADROOM * self.healthy_rates.get(name, load.rate)
+                or CAPACITY_HEADROOM * self.healthy_rates.get(name, load.rate)
             )
             spare += max(0.0, capacity - load.rate)
         return spare
--- a/starlingwheel/fleet/zones/evidence.py
+++ b/starlingwheel/fleet/zones/evidence.py
@@ -32,7 +32,7 @@
     window: float  # of the health tracker
     max_report_age: float  # of a report that counts
 
-    def of_zone(self, zone: str) -> list[ZoneHealth]:
+    def health_reports(self, zone: str) -> list[ZoneHealth]:
         """What each member that knows the zone reports of it."""
         return [report.zones[zone] for report in self.reports.values() if zone in report.zones]
 
@@ -69,7 +69,7 @@
         """
         sides = [self._side_weights(zone, inside) for inside in (False, True)]
         total = sum(reaching for reaching, _ in sides)
-        if sum(health.failures for health in self.of_zone(zone)) < MIN_OUTCOMES:
+        if sum(health.failures for health in self.health_reports(zone)) < MIN_OUTCOMES:
             return False
         agreements = [
             2 * failing > reaching or self._is_failing_in_total(zone, bool(inside))
@@ -115,7 +115,7 @@
             for member, report in self.reports.items()
             if zone in report.zones and self._is_informed(member, zone)
         ]
-        counts = self.of_zone(zone)
+        counts = self.health_reports(zone)
         failures = sum(health.failures for health in counts)
         # Where each member has ejected the zone already, rows of failures come up by chance.
         mostly_failures = failures >= LOST_FRACTION * sum(health.counted for health in counts)
@@ -124,11 +124,11 @@
 
     def is_rejecting(self, zone: str) -> bool:
         """Whether more than half of the members report that the zone rejects attempts."""
-        return 2 * sum(health.rejecting for health in self.of_zone(zone)) > len(self.reports)
+        return 2 * sum(health.rejecting for health in self.health_reports(zone)) > len(self.reports)
 
     def trials(self, zone: str, state: ZoneState) -> tuple[int, int]:
         """Of all members, successes and failures since the step of the plan that `state` is of."""
-        current = [health for health in self.of_zone(zone) if health.epoch == state.epoch]
+        current = [health for health in self.health_reports(zone) if health.epoch == state.epoch]
         successes = sum(health.trial_successes for health in current)
         return successes, sum(health.trial_failures for health in current)
 
@@ -136,7 +136,7 @@
         """Whether the last trials of all did: failures from before the zone was back do not count."""
         results = sorted(
             result
-            for health in self.of_zone(zone)
+            for health in self.health_reports(zone)
             if health.epoch == state.epoch
             for result in health.recent_trials
         )
--- a/starlingwheel/fleet/zones/health.py
+++ b/starlingwheel/fleet/zones/health.py
@@ -146,22 +146,22 @@
     def _zone(self, zone: str) -> OutcomeWindow:
         return self.zones.setdefault(zone, OutcomeWindow())
 
-    def began(self, attempt: Hashable, zone: str) -> None:
+    def attempt_started(self, attempt: Hashable, zone: str) -> None:
         """An attempt was sent to that zone."""
         self.pending[attempt] = (zone, self.now)
         self._zone(zone).current.begun += 1
 
-    def ended(self, attempt: Hashable, result: ZoneAttemptResult) -> None:
+    def attempt_ended(self, attempt: Hashable, result: ZoneAttemptResult) -> None:
         """An attempt has ended; one that is not known is ignored."""
         known = self.pending.pop(attempt, None)
         if known is None:
             return
-        zone, began_at = known
+        zone, started_at = known
         was_silent = attempt in self.silent
         self.silent.discard(attempt)
         window = self._zone(zone)
         if result is ZoneAttemptResult.ANSWERED:
-            self._answered(window, self.now - began_at, was_silent)
+            self._answered(window, self.now - started_at, was_silent)
         elif result is ZoneAttemptResult.REJECTED:
             window.current.rejected += 1
             window.rejected_at = self.now
@@ -181,7 +181,7 @@
             window.current.answered += 1
         window.add_answer(self.now)
 
-    def follow(self, plan: ZonePlan) -> None:
+    def follow_plan(self, plan: ZonePlan) -> None:
         """Count trials from this step of the plan on."""
         for zone, state in plan.zones.items():
             known = self.trials.get(zone)
@@ -203,8 +203,8 @@
         gap, self.reported_at = self.now - self.reported_at, self.now
         if gap > self.window * PAUSE_WINDOWS:
             self.pending = {
-                attempt: (zone, min(began_at + gap, self.now))
-                for attempt, (zone, began_at) in self.pending.items()
+                attempt: (zone, min(started_at + gap, self.now))
+                for attempt, (zone, started_at) in self.pending.items()
             }
 
     def _find_silent_attempts(self) -> None:
@@ -212,14 +212,14 @@
         if self.answers < MIN_OUTCOMES:
             return
         silent_after = max(SILENT_MULTIPLE * self.mean_answer_time, self.window * SILENT_MIN_WINDOWS)
-        for attempt, (zone, began_at) in self.pending.items():
-            if began_at > self.now - silent_after:
+        for attempt, (zone, started_at) in self.pending.items():
+            if started_at > self.now - silent_after:
                 break
             if attempt not in self.silent:
                 self.silent.add(attempt)
                 window = self._zone(zone)
                 window.current.silent += 1
-                window.add_failure(began_at + silent_after)
+                window.add_failure(started_at + silent_after)
 
     def _rotate_windows(self) -> None:
         while self.now >= self.rotate_at:
--- a/starlingwheel/fleet/zones/planner.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -33,27 +33,23 @@
     FAILING_FRACTION,
     MIN_OUTCOMES,
     RECENT_TRIALS,
-    WINDOW_OBJECTIVES,
     ZoneHealthTracker,
 )
-from .reporter import MAX_INTERVAL, ZoneReporter
+from .reporter import MAX_REPORT_INTERVAL_LEASES, ZoneReporter
 
-__all__ = ["AGAIN", "WINDOW", "ZoneHealthTracker", "ZoneHost", "ZonePlanner", "ZoneTraffic"]
-
-WINDOW, AGAIN = WINDOW_OBJECTIVES, MAX_INTERVAL
 TRIAL_SHARE = 1 / 20  # of the traffic of a zone that was left
 FIRST_RETURN_SHARE = 1 / 8
-RETURN_GROWTH = 2.0  # factor of the share with each step that goes well
-RETURN_STEP = 1 / 2  # leases
-FORGET_INTERVAL = 1 / 2  # leases after which the host's own ejections in a zone that was left are lifted
-MIN_PAUSE = 1.0  # leases that a zone is left for at least, doubled with each return that failed
-MAX_PAUSE = 64.0  # leases
-RECENT_PLANS = 8.0  # leases for which the shares of a former plan may still be in use elsewhere
-WRITE_DELAY = 1 / 32  # leases that each member waits for the one before it to write a plan
+RETURN_SHARE_FACTOR = 2.0  # with each step that goes well
+RETURN_STEP_LEASES = 1 / 2
+EJECTION_LIFT_LEASES = 1 / 2  # leases after which the host's own ejections in a zone that was left are lifted
+MIN_PAUSE_LEASES = 1.0  # leases that a zone is left for at least, doubled with each return that failed
+MAX_PAUSE_LEASES = 64.0
+RECENT_PLAN_LEASES = 8.0  # leases for which the shares of a former plan may still be in use elsewhere
+WRITE_DELAY_LEASES = 1 / 32  # leases that each member waits for the one before it to write a plan
 MAX_WRITE_DELAYS = 16
 REMEMBERED_EPOCHS = 8  # plans whose write delays are remembered
-EVALUATION_INTERVAL = 1 / 16  # windows between two evaluations of all reports, at least
-POLL_INTERVAL = 1 / 8  # windows after which the planner asks to be called again
+EVALUATION_WINDOWS = 1 / 16  # windows between two evaluations of all reports, at least
+POLL_WINDOWS = 1 / 8  # windows after which the planner asks to be called again
 
 
 class ZoneTraffic(StrEnum):
@@ -67,13 +63,13 @@
 class ZoneHost(Protocol):
     """What the planner asks of the process that it runs in."""
 
-    def shares(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
+    def set_zone_shares(self, shares: Mapping[str, float], returning: Iterable[str]) -> None:
         """Set the fraction of its attempts that each zone gets, 1 unless named.
 
-        `back`: zones that return, whose endpoints are not to be held ejected for what was before.
+        `returning`: zones that return, whose endpoints are not to be held ejected for what was before.
         """
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Write a line to the log."""
 
 
@@ -98,12 +94,12 @@
         self.records = StoreRecords()
         self.plan = ZonePlan()
         self.plan_mod = 0
-        self.said: dict[str, ZoneReport] = {}  # the reports of all members
+        self.reports: dict[str, ZoneReport] = {}  # the reports of all members
         self.evidence = self._collect_evidence()
-        self.turns = WriteTurns(WRITE_DELAY * lease, MAX_WRITE_DELAYS, REMEMBERED_EPOCHS)
+        self.turns = WriteTurns(WRITE_DELAY_LEASES * lease, MAX_WRITE_DELAYS, REMEMBERED_EPOCHS)
         self.recent_shares: list[tuple[float, dict[str, float]]] = []  # of former plans, with their end
-        self.cut_off = False  # our lease has expired
-        self.forget_at, self.look_at = inf, -inf
+        self.lease_expired = False  # our lease has expired
+        self.lift_ejections_at, self.evaluate_at = inf, -inf
 
     # Input from the host.
 
@@ -117,54 +113,54 @@
         """The time that the host has set, seconds."""
         return self.zone_health.now
 
-    def recorded(self, records: StoreRecords) -> None:
+    def update_records(self, records: StoreRecords) -> None:
         """Take over what the coordination store holds."""
         self.records = records
         if records.plan_mod != self.plan_mod:
             self.plan_mod = records.plan_mod
-            self._follow(records.plan or ZonePlan())
+            self._adopt_plan(records.plan or ZonePlan())
 
-    def _follow(self, plan: ZonePlan) -> None:
+    def _adopt_plan(self, plan: ZonePlan) -> None:
         before, self.plan = self.plan, plan
-        self.zone_health.follow(plan)
+        self.zone_health.follow_plan(plan)
         self.recent_shares.append((self.now, {name: zone.share for name, zone in before.zones.items()}))
-        back = [
+        returning = [
             name
             for name, zone in before.zones.items()
             if zone.state == ZoneTraffic.LEFT
             and (name not in plan.zones or plan.zones[name].state == ZoneTraffic.RETURNING)
         ]
-        self._share(back)
-        self.forget_at = self.now + FORGET_INTERVAL * self.lease
+        self._apply_shares(returning)
+        self.lift_ejections_at = self.now + EJECTION_LIFT_LEASES * self.lease
         for name in sorted(plan.zones.keys() | before.zones.keys()):
             if plan.zones.get(name) != before.zones.get(name):
                 self._log_zone(name, plan.zones.get(name))
 
     def _log_zone(self, name: str, zone: ZoneState | None) -> None:
         if zone is None:
-            self.host.note("zone.plan", zone=name, state="whole", share=1.0, reason="")
+            self.host.log_event("zone.plan", zone=name, state="whole", share=1.0, reason="")
         else:
             share = round(zone.share, 3)
-            self.host.note("zone.plan", zone=name, state=zone.state, share=share, reason=zone.reason)
+            self.host.log_event("zone.plan", zone=name, state=zone.state, share=share, reason=zone.reason)
 
     def set_leased(self, leased: bool) -> None:
         """Whether our lease holds: past it, another plan may be in force without our knowledge."""
-        if leased == self.cut_off:
-            self.cut_off = not leased
-            self._share([])
+        if leased == self.lease_expired:
+            self.lease_expired = not leased
+            self._apply_shares([])
 
-    def _share(self, back: Iterable[str]) -> None:
+    def _apply_shares(self, returning: Iterable[str]) -> None:
         """Set the shares of the plan; while cut off, the lowest of the recent plans.
 
         A member with an old plan then sends no more to a zone than the others do.
         """
         shares = {name: zone.share for name, zone in self.plan.zones.items()}
-        oldest = self.now - RECENT_PLANS * self.lease
+        oldest = self.now - RECENT_PLAN_LEASES * self.lease
         self.recent_shares = [(until, former) for until, former in self.recent_shares if until > oldest]
-        if self.cut_off:
+        if self.lease_expired:
             for _, former in self.recent_shares:
                 shares = {name: min(shares.get(name, 1.0), former.get(name, 1.0)) for name in shares | former}
-        self.host.shares(shares, back)
+        self.host.set_zone_shares(shares, returning)
 
     # What is to be written to the store.
 
@@ -174,7 +170,7 @@
             return inf
         self._lift_ejections()
         report = self.reporter.due(self.zone_health.report(), self.records.members, self.now)
-        return report if report is not None else self._next()
+        return report if report is not None else self.plan_next()
 
     def _lift_ejections(self) -> None:
         """Let trials reach a zone that was left: its share bounds them, so ejections need not."""
@@ -183,89 +179,89 @@
             for name, zone in self.plan.zones.items()
             if zone.state == ZoneTraffic.LEFT and zone.share <= TRIAL_SHARE
         ]
-        if left and self.now >= self.forget_at:
-            self.forget_at = self.now + FORGET_INTERVAL * self.lease
-            self._share(left)
+        if left and self.now >= self.lift_ejections_at:
+            self.lift_ejections_at = self.now + EJECTION_LIFT_LEASES * self.lease
+            self._apply_shares(left)
 
-    def _next(self) -> Transaction | float:
+    def plan_next(self) -> Transaction | float:
         """The next plan, if what is known calls for one; else when to ask again."""
         # Does not evaluate the reports of a large fleet anew with each single one.
-        if self.now < self.look_at:
-            return self.look_at
-        self.look_at = self.now + self.zone_health.window * EVALUATION_INTERVAL
+        if self.now < self.evaluate_at:
+            return self.evaluate_at
+        self.evaluate_at = self.now + self.zone_health.window * EVALUATION_WINDOWS
         members = self.records.members
-        self.said = {member: report for member, report in self.records.said.items() if member in members}
+        self.reports = {member: report for member, report in self.records.said.items() if member in members}
         self.evidence = self._collect_evidence()
         self.capacities.measure(self.now, self.evidence)
-        ask_again = self.now + self.zone_health.window * POLL_INTERVAL
+        poll_at = self.now + self.zone_health.window * POLL_WINDOWS
         if not self.plan.zones and not self.evidence.any_failing():
-            return ask_again
+            return poll_at
         loads = self.evidence.loads()
         epoch = self.plan.epoch + 1
-        zones, next_change_at = self._advanced(epoch, loads)
-        zones |= self._leaving(zones, epoch, loads)
-        capacities = self.capacities.observed(self.plan, zones, self.evidence)
+        zones, next_change_at = self._next_states(epoch, loads)
+        zones |= self._newly_left(zones, epoch, loads)
+        capacities = self.capacities.observed_capacities(self.plan, zones, self.evidence)
         if zones == self.plan.zones and capacities == self.plan.capacities:
-            return min(next_change_at, ask_again)
-        return self._in_turn(ZonePlan(epoch, zones, capacities))
+            return min(next_change_at, poll_at)
+        return self._write_in_turn(ZonePlan(epoch, zones, capacities))
 
     def _collect_evidence(self) -> ZoneEvidence:
         # Twice the interval of reports, so that a side does not go missing between two of them.
-        max_age = 2 * MAX_INTERVAL * self.lease
-        return ZoneEvidence(self.said, self.records.members, self.now, self.zone_health.window, max_age)
+        max_age = 2 * MAX_REPORT_INTERVAL_LEASES * self.lease
+        return ZoneEvidence(self.reports, self.records.members, self.now, self.zone_health.window, max_age)
 
     # Steps of zones that are in the plan.
 
-    def _advanced(self, epoch: int, loads: Mapping[str, ZoneLoad]) -> tuple[dict[str, ZoneState], float]:
+    def _next_states(self, epoch: int, loads: Mapping[str, ZoneLoad]) -> tuple[dict[str, ZoneState], float]:
         """The zones of the next plan, without such as are left anew, and when one of them may change."""
         zones, next_change_at = {}, inf
         for name, zone in self.plan.zones.items():
-            after = zone if zone.by_operator else self._advanced_zone(name, zone, epoch, loads)
+            after = zone if zone.by_operator else self._next_state(name, zone, epoch, loads)
             if after is not None:
                 zones[name] = after
             if after is zone and not zone.by_operator and self.now < zone.next_change_at:
                 next_change_at = min(next_change_at, zone.next_change_at)
         return zones, next_change_at
 
-    def _advanced_zone(
+    def _next_state(
         self, name: str, zone: ZoneState, epoch: int, loads: Mapping[str, ZoneLoad]
     ) -> ZoneState | None:
         """The next state of one zone; the same one if there is no change; None: it gets all its traffic."""
         if zone.state == ZoneTraffic.LEFT:
-            return self._advanced_left(name, zone, epoch)
+            return self._next_state_of_left(name, zone, epoch)
         if zone.state == ZoneTraffic.RETURNING:
-            return self._advanced_returning(name, zone, epoch, loads)
+            return self._next_state_of_returning(name, zone, epoch, loads)
         return zone
 
-    def _advanced_left(self, name: str, zone: ZoneState, epoch: int) -> ZoneState:
-        if zone.share > TRIAL_SHARE and self.evidence.is_lost(name) and self._agreed(name):
-            return self._left(name, zone.failed_returns, TRIAL_SHARE, epoch, "all of it fails")
+    def _next_state_of_left(self, name: str, zone: ZoneState, epoch: int) -> ZoneState:
+        if zone.share > TRIAL_SHARE and self.evidence.is_lost(name) and self._is_failing(name):
+            return self._left_state(name, zone.failed_returns, TRIAL_SHARE, epoch, "all of it fails")
         if self.now >= zone.next_change_at and self._may_return(name, zone):
-            return self._returning(zone, max(FIRST_RETURN_SHARE, zone.share), epoch, "trials went well")
+            return self._returning_state(zone, max(FIRST_RETURN_SHARE, zone.share), epoch, "trials went well")
         return zone
 
-    def _advanced_returning(
+    def _next_state_of_returning(
         self, name: str, zone: ZoneState, epoch: int, loads: Mapping[str, ZoneLoad]
     ) -> ZoneState | None:
-        if self._goes_badly(name, zone):
-            part = self._part(name, [name], loads)
-            return self._left(name, zone.failed_returns + 1, 1 - part, epoch, "its return failed")
+        if self._return_fails(name, zone):
+            moved = self._moved_fraction(name, [name], loads)
+            return self._left_state(name, zone.failed_returns + 1, 1 - moved, epoch, "its return failed")
         if self.now < zone.next_change_at:
             return zone
-        if zone.share * RETURN_GROWTH >= 1:
+        if zone.share * RETURN_SHARE_FACTOR >= 1:
             return None
-        if self._goes_well(name, zone):
-            return self._returning(zone, zone.share * RETURN_GROWTH, epoch, "its work goes well")
+        if self._return_goes_well(name, zone):
+            return self._returning_state(zone, zone.share * RETURN_SHARE_FACTOR, epoch, "its work goes well")
         return zone
 
-    def _returning(self, zone: ZoneState, share: float, epoch: int, reason: str) -> ZoneState:
-        until = self.now + RETURN_STEP * self.lease
+    def _returning_state(self, zone: ZoneState, share: float, epoch: int, reason: str) -> ZoneState:
+        until = self.now + RETURN_STEP_LEASES * self.lease
         return ZoneState(
             share, ZoneTraffic.RETURNING, epoch, self.now, until, reason, zone.failed_returns, zone.region
         )
 
-    def _left(self, name: str, failed_returns: int, share: float, epoch: int, reason: str) -> ZoneState:
-        until = self.now + min(MIN_PAUSE * 2**failed_returns, MAX_PAUSE) * self.lease
+    def _left_state(self, name: str, failed_returns: int, share: float, epoch: int, reason: str) -> ZoneState:
+        until = self.now + min(MIN_PAUSE_LEASES * 2**failed_returns, MAX_PAUSE_LEASES) * self.lease
         share, region = max(share, TRIAL_SHARE), self.failing_zones.regions.get(name, "")
         return ZoneState(share, ZoneTraffic.LEFT, epoch, self.now, until, reason, failed_returns, region)
 
@@ -275,51 +271,51 @@
         paused = any(other.state == ZoneTraffic.LEFT and self.now < other.next_change_at for other in region)
         return not paused and self.evidence.recent_trials_succeeded(name, zone)
 
-    def _goes_well(self, name: str, zone: ZoneState) -> bool:
+    def _return_goes_well(self, name: str, zone: ZoneState) -> bool:
         successes, failures = self.evidence.trials(name, zone)
         most_failures = FAILING_FRACTION * ELSEWHERE_FRACTION * (successes + failures)
         return successes >= RECENT_TRIALS and failures <= most_failures
 
-    def _goes_badly(self, name: str, zone: ZoneState) -> bool:
+    def _return_fails(self, name: str, zone: ZoneState) -> bool:
         successes, failures = self.evidence.trials(name, zone)
         return failures >= MIN_OUTCOMES and failures >= FAILING_FRACTION * (successes + failures)
 
     # Zones that are to be left.
 
-    def _leaving(
+    def _newly_left(
         self, zones: Mapping[str, ZoneState], epoch: int, loads: Mapping[str, ZoneLoad]
     ) -> dict[str, ZoneState]:
         """Zones that are to be left now: with the rest of their region where most of that fails."""
-        agreed = {name for name in loads if name not in zones and self._agreed(name)}
+        agreed = {name for name in loads if name not in zones and self._is_failing(name)}
         failing = self.failing_zones.worth_leaving(agreed, zones, loads, self.now)
-        parts = {name: self._part(name, failing, loads) for name in failing}
+        moved = {name: self._moved_fraction(name, failing, loads) for name in failing}
         return {
-            name: self._left(name, 0, 1 - part, epoch, f"{loads[name].failing_fraction:.0%} fails")
-            for name, part in parts.items()
-            if part > 0
+            name: self._left_state(name, 0, 1 - fraction, epoch, f"{loads[name].failing_fraction:.0%} fails")
+            for name, fraction in moved.items()
+            if fraction > 0
         }
 
-    def _agreed(self, zone: str) -> bool:
+    def _is_failing(self, zone: str) -> bool:
         """Whether the members agree that the zone fails."""
         return self.evidence.is_failing(zone)
 
-    def _part(self, name: str, failing: list[str], loads: Mapping[str, ZoneLoad]) -> float:
+    def _moved_fraction(self, name: str, failing: list[str], loads: Mapping[str, ZoneLoad]) -> float:
         """The fraction of its traffic to move: what the others have capacity for; all where it is lost."""
         if self.evidence.is_lost(name):
             return 1.0
         needed = sum(self.evidence.usual_rate(one) for one in failing)
-        return min(1.0, self.capacities.spare(failing, self.plan, loads) / needed) if needed else 0.0
+        return min(1.0, self.capacities.spare_capacity(failing, self.plan, loads) / needed) if needed else 0.0
 
     # Writing the plan.
 
-    def _in_turn(self, plan: ZonePlan) -> Transaction | float:
+    def _write_in_turn(self, plan: ZonePlan) -> Transaction | float:
         """Any member may write it: one after another, so that they do not all do it at once."""
         members = sorted(self.records.members)
         turn = (members.index(self.member_id) + plan.epoch) % len(members)
         write_at = self.turns.write_at(plan.epoch, turn, self.now)
-        return write_at if self.now < write_at else self._written(plan)
+        return write_at if self.now < write_at else self._write_plan(plan)
 
-    def _written(self, plan: ZonePlan) -> Transaction:
+    def _write_plan(self, plan: ZonePlan) -> Transaction:
         unchanged = [equal(PLAN, "MOD", self.plan_mod)]
         return Transaction("zones.plan", unchanged, [(PLAN, msgspec.json.encode(plan))])
 
@@ -327,8 +323,8 @@
 
     def leave(self, name: str, reason: str) -> Transaction:
         """Send nothing to that zone until operators let it return."""
-        left = self._left(name, 0, TRIAL_SHARE, self.plan.epoch + 1, reason)
-        return self._changed_zone(name, msgspec.structs.replace(left, share=0.0, by_operator=True))
+        left = self._left_state(name, 0, TRIAL_SHARE, self.plan.epoch + 1, reason)
+        return self._write_zone(name, msgspec.structs.replace(left, share=0.0, by_operator=True))
 
     def hold(self, name: str, reason: str) -> Transaction:
         """Keep the share of that zone as it is."""
@@ -343,18 +339,16 @@
             by_operator=True,
             next_change_at=self.now,
         )
-        return self._changed_zone(name, held)
+        return self._write_zone(name, held)
 
     def let_return(self, name: str, reason: str) -> Transaction | None:
         """Let that zone return in steps; None: it is not in the plan."""
         zone = self.plan.zones.get(name)
         if zone is None:
             return None
-        returning = self._returning(zone, FIRST_RETURN_SHARE, self.plan.epoch + 1, reason)
-        return self._changed_zone(
-            name, msgspec.structs.replace(returning, failed_returns=0, by_operator=False)
-        )
+        returning = self._returning_state(zone, FIRST_RETURN_SHARE, self.plan.epoch + 1, reason)
+        return self._write_zone(name, msgspec.structs.replace(returning, failed_returns=0, by_operator=False))
 
-    def _changed_zone(self, name: str, zone: ZoneState) -> Transaction:
+    def _write_zone(self, name: str, zone: ZoneState) -> Transaction:
         zones = self.plan.zones | {name: zone}
-        return self._written(ZonePlan(self.plan.epoch + 1, zones, self.plan.capacities))
+        return self._write_plan(ZonePlan(self.plan.epoch + 1, zones, self.plan.capacities))
--- a/starlingwheel/fleet/zones/reporter.py
+++ b/starlingwheel/fleet/zones/reporter.py
@@ -9,11 +9,11 @@
 from ..membership import Member
 from ..records import MEMBERS, SAID, Transaction, ZoneHealth, ZoneReport, equal
 
-MIN_INTERVAL = 1 / 4  # leases between two reports of a member, at least
+MIN_REPORT_INTERVAL_LEASES = 1 / 4  # leases between two reports of a member, at least
 FULL_RATE_MEMBERS = 64  # members up to which counts alone are reported as often, so that the store copes
-MAX_INTERVAL = 4.0  # leases after which what has not changed is reported again
-GROWTH = 2.0  # times the usual rate last reported, from which on a higher one is news
-GROWTH_MIN_RATE = 0.1  # attempts a second, added to that
+MAX_REPORT_INTERVAL_LEASES = 4.0  # leases after which what has not changed is reported again
+USUAL_RATE_GROWTH = 2.0  # times the usual rate last reported, from which on a higher one is news
+USUAL_RATE_MARGIN = 0.1  # attempts a second, added to that
 
 
 class ZoneReporter:
@@ -29,7 +29,7 @@
         self, health: dict[str, ZoneHealth], members: dict[str, Member], now: float
     ) -> Transaction | None:
         """The next report, where what is seen differs from what was reported; None: not now."""
-        if now < self.reported_at + MIN_INTERVAL * self.lease or not health:
+        if now < self.reported_at + MIN_REPORT_INTERVAL_LEASES * self.lease or not health:
             return None
         if not self._is_worth_reporting(health, len(members), now):
             return None
@@ -39,9 +39,9 @@
         return Transaction("zones.said", [is_member], [(SAID + self.member_id, report)], leased=True)
 
     def _is_worth_reporting(self, health: dict[str, ZoneHealth], members: int, now: float) -> bool:
-        if now > self.reported_at + MAX_INTERVAL * self.lease or self._has_changed(health):
+        if now > self.reported_at + MAX_REPORT_INTERVAL_LEASES * self.lease or self._has_changed(health):
             return True
-        interval = MIN_INTERVAL * self.lease * max(1.0, members / FULL_RATE_MEMBERS)
+        interval = MIN_REPORT_INTERVAL_LEASES * self.lease * max(1.0, members / FULL_RATE_MEMBERS)
         return now >= self.reported_at + interval and self._has_news(health)
 
     def _has_changed(self, health: dict[str, ZoneHealth]) -> bool:
@@ -56,7 +56,7 @@
             any(seen.failing or seen.failures for seen in health.values())
             or any(seen.epoch and _trials(seen) != self._reported_trials(z) for z, seen in health.items())
             or any(
-                seen.usual_rate > GROWTH * self._reported_rate(zone) + GROWTH_MIN_RATE
+                seen.usual_rate > USUAL_RATE_GROWTH * self._reported_rate(zone) + USUAL_RATE_MARGIN
                 for zone, seen in health.items()
             )
         )
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -312,7 +312,7 @@
         super().start_attempt(attempt, limit)
         exchange = self.pending_requests[attempt.request].exchanges[attempt]
         endpoint, now = attempt.endpoint.entry, self.scheduler.now
-        self.zone_controller.began(exchange, endpoint.zone, now)
+        self.zone_controller.attempt_started(exchange, endpoint.zone, now)
         request = self.replicated.get(attempt.request)
         if request is not None:
             intent = AttemptIntent(endpoint.endpoint_id, endpoint.zone, endpoint.cell, now)
@@ -325,7 +325,7 @@
         load_report: dict[str, float],
         response: UpstreamResponse | None,
     ) -> None:
-        self.zone_controller.ended(exchange, outcome, self.scheduler.now)
+        self.zone_controller.attempt_ended(exchange, outcome, self.scheduler.now)
         held = self.release_hold(exchange)
         if held is not None and (outcome.never_ran or not (held.open and exchange.written)):
             self.replicator.attempt_not_run(held.item, held.number, outcome.value)
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -135,7 +135,7 @@
             case StoreRead(records, gap):
                 self.policy_replica.recorded(records, gap)
                 self._check_links_in_doubt()
-                self.zone_controller.recorded(records, now)
+                self.zone_controller.update_records(records, now)
             case LinkUp(member, link):
                 self.links[member] = link
                 self.replicator.link_up(member)
--- a/starlingwheel/net/fleet/zones.py
+++ b/starlingwheel/net/fleet/zones.py
@@ -52,28 +52,28 @@
         if config is not None:
             self.zone_planner.configure(config.regions, config.capacities)
         if self.enabled and config is None:
-            self.shares({}, [])
+            self.set_zone_shares({}, [])
         self.enabled = config is not None
 
     # Input from the sidecar.
 
-    def began(self, exchange: Hashable, zone: str, now: float) -> None:
+    def attempt_started(self, exchange: Hashable, zone: str, now: float) -> None:
         """An attempt was sent to that zone."""
         if self.enabled:
             self.zone_health.now = now
-            self.zone_health.began(exchange, zone)
+            self.zone_health.attempt_started(exchange, zone)
 
-    def ended(self, exchange: Hashable, outcome: AttemptOutcome, now: float) -> None:
+    def attempt_ended(self, exchange: Hashable, outcome: AttemptOutcome, now: float) -> None:
         """An attempt has ended."""
         if self.enabled:
             self.zone_health.now = now
-            self.zone_health.ended(exchange, RESULTS.get(outcome, ZoneAttemptResult.INCONCLUSIVE))
+            self.zone_health.attempt_ended(exchange, RESULTS.get(outcome, ZoneAttemptResult.INCONCLUSIVE))
 
-    def recorded(self, records: StoreRecords, now: float) -> None:
+    def update_records(self, records: StoreRecords, now: float) -> None:
         """Take over what the coordination store holds."""
         if self.enabled:
             self.zone_health.now = now
-            self.zone_planner.recorded(records)
+            self.zone_planner.update_records(records)
 
     def due(self, now: float, leased: bool) -> Transaction | float:
         """What is to be written to the coordination store, or when to ask again."""
@@ -92,19 +92,19 @@
             "seen": msgspec.to_builtins(self.zone_health.report()) if self.enabled else {},
             "said": {
                 members[member].name: msgspec.to_builtins(report.zones)
-                for member, report in planner.said.items()
+                for member, report in planner.reports.items()
                 if member in members  # it may have gone since
             },
             "most": planner.capacities.healthy_rates,
-            "cut_off": planner.cut_off,
+            "cut_off": planner.lease_expired,
         }
 
     # Output of the planner.
 
-    def shares(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
+    def set_zone_shares(self, shares: Mapping[str, float], returning: Iterable[str]) -> None:
         """Set the fraction of its attempts that each zone gets; see `ZoneHost`."""
-        self.scheduler().set_zone_shares(shares, back)
+        self.scheduler().set_zone_shares(shares, returning)
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Write a line to the log."""
         self.log(event, **fields)
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -62,20 +62,20 @@
     zone_health = ZoneHealthTracker(2.0, 100.0)
     for number in range(answers):
         for zone in ("here", "there"):
-            zone_health.began((zone, number), zone)
+            zone_health.attempt_started((zone, number), zone)
         zone_health.now += 0.05
         for zone in ("here", "there"):
-            zone_health.ended((zone, number), ZoneAttemptResult.ANSWERED)
+            zone_health.attempt_ended((zone, number), ZoneAttemptResult.ANSWERED)
     return zone_health
 
 
 def test_a_zone_that_answers_nothing_is_reported_before_the_timeout():
     zone_health = healthy_tracker()
     for number in range(20):
-        zone_health.began(("here", "late", number), "here")
-        zone_health.began(("there", "late", number), "there")
+        zone_health.attempt_started(("here", "late", number), "here")
+        zone_health.attempt_started(("there", "late", number), "there")
         zone_health.now += 0.05
-        zone_health.ended(("there", "late", number), ZoneAttemptResult.ANSWERED)
+        zone_health.attempt_ended(("there", "late", number), ZoneAttemptResult.ANSWERED)
         zone_health.report()
     assert health_of(zone_health, "here").failing and not health_of(zone_health, "there").failing
 
@@ -84,7 +84,7 @@
     zone_health = healthy_tracker()
     zone_health.report()
     for number in range(8):
-        zone_health.began(("here", "x", number), "here")
+        zone_health.attempt_started(("here", "x", number), "here")
     zone_health.now += 3.0
     assert not health_of(zone_health, "here").failing
 
@@ -93,38 +93,38 @@
     zone_health = healthy_tracker()
     for number in range(20):
         for zone in ("here", "there"):
-            zone_health.began((zone, "x", number), zone)
-            zone_health.ended((zone, "x", number), ZoneAttemptResult.FAILED)
+            zone_health.attempt_started((zone, "x", number), zone)
+            zone_health.attempt_ended((zone, "x", number), ZoneAttemptResult.FAILED)
     assert not health_of(zone_health, "here").failing and not health_of(zone_health, "there").failing
 
 
 def test_a_zone_that_rejects_attempts_is_not_failing():
     zone_health = healthy_tracker()
     for number in range(10):
-        zone_health.began(("here", "x", number), "here")
-        zone_health.ended(("here", "x", number), ZoneAttemptResult.REJECTED)
+        zone_health.attempt_started(("here", "x", number), "here")
+        zone_health.attempt_ended(("here", "x", number), ZoneAttemptResult.REJECTED)
     assert health_of(zone_health, "here").rejecting and not health_of(zone_health, "here").failing
 
 
 def test_answers_end_the_report_that_a_zone_fails():
     zone_health = healthy_tracker()
     for number in range(12):
-        zone_health.began(("here", "x", number), "here")
-        zone_health.ended(("here", "x", number), ZoneAttemptResult.FAILED)
-    zone_health.began("other", "there")
+        zone_health.attempt_started(("here", "x", number), "here")
+        zone_health.attempt_ended(("here", "x", number), ZoneAttemptResult.FAILED)
+    zone_health.attempt_started("other", "there")
     zone_health.now += 0.05
-    zone_health.ended("other", ZoneAttemptResult.ANSWERED)
+    zone_health.attempt_ended("other", ZoneAttemptResult.ANSWERED)
     assert health_of(zone_health, "here").failing
     for number in range(30):
-        zone_health.began(("here", "y", number), "here")
-        zone_health.ended(("here", "y", number), ZoneAttemptResult.ANSWERED)
+        zone_health.attempt_started(("here", "y", number), "here")
+        zone_health.attempt_ended(("here", "y", number), ZoneAttemptResult.ANSWERED)
     assert not health_of(zone_health, "here").failing
 
 
 def test_without_a_zones_part_nothing_is_counted_or_planned():
     zone_controller = ZoneController("n0", 1.0, None, 1.0, 0.0, lambda: None, lambda event, **fields: None)
-    zone_controller.began("x", "here", 1.0)
-    zone_controller.ended("x", AttemptOutcome.TIMED_OUT, 2.0)
+    zone_controller.attempt_started("x", "here", 1.0)
+    zone_controller.attempt_ended("x", AttemptOutcome.TIMED_OUT, 2.0)
     assert not zone_controller.zone_health.zones and zone_controller.due(3.0, True) == float("inf")
 
 
@@ -175,7 +175,7 @@
 def test_the_report_of_a_member_that_has_gone_is_not_shown(admin, served):
     zone_planner = admin.around.context.fleet.module.zone_controller.zone_planner
     member_id = admin.around.context.fleet.member_id
-    zone_planner.said = {"n9.ff": ZoneReport(0.0, {}), member_id: ZoneReport(0.0, {})}
+    zone_planner.reports = {"n9.ff": ZoneReport(0.0, {}), member_id: ZoneReport(0.0, {})}
     status, answer = admin.call("GET /_zones")
     assert status == 200 and set(answer["said"]) == {"n0"}
 
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -230,23 +230,23 @@
 class MinorityLeaves(ZonePlanner):
     """A zone is left when anybody says that it fails."""
 
-    def _agreed(self, zone: str) -> bool:
-        return any(zone in said.zones and said.zones[zone].failing for said in self.said.values())
+    def _is_failing(self, zone: str) -> bool:
+        return any(zone in said.zones and said.zones[zone].failing for said in self.reports.values())
 
 
 class CapacityIgnored(ZonePlanner):
     """A zone that fails in part is left whole, whatever the others bear."""
 
-    def _part(self, name: str, failing: list[str], known: dict[str, tuple[float, float]]) -> float:
+    def _moved_fraction(self, name: str, failing: list[str], known: dict[str, tuple[float, float]]) -> float:
         return 1.0
 
 
 class RampNotShared(ZonePlanner):
     """Each begins to return by itself as soon as it knows that the others do: with all it has."""
 
-    def _share(self, back: Iterable[str]) -> None:
+    def _apply_shares(self, returning: Iterable[str]) -> None:
         shares = {n: 1.0 if z.state == "returning" else z.share for n, z in self.plan.zones.items()}
-        self.host.shares(shares, back)
+        self.host.set_zone_shares(shares, returning)
 
 
 ZONE_VARIANTS = {MinorityLeaves: "cut", CapacityIgnored: "near-full", RampNotShared: "hang"}
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -35,7 +35,8 @@
     ZoneHealth,
     ZoneReport,
 )
-from starlingwheel.fleet.zones import planner as zones
+from starlingwheel.fleet.zones.health import ZoneHealthTracker
+from starlingwheel.fleet.zones.planner import ZonePlanner
 from starlingwheel.net.fleet import etcd as arbiter
 from starlingwheel.net.loop import Loop
 from starlingwheel.net.state.buffers import BufferPool
@@ -102,7 +103,10 @@
     def note(self, event: str, **fields: object) -> None:
         """Log nothing."""
 
-    def shares(self, shares: object, back: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
+        """Log nothing."""
+
+    def set_zone_shares(self, shares: object, returning: object) -> None:
         """Apply no shares of zones."""
 
 
@@ -165,8 +169,8 @@
         )
         self.policy_replica.sure, self.policy_replica.vote = True, (7, "")
         self.policy_replica.renewed(self.now + LEASE, 1)
-        tracker = zones.ZoneHealthTracker(2.0, self.now)
-        self.zone_planner = zones.ZonePlanner(me.id, LEASE, {}, {}, NullHost(), tracker)
+        tracker = ZoneHealthTracker(2.0, self.now)
+        self.zone_planner = ZonePlanner(me.id, LEASE, {}, {}, NullHost(), tracker)
         self.revision = 10_000
         loop.close()
 
@@ -175,7 +179,7 @@
         if records is not None:
             self.recorded = records
             self.policy_replica.recorded(records, False)
-            self.zone_planner.recorded(records)
+            self.zone_planner.update_records(records)
             self.policy_replica.due()
 
     def _receive(self, text: bytes) -> None:
@@ -206,8 +210,8 @@
 
     def weigh(self) -> None:
         """Evaluate the reports of all members, as happens eight times a second or so, in calm."""
-        self.zone_planner.look_at = -1.0
-        self.zone_planner._next()  # noqa: SLF001  # one step, whatever the time
+        self.zone_planner.evaluate_at = -1.0
+        self.zone_planner.plan_next()  # one step, whatever the time
 
     def full_range(self) -> bytes:
         """Encode what a start reads: members, names, reports of zones, policy."""
--- a/trials/capacity/roles.py
+++ b/trials/capacity/roles.py
@@ -10,7 +10,8 @@
 
 from starlingwheel.decisions.gossip import MESSAGES_PER_OBJECTIVE
 from starlingwheel.fleet.policy import replica as policy
-from starlingwheel.fleet.zones import planner as zones
+from starlingwheel.fleet.zones.health import WINDOW_OBJECTIVES
+from starlingwheel.fleet.zones.reporter import MAX_REPORT_INTERVAL_LEASES
 from starlingwheel.net.fleet import etcd as arbiter
 from starlingwheel.net.fleet import links
 
@@ -195,8 +196,8 @@
 
 def _zone_rows(size: Size, figures: Figures) -> list[Row]:
     n, at = size.sidecars, figures.at
-    reports = n / (zones.AGAIN * LEASE)  # a second
-    weighed = 16 / (zones.WINDOW * size.due)  # times a second
+    reports = n / (MAX_REPORT_INTERVAL_LEASES * LEASE)  # a second
+    weighed = 16 / (WINDOW_OBJECTIVES * size.due)  # times a second
     role = "zones"
     return [
         Row(
--- a/trials/capacity/totals.py
+++ b/trials/capacity/totals.py
@@ -5,7 +5,7 @@
 from math import exp
 from typing import NamedTuple
 
-from starlingwheel.fleet.zones import planner as zones
+from starlingwheel.fleet.zones.reporter import MAX_REPORT_INTERVAL_LEASES
 from starlingwheel.net.fleet import etcd as arbiter
 
 from .figures import Figures
@@ -34,7 +34,7 @@
 def arbiter_rows(size: Size, figures: Figures) -> list[Total]:
     """What the coordination store's machines do, all together."""
     n, at = size.sidecars, figures.at
-    report_rate = n / (zones.AGAIN * LEASE)
+    report_rate = n / (MAX_REPORT_INTERVAL_LEASES * LEASE)
     votes = n * size.changes / DAY
     changes = size.changes / DAY
     member = at("member line", n) + HEADERS
@@ -48,7 +48,8 @@
         Total("connections", f"{n} x 4 (lease, watch, strikes, writes)", 4.0 * n, "connections"),
         Total("keepalives", f"{n} / (a third of {LEASE:.0f} s)", keepalives, "calls/s"),
         Total("the same", f"x {FRAMING} B about", keepalives * FRAMING, "B/s"),
-        Total("writes of evidence", f"{n} / {zones.AGAIN * LEASE:.0f} s", report_rate, "writes/s"),
+        Total("writes of evidence", f"{n} / {MAX_REPORT_INTERVAL_LEASES * LEASE:.0f} s", report_rate,
+              "writes/s"),
         Total("writes of votes, mean", f"{n} x {size.changes:.0f} a day", votes, "writes/s"),
         Total("writes of votes, in the second after a proposal", f"{n}", float(n), "writes/s"),
         Total("evidence told", f"{report_rate:.0f}/s x {n} watchers", report_rate * n, "events/s"),
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -76,14 +76,14 @@
         self.ejected: dict[str, tuple[float, float]] = {}  # until when, and for how long
         self.plan_at = -inf
 
-    def shares(self, shares: Mapping[str, float], back: Iterable[str]) -> None:
+    def set_zone_shares(self, shares: Mapping[str, float], returning: Iterable[str]) -> None:
         """Take over the shares, and lift ejections of zones that come back."""
         self.zone_shares = dict(shares)
-        for zone in back:
+        for zone in returning:
             self.ejected.pop(zone, None)
             self.failures_in_a_row[zone] = 0
 
-    def note(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Nothing is logged."""
 
     def select_zone(self, excluded: str = "") -> str:
@@ -214,7 +214,7 @@
         zone = self._corrected(zone, member)
         attempt = object()
         member.zone_health.now = self.now
-        member.zone_health.began(attempt, zone)
+        member.zone_health.attempt_started(attempt, zone)
         fails, rejects = self.fails(zone, member), self.rejects(zone)
         self.arrivals[zone].append(self.now)
         if fails or not rejects:
@@ -226,7 +226,7 @@
 
         def end(result: ZoneAttemptResult) -> None:
             member.zone_health.now = self.now
-            member.zone_health.ended(attempt, result)
+            member.zone_health.attempt_ended(attempt, result)
             if self._attempt_ended(request, zone, result):
                 retry()
 
@@ -291,7 +291,7 @@
         snapshot = self.records.copy()
         for member in self.members:
             member.zone_health.now = self.now
-            member.zone_planner.recorded(snapshot)
+            member.zone_planner.update_records(snapshot)
 
     def _write(self, member: EmulatedMember) -> None:
         if self.now < member.plan_at:
