--- a/starlingwheel/fleet/zones/evidence.py
+++ b/starlingwheel/fleet/zones/evidence.py
@@ -4,10 +4,11 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..membership import Member
 from ..records import ZoneHealth, ZoneReport, ZoneState
-from .health import FAILING_FRACTION, MIN_FAILURES_IN_A_ROW, MIN_OUTCOMES, RECENT_TRIALS
+from .health import FAILING_FRACTION, MIN_FAILURES_IN_A_ROW, MIN_OUTCOMES, RECENT_TRIALS, FailureCounts
 
 SIDE_FRACTION = 0.1  # of a zone's weight, below which one side's share of it is too small to count
 LOST_FRACTION = 0.8  # of the weight that sees failures only, from which on a zone counts as lost
@@ -22,6 +23,25 @@
     failing_fraction: float
 
 
+class SideWeights(NamedTuple):
+    """Of the members inside or outside a zone, in attempts a second."""
+
+    reaching: float  # of those whose attempts reach the zone
+    failing: float  # of those that report it as failing
+
+
+class TrialCounts(NamedTuple):
+    """How the trials of a zone ended, at all members."""
+
+    successes: int
+    failures: int
+
+    @property
+    def total(self) -> int:
+        """All that have ended."""
+        return self.successes + self.failures
+
+
 @dataclass(frozen=True, slots=True)
 class ZoneEvidence:
     """The reports of the members in the view, as of `now`. Times are seconds."""
@@ -68,22 +88,25 @@
         Both sides have to agree: where only those outside see failures, the network between is at fault.
         """
         sides = [self._side_weights(zone, inside) for inside in (False, True)]
-        total = sum(reaching for reaching, _ in sides)
+        total = sum(side.reaching for side in sides)
         if sum(health.failures for health in self.health_reports(zone)) < MIN_OUTCOMES:
             return False
         agreements = [
-            2 * failing > reaching or self._is_failing_in_total(zone, bool(inside))
-            for inside, (reaching, failing) in enumerate(sides)
-            if reaching > SIDE_FRACTION * total
+            2 * side.failing > side.reaching or self._is_failing_in_total(zone, bool(inside))
+            for inside, side in enumerate(sides)
+            if side.reaching > SIDE_FRACTION * total
         ]
         return bool(agreements) and all(agreements)
 
-    def _side_weights(self, zone: str, inside: bool) -> tuple[float, float]:
+    def _side_weights(self, zone: str, inside: bool) -> SideWeights:
         """Of the members inside or outside the zone: the weight that reaches it, and that reports it."""
         side = [member.id for member in self.members.values() if (member.zone == zone) == inside]
         reaching = [m for m in side if self.weight(m, zone) > 0 and self._is_informed(m, zone)]
         failing = [m for m in reaching if self.reports[m].zones[zone].failing]
-        return sum(self.weight(m, zone) for m in reaching), sum(self.weight(m, zone) for m in failing)
+        return SideWeights(
+            reaching=sum(self.weight(m, zone) for m in reaching),
+            failing=sum(self.weight(m, zone) for m in failing),
+        )
 
     def _is_informed(self, member: str, zone: str) -> bool:
         """Whether the member has seen anything of that zone lately."""
@@ -93,20 +116,20 @@
 
     def _is_failing_in_total(self, zone: str, inside: bool) -> bool:
         """Whether it fails by the sums of one side, in most home zones: each member alone sees too little."""
-        sums: dict[str, list[int]] = {}  # by home zone: conclusive attempts, failures
+        counts_by_zone: dict[str, FailureCounts] = {}  # by the zone that the members are in
         for member, report in self.reports.items():
             home = self.members[member].zone
             is_recent = report.at > self.now - self.window
             if (home == zone) == inside and zone in report.zones and is_recent:
-                counts = sums.setdefault(home, [0, 0])
-                counts[0] += report.zones[zone].counted
-                counts[1] += report.zones[zone].failures
+                counts = counts_by_zone.setdefault(home, FailureCounts(0, 0))
+                counts.attempts += report.zones[zone].counted
+                counts.failures += report.zones[zone].failures
         agreements = [
-            failures >= FAILING_FRACTION * attempts
-            for attempts, failures in sums.values()
-            if attempts >= 2 * MIN_OUTCOMES
+            counts.failures >= FAILING_FRACTION * counts.attempts
+            for counts in counts_by_zone.values()
+            if counts.attempts >= 2 * MIN_OUTCOMES
         ]
-        return 2 * sum(agreements) > max(1, len(sums))
+        return 2 * sum(agreements) > max(1, len(counts_by_zone))
 
     def is_lost(self, zone: str) -> bool:
         """Whether nearly all that see anything of the zone see nothing but failures."""
@@ -126,11 +149,13 @@
         """Whether more than half of the members report that the zone rejects attempts."""
         return 2 * sum(health.rejecting for health in self.health_reports(zone)) > len(self.reports)
 
-    def trials(self, zone: str, state: ZoneState) -> tuple[int, int]:
-        """Of all members, successes and failures since the step of the plan that `state` is of."""
+    def trials(self, zone: str, state: ZoneState) -> TrialCounts:
+        """Those of all members since the step of the plan that `state` is of."""
         current = [health for health in self.health_reports(zone) if health.epoch == state.epoch]
-        successes = sum(health.trial_successes for health in current)
-        return successes, sum(health.trial_failures for health in current)
+        return TrialCounts(
+            successes=sum(health.trial_successes for health in current),
+            failures=sum(health.trial_failures for health in current),
+        )
 
     def recent_trials_succeeded(self, zone: str, state: ZoneState) -> bool:
         """Whether the last trials of all did: failures from before the zone was back do not count."""
--- a/starlingwheel/fleet/zones/health.py
+++ b/starlingwheel/fleet/zones/health.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 from math import inf
+from typing import NamedTuple
 
 from ..records import ZoneHealth, ZonePlan
 
@@ -129,6 +130,13 @@
         self.recent.append((round(now, 3), success))
 
 
+class PendingAttempt(NamedTuple):
+    """An attempt that has not ended yet."""
+
+    zone: str
+    started_at: float  # seconds
+
+
 class ZoneHealthTracker:
     """What one member sees of its own attempts, by zone."""
 
@@ -137,7 +145,7 @@
         self.window, self.now = window, now
         self.rotate_at, self.reported_at = now + window / 2, now
         self.zones: dict[str, OutcomeWindow] = {}
-        self.pending: dict[Hashable, tuple[str, float]] = {}  # zone and begin of each attempt, oldest first
+        self.pending: dict[Hashable, PendingAttempt] = {}  # oldest first
         self.silent: set[Hashable] = set()  # those of them that have waited too long
         self.mean_answer_time, self.answers = 0.0, 0.0  # seconds; over all zones
         self.usual_rates: dict[str, float] = {}  # attempts a second
@@ -148,7 +156,7 @@
 
     def attempt_started(self, attempt: Hashable, zone: str) -> None:
         """An attempt was sent to that zone."""
-        self.pending[attempt] = (zone, self.now)
+        self.pending[attempt] = PendingAttempt(zone, self.now)
         self._zone(zone).current.begun += 1
 
     def attempt_ended(self, attempt: Hashable, result: ZoneAttemptResult) -> None:
@@ -203,7 +211,7 @@
         gap, self.reported_at = self.now - self.reported_at, self.now
         if gap > self.window * PAUSE_WINDOWS:
             self.pending = {
-                attempt: (zone, min(started_at + gap, self.now))
+                attempt: PendingAttempt(zone, min(started_at + gap, self.now))
                 for attempt, (zone, started_at) in self.pending.items()
             }
 
--- a/starlingwheel/fleet/zones/planner.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable, Mapping
 from enum import StrEnum
 from math import inf
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import msgspec
 
@@ -60,6 +60,13 @@
     HELD = "held"
 
 
+class FormerShares(NamedTuple):
+    """The shares of a plan that others may still follow."""
+
+    until: float  # seconds, when another plan replaced it
+    shares: dict[str, float]  # by zone
+
+
 class ZoneHost(Protocol):
     """What the planner asks of the process that it runs in."""
 
@@ -97,7 +104,7 @@
         self.reports: dict[str, ZoneReport] = {}  # the reports of all members
         self.evidence = self._collect_evidence()
         self.turns = WriteTurns(WRITE_DELAY_LEASES * lease, MAX_WRITE_DELAYS, REMEMBERED_EPOCHS)
-        self.recent_shares: list[tuple[float, dict[str, float]]] = []  # of former plans, with their end
+        self.recent_shares: list[FormerShares] = []
         self.lease_expired = False  # our lease has expired
         self.lift_ejections_at, self.evaluate_at = inf, -inf
 
@@ -123,7 +130,7 @@
     def _adopt_plan(self, plan: ZonePlan) -> None:
         before, self.plan = self.plan, plan
         self.zone_health.follow_plan(plan)
-        self.recent_shares.append((self.now, {name: zone.share for name, zone in before.zones.items()}))
+        self.recent_shares.append(FormerShares(self.now, _shares_of(before)))
         returning = [
             name
             for name, zone in before.zones.items()
@@ -154,12 +161,13 @@
 
         A member with an old plan then sends no more to a zone than the others do.
         """
-        shares = {name: zone.share for name, zone in self.plan.zones.items()}
+        shares = _shares_of(self.plan)
         oldest = self.now - RECENT_PLAN_LEASES * self.lease
-        self.recent_shares = [(until, former) for until, former in self.recent_shares if until > oldest]
+        self.recent_shares = [former for former in self.recent_shares if former.until > oldest]
         if self.lease_expired:
-            for _, former in self.recent_shares:
-                shares = {name: min(shares.get(name, 1.0), former.get(name, 1.0)) for name in shares | former}
+            for former in self.recent_shares:
+                names = shares | former.shares
+                shares = {name: min(shares.get(name, 1.0), former.shares.get(name, 1.0)) for name in names}
         self.host.set_zone_shares(shares, returning)
 
     # What is to be written to the store.
@@ -272,13 +280,13 @@
         return not paused and self.evidence.recent_trials_succeeded(name, zone)
 
     def _return_goes_well(self, name: str, zone: ZoneState) -> bool:
-        successes, failures = self.evidence.trials(name, zone)
-        most_failures = FAILING_FRACTION * ELSEWHERE_FRACTION * (successes + failures)
-        return successes >= RECENT_TRIALS and failures <= most_failures
+        trials = self.evidence.trials(name, zone)
+        max_failures = FAILING_FRACTION * ELSEWHERE_FRACTION * trials.total
+        return trials.successes >= RECENT_TRIALS and trials.failures <= max_failures
 
     def _return_fails(self, name: str, zone: ZoneState) -> bool:
-        successes, failures = self.evidence.trials(name, zone)
-        return failures >= MIN_OUTCOMES and failures >= FAILING_FRACTION * (successes + failures)
+        trials = self.evidence.trials(name, zone)
+        return trials.failures >= MIN_OUTCOMES and trials.failures >= FAILING_FRACTION * trials.total
 
     # Zones that are to be left.
 
@@ -352,3 +360,7 @@
     def _write_zone(self, name: str, zone: ZoneState) -> Transaction:
         zones = self.plan.zones | {name: zone}
         return self._write_plan(ZonePlan(self.plan.epoch + 1, zones, self.plan.capacities))
+
+
+def _shares_of(plan: ZonePlan) -> dict[str, float]:
+    return {name: zone.share for name, zone in plan.zones.items()}
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -10,7 +10,7 @@
 
 from ...fleet.membership import Member
 from ...fleet.policy.replica import PolicyReplica
-from ...fleet.records import PastProposal, Policy, StoreRecords
+from ...fleet.records import PastProposal, Policy, StoreRecords, ZoneHealth, ZonePlan
 
 if TYPE_CHECKING:
     from .member import FleetMember
@@ -63,6 +63,18 @@
     counts: Mapping[str, int]
 
 
+class ZonesReport(
+    msgspec.Struct, rename={"reports": "said", "healthy_rates": "most", "lease_expired": "cut_off"}
+):
+    """The plan of the zones, and what it rests on."""
+
+    plan: ZonePlan
+    seen: dict[str, ZoneHealth]  # by this member, of each zone
+    reports: dict[str, dict[str, ZoneHealth]]  # by member name, of each zone
+    healthy_rates: Mapping[str, float]  # attempts a second, the highest at which a zone was healthy
+    lease_expired: bool
+
+
 def member_report(fleet: FleetMember) -> MemberReport:
     """Return the report of a member."""
     replicator = fleet.module.replicator
--- a/starlingwheel/net/fleet/zones.py
+++ b/starlingwheel/net/fleet/zones.py
@@ -4,9 +4,6 @@
 
 from collections.abc import Callable, Hashable, Iterable, Mapping
 from math import inf
-from typing import Any
-
-import msgspec
 
 from ...decisions.model import AttemptOutcome
 from ...decisions.scheduler import DecisionScheduler
@@ -14,6 +11,7 @@
 from ...fleet.records import StoreRecords, Transaction
 from ...fleet.zones.health import WINDOW_OBJECTIVES, ZoneAttemptResult, ZoneHealthTracker
 from ...fleet.zones.planner import ZonePlanner
+from .reports import ZonesReport
 
 RESULTS = {
     AttemptOutcome.SUCCESS: ZoneAttemptResult.ANSWERED,
@@ -83,21 +81,21 @@
         self.zone_planner.set_leased(leased)
         return self.zone_planner.due()
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> ZonesReport:
         """The plan, and what it rests on, as operators read it."""
         planner = self.zone_planner
         members = planner.records.members
-        return {
-            "plan": msgspec.to_builtins(planner.plan),
-            "seen": msgspec.to_builtins(self.zone_health.report()) if self.enabled else {},
-            "said": {
-                members[member].name: msgspec.to_builtins(report.zones)
+        return ZonesReport(
+            plan=planner.plan,
+            seen=self.zone_health.report() if self.enabled else {},
+            reports={
+                members[member].name: report.zones
                 for member, report in planner.reports.items()
                 if member in members  # it may have gone since
             },
-            "most": planner.capacities.healthy_rates,
-            "cut_off": planner.lease_expired,
-        }
+            healthy_rates=planner.capacities.healthy_rates,
+            lease_expired=planner.lease_expired,
+        )
 
     # Output of the planner.
 
