--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -1,4 +1,4 @@
-"""A fleet divided into cells: who is responsible for a key, changes of the cells, and broken variants."""
+"""A fleet divided into shards: who is responsible for a key, changes of the shards, and broken variants."""
 
 import msgspec
 import pytest
@@ -12,8 +12,8 @@
 from trials.model import QUIET, Bounds, explore
 
 CALM = FaultRates(0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-CUT_OFF = FaultRates(
-    crash=5.0, pause=0.5, cut=6.0, one_way_cut=4.0, reset=1.0, store_outage=0.0, max_duration=1.0
+PARTITIONED = FaultRates(
+    crash=5.0, pause=0.5, partition=6.0, one_way_partition=4.0, reset=1.0, store_outage=0.0, max_duration=1.0
 )
 LEASE = 3.0
 
@@ -28,7 +28,7 @@
 # Responsibility.
 
 
-def test_a_view_of_one_cell_ranks_all_members():
+def test_a_view_of_one_shard_ranks_all_members():
     view = MembershipView(members(12))
     assert view.digest == MembershipView(members(12), 1).digest != MembershipView(members(12), 2).digest
     assert len(view.ranked_members(b"x")) == 12 and view.peers("n3.0003") == [
@@ -36,32 +36,32 @@
     ]
 
 
-def test_a_coordinator_is_of_its_keys_cell_and_few_members_are_ranked_in_a_large_fleet():
+def test_a_coordinator_is_of_its_keys_shard_and_few_members_are_ranked_in_a_large_fleet():
     view = MembershipView(members(1600), 64)
     for key in KEYS:
         assert view.shard_of_member(view.coordinator(key)) == view.shard_of_key(key)
         assert len(view.ranked_members(key)) == len(view.members_of_shard(view.shard_of_key(key))) <= 50
 
 
-def test_doubling_the_cells_splits_each_and_halving_joins_them():
+def test_doubling_the_shards_splits_each_and_halving_joins_them():
     fewer, more = MembershipView(members(200), 4), MembershipView(members(200), 8)
-    for cell in range(4):
-        assert {*fewer.members_of_shard(cell)} == {
-            *more.members_of_shard(cell),
-            *more.members_of_shard(cell + 4),
+    for shard in range(4):
+        assert {*fewer.members_of_shard(shard)} == {
+            *more.members_of_shard(shard),
+            *more.members_of_shard(shard + 4),
         }
     assert all(more.shard_of_key(key) % 4 == fewer.shard_of_key(key) for key in KEYS)
 
 
-def test_a_member_that_comes_or_goes_moves_no_other_and_a_restart_returns_to_its_cell():
+def test_a_member_that_comes_or_goes_moves_no_other_and_a_restart_returns_to_its_shard():
     view, less = MembershipView(members(60), 4), MembershipView(members(60)[1:], 4)
     assert all(view.shard_of_member(m) == less.shard_of_member(m) for m in less.members)
     assert view.shard_of_member("n0.0000") == view.shard_of_member("n0.ffff")
-    changed = [cell for cell in range(4) if view.shard_digest(cell) != less.shard_digest(cell)]
+    changed = [shard for shard in range(4) if view.shard_digest(shard) != less.shard_digest(shard)]
     assert changed == [view.shard_of_member("n0.0000")]
 
 
-def test_the_next_cell_is_responsible_for_an_empty_one_and_succeeds_a_single_member():
+def test_the_next_shard_is_responsible_for_an_empty_one_and_succeeds_a_single_member():
     view = MembershipView(members(5), 8)
     for key in KEYS:
         order = view.ranked_members(key)
@@ -86,10 +86,10 @@
                 assert kept <= now.holders(now.shard_of_member(now.coordinator(key)), then)
 
 
-# The count of cells.
+# The count of shards.
 
 
-def test_an_unreadable_entry_leaves_the_known_count_of_cells_or_an_empty_view():
+def test_an_unreadable_entry_leaves_the_known_count_of_shards_or_an_empty_view():
     for bad in (b"", b"{}", b'{"count":3}', b'{"count":0}', b'{"count":8192}', b'{"count":"4"}', b"\xff"):
         known = StoreRecords()
         known.put(CELLS, StoreEntry(b'{"count":4}', 5, 5))
@@ -97,10 +97,10 @@
         assert known.put(CELLS, StoreEntry(bad, 5, 6)) == "unreadable"
         assert (known.cells, known.cells_spoilt, known.cells_mod) == (4, True, 6)
         fresh, again = StoreRecords(), StoreRecords(known.cells)
-        for records, cells in ((fresh, 0), (again, 4)):
+        for records, shards in ((fresh, 0), (again, 4)):
             records.put(MEMBERS + "a", StoreEntry(msgspec.json.encode(Member("a", "a", "")), 3, 3))
             assert records.put(CELLS, StoreEntry(bad, 5, 6)) == "unreadable"
-            assert records.cells == cells and len(records.view().members) == bool(cells)
+            assert records.cells == shards and len(records.view().members) == bool(shards)
 
 
 @pytest.mark.parametrize("size", [-1, 513, 2.5, True, "25"])
@@ -145,26 +145,26 @@
             self.publish()
 
 
-def test_cells_are_doubled_as_the_fleet_grows_one_change_at_a_time_and_by_few_members():
+def test_shards_are_doubled_as_the_fleet_grows_one_change_at_a_time_and_by_few_members():
     store = FakeStore(60, 8)
     store.publish()
     store.step(5 * CHANGE_INTERVAL_LEASES * LEASE)
-    assert [cells for _, cells, _ in store.written] == [2, 4, 8]
+    assert [shards for _, shards, _ in store.written] == [2, 4, 8]
     times = [at for at, _, _ in store.written]
     assert all(b - a >= CHANGE_INTERVAL_LEASES * LEASE for a, b in zip(times, times[1:], strict=False))
     assert all(wrote <= 1 + 60 // MAX_TURNS for _, _, wrote in store.written)
 
 
-def test_cells_are_halved_only_once_the_fleet_is_much_smaller():
+def test_shards_are_halved_only_once_the_fleet_is_much_smaller():
     store = FakeStore(60, 8)
     store.records.put(CELLS, StoreEntry(msgspec.json.encode(Sharding(8)), 1, 1))
-    for count, cells in ((17, 8), (15, 4), (9, 4), (7, 2)):
+    for count, shards in ((17, 8), (15, 4), (9, 4), (7, 2)):
         left = list(store.records.members)[count:]
         for member in left:
             del store.records.members[member], store.shard_maps[member]
         store.publish()
         store.step(2 * CHANGE_INTERVAL_LEASES * LEASE)
-        assert store.records.cells == cells
+        assert store.records.cells == shards
 
 
 def test_a_size_beyond_the_bound_for_a_moment_changes_nothing():
@@ -181,43 +181,45 @@
     assert not store.written
 
 
-def test_without_a_cell_size_the_cells_never_change():
+def test_without_a_cell_size_the_shards_never_change():
     store = FakeStore(60, 0)
     store.publish()
     store.step(3 * CHANGE_INTERVAL_LEASES * LEASE)
     assert not store.written
 
 
-# Replication across cells.
+# Replication across shards.
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_replicated_request_runs_twice_while_cells_change_and_members_fail(seed):
-    outcome = play(seed, 16, 3.0, cells=4, divisions=(2, 4, 8), duplicate_rate=0.4)
+def test_no_replicated_request_runs_twice_while_shards_change_and_members_fail(seed):
+    outcome = play(seed, 16, 3.0, shard_count=4, divisions=(2, 4, 8), duplicate_rate=0.4)
     assert not outcome.broken
     assert outcome.counts["cover.taken_over"] and outcome.counts["finished"] > 0.9 * outcome.counts["work"]
 
 
-@pytest.mark.parametrize(("seed", "count", "cells"), [(1, 8, 2), (2, 24, 4), (129, 16, 8)])
-def test_no_replicated_request_runs_twice_in_cells_under_harsh_faults(seed, count, cells):
-    assert not play(seed, count, 3.0, faults=HARSH, cells=cells, divisions=(4, 2), duplicate_rate=0.4).broken
+@pytest.mark.parametrize(("seed", "count", "shards"), [(1, 8, 2), (2, 24, 4), (129, 16, 8)])
+def test_no_replicated_request_runs_twice_in_shards_under_harsh_faults(seed, count, shards):
+    assert not play(
+        seed, count, 3.0, faults=HARSH, shard_count=shards, divisions=(4, 2), duplicate_rate=0.4
+    ).broken
 
 
 def test_no_replicated_request_runs_twice_where_links_between_owner_and_replicas_are_cut():
-    assert not play(14, 12, 4.0, 300, CUT_OFF, cells=2, duplicate_rate=1.0).broken
+    assert not play(14, 12, 4.0, 300, PARTITIONED, shard_count=2, duplicate_rate=1.0).broken
 
 
 def test_without_faults_all_requests_finish_over_few_links():
-    outcome = play(1, 100, 3.0, 100, CALM, cells=4, divisions=(8,), duplicate_rate=0.4)
+    outcome = play(1, 100, 3.0, 100, CALM, shard_count=4, divisions=(8,), duplicate_rate=0.4)
     counts = outcome.counts
     assert not outcome.broken and counts["finished"] == counts["work"] and "late" not in counts
     assert counts["links, most"] < 64
     assert counts["frames"] - counts["told"] < 20 * counts["work"]
 
 
-def test_a_change_in_another_cell_leaves_this_one_synchronised():
-    world = World(1, 80, cells=8)
-    world.until(1.0)
+def test_a_change_in_another_shard_leaves_this_one_synchronised():
+    world = World(1, 80, shard_count=8)
+    world.run_until(1.0)
     one = world.alive()[0]
     view = one.replicator.view
     other = next(
@@ -225,7 +227,7 @@
     )
     before = one.replicator.views.changed_at
     world.crash(other, 0.5)
-    world.until(3.0)
+    world.run_until(3.0)
     assert (
         one.replicator.view is not view
         and one.replicator.views.changed_at == before
@@ -234,54 +236,54 @@
 
 
 def request_across_cells(world):
-    """An owner, the coordinator of its request in another cell, the key and the client's request."""
+    """An owner, the coordinator of its request in another shard, the key and the client's request."""
     owner = world.alive()[0]
     view = owner.replicator.view
     names = (b"x%d" % i for i in range(99))
     name = next(n for n in names if view.shard_of_key(n) != view.shard_of_member(owner.id))
-    world.effects[name] = "exclusive"
+    world.retry_safeties[name] = "exclusive"
     request = Request(name, "exclusive", world.now + 1.5, False, 0)
     world.requests.append(request)
     owner.run(lambda: owner.receive(request))
     return owner, world.members[view.coordinator(name)], name, request
 
 
-def test_a_link_between_cells_is_opened_for_a_request_and_closed_when_idle():
-    world = World(3, 24, cells=4)
-    world.until(1.0)
+def test_a_link_between_shards_is_opened_for_a_request_and_closed_when_idle():
+    world = World(3, 24, shard_count=4)
+    world.run_until(1.0)
     owner, coordinator, key, request = request_across_cells(world)
     assert coordinator.id not in owner.links
-    world.until(1.02)
+    world.run_until(1.02)
     assert (
         coordinator.id in owner.links
         and owner.replicator.needs_link(coordinator.id)
         and coordinator.replicator.needs_link(owner.id)
     )
-    world.until(1.6 + IDLE_LINK_TIMEOUT)
+    world.run_until(1.6 + IDLE_LINK_TIMEOUT)
     assert request.end == "200" and coordinator.id not in owner.links
     assert not any(h.replicator.counts["taken_over"] for h in world.alive())
     assert coordinator.replicator.requests[key].response.status == 200
 
 
-def test_an_owner_of_another_cell_is_dialled_before_a_new_coordinator_takes_over():
-    world = World(3, 24, cells=4)
-    world.until(1.0)
+def test_an_owner_of_another_shard_is_dialled_before_a_new_coordinator_takes_over():
+    world = World(3, 24, shard_count=4)
+    world.run_until(1.0)
     owner, coordinator, key, request = request_across_cells(world)
-    world.until(1.02)
+    world.run_until(1.02)
     world.crash(coordinator, 9.0)
-    world.until(1.9)
+    world.run_until(1.9)
     after = world.members[owner.replicator.view.coordinator(key)]
     assert after is not coordinator and request.end == "200" and len(world.runs[key]) == 1
     assert not after.replicator.counts["taken_over"] and key in after.replicator.requests
 
 
-def test_a_request_is_taken_over_when_its_owner_of_another_cell_is_lost():
-    world = World(3, 24, cells=4)
-    world.until(1.0)
+def test_a_request_is_taken_over_when_its_owner_of_another_shard_is_lost():
+    world = World(3, 24, shard_count=4)
+    world.run_until(1.0)
     owner, coordinator, key, _ = request_across_cells(world)
-    world.until(1.02)
+    world.run_until(1.02)
     world.crash(owner, 9.0)
-    world.until(1.9)
+    world.run_until(1.9)
     assert coordinator.replicator.counts["taken_over"] == 1 and len(world.runs[key]) <= 1
 
 
@@ -291,11 +293,14 @@
 @pytest.mark.parametrize("kind", CELL_VARIANTS)
 def test_each_broken_variant_is_caught_in_emulated_time(kind):
     if kind is OneReplicaAwaited:
-        plays = (play(seed, 12, 4.0, 300, CUT_OFF, kind, duplicate_rate=1.0, cells=2) for seed in range(16))
+        plays = (
+            play(seed, 12, 4.0, 300, PARTITIONED, kind, duplicate_rate=1.0, shard_count=2)
+            for seed in range(16)
+        )
     else:
-        recuts = (2, 4, 8, 4)
+        divisions = (2, 4, 8, 4)
         plays = (
-            play(s, 16, 4.0, 200, HARSH, kind, duplicate_rate=1.0, cells=4, divisions=recuts)
+            play(s, 16, 4.0, 200, HARSH, kind, duplicate_rate=1.0, shard_count=4, divisions=divisions)
             for s in range(16)
         )
     assert any(outcome.broken for outcome in plays)
@@ -320,10 +325,10 @@
     assert explored.whole and not explored.broken
 
 
-@pytest.mark.parametrize("cells", [1, 2])
-def test_every_order_of_a_change_of_the_cells_keeps_the_promise(cells):
+@pytest.mark.parametrize("shards", [1, 2])
+def test_every_order_of_a_change_of_the_shards_keeps_the_promise(shards):
     bounds = Bounds(
-        members=("g", "a", "b"), cells=cells, crashes=0, again=0, twins=1, recuts=1, linked=True,
+        members=("g", "a", "b"), cells=shards, crashes=0, again=0, twins=1, recuts=1, linked=True,
         states=4000, begun=(("asks", "g"), ("recuts",)),
     )  # fmt: skip
     assert not explore("exclusive", bounds).broken
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -41,12 +41,12 @@
 
 def synced_world(members):
     world = World(1, members)
-    world.until(1.0)
+    world.run_until(1.0)
     return world
 
 
 def send_request(world, host, name, effect="exclusive", repeat=False):
-    world.effects[name] = effect
+    world.retry_safeties[name] = effect
     request = Request(name, effect, world.now + 1.5, repeat, len(world.requests))
     world.requests.append(request)
     host.run(lambda: host.receive(request))
@@ -57,8 +57,10 @@
     # A second response would be taken for that of the next request on the client's connection.
     world = synced_world(2)
     one, other = world.alive()
-    world.network.cut_until[one.name, other.name] = world.network.cut_until[other.name, one.name] = 100.0
-    world.until(1.6)
+    world.network.partitioned_until[one.name, other.name] = world.network.partitioned_until[
+        other.name, one.name
+    ] = 100.0
+    world.run_until(1.6)
     home = one.replicator.view.coordinator
     name = next(n for n in (f"x{i}".encode() for i in range(99)) if home(n) == other.id)
     content = RecordedRequest(b"POST", b"/x", [], b"", b"")
@@ -73,7 +75,7 @@
 def test_clients_with_the_same_key_get_one_response_from_one_run():
     world = synced_world(3)
     requests = [send_request(world, host, b"w") for host in world.alive()]
-    world.until(2.0)
+    world.run_until(2.0)
     assert [r.end for r in requests] == ["200"] * 3 and len(world.runs[b"w"]) == 1
 
 
@@ -81,7 +83,7 @@
     world = synced_world(3)
     one, _, _ = world.alive()
     send_request(world, one, b"w")
-    world.until(1.01)
+    world.run_until(1.01)
     frame = one.replicator.requests[b"w"].to_frame(asks=False)
     other_frame = msgspec.structs.replace(frame, mark=b"else")
     result, _ = one.replicator.begin(other_frame, object(), 2.0)
@@ -92,16 +94,16 @@
     world = synced_world(3)
     one, other, _ = world.alive()
     send_request(world, one, b"w")
-    world.until(1.5)
+    world.run_until(1.5)
     request = send_request(world, other, b"w", repeat=True)
-    world.until(1.8)
+    world.run_until(1.8)
     assert request.end == "200" and len(world.runs[b"w"]) == 1
 
 
 def test_a_single_member_serves():
     world = synced_world(1)
     request = send_request(world, world.alive()[0], b"w")
-    world.until(1.5)
+    world.run_until(1.5)
     assert request.end == "200"
 
 
@@ -109,6 +111,6 @@
     world = synced_world(3)
     for number in range(50):
         send_request(world, world.alive()[number % 3], b"w%d" % number)
-    world.until(8.0)
+    world.run_until(8.0)
     replicators = [member.replicator for member in world.alive()]
     assert all(isinstance(r, RequestReplicator) and not r.requests and r.used_bytes == 0 for r in replicators)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -126,7 +126,7 @@
 def test_random_frames_leave_nothing_behind():
     rng = random.Random(3)
     world = World(1, 3)
-    world.until(1.0)
+    world.run_until(1.0)
     one, other, third = world.alive()
     keys = [b"a", b"b", b"c"]
     asked = frames.RecordedRequest(b"POST", b"/x", [], b"", b"")
@@ -161,8 +161,8 @@
         one.replicator.now = world.now
         one.replicator.frame_received(rng.choice((other.id, third.id)), frame)
         if rng.random() < 0.05:
-            world.until(world.now + 0.05)
-    world.until(world.now + 8.0)
+            world.run_until(world.now + 0.05)
+    world.run_until(world.now + 8.0)
     assert not one.replicator.requests and not one.replicator.records.held
 
 
--- a/trials/emulated/faults.py
+++ b/trials/emulated/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in an emulated fleet: seeded crashes, pauses, cuts, resets and outages."""
+"""What goes wrong in an emulated fleet: seeded crashes, pauses, partitions, resets and outages."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 
 MIN_DURATION = 0.05  # seconds
 MIN_MEMBERS = 2  # that are left alive
+MAX_DURATION_FIELD = "max_duration"  # of `FaultRates`: the only one that is no rate
 
 
 @dataclass
@@ -21,15 +22,15 @@
 
     crash: float = 0.5
     pause: float = 0.5
-    cut: float = 0.5
-    one_way_cut: float = 0.3
+    partition: float = 0.5
+    one_way_partition: float = 0.3
     reset: float = 0.5
     store_outage: float = 0.1
     max_duration: float = 1.5
 
 
 HARSH = FaultRates(
-    crash=2.0, pause=1.5, cut=1.0, one_way_cut=1.0, reset=2.0, store_outage=0.1, max_duration=3.0
+    crash=2.0, pause=1.5, partition=1.0, one_way_partition=1.0, reset=2.0, store_outage=0.1, max_duration=3.0
 )
 
 
@@ -44,7 +45,7 @@
         """Schedule faults at drawn moments of that time."""
         rng = self.world.rng
         for fault in fields(rates):
-            if fault.name == "max_duration":
+            if fault.name == MAX_DURATION_FIELD:
                 continue
             expected = getattr(rates, fault.name) * seconds
             for _ in range(int(expected) + (rng.random() < expected % 1)):
@@ -72,16 +73,16 @@
             member.paused_until = self.world.now + duration
             self.world.events.at(member.paused_until, member.resume)
 
-    def cut(self, duration: float) -> None:
+    def partition(self, duration: float) -> None:
         """Nothing passes between two members."""
         if pair := self._pair():
             for one, other in (pair, pair[::-1]):
-                self.world.network.cut_until[one.name, other.name] = self.world.now + duration
+                self.world.network.partitioned_until[one.name, other.name] = self.world.now + duration
 
-    def one_way_cut(self, duration: float) -> None:
+    def one_way_partition(self, duration: float) -> None:
         """Nothing passes from one member to another."""
         if pair := self._pair():
-            self.world.network.cut_until[pair[0].name, pair[1].name] = self.world.now + duration
+            self.world.network.partitioned_until[pair[0].name, pair[1].name] = self.world.now + duration
 
     def reset(self, duration: float) -> None:
         """A link ends."""
--- a/trials/emulated/member.py
+++ b/trials/emulated/member.py
@@ -44,10 +44,10 @@
     """One attempt of a client, at one member."""
 
     name: bytes
-    effect: str  # value of its `RetrySafety`
-    until: float
-    repeat: bool
-    number: int
+    retry_safety: str  # value of its `RetrySafety`
+    deadline: float  # seconds
+    is_retry: bool
+    number: int  # of the requests of all clients
     member: EmulatedMember | None = None
     end: str = ""  # status of its response, or how it ended without one; empty: open
 
@@ -67,7 +67,7 @@
         self.links: dict[str, Link] = {}
         self.alive, self.paused_until = True, 0.0
         self.postponed: list[Callable[[], None]] = []  # until the process is resumed
-        self.attempts: dict[ReplicatedRequest, int] = {}  # that have ended without a response
+        self.failed_attempts: dict[ReplicatedRequest, int] = {}  # that have ended without a response
         self.renewed_at = world.now
 
     # What happens to a process.
@@ -110,7 +110,7 @@
         return True
 
     def dial(self, member: str) -> bool:
-        """Open a link to a member of another cell."""
+        """Open a link to a member of another shard."""
         until = self.world.now + DIAL_TIMEOUT
         delay = self.world.rng.uniform(0.0005, 0.004)
         self.run_after(delay, lambda: self.world.network.dial(self, member, until))
@@ -151,11 +151,11 @@
         """Start another attempt, or reject the request."""
         if not request.is_dispatched:
             return
-        self.attempts[request] = self.attempts.get(request, 0) + 1
-        if self.attempts[request] < MAX_ATTEMPTS and self._may_attempt(request):
+        self.failed_attempts[request] = self.failed_attempts.get(request, 0) + 1
+        if self.failed_attempts[request] < MAX_ATTEMPTS and self._may_attempt(request):
             self._start_attempt(request)
             return
-        self.attempts.pop(request)
+        self.failed_attempts.pop(request)
         client = request.dispatched_client
         until = request.waiting_clients.pop(client, 0.0)
         response = self.replicator.finish_request(request, RecordedResponse(503, RETRY_AFTER))
@@ -212,14 +212,14 @@
             False,
             b"",
             "c",
-            request.effect,
+            request.retry_safety,
             self.world.now,
-            request.until,
-            request.repeat,
+            request.deadline,
+            request.is_retry,
             RecordedRequest(b"POST", b"/x", [], b"", b""),
             [],
         )
-        result, replicated = self.replicator.begin(frame, request, request.until)
+        result, replicated = self.replicator.begin(frame, request, request.deadline)
         if result is BeginResult.RUN:
             self.decide(replicated)
         elif result is BeginResult.RESPOND:
--- a/trials/emulated/network.py
+++ b/trials/emulated/network.py
@@ -1,4 +1,4 @@
-"""The links between the members of an emulated fleet: delays, cuts and ends."""
+"""The links between the members of an emulated fleet: delays, partitions and ends."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 # Seconds of emulated time.
 HEARTBEAT_INTERVAL = 0.1
-IDLE_LINK_TIMEOUT = 0.5  # without a frame about requests a link between cells that neither side needs ends
-CUT_RETRY_INTERVAL = 0.01  # when a frame on a cut link is tried again
+IDLE_LINK_TIMEOUT = 0.5  # without a frame about requests a link between shards that neither side needs ends
+PARTITION_RETRY_INTERVAL = 0.01  # when a frame on a partitioned link is tried again
 DIAL_RETRY_INTERVAL = 0.02
 CONNECT_FAILURE_RATE = 0.3  # part of the moments at which no link comes up
 
@@ -38,21 +38,21 @@
 
 
 class Network:
-    """Owns the cuts between members; opens, watches and ends their links."""
+    """Owns the partitions between members; opens, watches and ends their links."""
 
     def __init__(self, world: World) -> None:
         """`world`: whose members are linked."""
         self.world = world
-        self.cut_until: dict[tuple[str, str], float] = {}  # by names of sender and receiver
+        self.partitioned_until: dict[tuple[str, str], float] = {}  # by names of sender and receiver
         self.frames: Counter[str] = Counter()  # sent, by kind
         self.max_links = 0  # of one member, as seen now and then
 
-    def is_cut(self, sender: EmulatedMember, receiver: EmulatedMember) -> bool:
+    def is_partitioned(self, sender: EmulatedMember, receiver: EmulatedMember) -> bool:
         """Nothing arrives that way now."""
-        return self.world.now < self.cut_until.get((sender.name, receiver.name), 0.0)
+        return self.world.now < self.partitioned_until.get((sender.name, receiver.name), 0.0)
 
-    def _is_cut_either_way(self, one: EmulatedMember, other: EmulatedMember) -> bool:
-        return self.is_cut(one, other) or self.is_cut(other, one)
+    def _is_partitioned_either_way(self, one: EmulatedMember, other: EmulatedMember) -> bool:
+        return self.is_partitioned(one, other) or self.is_partitioned(other, one)
 
     # Frames.
 
@@ -67,12 +67,12 @@
         self._deliver(link, sender, lambda: receiver.replicator.frame_received(sender.id, frame))
 
     def _deliver(self, link: Link, sender: EmulatedMember, action: Callable[[], None]) -> None:
-        """Run an action at the other end: in order, after a delay; on a cut link it waits."""
+        """Run an action at the other end: in order, after a delay; on a partitioned link it waits."""
         receiver = link.other(sender)
 
         def arrive() -> None:
-            if self.is_cut(sender, receiver):
-                retry_at = max(link.arrives_at[receiver.id], self.world.now + CUT_RETRY_INTERVAL)
+            if self.is_partitioned(sender, receiver):
+                retry_at = max(link.arrives_at[receiver.id], self.world.now + PARTITION_RETRY_INTERVAL)
                 link.arrives_at[receiver.id] = retry_at
                 self.world.events.at(retry_at, arrive)
                 return
@@ -118,7 +118,7 @@
             for link in list(member.links.values()):
                 other = link.other(member)
                 sends = other.alive and not other.is_paused and link.open[other.id]
-                if sends and not self.is_cut(other, member):
+                if sends and not self.is_partitioned(other, member):
                     if other not in heartbeats:
                         heartbeats[other] = HeartbeatFrame(
                             other.replicator.digest, not other.replicator.may_decide()
@@ -136,7 +136,7 @@
             self.close(link, member)
 
     def _is_idle(self, link: Link, member: EmulatedMember, other: EmulatedMember) -> bool:
-        """A link between cells that neither side needs any more."""
+        """A link between shards that neither side needs any more."""
         view = member.replicator.view
         if view.shard_count == 1 or view.shard_of_member(member.id) == view.shard_of_member(other.id):
             return False
@@ -150,14 +150,16 @@
         for one, other in self._peers(running):
             if other.id in one.links or one.id in other.links:
                 continue
-            if self._is_cut_either_way(one, other) or self.world.rng.random() < CONNECT_FAILURE_RATE:
+            if self._is_partitioned_either_way(one, other) or self.world.rng.random() < CONNECT_FAILURE_RATE:
                 continue
             if self._know_each_other(one, other):
                 self._connect(one, other)
 
     def _peers(self, running: list[EmulatedMember]) -> Iterator[tuple[EmulatedMember, EmulatedMember]]:
-        """Pairs of members that keep a link: all that are of one cell."""
-        if self.world.store.cells == 1 and all(member.replicator.view.shard_count == 1 for member in running):
+        """Pairs of members that keep a link: all that are of one shard."""
+        if self.world.store.shard_count == 1 and all(
+            member.replicator.view.shard_count == 1 for member in running
+        ):
             for number, one in enumerate(running):
                 for other in running[number + 1 :]:
                     yield one, other
@@ -171,7 +173,7 @@
 
     @staticmethod
     def _know_each_other(one: EmulatedMember, other: EmulatedMember) -> bool:
-        """Each is in the other's view, and both views have as many cells."""
+        """Each is in the other's view, and both views have as many shards."""
         views = one.replicator.view, other.replicator.view
         return other.id in views[0] and one.id in views[1] and views[0].shard_count == views[1].shard_count
 
@@ -182,7 +184,7 @@
         other.run(lambda: other.replicator.link_up(one.id))
 
     def dial(self, member: EmulatedMember, other_id: str, until: float) -> None:
-        """A member opens a link to one of another cell; it fails at `until`, seconds."""
+        """A member opens a link to one of another shard; it fails at `until`, seconds."""
         if other_id in member.links:
             return
         other = self.world.members.get(other_id)
@@ -190,7 +192,7 @@
             member.replicator.link_failed(other_id)
             return
         busy = other.is_paused or member.id in other.links
-        if busy or self._is_cut_either_way(member, other) or not self._know_each_other(member, other):
+        if busy or self._is_partitioned_either_way(member, other) or not self._know_each_other(member, other):
             member.run_after(DIAL_RETRY_INTERVAL, lambda: self.dial(member, other_id, until))
         else:
             self._connect(member, other)
--- a/trials/emulated/store.py
+++ b/trials/emulated/store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from starlingwheel.fleet.membership import Member, MembershipView
 
@@ -11,34 +11,41 @@
 if TYPE_CHECKING:
     from .world import World
 
-LEASE = 2.0  # seconds
+LEASE_DURATION = 2.0  # seconds
 RENEWAL_FRACTION = 1 / 3  # of a lease, after which it is renewed
 POLL_INTERVAL = 0.02  # seconds between two steps
 
 
+class Lease(NamedTuple):
+    """The entry of a member, until its lease ends."""
+
+    member: Member
+    until: float  # seconds
+
+
 class CoordinationStore:
-    """Owns the leases and the count of cells; tells members of each view."""
+    """Owns the leases and the count of shards; tells members of each view."""
 
-    def __init__(self, world: World, cells: int) -> None:
-        """`cells`: into how many the fleet is divided from the start."""
+    def __init__(self, world: World, shard_count: int) -> None:
+        """`shard_count`: into how many shards the fleet is divided from the start."""
         self.world = world
-        self.leases: dict[str, tuple[Member, float]] = {}  # by member id, with the end
-        self.cells, self.divided_at = cells, -TIMEOUT
+        self.leases: dict[str, Lease] = {}  # by member id
+        self.shard_count, self.divided_at = shard_count, -TIMEOUT
         self.down_until = 0.0
         self._last_digest = -1
 
     def enter(self, member: EmulatedMember) -> None:
         """A member takes a lease."""
-        self.leases[member.id] = (member.member, self.world.now + LEASE)
+        self.leases[member.id] = Lease(member.member, self.world.now + LEASE_DURATION)
 
     def evict(self, member_id: str) -> None:
         """End a lease early, as a member asks that sees another one's process gone."""
         if self.world.now >= self.down_until:
             self.leases.pop(member_id, None)
 
-    def divide(self, cells: int) -> None:
-        """The fleet is divided into so many cells from now on."""
-        self.cells, self.divided_at = cells, self.world.now
+    def divide(self, shard_count: int) -> None:
+        """The fleet is divided into so many shards from now on."""
+        self.shard_count, self.divided_at = shard_count, self.world.now
 
     def step(self) -> None:
         """Renew and end leases; tell members if the view has changed."""
@@ -48,9 +55,11 @@
         for member in self.world.alive():
             if not member.is_paused:
                 self._renew(member)
-        for member_id in [member_id for member_id, (_, until) in self.leases.items() if until <= now]:
+        for member_id in [member_id for member_id, lease in self.leases.items() if lease.until <= now]:
             del self.leases[member_id]
-        view = MembershipView((member for member, _ in self.leases.values()), self.cells, self.divided_at)
+        view = MembershipView(
+            (lease.member for lease in self.leases.values()), self.shard_count, self.divided_at
+        )
         if view.digest != self._last_digest:
             self._last_digest = view.digest
             for member in self.world.alive():
@@ -63,10 +72,10 @@
             member.member = Member(member.id, member.name, "", member.member.zone, term=term)
             self.enter(member)
             member.renewed_at = now
-        elif now >= member.renewed_at + LEASE * RENEWAL_FRACTION:
+        elif now >= member.renewed_at + LEASE_DURATION * RENEWAL_FRACTION:
             member.renewed_at = now
             self.enter(member)
-        member.replicator.lease_until = member.renewed_at + LEASE
+        member.replicator.lease_until = member.renewed_at + LEASE_DURATION
 
     def _send_view(self, member: EmulatedMember, view: MembershipView) -> None:
         """Each member gets each view, in order, in its own time."""
--- a/trials/emulated/world.py
+++ b/trials/emulated/world.py
@@ -11,7 +11,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from starlingwheel.decisions.config import RetrySafety
 from starlingwheel.fleet.frames import RecordedResponse
@@ -33,9 +33,26 @@
 START_TIME = 1.0  # seconds before the first request
 CLIENT_RETRY_DELAY = 0.02  # seconds
 DEFAULT_DUPLICATE_RATE = 0.05  # part of the requests that two clients send
+SUCCESS, REJECTED = 200, 503  # statuses
 REPLICATOR_COUNTS = ("given_up", "stood_in", "uncovered", "waited_out", "not_sure", "superseded", "held")
 
 
+class Run(NamedTuple):
+    """A request that was sent to an endpoint."""
+
+    at: float  # seconds
+    member: str
+    epoch: int
+
+
+class ClientResponse(NamedTuple):
+    """A response that a client got."""
+
+    at: float  # seconds
+    status: int
+    request_number: int
+
+
 class World:
     """A fleet, its links, its coordination store, endpoints and clients, from one seed."""
 
@@ -45,24 +62,24 @@
         member_count: int = 8,
         replicator_type: Callable[..., Any] = RequestReplicator,
         traced_key: bytes | None = None,
-        cells: int = 1,
+        shard_count: int = 1,
     ) -> None:
         """`traced_key`: of a request whose events are printed."""
         self.rng = random.Random(seed)
         self.replicator_type, self.traced_key = replicator_type, traced_key
         self.events = EventQueue()
         self.network = Network(self)
-        self.store = CoordinationStore(self, cells)
+        self.store = CoordinationStore(self, shard_count)
         self.faults = FaultInjector(self)
         self.members: dict[str, EmulatedMember] = {}
-        self.runs: dict[bytes, list[tuple[float, str, int]]] = defaultdict(list)
-        self.effects: dict[bytes, str] = {}
+        self.runs: dict[bytes, list[Run]] = defaultdict(list)
+        self.retry_safeties: dict[bytes, str] = {}
         self.holders: dict[bytes, set[str]] = {}  # members that knew of a key's runs
         self.all_lost: set[bytes] = set()  # ran again once all of those were lost: outside the promise
         self.unreplicated: set[bytes] = set()  # ran with no replica: counted apart, as the promise says
-        self.responses: dict[bytes, list[tuple[float, int, int]]] = defaultdict(list)
+        self.responses: dict[bytes, list[ClientResponse]] = defaultdict(list)
         self.requests: list[Request] = []
-        self.open: set[int] = set()  # numbers of requests without a response
+        self.open_requests: set[int] = set()  # numbers of requests without a response
         self.answered_twice: list[Request] = []
         self.log_counts: Counter[str] = Counter()
         self._terms = 0
@@ -76,7 +93,7 @@
         """Emulated time, seconds."""
         return self.events.now
 
-    def until(self, when: float) -> None:
+    def run_until(self, when: float) -> None:
         """Run until that time, seconds."""
         self.events.run_until(when)
 
@@ -119,7 +136,7 @@
         for link in list(member.links.values()):
             self.network.close(link, member)
         for request in self.requests:
-            if request.member is member and not request.end and request.number in self.open:
+            if request.member is member and not request.end and request.number in self.open_requests:
                 self._retry(request, "reset")
         self.events.at(self.now + restart_after, lambda: self.start(member.name))
         self.events.at(self.now + self.rng.uniform(0.02, 0.08), lambda: self.store.evict(member.id))
@@ -130,11 +147,11 @@
     def record_run(self, member: EmulatedMember, request: ReplicatedRequest, number: int, epoch: int) -> None:
         """A request runs at an endpoint."""
         key = request.key
-        self.runs[key].append((self.now, member.id, epoch))
+        self.runs[key].append(Run(self.now, member.id, epoch))
         known = self.holders.get(key)
         if known is not None and not any(holder in self.store.leases for holder in known):
             self.all_lost.add(key)
-        # A new coordinator does not ask an owner of another cell: what the replicas know counts.
+        # A new coordinator does not ask an owner of another shard: what the replicas know counts.
         view = member.replicator.view
         outside = (
             view.shard_count > 1
@@ -147,27 +164,27 @@
         if self.is_traced(key):
             self.print_trace(f"{member.id} RUNS {number} of epoch {epoch}")
 
-    def ask(self, name: bytes, effect: str, until: float, repeat: bool = False) -> None:
-        """A client sends a request to some member, to be answered by `until`, seconds."""
+    def send_request(self, name: bytes, retry_safety: str, deadline: float, is_retry: bool = False) -> None:
+        """A client sends a request to some member, to be answered by `deadline`, seconds."""
         alive = self.alive()
         if not alive:
             return
         in_view = [member for member in alive if member.id in member.replicator.view]
         member = self.rng.choice(in_view or alive)
-        self.effects[name] = effect
-        request = Request(name, effect, until, repeat, len(self.requests))
+        self.retry_safeties[name] = retry_safety
+        request = Request(name, retry_safety, deadline, is_retry, len(self.requests))
         self.requests.append(request)
-        self.open.add(request.number)
+        self.open_requests.add(request.number)
         request.member = member
         if self.is_traced(name):
-            self.print_trace(f"client asks {member.id}, repeat {repeat}")
+            self.print_trace(f"client asks {member.id}, repeat {is_retry}")
         member.run(lambda: member.receive(request))
-        self.events.at(until, lambda: self._time_out(request))
+        self.events.at(deadline, lambda: self._time_out(request))
 
     def _time_out(self, request: Request) -> None:
         if not request.end:
             request.end = "late"
-            self.open.discard(request.number)
+            self.open_requests.discard(request.number)
 
     def respond(self, request: Request, response: RecordedResponse) -> None:
         """A client gets a response."""
@@ -176,21 +193,23 @@
                 self.answered_twice.append(request)
             return
         request.end = str(response.status)
-        self.open.discard(request.number)
+        self.open_requests.discard(request.number)
         if self.is_traced(request.name):
             self.print_trace(f"answer {response.status} for try {request.number}")
-        self.responses[request.name].append((self.now, response.status, request.number))
-        if response.status == 503:
+        self.responses[request.name].append(ClientResponse(self.now, response.status, request.number))
+        if response.status == REJECTED:
             self._retry(request, "503", max(response.retry_after, CLIENT_RETRY_DELAY))
 
     def _retry(self, request: Request, end: str, delay: float = CLIENT_RETRY_DELAY) -> None:
         """A client sends its request again, if there is time left."""
         request.end = request.end or end
-        self.open.discard(request.number)
-        if self.now + delay < request.until - CLIENT_RETRY_DELAY:
+        self.open_requests.discard(request.number)
+        if self.now + delay < request.deadline - CLIENT_RETRY_DELAY:
             self.events.at(
                 self.now + delay,
-                lambda: self.ask(request.name, request.effect, request.until, repeat=True),
+                lambda: self.send_request(
+                    request.name, request.retry_safety, request.deadline, is_retry=True
+                ),
             )
 
     # Playing.
@@ -205,33 +224,33 @@
     ) -> None:
         """So many requests a second for so long, with faults; then what is open comes to its end.
 
-        `duplicate_rate`: part of the requests that another client sends too. `divisions`: into how many cells
-        the fleet is divided, one after another, in equal parts of that time.
+        `duplicate_rate`: part of the requests that another client sends too. `divisions`: into how many
+        shards the fleet is divided, one after another, in equal parts of that time.
         """
         start = self.now + START_TIME
-        self.until(start)
+        self.run_until(start)
         for number in range(int(rate * seconds)):
             self._schedule_request(number, start + number / rate, duplicate_rate)
         self.faults.schedule(faults, start, seconds)
         divisions = list(divisions)
-        for number, cells in enumerate(divisions):
+        for number, shard_count in enumerate(divisions):
             at = start + (number + self.rng.random()) * seconds / len(divisions)
-            self._schedule_division(at, cells)
-        self.until(start + seconds + 2 * TIMEOUT)
+            self._schedule_division(at, shard_count)
+        self.run_until(start + seconds + 2 * TIMEOUT)
 
     def _schedule_request(self, number: int, at: float, duplicate_rate: float) -> None:
-        name, effect = f"w{number}".encode(), SAFETIES[number % len(SAFETIES)]
+        name, retry_safety = f"w{number}".encode(), SAFETIES[number % len(SAFETIES)]
 
-        def ask() -> None:
-            self.ask(name, effect, at + TIMEOUT)
+        def send() -> None:
+            self.send_request(name, retry_safety, at + TIMEOUT)
 
-        self.events.at(at, ask)
+        self.events.at(at, send)
         if self.rng.random() < duplicate_rate:
             # Another client with that key, at the same moment or later.
-            self.events.at(at + self.rng.choice((0.0, self.rng.uniform(0, TIMEOUT / 2))), ask)
+            self.events.at(at + self.rng.choice((0.0, self.rng.uniform(0, TIMEOUT / 2))), send)
 
-    def _schedule_division(self, at: float, cells: int) -> None:
-        self.events.at(at, lambda: self.store.divide(cells))
+    def _schedule_division(self, at: float, shard_count: int) -> None:
+        self.events.at(at, lambda: self.store.divide(shard_count))
 
     # Verdicts.
 
@@ -239,40 +258,42 @@
         """Promises that were not kept, from what endpoints and clients saw."""
         broken = [f"answered twice: {r.name!r} try {r.number}" for r in self.answered_twice]
         for name, runs in self.runs.items():
-            effect = self.effects[name]
+            retry_safety = self.retry_safeties[name]
             if name in self.unreplicated or name in self.all_lost:
                 continue
-            if effect == RetrySafety.NON_IDEMPOTENT.value and len(runs) > 1:
+            if retry_safety == RetrySafety.NON_IDEMPOTENT.value and len(runs) > 1:
                 broken.append(f"once: {name!r} ran {len(runs)} times: {runs}")
-            span = runs[-1][0] - runs[0][0]
+            span = runs[-1].at - runs[0].at
             if (
-                effect == RetrySafety.IDEMPOTENT_WITH_KEY.value
-                and runs[-1][0] > runs[0][0] + DEDUPLICATION_WINDOW
+                retry_safety == RetrySafety.IDEMPOTENT_WITH_KEY.value
+                and runs[-1].at > runs[0].at + DEDUPLICATION_WINDOW
             ):
                 broken.append(f"ticketed: {name!r} ran again after {span:.3f} s")
         for name, responses in self.responses.items():
-            if any(status == 200 for _, status, _ in responses) and name not in self.runs:
+            if any(response.status == SUCCESS for response in responses) and name not in self.runs:
                 broken.append(f"no such answer: {name!r}: {responses}")
         return broken
 
-    def finished(self, names: Iterable[bytes]) -> int:
+    def success_count(self, names: Iterable[bytes]) -> int:
         """How many of those requests were answered with success."""
-        return sum(any(status == 200 for _, status, _ in self.responses[name]) for name in names)
+        return sum(any(response.status == SUCCESS for response in self.responses[name]) for name in names)
 
     def counts(self) -> dict[str, int]:
         """What happened, by kind."""
         ends = Counter(request.end or "open" for request in self.requests)
-        names = list(self.effects)
-        counts = {"work": len(names), "finished": self.finished(names), **dict(sorted(ends.items()))}
+        names = list(self.retry_safeties)
+        counts = {"work": len(names), "finished": self.success_count(names), **dict(sorted(ends.items()))}
         exclusive = RetrySafety.NON_IDEMPOTENT.value
-        twice = [n for n in self.unreplicated if self.effects[n] == exclusive and len(self.runs[n]) > 1]
+        twice = [
+            n for n in self.unreplicated if self.retry_safeties[n] == exclusive and len(self.runs[n]) > 1
+        ]
         counts |= {"ran uncovered": len(self.unreplicated), "of these exclusive, twice": len(twice)}
         counts["all lost"] = len(self.all_lost)
         counts["frames"] = sum(self.network.frames.values())
         return counts | dict(sorted(self.log_counts.items()))
 
-    def cell_counts(self) -> dict[str, int]:
-        """What happened in a fleet of several cells."""
+    def shard_counts(self) -> dict[str, int]:
+        """What happened in a fleet of several shards."""
         counts = {"links, most": self.network.max_links, "told": self.network.frames["ViewSyncedFrame"]}
         replicators = [member.replicator for member in self.alive()]
         for name in REPLICATOR_COUNTS:
@@ -298,13 +319,13 @@
     replicator_type: Callable[..., Any] = RequestReplicator,
     traced_key: bytes | None = None,
     duplicate_rate: float = DEFAULT_DUPLICATE_RATE,
-    cells: int = 1,
+    shard_count: int = 1,
     divisions: Iterable[int] = (),
 ) -> Outcome:
     """Play one seed; `replicator_type` may be a broken variant that the checks must catch."""
-    world = World(seed, member_count, replicator_type, traced_key, cells)
+    world = World(seed, member_count, replicator_type, traced_key, shard_count)
     world.play(seconds, rate, faults or FaultRates(), duplicate_rate, divisions)
     counts = world.counts()
-    if cells > 1 or divisions:
-        counts |= world.cell_counts()
+    if shard_count > 1 or divisions:
+        counts |= world.shard_counts()
     return Outcome(seed, counts, world.broken())
