--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -13,20 +13,20 @@
 from starlingwheel.net.fleet.zones import ZoneController
 from trials import zones
 from trials.broken import ZONE_VARIANTS
-from trials.emulated_zones import CASES, play
+from trials.emulated_zones import CASES, Strategy, play
 
 
 @pytest.mark.parametrize("case", CASES)
 def test_a_zone_is_left_only_where_it_helps_and_returns_in_steps(case):
-    counts, broken = play(2, 24, case)
-    assert not broken
+    outcome = play(2, 24, case)
+    assert not outcome.broken
     if case != "third":  # a third of little is hard to tell from chance: it is left where it is seen
-        assert bool(counts["plans"]) is CASES[case].helps
+        assert bool(outcome.counts["plans"]) is CASES[case].leaving_helps
 
 
 @pytest.mark.parametrize("case", ["hang", "two", "flap"])
 def test_fewer_attempts_are_lost_than_without_a_plan(case):
-    planned, alone = play(2, 30, case)[0], play(2, 30, case, "alone")[0]
+    planned, alone = play(2, 30, case).counts, play(2, 30, case, Strategy.ALONE).counts
     assert planned["lost to the zone"] < 0.85 * alone["lost to the zone"]
     assert planned["whole after"] < 12
 
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("kind", ZONE_VARIANTS)
 def test_each_broken_variant_is_caught(kind):
     case = ZONE_VARIANTS[kind]
-    assert play(2, 30, case, planner_type=kind)[1] and not play(2, 30, case)[1]
+    assert play(2, 30, case, planner_type=kind).broken and not play(2, 30, case).broken
 
 
 @pytest.mark.xdist_group("trials-2")
--- a/trials/emulated_zone_cases.py
+++ b/trials/emulated_zone_cases.py
@@ -12,25 +12,25 @@
 class Case:
     """What the zones do meanwhile."""
 
-    hurt: tuple[str, ...] = (FAILING,)
-    part: float = 1.0  # of the attempts there that fail
+    failing_zones: tuple[str, ...] = (FAILING,)
+    failing_fraction: float = 1.0  # of the attempts there that fail
     silent: bool = True  # without an answer, else with an error at once
-    seen_by: str = ""  # only members of that zone see it
+    seen_from: str = ""  # only members of that zone see it
     cold: bool = False
-    capacity: float = 3.0  # of each zone, as a multiple of its usual rate
-    helps: bool = True  # to leave the zones that fail
-    flaps: float = 0.0  # seconds for which it fails, and then not
+    capacity_multiple: float = 3.0  # of each zone's usual rate: what it can take
+    leaving_helps: bool = True
+    flap_duration: float = 0.0  # seconds for which it fails, and then as long not; 0: does not flap
 
 
 CASES = {
     "hang": Case(),
     "errors": Case(silent=False),
-    "third": Case(part=0.34, silent=False),
-    "two": Case(hurt=("north", "east"), capacity=6.0),
-    "all": Case(hurt=ZONES, helps=False),
-    "release": Case(hurt=ZONES, part=0.5, silent=False, helps=False),
-    "cut": Case(seen_by="north", helps=False),
-    "near-full": Case(part=0.5, silent=False, capacity=1.15),
+    "third": Case(failing_fraction=0.34, silent=False),
+    "two": Case(failing_zones=("north", "east"), capacity_multiple=6.0),
+    "all": Case(failing_zones=ZONES, leaving_helps=False),
+    "release": Case(failing_zones=ZONES, failing_fraction=0.5, silent=False, leaving_helps=False),
+    "cut": Case(seen_from="north", leaving_helps=False),
+    "near-full": Case(failing_fraction=0.5, silent=False, capacity_multiple=1.15),
     "cold": Case(cold=True),
-    "flap": Case(flaps=4.0),
+    "flap": Case(flap_duration=4.0),
 }
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -7,14 +7,13 @@
 
 from __future__ import annotations
 
-import heapq
 import random
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 from enum import StrEnum
 from math import inf
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -23,6 +22,7 @@
 from starlingwheel.fleet.zones.health import ZoneAttemptResult, ZoneHealthTracker
 from starlingwheel.fleet.zones.planner import ZonePlanner, ZoneTraffic
 
+from .emulated.events import EventQueue
 from .emulated_store import EmulatedStore
 from .emulated_zone_cases import CASES, FAILING, ZONES, Case
 
@@ -30,6 +30,7 @@
 # Seconds:
 LEASE = 2.0
 OBJECTIVE = 1.0  # the latency objective
+FIRST_EJECTION, MAX_EJECTION = OBJECTIVE / 2, 2 * OBJECTIVE
 SERVICE_TIME = 0.08
 STEP = 0.05  # between the steps of the fleet
 HEDGE_DELAY = 0.3  # after which an idempotent request is sent to another zone too
@@ -44,10 +45,10 @@
 NON_IDEMPOTENT_FRACTION = 0.25
 COLD_CAPACITY = 0.25  # of its capacity that a cold zone has at first
 OVERLOAD_MULTIPLE = 2.0  # times the capacity of a cold zone at which it falls over
-EJECTED_AFTER = 3  # failures in a row
+FAILURES_BEFORE_EJECTION = 3  # in a row
 MAX_RETRIES = 2
 TIMEOUT_FRACTION = 0.9  # of the objective, after which nothing more is sent
-SCARCE = 1.5  # times the usual rate, below which capacities are given in the configuration
+SCARCE_CAPACITY = 1.5  # times the usual rate, below which capacities are given in the configuration
 
 PlannerType = Callable[..., ZonePlanner]
 
@@ -60,6 +61,20 @@
     KNOWN = "known"  # with full knowledge of what fails
 
 
+class Ejection(NamedTuple):
+    """Why a member does not select a zone. Times are seconds."""
+
+    until: float
+    duration: float  # without its jitter
+
+
+class WrittenPlan(NamedTuple):
+    """A plan that the coordination store has had."""
+
+    at: float  # seconds
+    plan: ZonePlan
+
+
 class EmulatedMember:
     """One member: what it sees and plans, and a plain selection of zones. It is the planner's host."""
 
@@ -73,8 +88,8 @@
         )
         self.zone_shares: dict[str, float] = {}
         self.failures_in_a_row: Counter[str] = Counter()
-        self.ejected: dict[str, tuple[float, float]] = {}  # until when, and for how long
-        self.plan_at = -inf
+        self.ejected: dict[str, Ejection] = {}  # by zone
+        self.next_write_at = -inf
 
     def set_zone_shares(self, shares: Mapping[str, float], returning: Iterable[str]) -> None:
         """Take over the shares, and lift ejections of zones that come back."""
@@ -90,7 +105,7 @@
         """A zone for an attempt; empty: there is none."""
         rng = self.world.rng
         unusable = {zone for zone, share in self.zone_shares.items() if rng.random() >= share} | {excluded}
-        unusable |= {zone for zone, (until, _) in self.ejected.items() if self.world.now < until}
+        unusable |= {zone for zone, one in self.ejected.items() if self.world.now < one.until}
         usable = [zone for zone in ZONES if zone not in unusable]
         if not usable:
             return ""
@@ -105,10 +120,11 @@
             self.ejected.pop(zone, None)
             return
         self.failures_in_a_row[zone] += 1
-        if self.failures_in_a_row[zone] >= EJECTED_AFTER:
-            _, before = self.ejected.get(zone, (0.0, OBJECTIVE / 4))
-            pause = min(2 * before, 2 * OBJECTIVE)
-            self.ejected[zone] = (self.world.now + pause * self.world.rng.uniform(0.5, 1.5), pause)
+        if self.failures_in_a_row[zone] >= FAILURES_BEFORE_EJECTION:
+            before = self.ejected[zone].duration if zone in self.ejected else FIRST_EJECTION / 2
+            duration = min(2 * before, MAX_EJECTION)
+            until = self.world.now + duration * self.world.rng.uniform(0.5, 1.5)
+            self.ejected[zone] = Ejection(until, duration)
 
 
 @dataclass
@@ -117,7 +133,7 @@
 
     member: EmulatedMember
     idempotent: bool
-    begun_at: float
+    arrived_at: float
     during_fault: bool
     answered: bool = False
 
@@ -130,18 +146,17 @@
         seed: int,
         members: int,
         case: Case,
-        strategy: str = Strategy.PLAN,
+        strategy: Strategy = Strategy.PLAN,
         planner_type: PlannerType = ZonePlanner,
         fails_for: float = FAILS_FOR,
     ) -> None:
         """`strategy`: one of `Strategy`."""
         self.rng, self.case, self.strategy = random.Random(seed), case, strategy
         self.planner_type, self.recovers_at = planner_type, FAILS_AT + fails_for
-        self.now, self.scheduled = 0.0, 0
+        self.events = EventQueue()
         self.usual_rate = members * RATE / len(ZONES)
-        self.capacities = {zone: case.capacity * self.usual_rate for zone in ZONES}
-        self.configured_capacities = dict(self.capacities) if case.capacity < SCARCE else {}
-        self.queue: list[tuple[float, int, Callable[[], object]]] = []
+        self.capacities = {zone: case.capacity_multiple * self.usual_rate for zone in ZONES}
+        self.configured_capacities = dict(self.capacities) if case.capacity_multiple < SCARCE_CAPACITY else {}
         self.store = EmulatedStore()
         self.members = [EmulatedMember(self, number) for number in range(members)]
         self.store.revision += 1
@@ -155,13 +170,13 @@
         self.requests = self.served = self.rejected = 0
         self.requests_during_fault = self.served_during_fault = 0
         self.overloads = 0
-        self.plans: list[tuple[float, ZonePlan]] = []
+        self.plans: list[WrittenPlan] = []
         self.writes = 0
 
-    def at(self, when: float, action: Callable[[], object]) -> None:
-        """Schedule an action."""
-        self.scheduled += 1
-        heapq.heappush(self.queue, (when, self.scheduled, action))
+    @property
+    def now(self) -> float:
+        """Emulated time, seconds."""
+        return self.events.now
 
     # The zones.
 
@@ -172,20 +187,20 @@
     def fails(self, zone: str, member: EmulatedMember) -> bool:
         """Whether an attempt of that member fails there now."""
         case = self.case
-        if zone not in case.hurt or not self.is_fault_time():
+        if zone not in case.failing_zones or not self.is_fault_time():
             return False
-        if case.flaps and int((self.now - FAILS_AT) / case.flaps) % 2:
+        if case.flap_duration and int((self.now - FAILS_AT) / case.flap_duration) % 2:
             return False
-        if case.seen_by and member.zone != case.seen_by:
+        if case.seen_from and member.zone != case.seen_from:
             return False
-        return self.rng.random() < case.part
+        return self.rng.random() < case.failing_fraction
 
     def rejects(self, zone: str) -> bool:
         """Whether it has more than its capacity. A cold zone falls over instead."""
         admitted = self.admitted[zone]
         capacity, multiple = self.capacities[zone], 1.0
         warm_at = self.recovers_at + WARM_UP
-        if self.case.cold and zone in self.case.hurt and self.recovers_at <= self.now < warm_at:
+        if self.case.cold and zone in self.case.failing_zones and self.recovers_at <= self.now < warm_at:
             capacity *= COLD_CAPACITY + (1 - COLD_CAPACITY) * (self.now - self.recovers_at) / WARM_UP
             multiple = OVERLOAD_MULTIPLE
         recent = admitted[-int(capacity * multiple) - 8 :]
@@ -198,7 +213,7 @@
 
     def arrive(self, member: EmulatedMember) -> None:
         """A request of that member's client."""
-        self.at(self.now + self.rng.expovariate(RATE), lambda: self.arrive(member))
+        self.events.at(self.now + self.rng.expovariate(RATE), lambda: self.arrive(member))
         self.requests += 1
         during_fault = self.is_fault_time()
         self.requests_during_fault += during_fault
@@ -209,9 +224,9 @@
         """Send the request to a zone, unless it is answered or too old."""
         member = request.member
         zone = member.select_zone(excluded)
-        if not zone or self.now > request.begun_at + TIMEOUT_FRACTION * OBJECTIVE or request.answered:
+        if not zone or self.now > request.arrived_at + TIMEOUT_FRACTION * OBJECTIVE or request.answered:
             return
-        zone = self._corrected(zone, member)
+        zone = self._avoid_failing(zone, member)
         attempt = object()
         member.zone_health.now = self.now
         member.zone_health.attempt_started(attempt, zone)
@@ -233,20 +248,20 @@
         if fails:
             self.lost.append(self.now)
             took = OBJECTIVE if self.case.silent else ERROR_TIME
-            self.at(self.now + took, lambda: end(ZoneAttemptResult.FAILED))
+            self.events.at(self.now + took, lambda: end(ZoneAttemptResult.FAILED))
             if self.case.silent and request.idempotent:
-                self.at(self.now + HEDGE_DELAY, retry)
+                self.events.at(self.now + HEDGE_DELAY, retry)
         elif rejects:
-            self.at(self.now + REJECTION_TIME, lambda: end(ZoneAttemptResult.REJECTED))
+            self.events.at(self.now + REJECTION_TIME, lambda: end(ZoneAttemptResult.REJECTED))
         else:
             took = SERVICE_TIME * self.rng.lognormvariate(0, 0.4)
-            self.at(self.now + took, lambda: end(ZoneAttemptResult.ANSWERED))
+            self.events.at(self.now + took, lambda: end(ZoneAttemptResult.ANSWERED))
 
-    def _corrected(self, zone: str, member: EmulatedMember) -> str:
+    def _avoid_failing(self, zone: str, member: EmulatedMember) -> str:
         """The zone itself, or a healthy one where it is known to fail."""
-        knows = self.strategy == Strategy.KNOWN and self.case.helps
-        if knows and zone in self.case.hurt and self.fails(zone, member):
-            return next((healthy for healthy in ZONES if healthy not in self.case.hurt), zone)
+        knows = self.strategy == Strategy.KNOWN and self.case.leaving_helps
+        if knows and zone in self.case.failing_zones and self.fails(zone, member):
+            return next((healthy for healthy in ZONES if healthy not in self.case.failing_zones), zone)
         return zone
 
     def _attempt_ended(self, request: EmulatedRequest, zone: str, result: ZoneAttemptResult) -> bool:
@@ -271,7 +286,7 @@
             self._read_store()
             for member in self.members:
                 self._write(member)
-        self.at(self.now + STEP, self.step)
+        self.events.at(self.now + STEP, self.step)
 
     def _read_store(self) -> None:
         """All see what was written up to the last step."""
@@ -285,54 +300,55 @@
             else:
                 self.records.put(key, entry)
         self.events_seen = len(events)
-        before = self.plans[-1][1] if self.plans else ZonePlan()
+        before = self.plans[-1].plan if self.plans else ZonePlan()
         if self.records.plan is not None and self.records.plan.epoch != before.epoch:
-            self.plans.append((self.now, self.records.plan))
+            self.plans.append(WrittenPlan(self.now, self.records.plan))
         snapshot = self.records.copy()
         for member in self.members:
             member.zone_health.now = self.now
             member.zone_planner.update_records(snapshot)
 
     def _write(self, member: EmulatedMember) -> None:
-        if self.now < member.plan_at:
+        if self.now < member.next_write_at:
             return
         member.zone_health.now = self.now
         due = member.zone_planner.due()
         if isinstance(due, Transaction):
             self.writes += 1
             self.store.write(due)
-            member.plan_at = self.now + STEP
+            member.next_write_at = self.now + STEP
         else:
-            member.plan_at = min(due, self.now + OBJECTIVE / 8)
+            member.next_write_at = min(due, self.now + OBJECTIVE / 8)
 
     def play(self, after: float = PLAYED_AFTER) -> None:
         """Play until so many seconds after the zones have recovered."""
         for member in self.members:
-            self.at(self.rng.expovariate(RATE), lambda member=member: self.arrive(member))
-        self.at(0.0, self.step)
-        until = self.recovers_at + after
-        while self.queue and self.queue[0][0] <= until:
-            self.now, _, action = heapq.heappop(self.queue)
-            action()
-        self.now = until
+            self.events.at(self.rng.expovariate(RATE), lambda member=member: self.arrive(member))
+        self.events.at(0.0, self.step)
+        self.events.run_until(self.recovers_at + after)
 
     # Verdicts.
 
     def counts(self) -> dict[str, Any]:
         """What was measured."""
-        back = self.recovers_at
+        recovered_at = self.recovers_at
         left = next((at for at, plan in self.plans if plan.zones and at >= FAILS_AT), None)
-        complete = next((at for at, plan in self.plans if at > back and not plan.zones), None)
+        complete = next((at for at, plan in self.plans if at > recovered_at and not plan.zones), None)
         usual = sum(FAILS_AT - 3 <= at < FAILS_AT for at in self.arrivals[FAILING]) / 3
         full_share = next(
-            (t for t in range(int(self.now - back)) if self._rate(FAILING, back + t) >= 0.8 * usual), None
+            (
+                t
+                for t in range(int(self.now - recovered_at))
+                if self._rate(FAILING, recovered_at + t) >= 0.8 * usual
+            ),
+            None,
         )
         return {
             "served": round(self.served / self.requests, 4),
             "served meanwhile": round(self.served_during_fault / max(1, self.requests_during_fault), 4),
             "lost to the zone": len(self.lost),
             "left after": left and round(left - FAILS_AT, 2),
-            "whole after": complete and round(complete - back, 2),
+            "whole after": complete and round(complete - recovered_at, 2),
             "full share after": full_share,
             "plans": len(self.plans),
             "fell": self.overloads,
@@ -353,8 +369,8 @@
     def _left_in_vain(self) -> Iterable[str]:
         for at, plan in self.plans:
             zones = {zone: state.state for zone, state in plan.zones.items()}
-            wrong = [zone for zone in zones if zone not in self.case.hurt]
-            if wrong or (zones and not self.case.helps):
+            wrong = [zone for zone in zones if zone not in self.case.failing_zones]
+            if wrong or (zones and not self.case.leaving_helps):
                 yield f"left where it does not help, at {at:.2f}: {zones}"
                 return
             if len(zones) == len(ZONES):
@@ -362,36 +378,49 @@
 
     def _moved_too_much(self) -> Iterable[str]:
         """More than the other zones have capacity for."""
-        spare = (self.case.capacity - 1.0) * self.usual_rate * (len(ZONES) - len(self.case.hurt))
+        spare = (
+            (self.case.capacity_multiple - 1.0)
+            * self.usual_rate
+            * (len(ZONES) - len(self.case.failing_zones))
+        )
         for at, plan in self.plans:
             left = [state for state in plan.zones.values() if state.state == ZoneTraffic.LEFT]
             moved = sum((1 - state.share) * self.usual_rate for state in left)
-            if self.case.part < 0.8 and moved > 2.0 * spare:
+            if self.case.failing_fraction < 0.8 and moved > 2.0 * spare:
                 yield f"at {at:.2f} {moved:.0f} a second are moved, {spare:.0f} is what the others bear"
                 return
 
     def _returned_too_fast(self) -> Iterable[str]:
         """More attempts to a zone that returns than its share of the plan."""
-        ends = [*[at for at, _ in self.plans], self.now][1:]
+        ends = [*[written.at for written in self.plans], self.now][1:]
         for (at, plan), end in zip(self.plans, ends, strict=True):
             for zone, state in plan.zones.items():
                 begin = at + 0.5
                 if state.state != ZoneTraffic.RETURNING or end - begin < 0.5:
                     continue
                 sent = sum(begin <= arrived < end for arrived in self.arrivals[zone])
-                most = state.share * self.usual_rate * (end - begin)
-                if sent > 1.5 * most + 4 * most**0.5 + 4:
-                    yield f"{sent} sent to {zone} at a share of {state.share:.2f}, {most:.0f} are its part"
+                max_sent = state.share * self.usual_rate * (end - begin)
+                if sent > 1.5 * max_sent + 4 * max_sent**0.5 + 4:
+                    allowed = f"at a share of {state.share:.2f}, {max_sent:.0f} are its part"
+                    yield f"{sent} sent to {zone} {allowed}"
+
+
+@dataclass
+class Outcome:
+    """What a play has counted, and the promises that it has broken."""
+
+    counts: dict[str, Any]
+    broken: list[str]
 
 
 def play(
     seed: int,
     members: int = 30,
     case: str = "hang",
-    strategy: str = Strategy.PLAN,
+    strategy: Strategy = Strategy.PLAN,
     planner_type: PlannerType = ZonePlanner,
-) -> tuple[dict[str, Any], list[str]]:
-    """Counts, and promises that were broken."""
+) -> Outcome:
+    """Play one case from a seed."""
     world = World(seed, members, CASES[case], strategy, planner_type)
     world.play()
-    return world.counts(), world.broken()
+    return Outcome(world.counts(), world.broken())
