--- a/trials/hard.py
+++ b/trials/hard.py
@@ -7,14 +7,14 @@
 from pathlib import Path
 
 from .rig import ROOT, Rig
-from .storm import MIX
+from .storm import REQUEST_MIX
 from .verdict import Verdict
 
 
 async def half(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """Half of the fleet is killed at once, more than there are replicas; the others go on."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
-        sending = asyncio.create_task(rig.clients.send(120.0, 4.5, MIX))
+        sending = asyncio.create_task(rig.clients.send(120.0, 4.5, REQUEST_MIX))
         await asyncio.sleep(1.0)
         for sidecar in rig.rng.sample(rig.sidecars, sidecars // 2):
             rig.lose(sidecar)
@@ -71,7 +71,7 @@
     """A coordinator is stopped for a second with open requests, whose clients retry, and then woken."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
         rig.clients.waits = 3.0
-        sending = asyncio.create_task(rig.clients.send(150.0, 2.0, MIX))
+        sending = asyncio.create_task(rig.clients.send(150.0, 2.0, REQUEST_MIX))
         await asyncio.sleep(0.8)
         owner = rig.rng.choice(rig.sidecars)
         affected = rig.in_hand(owner)
@@ -91,7 +91,7 @@
 async def stopped(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """SIGTERM to one after another under load, each started again: nothing is lost or done twice."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
-        sending = asyncio.create_task(rig.clients.send(120.0, 6.0, MIX))
+        sending = asyncio.create_task(rig.clients.send(120.0, 6.0, REQUEST_MIX))
         for sidecar in rig.sidecars[:3]:
             await asyncio.sleep(0.5)
             rig.clients.avoid.add(sidecar.name)
@@ -113,7 +113,7 @@
 ) -> Verdict:
     """The fleet is cut in two, and again, under load; sidecars are lost right after, and cells are joined."""
     async with Rig(seed, sidecars, root=root, fleet=fleet, lease=1, cell_size=cell_size, cut=False) as rig:
-        sending = asyncio.create_task(rig.clients.send(80.0, 34.0, MIX, twins=0.05))
+        sending = asyncio.create_task(rig.clients.send(80.0, 34.0, REQUEST_MIX, twins=0.05))
         counts, lost = [1], 0
         until = asyncio.get_running_loop().time() + 33.0
         while asyncio.get_running_loop().time() < until:
@@ -142,7 +142,7 @@
 ) -> Verdict:
     """The arbiter is gone for many leases: each goes on by the words of more than half, of all cells."""
     async with Rig(seed, sidecars, root=root, fleet=fleet, lease=1, cell_size=cell_size) as rig:
-        sending = asyncio.create_task(rig.clients.send(80.0, 10.0, MIX))
+        sending = asyncio.create_task(rig.clients.send(80.0, 10.0, REQUEST_MIX))
         await asyncio.sleep(1.0)
         await rig.arbiter.down()
         await asyncio.sleep(8.0)
--- a/trials/loss.py
+++ b/trials/loss.py
@@ -8,6 +8,8 @@
 from .rig import ROOT, Rig
 from .verdict import Verdict
 
+MAX_LOOKS, LOOK_INTERVAL = 20, 0.01  # for open requests; seconds
+
 
 async def play(
     seed: int,
@@ -23,11 +25,11 @@
         sending = asyncio.create_task(rig.clients.send(rate, seconds, {"buy": 1.0}))
         await asyncio.sleep(seconds / 2)
         # The one with the most open requests: without any the trial would show nothing.
-        for _ in range(20):
+        for _ in range(MAX_LOOKS):
             lost = max(rig.sidecars, key=lambda s: len(rig.in_hand(s)))
             if len(rig.in_hand(lost)) > 1:
                 break
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(LOOK_INTERVAL)
         in_hand = rig.lose(lost)
         verdict = await rig.judged(sending)
         verdict.counts["in hand at the loss"] = len(in_hand)
--- a/trials/outage.py
+++ b/trials/outage.py
@@ -5,14 +5,23 @@
 import asyncio
 from functools import partial
 from pathlib import Path
+from typing import NamedTuple
 
 from .rig import ROOT, Rig
 from .verdict import Verdict
 
 RATE = 100.0  # requests a second
-CALM, FAILS, AFTER = 3.0, 2.0, 10.0  # seconds of each part
-BACK = 5.0  # seconds after which nearly all are to be answered
-ANSWERED = 0.95  # of the requests: nearly all
+BEFORE_DURATION, FAULT_DURATION, AFTER_DURATION = 3.0, 2.0, 10.0  # seconds of each phase
+RECOVERY_TIME = 5.0  # seconds after which nearly all are to be answered
+MIN_ANSWERED_FRACTION = 0.95  # of the requests: nearly all
+
+
+class Phase(NamedTuple):
+    """A part of the trial, and what endpoints do in it."""
+
+    name: str
+    duration: float  # seconds
+    mode: str  # of all endpoints
 
 
 async def play(
@@ -21,21 +30,27 @@
     """Idempotent requests before, during and after the fault. `fleet` is not used: there is none."""
     verdict = Verdict()
     async with Rig(seed, sidecars, root=root, fleet=False) as rig:
-        parts = []
-        for what, seconds, now in (("before", CALM, "ok"), ("failing", FAILS, mode), ("after", AFTER, "ok")):
+        done = {}
+        for phase in (
+            Phase("before", BEFORE_DURATION, "ok"),
+            Phase("failing", FAULT_DURATION, mode),
+            Phase("after", AFTER_DURATION, "ok"),
+        ):
             for upstream in rig.upstreams:
-                upstream.mode = now
+                upstream.mode = phase.mode
             first = len(rig.clients.done)
-            await rig.clients.send(RATE, seconds, {"look": 1.0}, named=False)
-            parts.append((what, rig.clients.done[first:]))
+            await rig.clients.send(RATE, phase.duration, {"look": 1.0}, named=False)
+            done[phase.name] = rig.clients.done[first:]
         await asyncio.sleep(rig.clients.waits + 0.5)  # all are answered, or given up
-        for what, works in parts:
-            if what == "after":
-                works = [w for w in works if w.at > works[-1].at - (AFTER - BACK)]
-            verdict.counts[what] = len(works)
-            verdict.counts[f"{what}, answered"] = well = sum(w.finished for w in works)
-        if well < len(works) * ANSWERED:
-            verdict.broken.append(f"{BACK} s after all are well again {well} of {len(works)} are answered")
+        for phase_name, works in done.items():
+            if phase_name == "after":
+                works = [w for w in works if w.at > works[-1].at - (AFTER_DURATION - RECOVERY_TIME)]
+            verdict.counts[phase_name] = len(works)
+            verdict.counts[f"{phase_name}, answered"] = answered = sum(w.finished for w in works)
+        if answered < len(works) * MIN_ANSWERED_FRACTION:
+            verdict.broken.append(
+                f"{RECOVERY_TIME} s after all are well again {answered} of {len(works)} are answered"
+            )
     return verdict
 
 
--- a/trials/storm.py
+++ b/trials/storm.py
@@ -9,10 +9,20 @@
 from fakes.clients import Work
 
 from .rig import ROOT, Rig
-from .timetable import ARBITER, LINKS, LOSSES, Lost, Player, drawn
+from .timetable import (
+    LINK_FAULTS,
+    PROCESS_FAULTS,
+    STORE_FAULTS,
+    FaultPlayer,
+    FaultProfile,
+    ProcessLoss,
+    draw_faults,
+)
 from .verdict import Verdict
 
-MIX = {"look": 1.0, "buy": 1.0, "move": 1.0}
+REQUEST_MIX = {"look": 1.0, "buy": 1.0, "move": 1.0}
+ONE_AT_A_TIME = FaultProfile(PROCESS_FAULTS, interval=0.9, max_duration=0.6)
+SEVERAL_AT_ONCE = FaultProfile(PROCESS_FAULTS | LINK_FAULTS | STORE_FAULTS, interval=0.4, max_duration=1.5)
 MIN_TIME_LEFT = 0.4  # seconds that a request has left at a loss, for the promise that it is finished
 
 
@@ -26,7 +36,7 @@
     cell_size: int = 0,
 ) -> Verdict:
     """Kill and stop processes, one at a time; each is back before the next."""
-    return await _play(seed, sidecars, root, fleet, rate, count, LOSSES, 0.9, 0.6, cell_size)
+    return await _play(seed, sidecars, root, fleet, rate, count, ONE_AT_A_TIME, cell_size)
 
 
 async def storm(
@@ -39,8 +49,7 @@
     cell_size: int = 0,
 ) -> Verdict:
     """All kinds of faults, several at once."""
-    kinds = LOSSES | LINKS | ARBITER
-    return await _play(seed, sidecars, root, fleet, rate, count, kinds, 0.4, 1.5, cell_size)
+    return await _play(seed, sidecars, root, fleet, rate, count, SEVERAL_AT_ONCE, cell_size)
 
 
 async def _play(
@@ -50,20 +59,20 @@
     fleet: bool,
     rate: float,
     count: int,
-    kinds: dict[str, float],
-    every: float,
-    longest: float,
+    profile: FaultProfile,
     cell_size: int,
 ) -> Verdict:
     async with Rig(seed, sidecars, root=root, fleet=fleet, cell_size=cell_size) as rig:
         (rig.folder / "start").write_text(f"{time.time()}\n")
-        player = Player(rig)
-        sending = asyncio.create_task(rig.clients.send(rate, count * every, MIX, twins=0.05))
-        faults = drawn(seed, count, every, kinds, sidecars, longest)
+        player = FaultPlayer(rig)
+        sending = asyncio.create_task(
+            rig.clients.send(rate, count * profile.interval, REQUEST_MIX, twins=0.05)
+        )
+        faults = draw_faults(seed, count, profile, sidecars)
         (rig.folder / "faults").write_text("\n".join(map(str, faults)))
         await player.play(faults)
         verdict = await rig.judged(sending)
-        _count_losses(verdict, rig, player.lost)
+        _count_losses(verdict, rig, player.losses)
         defects = rig.defects()
         verdict.counts["defects"] = len(defects)
         if defects:
@@ -71,11 +80,11 @@
         return verdict
 
 
-def _count_losses(verdict: Verdict, rig: Rig, lost: list[Lost]) -> None:
+def _count_losses(verdict: Verdict, rig: Rig, losses: list[ProcessLoss]) -> None:
     """Count what became of the requests that were open where a process was killed."""
     affected: list[Work] = []
     takeover_times = []
-    for loss in lost:
+    for loss in losses:
         for work in rig.clients.done:
             cut_off = any(t.sidecar == loss.name and t.at < loss.at <= (t.ended or 1e18) for t in work.tries)
             if not cut_off or work.until < loss.at + MIN_TIME_LEFT or work.twin:
@@ -86,7 +95,7 @@
                 takeover_times.append(min(later))
     retryable = [w for w in affected if w.category != "buy"]
     verdict.counts |= {
-        "losses": len(lost),
+        "losses": len(losses),
         "in hand at a loss": len(affected),
         "free or ticketed of these": len(retryable),
         "of those finished": sum(w.finished for w in retryable),
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -11,52 +11,68 @@
 from .rig import Rig, Sidecar
 
 # Kinds of faults with their weights: losses of processes, faults of links and of the coordination store.
-LOSSES = {"loss": 3.0, "stop": 1.0}
-LINKS = {"cut": 1.0, "one_way": 1.0, "delay": 1.0, "reset": 1.0}
-ARBITER = {"arbiter_down": 1.0, "arbiter_slow": 1.0, "reply_lost": 1.0, "watch_cut": 1.0, "lease_ended": 1.0}
-PATHS = ("/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive")
+PROCESS_FAULTS = {"loss": 3.0, "stop": 1.0}
+LINK_FAULTS = {"cut": 1.0, "one_way": 1.0, "delay": 1.0, "reset": 1.0}
+STORE_FAULTS = {
+    "arbiter_down": 1.0,
+    "arbiter_slow": 1.0,
+    "reply_lost": 1.0,
+    "watch_cut": 1.0,
+    "lease_ended": 1.0,
+}
+STORE_PATHS = ("/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive")
+MIN_DURATION = 0.1  # seconds
+LINK_DELAY, LINK_LOSS = 0.05, 0.1  # seconds, and the fraction of writes that get lost
+SLOW_STORE_DELAY = 0.3  # seconds
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault. `sidecars`: the numbers of those it is about; `lasts`: seconds."""
+    """One fault. `sidecars`: the numbers of those it is about; `duration`: seconds."""
 
     at: float  # seconds from the start of the work
     kind: str
     sidecars: tuple[int, ...]
-    lasts: float
+    duration: float
 
 
 @dataclass(frozen=True)
-class Lost:
+class ProcessLoss:
     """A process that was killed, and when, on the loop's clock."""
 
     name: str
     at: float
 
 
-def drawn(
-    seed: int, count: int, every: float, kinds: dict[str, float], sidecars: int, longest: float = 1.0
-) -> list[Fault]:
-    """Draw `count` faults, one `every` so many seconds, by their weights."""
+@dataclass(frozen=True)
+class FaultProfile:
+    """Which faults are drawn, and how often. Times are seconds."""
+
+    weights: dict[str, float]  # by kind
+    interval: float  # between two faults, on the mean
+    max_duration: float
+
+
+def draw_faults(seed: int, count: int, profile: FaultProfile, sidecars: int) -> list[Fault]:
+    """Draw so many faults of a profile, for so many sidecars."""
     rng = random.Random(f"{seed}-timetable")
     faults = []
     for number in range(count):
-        kind = rng.choices([*kinds], [*kinds.values()])[0]
-        who = tuple(rng.sample(range(sidecars), 2))
-        at = every * (number + 0.5 + 0.4 * (rng.random() - 0.5))
-        faults.append(Fault(at, kind, who, rng.uniform(0.1, longest)))
+        kind = rng.choices([*profile.weights], [*profile.weights.values()])[0]
+        affected = tuple(rng.sample(range(sidecars), 2))
+        at = profile.interval * (number + 0.5 + 0.4 * (rng.random() - 0.5))
+        faults.append(Fault(at, kind, affected, rng.uniform(MIN_DURATION, profile.max_duration)))
     return faults
 
 
-class Player:
+class FaultPlayer:
     """Plays a timetable on a rig; all faults have ended once `play` has."""
 
     def __init__(self, rig: Rig) -> None:
         """Nothing is played yet."""
         self.rig = rig
-        self.lost: list[Lost] = []
-        self.busy: set[str] = set()  # sidecars that are killed or stopped now
+        self.losses: list[ProcessLoss] = []
+        self.unavailable: set[str] = set()  # sidecars that are killed or stopped now
 
     async def play(self, faults: list[Fault]) -> None:
         """Begin each fault at its time, and wait until all have ended."""
@@ -64,81 +80,85 @@
         tasks = []
         for fault in faults:
             await asyncio.sleep(max(0.0, start + fault.at - asyncio.get_running_loop().time()))
-            tasks.append(asyncio.create_task(self.fault(fault)))
+            tasks.append(asyncio.create_task(self.play_fault(fault)))
         await asyncio.gather(*tasks)
 
-    async def fault(self, fault: Fault) -> None:
+    async def play_fault(self, fault: Fault) -> None:
         """Play one fault to its end."""
         one, other = (self.rig.sidecars[i] for i in fault.sidecars)
         actions: dict[str, Callable[[Sidecar, Sidecar, float], Awaitable[None]]] = {
-            "loss": self._loss, "stop": self._stop, "cut": self._cut, "one_way": self._one_way,
-            "delay": self._delay, "reset": self._reset,
-        }  # fmt: skip
+            "loss": self._kill,
+            "stop": self._pause,
+            "cut": self._partition,
+            "one_way": self._partition_one_way,
+            "delay": self._delay_links,
+            "reset": self._reset_links,
+        }
         if fault.kind in actions:
-            await actions[fault.kind](one, other, fault.lasts)
+            await actions[fault.kind](one, other, fault.duration)
         else:
-            await self._arbiter(fault.kind, one, fault.lasts)
+            await self._play_store_fault(fault.kind, one, fault.duration)
 
-    async def _loss(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
-        if one.name in self.busy:
+    async def _kill(self, one: Sidecar, other: Sidecar, duration: float) -> None:
+        if one.name in self.unavailable:
             return
-        self.busy.add(one.name)
-        self.lost.append(Lost(one.name, asyncio.get_running_loop().time()))
+        self.unavailable.add(one.name)
+        self.losses.append(ProcessLoss(one.name, asyncio.get_running_loop().time()))
         one.kill()
         self.rig.clients.avoid.add(one.name)
-        await asyncio.sleep(lasts / 2)
+        await asyncio.sleep(duration / 2)
         one.start()
         await one.ready()
         self.rig.clients.avoid.discard(one.name)
-        self.busy.discard(one.name)
+        self.unavailable.discard(one.name)
 
-    async def _stop(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
-        if one.name in self.busy:
+    async def _pause(self, one: Sidecar, other: Sidecar, duration: float) -> None:
+        if one.name in self.unavailable:
             return
-        self.busy.add(one.name)
+        self.unavailable.add(one.name)
         one.signal(signal.SIGSTOP)
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         one.signal(signal.SIGCONT)
-        self.busy.discard(one.name)
+        self.unavailable.discard(one.name)
 
-    async def _cut(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
+    async def _partition(self, one: Sidecar, other: Sidecar, duration: float) -> None:
         ways = self.rig.between(one, other)
         for way in ways:
             way.cut = True
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         for way in ways:
             way.cut = False
 
-    async def _one_way(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
+    async def _partition_one_way(self, one: Sidecar, other: Sidecar, duration: float) -> None:
         way, _ = self.rig.between(one, other)
         way.cut = True
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         way.cut = False
 
-    async def _delay(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
+    async def _delay_links(self, one: Sidecar, other: Sidecar, duration: float) -> None:
         ways = self.rig.between(one, other)
         for way in ways:
-            way.delay, way.loss = 0.05, 0.1
-        await asyncio.sleep(lasts)
+            way.delay, way.loss = LINK_DELAY, LINK_LOSS
+        await asyncio.sleep(duration)
         for way in ways:
             way.delay = way.loss = 0.0
 
-    async def _reset(self, one: Sidecar, other: Sidecar, lasts: float) -> None:
+    async def _reset_links(self, one: Sidecar, other: Sidecar, duration: float) -> None:
         one.front.reset(other.host)
         other.front.reset(one.host)
 
-    async def _arbiter(self, kind: str, one: Sidecar, lasts: float) -> None:
+    async def _play_store_fault(self, kind: str, one: Sidecar, duration: float) -> None:
         arbiter = self.rig.arbiter
         if kind == "arbiter_down":
             await arbiter.down()
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             await arbiter.begin()
         elif kind == "arbiter_slow":
-            arbiter.slow = 0.3
-            await asyncio.sleep(lasts)
+            arbiter.slow = SLOW_STORE_DELAY
+            await asyncio.sleep(duration)
             arbiter.slow = 0.0
         elif kind == "reply_lost":
-            for path in PATHS:
+            for path in STORE_PATHS:
                 arbiter.lose[path] = 1
         elif kind == "watch_cut":
             arbiter.compact()
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -7,38 +7,43 @@
 from __future__ import annotations
 
 import asyncio
-import json
 from collections import Counter
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
+
+import msgspec
 
 from fakes.upstream import Run, Upstream
+from starlingwheel.fleet.records import ZonePlan, ZoneState
+from starlingwheel.fleet.zones.planner import ZoneTraffic
 
 from .rig import ROOT, Rig, Sidecar
 from .verdict import Verdict
 
-FAILS_AFTER, FAILS_FOR, PLAYED_AFTER = 3.0, 5.0, 12.0  # seconds: before, while, and after it fails
+BEFORE_DURATION, FAULT_DURATION, AFTER_DURATION = 3.0, 5.0, 12.0  # seconds of each phase
 RATE = 220.0  # requests a second
-MIX = {"look": 2.0, "move": 1.0, "buy": 1.0}
-FOLLOWED_AFTER = 0.5  # seconds from a plan until nothing but trials goes to a zone that it leaves
+REQUEST_MIX = {"look": 2.0, "move": 1.0, "buy": 1.0}
+PLAN_FOLLOWED_AFTER = 0.5  # seconds from a plan until nothing but trials goes to a zone that it leaves
 TRIAL_FRACTION = 0.12  # of what the zone got before, that may go there as trials
+USUAL_PERIOD = 2.0  # seconds before the fault, for what is usual
 MIN_SHARE = 1e-9  # against a division by zero
 FLAP_STEP = 0.05  # seconds between two looks at whether a zone that flaps fails
 REGIONS = {"north": "up", "east": "up", "south": "down"}
 FAILING = "south"
-Act = Callable[[Rig, bool], Awaitable[None]]  # makes it fail, or ends that
+FaultAction = Callable[[Rig, bool], Awaitable[None]]  # makes a zone fail, or ends that
 
 
-def _mode(*zones: str, mode: str, part: int = 1) -> Act:
-    """Every `part`th upstream of those zones is in that mode."""
+def _set_mode(*zones: str, mode: str, every: int = 1) -> FaultAction:
+    """Every `every`th upstream of those zones is in that mode."""
 
-    async def act(rig: Rig, on: bool) -> None:
+    async def action(rig: Rig, on: bool) -> None:
         for number, upstream in enumerate(u for u in rig.upstreams if u.zone in zones):
-            if number % part == 0:
+            if number % every == 0:
                 upstream.mode = mode if on else "ok"
 
-    return act
+    return action
 
 
 def _upstreams(rig: Rig, zone: str) -> list[Upstream]:
@@ -55,7 +60,7 @@
         upstream.slower = 10.0 if on else 1.0
 
 
-async def _cut(rig: Rig, on: bool) -> None:
+async def _partition(rig: Rig, on: bool) -> None:
     """Between it and the sidecars of one other zone."""
     for sidecar in (s for s in rig.sidecars if s.zone == "north"):
         for upstream, relay in zip(rig.upstreams, sidecar.relays, strict=True):
@@ -64,7 +69,7 @@
                     way.cut = on
 
 
-async def _cut_store(rig: Rig, on: bool) -> None:
+async def _partition_store(rig: Rig, on: bool) -> None:
     """Between its sidecars and the coordination store."""
     for sidecar in (s for s in rig.sidecars if s.zone == FAILING):
         for way in sidecar.to_arbiter.link():
@@ -76,7 +81,7 @@
         upstream.mode = "hang" if on and int(asyncio.get_running_loop().time() - rig.start) % 4 < 2 else "ok"
 
 
-async def _cold(rig: Rig, on: bool) -> None:
+async def _restart_cold(rig: Rig, on: bool) -> None:
     """It vanishes, and its upstreams come back cold."""
     await _refuse(rig, on)
     if not on:
@@ -89,29 +94,50 @@
 class Case:
     """What happens, whether leaving helps, and which zones fail."""
 
-    act: Act
-    helps: bool
-    zones: tuple[str, ...]
+    action: FaultAction
+    leaving_helps: bool
+    failing_zones: tuple[str, ...]
 
 
 CASES = {
-    "hang": Case(_mode(FAILING, mode="hang"), True, (FAILING,)),
+    "hang": Case(_set_mode(FAILING, mode="hang"), True, (FAILING,)),
     "refuse": Case(_refuse, True, (FAILING,)),
-    "errors": Case(_mode(FAILING, mode="error"), True, (FAILING,)),
+    "errors": Case(_set_mode(FAILING, mode="error"), True, (FAILING,)),
     "slow": Case(_slow, True, (FAILING,)),
-    "third": Case(_mode(FAILING, mode="lose", part=3), True, (FAILING,)),
-    "half": Case(_mode(FAILING, mode="hang", part=2), True, (FAILING,)),
-    "two": Case(_mode("north", "east", mode="hang"), True, ("north", "east")),
-    "all": Case(_mode("north", "east", "south", mode="hang"), False, ("north", "east", "south")),
-    "release": Case(_mode("north", "east", "south", mode="error", part=2), False, ("north", "east", "south")),
-    "full": Case(_mode(FAILING, mode="refuse", part=2), False, (FAILING,)),
-    "cut": Case(_cut, False, ()),
-    "arbiter": Case(_cut_store, False, ()),
+    "third": Case(_set_mode(FAILING, mode="lose", every=3), True, (FAILING,)),
+    "half": Case(_set_mode(FAILING, mode="hang", every=2), True, (FAILING,)),
+    "two": Case(_set_mode("north", "east", mode="hang"), True, ("north", "east")),
+    "all": Case(_set_mode("north", "east", "south", mode="hang"), False, ("north", "east", "south")),
+    "release": Case(
+        _set_mode("north", "east", "south", mode="error", every=2), False, ("north", "east", "south")
+    ),
+    "full": Case(_set_mode(FAILING, mode="refuse", every=2), False, (FAILING,)),
+    "cut": Case(_partition, False, ()),
+    "arbiter": Case(_partition_store, False, ()),
     "flap": Case(_flap, True, (FAILING,)),
-    "cold": Case(_cold, True, (FAILING,)),
+    "cold": Case(_restart_cold, True, (FAILING,)),
 }
 
 
+class FaultPeriod(NamedTuple):
+    """When zones failed, on the loop's clock."""
+
+    failed_at: float
+    recovered_at: float
+
+
+class WrittenPlan(NamedTuple):
+    """A plan that the coordination store has had."""
+
+    at: float  # when it was written, on the loop's clock
+    zones: dict[str, ZoneState]
+
+    @property
+    def left_zones(self) -> set[str]:
+        """The zones that it leaves."""
+        return {name for name, zone in self.zones.items() if zone.state == ZoneTraffic.LEFT}
+
+
 class ZoneRig(Rig):
     """With a plan for zones, unless `planned` is False."""
 
@@ -131,7 +157,7 @@
     root: Path = ROOT,
     fleet: bool = True,
     case: str = "hang",
-    after: float = PLAYED_AFTER,
+    after: float = AFTER_DURATION,
 ) -> Verdict:
     """Play one case; `fleet` False: without a plan, each sidecar alone. `after`: seconds played after it."""
     played = CASES[case]
@@ -140,24 +166,24 @@
     async with rig:
         loop = asyncio.get_running_loop()
         sending = asyncio.create_task(
-            rig.clients.send(RATE, FAILS_AFTER + FAILS_FOR + after, MIX, named=False)
+            rig.clients.send(RATE, BEFORE_DURATION + FAULT_DURATION + after, REQUEST_MIX, named=False)
         )
-        await asyncio.sleep(FAILS_AFTER)
-        failed = loop.time()
-        await played.act(rig, True)
+        await asyncio.sleep(BEFORE_DURATION)
+        failed_at = loop.time()
+        await played.action(rig, True)
         if case == "flap":
-            while loop.time() < failed + FAILS_FOR:
-                await played.act(rig, True)
+            while loop.time() < failed_at + FAULT_DURATION:
+                await played.action(rig, True)
                 await asyncio.sleep(FLAP_STEP)
-        await asyncio.sleep(max(0.0, failed + FAILS_FOR - loop.time()))
-        back = loop.time()
-        await played.act(rig, False)
+        await asyncio.sleep(max(0.0, failed_at + FAULT_DURATION - loop.time()))
+        period = FaultPeriod(failed_at, loop.time())
+        await played.action(rig, False)
         await sending
         await rig.clients.rest(rig.clients.waits + 1)
         verdict = Verdict()
-        _count(verdict, rig, played.zones, failed, back, after)
+        _count(verdict, rig, played.failing_zones, period, after)
         if fleet:
-            _judge(verdict, rig, played, failed, back)
+            _judge(verdict, rig, played, period)
         if defects := rig.defects():
             verdict.broken.append(f"a defect: {defects[0]}")
         return verdict
@@ -168,23 +194,23 @@
     return [run for run in rig.runs if run.upstream in names and begin <= run.at < end]
 
 
-def _count(
-    verdict: Verdict, rig: Rig, zones: tuple[str, ...], failed: float, back: float, after: float
-) -> None:
+def _count(verdict: Verdict, rig: Rig, zones: tuple[str, ...], period: FaultPeriod, after: float) -> None:
     requests = rig.clients.done
-    meanwhile = [request for request in requests if failed <= request.at < back]
+    failed_at, recovered_at = period.failed_at, period.recovered_at
+    meanwhile = [request for request in requests if failed_at <= request.at < recovered_at]
     first_ends = Counter(request.tries[0].end for request in meanwhile if request.tries)
-    usual = _share(rig, zones, failed - 2.0, failed)
-    seconds = [back + second for second in range(int(after))]
+    usual = _share(rig, zones, failed_at - USUAL_PERIOD, failed_at)
+    seconds = [recovered_at + second for second in range(int(after))]
     shares = [round(_share(rig, zones, at, at + 1.0) / max(usual, MIN_SHARE), 2) for at in seconds]
+    seconds_failing = [failed_at + second for second in range(int(recovered_at - failed_at))]
     verdict.counts |= {
         "work": len(requests),
         "finished": sum(request.finished for request in requests),
         "while it failed": len(meanwhile),
         "finished of these": sum(request.finished for request in meanwhile),
         "first answers": dict(sorted(first_ends.items())),
-        "sent there meanwhile": len(_sent(rig, zones, failed, back)),
-        "by second": [len(_sent(rig, zones, failed + i, failed + i + 1)) for i in range(int(back - failed))],
+        "sent there meanwhile": len(_sent(rig, zones, failed_at, recovered_at)),
+        "by second": [len(_sent(rig, zones, at, at + 1)) for at in seconds_failing],
         "usual share": round(usual, 2),
         "of that after its return": shares,
     }
@@ -199,51 +225,45 @@
     return [run for run in rig.runs if begin <= run.at < end]
 
 
-def plans(rig: Rig) -> list[tuple[float, dict[str, dict[str, object]]]]:
-    """The zones of each plan, and when it was written, as the coordination store has it."""
+def written_plans(rig: Rig) -> list[WrittenPlan]:
+    """Each plan that the coordination store has had."""
     return [
-        (at, json.loads(value)["zones"])
+        WrittenPlan(at, msgspec.json.decode(value, type=ZonePlan).zones)
         for at, key, value in rig.arbiter.written
         if key == "/trial/zones/plan"
     ]
 
 
-def _judge(verdict: Verdict, rig: Rig, case: Case, failed: float, back: float) -> None:
-    written = plans(rig)
-    left_zones = [
-        (at, {name for name, zone in plan.items() if zone["state"] == "left"}) for at, plan in written
-    ]
-    left_at = next((at for at, names in left_zones if names and at >= failed), None)
-    complete_at = next((at for at, plan in written if at > back and not plan), None)
-    verdict.counts["left after ms"] = round((left_at - failed) * 1000) if left_at else None
-    verdict.counts["whole after s"] = round(complete_at - back, 1) if complete_at else None
-    verdict.counts["plans"] = len(written)
-    for _, names in left_zones:
-        if not case.helps and names:
-            verdict.broken.append(f"left where it does not help: {names}")
-        elif names - set(case.zones):
-            verdict.broken.append(f"left one that works: {names}")
-    if left_at is not None and left_at < back:
-        plan = next(plan for at, plan in written if at == left_at)
-        _judge_trials(verdict, rig, case.zones, plan, (failed, left_at, back))
+def _judge(verdict: Verdict, rig: Rig, case: Case, period: FaultPeriod) -> None:
+    plans = written_plans(rig)
+    failed_at, recovered_at = period.failed_at, period.recovered_at
+    left = next((plan for plan in plans if plan.left_zones and plan.at >= failed_at), None)
+    complete = next((plan for plan in plans if plan.at > recovered_at and not plan.zones), None)
+    verdict.counts["left after ms"] = round((left.at - failed_at) * 1000) if left else None
+    verdict.counts["whole after s"] = round(complete.at - recovered_at, 1) if complete else None
+    verdict.counts["plans"] = len(plans)
+    for plan in plans:
+        if not case.leaving_helps and plan.left_zones:
+            verdict.broken.append(f"left where it does not help: {plan.left_zones}")
+        elif plan.left_zones - set(case.failing_zones):
+            verdict.broken.append(f"left one that works: {plan.left_zones}")
+    if left is not None and left.at < recovered_at:
+        _judge_trials(verdict, rig, case.failing_zones, left, period)
 
 
 def _judge_trials(
-    verdict: Verdict,
-    rig: Rig,
-    zones: tuple[str, ...],
-    plan: dict[str, dict[str, object]],
-    times: tuple[float, float, float],
+    verdict: Verdict, rig: Rig, zones: tuple[str, ...], plan: WrittenPlan, period: FaultPeriod
 ) -> None:
-    """Nothing but trials is sent to zones that a plan leaves. `times`: failed, left, back."""
-    failed, left_at, back = times
-    usual = len(_sent(rig, zones, failed - 2.0, failed)) / 2.0
-    allowed = TRIAL_FRACTION * usual * (back - left_at - FOLLOWED_AFTER) + 4
-    sent = _sent(rig, zones, left_at + FOLLOWED_AFTER, back)
+    """Nothing but trials is sent to zones that a plan leaves."""
+    usual = len(_sent(rig, zones, period.failed_at - USUAL_PERIOD, period.failed_at)) / USUAL_PERIOD
+    followed_at = plan.at + PLAN_FOLLOWED_AFTER
+    allowed = TRIAL_FRACTION * usual * (period.recovered_at - plan.at - PLAN_FOLLOWED_AFTER) + 4
+    sent = _sent(rig, zones, followed_at, period.recovered_at)
     verdict.counts["after it was followed"] = len(sent)
-    first = next(iter(plan.values()), {})
-    is_left_for_trials = float(first.get("share", 0)) <= TRIAL_FRACTION / 2
-    if is_left_for_trials and len(sent) > allowed and back - left_at > FOLLOWED_AFTER:
+    first = next(iter(plan.zones.values()))
+    is_left_for_trials = first.share <= TRIAL_FRACTION / 2
+    has_followed = period.recovered_at - plan.at > PLAN_FOLLOWED_AFTER
+    if is_left_for_trials and len(sent) > allowed and has_followed:
         verdict.broken.append(f"{len(sent)} sent there after the plan was to be followed, {allowed:.0f} may")
 
 
