--- a/starlingwheel/cli/zones.py
+++ b/starlingwheel/cli/zones.py
@@ -24,36 +24,36 @@
         click.echo(f"{name}: {zone['state']}, share {zone['share']:.3f}: {zone['why']}{by_operator}")
 
 
-def _override(at: str, zone: str, action: str, why: str) -> None:
-    change(at, f"/_zones/{action}", {"zone": zone} | ({"why": why} if why else {}))
+def _change_plan(at: str, zone: str, action: str, reason: str) -> None:
+    change(at, f"/_zones/{action}", {"zone": zone} | ({"why": reason} if reason else {}))
     click.echo(f"{zone}: {action}")
 
 
-why_option = click.option("--why", default="", help="The reason, for those who look at it.")
+reason_option = click.option("--why", "reason", default="", help="The reason, for those who look at it.")
 
 
 @zones.command()
 @click.argument("zone")
-@why_option
+@reason_option
 @at_option
-def leave(zone: str, why: str, at: str) -> None:
+def leave(zone: str, reason: str, at: str) -> None:
     """Send nothing more to ZONE, until it is returned to."""
-    _override(at, zone, "leave", why)
+    _change_plan(at, zone, "leave", reason)
 
 
 @zones.command(name="return")
 @click.argument("zone")
-@why_option
+@reason_option
 @at_option
-def return_to(zone: str, why: str, at: str) -> None:
+def return_to(zone: str, reason: str, at: str) -> None:
     """Begin to return to ZONE, by the ramp."""
-    _override(at, zone, "return", why)
+    _change_plan(at, zone, "return", reason)
 
 
 @zones.command()
 @click.argument("zone")
-@why_option
+@reason_option
 @at_option
-def hold(zone: str, why: str, at: str) -> None:
+def hold(zone: str, reason: str, at: str) -> None:
     """Keep the share of ZONE as it is."""
-    _override(at, zone, "hold", why)
+    _change_plan(at, zone, "hold", reason)
