--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .membership import MOST_CELLS, Member, MembershipView
+from .membership import MAX_SHARDS, Member, MembershipView
 from .policy.document import Body
 
 # Keys under the fleet's name. A prefix is followed by what stands in the comment.
@@ -259,7 +259,7 @@
         self.cells = self.cells if self.revision else self.previous_cells
         self.cells_mod, self.cells_unreadable = entry.mod, True
         sharding = msgspec.json.decode(entry.value, type=Sharding)
-        if not 1 <= sharding.count <= MOST_CELLS or sharding.count & (sharding.count - 1):
+        if not 1 <= sharding.count <= MAX_SHARDS or sharding.count & (sharding.count - 1):
             raise ValueError(f"{sharding.count} cells")
         self.cells, self.divided_at, self.cells_unreadable = sharding.count, sharding.at, False
 
--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -34,7 +34,7 @@
         was_replica = request.state is RequestState.REPLICA
         of_other_cell = was_replica and self.views.is_outside(request.owner, request)
         informed = coordinator in request.replicas and (
-            self.views.view.cells == 1 or coordinator in self.links
+            self.views.view.shard_count == 1 or coordinator in self.links
         )
         # An owner of another cell informs the coordinator that it sees by itself.
         informed = informed or (of_other_cell and request.contact == coordinator)
@@ -122,7 +122,7 @@
             return
         if not self.views.is_outside(request.owner, request):
             return
-        member = self.views.view.home(request.key, but=coordinator)
+        member = self.views.view.coordinator(request.key, excluding=coordinator)
         if member in self.links and member != request.informed_coordinator:
             request.informed_coordinator = member
             self._send_finished(request, member)
--- a/starlingwheel/fleet/replication/replica.py
+++ b/starlingwheel/fleet/replication/replica.py
@@ -78,7 +78,7 @@
         if request is not None and request.key_is_reusable:
             self.table.forget(request)
             request = None
-        coordinator = self.views.view.home(frame.key)
+        coordinator = self.views.view.coordinator(frame.key)
         requests_grant = frame.requests_grant and (
             coordinator == self.context.member_id or not frame.is_granted
         )
@@ -164,7 +164,7 @@
         if self.table.is_full:
             self.records.send_state(claim.member, claim.frame, ReplicaVerdict.OUT_OF_MEMORY)
             return
-        self.table.add_replica(claim.frame, self.views.view.cells > 1)
+        self.table.add_replica(claim.frame, self.views.view.shard_count > 1)
         self.context.counts["kept"] += 1
         self.records.acknowledge(claim.member, claim.frame, granted)
 
@@ -192,7 +192,7 @@
                 state = ReplicaVerdict.IN_PROGRESS
                 request.waiting_members[member] = None
         # Whether somebody is linked to its coordinator: nobody may replace that then.
-        coordinator = self.views.view.home(frame.key)
+        coordinator = self.views.view.coordinator(frame.key)
         reachable = coordinator in self.links or coordinator == self.context.member_id
         where = coordinator if reachable else ""
         self.records.send(member, ReplicaStateFrame(frame.key, 0, state, 0, response, where))
@@ -203,7 +203,7 @@
         request = self.table.get(key)
         if request is None:
             return  # recording it was rejected, or it is over
-        coordinator = self.views.view.home(key)
+        coordinator = self.views.view.coordinator(key)
         coordinates = coordinator == self.context.member_id
         if request.state is RequestState.DONE:
             self.records.send(
@@ -229,7 +229,7 @@
 
     def _acknowledge_intent(self, member: str, frame: AttemptIntentFrame, request: ReplicatedRequest) -> None:
         """Acknowledge a recorded intent, at once or when the views agree."""
-        coordinator = self.views.view.home(frame.key)
+        coordinator = self.views.view.coordinator(frame.key)
         if self.views.is_outside(member, request) and frame.coordinator != coordinator:
             self.records.unagreed[member, frame.key] = frame.coordinator
         elif coordinator == self.context.member_id and not self.views.may_grant(frame.key):
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -134,7 +134,7 @@
             case StoreRead(records, gap):
                 self.policy_replica.update_records(records, gap)
                 self._ask_for_policy_statuses()
-                self.zone_controller.recorded(records, now)
+                self.zone_controller.update_records(records, now)
             case LinkUp(member, link):
                 self.links[member] = link
                 self.replicator.link_up(member)
@@ -168,7 +168,7 @@
         self.log(
             "view",
             members=len(view.members),
-            cells=view.cells,
+            cells=view.shard_count,
             digest=view.digest,
             ours=self.member_id in view,
         )
@@ -205,7 +205,7 @@
         policy_status = self.policy_replica.status() if with_policy_status or in_doubt else None
         view = self.replicator.view
         # Links within our own cell stay whether they are needed or not.
-        other_cell = view.cell_of(member) != view.cell_of(self.member_id)
+        other_cell = view.shard_of_member(member) != view.shard_of_member(self.member_id)
         idle = other_cell and not self.replicator.needs_link(member)
         return HeartbeatFrame(self.replicator.digest, in_doubt, policy_status, idle)
 
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -10,7 +10,7 @@
 
 from ...fleet.membership import Member
 from ...fleet.policy.replica import PolicyReplica
-from ...fleet.records import PastProposal, Policy, StoreRecords
+from ...fleet.records import PastProposal, Policy, StoreRecords, ZoneHealth, ZonePlan
 
 if TYPE_CHECKING:
     from .member import FleetMember
@@ -63,18 +63,30 @@
     counts: Mapping[str, int]
 
 
+class ZonesReport(
+    msgspec.Struct, rename={"reports": "said", "healthy_rates": "most", "lease_expired": "cut_off"}
+):
+    """The plan of the zones, and what it rests on."""
+
+    plan: ZonePlan
+    seen: dict[str, ZoneHealth]  # by this member, of each zone
+    reports: dict[str, dict[str, ZoneHealth]]  # by member name, of each zone
+    healthy_rates: Mapping[str, float]  # attempts a second, the highest at which a zone was healthy
+    lease_expired: bool
+
+
 def member_report(fleet: FleetMember) -> MemberReport:
     """Return the report of a member."""
     replicator = fleet.host.replicator
     view = replicator.view
-    shard = view.cell_of(fleet.member_id)
-    shard_members = view.members_of_cell(shard)
+    shard = view.shard_of_member(fleet.member_id)
+    shard_members = view.members_of_shard(shard)
     return MemberReport(
         member=fleet.member_id,
         in_view=fleet.member_id in view,
         lease_s=round(max(0.0, replicator.lease_until - fleet.loop.now()), 3),
         settled=replicator.is_synced,
-        cells=ShardReport(view.cells, shard, list(shard_members), len(view.members)),
+        cells=ShardReport(view.shard_count, shard, list(shard_members), len(view.members)),
         view=list(shard_members.values()),
         links=sorted(replicator.links),
         items=Counter(item.state.value for item in replicator.requests.values()),
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -149,7 +149,7 @@
 def test_random_frames_leave_nothing_behind():
     rng = random.Random(3)
     world = World(1, 3)
-    world.until(1.0)
+    world.run_until(1.0)
     one, other, third = world.alive()
     keys = [b"a", b"b", b"c"]
     asked = frames.RecordedRequest(b"POST", b"/x", [], b"", b"")
@@ -184,8 +184,8 @@
         one.replicator.now = world.now
         one.replicator.frame_received(rng.choice((other.id, third.id)), frame)
         if rng.random() < 0.05:
-            world.until(world.now + 0.05)
-    world.until(world.now + 8.0)
+            world.run_until(world.now + 0.05)
+    world.run_until(world.now + 8.0)
     assert not one.replicator.requests and not one.replicator.records.held
 
 
@@ -193,12 +193,12 @@
     members = [Member(f"n{i}", f"n{i}", "", "ab"[i % 2]) for i in range(12)]
     view, less = MembershipView(members), MembershipView(members[1:])
     keys = [b"%d" % i for i in range(600)]
-    assert all(less.home(k) == view.home(k) for k in keys if view.home(k) != "n0")
-    assert all(less.home(k) == view.home(k, but="n0") for k in keys)
-    counts = [sum(view.home(k) == m.id for k in keys) for m in members]
+    assert all(less.coordinator(k) == view.coordinator(k) for k in keys if view.coordinator(k) != "n0")
+    assert all(less.coordinator(k) == view.coordinator(k, excluding="n0") for k in keys)
+    counts = [sum(view.coordinator(k) == m.id for k in keys) for m in members]
     assert min(counts) > 25
     for key in keys:
-        keepers = view.keepers(key, "n0", 1, view.members)
+        keepers = view.replicas(key, "n0", 1, view.members)
         assert "n0" not in keepers and any(view.members[k].zone == "b" for k in keepers)
 
 
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -116,12 +116,12 @@
 
     def __init__(self, view: MembershipView, cells: int) -> None:
         """`cells`: their count before."""
-        super().__init__(view.members.values(), view.cells, view.cut_at)
+        super().__init__(view.members.values(), view.shard_count, view.divided_at)
         self.old = MembershipView(view.members.values(), cells)
 
-    def ranks(self, key: bytes) -> list[Member]:
+    def ranked_members(self, key: bytes) -> list[Member]:
         """The members that are responsible for a key, as before."""
-        return self.old.ranks(key)
+        return self.old.ranked_members(key)
 
 
 class OutdatedCells(RequestReplicator):
@@ -131,9 +131,11 @@
         """Another view holds; some members see the old coordinators in it."""
         known = self.views.view
         lags = (
-            known.members and view.cells != known.cells and member_position(self.context.member_id) >> 8 & 1
+            known.members
+            and view.shard_count != known.shard_count
+            and member_position(self.context.member_id) >> 8 & 1
         )
-        super().view_changed(OutdatedView(view, known.cells) if lags else view, gap)
+        super().view_changed(OutdatedView(view, known.shard_count) if lags else view, gap)
 
 
 class CoordinatorSuffices(RequestPlacement):
@@ -238,23 +240,23 @@
 class MinorityLeaves(ZonePlanner):
     """A zone is left when anybody says that it fails."""
 
-    def _agreed(self, zone: str) -> bool:
-        return any(zone in said.zones and said.zones[zone].failing for said in self.said.values())
+    def _is_failing(self, zone: str) -> bool:
+        return any(zone in said.zones and said.zones[zone].failing for said in self.reports.values())
 
 
 class CapacityIgnored(ZonePlanner):
     """A zone that fails in part is left whole, whatever the others bear."""
 
-    def _part(self, name: str, failing: list[str], known: dict[str, tuple[float, float]]) -> float:
+    def _moved_fraction(self, name: str, failing: list[str], known: dict[str, tuple[float, float]]) -> float:
         return 1.0
 
 
 class RampNotShared(ZonePlanner):
     """Each begins to return by itself as soon as it knows that the others do: with all it has."""
 
-    def _share(self, back: Iterable[str]) -> None:
+    def _apply_shares(self, returning: Iterable[str]) -> None:
         shares = {n: 1.0 if z.state == "returning" else z.share for n, z in self.plan.zones.items()}
-        self.host.shares(shares, back)
+        self.host.set_zone_shares(shares, returning)
 
 
 ZONE_VARIANTS = {MinorityLeaves: "cut", CapacityIgnored: "near-full", RampNotShared: "hang"}
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -37,7 +37,8 @@
     ZoneHealth,
     ZoneReport,
 )
-from starlingwheel.fleet.zones import planner as zones
+from starlingwheel.fleet.zones.health import ZoneHealthTracker
+from starlingwheel.fleet.zones.planner import ZonePlanner
 from starlingwheel.net.fleet.etcd import StateWatcher
 from starlingwheel.net.fleet.etcd.messages import RangeReply, WatchLine, decode_reply
 from starlingwheel.net.loop import Loop
@@ -105,10 +106,7 @@
     def log_event(self, event: str, **fields: object) -> None:
         """Log nothing."""
 
-    def note(self, event: str, **fields: object) -> None:
-        """Log nothing."""
-
-    def shares(self, shares: object, back: object) -> None:
+    def set_zone_shares(self, shares: object, returning: object) -> None:
         """Apply no shares of zones."""
 
 
@@ -169,8 +167,8 @@
         self.policy_replica = PolicyReplica(me.id, me.name, LEASE, NullHost(), self.now, StoredPolicy(FLEET))
         self.policy_replica.is_decision_known, self.policy_replica.vote = True, Vote(7, "")
         self.policy_replica.lease_renewed(self.now + LEASE, 1)
-        tracker = zones.ZoneHealthTracker(2.0, self.now)
-        self.zone_planner = zones.ZonePlanner(me.id, LEASE, {}, {}, NullHost(), tracker)
+        tracker = ZoneHealthTracker(2.0, self.now)
+        self.zone_planner = ZonePlanner(me.id, LEASE, {}, {}, NullHost(), tracker)
         self.revision = 10_000
         loop.close()
 
@@ -179,7 +177,7 @@
         if records is not None:
             self.recorded = records
             self.policy_replica.update_records(records, False)
-            self.zone_planner.recorded(records)
+            self.zone_planner.update_records(records)
             self.policy_replica.due()
 
     def _receive(self, text: bytes) -> None:
@@ -208,8 +206,8 @@
 
     def weigh(self) -> None:
         """Evaluate the reports of all members, as happens eight times a second or so, in calm."""
-        self.zone_planner.look_at = -1.0
-        self.zone_planner._next()  # noqa: SLF001  # one step, whatever the time
+        self.zone_planner.evaluate_at = -1.0
+        self.zone_planner.plan_next()  # one step, whatever the time
 
     def full_range(self) -> bytes:
         """Encode what a start reads: members, names, reports of zones, policy."""
--- a/trials/capacity/roles.py
+++ b/trials/capacity/roles.py
@@ -11,7 +11,8 @@
 from starlingwheel.decisions.gossip import MESSAGES_PER_OBJECTIVE
 from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY
 from starlingwheel.fleet.policy.transactions import MAX_COMPARED_MEMBERS
-from starlingwheel.fleet.zones import planner as zones
+from starlingwheel.fleet.zones.health import WINDOW_OBJECTIVES
+from starlingwheel.fleet.zones.reporter import MAX_REPORT_INTERVAL_LEASES
 from starlingwheel.net.fleet.etcd.http_connection import MAX_REPLY_SIZE
 from starlingwheel.net.fleet.etcd.state_watcher import MAX_ENTRIES
 from starlingwheel.net.fleet.links import timing
@@ -198,8 +199,8 @@
 
 def _zone_rows(size: Size, figures: Figures) -> list[Row]:
     n, at = size.sidecars, figures.at
-    reports = n / (zones.AGAIN * LEASE)  # a second
-    weighed = 16 / (zones.WINDOW * size.due)  # times a second
+    reports = n / (MAX_REPORT_INTERVAL_LEASES * LEASE)  # a second
+    weighed = 16 / (WINDOW_OBJECTIVES * size.due)  # times a second
     role = "zones"
     return [
         Row(
