--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -73,6 +73,14 @@
     assert arbiter["watch_events_s"] == 0 and arbiter["sockets"] >= 2 * size
 
 
+def test_members_understand_the_frames_of_replicated_requests() -> None:
+    """Requests are answered, and no link ends for a frame that cannot be decoded."""
+    hollow = run(25, "--phases", "work")["hollow"]
+    assert not hollow["defects"] and "unreadable" not in hollow["reasons"]
+    assert "ReplicateFrame" in hollow["frames_in"]
+    assert hollow["counts"]["answered_200"] > 0
+
+
 @pytest.mark.parametrize(
     ("given", "word"),
     [
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -21,6 +21,7 @@
     RecordedResponse,
     ReplicaStateFrame,
     ReplicateFrame,
+    RequestClassRecord,
     ResponseFrame,
     ViewSyncedFrame,
 )
@@ -70,12 +71,13 @@
     headers = [(b"host", b"orders.internal"), (b"x-qos", b"order"), (b"x-expires-in-ms", b"1900")]
     headers += [(b"x-work-name", b"k" * 32), (b"x-trace-id", b"t" * 32), (b"content-type", b"text/plain")]
     asked = RecordedRequest(b"POST", b"/order/1", headers, b"b" * 256, b"t" * 32)
-    rules = RequestClass("order", RetrySafety.NON_IDEMPOTENT, 1.0, 8.0, 2.0)
+    request_class = RequestClass("order", RetrySafety.NON_IDEMPOTENT, 1.0, 8.0, 2.0)
+    class_record = RequestClassRecord.of(request_class)
     return {
         "beat": HeartbeatFrame(1 << 54, False, policy_status(me)),
         "told": ViewSyncedFrame(1 << 54),
         "cover": ReplicateFrame(
-            key, me.id, 0, True, mark, "order", "exclusive", at, at, False, asked, [], False, rules
+            key, me.id, 0, True, mark, "order", "exclusive", at, at, False, asked, [], False, class_record
         ),
         "intend": AttemptIntentFrame(key, 0, 0, AttemptIntent("10.0.0.1:8080", "zone-1", 3, at)),
         "kept": ReplicaStateFrame(key, 0, "new", 1),
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -11,7 +11,13 @@
 
 from starlingwheel.decisions.config import BalancerConfig
 from starlingwheel.fleet.config import FleetConfig, ReplicationConfig
-from starlingwheel.fleet.frames import AttemptIntent, RecordedRequest, RecordedResponse, ReplicateFrame
+from starlingwheel.fleet.frames import (
+    AttemptIntent,
+    RecordedRequest,
+    RecordedResponse,
+    ReplicateFrame,
+    RequestClassRecord,
+)
 from starlingwheel.fleet.replication.request import (
     FAILED,
     FINISHED,
@@ -136,7 +142,7 @@
             False,
             RecordedRequest(b"POST", b"/" + name, [], b"", name),
             [],
-            class_record=request_class,
+            class_record=RequestClassRecord.of(request_class),
         )
         result, request = self.replicator.begin(frame, object(), deadline)
         self.counts[result.value] += 1
@@ -195,5 +201,5 @@
         """Count a reload of the configuration."""
         self.counts["retuned"] += 1
 
-    def share(self, shares: object, back: object) -> None:
+    def set_zone_shares(self, shares: object, returning: object) -> None:
         """Ignore a plan for zones: there is nothing here that it concerns."""
