--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -15,14 +15,15 @@
 NO_IO = {"asyncio", "io", "logging", "os", "select", "selectors", "socket", "subprocess", "threading", "time"}
 # Identifiers of the withdrawn house style and field names of the wire (naming.md).
 WITHDRAWN = {
-    "wi", "ho", "errand", "fate", "listing", "news", "due_time", "payoff", "patience", "expiry", "stretch",
-    "hand_off", "handed", "stake", "trickle", "hushed", "untold", "crowded", "door", "chores", "retune",
-    "Terms", "Category", "Customer", "Listing", "News", "WorkItem", "HandOff", "Fate", "Outcome", "Door",
-    "Runner", "Steps", "patienceLeft", "dueTime", "coolDown", "mostHandOffs", "doneFlag", "upSince",
-    "Covering", "Speaker", "Lessee", "Clerk", "Scribe", "Onlooker", "Knock", "Inquiry", "Ledger", "Pulse",
-    "Stopper", "Job", "Errand", "Operators", "Unfit", "Node", "arbiter", "cover", "keeper", "keepers",
-    "struck", "beat", "uneasy", "lapsed", "upto", "asks", "told", "heard", "take_out", "put_back", "rerunnable",
-    "ticketed", "written_off", "turned_down", "unreached", "cold", "warmth", "room", "upstream", "upstreams",
+    "wi", "ho", "errand", "fate", "listing", "news", "due_time", "payoff", "patience", "expiry",
+    "stretch", "hand_off", "handed", "stake", "trickle", "hushed", "untold", "crowded", "door",
+    "chores", "retune", "Terms", "Category", "Customer", "Listing", "News", "WorkItem", "HandOff",
+    "Fate", "Outcome", "Door", "Runner", "Steps", "patienceLeft", "dueTime", "coolDown", "mostHandOffs",
+    "doneFlag", "upSince", "Covering", "Speaker", "Lessee", "Clerk", "Scribe", "Onlooker", "Knock",
+    "Inquiry", "Ledger", "Pulse", "Stopper", "Job", "Errand", "Operators", "Unfit", "Node", "arbiter",
+    "cover", "keeper", "keepers", "struck", "beat", "uneasy", "lapsed", "upto", "asks", "told", "heard",
+    "take_out", "put_back", "rerunnable", "ticketed", "written_off", "turned_down", "unreached", "cold",
+    "warmth", "room", "upstream", "upstreams",
 }  # fmt: skip
 
 
