--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -8,29 +8,24 @@
 from __future__ import annotations
 
 import random
-from collections import Counter
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from enum import StrEnum
-from math import inf
 from typing import Any, NamedTuple
 
 import msgspec
 
 from starlingwheel.fleet.membership import Member
 from starlingwheel.fleet.records import MEMBERS_PREFIX, StoreRecords, Transaction, ZonePlan
-from starlingwheel.fleet.zones.health import ZoneAttemptResult, ZoneHealthTracker
+from starlingwheel.fleet.zones.health import ZoneAttemptResult
 from starlingwheel.fleet.zones.planner import ZonePlanner, ZoneTraffic
 
 from .emulated.events import EventQueue
 from .emulated_store import EmulatedStore
 from .emulated_zone_cases import CASES, FAILING, ZONES, Case
+from .emulated_zone_member import OBJECTIVE, EmulatedMember
 
-REGIONS = {"north": "up", "east": "up", "south": "down"}
 # Seconds:
-LEASE = 2.0
-OBJECTIVE = 1.0  # the latency objective
-FIRST_EJECTION, MAX_EJECTION = OBJECTIVE / 2, 2 * OBJECTIVE
 SERVICE_TIME = 0.08
 STEP = 0.05  # between the steps of the fleet
 HEDGE_DELAY = 0.3  # after which an idempotent request is sent to another zone too
@@ -40,12 +35,10 @@
 RATE_WINDOW = 0.5  # that a zone's rate is taken over
 WARM_UP = 6.0  # of a zone that comes back cold
 
-LOCAL_FRACTION = 0.8  # of a member's attempts that go to its own zone
 RATE = 6.0  # requests a second of a member
 NON_IDEMPOTENT_FRACTION = 0.25
 COLD_CAPACITY = 0.25  # of its capacity that a cold zone has at first
 OVERLOAD_MULTIPLE = 2.0  # times the capacity of a cold zone at which it falls over
-FAILURES_BEFORE_EJECTION = 3  # in a row
 MAX_RETRIES = 2
 TIMEOUT_FRACTION = 0.9  # of the objective, after which nothing more is sent
 SCARCE_CAPACITY = 1.5  # times the usual rate, below which capacities are given in the configuration
@@ -61,13 +54,6 @@
     KNOWN = "known"  # with full knowledge of what fails
 
 
-class Ejection(NamedTuple):
-    """Why a member does not select a zone. Times are seconds."""
-
-    until: float
-    duration: float  # without its jitter
-
-
 class WrittenPlan(NamedTuple):
     """A plan that the coordination store has had."""
 
@@ -75,58 +61,6 @@
     plan: ZonePlan
 
 
-class EmulatedMember:
-    """One member: what it sees and plans, and a plain selection of zones. It is the planner's host."""
-
-    def __init__(self, world: World, number: int) -> None:
-        """`number`: gives its name, and its zone by turns."""
-        self.world, self.zone = world, ZONES[number % len(ZONES)]
-        self.id = f"n{number}.0"
-        self.zone_health = ZoneHealthTracker(OBJECTIVE, world.now)
-        self.zone_planner = world.planner_type(
-            self.id, LEASE, REGIONS, world.configured_capacities, self, self.zone_health
-        )
-        self.zone_shares: dict[str, float] = {}
-        self.failures_in_a_row: Counter[str] = Counter()
-        self.ejected: dict[str, Ejection] = {}  # by zone
-        self.next_write_at = -inf
-
-    def set_zone_shares(self, shares: Mapping[str, float], returning: Iterable[str]) -> None:
-        """Take over the shares, and lift ejections of zones that come back."""
-        self.zone_shares = dict(shares)
-        for zone in returning:
-            self.ejected.pop(zone, None)
-            self.failures_in_a_row[zone] = 0
-
-    def log_event(self, event: str, **fields: object) -> None:
-        """Nothing is logged."""
-
-    def select_zone(self, excluded: str = "") -> str:
-        """A zone for an attempt; empty: there is none."""
-        rng = self.world.rng
-        unusable = {zone for zone, share in self.zone_shares.items() if rng.random() >= share} | {excluded}
-        unusable |= {zone for zone, one in self.ejected.items() if self.world.now < one.until}
-        usable = [zone for zone in ZONES if zone not in unusable]
-        if not usable:
-            return ""
-        if self.zone in usable and rng.random() < LOCAL_FRACTION:
-            return self.zone
-        return rng.choice(usable)
-
-    def attempt_ended(self, zone: str, answered: bool) -> None:
-        """Eject a zone after failures in a row, each time for longer."""
-        if answered:
-            self.failures_in_a_row[zone] = 0
-            self.ejected.pop(zone, None)
-            return
-        self.failures_in_a_row[zone] += 1
-        if self.failures_in_a_row[zone] >= FAILURES_BEFORE_EJECTION:
-            before = self.ejected[zone].duration if zone in self.ejected else FIRST_EJECTION / 2
-            duration = min(2 * before, MAX_EJECTION)
-            until = self.world.now + duration * self.world.rng.uniform(0.5, 1.5)
-            self.ejected[zone] = Ejection(until, duration)
-
-
 @dataclass
 class EmulatedRequest:
     """A request of one member's client."""
