--- a/starlingwheel/net/fleet/policy_poller.py
+++ b/starlingwheel/net/fleet/policy_poller.py
@@ -70,7 +70,7 @@
             MemberQuery(self.links, address, replica.decided_version).begin()
         if replica.promise is not None and now >= max(replica.promise.at, self.register_again_at):
             # The watch may have gone silent just when the decision is waited for.
-            self.register_at = now + replica.lease
+            self.register_again_at = now + replica.lease
             self.state_watcher.post(RESTART_WATCH)
 
     def _addresses(self, now: float) -> list[str]:
--- a/tests/test_policy_over_links.py
+++ b/tests/test_policy_over_links.py
@@ -2,6 +2,8 @@
 
 import random
 from collections.abc import Callable, Iterable, Iterator
+from itertools import pairwise
+from types import SimpleNamespace
 
 import msgspec
 import pytest
@@ -13,8 +15,8 @@
 from starlingwheel.fleet.policy.host import StoredPolicy
 from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.policy.statuses import PolicyStatus
-from starlingwheel.fleet.records import Policy, PolicyDecision, StoreRecords
-from starlingwheel.net.fleet.messages import FrameReceived
+from starlingwheel.fleet.records import Policy, PolicyDecision, PolicyProposal, StoreRecords
+from starlingwheel.net.fleet.messages import RESTART_WATCH, FrameReceived
 from starlingwheel.net.fleet.policy_poller import PolicyPoller
 
 LEASE = 1.0  # seconds
@@ -230,6 +232,26 @@
     )
 
 
+def test_the_watch_is_restarted_once_a_lease_while_a_decision_is_awaited(
+    make_policy_network: MakePolicyNetwork, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Not with each poll: a watch that is restarted over and over would never bring the decision."""
+    network = make_policy_network(5)
+    member = network.members[0]
+    restarts: list[float] = []
+
+    def record(message: object) -> None:
+        assert message is RESTART_WATCH
+        restarts.append(network.clock())
+
+    monkeypatch.setattr(member.policy_poller, "state_watcher", SimpleNamespace(post=record))
+    policy = Policy(1, "", {})
+    member.policy_replica.promise = PolicyProposal(policy, network.clock(), network.clock(), "n1", number=7)
+    network.advance(4.5 * LEASE)
+    assert 3 <= len(restarts) <= 5
+    assert all(later - earlier >= LEASE for earlier, later in pairwise(restarts))
+
+
 def test_a_status_counts_by_its_own_age_whoever_relays_it() -> None:
     """A relayed status ends with its own lease, and is not relayed after that."""
     members = {f"n{i}.00": Member(f"n{i}.00", f"n{i}", "") for i in range(3)}
