--- a/fakes/upstream.py
+++ b/fakes/upstream.py
@@ -38,7 +38,6 @@
         # The sidecar of a connection, by the connection's address, as the relays tell.
         self.sidecars: dict[tuple[str, int], str] = {}
         self.server = Server(self._answer)
-        self.in_progress = 0
         self.process_started_at = -inf  # slow start ends some time after that
 
     async def _answer(self, request: Request) -> Response:
@@ -52,15 +51,11 @@
         now = asyncio.get_running_loop().time()
         sidecar = self.sidecars.get(request.origin[:2], "?")
         self.runs.append(Run(now, self.name, name, trace_id, request_class, sidecar))
-        self.in_progress += 1
-        try:
-            if self.mode == "hang":
-                await asyncio.sleep(HANG_TIME)
-            await asyncio.sleep(self.mean_service_time * self.slowdown * self.rng.lognormvariate(0, 0.4))
-            if self.mode == "error":
-                return Response(500)
-            if self.mode == "lose":
-                return RESET
-            return Response(200, f"{name} by {self.name}".encode(), {"Content-Type": "text/plain"})
-        finally:
-            self.in_progress -= 1
+        if self.mode == "hang":
+            await asyncio.sleep(HANG_TIME)
+        await asyncio.sleep(self.mean_service_time * self.slowdown * self.rng.lognormvariate(0, 0.4))
+        if self.mode == "error":
+            return Response(500)
+        if self.mode == "lose":
+            return RESET
+        return Response(200, f"{name} by {self.name}".encode(), {"Content-Type": "text/plain"})
--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -93,7 +93,6 @@
     listener: Any
     shutdown: MessageReceiver
     client_drainer: Drainer
-    stats_reporter: MessageReceiver
     signals: Any
     gossip_socket: GossipSender | None = None
     admin_listener: Any = None
--- a/starlingwheel/net/lifecycle/sidecar.py
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -51,7 +51,6 @@
         coordinator = context.coordinator = self._build_coordinator()
         listener = context.listener = ClientListener(context, self._client_socket())
         gossip_socket = context.gossip_socket = self._build_gossip_socket()
-        stats_reporter = context.stats_reporter = StatsReporter(context)
         shutdown = context.shutdown = ShutdownController(context)
         client_drainer = context.client_drainer = ClientDrainer(context)
         if config.mgmt:
@@ -65,7 +64,7 @@
             coordinator,
             discovery,
             listener,
-            stats_reporter,
+            StatsReporter(context),
             shutdown,
             client_drainer,
         ]
--- /dev/null
+++ b/tests/source_names.py
@@ -0,0 +1,17 @@
+"""The names that stand in a module's source, for tests of the source itself."""
+
+from __future__ import annotations
+
+import ast
+
+
+def identifiers(tree: ast.AST) -> set[str]:
+    """Names of variables, attributes, parameters, functions and classes."""
+    names: set[str] = set()
+    for node in ast.walk(tree):
+        match node:
+            case ast.FunctionDef(name=name) | ast.ClassDef(name=name):
+                names.add(name)
+            case ast.Name(id=name) | ast.Attribute(attr=name) | ast.arg(arg=name):
+                names.add(name)
+    return names
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -8,6 +8,7 @@
 from pathlib import Path
 
 import pytest
+from source_names import identifiers
 
 ROOT = Path(__file__).parents[1]
 CODE = ("starlingwheel", "fakes", "trials", "tests")
@@ -33,32 +34,29 @@
 
 
 def names_of(tree: ast.AST) -> set[str]:
-    """Every identifier of a module, and its short strings: settings, log events, header names."""
-    names: set[str] = set()
+    """Every identifier of a module, its keywords and short strings: settings, log events, header names."""
+    names = identifiers(tree)
     for node in ast.walk(tree):
         match node:
-            case ast.FunctionDef(name=name) | ast.ClassDef(name=name):
-                names.add(name)
-            case (
-                ast.Name(id=name)
-                | ast.Attribute(attr=name)
-                | ast.arg(arg=name)
-                | ast.keyword(arg=str(name))
-            ):
+            case ast.keyword(arg=str(name)):
                 names.add(name)
             case ast.Constant(value=str(text)) if len(text) < 48:
                 names.update(re.findall(r"\w+", text))
     return names
 
 
+@cache
+def modules() -> list[Path]:
+    """All files of the code."""
+    return [path for folder in CODE for path in (ROOT / folder).rglob("*.py")]
+
+
 @cache
 def known_names() -> frozenset[str]:
     """Names in the code, and of its modules."""
     names = set(TOOLS)
-    for folder in CODE:
-        for path in (ROOT / folder).rglob("*.py"):
-            if path == Path(__file__):
-                continue
+    for path in modules():
+        if path != Path(__file__):
             names |= {path.stem, path.parent.name} | names_of(ast.parse(path.read_text()))
     return frozenset(names)
 
@@ -67,7 +65,7 @@
     """Whether a quoted path is there, from the root, below the program or as the name of a module."""
     if any((ROOT / folder / path).exists() for folder in ("", *CODE)):
         return True
-    return any(path == found.name for folder in CODE for found in (ROOT / folder).rglob("*.py"))
+    return any(path == module.name for module in modules())
 
 
 def unknown(quoted: str) -> bool:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 import pytest
+from source_names import identifiers
 
 PROGRAM = Path(__file__).parents[1] / "starlingwheel"
 DECISIONS = PROGRAM / "decisions"
@@ -61,12 +62,7 @@
     "path", sorted(PROGRAM.rglob("*.py")), ids=lambda path: str(path.relative_to(PROGRAM))
 )
 def test_no_withdrawn_name_stands_in_the_program(path: Path) -> None:
-    tree = ast.parse(path.read_text())
-    names = {node.id for node in ast.walk(tree) if isinstance(node, ast.Name)}
-    names |= {node.attr for node in ast.walk(tree) if isinstance(node, ast.Attribute)}
-    names |= {node.arg for node in ast.walk(tree) if isinstance(node, ast.arg)}
-    names |= {node.name for node in ast.walk(tree) if isinstance(node, ast.ClassDef | ast.FunctionDef)}
-    assert not names & WITHDRAWN
+    assert not identifiers(ast.parse(path.read_text())) & WITHDRAWN
 
 
 def all_imports(path: Path, at_start_only: bool = False) -> Iterator[str]:
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -148,7 +148,6 @@
         self.count, self.members = count, members(count)
         self.now = 1780000000.0
         loop = Loop(lambda *_: None)
-        self.recorded: StoreRecords | None = None
         self.state_watcher = StateWatcher(
             loop, ["127.0.0.1:1"], LEASE, BufferPool(0), lambda *_, **__: None, random.Random(1), FLEET,
             notify=self._tell,
@@ -177,7 +176,6 @@
     def _tell(self, message: object) -> None:
         records = getattr(message, "records", None)
         if records is not None:
-            self.recorded = records
             self.policy_replica.update_records(records, False)
             self.zone_planner.update_records(records)
             self.policy_replica.due()
--- a/trials/endpoint_list/trial.py
+++ b/trials/endpoint_list/trial.py
@@ -44,7 +44,6 @@
     category: str
     sidecar: int
     process: int  # which process of that sidecar
-    sent_at: float
     end: str = "open"  # a status, or how it ended
     disconnected_at: float | None = None
 
@@ -179,7 +178,7 @@
         loop = asyncio.get_running_loop()
         category = self.rng.choices([*SHARES], [*SHARES.values()])[0]
         trace = f"r{len(self.requests)}"
-        request = ClientRequest(trace, category, sidecar.number, sidecar.started, loop.time())
+        request = ClientRequest(trace, category, sidecar.number, sidecar.started)
         self.requests[trace] = request
         disconnects = self.rng.random() < leave
         patience = self.rng.random() * MAX_CLIENT_PATIENCE if disconnects else DEADLINE + ANSWER_SLACK
