--- a/starlingwheel/fleet/config.py
+++ b/starlingwheel/fleet/config.py
@@ -18,7 +18,7 @@
 HEADER = re.compile(r"[a-z0-9-]+")
 LEASE_BOUNDS = (1, 60)  # whole seconds: the coordination store has no finer leases
 REPLICA_BOUNDS = (1, 3)
-CELL_SIZE_BOUNDS = (0, 512)  # members
+SHARD_SIZE_BOUNDS = (0, 512)  # members
 DEFAULT_IDEMPOTENCY_KEY_HEADER = "x-work-name"
 
 
@@ -48,7 +48,12 @@
 class FleetConfig(
     msgspec.Struct,
     frozen=True,
-    rename={"store_addresses": "arbiter", "replication": "cover", "state_directory": "keep"},
+    rename={
+        "store_addresses": "arbiter",
+        "replication": "cover",
+        "state_directory": "keep",
+        "max_mean_shard_size": "cell_size",
+    },
 ):
     """A sidecar's part of a fleet. Addresses are host:port.
 
@@ -66,7 +71,7 @@
     advertise: str = ""
     lease_s: int = 3
     state_directory: str = ""
-    cell_size: int = 0
+    max_mean_shard_size: int = 0
 
 
 KEYS = {
@@ -99,7 +104,7 @@
         yield from _address(given["advertise"], "fleet.advertise")
     yield from _addresses(given.get("arbiter"), "fleet.arbiter")
     yield from _integer(given.get("lease_s", 3), "fleet.lease_s", LEASE_BOUNDS)
-    yield from _integer(given.get("cell_size", 0), "fleet.cell_size", CELL_SIZE_BOUNDS)
+    yield from _integer(given.get("cell_size", 0), "fleet.cell_size", SHARD_SIZE_BOUNDS)
     directory = given.get("keep", "")
     if not isinstance(directory, str):
         yield f"fleet.keep: {directory!r} is no folder"
--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -55,10 +55,12 @@
 class MembershipView:
     """The members that hold a lease, and their shards. Does not change."""
 
-    def __init__(self, members: Iterable[Member] = (), shard_count: int = 1, divided_at: float = 0.0) -> None:
-        """`shard_count`, a power of two. `divided_at`: since when, seconds on the wall clock."""
+    def __init__(
+        self, members: Iterable[Member] = (), shard_count: int = 1, resharded_at: float = 0.0
+    ) -> None:
+        """`shard_count`, a power of two. `resharded_at`: since when, seconds on the wall clock."""
         self.members = {member.id: member for member in sorted(members, key=lambda m: m.id)}
-        self.shard_count, self.divided_at = shard_count, divided_at
+        self.shard_count, self.resharded_at = shard_count, resharded_at
         lines = [f"{m.id} {m.term}" for m in self.members.values()]
         self.digest = digest(lines if shard_count == 1 else [*lines, f"cells {shard_count}"])
         self._best_ranked: dict[bytes, list[str]] = {}  # by key: its coordinator and the successor
--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -201,7 +201,7 @@
         self._follow_members(before, gap)
         if records.decision is not None:
             self._adopt(records.decision)
-        self.ended_proposal = max([self.ended_proposal, *records.past])
+        self.ended_proposal = max([self.ended_proposal, *records.past_proposals])
         promise = self.promise
         if promise is not None and records.revision >= promise.number and not self._is_open(promise):
             self.ended_proposal = max(self.ended_proposal, promise.number)
@@ -225,8 +225,8 @@
             gone = before.members.keys() - records.members.keys()
             if any(records.votes.get(member) != "" for member in gone):
                 self.voter_left_at = self.now
-        if changed or before.names.keys() != records.names.keys() or gap:
-            self.registered_names = sorted(records.names)
+        if changed or before.registered_names.keys() != records.registered_names.keys() or gap:
+            self.registered_names = sorted(records.registered_names)
             self.peer_statuses.invalidate_count()
             members = records.members.values()
             self.stored.addresses = {m.name: m.address for m in members if m.name != self.name}
@@ -259,7 +259,7 @@
     def _update_in_force(self) -> None:
         if self.decision is None:
             return
-        policy = self.decision.policy if self.now >= self.decision.at else self.decision.before
+        policy = self.decision.policy if self.now >= self.decision.at else self.decision.previous
         if policy.version != self.in_force.version and policy.body is not None:
             self.in_force = policy
             self.peer_statuses.invalidate_count()
@@ -326,7 +326,7 @@
         records = self.records
         proposal = records.proposal
         if records.is_proposal_unreadable:
-            return self._in_turn("spoilt", records.proposal_mod, lambda: self.drop("nobody can read it"))
+            return self._in_turn("spoilt", records.proposal_revision, lambda: self.drop("nobody can read it"))
         if proposal is None or self.member_id not in records.members:
             return inf
         if not self._has_voted(proposal):
@@ -363,15 +363,15 @@
 
     def _is_majority(self, votes: Collection[str]) -> bool:
         """Whether the members that have voted are more than half of the registered names."""
-        names = {self.records.members[member].name for member in votes} & self.records.names.keys()
-        return 2 * len(names) > len(self.records.names)
+        names = {self.records.members[member].name for member in votes} & self.records.registered_names.keys()
+        return 2 * len(names) > len(self.records.registered_names)
 
     def _why_late(self, votes: dict[str, str]) -> str:
         missing = [member.name for member in self.records.members.values() if member.id not in votes]
         if missing:
             return f"no word in time from {', '.join(sorted(missing)[:NAMED_MEMBERS])}"
         if not self._is_majority(votes):
-            return f"{len(votes)} of {len(self.records.names)} registered were there"
+            return f"{len(votes)} of {len(self.records.registered_names)} registered were there"
         return "not decided in time"
 
     def _decide(self, proposal: PolicyProposal) -> Transaction:
--- a/starlingwheel/fleet/policy/transactions.py
+++ b/starlingwheel/fleet/policy/transactions.py
@@ -38,7 +38,7 @@
 
 def propose(records: StoreRecords, proposal: PolicyProposal) -> Transaction:
     """Open a proposal, unless there is one or another policy was decided meanwhile."""
-    unchanged = [equal(PROPOSAL_KEY, "CREATE", 0), equal(DECISION_KEY, "MOD", records.decision_mod)]
+    unchanged = [equal(PROPOSAL_KEY, "CREATE", 0), equal(DECISION_KEY, "MOD", records.decision_revision)]
     return Transaction("propose", unchanged, [(PROPOSAL_KEY, msgspec.json.encode(proposal))])
 
 
@@ -46,7 +46,7 @@
     """Write the vote of that member."""
     key = f"{VOTES_PREFIX}{vote.proposal_number}/{member_id}"
     unchanged = [
-        equal(PROPOSAL_KEY, "MOD", records.proposal_mod),
+        equal(PROPOSAL_KEY, "MOD", records.proposal_revision),
         equal(key, "CREATE", 0),
         equal(MEMBERS_PREFIX + member_id, "CREATE", records.members[member_id].term),
     ]
@@ -60,7 +60,7 @@
     """
     decision = PolicyDecision(proposal.policy, proposal.at, proposal.number, before)
     unchanged = [
-        equal(DECISION_KEY, "MOD", records.decision_mod),
+        equal(DECISION_KEY, "MOD", records.decision_revision),
         Condition(MEMBERS_PREFIX, "MOD", "LESS", records.revision + 1, prefix=True),
         Condition(NAMES_PREFIX, "MOD", "LESS", records.revision + 1, prefix=True),
     ]
@@ -83,12 +83,12 @@
 
 def _end(records: StoreRecords, what: str, outcome: str, reason: str, now: float) -> Transaction:
     """What ends a proposal either way: its entry and votes go, its end is remembered."""
-    number, proposal = records.proposal_mod, records.proposal
+    number, proposal = records.proposal_revision, records.proposal
     version, digest, author = 0, "", ""  # of one that can't be read
     if proposal is not None:
         version, digest, author = proposal.policy.version, proposal.policy.digest, proposal.author
     past = PastProposal(number, version, digest, outcome, reason[:MAX_REASON_LENGTH], now, author)
-    oldest = sorted(records.past)[: 1 - REMEMBERED_PROPOSALS]
+    oldest = sorted(records.past_proposals)[: 1 - REMEMBERED_PROPOSALS]
     erase = [PROPOSAL_KEY, f"{VOTES_PREFIX}{number}/", *(f"{PAST_PREFIX}{old}" for old in oldest)]
     put = [(f"{PAST_PREFIX}{number}", msgspec.json.encode(past))]
     return Transaction(what, [equal(PROPOSAL_KEY, "MOD", number)], put, erase)
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -22,7 +22,7 @@
 NAMES_PREFIX = "names/"  # member's name
 ZONE_PLAN_KEY = "zones/plan"
 ZONE_REPORTS_PREFIX = "zones/said/"  # member
-CELLS_KEY = "cells"
+SHARDS_KEY = "cells"
 
 
 class Policy(msgspec.Struct, frozen=True):
@@ -43,13 +43,13 @@
     number: int = 0  # the revision of the store that it was written at
 
 
-class PolicyDecision(msgspec.Struct, frozen=True):
+class PolicyDecision(msgspec.Struct, frozen=True, rename={"previous": "before"}):
     """What is in force from `at` on, and before."""
 
     policy: Policy
     at: float  # seconds on the wall clock
     number: int  # of the proposal
-    before: Policy
+    previous: Policy
 
 
 class PastProposal(msgspec.Struct, frozen=True, rename={"outcome": "how", "reason": "why"}):
@@ -73,6 +73,8 @@
         "failures": "bad_counted",
         "trial_successes": "tried_well",
         "trial_failures": "tried_badly",
+        "conclusive_attempts": "counted",
+        "consecutive_failures": "row",
         "recent_trials": "last",
     },
 ):
@@ -83,9 +85,9 @@
     failing: bool = False
     failing_fraction: float = 0.0
     rejecting: bool = False
-    counted: int = 0  # attempts with a conclusive outcome, lately
+    conclusive_attempts: int = 0  # recent attempts with a conclusive outcome
     failures: int = 0  # of these
-    row: int = 0  # failures since the last answer
+    consecutive_failures: int = 0  # since the last answer
     epoch: int = 0  # of the plan that trials are counted from
     trial_successes: int = 0
     trial_failures: int = 0
@@ -132,12 +134,12 @@
     at: float = 0.0  # since when, seconds on the wall clock
 
 
-class StoreEntry(msgspec.Struct, frozen=True):
+class StoreEntry(msgspec.Struct, frozen=True, rename={"create_revision": "create", "mod_revision": "mod"}):
     """The value of one key, and the revisions that it was created and last modified at."""
 
     value: bytes
-    create: int
-    mod: int
+    create_revision: int
+    mod_revision: int
 
 
 class Condition(msgspec.Struct, frozen=True):
@@ -168,39 +170,39 @@
 class StoreRecords:
     """What the coordination store holds under the fleet's name, as of one revision."""
 
-    def __init__(self, cells: int = 0) -> None:
-        """`cells`: as in the records before, kept where the entry can't be read; 0: not known."""
+    def __init__(self, shard_count: int = 0) -> None:
+        """`shard_count`: as in the records before, kept where the entry can't be read; 0: not known."""
         self.revision = 0
-        self.previous_cells = cells
-        self.cells = 1  # into how many the fleet is divided; 0: not known
-        self.divided_at = 0.0  # since when, seconds on the wall clock
-        self.cells_mod = 0
-        self.cells_unreadable = False  # the entry can't be read
+        self.previous_shard_count = shard_count
+        self.shard_count = 1  # into how many the fleet is divided; 0: not known
+        self.resharded_at = 0.0  # since when, seconds on the wall clock
+        self.shards_revision = 0
+        self.is_shard_count_unreadable = False  # the entry can't be read
         self.members: dict[str, Member] = {}
-        self.names: dict[str, int] = {}  # registered names, and the revisions of their entries
+        self.registered_names: dict[str, int] = {}  # registered names, and the revisions of their entries
         self.decision: PolicyDecision | None = None
-        self.decision_mod = 0
+        self.decision_revision = 0
         self.proposal: PolicyProposal | None = None
-        self.proposal_mod = 0
+        self.proposal_revision = 0
         self.is_proposal_unreadable = False  # there is a proposal that nobody can read
         self.votes: dict[str, str] = {}  # on the open proposal, by member: a reason against it, empty: yes
-        self.past: dict[int, PastProposal] = {}
+        self.past_proposals: dict[int, PastProposal] = {}
         self.plan: ZonePlan | None = None
-        self.plan_mod = 0
-        self.said: dict[str, ZoneReport] = {}  # by member
+        self.plan_revision = 0
+        self.zone_reports: dict[str, ZoneReport] = {}  # by member
 
     def copy(self) -> StoreRecords:
         """A copy that later changes to this one leave as it is."""
         other = copy.copy(self)
-        for name in ("members", "names", "votes", "past", "said"):
+        for name in ("members", "registered_names", "votes", "past_proposals", "zone_reports"):
             setattr(other, name, dict(getattr(self, name)))
         return other
 
     def view(self) -> MembershipView:
         """The members; empty while it is not known here into how many cells the fleet is divided."""
         return (
-            MembershipView(self.members.values(), self.cells, self.divided_at)
-            if self.cells
+            MembershipView(self.members.values(), self.shard_count, self.resharded_at)
+            if self.shard_count
             else MembershipView()
         )
 
@@ -218,71 +220,86 @@
         if key.startswith(MEMBERS_PREFIX):
             self._put_member(key.removeprefix(MEMBERS_PREFIX), entry)
         elif key.startswith(NAMES_PREFIX):
-            self.names[key.removeprefix(NAMES_PREFIX)] = entry.create
+            self.registered_names[key.removeprefix(NAMES_PREFIX)] = entry.create_revision
         elif key.startswith(POLICY_PREFIX):
             self._put_policy(key, entry)
         elif key == ZONE_PLAN_KEY:
-            self.plan_mod, self.plan = entry.mod, None
+            self.plan_revision, self.plan = entry.mod_revision, None
             self.plan = msgspec.json.decode(entry.value, type=ZonePlan)
         elif key.startswith(ZONE_REPORTS_PREFIX):
-            self.said[key.removeprefix(ZONE_REPORTS_PREFIX)] = msgspec.json.decode(
+            self.zone_reports[key.removeprefix(ZONE_REPORTS_PREFIX)] = msgspec.json.decode(
                 entry.value, type=ZoneReport
             )
-        elif key == CELLS_KEY:
-            self._put_cells(entry)
+        elif key == SHARDS_KEY:
+            self._put_sharding(entry)
 
     def _put_member(self, member_id: str, entry: StoreEntry) -> None:
         member = msgspec.json.decode(entry.value, type=Member)
         if member.id != member_id:
             raise ValueError(member_id)
-        self.members[member.id] = msgspec.structs.replace(member, term=entry.create)
+        self.members[member.id] = msgspec.structs.replace(member, term=entry.create_revision)
 
     def _put_policy(self, key: str, entry: StoreEntry) -> None:
         if key == DECISION_KEY:
-            self.decision_mod = entry.mod  # also of one that can't be read, so that it can be replaced
+            self.decision_revision = (
+                entry.mod_revision
+            )  # also of one that can't be read, so that it can be replaced
             self.decision = msgspec.json.decode(entry.value, type=PolicyDecision)
         elif key == PROPOSAL_KEY:
-            self.proposal, self.proposal_mod, self.is_proposal_unreadable = None, entry.mod, True
+            self.proposal, self.proposal_revision, self.is_proposal_unreadable = (
+                None,
+                entry.mod_revision,
+                True,
+            )
             proposal = msgspec.json.decode(entry.value, type=PolicyProposal)
-            self.proposal = msgspec.structs.replace(proposal, number=entry.create)
+            self.proposal = msgspec.structs.replace(proposal, number=entry.create_revision)
             self.is_proposal_unreadable = False
         elif key.startswith(VOTES_PREFIX):
             number, _, member = key.removeprefix(VOTES_PREFIX).partition("/")
-            if int(number) == self.proposal_mod:
+            if int(number) == self.proposal_revision:
                 self.votes[member] = msgspec.json.decode(entry.value, type=str)
         elif key.startswith(PAST_PREFIX):
             past = msgspec.json.decode(entry.value, type=PastProposal)
-            self.past[past.number] = past
+            self.past_proposals[past.number] = past
 
-    def _put_cells(self, entry: StoreEntry) -> None:
+    def _put_sharding(self, entry: StoreEntry) -> None:
         # An entry that can't be read is not taken for one cell: coordinators would be others than elsewhere.
-        self.cells = self.cells if self.revision else self.previous_cells
-        self.cells_mod, self.cells_unreadable = entry.mod, True
+        self.shard_count = self.shard_count if self.revision else self.previous_shard_count
+        self.shards_revision, self.is_shard_count_unreadable = entry.mod_revision, True
         sharding = msgspec.json.decode(entry.value, type=Sharding)
         if not 1 <= sharding.count <= MAX_SHARDS or sharding.count & (sharding.count - 1):
             raise ValueError(f"{sharding.count} cells")
-        self.cells, self.divided_at, self.cells_unreadable = sharding.count, sharding.at, False
+        self.shard_count, self.resharded_at, self.is_shard_count_unreadable = (
+            sharding.count,
+            sharding.at,
+            False,
+        )
 
     def delete(self, key: str) -> None:
         """Take over that a key is no more."""
         if key.startswith(MEMBERS_PREFIX):
             self.members.pop(key.removeprefix(MEMBERS_PREFIX), None)
         elif key.startswith(NAMES_PREFIX):
-            self.names.pop(key.removeprefix(NAMES_PREFIX), None)
+            self.registered_names.pop(key.removeprefix(NAMES_PREFIX), None)
         elif key.startswith(POLICY_PREFIX):
             self._delete_policy(key)
         elif key == ZONE_PLAN_KEY:
-            self.plan, self.plan_mod = None, 0
+            self.plan, self.plan_revision = None, 0
         elif key.startswith(ZONE_REPORTS_PREFIX):
-            self.said.pop(key.removeprefix(ZONE_REPORTS_PREFIX), None)
-        elif key == CELLS_KEY:
-            self.cells, self.cells_mod, self.cells_unreadable = 1, 0, False
+            self.zone_reports.pop(key.removeprefix(ZONE_REPORTS_PREFIX), None)
+        elif key == SHARDS_KEY:
+            self.shard_count, self.shards_revision, self.is_shard_count_unreadable = 1, 0, False
 
     def _delete_policy(self, key: str) -> None:
         if key == DECISION_KEY:
-            self.decision_mod = 0
+            self.decision_revision = 0
         elif key == PROPOSAL_KEY:
-            self.proposal, self.proposal_mod, self.is_proposal_unreadable, self.votes = None, 0, False, {}
+            self.proposal, self.proposal_revision, self.is_proposal_unreadable, self.votes = (
+                None,
+                0,
+                False,
+                {},
+            )
         elif key.startswith(PAST_PREFIX):
             number = key.removeprefix(PAST_PREFIX)
-            self.past.pop(int(number) if number.isdigit() else -1, None)
+            self.past_proposals.pop(int(number) if number.isdigit() else -1, None)
--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -32,7 +32,7 @@
         self.send_to_replicas(request, response)
         coordinator = self.views.coordinator_of(request)
         was_replica = request.state is RequestState.REPLICA
-        of_other_cell = was_replica and self.views.is_outside(request.owner, request)
+        of_other_cell = was_replica and self.views.is_in_other_shard(request.owner, request)
         informed = coordinator in request.replicas and (
             self.views.view.shard_count == 1 or coordinator in self.links
         )
@@ -109,7 +109,7 @@
             return
         owner = request.owner
         owner_informs = owner != self.context.member_id and owner in self.links
-        if not owner_informs or self.views.is_outside(owner, request):
+        if not owner_informs or self.views.is_in_other_shard(owner, request):
             request.contact = coordinator
             self._send_finished(request, coordinator)
 
@@ -120,7 +120,7 @@
         """
         if coordinator != self.context.member_id or request.response is None:
             return
-        if not self.views.is_outside(request.owner, request):
+        if not self.views.is_in_other_shard(request.owner, request):
             return
         member = self.views.view.coordinator(request.key, excluding=coordinator)
         if member in self.links and member != request.informed_coordinator:
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -104,7 +104,7 @@
             self.context.host.cancel_intent(request, number)
             return
         request.held_attempts[number] = None
-        outside = self.views.is_outside(self.context.member_id, request)
+        outside = self.views.is_in_other_shard(self.context.member_id, request)
         coordinator = self.views.coordinator_of(request) if outside else ""
         intent = request.intents[number]
         for member in list(request.replicas):
@@ -124,7 +124,9 @@
             for member in request.replicas:
                 self.context.host.send_frame(member, frame)
 
-    def answered(self, request: ReplicatedRequest, response: RecordedResponse) -> RecordedResponse | None:
+    def finish_request(
+        self, request: ReplicatedRequest, response: RecordedResponse
+    ) -> RecordedResponse | None:
         """The host's decisions have a final response.
 
         Returns what its client is to get; None: `ReplicationHost.respond` follows.
@@ -133,7 +135,7 @@
         if request.state is RequestState.DONE:
             return request.response
         if request.state is not RequestState.OWNING:
-            return self._answered_after_loss(request, response)
+            return self._finish_after_loss(request, response)
         others_wait = request.was_taken_over or request.waiting_members
         if response.status == REJECTED and request.may_have_run and others_wait:
             # The lost owner may have finished it for a client: it is not rejected for another one.
@@ -149,7 +151,7 @@
         self.completion.finish(request, response)
         return response
 
-    def _answered_after_loss(
+    def _finish_after_loss(
         self, request: ReplicatedRequest, response: RecordedResponse
     ) -> RecordedResponse | None:
         """Another member has taken it over. An attempt that was released before may still finish it."""
@@ -285,7 +287,7 @@
 
     def _redirected(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
         """The coordinator is another member as seen from there."""
-        if request.is_granted and self.views.is_outside(self.context.member_id, request):
+        if request.is_granted and self.views.is_in_other_shard(self.context.member_id, request):
             # A coordinator to come asks that replica: attempts do not go on with one replica less.
             request.replicas[member], request.informed_coordinator = UNACKNOWLEDGED, ""
         elif request.contact == member and not request.is_granted:
--- a/starlingwheel/fleet/replication/peer_links.py
+++ b/starlingwheel/fleet/replication/peer_links.py
@@ -43,7 +43,7 @@
         retry_interval = DIAL_RETRY_INTERVAL * self.context.longest_timeout
         self.unreachable[member] = self.context.now + retry_interval
 
-    def keep_members_of_view(self) -> None:
+    def drop_departed(self) -> None:
         """Members that are out of the view are not dialled again."""
         view = self.views.view
         self.dialling = {member: None for member in self.dialling if member in view}
@@ -75,7 +75,7 @@
     def dial_holders(self) -> None:
         """Dial the members of other cells that have to send us what they own, after a change of the cells."""
         if self.views.view.shard_count > 1 and not self.views.is_synced:
-            for member in sorted(self.views.holders() - self.views.own_cell().keys()):
+            for member in sorted(self.views.holders() - self.views.own_shard_members().keys()):
                 if not self.views.is_synced_by(member):
                     self.dial(member)
 
--- a/starlingwheel/fleet/replication/placement.py
+++ b/starlingwheel/fleet/replication/placement.py
@@ -35,7 +35,7 @@
     def locate_owner(self, request: ReplicatedRequest) -> None:
         """Ask the coordinator whether it is new; if that is unreachable, the member that would replace it."""
         coordinator = self.views.coordinator_of(request)
-        if self.views.is_outside(self.context.member_id, request):
+        if self.views.is_in_other_shard(self.context.member_id, request):
             substitute = next(iter(self._choose_replicas(request)), "")
             if substitute and substitute not in self.links:
                 # `link_up` or `link_failed` follows.
@@ -90,7 +90,7 @@
         another cell, of which too few members are linked.
         """
         has_view = bool(self.views.view.members)
-        if has_view and self.views.is_outside(self.context.member_id, request):
+        if has_view and self.views.is_in_other_shard(self.context.member_id, request):
             return True
         leased = self.context.now < self.views.lease_until
         return request.is_retry or (has_view and (leased or not self.views.may_decide()))
@@ -131,7 +131,7 @@
         view, member_id, count = self.views.view, self.context.member_id, self.context.replica_count
         if not self.views.has_remote_replicas(request):
             return view.replicas(request.key, member_id, count, self.links)
-        if self.views.is_outside(member_id, request):
+        if self.views.is_in_other_shard(member_id, request):
             # The coordinator may be lost before an owner that nobody there waits for has told the next one.
             count = max(MIN_REMOTE_REPLICAS, count)
         return view.replicas(request.key, member_id, count, ReachableMembers(self.links))
@@ -140,7 +140,7 @@
         """Have one member record it. `requests_grant`: it shall also say whether the request is new."""
         request.owner = self.context.member_id
         coordinator = self.views.coordinator_of(request)
-        outside = self.views.is_outside(self.context.member_id, request)
+        outside = self.views.is_in_other_shard(self.context.member_id, request)
         frame = request.to_frame(requests_grant or coordinator == member, coordinator if outside else "")
         if self.context.host.send_frame(member, frame):
             request.replicas[member] = UNACKNOWLEDGED
@@ -148,7 +148,7 @@
     def replicate(self, request: ReplicatedRequest) -> None:
         """Have all members record it that are to."""
         chosen = self._choose_replicas(request)
-        if self.views.is_outside(self.context.member_id, request):
+        if self.views.is_in_other_shard(self.context.member_id, request):
             chosen = self._update_remote_replicas(request, chosen)
         else:
             request.informed_coordinator = ""
--- a/starlingwheel/fleet/replication/records.py
+++ b/starlingwheel/fleet/replication/records.py
@@ -32,7 +32,7 @@
         # Frames by their senders, which this member can answer only once its view is synchronised.
         self.held: list[tuple[str, ReplicateFrame]] = []
         # Recorded here, while its owner, of another cell, names that coordinator and we another one.
-        self.unagreed: dict[tuple[str, bytes], str] = {}
+        self.awaiting_agreement: dict[tuple[str, bytes], str] = {}
 
     # What waits.
 
@@ -56,22 +56,24 @@
     def forget_member(self, member: str) -> None:
         """The link to a member has ended."""
         self.held = [(sender, frame) for sender, frame in self.held if sender != member]
-        self.unagreed = {one: named for one, named in self.unagreed.items() if one[0] != member}
+        self.awaiting_agreement = {
+            one: named for one, named in self.awaiting_agreement.items() if one[0] != member
+        }
 
     def pop_agreed(self) -> list[tuple[str, ReplicateFrame]]:
         """Records to acknowledge, by owner: the view now names the coordinator that their owner does."""
         agreed = []
-        unagreed, self.unagreed = self.unagreed, {}
-        for (member, key), named in unagreed.items():
+        awaiting_agreement, self.awaiting_agreement = self.awaiting_agreement, {}
+        for (member, key), named in awaiting_agreement.items():
             request = self.table.get(key)
             if request is None or request.state is not RequestState.REPLICA or request.owner != member:
                 continue
             coordinator = self.views.view.coordinator(key)
-            if coordinator == named or not self.views.is_outside(member, request):
+            if coordinator == named or not self.views.is_in_other_shard(member, request):
                 requests_grant = coordinator == self.context.member_id
                 agreed.append((member, request.to_frame(requests_grant, named)))
             else:
-                self.unagreed[member, key] = named
+                self.awaiting_agreement[member, key] = named
         return agreed
 
     # Acknowledgements.
@@ -89,14 +91,14 @@
     def acknowledge(self, member: str, frame: ReplicateFrame, state: str) -> None:
         """Tell an owner that its request is recorded, once both views name the same coordinator."""
         request, coordinator = self.table.requests[frame.key], self.views.view.coordinator(frame.key)
-        spans_cells = self.views.view.shard_count > 1
-        request.granted_to_owner = spans_cells and (
+        spans_shards = self.views.view.shard_count > 1
+        request.granted_to_owner = spans_shards and (
             request.granted_to_owner or state == ReplicaVerdict.GRANTED
         )
-        if self.views.is_outside(member, request):
+        if self.views.is_in_other_shard(member, request):
             request.contact = frame.coordinator  # as its owner sees it
             if frame.coordinator != coordinator:
-                self.unagreed[member, frame.key] = frame.coordinator
+                self.awaiting_agreement[member, frame.key] = frame.coordinator
                 return
             request.informed_coordinator = request.informed_coordinator or coordinator
         self.send_state(member, frame, state)
@@ -139,8 +141,8 @@
         other_owner = request.owner != frame.owner
         if other_owner:
             request.contact, request.granted_to_owner = "", False
-        spans_cells = self.views.view.shard_count > 1
-        request.granted_to_owner = spans_cells and (request.granted_to_owner or frame.is_granted)
+        spans_shards = self.views.view.shard_count > 1
+        request.granted_to_owner = spans_shards and (request.granted_to_owner or frame.is_granted)
         request.owner, request.epoch = frame.owner, frame.epoch
         request.deadline = max(request.deadline, frame.deadline)
         request.content, request.is_stale = frame.request, False
--- a/starlingwheel/fleet/replication/replica.py
+++ b/starlingwheel/fleet/replication/replica.py
@@ -230,8 +230,8 @@
     def _acknowledge_intent(self, member: str, frame: AttemptIntentFrame, request: ReplicatedRequest) -> None:
         """Acknowledge a recorded intent, at once or when the views agree."""
         coordinator = self.views.view.coordinator(frame.key)
-        if self.views.is_outside(member, request) and frame.coordinator != coordinator:
-            self.records.unagreed[member, frame.key] = frame.coordinator
+        if self.views.is_in_other_shard(member, request) and frame.coordinator != coordinator:
+            self.records.awaiting_agreement[member, frame.key] = frame.coordinator
         elif coordinator == self.context.member_id and not self.views.may_grant(frame.key):
             self.records.hold(member, request.to_frame(requests_grant=True, coordinator=frame.coordinator))
         else:
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -179,7 +179,7 @@
             for request in self.table:
                 request.is_stale = request.state is RequestState.REPLICA
         self.views.replace(view, gap)
-        self.peers.keep_members_of_view()
+        self.peers.drop_departed()
         for request in self.table:
             if reentered or self.views.has_changed_for(request, before):
                 self.takeover.update(request)
@@ -327,7 +327,7 @@
 
         Returns what its client is to get; None: `ReplicationHost.respond` follows.
         """
-        return self.owner.answered(request, response)
+        return self.owner.finish_request(request, response)
 
     def wait_on(self, request: ReplicatedRequest, client: Client, until: float) -> None:
         """A client whose decisions have ended without a response waits for another member's."""
--- a/starlingwheel/fleet/replication/request_table.py
+++ b/starlingwheel/fleet/replication/request_table.py
@@ -46,10 +46,10 @@
         self.schedule(self.expires_at(request), request, None)
         return request
 
-    def add_replica(self, frame: ReplicateFrame, spans_cells: bool) -> None:
+    def add_replica(self, frame: ReplicateFrame, spans_shards: bool) -> None:
         """Store a request that another member owns."""
         request = self.add(ReplicatedRequest.from_frame(frame, RequestState.REPLICA))
-        request.granted_to_owner = spans_cells and frame.is_granted
+        request.granted_to_owner = spans_shards and frame.is_granted
 
     def forget(self, request: ReplicatedRequest) -> None:
         """Remove a request, if it is stored."""
--- a/starlingwheel/fleet/replication/sync.py
+++ b/starlingwheel/fleet/replication/sync.py
@@ -53,7 +53,7 @@
 
     def _update(self, request: ReplicatedRequest) -> None:
         if request.state is RequestState.REPLICA:
-            outside = self.views.is_outside(request.owner, request)
+            outside = self.views.is_in_other_shard(request.owner, request)
             owner_lives = request.owner in self.views.view and not outside
             if request.is_stale and owner_lives and not request.waiting_clients:
                 self.table.forget(request)  # its owner has not sent it
--- a/starlingwheel/fleet/replication/takeover.py
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -60,7 +60,7 @@
         if not request.is_granted and coordinator and request.is_idempotent:
             if not request.replicas:
                 self.placement.own_unreplicated(request, "keepers-lost")
-            elif coordinator not in request.replicas and self.views.is_outside(
+            elif coordinator not in request.replicas and self.views.is_in_other_shard(
                 self.context.member_id, request
             ):
                 self.context.counts["stood_in"] += 1
@@ -69,7 +69,7 @@
 
     def _update_replica(self, request: ReplicatedRequest, coordinator: str, owner_lost: bool) -> None:
         """This member is a replica: inform a new coordinator, or take over from a lost owner."""
-        outside = self.views.is_outside(request.owner, request)
+        outside = self.views.is_in_other_shard(request.owner, request)
         if (request.owner not in self.views.view or outside) and coordinator in self.links:
             if not outside or request.informed_coordinator != coordinator:
                 self.records.send(coordinator, request.to_frame(requests_grant=False))
@@ -165,9 +165,9 @@
         awaited = (
             request.waiting_clients
             or request.waiting_members
-            or (request.owner, request.key) in self.records.unagreed
+            or (request.owner, request.key) in self.records.awaiting_agreement
         )
-        if ours and self.views.is_outside(request.owner, request) and not awaited:
+        if ours and self.views.is_in_other_shard(request.owner, request) and not awaited:
             self.table.forget(request)
 
     def record_orphan(self, frame: ReplicateFrame) -> None:
--- a/starlingwheel/fleet/replication/views.py
+++ b/starlingwheel/fleet/replication/views.py
@@ -45,8 +45,8 @@
         A member that has just started must not grant what others own: of a cell that was split since, or of
         the next cell, which was responsible for our cell's keys as long as ours was empty.
         """
-        cell = self.own_cell()
-        recently_changed = self.context.now < view.divided_at + self.context.longest_timeout
+        cell = self.own_shard_members()
+        recently_changed = self.context.now < view.resharded_at + self.context.longest_timeout
         counts = [view.shard_count // 2] if recently_changed else []
         possible = [MembershipView(view.members.values(), count) for count in counts]
         if len(cell) <= MAX_SIMULTANEOUS_STARTS:
@@ -81,7 +81,7 @@
         self.heartbeats.pop(member, None)
         self.synced_digests.pop(member, None)
 
-    def own_cell(self) -> dict[str, Member]:
+    def own_shard_members(self) -> dict[str, Member]:
         """The members of our cell."""
         return self.view.members_of_shard(self.view.shard_of_member(self.context.member_id))
 
@@ -101,7 +101,7 @@
         known = set().union(*(self.view.holders(cell, older) for older in self.history))
         return {member for member in known if member in self.view}
 
-    def is_outside(self, member: str, request: ReplicatedRequest) -> bool:
+    def is_in_other_shard(self, member: str, request: ReplicatedRequest) -> bool:
         """That member is not of the cell whose members record the request."""
         view = self.view
         return view.shard_count > 1 and view.shard_of_member(member) != view.shard_of_position(
@@ -111,11 +111,13 @@
     def has_remote_replicas(self, request: ReplicatedRequest) -> bool:
         """The replicas of a request that we own are not, or not all, of our cell."""
         cell = self.view.shard_of_position(request.hash_position)
-        return self.is_outside(self.context.member_id, request) or bool(self.view.fallback_members(cell))
+        return self.is_in_other_shard(self.context.member_id, request) or bool(
+            self.view.fallback_members(cell)
+        )
 
     def agrees_on_coordinator(self, member: str, request: ReplicatedRequest, coordinator: str) -> bool:
         """That member, of another cell, names the coordinator that we do."""
-        return self.is_outside(member, request) and coordinator == self.view.coordinator(request.key)
+        return self.is_in_other_shard(member, request) and coordinator == self.view.coordinator(request.key)
 
     def has_changed_for(self, request: ReplicatedRequest, before: MembershipView) -> bool:
         """Something that concerns the request has changed since that view."""
@@ -136,7 +138,7 @@
         if self.context.now < self.lease_until:
             return True
         since = self.context.now - HEARTBEAT_MAX_AGE * self.context.longest_timeout
-        cell = self.own_cell()
+        cell = self.own_shard_members()
         if len(cell) == 1 < len(self.view.members):
             return False  # another cell has its keys once its lease has ended
         recent = (frame for member, (at, frame) in self.heartbeats.items() if member in cell and at > since)
--- a/starlingwheel/fleet/shards.py
+++ b/starlingwheel/fleet/shards.py
@@ -2,8 +2,9 @@
 
 The count is doubled once shards have more members on the mean than configured, and halved once they have
 fewer than a quarter of that: members that come and go in between change nothing. Any member may write it,
-each in its turn, and a transaction that compares the entry decides. `ShardMap` is one member's part and does
-no I/O: the host sets `now`, reports what the coordination store has, and asks `due` for the next transaction.
+each in its turn, and a transaction that compares the entry decides. `ShardPlanner` is one member's part and
+does no I/O: the host sets `now`, reports what the coordination store has, and asks `due` for the next
+transaction.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 import msgspec
 
 from .membership import MAX_SHARDS
-from .records import CELLS_KEY, MEMBERS_PREFIX, Sharding, StoreRecords, Transaction, equal
+from .records import MEMBERS_PREFIX, SHARDS_KEY, Sharding, StoreRecords, Transaction, equal
 
 MERGE_FRACTION = 1 / 4  # of the configured mean size: shards with fewer members are merged
 STABLE_LEASES = 2.0  # leases for which the size has to stay beyond a bound
@@ -22,7 +23,7 @@
 MAX_TURNS = 16  # members that wait for one another
 
 
-class ShardMap:
+class ShardPlanner:
     """One member's part in the decision into how many shards the fleet is divided."""
 
     def __init__(self, member_id: str, lease: float, max_mean_size: int, now: float) -> None:
@@ -35,7 +36,7 @@
 
     def update_records(self, records: StoreRecords) -> None:
         """The coordination store has other records."""
-        if records.cells_mod != self.records.cells_mod:
+        if records.shards_revision != self.records.shards_revision:
             self.changed_at = self.now
         self.records = records
         wanted = self._compute_wanted_count()
@@ -45,15 +46,15 @@
     def _compute_wanted_count(self) -> int:
         """How many shards there should be; 0: as many as there are."""
         records = self.records
-        if not self.max_mean_size or not records.cells or self.member_id not in records.members:
+        if not self.max_mean_size or not records.shard_count or self.member_id not in records.members:
             return 0
-        members, count = len(records.members), records.cells
+        members, count = len(records.members), records.shard_count
         if members > count * self.max_mean_size and count < MAX_SHARDS:
             return 2 * count
         if members < count * self.max_mean_size * MERGE_FRACTION and count > 1:
             return count // 2
         # An entry that nobody can read is written again: members that start would know no shards at all.
-        return count if records.cells_unreadable else 0
+        return count if records.is_shard_count_unreadable else 0
 
     def due(self) -> Transaction | float:
         """The transaction to carry out now, or when to ask again (seconds)."""
@@ -69,13 +70,13 @@
             return due_at
         # A change of the shards that was made meanwhile, or our own loss, makes it void.
         unchanged = [
-            equal(CELLS_KEY, "MOD", records.cells_mod),
+            equal(SHARDS_KEY, "MOD", records.shards_revision),
             equal(MEMBERS_PREFIX + self.member_id, "CREATE", records.members[self.member_id].term),
         ]
         sharding = msgspec.json.encode(Sharding(self.wanted_count, self.now))
-        return Transaction("cut", unchanged, [(CELLS_KEY, sharding)])
+        return Transaction("cut", unchanged, [(SHARDS_KEY, sharding)])
 
     def _writers_before(self) -> int:
         """How many members write before this one; another order after each change."""
         members = sorted(self.records.members)
-        return (members.index(self.member_id) + self.records.cells_mod) % len(members)
+        return (members.index(self.member_id) + self.records.shards_revision) % len(members)
--- a/starlingwheel/fleet/zones/evidence.py
+++ b/starlingwheel/fleet/zones/evidence.py
@@ -112,7 +112,9 @@
         """Whether the member has seen anything of that zone lately."""
         report = self.reports[member]
         health = report.zones[zone]
-        return health.failing or (health.counted > 0 and report.at > self.now - self.max_report_age)
+        return health.failing or (
+            health.conclusive_attempts > 0 and report.at > self.now - self.max_report_age
+        )
 
     def _is_failing_in_total(self, zone: str, inside: bool) -> bool:
         """Whether it fails by the sums of one side, in most home zones: each member alone sees too little."""
@@ -122,7 +124,7 @@
             is_recent = report.at > self.now - self.window
             if (home == zone) == inside and zone in report.zones and is_recent:
                 counts = counts_by_zone.setdefault(home, FailureCounts(0, 0))
-                counts.attempts += report.zones[zone].counted
+                counts.attempts += report.zones[zone].conclusive_attempts
                 counts.failures += report.zones[zone].failures
         agreements = [
             counts.failures >= FAILING_FRACTION * counts.attempts
@@ -134,14 +136,14 @@
     def is_lost(self, zone: str) -> bool:
         """Whether nearly all that see anything of the zone see nothing but failures."""
         weights = [
-            (self.weight(member, zone), report.zones[zone].row >= MIN_FAILURES_IN_A_ROW)
+            (self.weight(member, zone), report.zones[zone].consecutive_failures >= MIN_FAILURES_IN_A_ROW)
             for member, report in self.reports.items()
             if zone in report.zones and self._is_informed(member, zone)
         ]
         counts = self.health_reports(zone)
         failures = sum(health.failures for health in counts)
         # Where each member has ejected the zone already, rows of failures come up by chance.
-        mostly_failures = failures >= LOST_FRACTION * sum(health.counted for health in counts)
+        mostly_failures = failures >= LOST_FRACTION * sum(health.conclusive_attempts for health in counts)
         lost = sum(weight for weight, is_lost in weights if is_lost)
         return mostly_failures and lost >= LOST_FRACTION * sum(weight for weight, _ in weights) > 0
 
--- a/starlingwheel/fleet/zones/health.py
+++ b/starlingwheel/fleet/zones/health.py
@@ -260,9 +260,9 @@
             failing=failing,
             failing_fraction=round(max(fraction, FAILING_FRACTION) if failing else fraction, 2),
             rejecting=rejecting,
-            counted=round(seen.attempts),
+            conclusive_attempts=round(seen.attempts),
             failures=round(seen.failures),
-            row=window.failures_in_a_row,
+            consecutive_failures=window.failures_in_a_row,
         )
         trials = self.trials.get(zone)
         if trials is not None:
--- a/starlingwheel/fleet/zones/planner.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -123,8 +123,8 @@
     def update_records(self, records: StoreRecords) -> None:
         """Take over what the coordination store holds."""
         self.records = records
-        if records.plan_mod != self.plan_mod:
-            self.plan_mod = records.plan_mod
+        if records.plan_revision != self.plan_mod:
+            self.plan_mod = records.plan_revision
             self._adopt_plan(records.plan or ZonePlan())
 
     def _adopt_plan(self, plan: ZonePlan) -> None:
@@ -198,7 +198,9 @@
             return self.evaluate_at
         self.evaluate_at = self.now + self.zone_health.window * EVALUATION_WINDOWS
         members = self.records.members
-        self.reports = {member: report for member, report in self.records.said.items() if member in members}
+        self.reports = {
+            member: report for member, report in self.records.zone_reports.items() if member in members
+        }
         self.evidence = self._collect_evidence()
         self.capacities.measure(self.now, self.evidence)
         poll_at = self.now + self.zone_health.window * POLL_WINDOWS
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -113,14 +113,17 @@
     """Take a name off the registered ones, of which a majority is counted; raises `CallRejectedError`."""
     records = context.fleet.policy_controller.policy_replica.records
     name = decode_id(body)
-    if name not in records.names:
+    if name not in records.registered_names:
         raise _rejected(HTTPStatus.CONFLICT, f"{name!r} is not registered", "not registered")
     if any(member.name == name for member in records.members.values()):
         raise _rejected(HTTPStatus.CONFLICT, f"{name!r} is there", "in the view")
     if records.proposal is not None:
         # Does not change of how many names a majority is while votes are given.
         raise _rejected(HTTPStatus.CONFLICT, "a change of the policy is open", "a change is open")
-    unchanged = [equal(NAMES_PREFIX + name, "CREATE", records.names[name]), equal(PROPOSAL_KEY, "CREATE", 0)]
+    unchanged = [
+        equal(NAMES_PREFIX + name, "CREATE", records.registered_names[name]),
+        equal(PROPOSAL_KEY, "CREATE", 0),
+    ]
     yield from _write(context, Transaction("retire", unchanged, [], [NAMES_PREFIX + name]))
     return name, b""
 
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -65,7 +65,7 @@
         policy_controller: PolicyController,
     ) -> None:
         """`on_entry_lost` is called when this member's entry has gone from the view."""
-        self.deferred = 0  # requests rejected while it was not known which policy holds
+        self.rejected_in_doubt = 0  # requests rejected while it was not known which policy holds
         self.replicated: dict[Request, ReplicatedRequest] = {}
         self.set_up(
             context.loop,
@@ -84,7 +84,7 @@
     def replication_config_changed(self, config: ReplicationConfig) -> None:
         """Replicate by another configuration; requests that are replicated already stay so."""
         self.replicated_classes = frozenset(config.request_classes)
-        self.name_header = config.idempotency_key_header.encode()
+        self.idempotency_key_header = config.idempotency_key_header.encode()
         self.replicator.replica_count = config.replicas
         # Never lowered: requests that were accepted under a longer timeout must not be forgotten early.
         self.replicator.longest_timeout = max(self.replicator.longest_timeout, self.context.longest_timeout)
@@ -112,7 +112,7 @@
     def _request_received(self, pending: PendingRequest, message: RequestReceived) -> None:
         if self._reject_in_doubt(pending):
             return
-        name = self._name_of(pending)
+        name = self._idempotency_key_of(pending)
         if name is None:
             super()._handle(message)
         else:
@@ -133,19 +133,19 @@
                 request.request_class = request_class
                 request.time_left = min(request.time_left, request_class.timeout)
         if reason:
-            self.deferred += 1
+            self.rejected_in_doubt += 1
             retry_after = POLICY_RETRY_AFTER * self.policy_replica.lease
             self._respond(pending, RecordedResponse(REJECTED, retry_after))
         return bool(reason)
 
     # Requests with a name.
 
-    def _name_of(self, pending: PendingRequest) -> bytes | None:
+    def _idempotency_key_of(self, pending: PendingRequest) -> bytes | None:
         """The name that the client gave the request; None: it is not replicated."""
         if pending.request.request_class.name not in self.replicated_classes:
             return None
         headers = {header.lower(): value for header, value in reversed(pending.headers)}
-        name = headers.get(IDEMPOTENCY_KEY_HEADER, headers.get(self.name_header))
+        name = headers.get(IDEMPOTENCY_KEY_HEADER, headers.get(self.idempotency_key_header))
         if name is None:
             self.replicator.counts["unnamed"] += 1
         elif isinstance(pending.body, BodyStream):
--- a/starlingwheel/net/fleet/etcd/state_watcher.py
+++ b/starlingwheel/net/fleet/etcd/state_watcher.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from ....fleet.records import CELLS_KEY, MEMBERS_PREFIX, StoreEntry, StoreRecords
+from ....fleet.records import MEMBERS_PREFIX, SHARDS_KEY, StoreEntry, StoreRecords
 from ...actor import Coroutine
 from ..messages import StoreRead, ViewChanged
 from .errors import (
@@ -64,7 +64,7 @@
         reply = yield from self.call(RANGE_PATH, keys, RangeReply)
         if len(reply.kvs) > MAX_ENTRIES:
             raise UnusableReplyError(EtcdFailure.TOO_MANY_ENTRIES)
-        self.records = StoreRecords(self.records.cells if self.records.revision else 0)
+        self.records = StoreRecords(self.records.shard_count if self.records.revision else 0)
         for pair in reply.kvs:
             self.put_record(pair)
         self.revision = parse_number(reply.header.revision)
@@ -111,7 +111,7 @@
             last_revision = event.kv.mod_revision
             self.revision = max(self.revision, parse_number(last_revision))
             key = self._record_key(event.kv)
-            view_changed = view_changed or key.startswith(MEMBERS_PREFIX) or key == CELLS_KEY
+            view_changed = view_changed or key.startswith(MEMBERS_PREFIX) or key == SHARDS_KEY
             if event.type == "DELETE":
                 self.records.delete(key)
             else:
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -15,7 +15,7 @@
 from ...fleet.frames import PROTOCOL_VERSION, HelloFrame
 from ...fleet.membership import Member
 from ...fleet.records import Transaction
-from ...fleet.shards import ShardMap
+from ...fleet.shards import ShardPlanner
 from ..actor import Actor, Coroutine
 from ..loop import Loop
 from ..state.buffers import BufferPool
@@ -80,7 +80,9 @@
         self.member_evictor = MemberEvictor(*session)
         self.policy_controller = make_policy_controller(self.member_id)
         self.host = make_host(self.member_id, self.policy_controller, self._entry_lost)
-        self.shard_map = ShardMap(self.member_id, float(part.lease_s), part.cell_size, loop.now())
+        self.shard_planner = ShardPlanner(
+            self.member_id, float(part.lease_s), part.max_mean_shard_size, loop.now()
+        )
         self.state_writer = StateWriter(
             *session, due=self._next_write, lease_id=lambda: self.lease_keeper.lease_id
         )
@@ -176,8 +178,11 @@
         due = policy_replica.due()
         if isinstance(due, Transaction):
             return due
-        self.shard_map.now = now
-        for other in (self.host.zone_controller.due(now, policy_replica.holds_lease), self.shard_map.due()):
+        self.shard_planner.now = now
+        for other in (
+            self.host.zone_controller.due(now, policy_replica.holds_lease),
+            self.shard_planner.due(),
+        ):
             if isinstance(other, Transaction):
                 return other
             due = min(due, other)
@@ -196,6 +201,6 @@
         if isinstance(message, ViewChanged):
             self.links.post(message)
         elif isinstance(message, StoreRead):
-            self.shard_map.now = self.loop.now()
-            self.shard_map.update_records(message.records)
+            self.shard_planner.now = self.loop.now()
+            self.shard_planner.update_records(message.records)
             self.state_writer.post(WRITE_PENDING)
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -108,7 +108,7 @@
         doubt=doubt,
         doubted_s=round(policy_replica.unavailable_seconds, 3),
         open=_open_proposal(records),
-        past=[records.past[number] for number in sorted(records.past)],
+        past=[records.past_proposals[number] for number in sorted(records.past_proposals)],
         registered=policy_replica.registered_names,
         words={
             status.name: PolicyStatusReport(status.version, round(now - status.made_at, 3))
--- a/starlingwheel/net/fleet/vote_store.py
+++ b/starlingwheel/net/fleet/vote_store.py
@@ -49,7 +49,7 @@
             raise ValueError(f"of the fleet {stored.fleet!r}")
         if stored.decision is None:
             return
-        for policy in (stored.decision.policy, stored.decision.before):
+        for policy in (stored.decision.policy, stored.decision.previous):
             if policy.body is not None and digest(policy.body) != policy.digest:
                 raise ValueError("its digest is another one's")
 
--- a/tests/characterisation/test_stored_data.py
+++ b/tests/characterisation/test_stored_data.py
@@ -49,10 +49,13 @@
     records = StoreRecords()
     for key, value in RECORDS.items():
         revision = 12 if key == "policy/next" else 11
-        assert records.put(key, StoreEntry(value.encode(), create=revision, mod=revision)) == "", key
-    assert list(records.members) == ["m1.a"] and list(records.names) == ["m1"]
-    assert records.votes == {"m1": "no room"} and list(records.past) == [9]
-    assert records.cells == 4 and records.plan_mod == 11 and list(records.said) == ["m1"]
+        assert (
+            records.put(key, StoreEntry(value.encode(), create_revision=revision, mod_revision=revision))
+            == ""
+        ), key
+    assert list(records.members) == ["m1.a"] and list(records.registered_names) == ["m1"]
+    assert records.votes == {"m1": "no room"} and list(records.past_proposals) == [9]
+    assert records.shard_count == 4 and records.plan_revision == 11 and list(records.zone_reports) == ["m1"]
 
 
 def test_the_policy_file_is_read_and_its_content_is_written_again(tmp_path):
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -6,14 +6,20 @@
 from starlingwheel.fleet.config import decode
 from starlingwheel.fleet.membership import Member, MembershipView
 from starlingwheel.fleet.records import (
-    CELLS_KEY,
     MEMBERS_PREFIX,
+    SHARDS_KEY,
     Sharding,
     StoreEntry,
     StoreRecords,
     Transaction,
 )
-from starlingwheel.fleet.shards import CHANGE_INTERVAL_LEASES, MAX_TURNS, STABLE_LEASES, TURN_LEASES, ShardMap
+from starlingwheel.fleet.shards import (
+    CHANGE_INTERVAL_LEASES,
+    MAX_TURNS,
+    STABLE_LEASES,
+    TURN_LEASES,
+    ShardPlanner,
+)
 from trials.broken import CELL_VARIANTS, OneReplicaAwaited, OutdatedCells
 from trials.emulated import HARSH, IDLE_LINK_TIMEOUT, FaultRates, Request, World, play
 from trials.model_replication import explore
@@ -100,21 +106,21 @@
 def test_an_unreadable_entry_leaves_the_known_count_of_shards_or_an_empty_view():
     for bad in (b"", b"{}", b'{"count":3}', b'{"count":0}', b'{"count":8192}', b'{"count":"4"}', b"\xff"):
         known = StoreRecords()
-        known.put(CELLS_KEY, StoreEntry(b'{"count":4}', 5, 5))
+        known.put(SHARDS_KEY, StoreEntry(b'{"count":4}', 5, 5))
         known.revision = 5
-        assert known.put(CELLS_KEY, StoreEntry(bad, 5, 6)) == "unreadable"
-        assert (known.cells, known.cells_unreadable, known.cells_mod) == (4, True, 6)
-        fresh, again = StoreRecords(), StoreRecords(known.cells)
+        assert known.put(SHARDS_KEY, StoreEntry(bad, 5, 6)) == "unreadable"
+        assert (known.shard_count, known.is_shard_count_unreadable, known.shards_revision) == (4, True, 6)
+        fresh, again = StoreRecords(), StoreRecords(known.shard_count)
         for records, cells in ((fresh, 0), (again, 4)):
             records.put(MEMBERS_PREFIX + "a", StoreEntry(msgspec.json.encode(Member("a", "a", "")), 3, 3))
-            assert records.put(CELLS_KEY, StoreEntry(bad, 5, 6)) == "unreadable"
-            assert records.cells == cells and len(records.view().members) == bool(cells)
+            assert records.put(SHARDS_KEY, StoreEntry(bad, 5, 6)) == "unreadable"
+            assert records.shard_count == cells and len(records.view().members) == bool(cells)
 
 
 @pytest.mark.parametrize("size", [-1, 513, 2.5, True, "25"])
 def test_an_invalid_cell_size_is_rejected(size):
     part = {"name": "f", "listen": "h:1", "arbiter": ["h:2"], "cover": {"categories": ["a"]}}
-    assert decode(part, ["a"], 1).cell_size == 0
+    assert decode(part, ["a"], 1).max_mean_shard_size == 0
     with pytest.raises(ValueError, match=r"fleet\.cell_size"):
         decode(part | {"cell_size": size}, ["a"], 1)
 
@@ -125,31 +131,31 @@
     def __init__(self, count, size):
         self.records = StoreRecords()
         self.records.revision = 1
-        self.shard_maps = {}
+        self.shard_planners = {}
         self.now, self.written = 100.0, []
         for member in members(count):
             self.records.members[member.id] = member
-            self.shard_maps[member.id] = ShardMap(member.id, LEASE, size, self.now)
+            self.shard_planners[member.id] = ShardPlanner(member.id, LEASE, size, self.now)
 
     def publish(self):
-        for shard_map in self.shard_maps.values():
-            shard_map.now = self.now
-            shard_map.update_records(self.records.copy())
+        for shard_planner in self.shard_planners.values():
+            shard_planner.now = self.now
+            shard_planner.update_records(self.records.copy())
 
     def step(self, seconds):
         until = self.now + seconds
         while self.now < until:
             self.now += LEASE * TURN_LEASES
             asked = []
-            for shard_map in self.shard_maps.values():
-                shard_map.now = self.now
-                if isinstance(txn := shard_map.due(), Transaction):
+            for shard_planner in self.shard_planners.values():
+                shard_planner.now = self.now
+                if isinstance(txn := shard_planner.due(), Transaction):
                     asked.append(txn)
             for txn in asked:
-                if txn.conditions[0].value == self.records.cells_mod:
+                if txn.conditions[0].value == self.records.shards_revision:
                     self.records.revision += 1
-                    self.records.put(CELLS_KEY, StoreEntry(txn.put[0][1], 2, self.records.revision))
-                    self.written.append((self.now, self.records.cells, len(asked)))
+                    self.records.put(SHARDS_KEY, StoreEntry(txn.put[0][1], 2, self.records.revision))
+                    self.written.append((self.now, self.records.shard_count, len(asked)))
             self.publish()
 
 
@@ -165,14 +171,14 @@
 
 def test_shards_are_halved_only_once_the_fleet_is_much_smaller():
     store = FakeStore(60, 8)
-    store.records.put(CELLS_KEY, StoreEntry(msgspec.json.encode(Sharding(8)), 1, 1))
+    store.records.put(SHARDS_KEY, StoreEntry(msgspec.json.encode(Sharding(8)), 1, 1))
     for count, shards in ((17, 8), (15, 4), (9, 4), (7, 2)):
         left = list(store.records.members)[count:]
         for member in left:
-            del store.records.members[member], store.shard_maps[member]
+            del store.records.members[member], store.shard_planners[member]
         store.publish()
         store.step(2 * CHANGE_INTERVAL_LEASES * LEASE)
-        assert store.records.cells == shards
+        assert store.records.shard_count == shards
 
 
 def test_a_size_beyond_the_bound_for_a_moment_changes_nothing():
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -458,13 +458,12 @@
 def test_a_request_without_a_key_makes_no_record(member):
     member.until(lambda: joined(member))
     counts = calls_of_the_fleet(member)
-    assert counts["_name_of"] == 1
+    assert counts["_idempotency_key_of"] == 1
     never = (
         "begin",
         "add_intent",
         "record_intent",
         "finish_request",
-        "answered",
         "add",
         "from_frame",
         "to_frame",
--- a/tests/test_policy_over_links.py
+++ b/tests/test_policy_over_links.py
@@ -121,7 +121,7 @@
         records = StoreRecords()
         records.revision = 1
         records.members = {one.id: one.member for one in self.members}
-        records.names = {one.member.name: 1 for one in self.members}
+        records.registered_names = {one.member.name: 1 for one in self.members}
         for one in self.members:
             one.policy_replica.now = one.loop.now()
             one.policy_replica.update_records(records.copy(), True)
@@ -257,7 +257,7 @@
     members = {f"n{i}.00": Member(f"n{i}.00", f"n{i}", "") for i in range(3)}
     records = StoreRecords()
     records.revision, records.members = 1, members
-    records.names = dict.fromkeys(("n0", "n1", "n2"), 1)
+    records.registered_names = dict.fromkeys(("n0", "n1", "n2"), 1)
     one, other = (
         PolicyReplica(f"n{i}.00", f"n{i}", LEASE, RecordingPolicyHost([]), 0.0, StoredPolicy("f"))
         for i in range(2)
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -116,7 +116,7 @@
 
     def __init__(self, view: MembershipView, cells: int) -> None:
         """`cells`: their count before."""
-        super().__init__(view.members.values(), view.shard_count, view.divided_at)
+        super().__init__(view.members.values(), view.shard_count, view.resharded_at)
         self.old = MembershipView(view.members.values(), cells)
 
     def ranked_members(self, key: bytes) -> list[Member]:
@@ -144,7 +144,7 @@
     def release_attempts(self, request: ReplicatedRequest) -> None:
         """Release attempts that the coordinator has acknowledged, where it is of another cell."""
         replicas, coordinator = request.replicas, self.views.coordinator_of(request)
-        if self.views.is_outside(self.context.member_id, request) and coordinator in replicas:
+        if self.views.is_in_other_shard(self.context.member_id, request) and coordinator in replicas:
             request.replicas = {coordinator: replicas[coordinator]}
         super().release_attempts(request)
         request.replicas = replicas
@@ -159,9 +159,9 @@
 class OthersInside(ViewTracker):
     """Takes all other members for members of the request's cell."""
 
-    def is_outside(self, member: str, request: ReplicatedRequest) -> bool:
+    def is_in_other_shard(self, member: str, request: ReplicatedRequest) -> bool:
         """Only this member can be of another cell."""
-        return member == self.context.member_id and super().is_outside(member, request)
+        return member == self.context.member_id and super().is_in_other_shard(member, request)
 
 
 class AnyCoordinatorAccepted(RequestReplicator):
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -128,7 +128,12 @@
 
 def zone_health(rng: random.Random) -> ZoneHealth:
     """What a member sees of one zone."""
-    return ZoneHealth(round(rng.uniform(1, 60), 2), round(rng.uniform(1, 60), 2), counted=90, row=0)
+    return ZoneHealth(
+        round(rng.uniform(1, 60), 2),
+        round(rng.uniform(1, 60), 2),
+        conclusive_attempts=90,
+        consecutive_failures=0,
+    )
 
 
 SEES = 5  # zones that a member sends to: a service has five endpoints on the mean
@@ -159,11 +164,11 @@
         change = PolicyProposal(Policy(42, "e" * 16, body), self.now + 9, self.now, me.id)
         records = self.state_watcher.records = StoreRecords()
         records.members = {m.id: m for m in self.members}
-        records.names = {m.name: m.term for m in self.members}
-        records.decision, records.decision_mod = PolicyDecision(held, self.now, 5, held), 6
-        records.proposal, records.proposal_mod = msgspec.structs.replace(change, number=7), 7
+        records.registered_names = {m.name: m.term for m in self.members}
+        records.decision, records.decision_revision = PolicyDecision(held, self.now, 5, held), 6
+        records.proposal, records.proposal_revision = msgspec.structs.replace(change, number=7), 7
         records.votes = {m.id: "" for m in self.members[: count // 2]}
-        records.said = {m.id: zone_report(i) for i, m in enumerate(self.members)}
+        records.zone_reports = {m.id: zone_report(i) for i, m in enumerate(self.members)}
         self.state_watcher.revision = records.revision = 10_000
         self.policy_replica = PolicyReplica(me.id, me.name, LEASE, NullHost(), self.now, StoredPolicy(FLEET))
         self.policy_replica.is_decision_known, self.policy_replica.vote = True, Vote(7, "")
@@ -195,7 +200,7 @@
         """Receive what a member reports of its zones."""
         self.revision += 1
         number = self.revision % self.count
-        value = msgspec.json.encode(self.state_watcher.records.said[self.members[number].id])
+        value = msgspec.json.encode(self.state_watcher.records.zone_reports[self.members[number].id])
         self._receive(event(f"zones/said/{self.members[number].id}", value, self.revision))
 
     def entry(self) -> None:
@@ -214,7 +219,9 @@
         pairs = [(f"members/{m.id}", msgspec.json.encode(m)) for m in self.members]
         pairs += [(f"names/{m.name}", b"1") for m in self.members]
         records = self.state_watcher.records
-        pairs += [(f"zones/said/{m}", msgspec.json.encode(report)) for m, report in records.said.items()]
+        pairs += [
+            (f"zones/said/{m}", msgspec.json.encode(report)) for m, report in records.zone_reports.items()
+        ]
         pairs += [("policy/now", msgspec.json.encode(records.decision))]
         kvs = [json.loads(event(key, value, 1))["result"]["events"][0]["kv"] for key, value in pairs]
         reply = {"header": {"revision": "1"}, "kvs": kvs, "count": str(len(kvs))}
--- a/trials/capacity/measure.py
+++ b/trials/capacity/measure.py
@@ -107,7 +107,7 @@
 
 def _watch_lines(bench: Bench) -> Iterator[tuple[str, bytes]]:
     """Yield lines of the store's watch, by the name of their figure."""
-    report = next(iter(bench.state_watcher.records.said.values()))
+    report = next(iter(bench.state_watcher.records.zone_reports.values()))
     member = bench.member_id
     for figure, key, value in (
         ("evidence line", f"zones/said/{member}", msgspec.json.encode(report)),
--- a/trials/emulated/store.py
+++ b/trials/emulated/store.py
@@ -30,7 +30,7 @@
         """`shard_count`: into how many shards the fleet is divided from the start."""
         self.world = world
         self.leases: dict[str, Lease] = {}  # by member id
-        self.shard_count, self.divided_at = shard_count, -TIMEOUT
+        self.shard_count, self.resharded_at = shard_count, -TIMEOUT
         self.down_until = 0.0
         self._last_digest = -1
 
@@ -45,7 +45,7 @@
 
     def divide(self, shard_count: int) -> None:
         """The fleet is divided into so many shards from now on."""
-        self.shard_count, self.divided_at = shard_count, self.world.now
+        self.shard_count, self.resharded_at = shard_count, self.world.now
 
     def step(self) -> None:
         """Renew and end leases; tell members if the view has changed."""
@@ -58,7 +58,7 @@
         for member_id in [member_id for member_id, lease in self.leases.items() if lease.until <= now]:
             del self.leases[member_id]
         view = MembershipView(
-            (lease.member for lease in self.leases.values()), self.shard_count, self.divided_at
+            (lease.member for lease in self.leases.values()), self.shard_count, self.resharded_at
         )
         if view.digest != self._last_digest:
             self._last_digest = view.digest
--- a/trials/emulated_store.py
+++ b/trials/emulated_store.py
@@ -29,7 +29,9 @@
             found = [entry for key, entry in self.entries.items() if key.startswith(condition.key)]
         else:
             found = [self.entries.get(condition.key, ABSENT)]
-        revisions = [entry.create if condition.target == "CREATE" else entry.mod for entry in found]
+        revisions = [
+            entry.create_revision if condition.target == "CREATE" else entry.mod_revision for entry in found
+        ]
         if condition.result == "EQUAL":
             return all(revision == condition.value for revision in revisions)
         return all(revision < condition.value for revision in revisions)
@@ -52,7 +54,7 @@
     def put(self, key: str, value: bytes) -> None:
         """Write one entry at the present revision."""
         before = self.entries.get(key)
-        entry = StoreEntry(value, before.create if before else self.revision, self.revision)
+        entry = StoreEntry(value, before.create_revision if before else self.revision, self.revision)
         self.entries[key] = entry
         self.events.append((self.revision, key, entry))
         if key == DECISION_KEY:
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -95,7 +95,7 @@
                 self.store.put(NAMES_PREFIX + name, b"1")
         self.leases[name] = self.now + LEASE
         replica.now = self.now
-        replica.lease_renewed(self.now + LEASE, self.store.entries[entry].create)
+        replica.lease_renewed(self.now + LEASE, self.store.entries[entry].create_revision)
 
     def copy(self) -> Model:
         """A state of its own."""
@@ -299,7 +299,10 @@
             (name, stored.promise and stored.promise.number, stored.ended_proposal, stored.decision is None)
             for name, stored in self.files.items()
         ]
-        entries = [(key, entry.create, entry.mod) for key, entry in sorted(self.store.entries.items())]
+        entries = [
+            (key, entry.create_revision, entry.mod_revision)
+            for key, entry in sorted(self.store.entries.items())
+        ]
         world = (
             self.remaining,
             self.now,
--- a/trials/model_replication_text.py
+++ b/trials/model_replication_text.py
@@ -13,7 +13,7 @@
     view_state = (views.view.digest, views.was_synced, len(views.history), synced)
     requests = [_request_text(request) for request in replicator.requests.values()]
     links = len(peers.linked), list(peers.dialling), list(peers.unreachable)
-    return repr((name, view_state, links, records.held, records.unagreed, requests))
+    return repr((name, view_state, links, records.held, records.awaiting_agreement, requests))
 
 
 def _request_text(request: ReplicatedRequest) -> str:
