--- a/starlingwheel/decisions/lease.py
+++ b/starlingwheel/decisions/lease.py
@@ -15,20 +15,20 @@
 from math import inf
 
 # What a watch misses counts as notified so long after it fell silent, or after discovery could be reached.
-MISSED_NOTICE = 6.0
+MISSED_NOTICE_DELAY = 6.0
 # A change may have been made so long before the last message: discovery notifies in rounds.
-PUSH_DELAY = 2.0
+NOTICE_INTERVAL = 2.0
 # A watch that ends may have ended instead of telling of a change, which then counts as notified. Measured on
 # the bench: 1.68 s at the least.
-ENDED_NOTICE = 1.5
+WATCH_ENDED_NOTICE_DELAY = 1.5
 # What a new discovery has counts as notified so long after a new configuration names it.
-MOVED_NOTICE = 4.0
+SOURCE_CHANGE_NOTICE_DELAY = 4.0
 # A process may be held up between its look at the clock and its first byte, and the clocks have some slack.
-HELD_UP = 0.2
+PROCESS_DELAY_MARGIN = 0.2
 # The grace where the settings name none: time for the rest of a message to arrive.
-UNSAID_GRACE = 0.1
+DEFAULT_GRACE = 0.1
 # A watch that lives says something at least this often; later than that the list is in doubt.
-DOUBT_AFTER = 2.5
+IN_DOUBT_AFTER = 2.5
 
 
 class LeaseState(enum.Enum):
@@ -53,8 +53,8 @@
 
     def set_grace(self, drain_grace: float) -> None:
         """The time for which an attempt may still begin after a notice, from the settings."""
-        grace = drain_grace or UNSAID_GRACE
-        self.allowance = max(grace - HELD_UP, grace / 2)
+        grace = drain_grace or DEFAULT_GRACE
+        self.allowance = max(grace - PROCESS_DELAY_MARGIN, grace / 2)
 
     # What is heard of the source.
 
@@ -63,54 +63,54 @@
         self.doubtful_at = now
         self.expires_at = now + self._unheard_notice
 
-    def prove(self, now: float, begun_at: float) -> None:
+    def renew(self, now: float, begun_at: float) -> None:
         """A complete message of the watch in force has come; its first byte came at `begun_at`.
 
         Of two calls that are answered together one is given up within its message: the other brings the same.
         """
         if begun_at > self.incomplete_since - self.allowance:
             self.incomplete_since = inf
-        self.doubtful_at = now + DOUBT_AFTER
-        self.expires_at = now + MISSED_NOTICE + self.allowance
+        self.doubtful_at = now + IN_DOUBT_AFTER
+        self.expires_at = now + MISSED_NOTICE_DELAY + self.allowance
 
-    def begin_message(self, now: float) -> None:
+    def note_message_started(self, now: float) -> None:
         """A message has begun to arrive: it counts as notified now, with all that is still to come of it."""
         self.incomplete_since = min(self.incomplete_since, now)
 
-    def end_watch(self, now: float, reset: bool) -> None:
+    def note_watch_ended(self, now: float, reset: bool) -> None:
         """The watch in force has ended. A reset may be the end of discovery itself, an end seldom is."""
         gone = reset or self.pushed
-        until = now + (self._unheard_notice if gone else ENDED_NOTICE + self.allowance)
+        until = now + (self._unheard_notice if gone else WATCH_ENDED_NOTICE_DELAY + self.allowance)
         self.doubtful_at = min(self.doubtful_at, now)
         self.expires_at = min(self.expires_at, until)
 
-    def fall_silent(self, now: float) -> None:
+    def note_watch_silent(self, now: float) -> None:
         """The watch in force says nothing; what it misses counts from when it was last heard."""
         self.doubtful_at = min(self.doubtful_at, now)
 
-    def do_without(self) -> None:
+    def assume_source_down(self) -> None:
         """Nothing was heard of the source for so long that it counts as down: it can notify nobody."""
         self.expires_at = inf
 
-    def miss_source(self, now: float) -> None:
+    def note_source_unreachable(self, now: float) -> None:
         """The source can't be reached: nothing that it has counts as notified until it can be."""
-        until = now + (0.0 if self.pushed else MISSED_NOTICE) + self.allowance
+        until = now + (0.0 if self.pushed else MISSED_NOTICE_DELAY) + self.allowance
         self.expires_at = max(self.expires_at, until)
         if self.moves_by < inf:
             self.moves_by = max(self.moves_by, until)
 
-    def move_source(self, now: float) -> None:
+    def begin_source_change(self, now: float) -> None:
         """Another source is in force from now on, which has not been heard yet."""
-        self.moves_by = now + MOVED_NOTICE + self.allowance
+        self.moves_by = now + SOURCE_CHANGE_NOTICE_DELAY + self.allowance
 
-    def moved_source(self) -> None:
+    def complete_source_change(self) -> None:
         """The new source has been heard."""
         self.moves_by = inf
 
     @property
     def _unheard_notice(self) -> float:
         """From when nothing is heard to when the lease ends."""
-        return (0.0 if self.pushed else MISSED_NOTICE - PUSH_DELAY) + self.allowance
+        return (0.0 if self.pushed else MISSED_NOTICE_DELAY - NOTICE_INTERVAL) + self.allowance
 
     # What may be done.
 
--- a/starlingwheel/decisions/scheduler.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -35,8 +35,8 @@
 class DecisionHost(Protocol):
     """Carries out what decisions ask for."""
 
-    def start_attempt(self, attempt: Attempt, limit: float) -> None:
-        """Send the request to the attempt's endpoint, with a timeout of `limit` seconds."""
+    def start_attempt(self, attempt: Attempt, timeout: float) -> None:
+        """Send the request to the attempt's endpoint, which times out after `timeout` seconds."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt; its end is still reported."""
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -177,13 +177,13 @@
 
     # Commands of the decisions (`DecisionHost`).
 
-    def start_attempt(self, attempt: Attempt, limit: float) -> None:
-        """Start an attempt; it is given up after `limit` seconds."""
+    def start_attempt(self, attempt: Attempt, timeout: float) -> None:
+        """Start an attempt; it is given up after `timeout` seconds."""
         pending = self.pending_requests[attempt.request]
         pool = None
         if self.context.gate.may_repeat(pending):
             pool = self.pools.get(attempt.endpoint.endpoint_id)
-        deadline = attempt.started_at + limit
+        deadline = attempt.started_at + timeout
         if pending.body_incomplete:
             # The time that the client takes to send the rest is not the endpoint's.
             attempt.started_at = inf
--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -84,7 +84,7 @@
         while True:
             match (yield min(self.next_call_at, self.latest_call_at, self.use_known_at)):
                 case None if self.loop.now() >= self.use_known_at:
-                    self.context.lease.do_without()
+                    self.context.lease.assume_source_down()
                     self._begin_with(self.known)
                 case None:
                     self._call()
@@ -174,7 +174,7 @@
     def _move_to(self, address: str) -> None:
         self.address, self.moving, self.backoff = address, True, INITIAL_BACKOFF * KEEPALIVE_INTERVAL
         self.last_call_at, self.timeout_multiple = inf, self.initial_timeout_multiple
-        self.context.lease.move_source(self.loop.now())
+        self.context.lease.begin_source_change(self.loop.now())
         for watch in (self.new_watch, self.second_watch):
             self._close(watch)
         self.new_watch = self.second_watch = None
@@ -202,7 +202,7 @@
 
     def _receive_message(self, watch: DiscoveryWatch, message: DiscoveryMessage) -> None:
         if watch is self.new_watch:
-            self.context.lease.moved_source()
+            self.context.lease.complete_source_change()
             # The old watch stays in use until the first message of the new one.
             before, self.current, self.new_watch, self.moving = self.current, watch, None, False
             self._close(before)
@@ -249,12 +249,12 @@
         lease = self.context.lease
         busy_agent = self.pushed and watch.error_status == HTTPStatus.SERVICE_UNAVAILABLE
         if busy_agent or watch.reason is CloseReason.CONNECT_REFUSED:
-            lease.miss_source(now)
+            lease.note_source_unreachable(now)
         elif watch is self.current and watch.answered:
             if watch.reason is WatchEndReason.SILENT:
-                lease.fall_silent(now)
+                lease.note_watch_silent(now)
             else:
-                lease.end_watch(now, reset=watch.reason is CloseReason.RESET)
+                lease.note_watch_ended(now, reset=watch.reason is CloseReason.RESET)
         self.context.gate.note_state()
 
     def _reopen(self, watch: DiscoveryWatch) -> None:
--- a/starlingwheel/net/discovery/watch.py
+++ b/starlingwheel/net/discovery/watch.py
@@ -93,9 +93,9 @@
     def prove(self) -> None:
         """Renew the lease: this watch is the one in use, and all its lines are complete up to now."""
         self.has_proven = True
-        self.context.lease.prove(self.read_at, self.complete_message_at)
+        self.context.lease.renew(self.read_at, self.complete_message_at)
         if self.incomplete_since:
-            self.context.lease.begin_message(self.incomplete_since)
+            self.context.lease.note_message_started(self.incomplete_since)
         self.context.gate.note_state()
 
     def _log_end(self) -> None:
@@ -207,4 +207,4 @@
             self.incomplete_since = 0.0
         elif not self.incomplete_since:
             self.incomplete_since = self.read_at
-            self.context.lease.begin_message(self.read_at)
+            self.context.lease.note_message_started(self.read_at)
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -314,9 +314,9 @@
 
     # What the decisions ask for.
 
-    def start_attempt(self, attempt: Attempt, limit: float) -> None:
+    def start_attempt(self, attempt: Attempt, timeout: float) -> None:
         """Start an attempt; that of a replicated request is held until its intent is recorded."""
-        super().start_attempt(attempt, limit)
+        super().start_attempt(attempt, timeout)
         exchange = self.pending_requests[attempt.request].exchanges[attempt]
         endpoint, now = attempt.endpoint.entry, self.scheduler.now
         self.zone_controller.attempt_started(exchange, endpoint.zone, now)
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -14,7 +14,7 @@
 from math import inf
 
 from ..decisions.config import RetrySafety
-from ..decisions.lease import HELD_UP, EndpointLease, LeaseState
+from ..decisions.lease import PROCESS_DELAY_MARGIN, EndpointLease, LeaseState
 from .discovery.messages import DRAINING_STATE, DiscoveredEndpoint
 from .state.overrides import EndpointOverrides
 from .state.requests import Exchange, PendingRequest
@@ -89,7 +89,7 @@
         )
         first = min(pending.first_risky_at, *others, inf)
         window = request_class.deduplication_window
-        over = self.now() >= first + max(window - HELD_UP, window / 2)
+        over = self.now() >= first + max(window - PROCESS_DELAY_MARGIN, window / 2)
         return Refusal.WINDOW_OVER if over else None
 
     def unwanted(self, exchange: Exchange) -> Refusal | None:
@@ -108,7 +108,7 @@
 
     def note_written(self, exchange: Exchange) -> None:
         """Count first bytes that were written too long after `refusal` let them."""
-        if exchange.admitted_at and self.now() - exchange.admitted_at > HELD_UP:
+        if exchange.admitted_at and self.now() - exchange.admitted_at > PROCESS_DELAY_MARGIN:
             self.late_writes += 1
         exchange.admitted_at = 0.0
 
--- a/starlingwheel/simulator/sidecar.py
+++ b/starlingwheel/simulator/sidecar.py
@@ -143,11 +143,11 @@
 
     # Commands: the methods of `DecisionHost`.
 
-    def start_attempt(self, attempt: Attempt, limit: float) -> None:
-        """Send the request to the attempt's endpoint, with a timeout of `limit` seconds."""
+    def start_attempt(self, attempt: Attempt, timeout: float) -> None:
+        """Send the request to the attempt's endpoint, with a timeout of `timeout` seconds."""
         pending = self._by_request[attempt.request]
         pending.attempts.append(attempt)
-        self.output.append(wire.encode_start_attempt(pending.number, attempt.endpoint.endpoint_id, limit))
+        self.output.append(wire.encode_start_attempt(pending.number, attempt.endpoint.endpoint_id, timeout))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Give an attempt up; its end is still reported."""
--- a/tests/decision_host.py
+++ b/tests/decision_host.py
@@ -132,16 +132,16 @@
         """The final answers of a request; more than one would be a fault."""
         return [answer.kind for answer in self.final_answers if answer.request is request]
 
-    def serve(self, count: int, took: float = 0.1, request_class: RequestClass = LOOK) -> None:
-        """So many requests, one after another, each answered in `took` seconds."""
+    def serve(self, count: int, duration: float = 0.1, request_class: RequestClass = LOOK) -> None:
+        """So many requests, one after another, each answered in `duration` seconds."""
         for _ in range(count):
             attempt = self.attempts_of(self.submit(request_class))[0]
-            self.advance(took)
+            self.advance(duration)
             self.end_attempt(attempt)
 
     # What the decisions ask of their host: `DecisionHost`.
 
-    def start_attempt(self, attempt: Attempt, limit: float) -> None:
+    def start_attempt(self, attempt: Attempt, timeout: float) -> None:
         """Record an attempt."""
         self.attempts.append(attempt)
 
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -13,7 +13,7 @@
 
 
 def test_with_full_queues_the_least_priority_weight_is_rejected_first(host: FakeHost) -> None:
-    host.serve(40, took=0.2)
+    host.serve(40, duration=0.2)
     served = {BUY: 0, LOOK: 0}
     for _ in range(12):
         for category in served:
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -21,7 +21,7 @@
 
 
 def test_a_reload_keeps_what_was_learned_and_a_new_class_begins_afresh(host: FakeHost) -> None:
-    host.serve(40, took=0.2)
+    host.serve(40, duration=0.2)
     balancer = host.scheduler.balancer
     learned = balancer.latency.typical(LOOK)
     # The same by its name, with another effect and deadline, beside a new one.
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -56,9 +56,9 @@
     host = make_host(sidecars=3, gossip_allowed=True)
     bad = host.scheduler.balancer.endpoints.by_id["u0"]
     host.receive_gossip(1, bad, 255)
-    host.serve(30, took=0.02, request_class=BUY)
+    host.serve(30, duration=0.02, request_class=BUY)
     assert bad not in {attempt.endpoint for attempt in host.attempts}
-    host.serve(30, took=0.02)
+    host.serve(30, duration=0.02)
     assert bad in {attempt.endpoint for attempt in host.attempts}
     host.advance(5.0)
     host.serve(30, request_class=BUY)
@@ -127,7 +127,7 @@
     host.advance(2.0)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
     host.receive_gossip(1, endpoint, UNANSWERED)
-    host.serve(12, took=0.01)
+    host.serve(12, duration=0.01)
     assert endpoint not in {attempt.endpoint for attempt in host.attempts}
 
 
@@ -162,14 +162,14 @@
     host.receive_gossip(2, endpoint, UNANSWERED)
     assert endpoint.probation_limit == 1
     host.receive_gossip(1, endpoint, 0)
-    host.serve(40, took=0.01, request_class=BUY)
+    host.serve(40, duration=0.01, request_class=BUY)
     assert endpoint in {attempt.endpoint for attempt in host.attempts}
 
 
 def test_an_endpoint_ejected_for_errors_is_not_back_for_a_response_to_a_peer(make_host: MakeHost) -> None:
     host = make_host(**GOSSIP_SETTINGS)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
-    host.serve(40, took=0.01)
+    host.serve(40, duration=0.01)
     while endpoint.probation_limit == float("inf"):
         for attempt in [host.attempts_of(host.submit())[0] for _ in range(4)]:
             host.end_attempt(
@@ -193,7 +193,7 @@
 
 def test_attempts_cancelled_at_a_healthy_endpoint_are_reported_as_such(make_host: MakeHost) -> None:
     host = make_host(**GOSSIP_SETTINGS, endpoints=2)
-    host.serve(110, took=0.05)
+    host.serve(110, duration=0.05)
     request = host.submit()
     host.advance(0.1)
     first, hedge = host.attempts_of(request)
--- a/tests/decisions/test_load.py
+++ b/tests/decisions/test_load.py
@@ -72,7 +72,7 @@
 
 def test_a_short_queue_is_no_reason_to_reject_a_request_with_time_for_it(make_host: MakeHost) -> None:
     host = make_host(endpoints=1)
-    host.serve(60, took=0.17, request_class=BUY)
+    host.serve(60, duration=0.17, request_class=BUY)
     host.submit(BUY), host.submit(BUY)
     assert host.attempts_of(host.submit(BUY))
 
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -43,7 +43,7 @@
 def test_an_ejected_endpoint_returns_by_a_probation_without_non_idempotent_requests(host: FakeHost) -> None:
     endpoint = fail(host, "u0")
     host.advance(1.5)
-    host.serve(40, took=0.01, request_class=BUY)
+    host.serve(40, duration=0.01, request_class=BUY)
     assert endpoint not in {attempt.endpoint for attempt in host.attempts[-40:]}
     host.serve(60)
     assert endpoint in {attempt.endpoint for attempt in host.attempts[-20:]}
@@ -98,7 +98,7 @@
     host = make_host(endpoints=8, gossip_allowed=True)
     balancer = host.scheduler.balancer
     most = 0
-    host.serve(400, took=0.002)
+    host.serve(400, duration=0.002)
     for i in range(2400):  # at a pace at which two failures in a row are bound to come up by chance
         request = host.submit()
         host.advance(0.004)
@@ -157,7 +157,7 @@
     make_host: MakeHost, sidecars: int, part: float
 ) -> None:
     host = make_host(endpoints=40, sidecars=sidecars, gossip_allowed=True)
-    host.serve(60, took=0.01)
+    host.serve(60, duration=0.01)
     gone = set(list(host.scheduler.balancer.endpoints.by_id.values())[:20])
     refused = 0
     for i in range(400):
@@ -173,13 +173,13 @@
 
 def test_endpoints_that_are_back_are_used_again_at_once(make_host: MakeHost) -> None:
     host = make_host(endpoints=20)
-    host.serve(60, took=0.01)
+    host.serve(60, duration=0.01)
     for _ in range(40):
         request = host.submit()
         while attempt := next((attempt for attempt in host.attempts_of(request) if attempt.pending), None):
             host.end_attempt(attempt, AttemptOutcome.CONNECT_FAILED)
     host.advance(3.0)
-    host.serve(100, took=0.01)
+    host.serve(100, duration=0.01)
     assert len({attempt.endpoint for attempt in host.attempts[-40:]}) > 12
 
 
@@ -187,7 +187,7 @@
     make_host: MakeHost,
 ) -> None:
     host = make_host(endpoints=1, **GOSSIP_SETTINGS)
-    host.serve(40, took=0.01)
+    host.serve(40, duration=0.01)
     old = host.attempts_of(host.submit(BUY))[0]
     host.advance(0.8)
     endpoint = old.endpoint
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -33,7 +33,7 @@
     used = {}
     for price in (0.0, 0.1):
         host = make_host(endpoints=12, cross_zone_price=0.01, connection_setup_price=price, idle_timeout=5.0)
-        host.serve(200, took=0.05, request_class=BUY)
+        host.serve(200, duration=0.05, request_class=BUY)
         used[price] = len({attempt.endpoint for attempt in host.attempts[-100:]})
     assert used[0.0] == 12 and used[0.1] <= 3
 
@@ -42,7 +42,7 @@
     make_host: MakeHost,
 ) -> None:
     host = make_host(endpoints=4, connection_setup_price=0.1, idle_timeout=5.0)
-    host.serve(20, took=0.1, request_class=BUY)
+    host.serve(20, duration=0.1, request_class=BUY)
     wis = [host.submit(BUY) for _ in range(4)]
     assert len({host.attempts_of(request)[0].endpoint for request in wis}) > 2
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -34,7 +34,7 @@
 
 def test_nothing_queues_at_an_endpoint_that_is_still_warming_up(make_host: MakeHost) -> None:
     host = make_host(endpoints=1)
-    host.serve(40, took=0.12, request_class=BUY)
+    host.serve(40, duration=0.12, request_class=BUY)
     host.list_endpoints(WatchEvent.DELTA, "u0", started=host.scheduler.now)
     sent = [len(host.attempts_of(host.submit(BUY))) for _ in range(3)]
     assert sent == [1, 0, 0]
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -13,14 +13,14 @@
 from starlingwheel.net.state.requests import Exchange
 
 GRACE = 0.5
-NOTICE = module.MISSED_NOTICE
+NOTICE = module.MISSED_NOTICE_DELAY
 
 
 def make_lease(pushed: bool = False, grace: float = GRACE) -> EndpointLease:
     """A lease that was proved at 10 s."""
     lease = EndpointLease(grace, pushed)
     lease.start(0.0)
-    lease.prove(10.0, 10.0)
+    lease.renew(10.0, 10.0)
     return lease
 
 
@@ -34,8 +34,8 @@
     lease = make_lease()
     for at in (12.0, 14.0, 16.0):
         assert lease.state(at) is LeaseState.FRESH
-        lease.prove(at, at)
-    assert lease.state(16.0 + module.DOUBT_AFTER) is LeaseState.IN_DOUBT
+        lease.renew(at, at)
+    assert lease.state(16.0 + module.IN_DOUBT_AFTER) is LeaseState.IN_DOUBT
 
 
 def test_a_silent_watch_expires_the_lease_within_the_grace_after_a_missed_notice() -> None:
@@ -43,7 +43,7 @@
     lease = make_lease()
     # Also where nobody ever finds it silent.
     assert lease.allows(10.0 + NOTICE) and not lease.allows(10.0 + NOTICE + GRACE)
-    lease.fall_silent(13.0)
+    lease.note_watch_silent(13.0)
     assert lease.state(13.0) is LeaseState.IN_DOUBT
     assert lease.ends_at <= 10.0 + NOTICE + GRACE
 
@@ -52,7 +52,7 @@
 def test_the_end_of_a_watch_counts_as_a_missed_notice(reset: bool, notice: float) -> None:
     """A reset leaves more time, for it says nothing of the source."""
     lease = make_lease()
-    lease.end_watch(11.0, reset)
+    lease.note_watch_ended(11.0, reset)
     assert lease.state(11.0) is LeaseState.IN_DOUBT
     assert not lease.allows(11.0 + notice + GRACE)
     assert lease.allows(11.0 + notice / 2)
@@ -62,54 +62,54 @@
 def test_a_message_that_has_begun_counts_as_a_notice(end: str) -> None:
     """Until it is complete, whatever happens meanwhile."""
     lease = make_lease()
-    lease.begin_message(12.0)
+    lease.note_message_started(12.0)
     if end == "prove":
-        lease.prove(12.1, 11.0)  # a message that began before it, on another watch
+        lease.renew(12.1, 11.0)  # a message that began before it, on another watch
     elif end == "end_watch":
-        lease.end_watch(12.1, reset=True)
+        lease.note_watch_ended(12.1, reset=True)
     elif end == "miss_source":
-        lease.miss_source(12.1)
+        lease.note_source_unreachable(12.1)
     assert lease.allows(12.0) and not lease.allows(12.0 + GRACE)
-    lease.prove(14.0, 13.9)
+    lease.renew(14.0, 13.9)
     assert lease.state(14.0) is LeaseState.FRESH
 
 
 def test_a_message_in_two_pieces_renews_the_lease_once_it_is_complete() -> None:
     """It counts from its beginning."""
     lease = make_lease()
-    lease.begin_message(12.0)
-    lease.prove(12.2, 12.0)
+    lease.note_message_started(12.0)
+    lease.renew(12.2, 12.0)
     assert lease.state(12.6) is LeaseState.FRESH
 
 
 def test_a_source_that_cannot_be_reached_notifies_nobody() -> None:
     """Each failed call shows that nobody can have been notified meanwhile."""
     lease = make_lease()
-    lease.end_watch(11.0, reset=False)
+    lease.note_watch_ended(11.0, reset=False)
     for at in range(11, 60, 4):
         assert lease.allows(float(at))
-        lease.miss_source(float(at))
+        lease.note_source_unreachable(float(at))
     assert not lease.allows(59.0 + NOTICE + GRACE)
 
 
 def test_where_lists_are_pushed_a_missed_notice_counts_at_once() -> None:
     """Without the time in which a polled list notifies."""
     lease = make_lease(pushed=True)
-    lease.end_watch(11.0, reset=False)
+    lease.note_watch_ended(11.0, reset=False)
     assert lease.allows(11.0 + GRACE / 2) and not lease.allows(11.0 + GRACE)
-    lease.miss_source(11.4)
+    lease.note_source_unreachable(11.4)
     assert lease.allows(11.4 + GRACE / 2) and not lease.allows(11.4 + GRACE)
 
 
 def test_a_former_source_stops_renewing_the_lease() -> None:
     """A while after the configuration names another."""
     lease = make_lease()
-    lease.move_source(12.0)
+    lease.begin_source_change(12.0)
     for at in (14.0, 16.0, 18.0):
-        lease.prove(at, at)
+        lease.renew(at, at)
     assert lease.state(14.0) is LeaseState.IN_DOUBT
     assert not lease.allows(12.0 + NOTICE + GRACE)
-    lease.moved_source()
+    lease.complete_source_change()
     assert lease.state(18.0) is LeaseState.FRESH
 
 
@@ -139,7 +139,7 @@
     host = FakeHost()
     host.serve(60)
     lease = host.scheduler.balancer.lease
-    lease.prove(host.scheduler.now, host.scheduler.now)
+    lease.renew(host.scheduler.now, host.scheduler.now)
     looked, bought = host.submit(LOOK), host.submit(BUY)
     sent = len(host.attempts)
     lease.expires_at = host.scheduler.now
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -80,7 +80,7 @@
         """A process of a sidecar, which has learned the latency or has just begun."""
         host: FakeHost = self.make_host(endpoints=1, seed=self.rng.getrandbits(32), **self.config)
         if experienced:
-            host.serve(40, took=self.service_time, request_class=self.request_class)
+            host.serve(40, duration=self.service_time, request_class=self.request_class)
         host.attempts.clear()
         host.advance(self.now - host.scheduler.now)
         return host
--- a/trials/call_tree/caller.py
+++ b/trials/call_tree/caller.py
@@ -154,8 +154,8 @@
 
     # Commands: the methods of `DecisionHost`.
 
-    def start_attempt(self, attempt: Attempt, limit: float) -> None:
-        """Send the request to the attempt's server, with a timeout of `limit` seconds."""
+    def start_attempt(self, attempt: Attempt, timeout: float) -> None:
+        """Send the request to the attempt's server, with a timeout of `timeout` seconds."""
         pending = self.pending[attempt.request]
         kind = "first" if not pending.sends else "copy" if pending.calls else "retry"
         pending.sends += 1
@@ -163,13 +163,13 @@
             self.budget.second()
         tree, server = self.tree, self.servers[attempt.endpoint.endpoint_id]
         tree.count_send(self.level, kind, pending.root.measured)
-        time_left = self._sent_time_left(limit)
+        time_left = self._sent_time_left(timeout)
         call = pending.calls[attempt] = Call(attempt, self, server, tree.now + time_left, pending.root)
         if pending.root.measured:
             tree.time_left[self.level].append(time_left)
             tree.time_left_grown += time_left > pending.time_left + ROUNDING
         tree.after(tree.network_delay(), lambda: server.take(call))
-        tree.after(limit, lambda: self._end_if_pending(call, AttemptOutcome.TIMED_OUT))
+        tree.after(timeout, lambda: self._end_if_pending(call, AttemptOutcome.TIMED_OUT))
 
     def _sent_time_left(self, limit: float) -> float:
         """The time left as the program sends it to a server: whole milliseconds, one at least."""
