--- a/starlingwheel/net/admin/routes.py
+++ b/starlingwheel/net/admin/routes.py
@@ -79,7 +79,7 @@
 
 def _set_draining(on: bool) -> AdminHandler:
     def handle(context: SidecarContext, body: bytes) -> AdminResult:
-        context.overrides.lameduck(on)
+        context.overrides.set_sidecar_draining(on)
         context.overrides_changed([])
         return "", b""
 
--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -128,7 +128,7 @@
         self.gate = AttemptGate(self.lease, self.overrides, self.loop.now, self.log)
         self.active_traces: set[bytes] = set()  # of the requests that clients wait for
         self.resets_expected_until = -inf  # until then connections to endpoints may break at any time
-        self.unsolicited_until = -inf  # until then unsolicited responses may come at any time
+        self.unsolicited_responses_until = -inf  # until then unsolicited responses may come at any time
         self.stopping = False
         self.rng = random.Random(config.seed)
 
@@ -147,7 +147,7 @@
 
     def check_siblings(self) -> None:
         """Look whether another process of this sidecar runs, and share the limits accordingly."""
-        processes = 1 + (self.siblings is not None and self.siblings.others())
+        processes = 1 + (self.siblings is not None and self.siblings.has_others())
         if processes != self.process_count:
             self.log("processes", count=processes)
             self.set_process_count(processes)
@@ -165,7 +165,7 @@
         self._apply_config(balancer_config)
         self.coordinator.post(ConfigReloaded(self.balancer_config))
 
-    def log_mixed_settings(self) -> None:
+    def log_contradictory_settings(self) -> None:
         """Log settings that contradict each other: no start is refused for them."""
         for key, why in contradictions(self.config.settings):
             self.log("settings.mixed", key=key, why=why)
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -136,7 +136,7 @@
         del pending.exchanges[attempt]
         if not outcome.never_ran:
             pending.may_have_run = True
-            pending.first_risky_at = min(pending.first_risky_at, exchange.started_at)
+            pending.first_may_have_run_at = min(pending.first_may_have_run_at, exchange.started_at)
         if response is not None:
             if pending.awaits_response:
                 self._send_final_response(pending, FinalResponse(200, response), "finished")
@@ -181,7 +181,7 @@
         """Start an attempt; it is given up after `limit` seconds."""
         pending = self.pending_requests[attempt.request]
         pool = None
-        if self.context.gate.may_repeat(pending):
+        if self.context.gate.may_start_attempt(pending):
             pool = self.pools.get(attempt.endpoint.endpoint_id)
         deadline = attempt.started_at + limit
         if pending.body_incomplete:
@@ -211,7 +211,7 @@
         if not self.context.gate.may_reject(pending):
             self.fail_request(request)
             return
-        self.context.gate.note_rejected()
+        self.context.gate.record_rejection()
         response = FinalResponse(SERVICE_UNAVAILABLE, retry_after=retry_after)
         self._send_final_response(pending, response, "deferred")
         self._forget_if_finished(pending)
--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -119,7 +119,7 @@
         """Give the decisions a first list: the known one, or an empty one."""
         if known is not None:
             self.use_known_at = inf
-        entries = self.context.overrides.listed(True, known.endpoints if known else [])
+        entries = self.context.overrides.apply_watch_message(True, known.endpoints if known else [])
         self.context.coordinator.post(EndpointsChanged(WatchEvent.SNAPSHOT, entries))
 
     # Calls.
@@ -215,7 +215,7 @@
         if self.use_known_at < inf and not message.full:
             self._begin_with(self.known)  # the message tells what changed since, perhaps nothing
         self.use_known_at = inf
-        entries = self.context.overrides.listed(message.full, message.endpoints)
+        entries = self.context.overrides.apply_watch_message(message.full, message.endpoints)
         self.context.coordinator.post(EndpointsChanged(message.event, entries))
 
     def _watch_ended(self, watch: DiscoveryWatch) -> None:
@@ -255,7 +255,7 @@
                 lease.fall_silent(now)
             else:
                 lease.end_watch(now, reset=watch.reason is CloseReason.RESET)
-        self.context.gate.note_state()
+        self.context.gate.update_lease_state()
 
     def _reopen(self, watch: DiscoveryWatch) -> None:
         """Schedule the next call: none is on its way now."""
--- a/starlingwheel/net/discovery/watch.py
+++ b/starlingwheel/net/discovery/watch.py
@@ -96,7 +96,7 @@
         self.context.lease.prove(self.read_at, self.complete_message_at)
         if self.incomplete_since:
             self.context.lease.begin_message(self.incomplete_since)
-        self.context.gate.note_state()
+        self.context.gate.update_lease_state()
 
     def _log_end(self) -> None:
         now = self.loop.now()
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -55,7 +55,7 @@
     def refusal(self, endpoint: DiscoveredEndpoint, exchange: Exchange) -> Refusal | None:
         """Return why nothing may be sent to this endpoint for this exchange now; None: it may."""
         reason = self._endpoint_refusal(endpoint)
-        reason = reason or self._repeat_refusal(exchange) or self.unwanted(exchange)
+        reason = reason or self._repeat_refusal(exchange) or self.exchange_refusal(exchange)
         if reason is not None:
             self.refused[reason] += 1
         else:
@@ -69,7 +69,7 @@
             return Refusal.MOVED
         if (current.addr, current.started_ms) != (endpoint.addr, endpoint.started_ms):
             return Refusal.MOVED
-        return Refusal.LEASE_EXPIRED if self.note_state() is LeaseState.EXPIRED else None
+        return Refusal.LEASE_EXPIRED if self.update_lease_state() is LeaseState.EXPIRED else None
 
     def _repeat_refusal(self, exchange: Exchange) -> Refusal | None:
         """Refuse a repeat that was chosen within its deduplication window and would begin after it.
@@ -87,12 +87,12 @@
             for other in pending.exchanges.values()
             if other is not exchange and other.written
         )
-        first = min(pending.first_risky_at, *others, inf)
+        first = min(pending.first_may_have_run_at, *others, inf)
         window = request_class.deduplication_window
         over = self.now() >= first + max(window - HELD_UP, window / 2)
         return Refusal.WINDOW_OVER if over else None
 
-    def unwanted(self, exchange: Exchange) -> Refusal | None:
+    def exchange_refusal(self, exchange: Exchange) -> Refusal | None:
         """Return why nothing more is to be sent for an exchange; None: it is wanted.
 
         In a late turn of the loop a connection may be ready before the client's end, the final response or a
@@ -106,17 +106,17 @@
             return Refusal.TOO_LATE
         return Refusal.CLIENT_LEFT if exchange.pending.client.has_disconnected() else None
 
-    def note_written(self, exchange: Exchange) -> None:
+    def record_first_write(self, exchange: Exchange) -> None:
         """Count first bytes that were written too long after `refusal` let them."""
         if exchange.admitted_at and self.now() - exchange.admitted_at > HELD_UP:
             self.late_writes += 1
         exchange.admitted_at = 0.0
 
-    def note_rejected(self) -> None:
+    def record_rejection(self) -> None:
         """Count a rejected request, if the lease is the reason."""
-        self.stale_rejections += self.note_state() is LeaseState.EXPIRED
+        self.stale_rejections += self.update_lease_state() is LeaseState.EXPIRED
 
-    def note_state(self) -> LeaseState:
+    def update_lease_state(self) -> LeaseState:
         """Return the lease's state; a change of it is logged."""
         now = self.now()
         state = self.lease.state(now)
@@ -127,7 +127,7 @@
 
     # Checks of the decisions at run time: an error there must not break a rule.
 
-    def may_repeat(self, pending: PendingRequest) -> bool:
+    def may_start_attempt(self, pending: PendingRequest) -> bool:
         """Another attempt may begin: a non-idempotent request has none that may have run, or may yet."""
         return self._none_may_have_run(pending, "a second attempt for what may have run")
 
--- a/starlingwheel/net/gossip/socket.py
+++ b/starlingwheel/net/gossip/socket.py
@@ -5,7 +5,7 @@
 import socket
 
 from ..actor import Actor, Coroutine
-from ..address import split
+from ..address import split_host_port
 from ..context import SidecarContext
 from ..loop import READ
 from ..messages import GossipReceived
@@ -43,8 +43,10 @@
         self.peers: dict[tuple[str, int], GossipPeer] = {}
         for number, address in enumerate(context.config.peers):
             if number != context.balancer_config.sidecar_index:
-                self.peers[split(address)] = GossipPeer(context, number)
-        self.broadcast_address = split(context.config.peers_all) if context.config.peers_all else None
+                self.peers[split_host_port(address)] = GossipPeer(context, number)
+        self.broadcast_address = (
+            split_host_port(context.config.peers_all) if context.config.peers_all else None
+        )
         sock.setblocking(False)
         context.loop.register(sock.fileno(), self, READ)
         super().__init__(context.loop)
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -118,7 +118,7 @@
             self.context.log("request.unfit", status=status, reason=InvalidRequestReason.NO_BUFFERS)
         finally:
             self._release_body(accepted)
-            self.context.connections.note_request_complete(self)
+            self.context.connections.record_request_complete(self)
         # A client whose requests are rejected has to connect anew: it must not repeat them at full speed.
         yield from self._respond(status, final, close=final is None and status != 200)
         self.response_count += 1
@@ -234,7 +234,7 @@
         if count:
             self.last_read_at = self.loop.now()
             if not self.response_count:
-                self.context.connections.note_request_part(self)
+                self.context.connections.record_request_part(self)
             if self.request_started_at is None:
                 self.request_started_at = self.last_read_at
                 self.context.connections.idle_clients.pop(self, None)
@@ -266,7 +266,7 @@
         """Wait for the final response; what comes behind the request stays in the kernel's buffer."""
         self.pending = pending
         self.context.active_traces.add(pending.trace_id)
-        self.context.connections.note_request_complete(self)
+        self.context.connections.record_request_complete(self)
         try:
             self.context.coordinator.post(RequestReceived(pending))
             final = None
--- a/starlingwheel/net/http/endpoint_connection.py
+++ b/starlingwheel/net/http/endpoint_connection.py
@@ -29,7 +29,7 @@
         self.has_stream = False
         self.exchange_count = 0
         self.idle_since = 0.0  # 0: never idle yet
-        context.connections.to_endpoints[self] = None
+        context.connections.endpoint_connections[self] = None
         context.connections.update_peak()
         super().__init__(context.loop)
 
@@ -44,6 +44,6 @@
         """Close the socket, and tell the pool."""
         if self.has_stream:
             self.stream.close()
-        self.context.connections.to_endpoints.pop(self, None)
+        self.context.connections.endpoint_connections.pop(self, None)
         self.pool.post(ConnectionClosed(self))
         self.pool.log_closed(reason, self.exchange_count)
--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -65,7 +65,7 @@
         a request at once, and a new connection for each is expensive for endpoints.
         """
         now = self.loop.now()
-        trusted = self.last_was_health_check and now >= self.context.unsolicited_until
+        trusted = self.last_was_health_check and now >= self.context.unsolicited_responses_until
         quiescent_at = self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
         return not self.exchange_count or trusted or now >= quiescent_at
 
@@ -175,7 +175,7 @@
         for another.
         """
         quiescent_at = self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
-        until = min(quiescent_at, self.context.unsolicited_until)
+        until = min(quiescent_at, self.context.unsolicited_responses_until)
         while self.loop.now() < until:
             message = yield until
             if isinstance(message, SocketReady):
@@ -191,7 +191,7 @@
 
     def _unsolicited(self) -> CloseReason:
         """Unsolicited bytes came: it may happen again, here or at another endpoint."""
-        self.context.unsolicited_until = caution_deadline(self.context, self.loop.now())
+        self.context.unsolicited_responses_until = caution_deadline(self.context, self.loop.now())
         return CloseReason.UNSOLICITED_BYTES
 
     # Between exchanges, and the end.
--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -199,7 +199,7 @@
             self._report(exchange, ExchangeResult(AttemptOutcome.NOT_SENT))
             return
         self.streams[stream_exchange.number] = stream_exchange
-        self.context.connections.idle_to_endpoints.pop(self, None)
+        self.context.connections.idle_endpoint_connections.pop(self, None)
         exchange.written = True
         self.exchange_count += 1
         self._send_body(stream_exchange)
@@ -274,7 +274,7 @@
         match event:
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
                 for stream_exchange in [e for e in self.streams.values() if e.unsent]:
-                    if self.context.gate.unwanted(stream_exchange.exchange):
+                    if self.context.gate.exchange_refusal(stream_exchange.exchange):
                         # Its client has left, and a `CancelExchange` may not come.
                         self._give_up(stream_exchange.exchange, AttemptOutcome.CANCELLED)
                     else:
@@ -320,7 +320,7 @@
         self.idle_since = self.loop.now()
         if not self.streams and not self.closing:
             # Where descriptors run short, a connection without an exchange makes room.
-            self.context.connections.idle_to_endpoints[self] = None
+            self.context.connections.idle_endpoint_connections[self] = None
         exchange, body = stream_exchange.exchange, stream_exchange.body
         report: dict[str, float] = {}
         if stream_exchange.status:
@@ -345,5 +345,5 @@
         for exchange in self.waiting:
             self._report(exchange, ExchangeResult(outcome))
         self.waiting.clear()
-        self.context.connections.idle_to_endpoints.pop(self, None)
+        self.context.connections.idle_endpoint_connections.pop(self, None)
         self._end_connection(reason)
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -56,7 +56,7 @@
                         exchange.connection.post(cancel)
                 case ConnectionIdle(connection):
                     self.idle.append(connection)
-                    self.context.connections.idle_to_endpoints[connection] = None
+                    self.context.connections.idle_endpoint_connections[connection] = None
                 case ConnectionClosed(connection):
                     self.remove_idle(connection)
                 case EndpointMoved(endpoint):
@@ -73,7 +73,7 @@
 
     def remove_idle(self, connection: EndpointConnection) -> None:
         """Give no further exchange to a connection that was idle or shared."""
-        self.context.connections.idle_to_endpoints.pop(connection, None)
+        self.context.connections.idle_endpoint_connections.pop(connection, None)
         both: tuple[list[Any], list[Any]] = (self.idle, self.multiplexed)
         for connections in both:
             if connection in connections:
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -50,7 +50,7 @@
     def write(self, exchange: Exchange) -> Coroutine[None]:
         """Write all that has been put to the stream; raises `ConnectionLostError`."""
         done = self.stream.write()
-        self.context.gate.note_written(exchange)
+        self.context.gate.record_first_write(exchange)
         while not done:
             self.stream.wait_for(READ | WRITE)
             ready = yield from next_socket_event(exchange, exchange.deadline, CloseReason.OVERDUE)
@@ -73,7 +73,7 @@
 
     def check_wanted(self, exchange: Exchange) -> None:
         """Raise `ConnectionLostError` if nothing more is to be sent for the exchange."""
-        if refusal := self.context.gate.unwanted(exchange):
+        if refusal := self.context.gate.exchange_refusal(exchange):
             raise ConnectionLostError(CloseReason(refusal.value))
 
     def _put(self, exchange: Exchange) -> None:
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -11,7 +11,7 @@
 import h11
 
 from ..actor import Actor
-from ..address import split
+from ..address import split_host_port
 from ..loop import HANGUP, READ, Loop, SocketReady
 from ..messages import CLOSE
 from ..state.buffers import BUFFER_SIZE, BufferPool
@@ -195,7 +195,7 @@
         if source:
             sock.bind((source, 0))
         with contextlib.suppress(BlockingIOError):
-            sock.connect(split(address))
+            sock.connect(split_host_port(address))
     except (OSError, ValueError, OverflowError) as error:
         sock.close()
         raise ConnectionLostError(CloseReason.CONNECT_REFUSED) from error
--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -13,7 +13,7 @@
 
 from ... import settings
 from ...decisions.config import BalancerConfig
-from ..address import split
+from ..address import split_host_port
 from ..discovery.messages import DiscoveryMessage
 
 START_ONLY = {"seed", "known"}  # used by the start alone: a reload does not compare them
@@ -118,7 +118,7 @@
         mgmt = environment.get("EDGE_MGMT") or config.mgmt
         config = msgspec.structs.replace(config, mgmt=mgmt, named=frozenset(given))
         for field in ("listen", "discovery", "mgmt")[: 3 if config.mgmt else 2]:
-            split(getattr(config, field))
+            split_host_port(getattr(config, field))
     except (OSError, msgspec.DecodeError, ValueError) as error:
         raise ConfigError(f"{path}: {error}") from error
     return config
--- a/starlingwheel/net/lifecycle/sidecar.py
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -108,7 +108,7 @@
         if context.fleet is not None:
             context.fleet.begin()
         self._log_start()
-        context.log_mixed_settings()
+        context.log_contradictory_settings()
 
     def _join_siblings(self) -> None:
         context = self.context
--- a/starlingwheel/net/lifecycle/signals.py
+++ b/starlingwheel/net/lifecycle/signals.py
@@ -77,7 +77,7 @@
             balancer_config, fixed = keep_start_only_fields(balancer_config, context.balancer_config)
             need_restart |= {f"settings: {name}" for name in fixed}
             context.reload(balancer_config)
-            context.log_mixed_settings()
+            context.log_contradictory_settings()
         taken_over = sorted(reloaded - {"named"})
         context.log("config.read", taken_over=taken_over, need_restart=sorted(need_restart))
         if "discovery" in reloaded:
--- a/starlingwheel/net/lifecycle/sockets.py
+++ b/starlingwheel/net/lifecycle/sockets.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from ..address import split
+from ..address import split_host_port
 from .config import ConfigError
 
 LISTEN_BACKLOG = 512
@@ -40,7 +40,7 @@
     if kind is socket.SOCK_STREAM or reuse_address:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
-        sock.bind(split(address))
+        sock.bind(split_host_port(address))
     except OSError as error:
         sock.close()
         raise ConfigError(f"{address}: {error.strerror}") from error
--- a/starlingwheel/net/lifecycle/stats.py
+++ b/starlingwheel/net/lifecycle/stats.py
@@ -33,7 +33,7 @@
                 upstreams=len(context.coordinator.pools),
                 out=len(context.overrides.stored.drained),
                 lameduck=context.draining,
-                connections=len(context.connections.clients) + len(context.connections.to_endpoints),
+                connections=len(context.connections.clients) + len(context.connections.endpoint_connections),
                 most_connections=context.connections.peak,
                 buffers=context.buffer_pool.allocated,
                 memory_mb=round(resident / 2**20, 1),
--- a/starlingwheel/net/state/connections.py
+++ b/starlingwheel/net/state/connections.py
@@ -10,7 +10,9 @@
 RESERVE_SHARE = 1 / 16  # for discovery, peers and the log; as much again for clients without a request
 MIN_RESERVE = 20  # descriptors: what an idle process has open, and a few files for a moment
 MIN_ADMIN_CALLS = 8
-CLOSE_IDLE_FROM = 7 / 8  # of the clients' part in use: from then on connections without a request are closed
+CLOSE_IDLE_THRESHOLD = (
+    7 / 8
+)  # of the clients' part in use: from then on connections without a request are closed
 
 
 class ConnectionTracker:
@@ -21,9 +23,9 @@
         self.admin_enabled = admin_enabled
         self.set_limit(max_descriptors)
         self.clients: dict[Any, None] = {}
-        self.to_endpoints: dict[Any, None] = {}  # to endpoints
+        self.endpoint_connections: dict[Any, None] = {}  # to endpoints
         # To endpoints and without an exchange, the longest idle first.
-        self.idle_to_endpoints: dict[Any, None] = {}
+        self.idle_endpoint_connections: dict[Any, None] = {}
         self.silent_clients: dict[Any, None] = {}  # clients that have not sent anything yet, the oldest first
         # Clients within their first request, the longest silent first.
         self.partial_requests: dict[Any, None] = {}
@@ -42,7 +44,7 @@
         if self.admin_enabled:
             self.admin_call_limit = max(MIN_ADMIN_CALLS, int(max_descriptors * ADMIN_SHARE))
         self.max_requests = max(1, int(max_descriptors * REQUEST_SHARE))  # in flight at a time
-        self.client_limit = max(1, int(self.max_requests * CLOSE_IDLE_FROM))
+        self.client_limit = max(1, int(self.max_requests * CLOSE_IDLE_THRESHOLD))
         # Operators' calls count twice: those that make room for others stay open for one turn more.
         for_others = self.max_requests + 2 * self.reserve + 2 * self.admin_call_limit
         self.endpoint_limit = max(1, (max_descriptors - for_others) // processes)
@@ -65,11 +67,11 @@
 
     def has_room_for_endpoint(self) -> bool:
         """Another connection to an endpoint may be opened."""
-        return len(self.to_endpoints) < self.endpoint_limit
+        return len(self.endpoint_connections) < self.endpoint_limit
 
     def longest_idle(self) -> Any:  # noqa: ANN401
         """Return the connection to an endpoint that has been idle the longest; None: none is idle."""
-        return next(iter(self.idle_to_endpoints), None)
+        return next(iter(self.idle_endpoint_connections), None)
 
     def client_to_close(self, connected_before: float) -> Any:  # noqa: ANN401
         """Return a client to close, so that silent ones don't shut others out; None: there is room.
@@ -89,13 +91,13 @@
                 return client
         return None
 
-    def note_request_part(self, client: object) -> None:
+    def record_request_part(self, client: object) -> None:
         """Another part of a client's first request has arrived."""
         self.silent_clients.pop(client, None)
         self.partial_requests.pop(client, None)
         self.partial_requests[client] = None
 
-    def note_request_complete(self, client: object) -> None:
+    def record_request_complete(self, client: object) -> None:
         """A client's request is complete."""
         self.silent_clients.pop(client, None)
         self.partial_requests.pop(client, None)
@@ -113,4 +115,4 @@
 
     def update_peak(self) -> None:
         """Update the highest count."""
-        self.peak = max(self.peak, len(self.clients) + len(self.to_endpoints))
+        self.peak = max(self.peak, len(self.clients) + len(self.endpoint_connections))
--- a/starlingwheel/net/state/overrides.py
+++ b/starlingwheel/net/state/overrides.py
@@ -113,7 +113,9 @@
 
     # What discovery lists.
 
-    def listed(self, full: bool, entries: Iterable[DiscoveredEndpoint]) -> list[DiscoveredEndpoint]:
+    def apply_watch_message(
+        self, full: bool, entries: Iterable[DiscoveredEndpoint]
+    ) -> list[DiscoveredEndpoint]:
         """Take over a snapshot (`full`) or a delta; return its endpoints as they count here."""
         if full:
             self.discovered.clear()
@@ -180,7 +182,7 @@
 
         return self._change_endpoint(endpoint_id, restore)
 
-    def lameduck(self, on: bool) -> None:
+    def set_sidecar_draining(self, on: bool) -> None:
         """Drain the sidecar itself, or end that."""
 
         def set_draining(overrides: StoredOverrides) -> None:
--- a/starlingwheel/net/state/requests.py
+++ b/starlingwheel/net/state/requests.py
@@ -43,7 +43,7 @@
     trace_id: bytes
     awaits_response: bool = True  # it has no final response yet
     may_have_run: bool = False  # an attempt that has ended may have had an effect
-    first_risky_at: float = inf  # when the first of those was sent
+    first_may_have_run_at: float = inf  # when the first of those was sent
     exchanges: dict[Attempt, Exchange] = field(default_factory=dict)
 
     @property
--- a/starlingwheel/net/state/siblings.py
+++ b/starlingwheel/net/state/siblings.py
@@ -26,7 +26,7 @@
             return False
         return True
 
-    def others(self) -> bool:
+    def has_others(self) -> bool:
         """Return whether another process of this sidecar runs."""
         for slot in range(MAX_PROCESSES):
             if slot == self.slot:
--- a/tests/characterisation/test_stored_data.py
+++ b/tests/characterisation/test_stored_data.py
@@ -73,7 +73,7 @@
     )
     assert not faults
     given = [ListedEndpoint(id=one, addr="127.0.0.1:1", started_ms=5000.0) for one in LISTED]
-    told = {entry.id: (entry.state, entry.started_ms) for entry in overrides.listed(True, given)}
+    told = {entry.id: (entry.state, entry.started_ms) for entry in overrides.apply_watch_message(True, given)}
     assert told == {
         "s0": ("active", 5000.0),
         "s1": ("leaving", 5000.0),
@@ -86,6 +86,6 @@
     name = "starlingwheel-operators.json"
     shutil.copy(STORED / name, tmp_path / name)
     overrides = EndpointOverrides(str(tmp_path), lambda: NOW, lambda *_, **__: None)
-    overrides.lameduck(False)
-    overrides.lameduck(True)
+    overrides.set_sidecar_draining(False)
+    overrides.set_sidecar_draining(True)
     assert (tmp_path / name).read_bytes() == (STORED / name).read_bytes()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -55,7 +55,7 @@
     return FakeHost
 
 
-def categories(due_time: int = 1000000) -> list[Json]:
+def request_class_settings(due_time: int = 1000000) -> list[Json]:
     """Return request classes whose times are long enough for a busy machine; `due_time`: microseconds."""
     times = {"dueTime": due_time, "expiry": 2 * due_time}
     return [
@@ -66,7 +66,7 @@
 
 
 SETTINGS = {
-    "categories": categories(),
+    "categories": request_class_settings(),
     "caps": {
         "mostHandOffs": 3, "cancel": True, "peers": True, "probing": True, "mayDuplicate": True,
         "connectTimeout": 60000, "keepalive": 5000000, "retryAfter": True, "maxRetryAfter": 1000000,
@@ -77,7 +77,9 @@
 }  # fmt: skip
 
 
-def bound(kind: socket.SocketKind = socket.SOCK_STREAM, backlog: int = 16, listening: bool = True) -> Socket:
+def bound_socket(
+    kind: socket.SocketKind = socket.SOCK_STREAM, backlog: int = 16, listening: bool = True
+) -> Socket:
     """Return a socket that is bound to a free port."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.bind((own_host(), 0))
@@ -87,12 +89,12 @@
     return sock
 
 
-def address(sock: Socket) -> str:
+def socket_address(sock: Socket) -> str:
     """Return the address that a socket is bound to, as the configuration writes it."""
     return "{}:{}".format(*sock.getsockname())
 
 
-class Surroundings:
+class SidecarHarness:
     """Client, endpoints, discovery and a peer of one real sidecar, all played by the test itself.
 
     Nothing happens behind its back: the sidecar's loop turns only while the test waits for something.
@@ -107,52 +109,57 @@
         **config: object,
     ) -> None:
         """Start the sidecar. `upstreams`: the number of endpoints; `config`: fields of the configuration."""
-        self.open: list[Closeable] = []
-        self.listeners = [self.keep(bound()) for _ in range(upstreams)]
-        self.discovery, self.peer = self.keep(bound()), self.keep(bound(socket.SOCK_DGRAM))
-        servers = [self.entry(i) for i in range(upstreams)]
+        self.closeables: list[Closeable] = []
+        self.listeners = [self.close_at_end(bound_socket()) for _ in range(upstreams)]
+        self.discovery, self.peer = (
+            self.close_at_end(bound_socket()),
+            self.close_at_end(bound_socket(socket.SOCK_DGRAM)),
+        )
+        servers = [self.endpoint_entry(i) for i in range(upstreams)]
         base_config: Json = {
             "listen": "127.0.0.1:0",
-            "discovery": address(self.discovery),
+            "discovery": socket_address(self.discovery),
             "limits": {"memory_mb": 192, "sockets": 1024} | (limits or {}),
             "peer_listen": "127.0.0.1:0",
-            "peers": ["127.0.0.1:1", address(self.peer)],
-            "peers_all": address(self.peer),
+            "peers": ["127.0.0.1:1", socket_address(self.peer)],
+            "peers_all": socket_address(self.peer),
             "known": {"version": 7, "full": True, "servers": servers},
             "settings": SETTINGS | (settings or {}),
         }
-        self.log: IO[bytes] = self.keep(tempfile.TemporaryFile())  # noqa: SIM115
+        self.log_file: IO[bytes] = self.close_at_end(tempfile.TemporaryFile())  # noqa: SIM115
         self.config = base_config | config
-        self.file = self.keep(tempfile.NamedTemporaryFile())  # noqa: SIM115
-        self.write_configuration()
-        environment = {"EDGE_CONFIG": self.file.name} | (environment or {})
-        self.sidecar = Sidecar(*load_config(environment), environment, log_fd=self.log.fileno())
+        self.config_file = self.close_at_end(tempfile.NamedTemporaryFile())  # noqa: SIM115
+        self.write_config()
+        environment = {"EDGE_CONFIG": self.config_file.name} | (environment or {})
+        self.sidecar = Sidecar(*load_config(environment), environment, log_fd=self.log_file.fileno())
         self.context = self.sidecar.context
         self.sidecar.begin()
-        self.until(lambda: not self.context.coordinator.mailbox)
+        self.wait_until(lambda: not self.context.coordinator.mailbox)
 
-    def write_configuration(self, text: bytes = b"", **changed: object) -> None:
+    def write_config(self, text: bytes = b"", **changed: object) -> None:
         """Write the configuration file: `text`, or the configuration with some fields changed."""
-        self.file.seek(0)
-        self.file.truncate()
-        self.file.write(text or msgspec.json.encode(self.config | changed))
-        self.file.flush()
+        self.config_file.seek(0)
+        self.config_file.truncate()
+        self.config_file.write(text or msgspec.json.encode(self.config | changed))
+        self.config_file.flush()
 
     def reconfigure(self, text: bytes = b"", **changed: object) -> None:
         """Write another configuration and have it reloaded by SIGHUP."""
-        lines = len(self.logged("config.read") + self.logged("config.unusable"))
-        self.write_configuration(text, **changed)
+        lines = len(self.log_lines("config.read") + self.log_lines("config.unusable"))
+        self.write_config(text, **changed)
         os.kill(os.getpid(), signal.SIGHUP)
-        self.until(lambda: len(self.logged("config.read") + self.logged("config.unusable")) > lines)
+        self.wait_until(
+            lambda: len(self.log_lines("config.read") + self.log_lines("config.unusable")) > lines
+        )
 
-    def keep(self, thing: CloseableT) -> CloseableT:
+    def close_at_end(self, thing: CloseableT) -> CloseableT:
         """Close it at the end of the test."""
-        self.open.append(thing)
+        self.closeables.append(thing)
         return thing
 
-    def entry(self, i: int, **changed: object) -> Json:
+    def endpoint_entry(self, i: int, **changed: object) -> Json:
         """Return an endpoint as discovery lists it, with some fields changed."""
-        return {"id": f"s{i}", "addr": address(self.listeners[i]), "state": "active"} | changed
+        return {"id": f"s{i}", "addr": socket_address(self.listeners[i]), "state": "active"} | changed
 
     def close(self) -> None:
         """Close all, and restore the handling of signals."""
@@ -161,10 +168,10 @@
             signal.signal(number, signal.SIG_DFL)
         signal.signal(signal.SIGINT, signal.default_int_handler)
         self.context.loop.close()
-        for thing in self.open:
+        for thing in self.closeables:
             thing.close()
 
-    def until(self, happened: Callable[[], T], within: float = 5.0) -> T:
+    def wait_until(self, happened: Callable[[], T], within: float = 5.0) -> T:
         """Run the loop until `happened` returns something true, and return that."""
         end = time.monotonic() + within
         while time.monotonic() < end:
@@ -173,28 +180,28 @@
             self.context.loop.run_once(0.01)
         raise AssertionError("it has not happened")
 
-    def let_pass(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Run the loop for so long, to show that something does not happen."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.context.loop.run_once(0.01)
 
-    def logged(self, event: str) -> list[Json]:
+    def log_lines(self, event: str) -> list[Json]:
         """Return the lines of that event in the sidecar's log."""
         self.context.log.flush()
-        self.log.seek(0)
-        return [line for line in map(msgspec.json.decode, self.log) if line["event"] == event]
+        self.log_file.seek(0)
+        return [line for line in map(msgspec.json.decode, self.log_file) if line["event"] == event]
 
     # The client.
 
-    def client(self) -> Socket:
+    def connect_client(self) -> Socket:
         """Connect a client."""
-        return self.keep(socket.create_connection(self.context.listener.sock.getsockname()))
+        return self.close_at_end(socket.create_connection(self.context.listener.sock.getsockname()))
 
-    def request(
-        self, category: str = "look", body: bytes = b"", lead: str = "", **headers: str | None
+    def request_bytes(
+        self, category: str = "look", body: bytes = b"", request_line: str = "", **headers: str | None
     ) -> bytes:
-        """Return the bytes of a request. `lead`: its first line; a header of None is left out."""
+        """Return the bytes of a request. `request_line`: its first line; a header of None is left out."""
         method = "GET" if category == "look" else "POST"
         given = {"host": "a", "x-trace-id": "t1", "x-qos": category, "x-expires-in-ms": "1900"}
         if body:
@@ -203,23 +210,23 @@
             given["idempotency-key"] = "k1"
         given |= {name.replace("_", "-"): value for name, value in headers.items()}
         lines = [f"{name}: {value}" for name, value in given.items() if value is not None]
-        first = lead or f"{method} /{category}/1?q=2 HTTP/1.1"
+        first = request_line or f"{method} /{category}/1?q=2 HTTP/1.1"
         return "\r\n".join([first, *lines, "", ""]).encode() + body
 
-    def ask(self, category: str = "look", body: bytes = b"", **headers: str | None) -> Socket:
+    def send_request(self, category: str = "look", body: bytes = b"", **headers: str | None) -> Socket:
         """Send a request as a new client, and return its socket."""
-        client = self.client()
-        client.sendall(self.request(category, body, **headers))
+        client = self.connect_client()
+        client.sendall(self.request_bytes(category, body, **headers))
         return client
 
-    def call(self, lead: str, body: bytes = b"", extra: str = "") -> int | None:
+    def call_admin(self, request_line: str, body: bytes = b"", extra: str = "") -> int | None:
         """Make an admin call; return the status of its response, None for a close without one."""
-        caller = self.keep(socket.create_connection(self.context.admin_listener.sock.getsockname()))
+        caller = self.close_at_end(socket.create_connection(self.context.admin_listener.sock.getsockname()))
         length = f"Content-Length: {len(body)}\r\n" if body else ""
-        caller.sendall(f"{lead} HTTP/1.1\r\nHost: a\r\n{length}{extra}\r\n".encode() + body)
-        return self.status(caller)
+        caller.sendall(f"{request_line} HTTP/1.1\r\nHost: a\r\n{length}{extra}\r\n".encode() + body)
+        return self.read_status(caller)
 
-    def answer(self, sock: Socket, role: type = h11.CLIENT) -> tuple[Any, bytes] | None:
+    def read_message(self, sock: Socket, role: type = h11.CLIENT) -> tuple[Any, bytes] | None:
         """Return the next message on a connection, head and body; None: it has ended without one."""
         http, body = h11.Connection(role), b""
         events: list[Any] = []
@@ -229,7 +236,7 @@
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
-                if (data := self.until(lambda: self.read(sock))) == b"end":
+                if (data := self.wait_until(lambda: self.read(sock))) == b"end":
                     return None
                 http.receive_data(data)
             elif isinstance(event, h11.Data):
@@ -249,9 +256,9 @@
         except OSError:
             return b"end"
 
-    def status(self, sock: Socket) -> int | None:
+    def read_status(self, sock: Socket) -> int | None:
         """Return the status of the next response on a connection; None: it has ended without one."""
-        answer = self.answer(sock)
+        answer = self.read_message(sock)
         return answer[0].status_code if answer else None
 
     # The servers.
@@ -261,28 +268,28 @@
 
         def accepted() -> Any:  # noqa: ANN401
             with contextlib.suppress(BlockingIOError):
-                return self.keep((listener or self.listeners[i]).accept()[0])
+                return self.close_at_end((listener or self.listeners[i]).accept()[0])
 
-        return self.until(accepted)
+        return self.wait_until(accepted)
 
     def accept_any(self) -> Any:  # noqa: ANN401
         """Return the number of an endpoint that the sidecar has connected to, and the connection, if any."""
         for i, listener in enumerate(self.listeners):
             with contextlib.suppress(BlockingIOError):
-                return i, self.keep(listener.accept()[0])
+                return i, self.close_at_end(listener.accept()[0])
 
     def serve(self, i: int = 0, **reply: Any) -> Socket:  # noqa: ANN401
         """Accept a connection to an endpoint, receive the request on it and respond."""
         sock = self.accept(i)
-        self.received(sock)
-        self.reply(sock, **reply)
+        self.read_request(sock)
+        self.send_response(sock, **reply)
         return sock
 
-    def received(self, sock: Socket) -> Any:  # noqa: ANN401
+    def read_request(self, sock: Socket) -> Any:  # noqa: ANN401
         """Return the next request on a connection to an endpoint, head and body; None: it has ended."""
-        return self.answer(sock, h11.SERVER)
+        return self.read_message(sock, h11.SERVER)
 
-    def reply(self, sock: Socket, status: int = 200, body: bytes = b"fine", extra: str = "") -> None:
+    def send_response(self, sock: Socket, status: int = 200, body: bytes = b"fine", extra: str = "") -> None:
         """Write a response. `extra`: header lines."""
         head = f"HTTP/1.1 {status} x\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
         sock.sendall(head.encode() + body)
@@ -292,42 +299,42 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
 
-    def rested(self) -> None:
+    def wait_for_idle_connections(self) -> None:
         """Run until the connections to endpoints are idle and no unsolicited response is expected on them."""
         rest = QUIESCENCE_FRACTION * self.context.shortest_objective
-        idle = self.context.connections.idle_to_endpoints
-        self.until(lambda: idle and all(c.idle_since + rest <= self.context.loop.now() for c in idle))
+        idle = self.context.connections.idle_endpoint_connections
+        self.wait_until(lambda: idle and all(c.idle_since + rest <= self.context.loop.now() for c in idle))
 
-    def all_go_to(self, i: int, times: int) -> None:
+    def assert_requests_reach(self, i: int, times: int) -> None:
         """Check that so many requests, each of a new client and on a new connection, reach this endpoint."""
         for _ in range(times):
-            client = self.ask(connection="close")
+            client = self.send_request(connection="close")
             self.serve(i, extra="Connection: close\r\n")
-            assert self.status(client) == 200
+            assert self.read_status(client) == 200
 
-    def quiet(self, i: int = 0, seconds: float = 0.05) -> None:
+    def assert_no_connection(self, i: int = 0, seconds: float = 0.05) -> None:
         """Check that nobody connects to an endpoint."""
-        self.let_pass(seconds)
+        self.run_for(seconds)
         with pytest.raises(BlockingIOError):
             self.listeners[i].accept()
 
-    def watch(self, *lines: Json | bytes, status: int = 200) -> tuple[Socket, bytes]:
+    def accept_watch(self, *lines: Json | bytes, status: int = 200) -> tuple[Socket, bytes]:
         """Accept the sidecar's call to discovery, write some messages, return its connection and target."""
         sock = self.accept(listener=self.discovery)
-        request, _ = self.received(sock)
+        request, _ = self.read_request(sock)
         sock.sendall(f"HTTP/1.1 {status} x\r\nTransfer-Encoding: chunked\r\n\r\n".encode())
         for line in lines:
-            self.say(sock, line)
+            self.send_watch_line(sock, line)
         return sock, request.target
 
-    def hear(self) -> Socket:
+    def push_snapshot(self) -> Socket:
         """Where the list is pushed: accept the call, write a snapshot, and return the connection."""
-        servers = [self.entry(i) for i in range(len(self.listeners))]
-        watch, _ = self.watch({"version": 9, "full": True, "servers": servers})
-        self.until(lambda: self.context.ready)
+        servers = [self.endpoint_entry(i) for i in range(len(self.listeners))]
+        watch, _ = self.accept_watch({"version": 9, "full": True, "servers": servers})
+        self.wait_until(lambda: self.context.ready)
         return watch
 
-    def say(self, sock: Socket, line: Json | bytes) -> None:
+    def send_watch_line(self, sock: Socket, line: Json | bytes) -> None:
         """Write one message, or a line as it is, to a watch."""
         text = (line if isinstance(line, bytes) else msgspec.json.encode(line)) + b"\n"
         half = len(text) // 2
@@ -337,12 +344,12 @@
 
 
 @pytest.fixture
-def make_surroundings() -> Iterator[Callable[..., Surroundings]]:
+def make_harness() -> Iterator[Callable[..., SidecarHarness]]:
     """Makes real sidecars with their surroundings, and closes them at the end."""
-    made: list[Surroundings] = []
+    made: list[SidecarHarness] = []
 
-    def make(**given: Any) -> Surroundings:  # noqa: ANN401
-        made.append(Surroundings(**given))
+    def make(**given: Any) -> SidecarHarness:  # noqa: ANN401
+        made.append(SidecarHarness(**given))
         return made[-1]
 
     yield make
@@ -351,6 +358,6 @@
 
 
 @pytest.fixture
-def around(make_surroundings: Callable[..., Surroundings]) -> Surroundings:
+def harness(make_harness: Callable[..., SidecarHarness]) -> SidecarHarness:
     """A real sidecar with its surroundings."""
-    return make_surroundings()
+    return make_harness()
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, Surroundings, categories
+from conftest import SETTINGS, SidecarHarness, request_class_settings
 
 Path = tuple[str | int, ...]  # of keys and indexes in the settings
 
@@ -50,39 +50,46 @@
 
 
 @pytest.mark.parametrize(("named", "path", "value"), INVALID)
-def test_invalid_settings_change_nothing(around: Surroundings, named: str, path: Path, value: object) -> None:
+def test_invalid_settings_change_nothing(
+    harness: SidecarHarness, named: str, path: Path, value: object
+) -> None:
     """Neither the settings nor another field of that file; the log names the key."""
-    before = around.context.config, around.context.balancer_config, around.context.discovery.address
-    around.reconfigure(settings=changed_settings(path, value), discovery="127.0.0.1:9")
-    [line] = around.logged("config.unusable")
-    assert named in line["error"] and not around.logged("config.read")
-    assert (around.context.config, around.context.balancer_config, around.context.discovery.address) == before
-    assert around.context.coordinator.scheduler.balancer.config is before[1]
+    before = harness.context.config, harness.context.balancer_config, harness.context.discovery.address
+    harness.reconfigure(settings=changed_settings(path, value), discovery="127.0.0.1:9")
+    [line] = harness.log_lines("config.unusable")
+    assert named in line["error"] and not harness.log_lines("config.read")
+    assert (
+        harness.context.config,
+        harness.context.balancer_config,
+        harness.context.discovery.address,
+    ) == before
+    assert harness.context.coordinator.scheduler.balancer.config is before[1]
 
 
 @pytest.mark.parametrize("text", [b" ", b"{", b"{}", b"[]", b'{"listen":"127.0.0.1:0"}'])
-def test_an_incomplete_file_changes_nothing(around: Surroundings, text: bytes) -> None:
+def test_an_incomplete_file_changes_nothing(harness: SidecarHarness, text: bytes) -> None:
     """Half written, or without fields that a configuration must have."""
-    before = around.context.config, around.context.balancer_config
-    around.reconfigure(text)
+    before = harness.context.config, harness.context.balancer_config
+    harness.reconfigure(text)
     assert (
-        around.logged("config.unusable") and (around.context.config, around.context.balancer_config) == before
+        harness.log_lines("config.unusable")
+        and (harness.context.config, harness.context.balancer_config) == before
     )
 
 
 @pytest.mark.parametrize("key", ["settings", "limits", "peers", "name"])
 def test_a_file_without_a_key_that_was_there_is_rejected(
-    make_surroundings: Callable[..., Surroundings], key: str
+    make_harness: Callable[..., SidecarHarness], key: str
 ) -> None:
     """Even one that has a default; the log names it."""
-    around = make_surroundings(name="n0")
-    config = {k: v for k, v in around.config.items() if k != key}
-    around.reconfigure(msgspec.json.encode(config))
-    [line] = around.logged("config.unusable")
+    harness = make_harness(name="n0")
+    config = {k: v for k, v in harness.config.items() if k != key}
+    harness.reconfigure(msgspec.json.encode(config))
+    [line] = harness.log_lines("config.unusable")
     assert key in line["error"]
 
 
-def test_a_dropped_request_class_is_served_by_its_former_rules_for_a_while(around: Surroundings) -> None:
+def test_a_dropped_request_class_is_served_by_its_former_rules_for_a_while(harness: SidecarHarness) -> None:
     """So is one whose retry safety changed, while a new one is served by its own; afterwards they end."""
     times = {"dueTime": 1000000, "expiry": 2000000}
     # `look` is dropped, `buy` may be repeated now, `gaze` is new.
@@ -91,50 +98,50 @@
         {"name": "buy", "effect": "guarded", "window": 2000000} | times,
         {"name": "move", "effect": "guarded", "window": 2000000} | times,
     ]
-    around.reconfigure(settings=SETTINGS | {"categories": classes})
-    [line] = around.logged("config.read")
+    harness.reconfigure(settings=SETTINGS | {"categories": classes})
+    [line] = harness.log_lines("config.read")
     assert line["taken_over"] == ["settings"] and line["need_restart"] == []
     requests = [
-        around.request("look", x_trace_id="a"),
-        around.request("buy", b"one", x_trace_id="b"),
-        around.request("buy", b"one", x_trace_id="c", idempotency_key="k"),
-        around.request("look", x_trace_id="d", x_qos="gaze", lead="GET /gaze/1 HTTP/1.1"),
+        harness.request_bytes("look", x_trace_id="a"),
+        harness.request_bytes("buy", b"one", x_trace_id="b"),
+        harness.request_bytes("buy", b"one", x_trace_id="c", idempotency_key="k"),
+        harness.request_bytes("look", x_trace_id="d", x_qos="gaze", request_line="GET /gaze/1 HTTP/1.1"),
     ]
     upstream = None
     for request in requests:
-        client = around.client()
+        client = harness.connect_client()
         client.sendall(request)
-        upstream = upstream or around.accept()
-        around.received(upstream)
-        around.reply(upstream)
-        assert around.status(client) == 200
-        around.rested()
+        upstream = upstream or harness.accept()
+        harness.read_request(upstream)
+        harness.send_response(upstream)
+        assert harness.read_status(client) == 200
+        harness.wait_for_idle_connections()
     # Three seconds later:
-    former = around.context.former_request_classes
-    around.context.former_request_classes = [(0.0, request_class) for _, request_class in former]
-    assert around.status(around.ask("look", x_trace_id="e")) == 404
-    assert around.status(around.ask("buy", b"one", x_trace_id="f")) == 400
+    former = harness.context.former_request_classes
+    harness.context.former_request_classes = [(0.0, request_class) for _, request_class in former]
+    assert harness.read_status(harness.send_request("look", x_trace_id="e")) == 404
+    assert harness.read_status(harness.send_request("buy", b"one", x_trace_id="f")) == 400
 
 
-def test_several_reloads_while_a_request_is_in_flight(around: Surroundings) -> None:
+def test_several_reloads_while_a_request_is_in_flight(harness: SidecarHarness) -> None:
     """Each is in force at once, and the request is answered though its class has been dropped."""
-    client = around.ask("look")
-    upstream = around.accept()
-    around.received(upstream)
+    client = harness.send_request("look")
+    upstream = harness.accept()
+    harness.read_request(upstream)
     for microseconds in (500000, 600000, 700000):
-        only = [c for c in categories(microseconds) if c["name"] == "buy"]
-        around.reconfigure(settings=SETTINGS | {"categories": only})
+        only = [c for c in request_class_settings(microseconds) if c["name"] == "buy"]
+        harness.reconfigure(settings=SETTINGS | {"categories": only})
         objective = microseconds / 1e6
-        assert around.context.shortest_objective == objective
-        clock = around.context.coordinator.scheduler.balancer.clock
-        around.until(lambda clock=clock, objective=objective: clock.shortest_objective == objective)
-    around.reply(upstream)
-    assert around.status(client) == 200 and not around.logged("module.defect")
+        assert harness.context.shortest_objective == objective
+        clock = harness.context.coordinator.scheduler.balancer.clock
+        harness.wait_until(lambda clock=clock, objective=objective: clock.shortest_objective == objective)
+    harness.send_response(upstream)
+    assert harness.read_status(client) == 200 and not harness.log_lines("module.defect")
 
 
-def test_fields_that_are_fixed_at_the_start_need_a_restart(around: Surroundings) -> None:
+def test_fields_that_are_fixed_at_the_start_need_a_restart(harness: SidecarHarness) -> None:
     """They keep their values, and the log names them."""
-    around.reconfigure(settings=SETTINGS | {"replicasOfMe": 3, "slotNo": 1})
-    [line] = around.logged("config.read")
+    harness.reconfigure(settings=SETTINGS | {"replicasOfMe": 3, "slotNo": 1})
+    [line] = harness.log_lines("config.read")
     assert line["need_restart"] == ["settings: sidecar_index", "settings: sidecars"]
-    assert (around.context.balancer_config.sidecar_index, around.context.balancer_config.sidecars) == (0, 2)
+    assert (harness.context.balancer_config.sidecar_index, harness.context.balancer_config.sidecars) == (0, 2)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,7 +18,7 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, address, bound, categories
+from conftest import SETTINGS, bound_socket, request_class_settings, socket_address
 
 from starlingwheel.net.state.connections import ConnectionTracker
 
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         """Listen, and accept in a thread."""
-        self.listener, self.ran, self.may_answer = bound(backlog=512), [], threading.Event()
+        self.listener, self.ran, self.may_answer = bound_socket(backlog=512), [], threading.Event()
         self.listener.settimeout(None)
         threading.Thread(target=self.accept, daemon=True).start()
 
@@ -61,15 +61,17 @@
     def __init__(self, folder: Path, sockets: int) -> None:
         """Start the process, and wait until it is ready."""
         self.upstream, self.open = Upstream(), []
-        places = [bound(), bound()]
+        places = [bound_socket(), bound_socket()]
         self.listen, self.mgmt = (place.getsockname() for place in places)
-        settings = SETTINGS | {"categories": categories(8 * WAITS), "replicasOfMe": 1}
+        settings = SETTINGS | {"categories": request_class_settings(8 * WAITS), "replicasOfMe": 1}
         settings["caps"] = SETTINGS["caps"] | {"connectTimeout": WAITS, "probing": False}
         servers = [
-            {"id": f"s{i}", "addr": address(self.upstream.listener), "state": "active"} for i in range(400)
+            {"id": f"s{i}", "addr": socket_address(self.upstream.listener), "state": "active"}
+            for i in range(400)
         ]
         config = {
-            "listen": address(places[0]), "mgmt": address(places[1]), "discovery": "127.0.0.1:1",
+            "listen": socket_address(places[0]), "mgmt": socket_address(places[1]),
+            "discovery": "127.0.0.1:1",
             "limits": {"memory_mb": 192, "sockets": sockets}, "settings": settings,
             "known": {"version": 7, "full": True, "servers": servers},
         }  # fmt: skip
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -23,11 +23,11 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, address, bound
+from conftest import SETTINGS, bound_socket, socket_address
 
 from fakes.loopback import free_address
 from starlingwheel.net.actor import Actor
-from starlingwheel.net.address import split
+from starlingwheel.net.address import split_host_port
 from starlingwheel.net.context import SidecarContext
 from starlingwheel.net.discovery import watch as discovery_watch
 from starlingwheel.net.http.errors import CloseReason, ConnectionLostError
@@ -486,7 +486,7 @@
 @pytest.fixture
 def crowded(tmp_path: Path) -> Iterator[StartCrowded]:
     """A real process with few descriptors, discovery down, and more idle clients than it can serve."""
-    discovery = bound(listening=False)
+    discovery = bound_socket(listening=False)
     started: list[subprocess.Popen[bytes]] = []
     clients: list[socket.socket] = []
     log = tmp_path / "log"
@@ -499,7 +499,12 @@
         known = {"version": 1, "full": True, "servers": [{"id": "v1", "addr": "127.0.0.1:1"}]}
         path = tmp_path / "config.json"
         limits = {"sockets": configured}
-        config = {"listen": listen, "discovery": address(discovery), "settings": SETTINGS, "known": known}
+        config = {
+            "listen": listen,
+            "discovery": socket_address(discovery),
+            "settings": SETTINGS,
+            "known": known,
+        }
         path.write_bytes(msgspec.json.encode(config | {"limits": limits}))
         with log.open("wb") as out:
             process = subprocess.Popen(
@@ -513,7 +518,7 @@
         for _ in range(4 * allowed):
             clients.append(socket.socket())
             clients[-1].setblocking(False)
-            clients[-1].connect_ex(split(listen))
+            clients[-1].connect_ex(split_host_port(listen))
         descriptors = [0]
         while descriptors[-1] < 20 or descriptors[-1] not in descriptors[-4:-1]:
             time.sleep(0.05)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, Surroundings, address, bound, categories
+from conftest import SETTINGS, SidecarHarness, bound_socket, request_class_settings, socket_address
 
 from fakes.loopback import free_address
 from starlingwheel.net.actor import Actor
@@ -35,50 +35,50 @@
 NO_CANCEL = {"caps": SETTINGS["caps"] | {"cancel": False}}
 PUSHED = {"discovery": "push", "rules": {"drainGrace": 100000}}
 Start = tuple[subprocess.Popen[bytes], Callable[[], int], Callable[[int], None]]
-AnsweredOnce = tuple[Surroundings, socket.socket, socket.socket]
+AnsweredOnce = tuple[SidecarHarness, socket.socket, socket.socket]
 LEAVE = ["closes", "resets", "ends its sending"]
 
 
-def disconnect(around: Surroundings, client: socket.socket, how: str = "closes") -> None:
+def disconnect(harness: SidecarHarness, client: socket.socket, how: str = "closes") -> None:
     """End a client's connection in one of the ways of `LEAVE`."""
     match how:
         case "closes":
             client.close()
         case "resets":
-            around.reset(client)
+            harness.reset(client)
         case _:
             client.shutdown(socket.SHUT_WR)
 
 
 @contextlib.contextmanager
-def events_delayed(around: Surroundings, actor: Actor, mask: int) -> Iterator[None]:
+def events_delayed(harness: SidecarHarness, actor: Actor, mask: int) -> Iterator[None]:
     """Delay the socket events of an actor meanwhile, as by a late turn of the loop."""
     descriptor = actor.stream.sock.fileno()
-    around.context.loop.unregister(descriptor)
+    harness.context.loop.unregister(descriptor)
     yield
     if not actor.ended:
-        around.context.loop.register(descriptor, actor, mask)
+        harness.context.loop.register(descriptor, actor, mask)
 
 
-def waiting_client(around: Surroundings) -> ClientConnection:
+def waiting_client(harness: SidecarHarness) -> ClientConnection:
     """The sidecar's end of the only client that waits."""
-    return around.until(
-        lambda: next((c for c in around.context.connections.clients if c.pending is not None), None)
+    return harness.wait_until(
+        lambda: next((c for c in harness.context.connections.clients if c.pending is not None), None)
     )
 
 
-def connecting(around: Surroundings) -> Http1Connection | Http2Connection:
+def connecting(harness: SidecarHarness) -> Http1Connection | Http2Connection:
     """A connection to an endpoint that was begun, and none of whose socket events was read."""
-    connections = around.context.connections.to_endpoints
+    connections = harness.context.connections.endpoint_connections
     while not connections:
-        around.context.loop.run_once(0)
+        harness.context.loop.run_once(0)
     return next(iter(connections))
 
 
-def assert_nothing_arrives(around: Surroundings, sock: socket.socket, seconds: float = 0.05) -> None:
+def assert_nothing_arrives(harness: SidecarHarness, sock: socket.socket, seconds: float = 0.05) -> None:
     """No byte arrives for some seconds; the connection may close."""
-    around.let_pass(seconds)
-    assert around.read(sock) in (None, b"end")
+    harness.run_for(seconds)
+    assert harness.read(sock) in (None, b"end")
 
 
 # A client that has left while its request waited: nothing is sent for it.
@@ -87,122 +87,122 @@
 @pytest.mark.parametrize("how", LEAVE)
 @pytest.mark.parametrize("category", ["look", "buy", "move"])
 def test_a_request_unread_when_its_client_left_is_not_forwarded(
-    around: Surroundings, category: str, how: str
+    harness: SidecarHarness, category: str, how: str
 ) -> None:
     """The request and the close are read in the same turn."""
-    kept = around.serve() if around.ask() else None
-    client = around.ask(category, b"" if category == "look" else b"one", x_trace_id="t2")
-    disconnect(around, client, how)
-    around.until(lambda: around.logged("client.end"))
-    assert_nothing_arrives(around, kept)
-    around.quiet()
-    assert around.context.coordinator.counts["left"] == 0 and around.context.buffer_pool.in_use == 0
+    kept = harness.serve() if harness.send_request() else None
+    client = harness.send_request(category, b"" if category == "look" else b"one", x_trace_id="t2")
+    disconnect(harness, client, how)
+    harness.wait_until(lambda: harness.log_lines("client.end"))
+    assert_nothing_arrives(harness, kept)
+    harness.assert_no_connection()
+    assert harness.context.coordinator.counts["left"] == 0 and harness.context.buffer_pool.in_use == 0
 
 
-def test_a_pipelined_request_is_not_forwarded_once_its_client_has_left(around: Surroundings) -> None:
+def test_a_pipelined_request_is_not_forwarded_once_its_client_has_left(harness: SidecarHarness) -> None:
     """The response to the first and the close are handled in the same turn."""
-    client = around.client()
-    client.sendall(around.request() + around.request(x_trace_id="t2"))
-    upstream = around.accept()
-    around.received(upstream)
-    actor, ended = waiting_client(around), socket_ready(HANGUP)
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes() + harness.request_bytes(x_trace_id="t2"))
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    actor, ended = waiting_client(harness), socket_ready(HANGUP)
     post = actor.post
     actor.post = lambda message: (post(message), post(ended))  # the answer, and behind it the client's end
-    around.reply(upstream)
+    harness.send_response(upstream)
     client.close()
-    around.until(lambda: actor.ended)
-    assert_nothing_arrives(around, upstream)
+    harness.wait_until(lambda: actor.ended)
+    assert_nothing_arrives(harness, upstream)
 
 
 @pytest.mark.parametrize("settings", [{}, NO_CANCEL], ids=["cancel", "no cancel"])
 @pytest.mark.parametrize("heard", [True, False], ids=["heard", "not yet heard"])
 def test_an_attempt_whose_connection_comes_up_after_its_client_left_is_not_written(
-    make_surroundings: Callable[..., Surroundings], settings: dict[str, Any], heard: bool
+    make_harness: Callable[..., SidecarHarness], settings: dict[str, Any], heard: bool
 ) -> None:
     """Whether the close has been handled or not, and whether attempts may be cancelled or not."""
-    around = make_surroundings(settings=settings)
-    client = around.ask("buy", b"one")
-    connection = connecting(around)
-    actor = waiting_client(around)
-    with events_delayed(around, actor, HANGUP) if not heard else contextlib.nullcontext():
-        with events_delayed(around, connection, WRITE):
+    harness = make_harness(settings=settings)
+    client = harness.send_request("buy", b"one")
+    connection = connecting(harness)
+    actor = waiting_client(harness)
+    with events_delayed(harness, actor, HANGUP) if not heard else contextlib.nullcontext():
+        with events_delayed(harness, connection, WRITE):
             client.close()
             if heard:
-                around.until(lambda: around.logged("client.end"))
-        assert_nothing_arrives(around, around.accept())
+                harness.wait_until(lambda: harness.log_lines("client.end"))
+        assert_nothing_arrives(harness, harness.accept())
     assert (
-        around.until(lambda: not around.context.coordinator.pending_requests)
-        and around.context.buffer_pool.in_use == 0
+        harness.wait_until(lambda: not harness.context.coordinator.pending_requests)
+        and harness.context.buffer_pool.in_use == 0
     )
 
 
-def test_a_client_that_leaves_before_a_retry_ends_it(make_surroundings: Callable[..., Surroundings]) -> None:
+def test_a_client_that_leaves_before_a_retry_ends_it(make_harness: Callable[..., SidecarHarness]) -> None:
     """The retry's connection comes up, and nothing is written."""
-    around = make_surroundings(upstreams=2)
-    client = around.ask("buy", b"one")
-    i, upstream = around.until(around.accept_any)
-    around.received(upstream)
-    with events_delayed(around, waiting_client(around), HANGUP):
-        around.reply(upstream, status=503, extra="X-Never-Ran: 1\r\n")
+    harness = make_harness(upstreams=2)
+    client = harness.send_request("buy", b"one")
+    i, upstream = harness.wait_until(harness.accept_any)
+    harness.read_request(upstream)
+    with events_delayed(harness, waiting_client(harness), HANGUP):
+        harness.send_response(upstream, status=503, extra="X-Never-Ran: 1\r\n")
         client.close()
-        assert_nothing_arrives(around, around.accept(1 - i))
+        assert_nothing_arrives(harness, harness.accept(1 - i))
 
 
 def test_a_request_whose_client_left_during_a_health_check_is_not_forwarded(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The health check of the endpoint ends after the close."""
     caps = SETTINGS["caps"] | {"peers": False}
-    around = make_surroundings(settings={"caps": caps, "categories": categories(4000000)})
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    request, _ = around.received(upstream)
+    harness = make_harness(settings={"caps": caps, "categories": request_class_settings(4000000)})
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    request, _ = harness.read_request(upstream)
     assert request.target == b"/health"
-    with events_delayed(around, waiting_client(around), HANGUP):
+    with events_delayed(harness, waiting_client(harness), HANGUP):
         client.close()
-        around.reply(upstream)
-        assert_nothing_arrives(around, upstream)
+        harness.send_response(upstream)
+        assert_nothing_arrives(harness, upstream)
 
 
 def test_a_delayed_last_byte_is_not_written_once_the_client_has_left(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """So the request does not run."""
     monkeypatch.setattr("starlingwheel.net.http.request_writer.LAST_BYTE_DELAY_FRACTION", 0.2)
-    around.context.resets_expected_until = float("inf")
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    got = around.until(lambda: around.read(upstream))
+    harness.context.resets_expected_until = float("inf")
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    got = harness.wait_until(lambda: harness.read(upstream))
     assert got.endswith(b"on")
-    with events_delayed(around, waiting_client(around), HANGUP):
+    with events_delayed(harness, waiting_client(harness), HANGUP):
         client.close()
-        assert_nothing_arrives(around, upstream, 0.3)
+        assert_nothing_arrives(harness, upstream, 0.3)
 
 
-def test_a_client_is_heard_to_leave_while_its_body_waits_for_room(around: Surroundings) -> None:
+def test_a_client_is_heard_to_leave_while_its_body_waits_for_room(harness: SidecarHarness) -> None:
     """It has sent all of its body before, which must not be forwarded in full."""
     size = 300_000
-    client = around.client()
+    client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size * 2)
     client.settimeout(0)
-    rest = memoryview(around.request("buy", content_length=str(size)) + b"x" * size)
+    rest = memoryview(harness.request_bytes("buy", content_length=str(size)) + b"x" * size)
     upstream = None
-    for listener in around.listeners:
+    for listener in harness.listeners:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     while rest:
         with contextlib.suppress(BlockingIOError):
             rest = rest[client.send(rest) :]
-        around.context.loop.run_once(0)
-    upstream = around.accept()
-    flow = around.until(
-        lambda: next((j.body for j in around.context.coordinator.pending_requests.values()), None)
+        harness.context.loop.run_once(0)
+    upstream = harness.accept()
+    flow = harness.wait_until(
+        lambda: next((j.body for j in harness.context.coordinator.pending_requests.values()), None)
     )
-    around.until(lambda: flow.is_full)
+    harness.wait_until(lambda: flow.is_full)
     client.close()
-    assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "client-left"
+    assert harness.wait_until(lambda: harness.log_lines("client.end"))[0]["reason"] == "client-left"
     assert not flow.ended
     got = 0
-    while data := around.until(lambda: around.read(upstream)):
+    while data := harness.wait_until(lambda: harness.read(upstream)):
         if data == b"end":
             break
         got += len(data)
@@ -210,209 +210,214 @@
 
 
 def test_over_http_2_a_stream_is_not_begun_for_a_client_that_has_left(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The connection comes up before the close is handled."""
     from test_streams import NEW, Peer
 
-    around = make_surroundings(settings=NEW | {"rules": {}})
-    around.hear()
-    client = around.ask()
-    connection = connecting(around)
-    with events_delayed(around, waiting_client(around), HANGUP):
+    harness = make_harness(settings=NEW | {"rules": {}})
+    harness.push_snapshot()
+    client = harness.send_request()
+    connection = connecting(harness)
+    with events_delayed(harness, waiting_client(harness), HANGUP):
         client.close()
-        peer = Peer(around)
-        around.until(lambda: connection.connected)
+        peer = Peer(harness)
+        harness.wait_until(lambda: connection.connected)
         for _ in range(5):
             peer.read()
-            around.let_pass(0.01)
+            harness.run_for(0.01)
         assert not peer.asked
 
 
 @pytest.fixture
 def just_answered(
-    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> AnsweredOnce:
     """A client, and a connection to an endpoint that has just answered: for a minute it is not quiescent."""
-    around = make_surroundings(settings={"caps": SETTINGS["caps"] | {"keepalive": 600_000_000}})
+    harness = make_harness(settings={"caps": SETTINGS["caps"] | {"keepalive": 600_000_000}})
     monkeypatch.setattr(http1, "QUIESCENCE_FRACTION", 60.0)
-    client = around.client()
-    client.sendall(around.request())
-    first = around.serve(body=b"one")
-    assert around.answer(client)[1] == b"one"
-    around.until(around.context.connections.longest_idle)
-    return around, client, first
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes())
+    first = harness.serve(body=b"one")
+    assert harness.read_message(client)[1] == b"one"
+    harness.wait_until(harness.context.connections.longest_idle)
+    return harness, client, first
 
 
 def test_a_late_second_response_is_not_taken_for_that_of_the_next_request(
     just_answered: AnsweredOnce,
 ) -> None:
     """The next request goes by another connection."""
-    around, client, first = just_answered
-    client.sendall(around.request(x_trace_id="t2"))
-    second = around.accept()
-    around.received(second)
-    around.reply(first, body=b"one")
-    around.until(lambda: around.logged("upstream.end"))
-    assert around.logged("upstream.end")[0]["reason"] == "unasked-bytes"
-    around.reply(second, body=b"two")
-    assert around.answer(client)[1] == b"two"
+    harness, client, first = just_answered
+    client.sendall(harness.request_bytes(x_trace_id="t2"))
+    second = harness.accept()
+    harness.read_request(second)
+    harness.send_response(first, body=b"one")
+    harness.wait_until(lambda: harness.log_lines("upstream.end"))
+    assert harness.log_lines("upstream.end")[0]["reason"] == "unasked-bytes"
+    harness.send_response(second, body=b"two")
+    assert harness.read_message(client)[1] == b"two"
 
 
 def test_a_request_does_not_wait_for_a_connection_that_has_just_answered(just_answered: AnsweredOnce) -> None:
     """New connections are opened until one is quiescent."""
-    around, client, first = just_answered
+    harness, client, first = just_answered
     for more in (2, 3):
-        client.sendall(around.request(x_trace_id=f"t{more}"))
-        around.serve()
-        assert around.status(client) == 200
-        around.until(lambda: len(around.context.connections.idle_to_endpoints) == more)  # noqa: B023
-    assert_nothing_arrives(around, first)
+        client.sendall(harness.request_bytes(x_trace_id=f"t{more}"))
+        harness.serve()
+        assert harness.read_status(client) == 200
+        harness.wait_until(lambda: len(harness.context.connections.idle_endpoint_connections) == more)  # noqa: B023
+    assert_nothing_arrives(harness, first)
 
 
 def test_of_the_quiescent_connections_the_one_used_last_is_reused(just_answered: AnsweredOnce) -> None:
     """The others stay idle."""
-    around, client, first = just_answered
-    client.sendall(around.request(x_trace_id="t2"))
-    second = around.serve()
-    assert around.status(client) == 200
-    client.sendall(around.request(x_trace_id="t3"))
-    third = around.serve()
-    assert around.status(client) == 200
-    around.until(lambda: len(around.context.connections.idle_to_endpoints) == 3)
+    harness, client, first = just_answered
+    client.sendall(harness.request_bytes(x_trace_id="t2"))
+    second = harness.serve()
+    assert harness.read_status(client) == 200
+    client.sendall(harness.request_bytes(x_trace_id="t3"))
+    third = harness.serve()
+    assert harness.read_status(client) == 200
+    harness.wait_until(lambda: len(harness.context.connections.idle_endpoint_connections) == 3)
     for connection, before in zip(
-        around.context.connections.idle_to_endpoints, (121.0, 120.5, 0.0), strict=True
+        harness.context.connections.idle_endpoint_connections, (121.0, 120.5, 0.0), strict=True
     ):
         connection.idle_since -= before
-    client.sendall(around.request(x_trace_id="t4"))
-    around.received(second)
-    around.reply(second)
-    assert around.status(client) == 200
-    assert_nothing_arrives(around, first, 0.01)
-    assert_nothing_arrives(around, third, 0.01)
+    client.sendall(harness.request_bytes(x_trace_id="t4"))
+    harness.read_request(second)
+    harness.send_response(second)
+    assert harness.read_status(client) == 200
+    assert_nothing_arrives(harness, first, 0.01)
+    assert_nothing_arrives(harness, third, 0.01)
 
 
 @pytest.mark.parametrize("vain", [0, 1])
 def test_a_request_takes_a_connection_that_becomes_quiescent_while_a_new_one_comes_up(
-    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch, vain: int
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch, vain: int
 ) -> None:
     """`vain`: looks at which the quiescent connection is in use by others."""
     caps = SETTINGS["caps"] | {"connectTimeout": 5_000_000}
-    around = make_surroundings(settings={"caps": caps, "categories": categories(4000000)})
-    client = around.client()
-    client.sendall(around.request())
-    first = around.serve()
-    assert around.status(client) == 200
-    around.until(around.context.connections.longest_idle)
-    client.sendall(around.request(x_trace_id="t2"))
-    late = around.until(
-        lambda: next((c for c in around.context.connections.to_endpoints if not c.exchange_count), None)
+    harness = make_harness(settings={"caps": caps, "categories": request_class_settings(4000000)})
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes())
+    first = harness.serve()
+    assert harness.read_status(client) == 200
+    harness.wait_until(harness.context.connections.longest_idle)
+    client.sendall(harness.request_bytes(x_trace_id="t2"))
+    late = harness.wait_until(
+        lambda: next(
+            (c for c in harness.context.connections.endpoint_connections if not c.exchange_count), None
+        )
     )
     looks, rested = iter([True] * vain), ConnectionPool.take_quiescent
     monkeypatch.setattr(ConnectionPool, "take_quiescent", lambda u: None if next(looks, False) else rested(u))
-    with events_delayed(around, late, WRITE):
-        around.received(first)
-        assert not around.logged("upstream.end") and late.exchange is None
-    around.reply(first)
-    assert around.status(client) == 200
-    around.until(lambda: len(around.context.connections.idle_to_endpoints) == 2)
+    with events_delayed(harness, late, WRITE):
+        harness.read_request(first)
+        assert not harness.log_lines("upstream.end") and late.exchange is None
+    harness.send_response(first)
+    assert harness.read_status(client) == 200
+    harness.wait_until(lambda: len(harness.context.connections.idle_endpoint_connections) == 2)
     # What has come up in vain has nothing to rest from.
     assert late.is_quiescent()
-    client.sendall(around.request(x_trace_id="t3"))
-    around.serve()
-    assert around.status(client) == 200
+    client.sendall(harness.request_bytes(x_trace_id="t3"))
+    harness.serve()
+    assert harness.read_status(client) == 200
 
 
 def test_without_room_for_a_new_connection_one_that_is_not_quiescent_is_reused(
     just_answered: AnsweredOnce,
 ) -> None:
     """There is room for one connection."""
-    around, client, first = just_answered
-    around.context.connections.endpoint_limit = 1
-    client.sendall(around.request(x_trace_id="t2"))
-    around.received(first)
-    around.reply(first, body=b"two")
-    assert around.answer(client)[1] == b"two"
+    harness, client, first = just_answered
+    harness.context.connections.endpoint_limit = 1
+    client.sendall(harness.request_bytes(x_trace_id="t2"))
+    harness.read_request(first)
+    harness.send_response(first, body=b"two")
+    assert harness.read_message(client)[1] == b"two"
 
 
 def test_while_unsolicited_responses_occur_a_reused_connection_becomes_quiescent_first(
     just_answered: AnsweredOnce,
 ) -> None:
     """There is room for one connection, and a second response comes on it meanwhile."""
-    around, client, upstream = just_answered
-    around.context.connections.endpoint_limit, around.context.unsolicited_until = 1, float("inf")
-    client.sendall(around.request(x_trace_id="t2"))
-    pending = around.until(
-        lambda: next((j for j in around.context.coordinator.pending_requests.values() if j.exchanges), None)
+    harness, client, upstream = just_answered
+    harness.context.connections.endpoint_limit, harness.context.unsolicited_responses_until = 1, float("inf")
+    client.sendall(harness.request_bytes(x_trace_id="t2"))
+    pending = harness.wait_until(
+        lambda: next((j for j in harness.context.coordinator.pending_requests.values() if j.exchanges), None)
     )
     exchange = next(iter(pending.exchanges.values()))
-    around.until(lambda: exchange.connection is not None and not exchange.connection.mailbox)
-    assert_nothing_arrives(around, upstream)
-    around.reply(upstream, body=b"one")
-    assert around.status(client) == 503
-    assert around.logged("upstream.end")[0]["reason"] == "unasked-bytes"
-    assert_nothing_arrives(around, upstream)
+    harness.wait_until(lambda: exchange.connection is not None and not exchange.connection.mailbox)
+    assert_nothing_arrives(harness, upstream)
+    harness.send_response(upstream, body=b"one")
+    assert harness.read_status(client) == 503
+    assert harness.log_lines("upstream.end")[0]["reason"] == "unasked-bytes"
+    assert_nothing_arrives(harness, upstream)
 
 
 @pytest.mark.parametrize("wary", [False, True])
 def test_a_request_after_a_health_check_reuses_its_connection_unless_unsolicited_responses_occur(
-    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch, wary: bool
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch, wary: bool
 ) -> None:
     """`wary`: they do."""
     monkeypatch.setattr(http1, "QUIESCENCE_FRACTION", 60.0)
     caps = SETTINGS["caps"] | {"peers": False}
-    around = make_surroundings(settings={"caps": caps, "categories": categories(4000000)})
+    harness = make_harness(settings={"caps": caps, "categories": request_class_settings(4000000)})
     if wary:
-        around.context.unsolicited_until = float("inf")
-    client = around.ask("buy", b"one")
-    asked = around.accept()
-    assert around.received(asked)[0].target == b"/health"
-    around.reply(asked)
-    carries = around.accept() if wary else asked
-    assert around.received(carries)[1] == b"one"
-    around.reply(carries)
-    assert around.status(client) == 200
-    assert_nothing_arrives(around, asked)
+        harness.context.unsolicited_responses_until = float("inf")
+    client = harness.send_request("buy", b"one")
+    asked = harness.accept()
+    assert harness.read_request(asked)[0].target == b"/health"
+    harness.send_response(asked)
+    carries = harness.accept() if wary else asked
+    assert harness.read_request(carries)[1] == b"one"
+    harness.send_response(carries)
+    assert harness.read_status(client) == 200
+    assert_nothing_arrives(harness, asked)
 
 
 @pytest.mark.parametrize("comes", ["at rest", "behind its answer", "as it is to be used"])
 def test_after_a_second_response_unsolicited_ones_are_expected_for_a_while(
-    around: Surroundings, comes: str
+    harness: SidecarHarness, comes: str
 ) -> None:
     """Whenever it comes, unsolicited responses are expected for a while."""
-    client = around.ask()
-    first = around.accept()
-    around.received(first)
-    around.reply(first)
+    client = harness.send_request()
+    first = harness.accept()
+    harness.read_request(first)
+    harness.send_response(first)
     if comes == "behind its answer":
-        around.reply(first)
-    assert around.status(client) == 200
+        harness.send_response(first)
+    assert harness.read_status(client) == 200
     if comes != "behind its answer":
-        around.rested()
-        connection = around.context.connections.longest_idle()
+        harness.wait_for_idle_connections()
+        connection = harness.context.connections.longest_idle()
         with (
-            events_delayed(around, connection, READ)
+            events_delayed(harness, connection, READ)
             if comes == "as it is to be used"
             else contextlib.nullcontext()
         ):
-            around.reply(first)
-            other = around.ask(x_trace_id="t2")
-            around.serve()
-            assert around.status(other) == 200
-    around.until(lambda: around.logged("upstream.end"))
-    assert around.logged("upstream.end")[0]["reason"] == "unasked-bytes"
-    assert around.context.unsolicited_until > around.context.loop.now() + around.context.longest_timeout
+            harness.send_response(first)
+            other = harness.send_request(x_trace_id="t2")
+            harness.serve()
+            assert harness.read_status(other) == 200
+    harness.wait_until(lambda: harness.log_lines("upstream.end"))
+    assert harness.log_lines("upstream.end")[0]["reason"] == "unasked-bytes"
+    assert (
+        harness.context.unsolicited_responses_until
+        > harness.context.loop.now() + harness.context.longest_timeout
+    )
 
 
-def test_the_close_of_an_idle_connection_is_no_unsolicited_response(around: Surroundings) -> None:
+def test_the_close_of_an_idle_connection_is_no_unsolicited_response(harness: SidecarHarness) -> None:
     """It makes nobody cautious."""
-    client = around.ask()
-    first = around.serve()
-    assert around.status(client) == 200
-    around.until(around.context.connections.longest_idle)
+    client = harness.send_request()
+    first = harness.serve()
+    assert harness.read_status(client) == 200
+    harness.wait_until(harness.context.connections.longest_idle)
     first.close()
-    assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "upstream-closed"
-    assert around.context.unsolicited_until < around.context.loop.now()
+    assert harness.wait_until(lambda: harness.log_lines("upstream.end"))[0]["reason"] == "upstream-closed"
+    assert harness.context.unsolicited_responses_until < harness.context.loop.now()
 
 
 # A hand-off that waited: for an upstream that goes, or past its time.
@@ -425,253 +430,255 @@
 )
 @pytest.mark.parametrize("read", [True, False], ids=["read", "unread"])
 def test_a_change_of_the_endpoint_while_its_connection_comes_up_sends_the_request_elsewhere(
-    make_surroundings: Callable[..., Surroundings], changed: dict[str, Any], read: bool
+    make_harness: Callable[..., SidecarHarness], changed: dict[str, Any], read: bool
 ) -> None:
     """`read`: the coordinator has handled the change; else it is in the mailbox."""
-    around = make_surroundings(upstreams=2)
-    watch, _ = around.watch(b"")
-    client = around.ask("buy", b"one")
-    connection = connecting(around)
+    harness = make_harness(upstreams=2)
+    watch, _ = harness.accept_watch(b"")
+    client = harness.send_request("buy", b"one")
+    connection = connecting(harness)
     i = int(connection.pool.endpoint.id[1:])
-    with events_delayed(around, connection, WRITE):
-        around.say(watch, {"version": 8, "servers": [around.entry(i, **changed)]})
+    with events_delayed(harness, connection, WRITE):
+        harness.send_watch_line(watch, {"version": 8, "servers": [harness.endpoint_entry(i, **changed)]})
         if read:
-            around.until(lambda: around.logged("list.news"))
-            around.let_pass(0.02)
+            harness.wait_until(lambda: harness.log_lines("list.news"))
+            harness.run_for(0.02)
         else:
-            post, around.context.coordinator.post = around.context.coordinator.post, lambda message: None
-            around.until(lambda: around.logged("list.news"))
-            around.context.coordinator.post = post
-    first = around.accept(i)
-    around.serve(1 - i)
-    assert around.status(client) == 200
-    assert_nothing_arrives(around, first)
+            post, harness.context.coordinator.post = harness.context.coordinator.post, lambda message: None
+            harness.wait_until(lambda: harness.log_lines("list.news"))
+            harness.context.coordinator.post = post
+    first = harness.accept(i)
+    harness.serve(1 - i)
+    assert harness.read_status(client) == 200
+    assert_nothing_arrives(harness, first)
 
 
 def test_a_connection_that_comes_up_after_the_deadline_of_its_request_is_not_written_to(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """In a turn so late that both are true at once."""
-    around = make_surroundings(settings=NO_CANCEL | {"categories": categories(200000)})
-    client = around.ask("buy", b"one", x_expires_in_ms="390")
-    with events_delayed(around, connecting(around), WRITE):
+    harness = make_harness(settings=NO_CANCEL | {"categories": request_class_settings(200000)})
+    client = harness.send_request("buy", b"one", x_expires_in_ms="390")
+    with events_delayed(harness, connecting(harness), WRITE):
         time.sleep(0.25)  # a late turn: the connection has come up, and the due time is over
-    assert_nothing_arrives(around, around.accept())
-    assert around.status(client) == 503
+    assert_nothing_arrives(harness, harness.accept())
+    assert harness.read_status(client) == 503
 
 
 def test_an_attempt_unwritten_when_its_request_is_answered_is_not_written(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """Where cancelling is not allowed no message comes to its connection."""
-    around = make_surroundings(settings=NO_CANCEL)
-    client = around.ask()
-    with events_delayed(around, connecting(around), WRITE):
-        around.context.coordinator.fail_request(next(iter(around.context.coordinator.pending_requests)))
-        assert around.status(client) == 504
-    assert_nothing_arrives(around, around.accept())
-    assert around.until(lambda: not around.context.coordinator.pending_requests)
+    harness = make_harness(settings=NO_CANCEL)
+    client = harness.send_request()
+    with events_delayed(harness, connecting(harness), WRITE):
+        harness.context.coordinator.fail_request(next(iter(harness.context.coordinator.pending_requests)))
+        assert harness.read_status(client) == 504
+    assert_nothing_arrives(harness, harness.accept())
+    assert harness.wait_until(lambda: not harness.context.coordinator.pending_requests)
 
 
 # The list.
 
 
 @pytest.mark.parametrize("indent", [1, 4])
-def test_a_list_may_come_indented(make_surroundings: Callable[..., Surroundings], indent: int) -> None:
+def test_a_list_may_come_indented(make_harness: Callable[..., SidecarHarness], indent: int) -> None:
     """Messages of a watch that span several lines are read."""
-    around = make_surroundings(upstreams=2)
+    harness = make_harness(upstreams=2)
     odd = {"id": 's2}]"{', "addr": "127.0.0.1:1", "state": "leaving"}
-    news = {"version": 9, "full": True, "servers": [around.entry(1), odd]}
-    watch, _ = around.watch(msgspec.json.format(msgspec.json.encode(news), indent=indent), b"")
-    around.until(lambda: list(around.context.coordinator.pools) == ["s1", 's2}]"{'])
-    around.say(watch, b"")
-    change = {"version": 10, "servers": [around.entry(1, state="leaving")]}
-    around.say(watch, msgspec.json.format(msgspec.json.encode(change), indent=indent))
-    around.until(lambda: around.context.discovery.version == 10)
-    around.say(watch, {"version": 11, "servers": [around.entry(0)]})
-    around.until(lambda: around.context.discovery.version == 11)
-    assert not around.logged("list.end")
-    around.all_go_to(0, 3)
+    news = {"version": 9, "full": True, "servers": [harness.endpoint_entry(1), odd]}
+    watch, _ = harness.accept_watch(msgspec.json.format(msgspec.json.encode(news), indent=indent), b"")
+    harness.wait_until(lambda: list(harness.context.coordinator.pools) == ["s1", 's2}]"{'])
+    harness.send_watch_line(watch, b"")
+    change = {"version": 10, "servers": [harness.endpoint_entry(1, state="leaving")]}
+    harness.send_watch_line(watch, msgspec.json.format(msgspec.json.encode(change), indent=indent))
+    harness.wait_until(lambda: harness.context.discovery.version == 10)
+    harness.send_watch_line(watch, {"version": 11, "servers": [harness.endpoint_entry(0)]})
+    harness.wait_until(lambda: harness.context.discovery.version == 11)
+    assert not harness.log_lines("list.end")
+    harness.assert_requests_reach(0, 3)
 
 
 def test_a_silent_watch_is_reopened_at_once_however_many_sidecars_there_are(
-    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The pause before it does not grow with their number."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
-    around = make_surroundings(settings={"replicasOfMe": 400, "rules": {"mustAskIn": 10000000}}, seed="4")
-    around.watch(b"")
-    around.until(lambda: around.context.discovery.current is None)
-    assert around.logged("list.end")[0]["reason"] == "silent"
+    harness = make_harness(settings={"replicasOfMe": 400, "rules": {"mustAskIn": 10000000}}, seed="4")
+    harness.accept_watch(b"")
+    harness.wait_until(lambda: harness.context.discovery.current is None)
+    assert harness.log_lines("list.end")[0]["reason"] == "silent"
     within = discovery.REOPEN_WITHIN * discovery.KEEPALIVE_INTERVAL
-    assert around.context.discovery.next_call_at <= around.context.loop.now() + within
-    around.watch(b"")
+    assert harness.context.discovery.next_call_at <= harness.context.loop.now() + within
+    harness.accept_watch(b"")
 
 
 def test_an_empty_watch_event_confirms_the_known_endpoints(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The sidecar is then ready."""
-    around = make_surroundings(settings=PUSHED)
-    around.watch({"version": 7, "full": False, "servers": []})
-    around.until(lambda: around.context.ready)
-    client = around.ask()
-    around.serve()
-    assert around.status(client) == 200
+    harness = make_harness(settings=PUSHED)
+    harness.accept_watch({"version": 7, "full": False, "servers": []})
+    harness.wait_until(lambda: harness.context.ready)
+    client = harness.send_request()
+    harness.serve()
+    assert harness.read_status(client) == 200
 
 
 @pytest.mark.parametrize("full", [True, False])
 def test_a_pushed_endpoint_list_is_awaited_before_any_request_is_forwarded(
-    make_surroundings: Callable[..., Surroundings], full: bool
+    make_harness: Callable[..., SidecarHarness], full: bool
 ) -> None:
     """The known endpoints may be old, and a drain that the agent knows of counts from the start on."""
-    around = make_surroundings(upstreams=2, settings=PUSHED)
-    assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
-    assert around.status(around.ask("buy", b"one")) == 503
-    around.quiet(0)
-    around.quiet(1)
-    leaving = around.entry(0, state="leaving")
+    harness = make_harness(upstreams=2, settings=PUSHED)
+    assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
+    assert harness.read_status(harness.send_request("buy", b"one")) == 503
+    harness.assert_no_connection(0)
+    harness.assert_no_connection(1)
+    leaving = harness.endpoint_entry(0, state="leaving")
     word = {"version": 9, "servers": [leaving]}
     if full:
-        word = {"version": 9, "full": True, "servers": [leaving, around.entry(1)]}
-    _, target = around.watch(word)
+        word = {"version": 9, "full": True, "servers": [leaving, harness.endpoint_entry(1)]}
+    _, target = harness.accept_watch(word)
     assert target.endswith(b"from=7")
-    around.until(lambda: around.context.ready)
-    around.all_go_to(1, 4)
-    around.quiet(0)
+    harness.wait_until(lambda: harness.context.ready)
+    harness.assert_requests_reach(1, 4)
+    harness.assert_no_connection(0)
 
 
 def test_a_silent_discovery_agent_does_not_delay_the_start_for_ever(
-    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The known endpoints are used after a while."""
     monkeypatch.setattr(discovery, "USE_KNOWN_AFTER", 0.02)
-    around = make_surroundings(settings=PUSHED)
-    around.until(lambda: around.context.ready)
-    client = around.ask()
-    around.serve()
-    assert around.status(client) == 200
+    harness = make_harness(settings=PUSHED)
+    harness.wait_until(lambda: harness.context.ready)
+    client = harness.send_request()
+    harness.serve()
+    assert harness.read_status(client) == 200
 
 
 def test_a_pushed_list_that_ended_is_reopened_well_within_the_drain_grace(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """However often that fails."""
-    around = make_surroundings(settings=PUSHED)
-    watch = around.hear()
-    grace = around.context.balancer_config.drain_grace
+    harness = make_harness(settings=PUSHED)
+    watch = harness.push_snapshot()
+    grace = harness.context.balancer_config.drain_grace
     assert grace == 0.1
-    around.discovery.close()
+    harness.discovery.close()
     watch.close()
     for calls in range(1, 10):
-        around.until(lambda: len(around.logged("list.end")) >= calls)  # noqa: B023
-        around.until(lambda: around.context.discovery.current is None)
-        assert around.context.discovery.next_call_at <= around.context.loop.now() + grace / 2
+        harness.wait_until(lambda: len(harness.log_lines("list.end")) >= calls)  # noqa: B023
+        harness.wait_until(lambda: harness.context.discovery.current is None)
+        assert harness.context.discovery.next_call_at <= harness.context.loop.now() + grace / 2
 
 
 def test_an_unanswered_call_to_an_agent_is_repeated_soon(
-    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With more patience, until one is answered."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
-    around = make_surroundings(settings=PUSHED)
-    around.accept(listener=around.discovery)
-    around.until(lambda: around.context.discovery.current is None)
-    assert around.context.discovery.timeout_multiple == 2 * discovery.AGENT_ANSWER_TIMEOUT
-    around.hear()
-    assert around.context.discovery.timeout_multiple == discovery.AGENT_ANSWER_TIMEOUT
+    harness = make_harness(settings=PUSHED)
+    harness.accept(listener=harness.discovery)
+    harness.wait_until(lambda: harness.context.discovery.current is None)
+    assert harness.context.discovery.timeout_multiple == 2 * discovery.AGENT_ANSWER_TIMEOUT
+    harness.push_snapshot()
+    assert harness.context.discovery.timeout_multiple == discovery.AGENT_ANSWER_TIMEOUT
 
 
 @pytest.mark.parametrize("moved", [False, True])
 @pytest.mark.parametrize("answered", [0, 1])
 def test_of_two_calls_to_discovery_the_first_to_be_answered_stays(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch, answered: int, moved: bool
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch, answered: int, moved: bool
 ) -> None:
     """On real sockets; test_discovery_client.py tests when a second call begins, and how often."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
-    around.watch(b"")
-    around.context.discovery.initial_timeout_multiple = around.context.discovery.timeout_multiple = (
+    harness.accept_watch(b"")
+    harness.context.discovery.initial_timeout_multiple = harness.context.discovery.timeout_multiple = (
         1000.0  # the story may take its time
     )
-    around.context.discovery.hang_threshold = 0.1
+    harness.context.discovery.hang_threshold = 0.1
     if moved:
-        around.discovery = around.keep(bound())
-        around.reconfigure(discovery=address(around.discovery))
-    calls = [around.accept(listener=around.discovery), around.accept(listener=around.discovery)]
-    around.context.discovery.latest_call_at = float("inf")
-    word = {"version": 9, "full": True, "servers": [around.entry(0, state="leaving")]}
-    request, _ = around.received(calls[answered])
+        harness.discovery = harness.close_at_end(bound_socket())
+        harness.reconfigure(discovery=socket_address(harness.discovery))
+    calls = [harness.accept(listener=harness.discovery), harness.accept(listener=harness.discovery)]
+    harness.context.discovery.latest_call_at = float("inf")
+    word = {"version": 9, "full": True, "servers": [harness.endpoint_entry(0, state="leaving")]}
+    request, _ = harness.read_request(calls[answered])
     assert request.target.endswith(b"from=0" if moved else b"from=7")
     calls[answered].sendall(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n")
-    around.say(calls[answered], word)
-    around.until(lambda: around.context.discovery.version == 9)
-    around.received(calls[1 - answered])
-    assert around.until(lambda: around.read(calls[1 - answered])) == b"end"
-    assert around.context.discovery.current.address == address(around.discovery)
-    assert around.context.discovery.second_watch is None and len(around.logged("list.beside")) == 1
-    around.say(calls[answered], word | {"version": 10})
-    around.until(lambda: around.context.discovery.version == 10)
+    harness.send_watch_line(calls[answered], word)
+    harness.wait_until(lambda: harness.context.discovery.version == 9)
+    harness.read_request(calls[1 - answered])
+    assert harness.wait_until(lambda: harness.read(calls[1 - answered])) == b"end"
+    assert harness.context.discovery.current.address == socket_address(harness.discovery)
+    assert harness.context.discovery.second_watch is None and len(harness.log_lines("list.beside")) == 1
+    harness.send_watch_line(calls[answered], word | {"version": 10})
+    harness.wait_until(lambda: harness.context.discovery.version == 10)
 
 
 # Stop, start and room.
 
 
-def test_all_clients_in_the_backlog_are_accepted_before_the_listener_closes(around: Surroundings) -> None:
+def test_all_clients_in_the_backlog_are_accepted_before_the_listener_closes(harness: SidecarHarness) -> None:
     """More than one turn accepts."""
-    waiting = [around.ask(lead="GET /ready HTTP/1.1") for _ in range(MAX_ACCEPTS_PER_TURN + 40)]
-    around.context.listener.post(STOP)
-    around.until(lambda: around.logged("listener.closed"))
-    assert [around.status(client) for client in waiting] == [200] * len(waiting)
+    waiting = [
+        harness.send_request(request_line="GET /ready HTTP/1.1") for _ in range(MAX_ACCEPTS_PER_TURN + 40)
+    ]
+    harness.context.listener.post(STOP)
+    harness.wait_until(lambda: harness.log_lines("listener.closed"))
+    assert [harness.read_status(client) for client in waiting] == [200] * len(waiting)
 
 
 def test_a_second_stop_signal_does_not_shorten_the_shutdown(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Neither does a third: the listener stays open until the time for that is over."""
     monkeypatch.setattr(stop, "LINGER", 60.0)
-    around.context.shutdown.post(STOP)
-    around.until(lambda: around.context.stopping)
+    harness.context.shutdown.post(STOP)
+    harness.wait_until(lambda: harness.context.stopping)
     for _ in range(3):
-        around.context.shutdown.post(STOP)
-        around.let_pass(0.01)
-    assert not around.logged("listener.closed")
-    late = around.ask()
-    around.serve()
-    assert around.status(late) == 200
+        harness.context.shutdown.post(STOP)
+        harness.run_for(0.01)
+    assert not harness.log_lines("listener.closed")
+    late = harness.send_request()
+    harness.serve()
+    assert harness.read_status(late) == 200
 
 
-def test_a_request_whose_rest_is_unread_is_not_closed_to_make_room(around: Surroundings) -> None:
+def test_a_request_whose_rest_is_unread_is_not_closed_to_make_room(harness: SidecarHarness) -> None:
     """It is complete once it has been read."""
-    client = around.client()
-    text = around.request()
+    client = harness.connect_client()
+    text = harness.request_bytes()
     client.sendall(text[:40])
-    actor = around.until(lambda: next(iter(around.context.connections.partial_requests), None))
+    actor = harness.wait_until(lambda: next(iter(harness.context.connections.partial_requests), None))
     client.sendall(text[40:])
     actor.post(CLOSE)
-    around.serve()
-    assert around.status(client) == 200
+    harness.serve()
+    assert harness.read_status(client) == 200
 
 
 def test_an_attempt_that_crosses_the_end_of_its_connection_is_no_fault_of_the_endpoint(
-    around: Surroundings,
+    harness: SidecarHarness,
 ) -> None:
     """The request is rejected as not sent."""
-    client = around.client()
-    client.sendall(around.request())
-    upstream = around.serve()
-    assert around.status(client) == 200
-    around.rested()
-    connection = next(iter(around.context.connections.idle_to_endpoints))
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes())
+    upstream = harness.serve()
+    assert harness.read_status(client) == 200
+    harness.wait_for_idle_connections()
+    connection = next(iter(harness.context.connections.idle_endpoint_connections))
     mailed = []
     post = connection.post
     connection.post = lambda message: (mailed.append(message), post(CLOSE), post(message))
-    client.sendall(around.request(x_trace_id="t2"))
-    around.until(lambda: mailed)
-    around.until(lambda: around.logged("upstream.end"))
-    [stats] = around.context.coordinator.scheduler.balancer.endpoints.by_id.values()
+    client.sendall(harness.request_bytes(x_trace_id="t2"))
+    harness.wait_until(lambda: mailed)
+    harness.wait_until(lambda: harness.log_lines("upstream.end"))
+    [stats] = harness.context.coordinator.scheduler.balancer.endpoints.by_id.values()
     assert not stats.connect_failing
-    assert around.status(client) == 503
-    assert_nothing_arrives(around, upstream)
+    assert harness.read_status(client) == 503
+    assert_nothing_arrives(harness, upstream)
 
 
 @pytest.fixture
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -177,29 +177,31 @@
 class AdminClient:
     """A sidecar of a fleet, and a client of its admin address."""
 
-    def __init__(self, make_surroundings, served, tmp_path, **more):
+    def __init__(self, make_harness, served, tmp_path, **more):
         part = part_at(served) | {"keep": str(tmp_path)} | more
-        self.around = make_surroundings(name="n0", fleet=part, settings=SETTINGS, mgmt=free_address())
-        self.around.until(lambda: joined(self.around))
+        self.harness = make_harness(name="n0", fleet=part, settings=SETTINGS, mgmt=free_address())
+        self.harness.wait_until(lambda: joined(self.harness))
 
     def call(self, request, content=None):
         """The status and the decoded answer of a call, such as `GET /_policy`."""
-        around = self.around
-        caller = around.keep(socket.create_connection(around.context.admin_listener.sock.getsockname()))
+        harness = self.harness
+        caller = harness.close_at_end(
+            socket.create_connection(harness.context.admin_listener.sock.getsockname())
+        )
         data = b"" if content is None else json.dumps(content).encode()
         head = f"{request} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(data)}\r\n\r\n"
         caller.sendall(head.encode() + data)
-        response, answer = around.answer(caller)
+        response, answer = harness.read_message(caller)
         return response.status_code, json.loads(answer) if answer else None
 
     @property
     def policy_replica(self) -> PolicyReplica:
-        return self.around.context.fleet.policy_controller.policy_replica
+        return self.harness.context.fleet.policy_controller.policy_replica
 
 
 @pytest.fixture
-def admin(make_surroundings, served, tmp_path):
-    return AdminClient(make_surroundings, served, tmp_path)
+def admin(make_harness, served, tmp_path):
+    return AdminClient(make_harness, served, tmp_path)
 
 
 def policy_with_timeout(seconds=3):
@@ -212,11 +214,11 @@
 def test_a_proposed_policy_takes_effect_at_its_switch_time(admin):
     status, answer = admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})
     assert status == 200 and answer["version"] == 1
-    around = admin.around
-    around.until(lambda: admin.policy_replica.decided_version == 1)
-    assert admin.policy_replica.in_force.version == 0 and around.context.longest_timeout < 3
-    around.until(lambda: admin.policy_replica.in_force.version == 1)
-    assert around.context.longest_timeout == 3 and around.context.loop.now() >= answer["at"]
+    harness = admin.harness
+    harness.wait_until(lambda: admin.policy_replica.decided_version == 1)
+    assert admin.policy_replica.in_force.version == 0 and harness.context.longest_timeout < 3
+    harness.wait_until(lambda: admin.policy_replica.in_force.version == 1)
+    assert harness.context.longest_timeout == 3 and harness.context.loop.now() >= answer["at"]
     status, answer = admin.call("GET /_policy")
     assert (
         answer["in_force"]["version"] == 1 and answer["past"][0]["how"] == "decided" and not answer["doubt"]
@@ -240,12 +242,12 @@
     put = {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))}
     served.call(served.arbiter.put_encoded, put)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 60})[0] == 200
-    admin.around.until(lambda: admin.policy_replica.records.proposal)
+    admin.harness.wait_until(lambda: admin.policy_replica.records.proposal)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(4)})[0] == 409
     _, answer = admin.call("GET /_policy")
     assert answer["open"]["votes"]["n9"] == "nothing"
     assert admin.call("PUT /_policy/drop", {"id": "1"})[0] == 200
-    admin.around.until(lambda: admin.policy_replica.records.proposal is None)
+    admin.harness.wait_until(lambda: admin.policy_replica.records.proposal is None)
     assert admin.policy_replica.promise is None and admin.policy_replica.in_force.version == 0
 
 
@@ -257,34 +259,34 @@
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
     served.call(served.arbiter.put_encoded, {"key": b64("/f/members/n9.ff"), "value": b64(json.dumps(other))})
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})[0] == 200
-    around = admin.around
-    around.until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
+    harness = admin.harness
+    harness.wait_until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
     served.do(served.arbiter.down())
-    around.until(lambda: admin.policy_replica.unavailable_reason() == "undecided")
-    assert around.status(around.ask("buy", b"one")) == 503
+    harness.wait_until(lambda: admin.policy_replica.unavailable_reason() == "undecided")
+    assert harness.read_status(harness.send_request("buy", b"one")) == 503
     served.do(served.arbiter.begin())
-    around.until(lambda: admin.policy_replica.promise is None)
-    asked = around.ask("buy", b"one", x_trace_id="t2")
-    around.serve()
-    assert around.status(asked) == 200 and admin.policy_replica.in_force.version == 0
+    harness.wait_until(lambda: admin.policy_replica.promise is None)
+    asked = harness.send_request("buy", b"one", x_trace_id="t2")
+    harness.serve()
+    assert harness.read_status(asked) == 200 and admin.policy_replica.in_force.version == 0
 
 
 def test_sighup_changes_only_the_settings_of_this_sidecar(admin):
-    around = admin.around
-    around.reconfigure(settings=SETTINGS | {"rules": {"mustAskIn": 900000}})
-    (line,) = around.logged("config.unusable")
+    harness = admin.harness
+    harness.reconfigure(settings=SETTINGS | {"rules": {"mustAskIn": 900000}})
+    (line,) = harness.log_lines("config.unusable")
     assert "settings.rules.mustAskIn: 900000" in line["error"] and "is to be proposed" in line["error"]
-    around.reconfigure(settings=SETTINGS | {"locality": "elsewhere"})
-    assert around.context.balancer_config.zone == "elsewhere"
+    harness.reconfigure(settings=SETTINGS | {"locality": "elsewhere"})
+    assert harness.context.balancer_config.zone == "elsewhere"
 
 
-def test_a_process_that_was_down_starts_under_the_policy_in_force(admin, make_surroundings, served, tmp_path):
+def test_a_process_that_was_down_starts_under_the_policy_in_force(admin, make_harness, served, tmp_path):
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.6})[0] == 200
-    admin.around.until(lambda: admin.policy_replica.in_force.version == 1)
+    admin.harness.wait_until(lambda: admin.policy_replica.in_force.version == 1)
     part = part_at(served) | {"keep": str(tmp_path / "other")}
-    late = make_surroundings(name="n1", fleet=part, settings=SETTINGS)
-    late.until(lambda: joined(late))
-    assert late.context.longest_timeout == 3 and late.logged("policy.file_differs")
+    late = make_harness(name="n1", fleet=part, settings=SETTINGS)
+    late.wait_until(lambda: joined(late))
+    assert late.context.longest_timeout == 3 and late.log_lines("policy.file_differs")
 
 
 # The command.
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -274,55 +274,55 @@
     return PART | {"listen": free_address(), "arbiter": [served.arbiter.server.address], "lease_s": 1}
 
 
-def enter(make_surroundings, served):
-    return make_surroundings(name="n0", fleet=part_at(served), settings=SETTINGS)
+def enter(make_harness, served):
+    return make_harness(name="n0", fleet=part_at(served), settings=SETTINGS)
 
 
 @pytest.fixture
-def member(make_surroundings, served):
-    return enter(make_surroundings, served)
+def member(make_harness, served):
+    return enter(make_harness, served)
 
 
-def joined(around):
-    return around.context.fleet.joined
+def joined(harness):
+    return harness.context.fleet.joined
 
 
 def test_a_member_enters_and_is_ready_then(member):
     assert not member.context.ready
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     assert member.context.ready and len(member.context.coordinator.replicator.view.members) == 1
 
 
 def test_a_reply_lost_after_it_was_applied_costs_one_more_attempt(member, served):
     served.call(served.arbiter.lost_replies.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     assert len(members_at(served)) == 1
 
 
 def test_a_lease_that_ends_early_is_granted_again(member, served):
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     term = member.context.coordinator.replicator.view.members[member.context.fleet.member_id].term
     (key,) = members_at(served)
     served.call(served.arbiter.expire_lease_of, key.decode())
     replicator = member.context.coordinator.replicator
     member_id = member.context.fleet.member_id
-    member.until(
+    member.wait_until(
         lambda: replicator.view.members.get(member_id) and replicator.view.members[member_id].term != term
     )
 
 
 def test_a_watch_lost_at_a_compaction_reads_everything_again(member, served):
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     served.call(served.arbiter.compact)
     served.call(served.arbiter.abort_watches)
     other = Member("n9.ff", "n9", "127.0.0.1:1")
     put = {"key": encode_base64("/f/members/n9.ff"), "value": encode_base64(msgspec.json.encode(other))}
     served.call(served.arbiter.put_encoded, put)
-    member.until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
+    member.wait_until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
 
 
 def test_two_members_that_end_at_the_same_time_are_both_evicted(member, served):
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     view = member.context.coordinator.replicator
     for name in ("n8", "n9"):
         other = Member(f"{name}.ff", name, "127.0.0.1:1")
@@ -331,73 +331,73 @@
             "value": encode_base64(msgspec.json.encode(other)),
         }
         served.call(served.arbiter.put_encoded, put)
-    member.until(lambda: len(view.view.members) == 3)
+    member.wait_until(lambda: len(view.view.members) == 3)
     for gone in [m for m in view.view.members.values() if m.name != "n0"]:
         member.context.fleet.member_evictor.post(EvictMember(gone))
-    member.until(lambda: len(view.view.members) == 1)
+    member.wait_until(lambda: len(view.view.members) == 1)
 
 
 def test_an_unreadable_entry_hides_no_other(member, served):
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     served.call(
         served.arbiter.put_encoded, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")}
     )
-    member.until(lambda: member.logged("arbiter.entry"))
+    member.wait_until(lambda: member.log_lines("arbiter.entry"))
     assert len(member.context.coordinator.replicator.view.members) == 1
 
 
 @pytest.mark.parametrize("path", ["/v3/kv/range", "/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive"])
-def test_unreadable_replies_of_the_store_are_counted_and_survived(make_surroundings, served, path):
+def test_unreadable_replies_of_the_store_are_counted_and_survived(make_harness, served, path):
     served.call(served.arbiter.canned_replies.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
-    member = enter(make_surroundings, served)
-    member.until(lambda: member.context.fleet.reasons["unreadable"])
+    member = enter(make_harness, served)
+    member.wait_until(lambda: member.context.fleet.reasons["unreadable"])
     served.call(served.arbiter.canned_replies.clear)
-    member.until(lambda: joined(member))
-    assert not member.logged("defect")
+    member.wait_until(lambda: joined(member))
+    assert not member.log_lines("defect")
 
 
 def test_requests_are_served_while_the_store_is_down(member, served):
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     served.do(served.arbiter.down())
-    member.let_pass(1.5)
-    asked = member.ask("buy", b"one", x_work_name="w1")
+    member.run_for(1.5)
+    asked = member.send_request("buy", b"one", x_work_name="w1")
     member.serve()
-    assert member.status(asked) == 200
+    assert member.read_status(asked) == 200
 
 
 def test_a_retry_of_a_finished_request_gets_its_response_and_no_attempt(member):
-    member.until(lambda: joined(member))
-    asked = member.ask("buy", b"one", x_work_name="w1")
+    member.wait_until(lambda: joined(member))
+    asked = member.send_request("buy", b"one", x_work_name="w1")
     member.serve(body=b"done")
-    assert member.answer(asked)[1] == b"done"
-    again = member.ask("buy", b"one", x_work_name="w1", x_trace_id="t2", x_second_try="1")
-    assert member.answer(again)[1] == b"done"
-    other = member.ask("buy", b"two", x_work_name="w1", x_trace_id="t3")
-    assert member.status(other) == 422
-    member.quiet()
+    assert member.read_message(asked)[1] == b"done"
+    again = member.send_request("buy", b"one", x_work_name="w1", x_trace_id="t2", x_second_try="1")
+    assert member.read_message(again)[1] == b"done"
+    other = member.send_request("buy", b"two", x_work_name="w1", x_trace_id="t3")
+    assert member.read_status(other) == 422
+    member.assert_no_connection()
 
 
 def test_a_request_without_a_key_is_not_replicated(member):
-    member.until(lambda: joined(member))
-    asked = member.ask("buy", b"one")
+    member.wait_until(lambda: joined(member))
+    asked = member.send_request("buy", b"one")
     member.serve()
-    assert member.status(asked) == 200
+    assert member.read_status(asked) == 200
     module = member.context.coordinator
     assert not module.replicator.requests and module.replicator.counts["unnamed"] == 1
 
 
-def test_operators_see_the_view_and_the_replicated_requests(make_surroundings, served):
+def test_operators_see_the_view_and_the_replicated_requests(make_harness, served):
     part = part_at(served)
-    around = make_surroundings(name="n0", fleet=part, mgmt="127.0.0.1:0")
-    around.until(lambda: joined(around))
-    asked = around.ask("buy", b"one", x_work_name="w1")
-    around.serve()
-    assert around.status(asked) == 200
-    caller = around.keep(socket.create_connection(around.context.admin_listener.sock.getsockname()))
+    harness = make_harness(name="n0", fleet=part, mgmt="127.0.0.1:0")
+    harness.wait_until(lambda: joined(harness))
+    asked = harness.send_request("buy", b"one", x_work_name="w1")
+    harness.serve()
+    assert harness.read_status(asked) == 200
+    caller = harness.close_at_end(socket.create_connection(harness.context.admin_listener.sock.getsockname()))
     caller.sendall(b"GET /_fleet HTTP/1.1\r\nHost: a\r\n\r\n")
-    answer, body = around.answer(caller)
+    answer, body = harness.read_message(caller)
     told = json.loads(body)
-    assert answer.status_code == 200 and told["in_view"] and told["member"] == around.context.fleet.member_id
+    assert answer.status_code == 200 and told["in_view"] and told["member"] == harness.context.fleet.member_id
     cells = {"count": 1, "ours": 0, "members": [told["member"]], "fleet_members": 1}
     assert told["cells"] == cells and [one["id"] for one in told["view"]] == cells["members"]
     assert (
@@ -405,18 +405,18 @@
     )
 
 
-def test_without_a_fleet_its_admin_call_is_unknown(make_surroundings):
-    around = make_surroundings(mgmt="127.0.0.1:0")
-    assert around.call("GET /_fleet") == 404
+def test_without_a_fleet_its_admin_call_is_unknown(make_harness):
+    harness = make_harness(mgmt="127.0.0.1:0")
+    assert harness.call_admin("GET /_fleet") == 404
 
 
 def test_a_member_that_stops_leaves_the_view_before_its_process_ends(member, served):
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     member.context.shutdown.post(STOP)
-    member.until(lambda: not member.context.loop.running and not members_at(served))
+    member.wait_until(lambda: not member.context.loop.running and not members_at(served))
 
 
-def test_two_processes_of_one_sidecar_can_both_be_linked_to(make_surroundings, served):
+def test_two_processes_of_one_sidecar_can_both_be_linked_to(make_harness, served):
     # The process that replaces another one must start while that still listens on its address.
     part = part_at(served)
     with socket.socket() as one:
@@ -425,13 +425,13 @@
         made = []
         for _ in range(2):
             environment = {"EDGE_PASSED_SOCKET": str(os.dup(one.fileno()))}
-            made.append(make_surroundings(name="n0", fleet=part, environment=environment))
-        for around in made:
-            around.until(lambda around=around: joined(around))
+            made.append(make_harness(name="n0", fleet=part, environment=environment))
+        for harness in made:
+            harness.wait_until(lambda harness=harness: joined(harness))
     assert made[0].context.fleet.member_id != made[1].context.fleet.member_id
 
 
-def calls_of_the_fleet(around, **headers):
+def calls_of_the_fleet(harness, **headers):
     """How often functions of the fleet's code are called for one request, until it has its answer."""
     counts = {}
 
@@ -441,22 +441,22 @@
             counts[name] = counts.get(name, 0) + 1
 
     gc.collect()  # objects of earlier tests would be closed, and counted, whenever they are collected
-    asked = around.ask("buy", b"one", **headers)
+    asked = harness.send_request("buy", b"one", **headers)
     sys.setprofile(count)
     try:
-        around.serve()
-        assert around.status(asked) == 200
+        harness.serve()
+        assert harness.read_status(asked) == 200
     finally:
         sys.setprofile(None)
     return counts
 
 
-def test_a_request_at_a_sidecar_without_a_fleet_calls_none_of_its_code(around):
-    assert calls_of_the_fleet(around) == {}
+def test_a_request_at_a_sidecar_without_a_fleet_calls_none_of_its_code(harness):
+    assert calls_of_the_fleet(harness) == {}
 
 
 def test_a_request_without_a_key_makes_no_record(member):
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     counts = calls_of_the_fleet(member)
     assert counts["_name_of"] == 1
     never = (
@@ -476,42 +476,42 @@
 # Nothing more is sent for a client that has disconnected, whether its request is replicated or not.
 
 
-def test_a_replicated_request_of_a_disconnected_client_is_not_retried(make_surroundings, served):
+def test_a_replicated_request_of_a_disconnected_client_is_not_retried(make_harness, served):
     part = part_at(served) | {"cover": {"categories": ["move"]}}
-    around = make_surroundings(name="n0", fleet=part, upstreams=2)
-    around.until(lambda: joined(around))
-    client = around.ask("move", b"one")
-    i, upstream = around.until(around.accept_any)
-    around.received(upstream)
+    harness = make_harness(name="n0", fleet=part, upstreams=2)
+    harness.wait_until(lambda: joined(harness))
+    client = harness.send_request("move", b"one")
+    i, upstream = harness.wait_until(harness.accept_any)
+    harness.read_request(upstream)
     client.close()
-    around.until(lambda: around.logged("client.end"))
-    around.reply(upstream, status=500)
-    around.until(lambda: not around.context.coordinator.pending_requests)
-    around.quiet(1 - i)
+    harness.wait_until(lambda: harness.log_lines("client.end"))
+    harness.send_response(upstream, status=500)
+    harness.wait_until(lambda: not harness.context.coordinator.pending_requests)
+    harness.assert_no_connection(1 - i)
 
 
 def test_an_attempt_that_waits_for_its_replica_is_not_sent_once_the_client_has_disconnected(
     member, monkeypatch
 ):
-    member.until(lambda: joined(member))
+    member.wait_until(lambda: joined(member))
     waiting = []
     module = member.context.coordinator
     monkeypatch.setattr(
         module.replicator, "record_intent", lambda item, number: waiting.append((item, number))
     )
-    client = member.ask("buy", b"one", x_work_name="w1")
+    client = member.send_request("buy", b"one", x_work_name="w1")
     upstream = member.accept()
-    assert member.until(lambda: member.read(upstream)).endswith(b"on")
+    assert member.wait_until(lambda: member.read(upstream)).endswith(b"on")
     client.close()
-    member.until(lambda: member.logged("client.end"))
+    member.wait_until(lambda: member.log_lines("client.end"))
     module.release_intent(*waiting[0])  # the replica acknowledges it now
-    member.let_pass(0.05)
+    member.run_for(0.05)
     assert member.read(upstream) in (None, b"end")
 
 
 def test_a_client_that_waits_is_given_the_dispatched_request_in_place_of_its_own(member):
-    member.until(lambda: joined(member))
-    member.ask("buy", b"one", x_work_name="w1")
+    member.wait_until(lambda: joined(member))
+    member.send_request("buy", b"one", x_work_name="w1")
     member.accept()
     coordinator = member.context.coordinator
     [item] = coordinator.replicator.requests.values()
@@ -523,12 +523,12 @@
 @pytest.mark.parametrize("headers", [{}, {"x_work_name": "w1"}])
 def test_a_client_that_disconnects_is_counted_and_causes_no_error(member, headers):
     """Also of a request that the replicator knows nothing of."""
-    member.until(lambda: joined(member))
-    client = member.ask("buy", b"one", **headers)
-    member.received(member.accept())
+    member.wait_until(lambda: joined(member))
+    client = member.send_request("buy", b"one", **headers)
+    member.read_request(member.accept())
     client.close()
-    member.until(lambda: member.logged("client.end"))
-    member.let_pass(0.05)
-    assert not member.logged("module.defect")
+    member.wait_until(lambda: member.log_lines("client.end"))
+    member.run_for(0.05)
+    assert not member.log_lines("module.defect")
     if not headers:
         assert member.context.coordinator.counts["left"] == 1
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -148,33 +148,33 @@
 
 
 @pytest.fixture
-def admin(make_surroundings, served, tmp_path):
-    return AdminClient(make_surroundings, served, tmp_path, zones={})
+def admin(make_harness, served, tmp_path):
+    return AdminClient(make_harness, served, tmp_path, zones={})
 
 
 def zone_shares_of(admin):
-    return admin.around.context.coordinator.scheduler.balancer.selector.zone_shares
+    return admin.harness.context.coordinator.scheduler.balancer.selector.zone_shares
 
 
 def test_operators_have_a_zone_left_held_and_returned(admin):
-    zone = admin.around.context.balancer_config.zone or next(
-        iter(u.endpoint.zone for u in admin.around.context.coordinator.pools.values())
+    zone = admin.harness.context.balancer_config.zone or next(
+        iter(u.endpoint.zone for u in admin.harness.context.coordinator.pools.values())
     )
     assert admin.call("PUT /_zones/leave", {"zone": "nowhere"})[0] == 400
     assert admin.call("PUT /_zones/return", {"zone": zone})[0] == 409
     assert admin.call("PUT /_zones/leave", {"zone": zone, "why": "new switches"})[0] == 200
-    admin.around.until(lambda: zone_shares_of(admin) == {zone: 0.0})
+    admin.harness.wait_until(lambda: zone_shares_of(admin) == {zone: 0.0})
     _, answer = admin.call("GET /_zones")
     assert answer["plan"]["zones"][zone]["why"] == "new switches"
     assert admin.call("PUT /_zones/hold", {"zone": zone})[0] == 200
-    admin.around.until(lambda: admin.around.logged("zone.plan")[-1]["state"] == "held")
+    admin.harness.wait_until(lambda: admin.harness.log_lines("zone.plan")[-1]["state"] == "held")
     assert admin.call("PUT /_zones/return", {"zone": zone})[0] == 200
-    admin.around.until(lambda: zone_shares_of(admin).get(zone, 0.0) > 0)
+    admin.harness.wait_until(lambda: zone_shares_of(admin).get(zone, 0.0) > 0)
 
 
 def test_the_report_of_a_member_that_has_gone_is_not_shown(admin, served):
-    zone_planner = admin.around.context.fleet.host.zone_controller.zone_planner
-    member_id = admin.around.context.fleet.member_id
+    zone_planner = admin.harness.context.fleet.host.zone_controller.zone_planner
+    member_id = admin.harness.context.fleet.member_id
     zone_planner.reports = {"n9.ff": ZoneReport(0.0, {}), member_id: ZoneReport(0.0, {})}
     status, answer = admin.call("GET /_zones")
     assert status == 200 and set(answer["said"]) == {"n0"}
@@ -183,5 +183,5 @@
 def test_an_unreadable_plan_counts_as_none(admin, served):
     put = {"key": b64("/f/zones/plan"), "value": "e30x"}
     served.call(served.arbiter.put_encoded, put)
-    admin.around.until(lambda: admin.around.logged("arbiter.entry"))
+    admin.harness.wait_until(lambda: admin.harness.log_lines("arbiter.entry"))
     assert zone_shares_of(admin) == {}
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from conftest import SETTINGS, Surroundings, categories
+from conftest import SETTINGS, SidecarHarness, request_class_settings
 from test_endings import LEAVE, disconnect
 from test_streams import NEW, Peer
 
@@ -32,13 +32,13 @@
 
 
 @pytest.fixture
-def crowd(make_surroundings: Callable[..., Surroundings]) -> Callable[..., Crowd]:
+def crowd(make_harness: Callable[..., SidecarHarness]) -> Callable[..., Crowd]:
     """Make a crowd of clients of a new sidecar."""
 
     def make(cancel: bool = True, settings: dict[str, Any] | None = None, **given: object) -> Crowd:
         caps = SETTINGS["caps"] | {"cancel": cancel, "connectTimeout": 5000000}
-        settings = {"caps": caps, "categories": categories(LATENCY_OBJECTIVE)} | (settings or {})
-        return Crowd(make_surroundings(limits={"sockets": 4096}, settings=settings, **given))
+        settings = {"caps": caps, "categories": request_class_settings(LATENCY_OBJECTIVE)} | (settings or {})
+        return Crowd(make_harness(limits={"sockets": 4096}, settings=settings, **given))
 
     return make
 
@@ -46,10 +46,10 @@
 class Crowd:
     """Many clients of one sidecar, and what endpoints get for them."""
 
-    def __init__(self, around: Surroundings) -> None:
+    def __init__(self, harness: SidecarHarness) -> None:
         """Let endpoints accept that many, and be chosen however many requests they have."""
-        self.around, self.context, self.upstreams = around, around.context, []
-        for listener in around.listeners:
+        self.harness, self.context, self.upstreams = harness, harness.context, []
+        for listener in harness.listeners:
             listener.listen(2 * MANY)
         balancer = self.context.coordinator.scheduler.balancer
         balancer.selector.latency_fraction = balancer.load.queue_limit = (
@@ -60,18 +60,20 @@
         """Send so many requests, each from a client of its own."""
         body = b"" if category == "look" else b"one"
         headers["x_expires_in_ms"] = str(TIMEOUT_MS)
-        return [self.around.ask(category, body, x_trace_id=f"c{i}", **headers) for i in range(count)]
+        return [
+            self.harness.send_request(category, body, x_trace_id=f"c{i}", **headers) for i in range(count)
+        ]
 
     def keep_connections(self) -> None:
         """Leave so many connections idle that each attempt to come could be written at once."""
         clients = self.ask()
         self.until_begun(MANY)
         for sock in self.upstreams:
-            self.around.reply(sock)
-        self.around.until(lambda: len(self.context.connections.idle_to_endpoints) == MANY)
+            self.harness.send_response(sock)
+        self.harness.wait_until(lambda: len(self.context.connections.idle_endpoint_connections) == MANY)
         self.leave(clients, late=0)
-        self.around.until(lambda: not self.context.connections.clients)
-        self.around.let_pass(QUIESCENCE_FRACTION * self.context.shortest_objective)
+        self.harness.wait_until(lambda: not self.context.connections.clients)
+        self.harness.run_for(QUIESCENCE_FRACTION * self.context.shortest_objective)
 
     @contextlib.contextmanager
     def unheard(self) -> Iterator[None]:
@@ -91,16 +93,16 @@
     def leave(self, clients: list[socket.socket], how: str = "closes", late: float = 0.15) -> None:
         """All at once, while the loop is late."""
         for client in clients:
-            disconnect(self.around, client, how)
+            disconnect(self.harness, client, how)
         time.sleep(late)
 
     def attempts(self) -> int:
         """The number of attempts that have begun since the last call."""
-        while found := self.around.accept_any():
+        while found := self.harness.accept_any():
             self.upstreams.append(found[1])
         begun = 0
         for sock in self.upstreams:
-            while sock.fileno() >= 0 and (data := self.around.read(sock)) and data != b"end":
+            while sock.fileno() >= 0 and (data := self.harness.read(sock)) and data != b"end":
                 begun += len(ATTEMPT.findall(data))
         return begun
 
@@ -113,27 +115,27 @@
             begun += self.attempts()
             return begun >= count
 
-        self.around.until(enough, within=LATENCY_OBJECTIVE / 1e6)
+        self.harness.wait_until(enough, within=LATENCY_OBJECTIVE / 1e6)
         assert begun == count
 
     def begun_meanwhile(self) -> int:
         """The number of attempts that begin within some turns."""
         begun = 0
         for _ in range(10):
-            self.around.let_pass(0.02)
+            self.harness.run_for(0.02)
             begun += self.attempts()
         return begun
 
     def all_settled(self) -> int:
         """No client is left; the attempts that began until then and just after."""
-        self.around.until(lambda: not self.context.connections.clients)
+        self.harness.wait_until(lambda: not self.context.connections.clients)
         return self.begun_meanwhile()
 
 
 @contextlib.contextmanager
-def connections_come_up_late(around: Surroundings) -> Iterator[list[tuple[int, Actor, int]]]:
+def connections_come_up_late(harness: SidecarHarness) -> Iterator[list[tuple[int, Actor, int]]]:
     """Delay the socket events of new connections to endpoints until the end of the block."""
-    loop, kept = around.context.loop, []
+    loop, kept = harness.context.loop, []
     watch = loop.register
 
     def watched(descriptor: int, actor: Actor, mask: int) -> None:
@@ -172,12 +174,12 @@
 ) -> None:
     """Whether the disconnects have been handled or not."""
     many = crowd(cancel)
-    with connections_come_up_late(many.around) as kept:
+    with connections_come_up_late(many.harness) as kept:
         clients = many.ask()
-        many.around.until(lambda: len(kept) == MANY)
+        many.harness.wait_until(lambda: len(kept) == MANY)
         if heard:
             many.leave(clients, how)
-            many.around.until(lambda: not many.context.connections.clients)
+            many.harness.wait_until(lambda: not many.context.connections.clients)
     if not heard:
         with many.unheard():
             many.leave(clients, how)
@@ -198,7 +200,7 @@
     many.until_begun(MANY)
     with many.unheard():
         for sock in many.upstreams:
-            many.around.reply(sock, status=503, extra="X-Never-Ran: 1\r\n")
+            many.harness.send_response(sock, status=503, extra="X-Never-Ran: 1\r\n")
         many.leave(clients)
         assert many.begun_meanwhile() == 0
     assert many.all_settled() == 0
@@ -228,12 +230,12 @@
 ) -> None:
     """What lies unread hides the end from one who looks at the next byte only."""
     many = crowd(cancel)
-    with connections_come_up_late(many.around) as kept:
+    with connections_come_up_late(many.harness) as kept:
         clients = many.ask()
-        many.around.until(lambda: len(kept) == MANY)
+        many.harness.wait_until(lambda: len(kept) == MANY)
     with many.unheard():
         for client in clients:
-            client.sendall(many.around.request(x_trace_id="behind"))
+            client.sendall(many.harness.request_bytes(x_trace_id="behind"))
             client.shutdown(socket.SHUT_WR)
         assert many.begun_meanwhile() == 0
     assert many.all_settled() == 0
@@ -249,7 +251,7 @@
     def make(cancel: bool) -> Crowd:
         caps = NEW["caps"] | {"cancel": cancel, "connectTimeout": 5000000}
         many = crowd(settings=NEW | {"caps": caps})
-        many.around.hear()
+        many.harness.push_snapshot()
         return many
 
     return make
@@ -262,21 +264,23 @@
 ) -> None:
     """Ninety requests wait for one connection."""
     many = multiplexed(cancel)
-    with connections_come_up_late(many.around) as kept:
+    with connections_come_up_late(many.harness) as kept:
         clients = many.ask(90)
         pending_requests = many.context.coordinator.pending_requests
-        many.around.until(lambda: sum(len(pending.exchanges) for pending in pending_requests.values()) == 90)
+        many.harness.wait_until(
+            lambda: sum(len(pending.exchanges) for pending in pending_requests.values()) == 90
+        )
         if heard:
             many.leave(clients)
-            many.around.until(lambda: not many.context.connections.clients)
+            many.harness.wait_until(lambda: not many.context.connections.clients)
     assert len(kept) == 1
     with many.unheard():
         if not heard:
             many.leave(clients)
-        peer = Peer(many.around)
+        peer = Peer(many.harness)
         for _ in range(10):
             peer.read()
-            many.around.let_pass(0.01)
+            many.harness.run_for(0.01)
     assert not peer.asked
 
 
@@ -289,21 +293,21 @@
     """The flow-control window opens after the client has left."""
     monkeypatch.setattr(Peer, "acknowledges", False)
     many = multiplexed(cancel)
-    around = many.around
-    client = around.ask("buy", bytes(WINDOW + 1))
-    peer = Peer(around)
+    harness = many.harness
+    client = harness.send_request("buy", bytes(WINDOW + 1))
+    peer = Peer(harness)
     peer.until(lambda: sum(map(len, peer.bodies.values())) == WINDOW)
     (stream,) = peer.asked
     with contextlib.nullcontext() if heard else many.unheard():
         many.leave([client], how)
         if heard:
-            around.until(lambda: not many.context.connections.clients)
+            harness.wait_until(lambda: not many.context.connections.clients)
         peer.http.increment_flow_control_window(WINDOW)
         peer.http.increment_flow_control_window(WINDOW, stream)
         peer.flush()
         peer.until(lambda: stream in peer.resets)
     assert not peer.ended and len(peer.bodies[stream]) == WINDOW
-    around.until(lambda: not many.context.coordinator.pending_requests)
+    harness.wait_until(lambda: not many.context.coordinator.pending_requests)
     assert many.context.buffer_pool.in_use == 0
 
 
@@ -313,25 +317,25 @@
 ) -> None:
     """The client leaves while the connection can't be written, and only the other request is sent."""
     many = multiplexed(cancel)
-    around = many.around
-    first = around.ask()
-    peer = Peer(around)
+    harness = many.harness
+    first = harness.send_request()
+    peer = Peer(harness)
     peer.answer(*peer.received(1))
-    assert around.status(first) == 200
-    (connection,) = many.context.connections.to_endpoints
+    assert harness.read_status(first) == 200
+    (connection,) = many.context.connections.endpoint_connections
     connection.stream.write = lambda: not connection.stream.unwritten  # the kernel takes nothing
-    stays, leaves = around.ask(x_trace_id="stays"), around.ask(x_trace_id="leaves")
-    around.until(
+    stays, leaves = harness.send_request(x_trace_id="stays"), harness.send_request(x_trace_id="leaves")
+    harness.wait_until(
         lambda: sum(len(pending.exchanges) for pending in many.context.coordinator.pending_requests.values())
         == 2
     )
-    around.let_pass(0.05)
+    harness.run_for(0.05)
     with many.unheard():
         many.leave([leaves])
         del connection.stream.write
         peer.until(lambda: len(peer.ended) > 1)
-        around.let_pass(0.05)
+        harness.run_for(0.05)
     peer.read()
     assert [asked["x-trace-id"] for asked in peer.asked.values()] == ["t1", "stays"]
     peer.answer(peer.ended[-1])
-    assert around.status(stays) == 200
+    assert harness.read_status(stays) == 200
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -3,7 +3,7 @@
 from math import inf
 
 import pytest
-from conftest import BUY, LOOK, FakeHost, Surroundings
+from conftest import BUY, LOOK, FakeHost, SidecarHarness
 from decision_host import AnswerKind
 
 from starlingwheel.decisions import lease as module
@@ -154,85 +154,89 @@
 # The gate.
 
 
-def test_the_gate_refuses_an_attempt_if_the_lease_expires_before_the_first_byte(around: Surroundings) -> None:
+def test_the_gate_refuses_an_attempt_if_the_lease_expires_before_the_first_byte(
+    harness: SidecarHarness,
+) -> None:
     """The connection stays and carries the next request."""
-    watch, _ = around.watch({"version": 8, "servers": []})
-    around.until(lambda: around.context.discovery.version == 8)
-    client = around.ask("buy")
-    around.until(lambda: around.context.connections.to_endpoints)
+    watch, _ = harness.accept_watch({"version": 8, "servers": []})
+    harness.wait_until(lambda: harness.context.discovery.version == 8)
+    client = harness.send_request("buy")
+    harness.wait_until(lambda: harness.context.connections.endpoint_connections)
     # The connection is on its way up, and the list expires before the first byte.
-    around.context.lease.expires_at = around.context.loop.now()
-    assert around.status(client) == 503
-    sock = around.accept()
-    assert around.read(sock) is None
-    refused = around.context.gate.refused
+    harness.context.lease.expires_at = harness.context.loop.now()
+    assert harness.read_status(client) == 503
+    sock = harness.accept()
+    assert harness.read(sock) is None
+    refused = harness.context.gate.refused
     assert sum(refused.values()) == 1 and next(iter(refused)).value == "lease-expired"
-    around.say(watch, {"version": 9, "servers": []})
-    around.until(lambda: around.context.lease.allows(around.context.loop.now()))
-    assert [line["state"] for line in around.logged("lease")] == ["expired", "fresh"]
+    harness.send_watch_line(watch, {"version": 9, "servers": []})
+    harness.wait_until(lambda: harness.context.lease.allows(harness.context.loop.now()))
+    assert [line["state"] for line in harness.log_lines("lease")] == ["expired", "fresh"]
     # The connection stays, and carries the next one.
-    client = around.ask("buy")
-    around.received(sock)
-    around.reply(sock)
-    assert around.status(client) == 200
+    client = harness.send_request("buy")
+    harness.read_request(sock)
+    harness.send_response(sock)
+    assert harness.read_status(client) == 200
 
 
-def test_a_message_that_breaks_off_behind_a_complete_one_counts_as_begun(around: Surroundings) -> None:
+def test_a_message_that_breaks_off_behind_a_complete_one_counts_as_begun(harness: SidecarHarness) -> None:
     """Both came in the same bytes."""
-    watch, _ = around.watch({"version": 8, "servers": []})
-    around.until(lambda: around.context.discovery.version == 8)
-    lease = around.context.lease
+    watch, _ = harness.accept_watch({"version": 8, "servers": []})
+    harness.wait_until(lambda: harness.context.discovery.version == 8)
+    lease = harness.context.lease
 
     def chunk(text: bytes) -> bytes:
         return b"%x\r\n%s\r\n" % (len(text), text)
 
     watch.sendall(chunk(b'{"version": 9, '))
-    around.until(lambda: lease.incomplete_since < inf)
+    harness.wait_until(lambda: lease.incomplete_since < inf)
     # The rest of it, and in the same bytes the beginning of the next, of which no more comes.
     watch.sendall(chunk(b'"servers": []}\n') + chunk(b'{"version": 10, '))
-    around.until(lambda: around.context.discovery.version == 9)
+    harness.wait_until(lambda: harness.context.discovery.version == 9)
     assert lease.incomplete_since < inf
-    around.say(watch, b'"servers": []}')
-    around.until(lambda: around.context.discovery.version == 10)
+    harness.send_watch_line(watch, b'"servers": []}')
+    harness.wait_until(lambda: harness.context.discovery.version == 10)
     assert lease.incomplete_since == inf
 
 
-def test_the_gate_stops_a_retry_of_a_non_idempotent_request_that_may_have_run(around: Surroundings) -> None:
+def test_the_gate_stops_a_retry_of_a_non_idempotent_request_that_may_have_run(
+    harness: SidecarHarness,
+) -> None:
     """Even if the decisions ask for it."""
-    client = around.ask("buy")
-    sock = around.accept()
-    around.received(sock)
-    (pending,) = around.context.coordinator.pending_requests.values()
+    client = harness.send_request("buy")
+    sock = harness.accept()
+    harness.read_request(sock)
+    (pending,) = harness.context.coordinator.pending_requests.values()
     (attempt,) = pending.exchanges
-    again = Attempt(attempt.request, attempt.endpoint, around.context.loop.now())
-    around.context.coordinator.start_attempt(again, 1.0)
-    around.quiet()
-    assert around.context.gate.violations == 1
-    around.reply(sock)
-    assert around.status(client) == 200
-    assert [line["what"] for line in around.logged("gate.violation")]
+    again = Attempt(attempt.request, attempt.endpoint, harness.context.loop.now())
+    harness.context.coordinator.start_attempt(again, 1.0)
+    harness.assert_no_connection()
+    assert harness.context.gate.violations == 1
+    harness.send_response(sock)
+    assert harness.read_status(client) == 200
+    assert [line["what"] for line in harness.log_lines("gate.violation")]
 
 
 @pytest.mark.parametrize("left, refused", [(0.3, False), (0.1, True), (-1.0, True)])
 def test_a_retry_does_not_begin_after_its_deduplication_window(
-    around: Surroundings, left: float, refused: bool
+    harness: SidecarHarness, left: float, refused: bool
 ) -> None:
     """Though it was decided on within the window."""
-    client = around.ask("move")
-    sock = around.accept()
-    around.received(sock)
-    (pending,) = around.context.coordinator.pending_requests.values()
+    client = harness.send_request("move")
+    sock = harness.accept()
+    harness.read_request(sock)
+    (pending,) = harness.context.coordinator.pending_requests.values()
     (first,) = pending.exchanges.values()
-    at = around.context.loop.now()
-    around.context.gate.now = lambda: at  # however long the story takes
-    around.context.lease.expires_at = inf
+    at = harness.context.loop.now()
+    harness.context.gate.now = lambda: at  # however long the story takes
+    harness.context.lease.expires_at = inf
     repeat = Exchange(first.endpoint, first.pool, at, inf, first.attempt, pending)
     first.started_at = at - pending.request.request_class.deduplication_window + left
-    assert (around.context.gate.refusal(first.pool.endpoint, repeat) is Refusal.WINDOW_OVER) == refused
+    assert (harness.context.gate.refusal(first.pool.endpoint, repeat) is Refusal.WINDOW_OVER) == refused
     # The same once the first has ended in a way that may have run.
     sent = first.started_at
-    around.reply(sock, status=500)
-    around.until(lambda: pending.may_have_run)
-    assert pending.first_risky_at == sent
-    assert (around.context.gate.refusal(first.pool.endpoint, repeat) is Refusal.WINDOW_OVER) == refused
+    harness.send_response(sock, status=500)
+    harness.wait_until(lambda: pending.may_have_run)
+    assert pending.first_may_have_run_at == sent
+    assert (harness.context.gate.refusal(first.pool.endpoint, repeat) is Refusal.WINDOW_OVER) == refused
     client.close()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -13,27 +13,27 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, Surroundings, address, bound, categories
+from conftest import SETTINGS, SidecarHarness, bound_socket, request_class_settings, socket_address
 
 from fakes.loopback import free_address
 from starlingwheel.decisions.model import EndpointState
 from starlingwheel.net.actor import Actor, Coroutine
-from starlingwheel.net.address import split
+from starlingwheel.net.address import split_host_port
 from starlingwheel.net.discovery import client as discovery
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
 from starlingwheel.net.lifecycle.log import MAX_BUFFERED, EventLog
 from starlingwheel.net.loop import READ, Loop
 from starlingwheel.net.messages import STOP
 
-MakeSurroundings = Callable[..., Surroundings]
+MakeHarness = Callable[..., SidecarHarness]
 Program = Callable[[], tuple[subprocess.Popen[bytes], tuple[str, int]]]  # the process and its address
 
 
-def serve(around: Surroundings, client: socket.socket, i: int = 0) -> socket.socket:
+def serve(harness: SidecarHarness, client: socket.socket, i: int = 0) -> socket.socket:
     """Serve one request of a client at an endpoint; return the endpoint's connection."""
-    client.sendall(around.request())
-    upstream = around.serve(i=i)
-    assert around.status(client) == 200
+    client.sendall(harness.request_bytes())
+    upstream = harness.serve(i=i)
+    assert harness.read_status(client) == 200
     return upstream
 
 
@@ -41,67 +41,69 @@
 
 
 def test_a_message_in_pieces_is_followed_and_draining_endpoints_get_no_requests(
-    make_surroundings: MakeSurroundings,
+    make_harness: MakeHarness,
 ) -> None:
     """The first call asks for what changed since the known list."""
-    around = make_surroundings(upstreams=2)
-    watch, target = around.watch(b"")
+    harness = make_harness(upstreams=2)
+    watch, target = harness.accept_watch(b"")
     assert target == b"/v1/endpoints?watch=1&from=7"
-    around.say(watch, {"version": 8, "servers": [around.entry(0, state="leaving")]})
-    around.until(lambda: around.logged("list.news"))
-    around.all_go_to(1, 6)
-    around.quiet(0)
+    harness.send_watch_line(watch, {"version": 8, "servers": [harness.endpoint_entry(0, state="leaving")]})
+    harness.wait_until(lambda: harness.log_lines("list.news"))
+    harness.assert_requests_reach(1, 6)
+    harness.assert_no_connection(0)
 
 
 def test_a_watch_message_is_read_ahead_of_requests_that_came_just_before_it(
-    make_surroundings: MakeSurroundings,
+    make_harness: MakeHarness,
 ) -> None:
     """Each time an endpoint begins to drain, though its idle connection is there."""
-    around = make_surroundings(upstreams=2)
-    watch, _ = around.watch(b"")
-    client = around.client()
+    harness = make_harness(upstreams=2)
+    watch, _ = harness.accept_watch(b"")
+    client = harness.connect_client()
     for version in range(8, 24, 2):
-        around.say(watch, {"version": version, "servers": [around.entry(0)]})
-        around.until(lambda: around.context.discovery.version == version)  # noqa: B023
-        around.let_pass(0.01)
-        client.sendall(around.request())
-        around.say(watch, {"version": version + 1, "servers": [around.entry(0, state="leaving")]})
-        around.serve(i=1, extra="Connection: close\r\n")
-        assert around.status(client) == 200
-    around.quiet(0)
-
-
-def test_an_attempt_at_an_endpoint_removed_since_can_still_be_cancelled(around: Surroundings) -> None:
+        harness.send_watch_line(watch, {"version": version, "servers": [harness.endpoint_entry(0)]})
+        harness.wait_until(lambda: harness.context.discovery.version == version)  # noqa: B023
+        harness.run_for(0.01)
+        client.sendall(harness.request_bytes())
+        harness.send_watch_line(
+            watch, {"version": version + 1, "servers": [harness.endpoint_entry(0, state="leaving")]}
+        )
+        harness.serve(i=1, extra="Connection: close\r\n")
+        assert harness.read_status(client) == 200
+    harness.assert_no_connection(0)
+
+
+def test_an_attempt_at_an_endpoint_removed_since_can_still_be_cancelled(harness: SidecarHarness) -> None:
     """Its connection ends when the client disconnects."""
-    watch, _ = around.watch(b"")
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    around.received(upstream)
-    around.say(watch, {"version": 8, "servers": [around.entry(0, state="left")]})
-    around.until(lambda: not around.context.coordinator.pools)
+    watch, _ = harness.accept_watch(b"")
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    harness.send_watch_line(watch, {"version": 8, "servers": [harness.endpoint_entry(0, state="left")]})
+    harness.wait_until(lambda: not harness.context.coordinator.pools)
     client.close()
-    assert around.until(lambda: around.read(upstream)) == b"end"
+    assert harness.wait_until(lambda: harness.read(upstream)) == b"end"
 
 
-def test_a_snapshot_removes_endpoints_that_it_does_not_name(make_surroundings: MakeSurroundings) -> None:
+def test_a_snapshot_removes_endpoints_that_it_does_not_name(make_harness: MakeHarness) -> None:
     """On the network side and in the decisions."""
-    around = make_surroundings(upstreams=2)
-    around.watch({"version": 9, "full": True, "servers": [around.entry(1)]})
-    around.until(lambda: list(around.context.coordinator.pools) == ["s1"])
-    assert list(around.context.coordinator.scheduler.balancer.endpoints.by_id) == ["s1"]
+    harness = make_harness(upstreams=2)
+    harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(1)]})
+    harness.wait_until(lambda: list(harness.context.coordinator.pools) == ["s1"])
+    assert list(harness.context.coordinator.scheduler.balancer.endpoints.by_id) == ["s1"]
 
 
-def test_an_address_may_change_under_a_known_id(around: Surroundings) -> None:
+def test_an_address_may_change_under_a_known_id(harness: SidecarHarness) -> None:
     """Connections to the former address are closed."""
-    watch, _ = around.watch(b"")
-    client = around.client()
-    kept = serve(around, client)
-    around.listeners.append(around.keep(bound()))
-    moved = around.entry(0, addr=address(around.listeners[1]))
-    around.say(watch, {"version": 8, "servers": [moved]})
-    assert around.until(lambda: around.read(kept)) == b"end"
-    assert around.logged("upstream.end")[0]["reason"] == "not-needed"
-    serve(around, client, i=1)
+    watch, _ = harness.accept_watch(b"")
+    client = harness.connect_client()
+    kept = serve(harness, client)
+    harness.listeners.append(harness.close_at_end(bound_socket()))
+    moved = harness.endpoint_entry(0, addr=socket_address(harness.listeners[1]))
+    harness.send_watch_line(watch, {"version": 8, "servers": [moved]})
+    assert harness.wait_until(lambda: harness.read(kept)) == b"end"
+    assert harness.log_lines("upstream.end")[0]["reason"] == "not-needed"
+    serve(harness, client, i=1)
 
 
 @pytest.mark.parametrize(
@@ -116,97 +118,97 @@
     ],
 )
 def test_after_an_unreadable_line_the_last_list_stays_and_a_snapshot_is_asked_for(
-    around: Surroundings, lines: list[dict[str, Any] | bytes], reason: str
+    harness: SidecarHarness, lines: list[dict[str, Any] | bytes], reason: str
 ) -> None:
     """What came before that line has been taken over."""
-    around.watch(*lines)
-    _, target = around.watch(b"")
+    harness.accept_watch(*lines)
+    _, target = harness.accept_watch(b"")
     assert target.endswith(b"from=0")
-    assert reason in around.logged("list.end")[0]["reason"]
-    serve(around, around.client())
+    assert reason in harness.log_lines("list.end")[0]["reason"]
+    serve(harness, harness.connect_client())
 
 
-def test_a_failed_call_and_an_ended_watch_are_followed_by_new_calls(around: Surroundings) -> None:
+def test_a_failed_call_and_an_ended_watch_are_followed_by_new_calls(harness: SidecarHarness) -> None:
     """The list stays in force meanwhile."""
-    sock, _ = around.watch(status=503)
-    assert around.until(lambda: around.logged("list.end"))[-1]["reason"] == "answered-503"
-    sock, _ = around.watch(b"")
+    sock, _ = harness.accept_watch(status=503)
+    assert harness.wait_until(lambda: harness.log_lines("list.end"))[-1]["reason"] == "answered-503"
+    sock, _ = harness.accept_watch(b"")
     sock.close()
-    around.watch(b"")
-    assert around.logged("list.end")[-1]["reason"] in ("cut-short", "reset")
-    serve(around, around.client())
+    harness.accept_watch(b"")
+    assert harness.log_lines("list.end")[-1]["reason"] in ("cut-short", "reset")
+    serve(harness, harness.connect_client())
 
 
-def test_a_silent_watch_is_replaced(around: Surroundings, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_watch_is_replaced(harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     """After a time without a byte."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.05)
-    around.watch(b"", b"")
-    around.watch(b"")
-    assert around.logged("list.end")[0]["reason"] == "silent"
+    harness.accept_watch(b"", b"")
+    harness.accept_watch(b"")
+    assert harness.log_lines("list.end")[0]["reason"] == "silent"
 
 
 def test_a_watch_that_stalls_within_a_line_is_replaced_and_the_line_dropped(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The next call asks for changes after the last complete message."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.05)
-    watch, _ = around.watch(b"")
-    half = msgspec.json.encode({"version": 8, "servers": [around.entry(0, state="leaving")]})[:-9]
+    watch, _ = harness.accept_watch(b"")
+    half = msgspec.json.encode({"version": 8, "servers": [harness.endpoint_entry(0, state="leaving")]})[:-9]
     watch.sendall(b"%x\r\n%s\r\n" % (len(half), half))
-    _, target = around.watch(b"")
-    assert target.endswith(b"from=7") and around.logged("list.end")[0]["reason"] == "silent"
-    serve(around, around.client())
+    _, target = harness.accept_watch(b"")
+    assert target.endswith(b"from=7") and harness.log_lines("list.end")[0]["reason"] == "silent"
+    serve(harness, harness.connect_client())
 
 
 def test_after_changes_of_an_older_version_a_snapshot_is_asked_for(
-    make_surroundings: MakeSurroundings,
+    make_harness: MakeHarness,
 ) -> None:
     """They are not taken over."""
-    around = make_surroundings(upstreams=2)
-    watch, _ = around.watch({"version": 9, "servers": [around.entry(0, state="leaving")]})
-    around.until(lambda: around.context.discovery.version == 9)
-    around.say(watch, {"version": 8, "servers": [around.entry(0)]})
-    _, target = around.watch({"version": 3, "full": True, "servers": [around.entry(1)]})
-    assert target.endswith(b"from=0") and around.logged("list.end")[0]["reason"] == "went-back"
-    around.until(lambda: around.context.discovery.version == 3)
-    assert list(around.context.coordinator.pools) == ["s1"]
+    harness = make_harness(upstreams=2)
+    watch, _ = harness.accept_watch({"version": 9, "servers": [harness.endpoint_entry(0, state="leaving")]})
+    harness.wait_until(lambda: harness.context.discovery.version == 9)
+    harness.send_watch_line(watch, {"version": 8, "servers": [harness.endpoint_entry(0)]})
+    _, target = harness.accept_watch({"version": 3, "full": True, "servers": [harness.endpoint_entry(1)]})
+    assert target.endswith(b"from=0") and harness.log_lines("list.end")[0]["reason"] == "went-back"
+    harness.wait_until(lambda: harness.context.discovery.version == 3)
+    assert list(harness.context.coordinator.pools) == ["s1"]
 
 
 def test_with_an_outdated_known_list_requests_are_rejected_promptly_until_the_watch_answers(
-    make_surroundings: MakeSurroundings,
+    make_harness: MakeHarness,
 ) -> None:
     """No process listens at the addresses that it names."""
-    around = make_surroundings(upstreams=3)
-    for listener in around.listeners[:2]:
+    harness = make_harness(upstreams=3)
+    for listener in harness.listeners[:2]:
         listener.close()
-    around.listeners[2].close()
-    around.listeners.append(around.keep(bound()))
+    harness.listeners[2].close()
+    harness.listeners.append(harness.close_at_end(bound_socket()))
     for _ in range(4):
-        assert around.status(around.ask("buy", b"one", connection="close")) == 503
-    around.watch({"version": 9, "full": True, "servers": [around.entry(3)]})
-    around.until(lambda: list(around.context.coordinator.pools) == ["s3"])
-    serve(around, around.client(), i=3)
+        assert harness.read_status(harness.send_request("buy", b"one", connection="close")) == 503
+    harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(3)]})
+    harness.wait_until(lambda: list(harness.context.coordinator.pools) == ["s3"])
+    serve(harness, harness.connect_client(), i=3)
 
 
-def test_thousands_of_removed_endpoints_leave_nothing_behind(around: Surroundings) -> None:
+def test_thousands_of_removed_endpoints_leave_nothing_behind(harness: SidecarHarness) -> None:
     """Neither pools and connections nor what the decisions, gossip and timers kept of them."""
-    watch, _ = around.watch(b"")
-    context, balancer = around.context, around.context.coordinator.scheduler.balancer
+    watch, _ = harness.accept_watch(b"")
+    context, balancer = harness.context, harness.context.coordinator.scheduler.balancer
     for version in range(8, 108):
-        new = [around.entry(0, id=f"{version}-{i}") for i in range(20)]
+        new = [harness.endpoint_entry(0, id=f"{version}-{i}") for i in range(20)]
         gone = [{"id": f"{version - 1}-{i}", "state": "left"} for i in range(20)] + [
             {"id": "s0", "state": "left"}
         ]
-        around.say(watch, {"version": version, "servers": gone + new})
-        around.until(lambda: context.discovery.version == version)  # noqa: B023
-        around.until(lambda: not context.coordinator.mailbox)
+        harness.send_watch_line(watch, {"version": version, "servers": gone + new})
+        harness.wait_until(lambda: context.discovery.version == version)  # noqa: B023
+        harness.wait_until(lambda: not context.coordinator.mailbox)
         for u in list(balancer.endpoints.by_id.values())[:5]:
             context.coordinator.scheduler.gossip_received(1, u.gossip_tag.to_bytes(2, "big") + b"\x03")
-        client = around.ask("buy", b"one", x_trace_id=f"t{version}", connection="close")
-        around.serve(status=500 if version % 2 else 200)  # all of them at one address
-        assert around.status(client) in (200, 504)
+        client = harness.send_request("buy", b"one", x_trace_id=f"t{version}", connection="close")
+        harness.serve(status=500 if version % 2 else 200)  # all of them at one address
+        assert harness.read_status(client) in (200, 504)
         client.close()
-    around.until(lambda: not context.coordinator.pending_requests and not context.connections.clients)
+    harness.wait_until(lambda: not context.coordinator.pending_requests and not context.connections.clients)
     assert (
         len(context.coordinator.pools)
         == len(balancer.endpoints.by_id)
@@ -220,7 +222,7 @@
     balancer.endpoints.refresh()
     assert not balancer.gossip._by_peer and not balancer.gossip.counts
     # Connections to the last ones are kept.
-    assert len(context.connections.to_endpoints) <= 1 and not context.active_traces
+    assert len(context.connections.endpoint_connections) <= 1 and not context.active_traces
     gc.collect()
     assert len([actor for _, _, held in context.loop.timers if (actor := held())]) < 10
 
@@ -229,67 +231,71 @@
 
 
 def test_a_new_discovery_is_called_at_once_and_the_old_watch_serves_until_its_first_message(
-    make_surroundings: MakeSurroundings,
+    make_harness: MakeHarness,
 ) -> None:
     """The new one is asked for a snapshot."""
-    around = make_surroundings(upstreams=2)
-    old, _ = around.watch(b"")
-    before, around.discovery = around.discovery, around.keep(bound())
-    around.reconfigure(discovery=address(around.discovery))
-    new, target = around.watch()
+    harness = make_harness(upstreams=2)
+    old, _ = harness.accept_watch(b"")
+    before, harness.discovery = harness.discovery, harness.close_at_end(bound_socket())
+    harness.reconfigure(discovery=socket_address(harness.discovery))
+    new, target = harness.accept_watch()
     assert target == b"/v1/endpoints?watch=1&from=0"
-    around.say(old, {"version": 8, "servers": [around.entry(0, state="leaving")]})
-    drained = around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
-    around.until(lambda: drained.entry.state is EndpointState.DRAINING)
-    around.say(new, {"version": 1, "full": True, "servers": [around.entry(1)]})
-    assert around.until(lambda: around.read(old)) == b"end"
-    around.until(lambda: list(around.context.coordinator.pools) == ["s1"])
-    around.say(new, {"version": 2, "servers": [around.entry(0)]})
-    around.until(lambda: len(around.context.coordinator.pools) == 2)
+    harness.send_watch_line(old, {"version": 8, "servers": [harness.endpoint_entry(0, state="leaving")]})
+    drained = harness.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
+    harness.wait_until(lambda: drained.entry.state is EndpointState.DRAINING)
+    harness.send_watch_line(new, {"version": 1, "full": True, "servers": [harness.endpoint_entry(1)]})
+    assert harness.wait_until(lambda: harness.read(old)) == b"end"
+    harness.wait_until(lambda: list(harness.context.coordinator.pools) == ["s1"])
+    harness.send_watch_line(new, {"version": 2, "servers": [harness.endpoint_entry(0)]})
+    harness.wait_until(lambda: len(harness.context.coordinator.pools) == 2)
     before.close()
 
 
 def test_a_new_discovery_that_is_not_up_yet_is_called_again(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Even once the old watch has ended too."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
-    old, _ = around.watch(b"")
-    around.discovery = around.keep(bound(listening=False))  # it has its address, and does not listen yet
-    around.reconfigure(discovery=address(around.discovery))
-    around.until(lambda: [line for line in around.logged("list.end") if line["reason"] == "refused"])
+    old, _ = harness.accept_watch(b"")
+    harness.discovery = harness.close_at_end(
+        bound_socket(listening=False)
+    )  # it has its address, and does not listen yet
+    harness.reconfigure(discovery=socket_address(harness.discovery))
+    harness.wait_until(
+        lambda: [line for line in harness.log_lines("list.end") if line["reason"] == "refused"]
+    )
     old.close()
-    around.discovery.listen()
-    around.watch({"version": 1, "full": True, "servers": [around.entry(0)]})
-    around.until(lambda: around.context.discovery.version == 1)
+    harness.discovery.listen()
+    harness.accept_watch({"version": 1, "full": True, "servers": [harness.endpoint_entry(0)]})
+    harness.wait_until(lambda: harness.context.discovery.version == 1)
 
 
-def test_an_unusable_configuration_leaves_the_one_before_in_force(around: Surroundings) -> None:
+def test_an_unusable_configuration_leaves_the_one_before_in_force(harness: SidecarHarness) -> None:
     """A later reload of the same file as before changes nothing either."""
-    watch, _ = around.watch(b"")
-    around.reconfigure(text=b"{")
-    around.reconfigure()
-    assert len(around.logged("config.unusable")) == 1
-    assert around.logged("config.read")[0]["taken_over"] == []
-    around.say(watch, {"version": 8, "servers": []})
-    around.until(lambda: around.context.discovery.version == 8)
+    watch, _ = harness.accept_watch(b"")
+    harness.reconfigure(text=b"{")
+    harness.reconfigure()
+    assert len(harness.log_lines("config.unusable")) == 1
+    assert harness.log_lines("config.read")[0]["taken_over"] == []
+    harness.send_watch_line(watch, {"version": 8, "servers": []})
+    harness.wait_until(lambda: harness.context.discovery.version == 8)
 
 
 def test_fields_that_need_a_restart_are_logged_and_the_last_of_several_changes_holds(
-    around: Surroundings,
+    harness: SidecarHarness,
 ) -> None:
     """The watch moves to the last address."""
-    around.watch(b"")
-    first, last = around.keep(bound()), around.keep(bound())
-    around.reconfigure(discovery=address(first))
-    around.reconfigure(discovery=address(last), name="other")
-    assert around.logged("config.read")[-1]["need_restart"] == ["name"]
-    around.discovery = last
-    around.watch({"version": 3, "full": True, "servers": [around.entry(0)]})
-    around.until(lambda: around.context.discovery.version == 3)
+    harness.accept_watch(b"")
+    first, last = harness.close_at_end(bound_socket()), harness.close_at_end(bound_socket())
+    harness.reconfigure(discovery=socket_address(first))
+    harness.reconfigure(discovery=socket_address(last), name="other")
+    assert harness.log_lines("config.read")[-1]["need_restart"] == ["name"]
+    harness.discovery = last
+    harness.accept_watch({"version": 3, "full": True, "servers": [harness.endpoint_entry(0)]})
+    harness.wait_until(lambda: harness.context.discovery.version == 3)
     assert (
-        around.context.discovery.current.address == address(last)
-        and around.context.discovery.new_watch is None
+        harness.context.discovery.current.address == socket_address(last)
+        and harness.context.discovery.new_watch is None
     )
 
 
@@ -297,49 +303,49 @@
 
 
 def test_gossip_of_a_peer_is_received_and_that_of_a_stranger_is_not(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Nor what is empty or too long."""
     received: list[tuple[int, bytes]] = []
     monkeypatch.setattr(
-        around.context.coordinator.scheduler,
+        harness.context.coordinator.scheduler,
         "gossip_received",
         lambda peer, body: received.append((peer, body)),
     )
-    assert list(around.context.gossip_socket.peers) == [around.peer.getsockname()]  # not itself
-    to = around.context.gossip_socket.sock.getsockname()
-    stranger = around.keep(bound(socket.SOCK_DGRAM))
+    assert list(harness.context.gossip_socket.peers) == [harness.peer.getsockname()]  # not itself
+    to = harness.context.gossip_socket.sock.getsockname()
+    stranger = harness.close_at_end(bound_socket(socket.SOCK_DGRAM))
     for sender, body in [
         (stranger, b"no"),
-        (around.peer, b"x" * 257),
-        (around.peer, b""),
-        (around.peer, b"yes"),
+        (harness.peer, b"x" * 257),
+        (harness.peer, b""),
+        (harness.peer, b"yes"),
     ]:
         sender.sendto(body, to)
-    around.until(lambda: received)
+    harness.wait_until(lambda: received)
     assert received == [(1, b"yes")]
 
 
-def test_a_flood_of_datagrams_does_not_pile_up(around: Surroundings) -> None:
+def test_a_flood_of_datagrams_does_not_pile_up(harness: SidecarHarness) -> None:
     """What can't be handled is left to the kernel to drop."""
-    to = around.context.gossip_socket.sock.getsockname()
+    to = harness.context.gossip_socket.sock.getsockname()
     most = 0
     for _ in range(50):
         for _ in range(200):
-            around.peer.sendto(b"abc", to)
-        around.context.loop.run_once(0.01)
-        most = max(most, len(around.context.coordinator.mailbox))
+            harness.peer.sendto(b"abc", to)
+        harness.context.loop.run_once(0.01)
+        most = max(most, len(harness.context.coordinator.mailbox))
     assert most <= 128
-    serve(around, around.client())
+    serve(harness, harness.connect_client())
 
 
-def test_requests_in_flight_are_gossiped_to_all_peers(around: Surroundings) -> None:
+def test_requests_in_flight_are_gossiped_to_all_peers(harness: SidecarHarness) -> None:
     """A count of requests in flight, behind the tag of the endpoint."""
-    around.ask()
-    upstream = around.accept()
-    around.received(upstream)
-    body = around.until(lambda: around.read(around.peer))
-    known = around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
+    harness.send_request()
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    body = harness.wait_until(lambda: harness.read(harness.peer))
+    known = harness.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
     assert body == known.gossip_tag.to_bytes(2, "big") + b"\x01"
 
 
@@ -370,14 +376,14 @@
     assert named in str(refused.value) and "\n" not in str(refused.value)
 
 
-def test_a_sidecar_without_an_endpoint_list_is_not_ready(make_surroundings: MakeSurroundings) -> None:
+def test_a_sidecar_without_an_endpoint_list_is_not_ready(make_harness: MakeHarness) -> None:
     """It rejects requests until the first message."""
-    around = make_surroundings(known=None)
-    assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
-    assert around.status(around.ask("buy", b"one")) == 503
-    around.watch({"version": 9, "full": True, "servers": [around.entry(0)]})
-    around.until(lambda: around.logged("list.news"))
-    assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 200
+    harness = make_harness(known=None)
+    assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
+    assert harness.read_status(harness.send_request("buy", b"one")) == 503
+    harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(0)]})
+    harness.wait_until(lambda: harness.log_lines("list.news"))
+    assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 200
 
 
 @pytest.fixture
@@ -395,7 +401,7 @@
         process = subprocess.Popen(command, env=environment, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
         started.append(process)
         assert b'"start"' in process.stdout.readline()
-        return process, split(listen)
+        return process, split_host_port(listen)
 
     yield start
     for process in started:
@@ -447,31 +453,31 @@
 # Shutdown.
 
 
-def test_a_shutdown_answers_all_accepted_requests_and_then_ends(make_surroundings: MakeSurroundings) -> None:
+def test_a_shutdown_answers_all_accepted_requests_and_then_ends(make_harness: MakeHarness) -> None:
     """Requests that come during the first moments too; idle clients are closed."""
-    around = make_surroundings(settings={"categories": categories(4000000)})
-    loop = around.context.loop
+    harness = make_harness(settings={"categories": request_class_settings(4000000)})
+    loop = harness.context.loop
     loop.running = True
-    idle, busy = around.client(), around.ask("buy", b"one")
-    upstream = around.accept()
-    around.received(upstream)
-    around.context.shutdown.post(STOP)
-    around.until(lambda: around.context.stopping)
-    assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
-    late = around.ask(x_trace_id="t2")  # they go on coming for a while
-    other = around.accept()
-    around.received(other)
-    around.reply(other)
-    answer, _ = around.answer(late)
+    idle, busy = harness.connect_client(), harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    harness.context.shutdown.post(STOP)
+    harness.wait_until(lambda: harness.context.stopping)
+    assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
+    late = harness.send_request(x_trace_id="t2")  # they go on coming for a while
+    other = harness.accept()
+    harness.read_request(other)
+    harness.send_response(other)
+    answer, _ = harness.read_message(late)
     assert answer.status_code == 200 and dict(answer.headers)[b"connection"] == b"close"
     late.close()
-    assert around.until(lambda: around.read(idle)) == b"end"
-    around.until(lambda: around.logged("listener.closed"))
+    assert harness.wait_until(lambda: harness.read(idle)) == b"end"
+    harness.wait_until(lambda: harness.log_lines("listener.closed"))
     assert loop.running
-    around.reply(upstream)
-    assert around.status(busy) == 200
+    harness.send_response(upstream)
+    assert harness.read_status(busy) == 200
     busy.close()
-    around.until(lambda: not loop.running)
+    harness.wait_until(lambda: not loop.running)
 
 
 # The log and the loop.
