--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 import pytest
-from conftest import SETTINGS, Surroundings, bound, categories
+from conftest import SETTINGS, SidecarHarness, bound_socket, request_class_settings
 
 from starlingwheel.net.coordinator import RequestCoordinator
 from starlingwheel.net.http.client_connection import MAX_DISCARDED_INPUT, ClientConnection
@@ -17,133 +17,135 @@
 from starlingwheel.net.state.buffers import MAX_REQUEST_BODY
 
 
-def test_request_and_response_are_forwarded_unchanged(around: Surroundings) -> None:
+def test_request_and_response_are_forwarded_unchanged(harness: SidecarHarness) -> None:
     """Method, target, headers and body arrive at the endpoint, the response's body and type at the client."""
     body = bytes(range(256)) * 250
-    client = around.ask("move", body, x_customer="inn", x_props="a=1")
-    upstream = around.accept()
-    request, sent = around.received(upstream)
+    client = harness.send_request("move", body, x_customer="inn", x_props="a=1")
+    upstream = harness.accept()
+    request, sent = harness.read_request(upstream)
     headers = dict(request.headers)
     assert (request.method, request.target, sent) == (b"POST", b"/move/1?q=2", body)
     assert headers[b"x-trace-id"] == b"t1" and headers[b"idempotency-key"] == b"k1"
     assert 0 < int(headers[b"x-expires-in-ms"]) <= 1900
-    around.reply(upstream, body=body[::-1], extra="Content-Type: x/y\r\n")
-    answer, got = around.answer(client)
+    harness.send_response(upstream, body=body[::-1], extra="Content-Type: x/y\r\n")
+    answer, got = harness.read_message(client)
     assert answer.status_code == 200 and got == body[::-1]
     assert dict(answer.headers)[b"content-type"] == b"x/y"
-    assert around.until(
-        lambda: around.context.buffer_pool.in_use == 0 and not around.context.coordinator.pending_requests
+    assert harness.wait_until(
+        lambda: harness.context.buffer_pool.in_use == 0 and not harness.context.coordinator.pending_requests
     )
 
 
-def test_an_idle_connection_is_reused(around: Surroundings) -> None:
+def test_an_idle_connection_is_reused(harness: SidecarHarness) -> None:
     """One connection to the endpoint carries three requests."""
-    client = around.client()
-    client.sendall(around.request())
-    upstream = around.accept()
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes())
+    upstream = harness.accept()
     for _ in range(3):
-        around.received(upstream)
-        around.reply(upstream)
-        assert around.status(client) == 200
-        around.rested()
-        client.sendall(around.request())
-    around.quiet()
+        harness.read_request(upstream)
+        harness.send_response(upstream)
+        assert harness.read_status(client) == 200
+        harness.wait_for_idle_connections()
+        client.sendall(harness.request_bytes())
+    harness.assert_no_connection()
 
 
-def test_expect_100_continue_is_answered(around: Surroundings) -> None:
+def test_expect_100_continue_is_answered(harness: SidecarHarness) -> None:
     """The `Expect` header is answered here and not forwarded."""
-    client = around.client()
-    client.sendall(around.request("buy", expect="100-continue", content_length="3"))
-    assert around.until(lambda: around.read(client)).startswith(b"HTTP/1.1 100")
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes("buy", expect="100-continue", content_length="3"))
+    assert harness.wait_until(lambda: harness.read(client)).startswith(b"HTTP/1.1 100")
     client.sendall(b"one")
-    upstream = around.accept()
-    request, body = around.received(upstream)
+    upstream = harness.accept()
+    request, body = harness.read_request(upstream)
     assert body == b"one" and b"expect" not in dict(request.headers)
-    around.reply(upstream)
-    assert around.status(client) == 200
+    harness.send_response(upstream)
+    assert harness.read_status(client) == 200
 
 
-def test_chunked_bodies_are_forwarded(around: Surroundings) -> None:
+def test_chunked_bodies_are_forwarded(harness: SidecarHarness) -> None:
     """A short chunked body is buffered and gets a length."""
-    client = around.client()
-    client.sendall(around.request("buy", transfer_encoding="chunked") + b"2\r\non\r\n1\r\ne\r\n0\r\n\r\n")
-    upstream = around.accept()
-    request, body = around.received(upstream)
+    client = harness.connect_client()
+    client.sendall(
+        harness.request_bytes("buy", transfer_encoding="chunked") + b"2\r\non\r\n1\r\ne\r\n0\r\n\r\n"
+    )
+    upstream = harness.accept()
+    request, body = harness.read_request(upstream)
     assert body == b"one" and dict(request.headers)[b"content-length"] == b"3"
     upstream.sendall(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ntw\r\n")
-    around.let_pass(0.02)
+    harness.run_for(0.02)
     upstream.sendall(b"1\r\no\r\n0\r\n\r\n")
-    assert around.answer(client)[1] == b"two"
+    assert harness.read_message(client)[1] == b"two"
 
 
 def test_a_response_longer_than_any_request_is_forwarded_in_little_memory(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The body is relayed, and all buffers are given back."""
-    around = make_surroundings(limits={"memory_mb": 32})
-    client = around.ask()
+    harness = make_harness(limits={"memory_mb": 32})
+    client = harness.send_request()
     body = bytes(range(256)) * 1200
-    upstream = around.accept()
-    around.received(upstream)
+    upstream = harness.accept()
+    harness.read_request(upstream)
     upstream.setblocking(True)
     upstream.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body[:100])
-    around.let_pass(0.02)
+    harness.run_for(0.02)
     threading.Thread(target=upstream.sendall, args=(body[100:],)).start()
-    assert around.answer(client)[1] == body
-    assert around.until(lambda: around.context.buffer_pool.in_use == 0)
+    assert harness.read_message(client)[1] == body
+    assert harness.wait_until(lambda: harness.context.buffer_pool.in_use == 0)
 
 
-def test_a_slow_client_gets_its_whole_response(around: Surroundings) -> None:
+def test_a_slow_client_gets_its_whole_response(harness: SidecarHarness) -> None:
     """The response is written in parts as the client reads."""
-    client = around.client()
+    client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
-    served = next(iter(around.until(lambda: around.context.connections.clients)))
+    served = next(iter(harness.wait_until(lambda: harness.context.connections.clients)))
     served.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     body = bytes(range(256)) * 256
-    client.sendall(around.request())
-    around.serve(body=body)
-    around.until(lambda: served.stream.unwritten)
-    assert around.answer(client)[1] == body
+    client.sendall(harness.request_bytes())
+    harness.serve(body=body)
+    harness.wait_until(lambda: served.stream.unwritten)
+    assert harness.read_message(client)[1] == body
 
 
 def test_a_client_that_does_not_read_its_response_is_disconnected(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """Its buffers are given back."""
-    around = make_surroundings(settings={"categories": categories(100000)})
-    client = around.client()
+    harness = make_harness(settings={"categories": request_class_settings(100000)})
+    client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    served = next(iter(around.until(lambda: around.context.connections.clients)))
+    served = next(iter(harness.wait_until(lambda: harness.context.connections.clients)))
     served.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    client.sendall(around.request())
-    around.serve(body=b"x" * MAX_REQUEST_BODY)
-    assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "slow-reader"
-    assert around.until(lambda: around.context.buffer_pool.in_use == 0)
+    client.sendall(harness.request_bytes())
+    harness.serve(body=b"x" * MAX_REQUEST_BODY)
+    assert harness.wait_until(lambda: harness.log_lines("client.end"))[0]["reason"] == "slow-reader"
+    assert harness.wait_until(lambda: harness.context.buffer_pool.in_use == 0)
 
 
-def test_unsolicited_bytes_end_a_connection(around: Surroundings) -> None:
+def test_unsolicited_bytes_end_a_connection(harness: SidecarHarness) -> None:
     """A second response behind the first ends the connection, and the first is forwarded."""
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    around.received(upstream)
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    harness.read_request(upstream)
     upstream.sendall(
         b"HTTP/1.1 200 x\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 x\r\nContent-Length: 1\r\n\r\nb"
     )
-    assert around.answer(client)[1] == b"a"
-    assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "unasked-bytes"
+    assert harness.read_message(client)[1] == b"a"
+    assert harness.wait_until(lambda: harness.log_lines("upstream.end"))[0]["reason"] == "unasked-bytes"
 
 
-def test_a_pipelined_request_is_sent_after_the_response_before_it(around: Surroundings) -> None:
+def test_a_pipelined_request_is_sent_after_the_response_before_it(harness: SidecarHarness) -> None:
     """Nothing is sent for the second request before the first is answered."""
-    client = around.client()
-    client.sendall(around.request(x_trace_id="first") + around.request(x_trace_id="second"))
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes(x_trace_id="first") + harness.request_bytes(x_trace_id="second"))
     for trace in (b"first", b"second"):
-        upstream = around.accept()
-        around.quiet()
-        request, _ = around.received(upstream)
+        upstream = harness.accept()
+        harness.assert_no_connection()
+        request, _ = harness.read_request(upstream)
         assert dict(request.headers)[b"x-trace-id"] == trace
-        around.reply(upstream, body=trace)
-        assert around.answer(client)[1] == trace
+        harness.send_response(upstream, body=trace)
+        assert harness.read_message(client)[1] == trace
 
 
 @pytest.mark.parametrize(
@@ -161,17 +163,17 @@
     ],
 )
 def test_an_incomplete_response_fails_a_non_idempotent_request_without_a_retry(
-    make_surroundings: Callable[..., Surroundings], cut: bytes
+    make_harness: Callable[..., SidecarHarness], cut: bytes
 ) -> None:
     """The client gets 504, and no other endpoint gets the request."""
-    around = make_surroundings(upstreams=2)
-    client = around.ask("buy", b"one")
-    i, upstream = around.until(around.accept_any)
-    around.received(upstream)
+    harness = make_harness(upstreams=2)
+    client = harness.send_request("buy", b"one")
+    i, upstream = harness.wait_until(harness.accept_any)
+    harness.read_request(upstream)
     upstream.sendall(cut)
     upstream.close()
-    assert around.status(client) == 504
-    around.quiet(1 - i)
+    assert harness.read_status(client) == 504
+    harness.assert_no_connection(1 - i)
 
 
 @pytest.mark.parametrize(
@@ -183,264 +185,265 @@
     ],
 )
 def test_a_malformed_response_head_is_detected_while_its_connection_is_open(
-    around: Surroundings, spoilt: bytes, reason: str
+    harness: SidecarHarness, spoilt: bytes, reason: str
 ) -> None:
     """The request does not wait for its timeout."""
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    around.received(upstream)
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    harness.read_request(upstream)
     begun = time.monotonic()
     upstream.sendall(spoilt)
-    assert around.status(client) == 504 and time.monotonic() - begun < 0.5
-    assert around.logged("upstream.end")[0]["reason"] == reason
+    assert harness.read_status(client) == 504 and time.monotonic() - begun < 0.5
+    assert harness.log_lines("upstream.end")[0]["reason"] == reason
 
 
-def test_informational_responses_are_skipped(around: Surroundings) -> None:
+def test_informational_responses_are_skipped(harness: SidecarHarness) -> None:
     """100 and 103 before the response are not forwarded."""
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    around.received(upstream)
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    harness.read_request(upstream)
     upstream.sendall(b"HTTP/1.1 100 x\r\n\r\n" + b"HTTP/1.1 103 x\r\nLink: y\r\n\r\n" * 3)
-    around.let_pass(0.02)
-    around.reply(upstream, body=b"two")
-    assert around.answer(client)[1] == b"two"
+    harness.run_for(0.02)
+    harness.send_response(upstream, body=b"two")
+    assert harness.read_message(client)[1] == b"two"
 
 
 def test_unsolicited_bytes_are_not_taken_for_the_next_response(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Bytes that came after a response, and after the check of the idle connection."""
-    client = around.client()
-    client.sendall(around.request("buy", b"one"))
-    upstream = around.accept()
-    around.received(upstream)
-    around.reply(upstream, body=b"first")
-    assert around.answer(client)[1] == b"first"
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes("buy", b"one"))
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    harness.send_response(upstream, body=b"first")
+    assert harness.read_message(client)[1] == b"first"
     monkeypatch.setattr(Http1Connection, "is_usable", lambda _: True)  # it comes after that look
-    around.rested()
-    around.reply(upstream, body=b"copy")
-    client.sendall(around.request("buy", b"two"))
-    around.serve(body=b"second")
-    assert around.answer(client)[1] == b"second"
+    harness.wait_for_idle_connections()
+    harness.send_response(upstream, body=b"copy")
+    client.sendall(harness.request_bytes("buy", b"two"))
+    harness.serve(body=b"second")
+    assert harness.read_message(client)[1] == b"second"
 
 
 def test_a_response_before_the_end_of_its_request_is_discarded(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The request has not run, so another endpoint gets it."""
-    around = make_surroundings(upstreams=2)
-    client = around.ask("buy", b"x" * MAX_REQUEST_BODY)
-    i, upstream = around.until(around.accept_any)
-    carrying = around.until(lambda: next(iter(around.context.connections.to_endpoints), None))
+    harness = make_harness(upstreams=2)
+    client = harness.send_request("buy", b"x" * MAX_REQUEST_BODY)
+    i, upstream = harness.wait_until(harness.accept_any)
+    carrying = harness.wait_until(lambda: next(iter(harness.context.connections.endpoint_connections), None))
     carrying.stream.unwritten.append(b"more" * 4000000)  # more than the kernel takes
-    around.reply(upstream)
-    assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "early-answer"
-    around.serve(1 - i, body=b"fine")
-    assert around.answer(client)[1] == b"fine"
+    harness.send_response(upstream)
+    assert harness.wait_until(lambda: harness.log_lines("upstream.end"))[0]["reason"] == "early-answer"
+    harness.serve(1 - i, body=b"fine")
+    assert harness.read_message(client)[1] == b"fine"
 
 
-def test_a_reset_just_after_a_request_was_written_makes_cautious(around: Surroundings) -> None:
+def test_a_reset_just_after_a_request_was_written_makes_cautious(harness: SidecarHarness) -> None:
     """More resets are expected for a while."""
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    around.received(upstream)
-    around.reset(upstream)
-    assert around.status(client) == 504
-    assert around.context.resets_expected_until > around.context.loop.now()
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    harness.reset(upstream)
+    assert harness.read_status(client) == 504
+    assert harness.context.resets_expected_until > harness.context.loop.now()
 
 
 def test_while_resets_are_expected_the_last_byte_of_a_non_idempotent_request_is_delayed(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """A reset before the last byte proves that the request has not run."""
-    around = make_surroundings(upstreams=2)
-    around.context.resets_expected_until = float("inf")
-    client = around.client()
-    client.sendall(around.request("buy", b"one"))
-    i, upstream = around.until(around.accept_any)
-    assert around.received(upstream)[1] == b"one"  # the last byte comes too
-    around.reply(upstream, extra="Connection: close\r\n")
-    assert around.status(client) == 200
-    client.sendall(around.request("buy", b"two"))
-    i, upstream = around.until(around.accept_any)
-    assert around.until(lambda: around.read(upstream)).endswith(b"tw")
-    around.reset(upstream)
-    around.serve(1 - i)
-    assert around.status(client) == 200  # it had not run
-
-
-def test_a_reset_of_a_reused_connection_is_not_a_fault_of_its_endpoint(around: Surroundings) -> None:
+    harness = make_harness(upstreams=2)
+    harness.context.resets_expected_until = float("inf")
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes("buy", b"one"))
+    i, upstream = harness.wait_until(harness.accept_any)
+    assert harness.read_request(upstream)[1] == b"one"  # the last byte comes too
+    harness.send_response(upstream, extra="Connection: close\r\n")
+    assert harness.read_status(client) == 200
+    client.sendall(harness.request_bytes("buy", b"two"))
+    i, upstream = harness.wait_until(harness.accept_any)
+    assert harness.wait_until(lambda: harness.read(upstream)).endswith(b"tw")
+    harness.reset(upstream)
+    harness.serve(1 - i)
+    assert harness.read_status(client) == 200  # it had not run
+
+
+def test_a_reset_of_a_reused_connection_is_not_a_fault_of_its_endpoint(harness: SidecarHarness) -> None:
     """The endpoint's failures are not counted up."""
-    around.context.resets_expected_until = float("inf")
-    client = around.client()
-    client.sendall(around.request("buy", b"one"))
-    upstream = around.serve()
-    assert around.status(client) == 200
-    around.rested()
-    client.sendall(around.request("buy", b"two"))
-    assert around.until(lambda: around.read(upstream)).endswith(b"tw")
-    around.reset(upstream)
-    assert around.status(client) == 503
-    assert around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"].consecutive_failures == 0
+    harness.context.resets_expected_until = float("inf")
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes("buy", b"one"))
+    upstream = harness.serve()
+    assert harness.read_status(client) == 200
+    harness.wait_for_idle_connections()
+    client.sendall(harness.request_bytes("buy", b"two"))
+    assert harness.wait_until(lambda: harness.read(upstream)).endswith(b"tw")
+    harness.reset(upstream)
+    assert harness.read_status(client) == 503
+    assert harness.context.coordinator.scheduler.balancer.endpoints.by_id["s0"].consecutive_failures == 0
 
 
 @pytest.mark.parametrize(("status", "extra"), [(500, ""), (503, ""), (400, "X-Never-Ran: 1\r\n")])
 def test_an_error_of_a_request_that_may_have_run_is_not_reported_as_harmless(
-    around: Surroundings, status: int, extra: str
+    harness: SidecarHarness, status: int, extra: str
 ) -> None:
     """The client gets 504, not 503."""
-    client = around.ask("buy", b"one")
-    around.serve(status=status, extra=extra)
-    assert around.status(client) == 504
+    client = harness.send_request("buy", b"one")
+    harness.serve(status=status, extra=extra)
+    assert harness.read_status(client) == 504
 
 
 @pytest.mark.parametrize("status", [503, 504])
 def test_a_request_rejected_before_it_ran_is_retried_elsewhere(
-    make_surroundings: Callable[..., Surroundings], status: int
+    make_harness: Callable[..., SidecarHarness], status: int
 ) -> None:
     """`X-Never-Ran` makes a retry of a non-idempotent request safe."""
-    around = make_surroundings(upstreams=2)
-    client = around.ask("buy", b"one")
-    i, upstream = around.until(around.accept_any)
-    around.received(upstream)
-    around.reply(upstream, status, extra="X-Never-Ran: 1\r\n")
-    other = around.accept(1 - i)
-    assert around.received(other)[1] == b"one"
-    around.reply(other)
-    assert around.status(client) == 200
+    harness = make_harness(upstreams=2)
+    client = harness.send_request("buy", b"one")
+    i, upstream = harness.wait_until(harness.accept_any)
+    harness.read_request(upstream)
+    harness.send_response(upstream, status, extra="X-Never-Ran: 1\r\n")
+    other = harness.accept(1 - i)
+    assert harness.read_request(other)[1] == b"one"
+    harness.send_response(other)
+    assert harness.read_status(client) == 200
 
 
 def test_a_request_whose_connection_is_refused_is_retried_elsewhere(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """A request that could not be sent has not run."""
-    around = make_surroundings(upstreams=2)
-    around.listeners[0].close()
-    while "refused" not in [line["reason"] for line in around.logged("upstream.end")]:
-        client = around.ask("buy", b"one")
-        around.serve(i=1, extra="Connection: close\r\n")
-        assert around.status(client) == 200
+    harness = make_harness(upstreams=2)
+    harness.listeners[0].close()
+    while "refused" not in [line["reason"] for line in harness.log_lines("upstream.end")]:
+        client = harness.send_request("buy", b"one")
+        harness.serve(i=1, extra="Connection: close\r\n")
+        assert harness.read_status(client) == 200
 
 
-def vanish(around: Surroundings) -> None:
+def vanish(harness: SidecarHarness) -> None:
     """The first upstream says nothing to those that connect."""
-    full = around.keep(bound(backlog=0))
+    full = harness.close_at_end(bound_socket(backlog=0))
     for _ in range(4):  # a full queue of connections says nothing to the next
-        waiting = around.keep(socket.socket())
+        waiting = harness.close_at_end(socket.socket())
         waiting.setblocking(False)
         waiting.connect_ex(full.getsockname())
-    around.listeners[0] = full
-    around.watch({"version": 8, "servers": [around.entry(0)]})
-    around.until(lambda: around.logged("list.news"))
+    harness.listeners[0] = full
+    harness.accept_watch({"version": 8, "servers": [harness.endpoint_entry(0)]})
+    harness.wait_until(lambda: harness.log_lines("list.news"))
 
 
-def test_a_connection_that_never_comes_up_times_out(make_surroundings: Callable[..., Surroundings]) -> None:
+def test_a_connection_that_never_comes_up_times_out(make_harness: Callable[..., SidecarHarness]) -> None:
     """The request is answered within its latency objective."""
-    around = make_surroundings()
-    vanish(around)
+    harness = make_harness()
+    vanish(harness)
     begun = time.monotonic()
-    client = around.ask("buy", b"one")
-    assert around.status(client) in (503, 504) and time.monotonic() - begun < 0.9
-    assert around.logged("upstream.end")[0]["reason"] == "never-came-up"
+    client = harness.send_request("buy", b"one")
+    assert harness.read_status(client) in (503, 504) and time.monotonic() - begun < 0.9
+    assert harness.log_lines("upstream.end")[0]["reason"] == "never-came-up"
 
 
 def test_a_connection_that_does_not_come_up_leaves_time_for_another_endpoint(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """Even where the configured connect timeout is long."""
-    around = make_surroundings(upstreams=2, settings={"caps": SETTINGS["caps"] | {"connectTimeout": 5000000}})
-    vanish(around)
-    while "never-came-up" not in [line["reason"] for line in around.logged("upstream.end")]:
-        client = around.ask("buy", b"one", connection="close")
-        around.serve(i=1, extra="Connection: close\r\n")
-        assert around.status(client) == 200
+    harness = make_harness(upstreams=2, settings={"caps": SETTINGS["caps"] | {"connectTimeout": 5000000}})
+    vanish(harness)
+    while "never-came-up" not in [line["reason"] for line in harness.log_lines("upstream.end")]:
+        client = harness.send_request("buy", b"one", connection="close")
+        harness.serve(i=1, extra="Connection: close\r\n")
+        assert harness.read_status(client) == 200
 
 
-def test_an_endpoint_that_does_not_answer_is_given_up_at_the_timeout(around: Surroundings) -> None:
+def test_an_endpoint_that_does_not_answer_is_given_up_at_the_timeout(harness: SidecarHarness) -> None:
     """The client gets 504, and the connection ends."""
     begun = time.monotonic()
-    client = around.ask("buy", b"one", x_expires_in_ms="200")
-    upstream = around.accept()
-    around.received(upstream)
-    assert around.status(client) == 504 and 0.15 < time.monotonic() - begun < 0.9
-    assert around.read(upstream) == b"end"
+    client = harness.send_request("buy", b"one", x_expires_in_ms="200")
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    assert harness.read_status(client) == 504 and 0.15 < time.monotonic() - begun < 0.9
+    assert harness.read(upstream) == b"end"
 
 
-def test_a_connection_closed_by_its_endpoint_is_not_reused(around: Surroundings) -> None:
+def test_a_connection_closed_by_its_endpoint_is_not_reused(harness: SidecarHarness) -> None:
     """Each request gets a new connection."""
-    client = around.client()
+    client = harness.connect_client()
     for _ in range(3):
-        client.sendall(around.request("buy", b"one"))
-        upstream = around.serve()
+        client.sendall(harness.request_bytes("buy", b"one"))
+        upstream = harness.serve()
         upstream.close()
-        assert around.status(client) == 200
+        assert harness.read_status(client) == 200
 
 
-def test_an_idle_connection_is_checked_before_it_is_reused(around: Surroundings) -> None:
+def test_an_idle_connection_is_checked_before_it_is_reused(harness: SidecarHarness) -> None:
     """A close that the loop has not seen yet counts."""
-    client = around.ask()
-    upstream = around.serve()
-    assert around.status(client) == 200
-    connection = around.until(around.context.connections.longest_idle)
+    client = harness.send_request()
+    upstream = harness.serve()
+    assert harness.read_status(client) == 200
+    connection = harness.wait_until(harness.context.connections.longest_idle)
     assert connection.is_usable()
     upstream.close()  # the loop has not turned since
     assert not connection.is_usable()
 
 
-def test_unread_input_does_not_reset_the_response(around: Surroundings) -> None:
+def test_unread_input_does_not_reset_the_response(harness: SidecarHarness) -> None:
     """What a client sends after its last response is discarded, so that the response arrives."""
-    client = around.ask("buy", b"x" * (MAX_REQUEST_BODY + 1), content_length="60000000")
-    assert around.status(client) == 413
+    client = harness.send_request("buy", b"x" * (MAX_REQUEST_BODY + 1), content_length="60000000")
+    assert harness.read_status(client) == 413
     client.sendall(b"x" * 50000)
-    around.let_pass(0.02)
+    harness.run_for(0.02)
     client.settimeout(1)
     assert client.recv(1) == b""  # an end, no reset
 
 
 @pytest.mark.parametrize("client_first", [True, False])
 def test_a_response_for_a_client_that_has_just_left_gives_its_buffers_back(
-    around: Surroundings, client_first: bool
+    harness: SidecarHarness, client_first: bool
 ) -> None:
     """Whether the close or the response comes first."""
     for _ in range(20):
-        client = around.ask("buy", b"one")
-        upstream = around.accept()
-        around.received(upstream)
+        client = harness.send_request("buy", b"one")
+        upstream = harness.accept()
+        harness.read_request(upstream)
         if client_first:
             client.close()
-        around.reply(upstream, extra="Connection: close\r\n")
+        harness.send_response(upstream, extra="Connection: close\r\n")
         client.close()
-        around.until(
-            lambda: not around.context.coordinator.pending_requests and not around.context.connections.clients
+        harness.wait_until(
+            lambda: not harness.context.coordinator.pending_requests
+            and not harness.context.connections.clients
         )
-    assert around.until(lambda: around.context.buffer_pool.in_use == 0)
+    assert harness.wait_until(lambda: harness.context.buffer_pool.in_use == 0)
 
 
 def test_an_idle_connection_is_closed_before_its_endpoint_would_close_it(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The endpoint's keep-alive time is 50 ms."""
     caps = {"mostHandOffs": 1, "connectTimeout": 60000, "keepalive": 50000}
-    around = make_surroundings(settings={"caps": caps})
-    client = around.ask()
-    upstream = around.serve()
-    assert around.status(client) == 200
-    assert around.until(lambda: around.read(upstream)) == b"end"
-    assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "idle"
+    harness = make_harness(settings={"caps": caps})
+    client = harness.send_request()
+    upstream = harness.serve()
+    assert harness.read_status(client) == 200
+    assert harness.wait_until(lambda: harness.read(upstream)) == b"end"
+    assert harness.wait_until(lambda: harness.log_lines("upstream.end"))[0]["reason"] == "idle"
 
 
-def test_a_client_that_disconnects_cancels_its_attempt(around: Surroundings) -> None:
+def test_a_client_that_disconnects_cancels_its_attempt(harness: SidecarHarness) -> None:
     """The connection to the endpoint is closed, and nothing is kept."""
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    around.received(upstream)
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    harness.read_request(upstream)
     client.close()
-    assert around.until(lambda: around.read(upstream)) == b"end"
-    assert around.logged("client.end")[-1]["reason"] == "client-left"
-    assert around.logged("upstream.end")[-1]["reason"] == "dropped"
-    assert around.context.coordinator.counts["left"] == 1
-    around.quiet()
-    assert not around.context.coordinator.pending_requests
+    assert harness.wait_until(lambda: harness.read(upstream)) == b"end"
+    assert harness.log_lines("client.end")[-1]["reason"] == "client-left"
+    assert harness.log_lines("upstream.end")[-1]["reason"] == "dropped"
+    assert harness.context.coordinator.counts["left"] == 1
+    harness.assert_no_connection()
+    assert not harness.context.coordinator.pending_requests
 
 
 BAD = [
@@ -450,10 +453,10 @@
     ({"x_expires_in_ms": None}, 400, "x-expires-in-ms is missing or unreadable"),
     ({"x_expires_in_ms": "soon"}, 400, "x-expires-in-ms is missing or unreadable"),
     ({"x_expires_in_ms": "0"}, 408, "expired when it came"),
-    ({"lead": "POST /look/1 HTTP/1.1"}, 405, "the method does not fit the category"),
-    ({"lead": "GET /buy/1 HTTP/1.1"}, 400, "path and x-qos differ"),
-    ({"lead": "GET /look/1 HTTP/1.1\r\nX-Qos: buy"}, 400, "x-qos is doubled"),
-    ({"lead": "nonsense"}, 400, "malformed"),
+    ({"request_line": "POST /look/1 HTTP/1.1"}, 405, "the method does not fit the category"),
+    ({"request_line": "GET /buy/1 HTTP/1.1"}, 400, "path and x-qos differ"),
+    ({"request_line": "GET /look/1 HTTP/1.1\r\nX-Qos: buy"}, 400, "x-qos is doubled"),
+    ({"request_line": "nonsense"}, 400, "malformed"),
     ({"x_expires_in_ms": "+480"}, 400, "x-expires-in-ms is missing or unreadable"),
     ({"x_expires_in_ms": "4_80"}, 400, "x-expires-in-ms is missing or unreadable"),
     ({"x_expires_in_ms": "-5"}, 400, "x-expires-in-ms is missing or unreadable"),
@@ -472,45 +475,46 @@
 
 @pytest.mark.parametrize(("asked", "status", "reason"), BAD)
 def test_an_invalid_request_is_answered_and_not_forwarded(
-    around: Surroundings, asked: dict[str, str], status: int, reason: str
+    harness: SidecarHarness, asked: dict[str, str], status: int, reason: str
 ) -> None:
     """Each with its status and a reason in the log; the connection ends."""
-    client = around.ask(**asked)
-    assert around.status(client) == status
-    line = around.logged("request.unfit")[0]
+    client = harness.send_request(**asked)
+    assert harness.read_status(client) == status
+    line = harness.log_lines("request.unfit")[0]
     assert (line["status"], line["reason"]) == (status, reason)
-    around.quiet()
-    assert around.read(client) == b"end"  # it can't ask the same again at full speed
+    harness.assert_no_connection()
+    assert harness.read(client) == b"end"  # it can't ask the same again at full speed
 
 
-def test_a_smuggled_request_is_not_forwarded(around: Surroundings) -> None:
+def test_a_smuggled_request_is_not_forwarded(harness: SidecarHarness) -> None:
     """A request with two lengths is rejected, and what follows is discarded."""
-    hidden = around.request(x_trace_id="hidden")
-    client = around.client()
+    hidden = harness.request_bytes(x_trace_id="hidden")
+    client = harness.connect_client()
     length = len(hidden) + 5
-    client.sendall(around.request("buy", transfer_encoding="chunked", content_length=str(length)))
+    client.sendall(harness.request_bytes("buy", transfer_encoding="chunked", content_length=str(length)))
     client.sendall(b"0\r\n\r\n" + hidden)
-    assert around.status(client) == 400
-    around.quiet()
+    assert harness.read_status(client) == 400
+    harness.assert_no_connection()
     assert (
-        not around.context.coordinator.counts["finished"] and not around.context.coordinator.pending_requests
+        not harness.context.coordinator.counts["finished"]
+        and not harness.context.coordinator.pending_requests
     )
 
 
-def test_a_trace_id_in_use_is_rejected(around: Surroundings) -> None:
+def test_a_trace_id_in_use_is_rejected(harness: SidecarHarness) -> None:
     """The second request gets 409, and the id is free after the first has ended."""
-    client = around.ask("buy", b"one")
-    upstream = around.accept()
-    around.received(upstream)
-    assert around.status(around.ask("buy", b"two")) == 409
-    around.reply(upstream)
-    assert around.status(client) == 200
-    assert not around.context.active_traces
+    client = harness.send_request("buy", b"one")
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    assert harness.read_status(harness.send_request("buy", b"two")) == 409
+    harness.send_response(upstream)
+    assert harness.read_status(client) == 200
+    assert not harness.context.active_traces
 
 
-def test_input_after_the_last_response_is_discarded_up_to_a_limit(around: Surroundings) -> None:
+def test_input_after_the_last_response_is_discarded_up_to_a_limit(harness: SidecarHarness) -> None:
     """The connection of a client that sends on and on is closed."""
-    client = around.ask("buy", content_length="60000000")
+    client = harness.send_request("buy", content_length="60000000")
     client.setblocking(False)
     sent = 0
 
@@ -522,229 +526,231 @@
             pass
         except OSError:
             return True
-        return around.logged("client.end")
+        return harness.log_lines("client.end")
 
-    around.until(over)
+    harness.wait_until(over)
     assert sent < 30 * MAX_DISCARDED_INPUT  # what the kernel holds, and what is read
 
 
-def test_half_a_request_then_silence_is_ended(make_surroundings: Callable[..., Surroundings]) -> None:
+def test_half_a_request_then_silence_is_ended(make_harness: Callable[..., SidecarHarness]) -> None:
     """A client that stalls in its first request gets 408."""
-    around = make_surroundings()
+    harness = make_harness()
     begun = time.monotonic()
-    client, late = around.client(), around.client()
-    client.sendall(around.request()[:40])
-    around.let_pass(1.5)
-    late.sendall(around.request()[:40])
-    assert around.status(client) == 408 and around.status(late) == 408
+    client, late = harness.connect_client(), harness.connect_client()
+    client.sendall(harness.request_bytes()[:40])
+    harness.run_for(1.5)
+    late.sendall(harness.request_bytes()[:40])
+    assert harness.read_status(client) == 408 and harness.read_status(late) == 408
     assert time.monotonic() - begun < 2.8
-    assert around.until(lambda: around.logged("client.end"))[0]["reason"] == "answered-408"
+    assert harness.wait_until(lambda: harness.log_lines("client.end"))[0]["reason"] == "answered-408"
 
 
 def test_a_client_with_an_endless_timeout_is_answered_at_the_timeout_of_its_class(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The class's timeout limits the client's."""
-    patient = [one | {"overduePayoff": 0.5} for one in categories(200000)]
-    around = make_surroundings(settings={"categories": patient})
-    client = around.ask("buy", b"one", x_expires_in_ms="999999999999")
-    upstream = around.accept()
-    around.received(upstream)
-    assert around.status(client) == 504
+    patient = [one | {"overduePayoff": 0.5} for one in request_class_settings(200000)]
+    harness = make_harness(settings={"categories": patient})
+    client = harness.send_request("buy", b"one", x_expires_in_ms="999999999999")
+    upstream = harness.accept()
+    harness.read_request(upstream)
+    assert harness.read_status(client) == 504
 
 
-def test_a_request_of_an_unknown_tenant_is_served(around: Surroundings) -> None:
+def test_a_request_of_an_unknown_tenant_is_served(harness: SidecarHarness) -> None:
     """As a request without a tenant."""
-    client = around.ask(x_customer="nobody")
-    around.serve()
-    assert around.status(client) == 200
+    client = harness.send_request(x_customer="nobody")
+    harness.serve()
+    assert harness.read_status(client) == 200
 
 
-def test_clients_beyond_the_limit_are_answered_503(make_surroundings: Callable[..., Surroundings]) -> None:
+def test_clients_beyond_the_limit_are_answered_503(make_harness: Callable[..., SidecarHarness]) -> None:
     """Those that have no room even for that wait; requests in progress go on."""
-    around = make_surroundings(limits={"sockets": 120})
-    tracker = around.context.connections
+    harness = make_harness(limits={"sockets": 120})
+    tracker = harness.context.connections
     tracker.client_limit = tracker.max_requests = 2
-    busy = [around.ask(x_trace_id=f"busy{n}") for n in range(tracker.max_requests)]
-    around.until(lambda: len(around.context.coordinator.pending_requests) == len(busy))
-    more = [around.ask(x_trace_id=f"more{n}") for n in range(64)]  # more than there is room to say it to
-    assert {around.status(one) for one in more[:8]} == {503}
+    busy = [harness.send_request(x_trace_id=f"busy{n}") for n in range(tracker.max_requests)]
+    harness.wait_until(lambda: len(harness.context.coordinator.pending_requests) == len(busy))
+    more = [
+        harness.send_request(x_trace_id=f"more{n}") for n in range(64)
+    ]  # more than there is room to say it to
+    assert {harness.read_status(one) for one in more[:8]} == {503}
     assert len(tracker.clients) <= tracker.client_limit + tracker.reserve
     for client in more:
         client.close()
-    around.serve()
-    assert around.until(lambda: around.context.coordinator.counts["finished"]) == 1
+    harness.serve()
+    assert harness.wait_until(lambda: harness.context.coordinator.counts["finished"]) == 1
 
 
-def test_silent_clients_do_not_shut_out_others(make_surroundings: Callable[..., Surroundings]) -> None:
+def test_silent_clients_do_not_shut_out_others(make_harness: Callable[..., SidecarHarness]) -> None:
     """They are closed to make room, or at the latest after a while."""
-    around = make_surroundings(limits={"sockets": 120})
-    tracker = around.context.connections
-    silent = [around.client() for _ in range(200)]
-    half = around.client()
-    half.sendall(around.request()[:40])
-    around.until(lambda: len(around.logged("client.end")) > 200 - tracker.client_limit)
-    assert {line["reason"] for line in around.logged("client.end")} == {"not-needed"}
+    harness = make_harness(limits={"sockets": 120})
+    tracker = harness.context.connections
+    silent = [harness.connect_client() for _ in range(200)]
+    half = harness.connect_client()
+    half.sendall(harness.request_bytes()[:40])
+    harness.wait_until(lambda: len(harness.log_lines("client.end")) > 200 - tracker.client_limit)
+    assert {line["reason"] for line in harness.log_lines("client.end")} == {"not-needed"}
     assert len(tracker.clients) <= tracker.client_limit + tracker.reserve
-    serve_one(around, around.client())
+    serve_one(harness, harness.connect_client())
     for client in [*silent, half]:
-        assert around.read(client) == b"end" or around.until(lambda: around.read(client), within=3)  # noqa: B023
+        assert harness.read(client) == b"end" or harness.wait_until(lambda: harness.read(client), within=3)  # noqa: B023
 
 
 def test_a_client_that_has_just_connected_is_not_closed_for_the_next_one(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """Idle connections are closed first."""
-    around = make_surroundings(limits={"sockets": 120})
-    around.context.connections.client_limit = 3
-    kept = [around.client() for _ in range(3)]
+    harness = make_harness(limits={"sockets": 120})
+    harness.context.connections.client_limit = 3
+    kept = [harness.connect_client() for _ in range(3)]
     for client in kept:
-        serve_one(around, client)
-    fresh = [around.client() for _ in range(3)]
-    around.until(lambda: len(around.logged("client.end")) == 3)
-    assert [around.read(client) for client in kept] == [b"end"] * 3
+        serve_one(harness, client)
+    fresh = [harness.connect_client() for _ in range(3)]
+    harness.wait_until(lambda: len(harness.log_lines("client.end")) == 3)
+    assert [harness.read(client) for client in kept] == [b"end"] * 3
     for client in fresh:
-        serve_one(around, client)
+        serve_one(harness, client)
 
 
 def test_a_slow_client_goes_on_while_incomplete_requests_crowd_in(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """Connections whose request makes no progress are closed first."""
-    around = make_surroundings(limits={"sockets": 120})
-    around.context.connections.client_limit = 6
-    slow, text = around.client(), around.request(connection="keep-alive")
+    harness = make_harness(limits={"sockets": 120})
+    harness.context.connections.client_limit = 6
+    slow, text = harness.connect_client(), harness.request_bytes(connection="keep-alive")
     for start in range(0, len(text), 8):
         slow.sendall(text[start : start + 8])
-        around.let_pass(0.02)
-        half = around.client()
+        harness.run_for(0.02)
+        half = harness.connect_client()
         half.sendall(text[:40])
-        around.let_pass(0.02)
-    assert len(around.logged("client.end")) >= len(text) // 8 - 6
-    around.serve(extra="Connection: close\r\n")
-    assert around.status(slow) == 200
+        harness.run_for(0.02)
+    assert len(harness.log_lines("client.end")) >= len(text) // 8 - 6
+    harness.serve(extra="Connection: close\r\n")
+    assert harness.read_status(slow) == 200
 
 
-def serve_one(around: Surroundings, client: socket.socket) -> None:
+def serve_one(harness: SidecarHarness, client: socket.socket) -> None:
     """Send a request on a client's connection, and answer it."""
-    client.sendall(around.request(connection="keep-alive"))
-    around.serve(extra="Connection: close\r\n")
-    assert around.status(client) == 200
+    client.sendall(harness.request_bytes(connection="keep-alive"))
+    harness.serve(extra="Connection: close\r\n")
+    assert harness.read_status(client) == 200
 
 
-def test_an_idle_connection_makes_room_for_a_new_one(make_surroundings: Callable[..., Surroundings]) -> None:
+def test_an_idle_connection_makes_room_for_a_new_one(make_harness: Callable[..., SidecarHarness]) -> None:
     """The idle connection to another endpoint is closed."""
-    around = make_surroundings(upstreams=2)
-    around.context.connections.endpoint_limit = 1
-    client = around.client()
+    harness = make_harness(upstreams=2)
+    harness.context.connections.endpoint_limit = 1
+    client = harness.connect_client()
     upstream = None
-    while "not-needed" not in [line["reason"] for line in around.logged("upstream.end")]:
-        client.sendall(around.request())
-        while not (request := upstream and around.read(upstream)) or request == b"end":
-            upstream = (around.accept_any() or (0, upstream))[1]
-            around.context.loop.run_once(0.01)
-        around.reply(upstream)
-        assert around.status(client) == 200
-    assert len(around.context.connections.to_endpoints) == 1
+    while "not-needed" not in [line["reason"] for line in harness.log_lines("upstream.end")]:
+        client.sendall(harness.request_bytes())
+        while not (request := upstream and harness.read(upstream)) or request == b"end":
+            upstream = (harness.accept_any() or (0, upstream))[1]
+            harness.context.loop.run_once(0.01)
+        harness.send_response(upstream)
+        assert harness.read_status(client) == 200
+    assert len(harness.context.connections.endpoint_connections) == 1
 
 
-def test_without_room_for_a_connection_requests_are_rejected(around: Surroundings) -> None:
+def test_without_room_for_a_connection_requests_are_rejected(harness: SidecarHarness) -> None:
     """With a Retry-After, and nothing is sent."""
-    around.context.connections.has_room_for_endpoint = lambda: False
-    client = around.ask("buy", b"one")
-    answer, _ = around.answer(client)
+    harness.context.connections.has_room_for_endpoint = lambda: False
+    client = harness.send_request("buy", b"one")
+    answer, _ = harness.read_message(client)
     assert answer.status_code == 503 and float(dict(answer.headers)[b"retry-after"]) > 0
-    around.quiet()
+    harness.assert_no_connection()
 
 
-def test_without_buffers_requests_are_answered_503(around: Surroundings) -> None:
+def test_without_buffers_requests_are_answered_503(harness: SidecarHarness) -> None:
     """Nothing is sent."""
-    around.context.buffer_pool.max_buffers = 0
-    assert around.status(around.ask("buy", b"one")) == 503
-    around.quiet()
+    harness.context.buffer_pool.max_buffers = 0
+    assert harness.read_status(harness.send_request("buy", b"one")) == 503
+    harness.assert_no_connection()
 
 
 def test_an_error_in_the_decisions_fails_the_request_and_is_logged(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The sidecar goes on."""
     monkeypatch.setattr(
         "starlingwheel.decisions.selection.EndpointSelector.select_endpoint", lambda *_: 1 / 0
     )
-    assert around.status(around.ask()) == 504
-    assert "ZeroDivisionError" in around.logged("module.defect")[0]["trace"]
-    assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 200
+    assert harness.read_status(harness.send_request()) == 504
+    assert "ZeroDivisionError" in harness.log_lines("module.defect")[0]["trace"]
+    assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 200
 
 
 def test_an_error_in_watching_the_endpoint_list_does_not_end_the_watch(
-    make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The watch is begun again."""
     with monkeypatch.context() as patch:
         patch.setattr("starlingwheel.decisions.endpoint_watch.WatchEndpoints", lambda: 1 / 0)
-        around = make_surroundings()
-        around.until(lambda: around.logged("module.defect"))
-    around.watch(b"")
+        harness = make_harness()
+        harness.wait_until(lambda: harness.log_lines("module.defect"))
+    harness.accept_watch(b"")
 
 
 def test_an_error_in_handling_an_outcome_still_answers_the_client(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The request is forgotten as usual."""
     monkeypatch.setattr("starlingwheel.decisions.balancer.Balancer.attempt_ended", lambda *_: 1 / 0)
-    client = around.ask("buy", b"one")
-    around.serve(status=500)
-    assert around.status(client) == 504
-    assert around.logged("module.defect") and not around.context.coordinator.pending_requests
+    client = harness.send_request("buy", b"one")
+    harness.serve(status=500)
+    assert harness.read_status(client) == 504
+    assert harness.log_lines("module.defect") and not harness.context.coordinator.pending_requests
 
 
 def test_an_error_in_handling_a_message_answers_the_request_concerned(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The error is logged."""
     monkeypatch.setattr(RequestCoordinator, "_exchange_ended", lambda *_: 1 / 0)
-    client = around.ask("buy", b"one")
-    around.serve()
-    assert around.status(client) == 504
-    assert around.logged("module.defect")
+    client = harness.send_request("buy", b"one")
+    harness.serve()
+    assert harness.read_status(client) == 504
+    assert harness.log_lines("module.defect")
 
 
 def test_an_error_in_a_client_connection_ends_only_that_connection(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The error is logged, and other connections go on."""
     with monkeypatch.context() as patch:
         patch.setattr(ClientConnection, "_take_request", lambda *_: 1 / 0)
-        assert around.status(around.ask()) is None
-    assert "ZeroDivisionError" in around.logged("defect")[0]["trace"]
-    assert around.logged("client.end")[0]["reason"] == "defect"
-    assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 200
+        assert harness.read_status(harness.send_request()) is None
+    assert "ZeroDivisionError" in harness.log_lines("defect")[0]["trace"]
+    assert harness.log_lines("client.end")[0]["reason"] == "defect"
+    assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 200
 
 
 def test_a_defect_on_a_kept_connection_does_not_give_out_an_earlier_answer(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """After an error on a reused connection, the earlier response is not reported again."""
-    client = around.client()
-    client.sendall(around.request("buy", b"one"))
-    around.serve()
-    assert around.status(client) == 200
+    client = harness.connect_client()
+    client.sendall(harness.request_bytes("buy", b"one"))
+    harness.serve()
+    assert harness.read_status(client) == 200
     monkeypatch.setattr(ResponseReader, "read", lambda *_: 1 / 0)
-    client.sendall(around.request("buy", b"two"))
-    assert around.status(client) == 504
-    assert around.logged("upstream.end")[0]["reason"] == "defect"
+    client.sendall(harness.request_bytes("buy", b"two"))
+    assert harness.read_status(client) == 504
+    assert harness.log_lines("upstream.end")[0]["reason"] == "defect"
 
 
 def test_an_error_in_the_connection_pool_ends_the_attempt(
-    around: Surroundings, monkeypatch: pytest.MonkeyPatch
+    harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The pool goes on with the next request."""
     with monkeypatch.context() as patch:
         patch.setattr(ConnectionPool, "_start", lambda *_: 1 / 0)
-        assert around.status(around.ask("buy", b"one")) == 503
-    client = around.ask("buy", b"one")
-    around.serve()
-    assert around.status(client) == 200
+        assert harness.read_status(harness.send_request("buy", b"one")) == 503
+    client = harness.send_request("buy", b"one")
+    harness.serve()
+    assert harness.read_status(client) == 200
 
 
 @pytest.mark.parametrize(
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,11 +14,11 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, Surroundings, address, bound
+from conftest import SETTINGS, SidecarHarness, bound_socket, socket_address
 
 from fakes.loopback import free_address
 from starlingwheel.decisions.model import Endpoint, EndpointState
-from starlingwheel.net.address import split
+from starlingwheel.net.address import split_host_port
 from starlingwheel.net.discovery.messages import DiscoveredEndpoint
 from starlingwheel.net.lifecycle.config import ConfigError
 from starlingwheel.net.state.connections import ConnectionTracker
@@ -30,15 +30,15 @@
 )
 from starlingwheel.net.state.siblings import SiblingProcesses
 
-MakeOperated = Callable[..., Surroundings]
+MakeOperated = Callable[..., SidecarHarness]
 
 
 @pytest.fixture
-def operated(make_surroundings: Callable[..., Surroundings], tmp_path: Path) -> MakeOperated:
+def operated(make_harness: Callable[..., SidecarHarness], tmp_path: Path) -> MakeOperated:
     """Makes sidecars with an admin address; overrides are kept in one folder."""
 
-    def make(**given: object) -> Surroundings:
-        return make_surroundings(mgmt="127.0.0.1:0", environment={"TMPDIR": str(tmp_path)}, **given)
+    def make(**given: object) -> SidecarHarness:
+        return make_harness(mgmt="127.0.0.1:0", environment={"TMPDIR": str(tmp_path)}, **given)
 
     return make
 
@@ -48,19 +48,19 @@
     return json.dumps({"id": name}).encode()
 
 
-def entry_in_decisions(around: Surroundings, name: str) -> Endpoint:
+def entry_in_decisions(harness: SidecarHarness, name: str) -> Endpoint:
     """Return an endpoint as the decisions know it."""
-    return around.context.coordinator.scheduler.balancer.endpoints.by_id[name].entry
+    return harness.context.coordinator.scheduler.balancer.endpoints.by_id[name].entry
 
 
-def detach(around: Surroundings, name: str = "s0") -> int | None:
+def detach(harness: SidecarHarness, name: str = "s0") -> int | None:
     """Have an endpoint detached; return the status."""
-    return around.call("PUT /_upstreams/detach", body_naming(name))
+    return harness.call_admin("PUT /_upstreams/detach", body_naming(name))
 
 
-def attach(around: Surroundings, name: str = "s0") -> int | None:
+def attach(harness: SidecarHarness, name: str = "s0") -> int | None:
     """Have an endpoint attached again; return the status."""
-    return around.call("PUT /_upstreams/attach", body_naming(name))
+    return harness.call_admin("PUT /_upstreams/attach", body_naming(name))
 
 
 # The calls.
@@ -68,15 +68,15 @@
 
 def test_ready_tells_whether_clients_are_accepted(operated: MakeOperated) -> None:
     """503 until the endpoint list is known."""
-    around = operated(known=None)
-    assert around.call("GET /_ready") == 503
-    around.watch({"version": 9, "full": True, "servers": [around.entry(0)]})
-    around.until(lambda: around.logged("list.news"))
-    assert around.call("GET /_ready") == 200
+    harness = operated(known=None)
+    assert harness.call_admin("GET /_ready") == 503
+    harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(0)]})
+    harness.wait_until(lambda: harness.log_lines("list.news"))
+    assert harness.call_admin("GET /_ready") == 200
 
 
 @pytest.mark.parametrize(
-    ("lead", "body", "extra", "status"),
+    ("request_line", "body", "extra", "status"),
     [
         ("PUT /_upstreams/detach", b"", "", 400),
         ("PUT /_upstreams/detach", b"[]", "", 400),
@@ -97,63 +97,63 @@
     ],
 )
 def test_an_invalid_call_is_rejected_and_changes_nothing(
-    operated: MakeOperated, lead: str, body: bytes, extra: str, status: int
+    operated: MakeOperated, request_line: str, body: bytes, extra: str, status: int
 ) -> None:
     """It is logged with its status."""
-    around = operated()
-    assert around.call(lead, body, extra) == status
-    assert not around.context.overrides.stored.drained and not around.context.draining
-    assert entry_in_decisions(around, "s0").state is EndpointState.READY
-    assert [line["status"] for line in around.logged("operator.call")] == [status]
+    harness = operated()
+    assert harness.call_admin(request_line, body, extra) == status
+    assert not harness.context.overrides.stored.drained and not harness.context.draining
+    assert entry_in_decisions(harness, "s0").state is EndpointState.READY
+    assert [line["status"] for line in harness.log_lines("operator.call")] == [status]
 
 
 def test_of_two_calls_on_one_connection_neither_is_carried_out(operated: MakeOperated) -> None:
     """The second begins in what follows the first one's body."""
-    around = operated()
+    harness = operated()
     body = body_naming("s0")
     extra = f"Content-Length: {len(body)}\r\n\r\n{body.decode()}PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\n"
-    assert around.call("PUT /_upstreams/detach", extra=extra) == 400
-    assert not around.context.overrides.stored.drained and not around.context.draining
+    assert harness.call_admin("PUT /_upstreams/detach", extra=extra) == 400
+    assert not harness.context.overrides.stored.drained and not harness.context.draining
 
 
 def test_callers_that_send_nothing_do_not_keep_out_others(operated: MakeOperated) -> None:
     """There are never more open calls than their part of the descriptors."""
-    around = operated(limits={"sockets": 256})
-    place = around.context.admin_listener.sock.getsockname()
-    silent = [around.keep(socket.create_connection(place)) for _ in range(20)]
+    harness = operated(limits={"sockets": 256})
+    place = harness.context.admin_listener.sock.getsockname()
+    silent = [harness.close_at_end(socket.create_connection(place)) for _ in range(20)]
     for one in silent[::2]:
         one.sendall(b"PUT /_upstreams/detach HTTP/1.1\r\nHost:")
-    around.let_pass(0.05)
-    assert len(around.context.admin_listener.calls) <= around.context.connections.admin_call_limit
-    assert detach(around) == 200
+    harness.run_for(0.05)
+    assert len(harness.context.admin_listener.calls) <= harness.context.connections.admin_call_limit
+    assert detach(harness) == 200
     # Calls for which there is no room are closed, the oldest first; the others end by themselves.
-    assert around.until(lambda: around.read(silent[0])) == b"end"
+    assert harness.wait_until(lambda: harness.read(silent[0])) == b"end"
 
 
 def test_a_call_is_closed_only_to_make_room_for_another(operated: MakeOperated) -> None:
     """As many as there is room for stay open."""
-    around = operated(limits={"sockets": 256})
-    place = around.context.admin_listener.sock.getsockname()
+    harness = operated(limits={"sockets": 256})
+    place = harness.context.admin_listener.sock.getsockname()
     silent = [
-        around.keep(socket.create_connection(place))
-        for _ in range(around.context.connections.admin_call_limit)
+        harness.close_at_end(socket.create_connection(place))
+        for _ in range(harness.context.connections.admin_call_limit)
     ]
-    around.let_pass(0.1)
-    assert [around.read(one) for one in silent] == [None] * len(silent)
+    harness.run_for(0.1)
+    assert [harness.read(one) for one in silent] == [None] * len(silent)
 
 
 def test_an_admin_address_in_use_ends_the_start_with_one_line(
-    make_surroundings: Callable[..., Surroundings], around: Surroundings
+    make_harness: Callable[..., SidecarHarness], harness: SidecarHarness
 ) -> None:
     """The error fits on one line of the log."""
     with pytest.raises(ConfigError) as refused:
-        make_surroundings(mgmt=address(around.listeners[0]))
+        make_harness(mgmt=socket_address(harness.listeners[0]))
     assert "\n" not in str(refused.value)
 
 
-def test_without_an_admin_address_nothing_listens(around: Surroundings) -> None:
+def test_without_an_admin_address_nothing_listens(harness: SidecarHarness) -> None:
     """And no descriptors are reserved for calls."""
-    assert around.context.admin_listener is None and around.context.connections.admin_call_limit == 0
+    assert harness.context.admin_listener is None and harness.context.connections.admin_call_limit == 0
     assert ConnectionTracker(1024).endpoint_limit > ConnectionTracker(1024, admin_enabled=True).endpoint_limit
 
 
@@ -162,36 +162,36 @@
 
 def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(operated: MakeOperated) -> None:
     """Not even after a restart, a removal or a new snapshot."""
-    around = operated(upstreams=2)
-    watch, _ = around.watch(b"")
-    assert detach(around) == 200 and detach(around) == 200
+    harness = operated(upstreams=2)
+    watch, _ = harness.accept_watch(b"")
+    assert detach(harness) == 200 and detach(harness) == 200
     for message in (  # a restart, a removal, and being listed again
-        {"version": 8, "servers": [around.entry(0, started_ms=5)]},
-        {"version": 9, "servers": [around.entry(0, state="left")]},
-        {"version": 10, "full": True, "servers": [around.entry(0), around.entry(1)]},
+        {"version": 8, "servers": [harness.endpoint_entry(0, started_ms=5)]},
+        {"version": 9, "servers": [harness.endpoint_entry(0, state="left")]},
+        {"version": 10, "full": True, "servers": [harness.endpoint_entry(0), harness.endpoint_entry(1)]},
     ):
-        around.say(watch, message)
-        around.until(lambda: around.context.discovery.version == message["version"])  # noqa: B023
-        around.all_go_to(1, 4)
-    around.quiet(0)
+        harness.send_watch_line(watch, message)
+        harness.wait_until(lambda: harness.context.discovery.version == message["version"])  # noqa: B023
+        harness.assert_requests_reach(1, 4)
+    harness.assert_no_connection(0)
 
 
 def test_one_attach_undoes_all_detaches_and_slow_start_begins(operated: MakeOperated) -> None:
     """The moment of the call counts as its start."""
-    around = operated(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
-    around.watch(b"")
-    before = entry_in_decisions(around, "s0")
-    assert attach(around) == 200  # it was not out
-    assert entry_in_decisions(around, "s0") == before
-    assert detach(around) == 200 and detach(around) == 200
-    around.until(lambda: entry_in_decisions(around, "s0").state is EndpointState.DRAINING)
-    assert attach(around) == 200
-    around.until(lambda: entry_in_decisions(around, "s0").state is EndpointState.READY)
+    harness = operated(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
+    harness.accept_watch(b"")
+    before = entry_in_decisions(harness, "s0")
+    assert attach(harness) == 200  # it was not out
+    assert entry_in_decisions(harness, "s0") == before
+    assert detach(harness) == 200 and detach(harness) == 200
+    harness.wait_until(lambda: entry_in_decisions(harness, "s0").state is EndpointState.DRAINING)
+    assert attach(harness) == 200
+    harness.wait_until(lambda: entry_in_decisions(harness, "s0").state is EndpointState.READY)
     # Discovery does not list its restart yet.
-    assert entry_in_decisions(around, "s0").started_at > around.context.loop.now() - 5
+    assert entry_in_decisions(harness, "s0").started_at > harness.context.loop.now() - 5
     assert (
-        around.context.coordinator.scheduler.balancer.slow_start.fraction(
-            around.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
+        harness.context.coordinator.scheduler.balancer.slow_start.fraction(
+            harness.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
         )
         < 0.5
     )
@@ -199,37 +199,37 @@
 
 def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(operated: MakeOperated) -> None:
     """Once discovery lists a new one."""
-    around = operated()
-    watch, _ = around.watch(b"")
-    assert detach(around) == 200 and attach(around) == 200
+    harness = operated()
+    watch, _ = harness.accept_watch(b"")
+    assert detach(harness) == 200 and attach(harness) == 200
     started = (time.time() - 1) * 1000
-    around.say(watch, {"version": 8, "servers": [around.entry(0, started_ms=started)]})
-    around.until(lambda: entry_in_decisions(around, "s0").started_at == started / 1000)
+    harness.send_watch_line(watch, {"version": 8, "servers": [harness.endpoint_entry(0, started_ms=started)]})
+    harness.wait_until(lambda: entry_in_decisions(harness, "s0").started_at == started / 1000)
 
 
 def test_idle_connections_to_a_detached_endpoint_are_closed(operated: MakeOperated) -> None:
     """At once, not after their idle time."""
-    around = operated()
-    client = around.ask()
-    upstream = around.serve()
-    assert around.status(client) == 200
-    assert detach(around) == 200
-    assert around.until(lambda: around.read(upstream)) == b"end"
+    harness = operated()
+    client = harness.send_request()
+    upstream = harness.serve()
+    assert harness.read_status(client) == 200
+    assert detach(harness) == 200
+    assert harness.wait_until(lambda: harness.read(upstream)) == b"end"
 
 
 def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(operated: MakeOperated) -> None:
     """Two that run side by side, and one that starts later."""
     one, other = operated(), operated()
     assert detach(one) == 200
-    other.until(lambda: entry_in_decisions(other, "s0").state is EndpointState.DRAINING)
-    assert other.call("PUT /_lameduck/on") == 200
-    one.until(lambda: one.context.draining)
+    other.wait_until(lambda: entry_in_decisions(other, "s0").state is EndpointState.DRAINING)
+    assert other.call_admin("PUT /_lameduck/on") == 200
+    one.wait_until(lambda: one.context.draining)
     assert attach(other) == 200
-    one.until(lambda: entry_in_decisions(one, "s0").state is EndpointState.READY)
+    one.wait_until(lambda: entry_in_decisions(one, "s0").state is EndpointState.READY)
     assert detach(other) == 200
     after = operated(known={"version": 7, "full": True, "servers": []})
     assert after.context.overrides.stored.drained and after.context.draining
-    assert after.call("PUT /_lameduck/off") == 200
+    assert after.call_admin("PUT /_lameduck/off") == 200
     # Nobody has listed it to this one.
     assert attach(after) == 200 and detach(after, "s9") == 404
 
@@ -240,24 +240,24 @@
 ) -> None:
     """It is logged, and replaced by the next call."""
     (tmp_path / OVERRIDES_FILE).write_bytes(text)
-    around = operated()
-    assert around.logged("operators.unreadable")
-    assert detach(around) == 200 and "s0" in json.loads((tmp_path / OVERRIDES_FILE).read_bytes())["out"]
+    harness = operated()
+    assert harness.log_lines("operators.unreadable")
+    assert detach(harness) == 200 and "s0" in json.loads((tmp_path / OVERRIDES_FILE).read_bytes())["out"]
 
 
 def test_a_call_succeeds_only_once_its_change_is_stored(operated: MakeOperated, tmp_path: Path) -> None:
     """Where the file can't be written the call gets 503, and nothing changes."""
-    around = operated()
-    around.until(lambda: not around.context.overrides.has_unstored_ids)
-    around.context.overrides.file.path = tmp_path / "gone" / OVERRIDES_FILE
-    assert detach(around) == 503
-    assert entry_in_decisions(around, "s0").state is EndpointState.READY
+    harness = operated()
+    harness.wait_until(lambda: not harness.context.overrides.has_unstored_ids)
+    harness.context.overrides.file.path = tmp_path / "gone" / OVERRIDES_FILE
+    assert detach(harness) == 503
+    assert entry_in_decisions(harness, "s0").state is EndpointState.READY
 
 
 def test_an_overrides_file_locked_by_another_process_is_retried(tmp_path: Path) -> None:
     """A locked file raises an error and changes nothing."""
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
-    out.listed(True, [DiscoveredEndpoint("s0")])
+    out.apply_watch_message(True, [DiscoveredEndpoint("s0")])
     with out.file.lock(), pytest.raises(OverridesLockedError):
         out.drain_endpoint("s0")
     assert not out.stored.drained
@@ -267,10 +267,12 @@
 def test_old_ids_are_forgotten_but_not_those_in_use(tmp_path: Path) -> None:
     """However many ids were ever listed."""
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
-    out.listed(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
+    out.apply_watch_message(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
     out.drain_endpoint("second")
     for i in range(3 * MAX_KNOWN_IDS):
-        out.listed(False, [DiscoveredEndpoint(f"s{i}"), DiscoveredEndpoint(f"s{i}", state="left")])
+        out.apply_watch_message(
+            False, [DiscoveredEndpoint(f"s{i}"), DiscoveredEndpoint(f"s{i}", state="left")]
+        )
     assert len(out.known_ids) <= MAX_KNOWN_IDS + 2
     assert out.drain_endpoint("first") and out.restore_endpoint("second") is not None
     assert out.drain_endpoint("s0") is None
@@ -281,43 +283,43 @@
 
 def test_draining_sends_clients_away_and_can_be_undone(operated: MakeOperated) -> None:
     """Each response ends its connection, idle ones are closed, and readiness is denied."""
-    around = operated()
-    idle, kept = around.client(), around.client()
-    kept.sendall(around.request())
-    upstream = around.serve()
-    assert around.status(kept) == 200
-    assert around.call("PUT /_lameduck/on") == 200
-    assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 503
-    assert around.call("GET /_ready") == 200
+    harness = operated()
+    idle, kept = harness.connect_client(), harness.connect_client()
+    kept.sendall(harness.request_bytes())
+    upstream = harness.serve()
+    assert harness.read_status(kept) == 200
+    assert harness.call_admin("PUT /_lameduck/on") == 200
+    assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
+    assert harness.call_admin("GET /_ready") == 200
     # Requests that still come are served, on new and on idle connections, and told to close.
-    for client in (around.client(), kept):
-        around.rested()
-        client.sendall(around.request())
-        around.received(upstream)
-        around.reply(upstream)
-        head, _ = around.answer(client)
+    for client in (harness.connect_client(), kept):
+        harness.wait_for_idle_connections()
+        client.sendall(harness.request_bytes())
+        harness.read_request(upstream)
+        harness.send_response(upstream)
+        head, _ = harness.read_message(client)
         assert head.status_code == 200 and (b"connection", b"close") in head.headers
-    assert around.until(lambda: around.read(idle)) == b"end"
-    assert around.call("PUT /_lameduck/on") == 200 and around.call("PUT /_lameduck/off") == 200
-    assert around.call("PUT /_lameduck/off") == 200
-    assert around.status(around.ask(lead="GET /ready HTTP/1.1")) == 200
-    client = around.client()
-    around.rested()
-    client.sendall(around.request())
-    around.received(upstream)
-    around.reply(upstream)
-    head, _ = around.answer(client)
+    assert harness.wait_until(lambda: harness.read(idle)) == b"end"
+    assert harness.call_admin("PUT /_lameduck/on") == 200 and harness.call_admin("PUT /_lameduck/off") == 200
+    assert harness.call_admin("PUT /_lameduck/off") == 200
+    assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 200
+    client = harness.connect_client()
+    harness.wait_for_idle_connections()
+    client.sendall(harness.request_bytes())
+    harness.read_request(upstream)
+    harness.send_response(upstream)
+    head, _ = harness.read_message(client)
     assert (b"connection", b"close") not in head.headers
-    assert [line["on"] for line in around.logged("lameduck")] == [True, False]
+    assert [line["on"] for line in harness.log_lines("lameduck")] == [True, False]
 
 
 def test_a_stop_while_draining_ends_the_process(operated: MakeOperated) -> None:
     """Both send clients away."""
-    around = operated()
-    around.context.loop.running = True
-    assert around.call("PUT /_lameduck/on") == 200
+    harness = operated()
+    harness.context.loop.running = True
+    assert harness.call_admin("PUT /_lameduck/on") == 200
     os.kill(os.getpid(), signal.SIGTERM)
-    around.until(lambda: not around.context.loop.running)
+    harness.wait_until(lambda: not harness.context.loop.running)
 
 
 # Replacing the process.
@@ -328,38 +330,38 @@
     text = f"""if True:
         from starlingwheel.net.state.siblings import SiblingProcesses
         siblings = SiblingProcesses({str(tmp_path)!r})
-        print(siblings.others(), flush=True)
+        print(siblings.has_others(), flush=True)
         input()
     """
     siblings = SiblingProcesses(str(tmp_path))
-    assert not siblings.others()
+    assert not siblings.has_others()
     command = [sys.executable, "-c", text]
     process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-    assert process.stdout.readline() == b"True\n" and siblings.others()
+    assert process.stdout.readline() == b"True\n" and siblings.has_others()
     process.kill()
     process.communicate()
-    assert not siblings.others()
+    assert not siblings.has_others()
     siblings.close()
 
 
 def test_sibling_processes_share_the_limits_of_one(operated: MakeOperated) -> None:
     """Buffers and connections to endpoints are divided, clients' descriptors are not."""
-    around = operated()
-    context, balancer = around.context, around.context.coordinator.scheduler.balancer
+    harness = operated()
+    context, balancer = harness.context, harness.context.coordinator.scheduler.balancer
     clients = context.connections.client_limit
     alone = context.buffer_pool.max_buffers, context.connections.endpoint_limit
 
     class AnotherProcess:
-        def others(self) -> bool:
+        def has_others(self) -> bool:
             return True
 
     context.siblings = AnotherProcess()
-    around.until(lambda: balancer.config.process_count == 2)
+    harness.wait_until(lambda: balancer.config.process_count == 2)
     shared = context.buffer_pool.max_buffers, context.connections.endpoint_limit
     assert context.connections.client_limit == clients  # they come over to the new one all at once
     assert all(half < full * 0.6 for half, full in zip(shared, alone, strict=True))
     context.siblings = None
-    around.until(lambda: balancer.config.process_count == 1)
+    harness.wait_until(lambda: balancer.config.process_count == 1)
     assert (context.buffer_pool.max_buffers, context.connections.endpoint_limit) == alone
 
 
@@ -380,7 +382,7 @@
 
     def __init__(self) -> None:
         """Start to accept connections."""
-        self.listener = bound(backlog=128)
+        self.listener = bound_socket(backlog=128)
         self.ran: dict[bytes, int] = {}
         self.listener.settimeout(None)
         threading.Thread(target=self.accept, daemon=True).start()
@@ -409,8 +411,8 @@
 @pytest.mark.xdist_group("trials-1")
 def test_under_load_a_process_is_replaced_and_no_request_is_lost_or_run_twice(tmp_path: Path) -> None:
     """Clients with kept connections go on sending while a second process takes over the passed socket."""
-    endpoint, passed, rng = CountingEndpoint(), bound(backlog=256), random.Random(5)
-    place = address(endpoint.listener)
+    endpoint, passed, rng = CountingEndpoint(), bound_socket(backlog=256), random.Random(5)
+    place = socket_address(endpoint.listener)
     servers = [{"id": f"s{i}", "addr": place, "state": "active"} for i in range(8)]
     settings = SETTINGS | {"caps": SETTINGS["caps"] | {"mayDuplicate": False, "mostHandOffs": 1}}
     processes: list[subprocess.Popen[bytes]] = []
@@ -422,10 +424,10 @@
     def start(number: int) -> subprocess.Popen[bytes]:
         mgmt = free_address()
         path = tmp_path / f"config{number}.json"
-        config = {"listen": address(passed), "discovery": "127.0.0.1:1", "settings": settings}
+        config = {"listen": socket_address(passed), "discovery": "127.0.0.1:1", "settings": settings}
         config |= {"known": {"version": 7, "full": True, "servers": servers}, "mgmt": mgmt}
         path.write_bytes(msgspec.json.encode(config))
-        place = split(mgmt)
+        place = split_host_port(mgmt)
         environment = os.environ | {
             "EDGE_CONFIG": str(path),
             "EDGE_PASSED_SOCKET": str(passed.fileno()),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,14 +4,14 @@
 
 import msgspec
 import pytest
-from conftest import SETTINGS, categories
+from conftest import SETTINGS, request_class_settings
 
 from starlingwheel.net.http.load_report import parse_load_report
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
 from starlingwheel.simulator.wire import SimulatorLine
 
 PUSHED = {
-    "categories": categories(),
+    "categories": request_class_settings(),
     "discovery": "push",
     "weightKind": "live",
     "replicasOfMe": 300,
@@ -81,7 +81,7 @@
     "rules": {"drainGrace": 3000000, "fallMultiple": 4.0, "overloadFor": 1000000, "coldShare": 0.13},
 }  # fmt: skip
 RESULTS = {
-    "categories": categories(600000), "discovery": "ask", "weightKind": "nominal",
+    "categories": request_class_settings(600000), "discovery": "ask", "weightKind": "nominal",
     "replicasOfMe": 110, "slotNo": 0, "locality": "howrah", "caps": CAPS, "specifics": {"warmKeys": True},
     "loadReport": {"how": "inline", "columns": ["svc_ms", "busy_reqs"]},
     "charges": {"crossZone": 0.02, "waste": 0.04, "probe": 0.01, "peer": 0.01, "handshake": 0.02},
@@ -90,24 +90,24 @@
 
 
 @pytest.mark.parametrize("settings", [CLAIMS, RESULTS])
-def test_a_sidecar_starts_with_the_settings_of_two_deployments(config_of, make_surroundings, settings):
+def test_a_sidecar_starts_with_the_settings_of_two_deployments(config_of, make_harness, settings):
     config = config_of(settings)
     assert (
         config.key_affinity
         and config.streams_per_connection == 1
         and config.must_watch_endpoints == (settings is RESULTS)
     )
-    around = make_surroundings(
-        settings=settings | {"categories": categories(), "replicasOfMe": 2, "slotNo": 0}
+    harness = make_harness(
+        settings=settings | {"categories": request_class_settings(), "replicasOfMe": 2, "slotNo": 0}
     )
     if settings is CLAIMS:
-        around.hear()
-    client = around.ask()
-    sock = around.serve()
+        harness.push_snapshot()
+    client = harness.send_request()
+    sock = harness.serve()
     if settings is CLAIMS:  # that was the poll of its load; the request comes after it
-        around.received(sock)
-        around.reply(sock)
-    assert around.status(client) == 200
+        harness.read_request(sock)
+        harness.send_response(sock)
+    assert harness.read_status(client) == 200
 
 
 def test_key_affinity_is_off_unless_the_settings_ask_for_it(config_of):
@@ -162,26 +162,26 @@
 
 @pytest.mark.parametrize(("settings", "changed", "named"), CONTRADICTORY)
 def test_contradictory_settings_are_logged_once_and_followed(
-    changed_settings, make_surroundings, settings, changed, named
+    changed_settings, make_harness, settings, changed, named
 ):
     """Not starting would be worse than a price for what is not allowed."""
-    around = make_surroundings(settings=changed_settings(settings, **changed))
-    assert [line["key"] for line in around.logged("settings.mixed")] == named
-    if around.context.discovery.pushed:
-        around.hear()
-    assert around.context.ready
-    around.ask()
-    around.accept()
+    harness = make_harness(settings=changed_settings(settings, **changed))
+    assert [line["key"] for line in harness.log_lines("settings.mixed")] == named
+    if harness.context.discovery.pushed:
+        harness.push_snapshot()
+    assert harness.context.ready
+    harness.send_request()
+    harness.accept()
 
 
-def test_contradictory_settings_read_at_a_reload_are_logged_and_followed(make_surroundings):
-    around = make_surroundings()
-    around.reconfigure(settings=SETTINGS | {"weightKind": "live"})
-    assert not around.logged("config.unusable") and around.context.balancer_config.weights_are_live
-    assert [line["key"] for line in around.logged("settings.mixed")] == ["weightKind", "caps.probing"]
-    client = around.ask()
-    around.serve()
-    assert around.status(client) == 200
+def test_contradictory_settings_read_at_a_reload_are_logged_and_followed(make_harness):
+    harness = make_harness()
+    harness.reconfigure(settings=SETTINGS | {"weightKind": "live"})
+    assert not harness.log_lines("config.unusable") and harness.context.balancer_config.weights_are_live
+    assert [line["key"] for line in harness.log_lines("settings.mixed")] == ["weightKind", "caps.probing"]
+    client = harness.send_request()
+    harness.serve()
+    assert harness.read_status(client) == 200
 
 
 NULLS = {
@@ -190,7 +190,7 @@
     "caps": {"mostHandOffs": 3, "retryAfter": True, "maxRetryAfter": None, "keepalive": None, "peers": None},
     "categories": [
         category | dict.fromkeys(["window", "payoff", "overduePayoff", "dedupScope", "aimStretch"])
-        for category in categories()
+        for category in request_class_settings()
     ],
 }  # fmt: skip
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,7 +10,7 @@
 import h2.errors
 import h2.events
 import pytest
-from conftest import SETTINGS, Surroundings
+from conftest import SETTINGS, SidecarHarness
 
 NEW = {"discovery": "push", "caps": SETTINGS["caps"] | {"streamsPerConn": 100}}
 
@@ -20,9 +20,9 @@
 
     acknowledges = True  # what it has got: there is room for more
 
-    def __init__(self, around: Surroundings, i: int = 0, sock: socket.socket | None = None) -> None:
+    def __init__(self, harness: SidecarHarness, i: int = 0, sock: socket.socket | None = None) -> None:
         """Accept a connection to endpoint `i`, unless `sock` is one."""
-        self.around, self.sock = around, sock or around.accept(i)
+        self.harness, self.sock = harness, sock or harness.accept(i)
         self.http = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False))
         self.http.initiate_connection()
         self.asked, self.bodies, self.resets, self.ended = {}, {}, {}, []
@@ -34,7 +34,7 @@
 
     def read(self) -> None:
         """Read what has come, and note its events."""
-        data = self.around.read(self.sock)
+        data = self.harness.read(self.sock)
         for event in self.http.receive_data(data) if data and data != b"end" else ():
             match event:
                 case h2.events.RequestReceived():
@@ -56,7 +56,7 @@
             self.read()
             return happened()
 
-        return self.around.until(seen)
+        return self.harness.wait_until(seen)
 
     def received(self, count: int) -> list[int]:
         """The stream numbers of the requests, once so many are complete."""
@@ -72,91 +72,93 @@
 
 
 @pytest.fixture
-def multiplexed(make_surroundings: Callable[..., Surroundings]) -> Callable[..., Surroundings]:
+def multiplexed(make_harness: Callable[..., SidecarHarness]) -> Callable[..., SidecarHarness]:
     """Make surroundings of a sidecar that uses HTTP/2."""
 
-    def make(**given: object) -> Surroundings:
-        around = make_surroundings(settings=NEW, **given)
-        around.hear()
-        return around
+    def make(**given: object) -> SidecarHarness:
+        harness = make_harness(settings=NEW, **given)
+        harness.push_snapshot()
+        return harness
 
     return make
 
 
 def test_two_requests_share_a_connection_and_are_answered_in_any_order(
-    multiplexed: Callable[..., Surroundings],
+    multiplexed: Callable[..., SidecarHarness],
 ) -> None:
     """The second is answered first."""
-    around = multiplexed()
-    first, second = around.ask(x_trace_id="a"), around.ask(x_trace_id="b")
-    peer = Peer(around)
+    harness = multiplexed()
+    first, second = harness.send_request(x_trace_id="a"), harness.send_request(x_trace_id="b")
+    peer = Peer(harness)
     one, two = peer.received(2)
     peer.answer(two, b"two")
-    assert around.answer(second)[1] == b"two"
+    assert harness.read_message(second)[1] == b"two"
     peer.answer(one, b"one")
-    assert around.answer(first)[1] == b"one"
-    around.quiet()
+    assert harness.read_message(first)[1] == b"one"
+    harness.assert_no_connection()
 
 
-def test_a_body_is_sent_within_the_flow_control_window(multiplexed: Callable[..., Surroundings]) -> None:
+def test_a_body_is_sent_within_the_flow_control_window(multiplexed: Callable[..., SidecarHarness]) -> None:
     """A body of 64 KiB arrives unchanged."""
-    around, body = multiplexed(), bytes(range(256)) * 256
-    client = around.ask("move", body)
-    peer = Peer(around)
+    harness, body = multiplexed(), bytes(range(256)) * 256
+    client = harness.send_request("move", body)
+    peer = Peer(harness)
     (stream,) = peer.received(1)
     assert peer.bodies[stream] == body and peer.asked[stream]["idempotency-key"] == "k1"
     peer.answer(stream, body[:9000])
-    assert around.answer(client)[1] == body[:9000]
+    assert harness.read_message(client)[1] == body[:9000]
 
 
-def test_a_request_on_a_refused_stream_is_retried_elsewhere(multiplexed: Callable[..., Surroundings]) -> None:
+def test_a_request_on_a_refused_stream_is_retried_elsewhere(
+    multiplexed: Callable[..., SidecarHarness],
+) -> None:
     """REFUSED_STREAM proves that it has not run."""
-    around = multiplexed(upstreams=2)
-    client = around.ask("buy")
-    i, sock = around.until(around.accept_any)
-    peer = Peer(around, sock=sock)
+    harness = multiplexed(upstreams=2)
+    client = harness.send_request("buy")
+    i, sock = harness.wait_until(harness.accept_any)
+    peer = Peer(harness, sock=sock)
     (stream,) = peer.received(1)
     peer.http.reset_stream(stream, h2.errors.ErrorCodes.REFUSED_STREAM)
     peer.flush()
-    other = Peer(around, 1 - i)
+    other = Peer(harness, 1 - i)
     (again,) = other.received(1)
     other.answer(again)
-    assert around.status(client) == 200
+    assert harness.read_status(client) == 200
 
 
-def test_a_goaway_rejects_later_streams_as_not_run(multiplexed: Callable[..., Surroundings]) -> None:
+def test_a_goaway_rejects_later_streams_as_not_run(multiplexed: Callable[..., SidecarHarness]) -> None:
     """The client gets 503, and the next request a new connection."""
-    around = multiplexed()
-    client = around.ask("buy")
-    peer = Peer(around)
+    harness = multiplexed()
+    client = harness.send_request("buy")
+    peer = Peer(harness)
     peer.received(1)
     peer.http.close_connection(last_stream_id=0)
     peer.flush()
-    assert around.status(client) == 503
-    around.ask("buy", x_trace_id="t2")
-    assert Peer(around).received(1)
+    assert harness.read_status(client) == 503
+    harness.send_request("buy", x_trace_id="t2")
+    assert Peer(harness).received(1)
 
 
 def test_a_non_idempotent_request_on_a_broken_connection_fails_without_a_retry(
-    multiplexed: Callable[..., Surroundings],
+    multiplexed: Callable[..., SidecarHarness],
 ) -> None:
     """It may have run."""
-    around = multiplexed()
-    client = around.ask("buy")
-    peer = Peer(around)
+    harness = multiplexed()
+    client = harness.send_request("buy")
+    peer = Peer(harness)
     peer.received(1)
-    around.reset(peer.sock)
-    assert around.status(client) == 504
-    around.quiet()
+    harness.reset(peer.sock)
+    assert harness.read_status(client) == 504
+    harness.assert_no_connection()
 
 
 def test_a_client_that_disconnects_ends_its_stream_and_not_the_connection(
-    multiplexed: Callable[..., Surroundings],
+    multiplexed: Callable[..., SidecarHarness],
 ) -> None:
     """The other stream goes on."""
-    around = multiplexed()
-    leaves, stays = around.ask(x_trace_id="a"), around.ask(x_trace_id="b")
-    peer = Peer(around)
+    harness = multiplexed()
+    leaves, stays = harness.send_request(x_trace_id="a"), harness.send_request(x_trace_id="b")
+    peer = Peer(harness)
     one, two = peer.received(2)
     leaves.close()
     peer.until(lambda: peer.resets)
@@ -165,53 +167,55 @@
     }
     (left,) = {one, two} - set(peer.resets)
     peer.answer(left)
-    assert around.status(stays) == 200
+    assert harness.read_status(stays) == 200
 
 
 def test_a_stream_past_its_deadline_is_reset_and_the_connection_stays(
-    multiplexed: Callable[..., Surroundings],
+    multiplexed: Callable[..., SidecarHarness],
 ) -> None:
     """The next request goes by the same connection."""
-    around = multiplexed()
-    client = around.ask(x_expires_in_ms="150")
-    peer = Peer(around)
+    harness = multiplexed()
+    client = harness.send_request(x_expires_in_ms="150")
+    peer = Peer(harness)
     peer.received(1)
-    assert around.status(client) == 503
+    assert harness.read_status(client) == 503
     peer.until(lambda: peer.resets)
-    again = around.ask(x_trace_id="t2")
+    again = harness.send_request(x_trace_id="t2")
     peer.answer(peer.received(2)[-1])
-    assert around.status(again) == 200
+    assert harness.read_status(again) == 200
 
 
 def test_an_endpoint_that_does_not_speak_http_2_loses_its_connection(
-    multiplexed: Callable[..., Surroundings],
+    multiplexed: Callable[..., SidecarHarness],
 ) -> None:
     """The request fails, for it may have run."""
-    around = multiplexed()
-    client = around.ask("buy")
-    sock = around.accept()
+    harness = multiplexed()
+    client = harness.send_request("buy")
+    sock = harness.accept()
     sock.sendall(b"HTTP/1.1 200 x\r\nContent-Length: 4\r\n\r\nfine")
-    assert around.status(client) == 504
-    assert around.until(lambda: around.logged("upstream.end"))[0]["reason"] == "malformed"
+    assert harness.read_status(client) == 504
+    assert harness.wait_until(lambda: harness.log_lines("upstream.end"))[0]["reason"] == "malformed"
 
 
 def test_a_pushed_endpoint_list_is_followed_and_reopened(
-    make_surroundings: Callable[..., Surroundings],
+    make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The call says from which version on."""
-    around = make_surroundings(settings=NEW)
-    sock = around.hear()
-    around.say(sock, {"version": 10, "full": False, "servers": [around.entry(0, state="leaving")]})
-    around.until(lambda: around.context.discovery.version == 10)
+    harness = make_harness(settings=NEW)
+    sock = harness.push_snapshot()
+    harness.send_watch_line(
+        sock, {"version": 10, "full": False, "servers": [harness.endpoint_entry(0, state="leaving")]}
+    )
+    harness.wait_until(lambda: harness.context.discovery.version == 10)
     sock.close()
-    sock, target = around.watch()
+    sock, target = harness.accept_watch()
     assert target.endswith(b"from=10")
-    around.say(sock, {"version": 11, "full": False, "servers": [around.entry(0)]})
-    around.until(lambda: around.context.discovery.version == 11)
-    client = around.ask()
-    peer = Peer(around)
+    harness.send_watch_line(sock, {"version": 11, "full": False, "servers": [harness.endpoint_entry(0)]})
+    harness.wait_until(lambda: harness.context.discovery.version == 11)
+    client = harness.send_request()
+    peer = Peer(harness)
     peer.answer(peer.received(1)[0])
-    assert around.status(client) == 200
+    assert harness.read_status(client) == 200
 
 
 def test_h2_is_not_loaded_unless_the_settings_ask_for_it() -> None:
