--- a/starlingwheel/net/admin/call.py
+++ b/starlingwheel/net/admin/call.py
@@ -99,7 +99,7 @@
                     raise CallRejectedError(HTTPStatus.BAD_REQUEST, "more than one call")
                 return request, body
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionLostError(CloseReason.CALLER_LEFT)
+                raise ConnectionLostError(CloseReason.ADMIN_CLIENT_LEFT)
             else:
                 yield from self._receive(until, begun=request is not None)
 
@@ -156,10 +156,10 @@
         if self.stream.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return  # what came was not HTTP at all, and h11 has nothing to answer to
         headers = [(b"Content-Length", str(len(body)).encode()), (b"Connection", b"close")]
-        self.stream.put(h11.Response(status_code=status, headers=headers))
+        self.stream.enqueue(h11.Response(status_code=status, headers=headers))
         if body:
-            self.stream.put(h11.Data(data=body))
-        self.stream.put(h11.EndOfMessage())
+            self.stream.enqueue(h11.Data(data=body))
+        self.stream.enqueue(h11.EndOfMessage())
         until = self.loop.now() + RESPONSE_TIMEOUT
         while not self.stream.write():
             self.stream.wait_for(WRITE)
@@ -168,7 +168,7 @@
         # Answered: it is closed to make room before those that have not called yet.
         self.listener.calls.pop(self, None)
         self.listener.calls = {self: None, **self.listener.calls}
-        yield from self.stream.finish(self.loop.now() + CLOSE_TIMEOUT, MAX_DISCARDED)
+        yield from self.stream.lingering_close(self.loop.now() + CLOSE_TIMEOUT, MAX_DISCARDED)
 
 
 def _path(request: h11.Request) -> bytes:
--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -69,7 +69,7 @@
 class Discovery(MessageReceiver, Protocol):
     """The discovery client, as the others see it."""
 
-    current: Any  # the watch in use
+    current_watch: Any  # the watch in use
 
 
 class GossipSender(Protocol):
--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -56,7 +56,7 @@
         self.context, self.known = context, known
         self.version = known.version if known else 0
         self.address = context.config.discovery
-        self.current: DiscoveryWatch | None = None  # the one in use
+        self.current_watch: DiscoveryWatch | None = None  # the one in use
         self.new_watch: DiscoveryWatch | None = None  # at a new address, until its first message
         self.second_watch: DiscoveryWatch | None = None  # a second call, where the first one hangs
         self.moving = False  # to the address of a new configuration
@@ -67,18 +67,18 @@
         # After this time an unanswered call counts as hanging.
         self.hang_threshold = HANG_THRESHOLD * KEEPALIVE_INTERVAL
         # Where the list is pushed its agent is near by, and its changes count as notified at once.
-        self.pushed = not context.balancer_config.must_watch_endpoints
-        self.initial_timeout_multiple = AGENT_ANSWER_TIMEOUT if self.pushed else ANSWER_TIMEOUT
+        self.list_is_pushed = not context.balancer_config.must_watch_endpoints
+        self.initial_timeout_multiple = AGENT_ANSWER_TIMEOUT if self.list_is_pushed else ANSWER_TIMEOUT
         self.timeout_multiple = self.initial_timeout_multiple  # of `KEEPALIVE_INTERVAL`, for the next call
         # For an agent backoffs end well within the grace for drains, where the settings name one.
-        grace = context.balancer_config.drain_grace / 4 if self.pushed else 0.0
+        grace = context.balancer_config.drain_grace / 4 if self.list_is_pushed else 0.0
         self.max_backoff = min(KEEPALIVE_INTERVAL, grace or KEEPALIVE_INTERVAL)
         self.use_known_at = inf  # when the list of the configuration is used for lack of another
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
         """Handle the messages of watches, of the coordinator and of the signal handler."""
-        if self.pushed and self.current is None and self.new_watch is None:
+        if self.list_is_pushed and self.current_watch is None and self.new_watch is None:
             # The decisions never ask for a list that is pushed, so its watch is opened here.
             self._call()
         while True:
@@ -101,12 +101,12 @@
 
     def _is_idle(self) -> bool:
         """No watch is in use, and no call is due."""
-        return self.current is None and not self.moving and self.next_call_at == inf
+        return self.current_watch is None and not self.moving and self.next_call_at == inf
 
     def begin(self) -> None:
         """Start the lease, and the decisions with the list of the configuration."""
         self.context.lease.start(self.loop.now())
-        if self.pushed and self.known is not None:
+        if self.list_is_pushed and self.known is not None:
             # The agent's list counts as notified from the first moment. The known list may name endpoints
             # that have long been drained, so it is not used while the agent may yet answer.
             self.use_known_at = self.loop.now() + USE_KNOWN_AFTER * KEEPALIVE_INTERVAL
@@ -127,14 +127,14 @@
     @property
     def _pending_watch(self) -> DiscoveryWatch | None:
         """The call to be answered. A new discovery is called while the old watch is still in use."""
-        return self.new_watch if self.moving else self.current
+        return self.new_watch if self.moving else self.current_watch
 
     @_pending_watch.setter
     def _pending_watch(self, watch: DiscoveryWatch | None) -> None:
         if self.moving:
             self.new_watch = watch
         else:
-            self.current = watch
+            self.current_watch = watch
 
     def _with_jitter(self, multiple: float) -> float:
         """Return that multiple of `KEEPALIVE_INTERVAL`, or a little less."""
@@ -204,9 +204,9 @@
         if watch is self.new_watch:
             self.context.lease.moved_source()
             # The old watch stays in use until the first message of the new one.
-            before, self.current, self.new_watch, self.moving = self.current, watch, None, False
+            before, self.current_watch, self.new_watch, self.moving = self.current_watch, watch, None, False
             self._close(before)
-        if watch is not self.current:
+        if watch is not self.current_watch:
             return
         self.version, self.backoff = message.version, 0.0
         self.timeout_multiple = self.initial_timeout_multiple
@@ -226,8 +226,8 @@
         if watch is self.second_watch:
             self.second_watch = None
         elif watch is not self._pending_watch:
-            if watch is self.current:
-                self.current = None
+            if watch is self.current_watch:
+                self.current_watch = None
         elif self.second_watch is not None:
             self._pending_watch = self.second_watch
             self.second_watch = None
@@ -247,10 +247,10 @@
     def _update_lease(self, watch: DiscoveryWatch, now: float) -> None:
         """Tell the lease what the end of a call or a watch means for the list."""
         lease = self.context.lease
-        busy_agent = self.pushed and watch.error_status == HTTPStatus.SERVICE_UNAVAILABLE
+        busy_agent = self.list_is_pushed and watch.error_status == HTTPStatus.SERVICE_UNAVAILABLE
         if busy_agent or watch.reason is CloseReason.CONNECT_REFUSED:
             lease.miss_source(now)
-        elif watch is self.current and watch.answered:
+        elif watch is self.current_watch and watch.answered:
             if watch.reason is WatchEndReason.SILENT:
                 lease.fall_silent(now)
             else:
@@ -264,12 +264,12 @@
             # The new discovery may not be up yet, but its changes count as notified within seconds.
             self.next_call_at = now + self.backoff
             self.backoff = min(2 * self.backoff, KEEPALIVE_INTERVAL)
-            if self.pushed:
+            if self.list_is_pushed:
                 self.timeout_multiple = min(2 * self.timeout_multiple, ANSWER_TIMEOUT)
             return
         self.version = watch.version
         self.context.coordinator.post(EndpointsChanged(WatchEvent.FAILED, []))
-        if self.pushed:
+        if self.list_is_pushed:
             self.timeout_multiple = min(2 * self.timeout_multiple, ANSWER_TIMEOUT)
             # Random, so that not all sidecars call again at the same moment.
             self.backoff = min(2 * self.backoff or INITIAL_BACKOFF * KEEPALIVE_INTERVAL, self.max_backoff)
--- a/starlingwheel/net/discovery/watch.py
+++ b/starlingwheel/net/discovery/watch.py
@@ -143,7 +143,7 @@
         stream.check_connected()
         target = f"/v1/endpoints?watch=1&from={self.version}"
         headers = [(b"Host", self.address.encode())]
-        stream.put(h11.Request(method=b"GET", target=target, headers=headers), h11.EndOfMessage())
+        stream.enqueue(h11.Request(method=b"GET", target=target, headers=headers), h11.EndOfMessage())
         while not stream.write():
             yield from self._wait(answer_due)
 
@@ -197,7 +197,7 @@
             return
         # What follows in the same read is another message, which may itself be cut off.
         self.complete_message_at, self.incomplete_since = self.incomplete_since or self.read_at, 0.0
-        if self is self.context.discovery.current:
+        if self is self.context.discovery.current_watch:
             self.prove()
 
     def _note_incomplete(self, stream: Stream) -> None:
--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -45,15 +45,15 @@
             if isinstance(message, ExchangeReleased) and message.exchange is exchange:
                 break
             if isinstance(message, SocketReady):
-                self.check_unanswered(message)
+                self.check_no_early_response(message)
                 continue
             cancelled = isinstance(message, CancelExchange) and message.exchange is exchange
             if cancelled or self.loop.now() >= exchange.deadline:
-                raise ConnectionLostError(CloseReason.WITHHELD)
+                raise ConnectionLostError(CloseReason.NOT_RELEASED)
         if self.loop.now() > held.started_at + INTENT_VALIDITY:
             # The process was held up between the intent and the last byte: others may have gone on since.
-            raise ConnectionLostError(CloseReason.WITHHELD)
-        self.check_wanted(exchange)
+            raise ConnectionLostError(CloseReason.NOT_RELEASED)
+        self.check_still_needed(exchange)
 
 
 class ReplicatedHttp1Connection(Http1Connection):
--- a/starlingwheel/net/fleet/etcd/http_connection.py
+++ b/starlingwheel/net/fleet/etcd/http_connection.py
@@ -66,7 +66,7 @@
             (b"Content-Length", str(len(data)).encode()),
         ]
         request = h11.Request(method=b"POST", target=path.encode(), headers=headers)
-        stream.put(request, h11.Data(data=data), h11.EndOfMessage())
+        stream.enqueue(request, h11.Data(data=data), h11.EndOfMessage())
         while not stream.write():
             stream.wait_for(WRITE)
             yield from self._wait_ready(deadline)
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -106,7 +106,7 @@
             if request.target == b"/ready":
                 status = 200 if self.context.ready else 503
             else:
-                pending = self._take_request(request)
+                pending = self._accept_request(request)
                 accepted = True
                 final = yield from self._wait_for_response(pending, self.body_stream)
                 status = final.status
@@ -123,7 +123,7 @@
         yield from self._respond(status, final, close=final is None and status != 200)
         self.response_count += 1
 
-    def _take_request(self, request: h11.Request) -> PendingRequest:
+    def _accept_request(self, request: h11.Request) -> PendingRequest:
         """Parse a request, whose body is then its own, unless its client has left meanwhile."""
         body = self.body if self.body_stream is None else self.body_stream
         pending = parse_request(request, body, self, self.context, self.last_read_at)
@@ -360,7 +360,7 @@
             announced = final is not None or status == 200
             self.reason = CloseReason.CLOSE_ANNOUNCED if announced else CloseReason.answered(status)
             context.connections.answered_clients[self] = None
-            yield from self.stream.finish(self.loop.now() + FINISH_TIMEOUT, MAX_DISCARDED_INPUT)
+            yield from self.stream.lingering_close(self.loop.now() + FINISH_TIMEOUT, MAX_DISCARDED_INPUT)
         else:
             http.start_next_cycle()
             self.idle_since = self.loop.now()
--- a/starlingwheel/net/http/errors.py
+++ b/starlingwheel/net/http/errors.py
@@ -16,13 +16,13 @@
     CONNECT_REFUSED = "refused"
     RESET = "reset"
     MALFORMED = "malformed"  # what was received is not HTTP
-    CUT_SHORT = "cut-short"  # closed in the middle of a message
+    TRUNCATED = "cut-short"  # closed in the middle of a message
     CLIENT_LEFT = "client-left"  # also a refusal of the gate
 
     # Of a client's connection.
     CLIENT_CLOSED = "client-closed"  # between requests
     STOPPING = "stopping"  # idle while the process stops
-    CALLER_LEFT = "caller-left"  # before its admin call was complete
+    ADMIN_CLIENT_LEFT = "caller-left"  # before its admin call was complete
     SLOW_READER = "slow-reader"  # the client does not read its response
     UPSTREAM_BROKE = "upstream-broke"  # in the middle of a response that was being forwarded
     CLOSE_ANNOUNCED = "told-to-close"  # the response said `Connection: close`
@@ -38,7 +38,7 @@
     CONNECT_TIMED_OUT = "never-came-up"
     CANCELLED = "dropped"
     OVERDUE = "overdue"  # the deadline of the exchange has passed
-    SILENT = "silent"  # nothing more came of a response that was being forwarded
+    RELAY_STALLED = "silent"  # nothing more came of a response that was being forwarded
     UPSTREAM_CLOSED = "upstream-closed"  # without notice
     UPSTREAM_CLOSES = "upstream-closes"  # by `Connection: close`, the protocol version or GOAWAY
     UNSOLICITED_BYTES = "unasked-bytes"
@@ -47,7 +47,7 @@
     RESPONSE_LENGTH_UNKNOWN = "unframed"
     RESPONSE_TOO_LONG = "answer-too-long"
     NO_BUFFERS = "no-buffers"
-    WITHHELD = "withheld"  # the last byte of a replicated request was not released
+    NOT_RELEASED = "withheld"  # the last byte of a replicated request was not released
 
     # Of a connection to an endpoint, with the value of the gate's refusal.
     ENDPOINT_MOVED = "moved"
@@ -66,7 +66,7 @@
     """Why a request is answered with an error and not forwarded; the values are logged."""
 
     MALFORMED = "malformed"
-    CUT_SHORT = "cut-short"
+    TRUNCATED = "cut-short"
     TWO_LENGTHS = "two lengths"
     INCOMPLETE = "half a request"
     BODY_TOO_LONG = "body too long"
--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -34,7 +34,7 @@
 # With these an exchange whose request was not written whole is not held against its endpoint.
 NOT_SENT_REASONS = {
     CloseReason.NO_BUFFERS,
-    CloseReason.WITHHELD,
+    CloseReason.NOT_RELEASED,
     *(CloseReason(refusal.value) for refusal in Refusal),
 }
 
@@ -215,7 +215,7 @@
     def _fail(self, reason: CloseReason) -> ExchangeResult:
         """Set why the connection ends, and return how that ends the exchange."""
         self.reason = reason
-        if self.exchange is not None and reason in (CloseReason.RESET, CloseReason.CUT_SHORT):
+        if self.exchange is not None and reason in (CloseReason.RESET, CloseReason.TRUNCATED):
             self.writer.note_reset(self.exchange)
         return ExchangeResult(self._failed_outcome(reason))
 
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -54,8 +54,8 @@
         while not done:
             self.stream.wait_for(READ | WRITE)
             ready = yield from next_socket_event(exchange, exchange.deadline, CloseReason.OVERDUE)
-            self.check_unanswered(ready)
-            self.check_wanted(exchange)
+            self.check_no_early_response(ready)
+            self.check_still_needed(exchange)
             done = self.stream.write()
 
     def note_reset(self, exchange: Exchange) -> None:
@@ -65,26 +65,26 @@
         if not exchange.written or now < self.written_at + delay:
             self.context.resets_expected_until = caution_deadline(self.context, now)
 
-    def check_unanswered(self, ready: SocketReady) -> None:
+    def check_no_early_response(self, ready: SocketReady) -> None:
         """Raise `ConnectionLostError` if input has come: no response belongs to a request not yet written."""
         if ready.mask & INPUT:
             reason = CloseReason.RESET if ready.hung_up else CloseReason.RESPONSE_BEFORE_REQUEST
             raise ConnectionLostError(reason)
 
-    def check_wanted(self, exchange: Exchange) -> None:
+    def check_still_needed(self, exchange: Exchange) -> None:
         """Raise `ConnectionLostError` if nothing more is to be sent for the exchange."""
         if refusal := self.context.gate.unwanted(exchange):
             raise ConnectionLostError(CloseReason(refusal.value))
 
     def _put(self, exchange: Exchange) -> None:
         head = build_request(exchange, self.context, self.loop.now())
-        self.stream.put(h11.Request(method=head.method, target=head.target, headers=head.headers))
+        self.stream.enqueue(h11.Request(method=head.method, target=head.target, headers=head.headers))
         pending = exchange.pending
         if pending is not None:
             if isinstance(pending.body, BodyStream):
                 return
-            self.stream.put_body(pending.body.views())
-        self.stream.put(h11.EndOfMessage())
+            self.stream.enqueue_body(pending.body.views())
+        self.stream.enqueue(h11.EndOfMessage())
 
     def _relay_body(self, exchange: Exchange, body: BodyStream) -> Coroutine[None]:
         """Write a body while it comes; the end of the message is put, but not written."""
@@ -99,7 +99,7 @@
                 if exchange.pending is not None:
                     exchange.pending.request.max_attempts = 1
                 if body.is_consumed:
-                    self.check_wanted(exchange)
+                    self.check_still_needed(exchange)
                 # With the last byte it may run: whether that arrived is not known if the connection breaks.
                 exchange.written = body.taken == body.length
                 try:
@@ -109,12 +109,12 @@
             else:
                 yield from self._wait_for_body(exchange)
         if not exchange.written:
-            self.check_wanted(exchange)
+            self.check_still_needed(exchange)
         exchange.written = True
-        self.stream.put(h11.EndOfMessage())
+        self.stream.enqueue(h11.EndOfMessage())
 
     def _write_part(self, exchange: Exchange, views: list[memoryview]) -> Coroutine[None]:
-        self.stream.put_body(views)
+        self.stream.enqueue_body(views)
         while not self.stream.write():
             self.stream.wait_for(READ | WRITE)
             ready = yield from next_socket_event(exchange, exchange.deadline, CloseReason.OVERDUE)
@@ -148,12 +148,12 @@
         while self.loop.now() < until:
             message = yield min(until, exchange.deadline)
             if isinstance(message, SocketReady):
-                self.check_unanswered(message)
+                self.check_no_early_response(message)
             elif isinstance(message, CancelExchange) and message.exchange is exchange:
                 raise ConnectionLostError(CloseReason.CANCELLED)
         if self.loop.now() >= exchange.deadline:
             raise ConnectionLostError(CloseReason.OVERDUE)
         if not self.stream.has_no_input():
             raise ConnectionLostError(CloseReason.RESET)
-        self.check_wanted(exchange)
+        self.check_still_needed(exchange)
         self.stream.unwritten.append(last)
--- a/starlingwheel/net/http/response_writer.py
+++ b/starlingwheel/net/http/response_writer.py
@@ -53,12 +53,12 @@
         body = response.body if response else None
         headers = response_headers(final, close)
         try:
-            self.stream.put(h11.Response(status_code=status, headers=headers))
+            self.stream.enqueue(h11.Response(status_code=status, headers=headers))
             if isinstance(body, BodyStream):
                 yield from self._relay(body)
             elif body is not None:
-                self.stream.put_body(body.views())
-            self.stream.put(h11.EndOfMessage())
+                self.stream.enqueue_body(body.views())
+            self.stream.enqueue(h11.EndOfMessage())
             yield from self._flush()
         finally:
             if body is not None:
@@ -73,13 +73,13 @@
             part = body.take()
             if part.length:
                 try:
-                    self.stream.put_body(part.views())
+                    self.stream.enqueue_body(part.views())
                     yield from self._flush()
                 finally:
                     part.release()
             elif body.aborted:
                 # An incomplete response must not be taken for a complete one.
-                self.stream.abort()
+                self.stream.reset_on_close()
                 raise ConnectionLostError(CloseReason.UPSTREAM_BROKE)
             else:
                 self.stream.wait_for(HANGUP)
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -85,15 +85,15 @@
         try:
             return self.http.next_event()
         except h11.RemoteProtocolError as error:
-            reason = CloseReason.CUT_SHORT if self.end_read else CloseReason.MALFORMED
+            reason = CloseReason.TRUNCATED if self.end_read else CloseReason.MALFORMED
             raise ConnectionLostError(reason) from error
 
-    def put(self, *events: Event) -> None:
+    def enqueue(self, *events: Event) -> None:
         """Encode h11 events, to be written by `write`."""
         for event in events:
             self.unwritten += self.http.send_with_data_passthrough(event) or []
 
-    def put_body(self, views: Iterable[BytesLike]) -> None:
+    def enqueue_body(self, views: Iterable[BytesLike]) -> None:
         """Encode parts of a message's body, to be written by `write`."""
         for view in views:
             self.unwritten += self.http.send_with_data_passthrough(h11.Data(data=view)) or []
@@ -101,7 +101,7 @@
     def send_continue(self) -> None:
         """Send `100 Continue` to a client that waits for it."""
         if self.http.they_are_waiting_for_100_continue:
-            self.put(h11.InformationalResponse(status_code=100, headers=[]))
+            self.enqueue(h11.InformationalResponse(status_code=100, headers=[]))
             self.write()
 
     def take_last_byte(self) -> bytes:
@@ -145,7 +145,7 @@
         except OSError:
             return b""
 
-    def finish(self, until: float, most: int) -> Generator[float | None, Any, None]:
+    def lingering_close(self, until: float, most: int) -> Generator[float | None, Any, None]:
         """Close the sending side, then discard input until the other side closes, or until the time `until`.
 
         Unread input would reset a response that is still on its way. At most `most` bytes are read of a
@@ -167,7 +167,7 @@
                 if most <= 0:
                     self.wait_for(HANGUP)
 
-    def abort(self) -> None:
+    def reset_on_close(self) -> None:
         """Let `close` reset the connection, so that the other side can tell that a message is incomplete."""
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT_LINGER)
--- a/starlingwheel/net/http/upstream_response.py
+++ b/starlingwheel/net/http/upstream_response.py
@@ -206,7 +206,7 @@
         deadline = self.stream.loop.now() + RELAY_STALL_TIMEOUT
         message = yield deadline
         if message is None and self.stream.loop.now() >= deadline:
-            raise ConnectionLostError(CloseReason.SILENT)
+            raise ConnectionLostError(CloseReason.RELAY_STALLED)
         if isinstance(message, SocketReady):
             self.stream.read()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -501,7 +501,7 @@
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
     around = make_surroundings(settings={"replicasOfMe": 400, "rules": {"mustAskIn": 10000000}}, seed="4")
     around.watch(b"")
-    around.until(lambda: around.context.discovery.current is None)
+    around.until(lambda: around.context.discovery.current_watch is None)
     assert around.logged("list.end")[0]["reason"] == "silent"
     within = discovery.REOPEN_WITHIN * discovery.KEEPALIVE_INTERVAL
     assert around.context.discovery.next_call_at <= around.context.loop.now() + within
@@ -565,7 +565,7 @@
     watch.close()
     for calls in range(1, 10):
         around.until(lambda: len(around.logged("list.end")) >= calls)  # noqa: B023
-        around.until(lambda: around.context.discovery.current is None)
+        around.until(lambda: around.context.discovery.current_watch is None)
         assert around.context.discovery.next_call_at <= around.context.loop.now() + grace / 2
 
 
@@ -576,7 +576,7 @@
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
     around = make_surroundings(settings=PUSHED)
     around.accept(listener=around.discovery)
-    around.until(lambda: around.context.discovery.current is None)
+    around.until(lambda: around.context.discovery.current_watch is None)
     assert around.context.discovery.timeout_multiple == 2 * discovery.AGENT_ANSWER_TIMEOUT
     around.hear()
     assert around.context.discovery.timeout_multiple == discovery.AGENT_ANSWER_TIMEOUT
@@ -607,7 +607,7 @@
     around.until(lambda: around.context.discovery.version == 9)
     around.received(calls[1 - answered])
     assert around.until(lambda: around.read(calls[1 - answered])) == b"end"
-    assert around.context.discovery.current.address == address(around.discovery)
+    assert around.context.discovery.current_watch.address == address(around.discovery)
     assert around.context.discovery.second_watch is None and len(around.logged("list.beside")) == 1
     around.say(calls[answered], word | {"version": 10})
     around.until(lambda: around.context.discovery.version == 10)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -288,7 +288,7 @@
     around.watch({"version": 3, "full": True, "servers": [around.entry(0)]})
     around.until(lambda: around.context.discovery.version == 3)
     assert (
-        around.context.discovery.current.address == address(last)
+        around.context.discovery.current_watch.address == address(last)
         and around.context.discovery.new_watch is None
     )
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -714,7 +714,7 @@
 ) -> None:
     """The error is logged, and other connections go on."""
     with monkeypatch.context() as patch:
-        patch.setattr(ClientConnection, "_take_request", lambda *_: 1 / 0)
+        patch.setattr(ClientConnection, "_accept_request", lambda *_: 1 / 0)
         assert around.status(around.ask()) is None
     assert "ZeroDivisionError" in around.logged("defect")[0]["trace"]
     assert around.logged("client.end")[0]["reason"] == "defect"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -167,7 +167,7 @@
     """Not starting would be worse than a price for what is not allowed."""
     around = make_surroundings(settings=changed_settings(settings, **changed))
     assert [line["key"] for line in around.logged("settings.mixed")] == named
-    if around.context.discovery.pushed:
+    if around.context.discovery.list_is_pushed:
         around.hear()
     assert around.context.ready
     around.ask()
