--- a/starlingwheel/net/discovery/__init__.py
+++ b/starlingwheel/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: the client that watches discovery and the messages of that watch."""
+"""The endpoint list: the client that watches discovery, and the messages of a watch."""
--- a/starlingwheel/net/discovery/decoder.py
+++ b/starlingwheel/net/discovery/decoder.py
@@ -20,30 +20,30 @@
 
 
 class UnreadableMessageError(Exception):
-    """What came is no message; the text says why."""
+    """Input that is not a message; the text says why."""
 
 
 class MessageDecoder:
     """Splits the body into lines and joins lines into messages."""
 
     def __init__(self) -> None:
-        """Nothing has been received yet."""
+        """Start with no input."""
         self._line = b""  # the last line, which has not ended yet
         self._object = b""  # the lines of an object that has not ended yet
         self._open_brackets = 0  # of that object
 
     @property
     def within_object(self) -> bool:
-        """The last complete line does not end an object."""
+        """Whether an object is open after the last complete line."""
         return bool(self._object)
 
     @property
     def unread_bytes(self) -> int:
-        """The size of what was received of a message that is not complete."""
+        """The number of bytes received of an incomplete message."""
         return len(self._object) + len(self._line)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add what was received and return the lines that are now complete.
+        """Add received data and return the lines that are now complete.
 
         Raises `MessageTooLongError`.
         """
@@ -53,7 +53,7 @@
         return lines
 
     def decode_line(self, line: bytes) -> DiscoveryMessage | None:
-        """Return the message that the line ends, or None where it ends none.
+        """Return the message that ends with this line, or None if none does.
 
         Raises `UnreadableMessageError` and `MessageTooLongError`.
         """
@@ -66,7 +66,7 @@
             try:
                 message = msgspec.json.decode(text, type=DiscoveryMessage)
             except (msgspec.DecodeError, UnicodeDecodeError):
-                pass  # a part of an indented object, or unreadable: found out below
+                pass  # part of an indented object, or unreadable, which is determined below
             else:
                 if self._object:
                     raise UnreadableMessageError("an object within another")
--- a/starlingwheel/net/discovery/messages.py
+++ b/starlingwheel/net/discovery/messages.py
@@ -1,6 +1,6 @@
-"""The JSON of discovery: an entry of the endpoint list, and one message of a watch.
+"""The JSON format of discovery: an entry of the endpoint list, and a message of a watch.
 
-The only module that knows discovery's field names and state names.
+No other module knows discovery's names of fields and states.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
     started_ms: float | None = 0  # milliseconds since 1970; 0 or null: unknown
 
     def to_endpoint(self) -> Endpoint:
-        """Return the entry as the decisions take it.
+        """Return the endpoint in the form that the decisions use.
 
-        It has no address: addresses differ from sidecar to sidecar, and decisions know endpoints by id.
+        It has no address: addresses differ between sidecars, and the decisions identify endpoints by id.
         """
         return Endpoint(
             endpoint_id=self.id,
@@ -56,5 +56,5 @@
 
     @property
     def event(self) -> WatchEvent:
-        """What kind of change the message is."""
+        """The kind of event that the message stands for."""
         return WatchEvent.SNAPSHOT if self.full else WatchEvent.DELTA
--- a/starlingwheel/net/discovery/watch.py
+++ b/starlingwheel/net/discovery/watch.py
@@ -1,6 +1,6 @@
 """One call to discovery: opens a watch, reads its messages and passes them to the discovery client.
 
-Owns the connection of the call. Renews the lease of the endpoint list while the discovery client uses it.
+Owns the connection of the call. Renews the lease of the endpoint list while this is the watch in use.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 
 class WatchEndReason(enum.StrEnum):
-    """Why a watch ended whose connection was not lost (`CloseReason`). The values are logged."""
+    """Why a watch ended, other than by the loss of its connection (`CloseReason`). The values are logged."""
 
-    SILENT = "silent"  # nothing came in time
-    REPLACED = "replaced"  # by another watch
-    ENDED = "ended"  # by discovery
-    REJECTED = "answered"  # with an error; the log adds the status
+    SILENT = "silent"  # nothing arrived in time
+    REPLACED = "replaced"  # another watch took its place
+    ENDED = "ended"  # discovery ended it
+    REJECTED = "answered"  # discovery responded with an error, whose status the log adds
     LINE_TOO_LONG = "line-too-long"
     UNREADABLE = "unreadable"
-    WENT_BACK = "went-back"  # to an earlier version
+    WENT_BACK = "went-back"  # a message had an earlier version than the one before
 
 
 class WatchEndedError(Exception):
-    """The watch has to end."""
+    """The end of the watch, raised where it is determined."""
 
     def __init__(self, reason: WatchEndReason, status: int = 0) -> None:
-        """`status`: of an error response."""
+        """Record the reason, and the status of an error response."""
         super().__init__(reason)
         self.reason, self.status = reason, status
 
@@ -43,7 +43,7 @@
 class DiscoveryWatch(Actor):
     """One call to discovery, from its connection to its end."""
 
-    # A change counts as notified once discovery has written it: it is read ahead of new requests.
+    # A change counts as notified once discovery has written it, so it is read before new requests.
     priority = True
 
     def __init__(
@@ -54,22 +54,22 @@
         answer_timeout: float,
         silence_timeout: float,
     ) -> None:
-        """Prepare a call for changes after `version`; 0 asks for the whole list.
+        """Prepare a call for changes after `version`; 0 requests the whole list.
 
-        `answer_timeout`: seconds for which the call waits for its answer. `silence_timeout`: seconds without
-        a byte after which a watch counts as dead.
+        The call waits `answer_timeout` seconds for its answer. A watch counts as dead after `silence_timeout`
+        seconds without a byte.
         """
         self.context, self.address, self.version = context, address, version
         self.answer_timeout, self.silence_timeout = answer_timeout, silence_timeout
         self.stream: Stream | None = None
         self.reason: CloseReason | WatchEndReason = CloseReason.DEFECT  # why it ended
         self.error_status = 0  # of the error response that ended it; 0: there was none
-        self.answered = False  # its answer has begun
-        self.incomplete_since = 0.0  # when the first bytes of an incomplete message came; 0: there is none
-        self.complete_message_at = 0.0  # when the first bytes of the last complete message came
-        self.has_proven = False  # it has renewed the lease
+        self.answered = False  # the response head has arrived
+        self.incomplete_since = 0.0  # when the first bytes of an incomplete message arrived; 0: there is none
+        self.complete_message_at = 0.0  # when the first bytes of the last complete message arrived
+        self.has_renewed_lease = False  # this watch has renewed the lease
         self.opened_at = context.loop.now()
-        self.read_at = self.opened_at  # when something was last read
+        self.read_at = self.opened_at  # when input was last read
         self.decoder = MessageDecoder()
         super().__init__(context.loop)
 
@@ -90,9 +90,9 @@
             self._log_end()
             self.context.discovery.post(WatchEnded(self))
 
-    def prove(self) -> None:
-        """Renew the lease: this watch is the one in use, and all its lines are complete up to now."""
-        self.has_proven = True
+    def renew_lease(self) -> None:
+        """Renew the lease, as this watch is the one in use and has delivered all changes up to now."""
+        self.has_renewed_lease = True
         self.context.lease.prove(self.read_at, self.complete_message_at)
         if self.incomplete_since:
             self.context.lease.begin_message(self.incomplete_since)
@@ -108,11 +108,11 @@
             answered=self.answered,
             open_s=round(now - self.opened_at, 3),
             silent_s=round(now - self.read_at, 3),
-            unread_bytes=self.decoder.unread_bytes,  # of a message that was cut off
+            unread_bytes=self.decoder.unread_bytes,  # of a message that is incomplete
         )
 
     def _watch(self) -> Coroutine[None]:
-        """Ends only by `ConnectionLostError` or `WatchEndedError`."""
+        """Connect and read until `ConnectionLostError` or `WatchEndedError` is raised."""
         stream = self._connect()
         answer_due = self.loop.now() + self.answer_timeout
         yield from self._send_request(stream, answer_due)
@@ -175,14 +175,14 @@
         except MessageTooLongError as error:
             raise WatchEndedError(WatchEndReason.LINE_TOO_LONG) from error
         except UnreadableMessageError as error:
-            # The last good list stays in force, and the next call asks for the whole list.
+            # The last valid list stays in effect, and the next call requests the whole list.
             self.version = 0
             self.context.log("list.unreadable", error=str(error))
             raise WatchEndedError(WatchEndReason.UNREADABLE) from error
 
     def _receive_message(self, message: DiscoveryMessage) -> None:
         if message.version < self.version and not message.full:
-            # Changes out of order could put a removed endpoint back: the next call asks for the whole list.
+            # Changes out of order could restore a removed endpoint, so the next call requests the whole list.
             self.version = 0
             raise WatchEndedError(WatchEndReason.WENT_BACK)
         self.version = message.version
@@ -192,16 +192,19 @@
         self.context.discovery.post(WatchMessage(self, message))
 
     def _end_line(self) -> None:
-        """A line is complete: unless it lies within an object, all changes up to now are known."""
+        """Record the end of a line; unless it lies within an object, all changes up to now are known."""
         if self.decoder.within_object:
             return
-        # What follows in the same read is another message, which may itself be cut off.
+        # Input after it in the same read belongs to another message, which may be incomplete.
         self.complete_message_at, self.incomplete_since = self.incomplete_since or self.read_at, 0.0
         if self is self.context.discovery.current_watch:
-            self.prove()
+            self.renew_lease()
 
     def _note_incomplete(self, stream: Stream) -> None:
-        """All that came is read. A message that breaks off or stalls must not go unnoticed."""
+        """Record when an incomplete message began, once all input is read.
+
+        The lease must take account of a message that is cut off or stalls.
+        """
         incomplete = self.decoder.unread_bytes or stream.http.trailing_data[0]
         if not (self.answered and incomplete):
             self.incomplete_since = 0.0
--- a/starlingwheel/net/http/__init__.py
+++ b/starlingwheel/net/http/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken: HTTP with clients, upstreams and discovery, datagrams with peers."""
+"""HTTP: connections from clients, connection pools to endpoints, and the parser and stream they share."""
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: its requests, one after another, are read, decided on and answered."""
+"""The connection of a client: reads its requests one at a time, passes each on and writes the response."""
 
 from __future__ import annotations
 
@@ -34,33 +34,36 @@
 if TYPE_CHECKING:
     from ..context import SidecarContext
 
-IDLE_TIMEOUT = 2.0  # seconds between requests after which the protocol allows to close
-IDLE_CLOSE_FACTOR = 1.1  # idle timeouts after which we close
-REQUEST_TIMEOUT_FACTOR = 1.35  # idle timeouts, from connecting or the first byte to the end of the head
-MIN_UPLOAD_RATE = 48_000  # bytes a second by which a body extends that time
-FINISH_TIMEOUT = IDLE_TIMEOUT / 4  # seconds for a client to close after its last response
-MAX_DISCARDED_INPUT = 4 * MAX_BUFFERED_BODY  # bytes read from a client that sends on after its last response
+IDLE_TIMEOUT = 2.0  # seconds between requests after which the protocol allows the sidecar to close
+IDLE_CLOSE_FACTOR = 1.1  # multiple of the idle timeout after which an idle connection is closed
+# Multiple of the idle timeout within which a request without a body has to be complete. The time counts from
+# the connect for the first request on a connection, and from the first byte for each later one.
+REQUEST_TIMEOUT_FACTOR = 1.35
+MIN_UPLOAD_RATE = 48_000  # bytes per second: body bytes received extend that time at this rate
+LINGERING_CLOSE_TIMEOUT = IDLE_TIMEOUT / 4  # seconds that a client has to close after its last response
+# Bytes read from a client that keeps sending after its last response.
+MAX_DISCARDED_INPUT = 4 * MAX_BUFFERED_BODY
 
 
 class ClientConnection(Actor):
-    """One connection of a client."""
+    """One connection of a client, which serves its requests one at a time."""
 
     def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
-        """`sock`: as accepted."""
+        """Serve the accepted socket `sock`; `begin` starts the connection."""
         self.context = context
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.stream = Stream(context.loop, self, sock, h11.SERVER, context.buffer_pool)
         self.writer = ResponseWriter(self.stream)
-        self.reason: CloseReason | None = None  # why it ends
-        self.idle_reason: CloseReason | None = None  # why it ends as soon as it is idle
+        self.reason: CloseReason | None = None  # why the connection ends
+        self.reason_when_idle: CloseReason | None = None  # why it ends as soon as it is idle
         self.response_count = 0
         self.opened_at = self.idle_since = context.loop.now()
         self.request_started_at: float | None = None  # when the first byte of the current request was read
         self.last_read_at = self.opened_at
         self.body_received = 0  # bytes of the current request's body
-        self.paused_time = 0.0  # seconds for which that body was not read, for want of buffers
+        self.paused_time = 0.0  # seconds for which that body was not read because buffers were short
         self.body = BufferedBody(context.buffer_pool)
-        self.body_stream: BodyStream | None = None  # in place of a `body` that is too long to buffer
+        self.body_stream: BodyStream | None = None  # replaces `body` for a body that is too long to buffer
         self.pending: PendingRequest | None = None
         context.connections.clients[self] = None
         context.connections.silent_clients[self] = None
@@ -68,10 +71,10 @@
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
-        """Serve request after request."""
+        """Serve requests until the connection ends."""
         try:
             while not self.reason:
-                yield from self._serve()
+                yield from self._serve_request()
         except ConnectionLostError as error:
             self.reason = self.reason or error.reason
         except GeneratorExit:
@@ -80,9 +83,10 @@
             self._close()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has disconnected, even if that has not been handled yet.
+        """Return whether the client has disconnected, even if that has not been handled yet.
 
-        In a late turn of the loop, requests are written before the end of their clients is handled.
+        When a turn of the loop is late, requests may be written before the disconnect of their clients is
+        handled.
         """
         return (
             self.ended
@@ -91,11 +95,11 @@
         )
 
     def undelivered(self, message: object) -> None:
-        """Release the buffers of a response that came too late."""
+        """Release the buffers of a response that arrived after the connection had ended."""
         if isinstance(message, FinalResponse) and message.response:
             message.response.body.release()
 
-    def _serve(self) -> Coroutine[None]:
+    def _serve_request(self) -> Coroutine[None]:
         """Read and answer one request, or end the connection."""
         final: FinalResponse | None = None
         accepted = False
@@ -119,12 +123,15 @@
         finally:
             self._release_body(accepted)
             self.context.connections.note_request_complete(self)
-        # A client whose requests are rejected has to connect anew: it must not repeat them at full speed.
+        # A client whose request was invalid has to reconnect: it must not repeat them at full speed.
         yield from self._respond(status, final, close=final is None and status != 200)
         self.response_count += 1
 
     def _accept_request(self, request: h11.Request) -> PendingRequest:
-        """Parse a request, whose body is then its own, unless its client has left meanwhile."""
+        """Parse a request, which then owns its body.
+
+        Raises `ConnectionLostError` if the client has disconnected meanwhile.
+        """
         body = self.body if self.body_stream is None else self.body_stream
         pending = parse_request(request, body, self, self.context, self.last_read_at)
         if self.body_stream is None:
@@ -142,10 +149,13 @@
                 self.body_stream.release()
             self.body_stream = None
 
-    # Reading a request.
+    # Reading requests.
 
     def _read_request(self) -> Coroutine[h11.Request | None]:
-        """Return the next request, its body in `body` or `body_stream`; None: the connection ends instead."""
+        """Return the next request, with its body in `body` or `body_stream`.
+
+        Return None if the connection ends instead.
+        """
         request, length = None, None
         self._await_request()
         while True:
@@ -169,7 +179,7 @@
                 return None
             else:
                 self.stream.send_continue()
-                if not (yield from self._receive()):
+                if not (yield from self._receive_more()):
                     return None
 
     def _await_request(self) -> None:
@@ -182,16 +192,16 @@
             self.context.connections.idle_clients[self] = None
 
     def _begin_body_stream(self, data: bytes, length: int | None) -> None:
-        """Forward a long body while it comes, not only after its last byte."""
+        """Forward a long body while it arrives instead of buffering all of it."""
         self.body_stream = BodyStream(self.context.buffer_pool, self, length, self.body)
         self.body = BufferedBody(self.context.buffer_pool)
         self.body_stream.add(data)
 
-    def _receive(self) -> Coroutine[bool]:
-        """Wait for more of a request and read it; False: the connection ends here."""
+    def _receive_more(self) -> Coroutine[bool]:
+        """Wait for more of a request and read it; return False if the connection ends instead."""
         while True:
-            if self.idle_reason and self.request_started_at is None and self.stream.has_no_input():
-                self.reason = self.idle_reason
+            if self.reason_when_idle and self.request_started_at is None and self.stream.has_no_input():
+                self.reason = self.reason_when_idle
                 return False
             message = yield self._read_deadline()
             if message is None:
@@ -209,22 +219,28 @@
             return True
 
     def _read_timed_out(self) -> None:
-        """Close if idle; raises `InvalidRequestError` for a request that is incomplete."""
+        """End a connection that is idle at its read deadline.
+
+        Raises `InvalidRequestError` for a request that is incomplete then.
+        """
         if self.request_started_at is not None:
             raise InvalidRequestError(408, InvalidRequestReason.INCOMPLETE)
-        self.idle_reason = self.idle_reason or CloseReason.IDLE
+        self.reason_when_idle = self.reason_when_idle or CloseReason.IDLE
 
     def _close_when_idle(self, message: object) -> None:
-        """Handle `STOP` or `CLOSE`; the latter ends a first request too that makes no progress."""
+        """Handle `STOP` or `CLOSE`; `CLOSE` also ends a first request that makes no progress."""
         if message is STOP:
-            self.idle_reason = CloseReason.STOPPING
+            self.reason_when_idle = CloseReason.STOPPING
             return
         if not self.response_count and self.request_started_at is not None and self.stream.has_no_input():
             raise ConnectionLostError(CloseReason.NOT_NEEDED)
-        self.idle_reason = self.idle_reason or CloseReason.NOT_NEEDED
+        self.reason_when_idle = self.reason_when_idle or CloseReason.NOT_NEEDED
 
     def _read_input(self) -> int | None:
-        """Read from the socket, and return the number of bytes; None: nothing has come, 0: the end."""
+        """Read from the socket and return the number of bytes.
+
+        Return None if nothing has arrived, and 0 if the client has closed its sending side.
+        """
         try:
             count = self.stream.read()
         except ConnectionLostError:
@@ -241,7 +257,7 @@
         return count
 
     def _read_deadline(self) -> float:
-        """When the next request has to have begun, or the current one to be complete."""
+        """Return the time by which the next request has to have begun, or the current one to be complete."""
         if self.request_started_at is None:
             return self.idle_since + IDLE_CLOSE_FACTOR * IDLE_TIMEOUT
         since = self.request_started_at if self.response_count else self.opened_at
@@ -254,7 +270,7 @@
             raise InvalidRequestError(413, InvalidRequestReason.BODY_TOO_LONG)
 
     def _max_body(self) -> int:
-        """The most bytes that a request's body may have; over HTTP/2 a body is buffered."""
+        """Return the maximum size of a request body; a body that is sent over HTTP/2 is always buffered."""
         multiplexed = self.context.balancer_config.streams_per_connection != 1
         return MAX_REQUEST_BODY if multiplexed else MAX_STREAMED_BODY
 
@@ -263,7 +279,7 @@
     def _wait_for_response(
         self, pending: PendingRequest, body_stream: BodyStream | None
     ) -> Coroutine[FinalResponse]:
-        """Wait for the final response; what comes behind the request stays in the kernel's buffer."""
+        """Wait for the final response; pipelined input stays in the kernel's buffer meanwhile."""
         self.pending = pending
         self.context.active_traces.add(pending.trace_id)
         self.context.connections.note_request_complete(self)
@@ -291,7 +307,10 @@
     def _relay_body(
         self, pending: PendingRequest, body_stream: BodyStream
     ) -> Coroutine[FinalResponse | None]:
-        """Read the rest of a body while it is forwarded; the final response may come before its end."""
+        """Read the rest of a body while it is forwarded.
+
+        Return the final response if it comes before the end of the body.
+        """
         while True:
             event = self._next_body_event(pending, body_stream)
             if isinstance(event, h11.Data):
@@ -308,30 +327,30 @@
             if isinstance(message, SocketReady):
                 self._read_body(message)
             elif message is None and self.loop.now() >= self._read_deadline():
-                self._abandon(pending)
+                self._abandon_request(pending)
                 raise InvalidRequestError(408, InvalidRequestReason.INCOMPLETE)
 
     def _next_body_event(self, pending: PendingRequest, body_stream: BodyStream) -> Event:
-        """Return the next event, its data added to the stream; raises `InvalidRequestError`."""
+        """Return the next event after adding its data to the stream. Raises `InvalidRequestError`."""
         try:
             event = self.stream.next_event()
             if isinstance(event, h11.Data):
                 self._count_body(event.data)
                 body_stream.add(event.data)
         except (ConnectionLostError, InvalidRequestError, BuffersExhaustedError) as error:
-            self._abandon(pending)
+            self._abandon_request(pending)
             raise InvalidRequestError(400, _stream_error_reason(error)) from error
         return event
 
     def _read_body(self, ready: SocketReady) -> None:
         if ready.hung_up:
-            # What a client wrote before it left is not forwarded.
+            # Data that a client wrote before it disconnected is not forwarded.
             raise ConnectionLostError(CloseReason.CLIENT_LEFT)
         if self.stream.read():
             self.last_read_at = self.loop.now()
 
     def _wait_for_room(self, body_stream: BodyStream) -> Coroutine[Any]:
-        """Return the next message; input stays unread while there is no room for it, but for its end."""
+        """Return the next message; while there is no room, only a hang-up is read from the socket."""
         while not body_stream.has_room():
             since = self.loop.now()
             self.stream.wait_for(HANGUP)
@@ -342,25 +361,27 @@
         self.stream.wait_for(READ)
         return (yield self._read_deadline())
 
-    def _abandon(self, pending: PendingRequest) -> None:
-        """The rest of the request's body can't be had."""
+    def _abandon_request(self, pending: PendingRequest) -> None:
+        """Give up a request whose body can't be read to its end."""
         self.pending = None
         self.context.coordinator.post(ClientDisconnected(pending))
 
-    # Answering, and the end.
+    # Responding and closing.
 
     def _respond(self, status: int, final: FinalResponse | None, close: bool) -> Coroutine[None]:
-        """Write a response; `close`: the connection ends with it, as it may for other reasons."""
+        """Write a response; `close` ends the connection after it, which may also end for other reasons."""
         http, context = self.stream.http, self.context
         unread = http.their_state is not h11.DONE
-        ending = context.stopping or context.draining or self.idle_reason is not None
+        ending = context.stopping or context.draining or self.reason_when_idle is not None
         close = close or unread or ending or context.connections.is_full
         yield from self.writer.write(status, final, close)
         if close or http.our_state is not h11.DONE:
             announced = final is not None or status == 200
             self.reason = CloseReason.CLOSE_ANNOUNCED if announced else CloseReason.answered(status)
             context.connections.answered_clients[self] = None
-            yield from self.stream.lingering_close(self.loop.now() + FINISH_TIMEOUT, MAX_DISCARDED_INPUT)
+            yield from self.stream.lingering_close(
+                self.loop.now() + LINGERING_CLOSE_TIMEOUT, MAX_DISCARDED_INPUT
+            )
         else:
             http.start_next_cycle()
             self.idle_since = self.loop.now()
@@ -376,7 +397,7 @@
 
 
 def _stream_error_reason(error: Exception) -> InvalidRequestReason:
-    """What is wrong with a request whose body was already being forwarded."""
+    """Return what is wrong with a request whose body was already being forwarded."""
     match error:
         case ConnectionLostError():
             return InvalidRequestReason(error.reason.value)
--- a/starlingwheel/net/http/endpoint_connection.py
+++ b/starlingwheel/net/http/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""What connections to endpoints have in common, over HTTP/1.1 and HTTP/2 alike: the socket and its end."""
+"""The base of connections to endpoints, over HTTP/1.1 and HTTP/2: opening and closing the socket."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 
 
 class EndpointConnection(Actor):
-    """Base class of the connections to endpoints."""
+    """Base class of connections to endpoints."""
 
     stream: Stream  # set once `has_stream`
 
     def __init__(self, context: SidecarContext, pool: ConnectionPool) -> None:
         """Prepare a connection of `pool`; `begin` starts it."""
         self.context, self.pool = context, pool
-        self.endpoint = pool.endpoint  # as it was when this connection was begun
+        self.endpoint = pool.endpoint  # as it was when this connection was opened
         self.has_stream = False
         self.exchange_count = 0
-        self.idle_since = 0.0  # 0: never idle yet
+        self.idle_since = 0.0  # 0: it has never been idle
         context.connections.to_endpoints[self] = None
         context.connections.update_peak()
         super().__init__(context.loop)
 
     def _begin_connecting(self) -> None:
-        """Connect, and wait until the socket can be written; raises `ConnectionLostError`."""
+        """Begin to connect, and register for the socket becoming writable. Raises `ConnectionLostError`."""
         sock = connect(self.endpoint.addr)
         self.stream = Stream(self.loop, self, sock, h11.CLIENT, self.context.buffer_pool)
         self.has_stream = True
         self.stream.wait_for(WRITE)
 
     def _end_connection(self, reason: CloseReason) -> None:
-        """Close the socket, and tell the pool."""
+        """Close the socket and notify the pool."""
         if self.has_stream:
             self.stream.close()
         self.context.connections.to_endpoints.pop(self, None)
--- a/starlingwheel/net/http/errors.py
+++ b/starlingwheel/net/http/errors.py
@@ -1,4 +1,4 @@
-"""Why connections end, and the errors of the HTTP modules."""
+"""The reasons for which connections end, and the exceptions of the HTTP modules."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 class CloseReason(enum.StrEnum):
-    """Why a connection ended; the value is the `reason` of its log line."""
+    """Why a connection ended; the value is the `reason` in its log line."""
 
-    # Of any connection.
-    DEFECT = "defect"  # an error in the code
-    STOPPED = "stopped"  # the process ends
-    IDLE = "idle"  # no request came for the idle time
-    NOT_NEEDED = "not-needed"  # its descriptor is needed, or its endpoint has moved
+    # Any connection.
+    DEFECT = "defect"  # an unexpected exception in the code
+    STOPPED = "stopped"  # the process is ending
+    IDLE = "idle"  # no request came within the idle timeout
+    NOT_NEEDED = "not-needed"  # its descriptor is needed elsewhere, or its endpoint has moved
     CONNECT_REFUSED = "refused"
     RESET = "reset"
     MALFORMED = "malformed"  # what was received is not HTTP
-    TRUNCATED = "cut-short"  # closed in the middle of a message
-    CLIENT_LEFT = "client-left"  # also a refusal of the gate
+    TRUNCATED = "cut-short"  # the peer closed in the middle of a message
+    CLIENT_LEFT = "client-left"  # the client disconnected; also a refusal of the gate
 
-    # Of a client's connection.
-    CLIENT_CLOSED = "client-closed"  # between requests
-    STOPPING = "stopping"  # idle while the process stops
-    ADMIN_CLIENT_LEFT = "caller-left"  # before its admin call was complete
+    # Connections of clients.
+    CLIENT_CLOSED = "client-closed"  # the client closed between requests
+    STOPPING = "stopping"  # the connection was idle when the process began to stop
+    ADMIN_CLIENT_LEFT = "caller-left"  # the client of an admin call disconnected before the call was complete
     SLOW_READER = "slow-reader"  # the client does not read its response
-    UPSTREAM_BROKE = "upstream-broke"  # in the middle of a response that was being forwarded
-    CLOSE_ANNOUNCED = "told-to-close"  # the response said `Connection: close`
+    UPSTREAM_BROKE = "upstream-broke"  # the endpoint broke off a response that was being forwarded
+    CLOSE_ANNOUNCED = "told-to-close"  # the last response had `Connection: close`
     ANSWERED_400 = "answered-400"
     ANSWERED_404 = "answered-404"
     ANSWERED_405 = "answered-405"
@@ -34,13 +34,13 @@
     ANSWERED_413 = "answered-413"
     ANSWERED_503 = "answered-503"
 
-    # Of a connection to an endpoint.
+    # Connections to endpoints.
     CONNECT_TIMED_OUT = "never-came-up"
     CANCELLED = "dropped"
     OVERDUE = "overdue"  # the deadline of the exchange has passed
-    RELAY_STALLED = "silent"  # nothing more came of a response that was being forwarded
-    UPSTREAM_CLOSED = "upstream-closed"  # without notice
-    UPSTREAM_CLOSES = "upstream-closes"  # by `Connection: close`, the protocol version or GOAWAY
+    RELAY_STALLED = "silent"  # a response that was being forwarded made no progress
+    UPSTREAM_CLOSED = "upstream-closed"  # the endpoint closed without notice
+    UPSTREAM_CLOSES = "upstream-closes"  # announced by `Connection: close`, the protocol version or GOAWAY
     UNSOLICITED_BYTES = "unasked-bytes"
     RESPONSE_BEFORE_REQUEST = "early-answer"
     REJECTED_EARLY = "answered-early"  # a response came before the end of a long request
@@ -49,7 +49,7 @@
     NO_BUFFERS = "no-buffers"
     NOT_RELEASED = "withheld"  # the last byte of a replicated request was not released
 
-    # Of a connection to an endpoint, with the value of the gate's refusal.
+    # Connections to endpoints, ended by a refusal of the gate; the values are those of the refusals.
     ENDPOINT_MOVED = "moved"
     LEASE_EXPIRED = "lease-expired"
     REQUEST_ANSWERED = "answered"
@@ -58,7 +58,7 @@
 
     @classmethod
     def answered(cls, status: int) -> CloseReason:
-        """Return the reason of a client's connection that an error response with this status ends."""
+        """Return the reason for a client's connection that ends with an error response of this status."""
         return cls(f"answered-{status}")
 
 
@@ -70,11 +70,12 @@
     TWO_LENGTHS = "two lengths"
     INCOMPLETE = "half a request"
     BODY_TOO_LONG = "body too long"
-    STREAMED_BODY_TOO_LONG = "(413, 'body too long')"  # found while it was being forwarded; answered with 400
+    # Found while the body was being forwarded; answered with 400.
+    STREAMED_BODY_TOO_LONG = "(413, 'body too long')"
     NO_BUFFERS = "no-buffers"
-    NO_BUFFERS_FOR_STREAM = ""  # likewise
+    NO_BUFFERS_FOR_STREAM = ""  # found while the body was being forwarded; answered with 400
     TOO_MANY_REQUESTS = "too many connections"
-    REPEATED_HEADER = "is doubled"  # the log puts the header's name before it
+    REPEATED_HEADER = "is doubled"  # the header's name precedes it in the log
     NO_TRACE_ID = "x-trace-id is missing"
     TRACE_ID_IN_USE = "x-trace-id is in hand"
     NO_TIMEOUT = "x-expires-in-ms is missing or unreadable"
@@ -86,14 +87,14 @@
 
 
 class HttpError(Exception):
-    """Base class of the errors that the HTTP modules raise."""
+    """Base class of the exceptions that the HTTP modules raise."""
 
 
 class ConnectionLostError(HttpError):
-    """The connection can't be used any more."""
+    """The connection can no longer be used."""
 
     def __init__(self, reason: CloseReason) -> None:
-        """`reason`: for the log, and for those who act on it."""
+        """Record the reason, which is logged and which callers act on."""
         super().__init__(reason)
         self.reason = reason
 
@@ -102,11 +103,11 @@
     """A request that is answered with an error and not forwarded."""
 
     def __init__(self, status: int, reason: InvalidRequestReason, header: str = "") -> None:
-        """`status`: of the response; `header`: the name of the header at fault, for the log."""
+        """Respond with `status`; `header` names the header at fault, for the log."""
         super().__init__(status, reason, header)
         self.status, self.reason, self.header = status, reason, header
 
     @property
     def log_text(self) -> str:
-        """What is wrong with the request, for the log."""
+        """The description of the error in the log."""
         return f"{self.header} {self.reason}" if self.header else self.reason
--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -21,17 +21,17 @@
 from ..state.requests import Exchange
 from .endpoint_connection import EndpointConnection
 from .errors import CloseReason, ConnectionLostError
-from .load_report import load_report_of
+from .load_report import extract_load_report
 from .request_writer import RequestWriter
-from .timing import caution_deadline, connect_deadline, idle_deadline
-from .upstream_response import ExchangeResult, ResponseReader, next_socket_event, outcome_of
+from .timing import connect_deadline, fault_recurrence_deadline, idle_deadline
+from .upstream_response import ExchangeResult, ResponseReader, next_socket_event, response_outcome
 
 if TYPE_CHECKING:
     from ..context import SidecarContext
     from .pool import ConnectionPool
 
-QUIESCENCE_FRACTION = 1 / 48  # of the shortest latency objective: how late an unsolicited response may come
-# With these an exchange whose request was not written whole is not held against its endpoint.
+QUIESCENCE_FRACTION = 1 / 48  # of the shortest latency objective: how late an unsolicited response may arrive
+# Reasons that, before a request was written in full, are no fault of the endpoint: the attempt was not sent.
 NOT_SENT_REASONS = {
     CloseReason.NO_BUFFERS,
     CloseReason.NOT_RELEASED,
@@ -40,29 +40,29 @@
 
 
 class Http1Connection(EndpointConnection):
-    """One connection to an endpoint, from its first exchange to its end."""
+    """One HTTP/1.1 connection to an endpoint, from its first exchange to its end."""
 
     writer_type = RequestWriter
     writer: RequestWriter  # set once `has_stream`
 
     def __init__(self, context: SidecarContext, pool: ConnectionPool, exchange: Exchange) -> None:
-        """Prepare a connection of `pool` for a first exchange; `begin` starts it."""
-        self.exchange: Exchange | None = exchange  # the one in progress whose result is not reported yet
+        """Prepare a connection of `pool` for its first exchange; `begin` starts it."""
+        self.exchange: Exchange | None = exchange  # the exchange in progress, until its result is reported
         self.reader: ResponseReader | None = None
-        self.reason: CloseReason | None = None  # why it ends
+        self.reason: CloseReason | None = None  # why the connection ends
         self.last_was_health_check = False
         super().__init__(context, pool)
 
     def is_usable(self) -> bool:
-        """Whether a request may be written to it: the endpoint has not closed it, and will not soon."""
+        """Return whether a request may be written: the endpoint has not closed, and is not about to."""
         fresh = self.loop.now() < idle_deadline(self.context, self.idle_since)
         return fresh and not self.ended and self.stream.has_no_input()
 
     def is_quiescent(self) -> bool:
-        """Whether no unsolicited response to an earlier request is to be expected any more.
+        """Return whether no unsolicited response to an earlier request is to be expected any more.
 
-        After a health check that is waited for only while such responses occur: the endpoint is often sent
-        a request at once, and a new connection for each is expensive for endpoints.
+        After a health check, the connection is quiescent at once unless such responses have been seen lately:
+        a request often follows immediately, and a new connection for each would be expensive for endpoints.
         """
         now = self.loop.now()
         trusted = self.last_was_health_check and now >= self.context.unsolicited_until
@@ -70,7 +70,7 @@
         return not self.exchange_count or trusted or now >= quiescent_at
 
     def run(self) -> Coroutine[None]:
-        """Connect, then run exchange after exchange."""
+        """Connect, then run exchanges until the connection ends."""
         try:
             yield from self._connect()
             exchange = self.exchange
@@ -90,17 +90,20 @@
             result = self._fail(CloseReason.STOPPED)
         finally:
             if not self.reason:
-                # After an error in the code, the result of an earlier exchange must not be reported again.
+                # After an unexpected exception, the result of an earlier exchange must not be reported again.
                 result = self._fail(CloseReason.DEFECT)
             self._report(result)
             self._close()
 
     def undelivered(self, message: object) -> None:
-        """Report an exchange that crossed the end of the connection: that says nothing of the endpoint."""
+        """Report an exchange as not sent that was assigned while the connection ended.
+
+        That says nothing about the endpoint.
+        """
         if isinstance(message, StartExchange):
             self.context.coordinator.post(ExchangeEnded(message.exchange, AttemptOutcome.NOT_SENT))
 
-    # Connecting.
+    # Opening the connection.
 
     def _connect(self) -> Coroutine[None]:
         self._begin_connecting()
@@ -115,19 +118,19 @@
                 pause_at = self.loop.now() + QUIESCENCE_FRACTION * self.context.shortest_objective
             ready = yield from next_socket_event(exchange, until, CloseReason.CONNECT_TIMED_OUT, pause_at)
             if ready is None and exchange is not None and (quiescent := self.pool.take_quiescent()):
-                # The exchange need not wait for this one where another has become free meanwhile.
+                # Another connection has become quiescent, so the exchange need not wait for this one.
                 self.exchange, exchange.connection = None, quiescent
                 quiescent.post(StartExchange(exchange))
         self.stream.check_connected()
 
-    # One exchange.
+    # Running an exchange.
 
     def _run_exchange(self, exchange: Exchange) -> Coroutine[ExchangeResult]:
         if self.exchange_count:
             yield from self._await_quiescence(exchange)
         if self.idle_since:
-            # What came after the last response must not be taken for the next one.
-            self._check_silent()
+            # Input that followed the last response must not be taken for the next response.
+            self._check_no_input()
         if refusal := self.context.gate.refusal(self.endpoint, exchange):
             if refusal is Refusal.MOVED:
                 raise ConnectionLostError(CloseReason.ENDPOINT_MOVED)
@@ -142,16 +145,16 @@
     def _finish_exchange(
         self, exchange: Exchange, reader: ResponseReader, head: h11.Response
     ) -> ExchangeResult:
-        """Make the connection ready for its next exchange, or set the reason why it ends."""
-        report = load_report_of(head.headers, exchange, reader.body)
+        """Return the result; make the connection ready for its next exchange, or set why it ends."""
+        report = extract_load_report(head.headers, exchange, reader.body)
         http = self.stream.http
         if http.our_state is h11.DONE and http.their_state is h11.DONE:
             http.start_next_cycle()
             if http.trailing_data[0]:
-                self.reason = self._unsolicited()
+                self.reason = self._note_unsolicited_bytes()
         else:
             self.reason = CloseReason.UPSTREAM_CLOSES
-        outcome = outcome_of(head.status_code, reader.headers)
+        outcome = response_outcome(head.status_code, reader.headers)
         self.last_was_health_check = exchange.pending is None
         self.exchange_count += 1
         relayed = self.exchange is None
@@ -161,7 +164,7 @@
         return ExchangeResult(outcome, report)
 
     def _report(self, result: ExchangeResult) -> None:
-        """Report the result of the exchange, once."""
+        """Report the result of the exchange, unless it has been reported."""
         if self.exchange is not None:
             self.context.coordinator.post(
                 ExchangeEnded(self.exchange, result.outcome, result.load_report, result.response)
@@ -169,35 +172,37 @@
             self.exchange = None
 
     def _await_quiescence(self, exchange: Exchange) -> Coroutine[None]:
-        """Wait, so that a late second response to the last request is not taken for this one's.
+        """Wait, so that a late second response to the last request is not taken for the response to this one.
 
-        Only while such responses occur: a connection that is not quiescent is used where there is no room
-        for another.
+        Wait only while such responses are expected. A connection that is not quiescent is used only where
+        there is no room for another.
         """
         quiescent_at = self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
         until = min(quiescent_at, self.context.unsolicited_until)
         while self.loop.now() < until:
             message = yield until
             if isinstance(message, SocketReady):
-                self._check_silent()
+                self._check_no_input()
             if isinstance(message, CancelExchange) and message.exchange is exchange:
                 raise ConnectionLostError(CloseReason.CANCELLED)
 
-    def _check_silent(self) -> None:
-        """Raise `ConnectionLostError` if anything has come that nobody waits for, even the end."""
+    def _check_no_input(self) -> None:
+        """Raise `ConnectionLostError` if any input has arrived, including the end of the connection."""
         if not self.stream.has_no_input():
             closed = self.stream.peer_has_closed()
-            raise ConnectionLostError(CloseReason.UPSTREAM_CLOSED if closed else self._unsolicited())
+            raise ConnectionLostError(
+                CloseReason.UPSTREAM_CLOSED if closed else self._note_unsolicited_bytes()
+            )
 
-    def _unsolicited(self) -> CloseReason:
-        """Unsolicited bytes came: it may happen again, here or at another endpoint."""
-        self.context.unsolicited_until = caution_deadline(self.context, self.loop.now())
+    def _note_unsolicited_bytes(self) -> CloseReason:
+        """Record that unsolicited bytes arrived, which may happen again here or at another endpoint."""
+        self.context.unsolicited_until = fault_recurrence_deadline(self.context, self.loop.now())
         return CloseReason.UNSOLICITED_BYTES
 
-    # Between exchanges, and the end.
+    # Waiting for the next exchange, and closing.
 
     def _wait_for_exchange(self) -> Coroutine[Exchange]:
-        """Return the next exchange; raises `ConnectionLostError` at the end of the idle time."""
+        """Return the next exchange. Raises `ConnectionLostError` when the idle timeout is over."""
         self.idle_since = self.loop.now()
         until = idle_deadline(self.context, self.idle_since)
         while True:
@@ -206,14 +211,14 @@
                 self.exchange = message.exchange
                 return message.exchange
             if message is CLOSE or isinstance(message, SocketReady):
-                self._check_silent()
+                self._check_no_input()
             if message is CLOSE:
                 raise ConnectionLostError(CloseReason.NOT_NEEDED)
             if message is None:
                 raise ConnectionLostError(CloseReason.IDLE)
 
     def _fail(self, reason: CloseReason) -> ExchangeResult:
-        """Set why the connection ends, and return how that ends the exchange."""
+        """Set why the connection ends, and return the result of the exchange."""
         self.reason = reason
         if self.exchange is not None and reason in (CloseReason.RESET, CloseReason.TRUNCATED):
             self.writer.note_reset(self.exchange)
@@ -224,7 +229,7 @@
             return AttemptOutcome.CANCELLED
         written = self.exchange is not None and self.exchange.written
         if self.exchange is not None and not written and self.idle_since:
-            # The connection was old, which says nothing of the endpoint.
+            # A connection that broke before it was reused says nothing about the endpoint.
             return AttemptOutcome.NOT_SENT
         if reason is CloseReason.OVERDUE and written:
             return AttemptOutcome.TIMED_OUT
@@ -237,5 +242,5 @@
     def _close(self) -> None:
         if self.reader is not None:
             self.reader.body.release()
-            self.reader = None  # it refers to this connection
+            self.reader = None  # breaks a reference cycle with this connection
         self._end_connection(self.reason or CloseReason.DEFECT)
--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -1,9 +1,11 @@
-"""A connection to an endpoint that carries many exchanges at once: HTTP/2 by h2.
+"""A connection to an endpoint over HTTP/2, by h2, which carries many exchanges at once.
 
-It is begun with prior knowledge (RFC 9113, 3.3), and loaded only where the settings say that a connection
-carries more than one exchange. What proves that a request never ran: its connection never came up, its stream
-was not begun, or the endpoint says so by REFUSED_STREAM or a GOAWAY that names an earlier stream as the last.
-From its first frame on it may have run.
+The connection starts with prior knowledge (RFC 9113, 3.3). The module is loaded only where the settings let a
+connection carry more than one exchange.
+
+A request has provably not run if its connection was never established, if its stream was not begun, or if the
+endpoint says so by REFUSED_STREAM or by a GOAWAY that names an earlier stream as the last. From its first
+frame on, it may have run.
 """
 
 from __future__ import annotations
@@ -28,27 +30,27 @@
 from ..state.requests import Exchange, PendingRequest, UpstreamResponse
 from .endpoint_connection import EndpointConnection
 from .errors import CloseReason, ConnectionLostError
-from .load_report import load_report_of
+from .load_report import extract_load_report
 from .timing import connect_deadline, idle_deadline
 from .upstream_request import build_request
-from .upstream_response import ExchangeResult, outcome_of
+from .upstream_response import ExchangeResult, response_outcome
 
 if TYPE_CHECKING:
     from ..context import SidecarContext
     from .pool import ConnectionPool
 
-SETTINGS_FRAME = b"\x04"  # the type of the first frame
-FRAME_TYPE_AT = 3  # position of the type in a frame's header, in bytes
-INVALID_STATUS = 1  # for a status that is no number: an error, and the request may have run
+SETTINGS_FRAME = b"\x04"  # the type of the first frame that an endpoint sends
+FRAME_TYPE_OFFSET = 3  # position of the type in a frame's header, in bytes
+INVALID_STATUS = 1  # stands for a status that is not a number: an error, and the request may have run
 CONNECTION_WINDOW = 1 << 20  # bytes that an endpoint may send ahead on one connection
 
 
 @dataclass(slots=True, eq=False)
 class StreamExchange:
-    """One exchange on its stream."""
+    """One exchange and the state of its stream."""
 
     exchange: Exchange
-    number: int  # of the stream
+    stream_id: int
     body: BufferedBody  # of the response
     unsent: list[bytes] = field(default_factory=list)  # of the request's body
     status: int = 0  # of the response; 0: it has not begun
@@ -56,19 +58,19 @@
 
 
 class Http2Connection(EndpointConnection):
-    """One connection from its first exchange to its end. An error or a break ends every exchange on it."""
+    """One HTTP/2 connection from its first exchange to its end; an error on it ends all of its exchanges."""
 
     def __init__(self, context: SidecarContext, pool: ConnectionPool, exchange: Exchange) -> None:
-        """Prepare a connection of `pool` for a first exchange; `begin` starts it."""
-        self.waiting: dict[Exchange, None] = {exchange: None}  # until it is up and can be written to
+        """Prepare a connection of `pool` for its first exchange; `begin` starts it."""
+        self.waiting: dict[Exchange, None] = {exchange: None}  # for the connection to be writable
         self.streams: dict[int, StreamExchange] = {}
         self.connected = self.closing = False
         self.http = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
-        self.first_bytes = b""  # of what the endpoint sent
+        self.first_bytes = b""  # the first bytes that the endpoint sent
         super().__init__(context, pool)
 
     def has_capacity(self) -> bool:
-        """Whether another exchange may be given to it."""
+        """Return whether the connection may be assigned another exchange."""
         limit = self.context.balancer_config.streams_per_connection
         if self.connected:
             limit = min(limit, self.http.remote_settings.max_concurrent_streams)
@@ -89,7 +91,7 @@
             self._close(reason)
 
     def undelivered(self, message: object) -> None:
-        """Report an exchange that crossed the end of the connection: it was not begun."""
+        """Report an exchange as not sent that was assigned while the connection ended."""
         if isinstance(message, StartExchange):
             self._report(message.exchange, ExchangeResult(AttemptOutcome.NOT_SENT))
 
@@ -97,7 +99,7 @@
         self._begin_connecting()
         until = connect_deadline(self.context, self.loop.now())
         while True:
-            self._end_overdue()
+            self._end_expired()
             if not self.waiting:
                 raise ConnectionLostError(CloseReason.NOT_NEEDED)
             message = yield min(until, self._next_deadline())
@@ -114,15 +116,15 @@
         self.http.increment_flow_control_window(CONNECTION_WINDOW)
         for exchange in list(self.waiting):
             del self.waiting[exchange]
-            self._begin(exchange)
+            self._start_exchange(exchange)
 
     def _run_once(self) -> Coroutine[None]:
-        """Write what is to be written, then handle one socket event or one message."""
-        # A stream is not begun while nothing can be written: its client may leave until that is possible.
+        """Write pending data, then handle one socket event or one message."""
+        # No stream is begun while the socket is not writable, as the client may disconnect until it is.
         while (written := self._flush()) and self.waiting:
             exchange = next(iter(self.waiting))
             del self.waiting[exchange]
-            self._begin(exchange)
+            self._start_exchange(exchange)
         self.stream.wait_for(READ if written else READ | WRITE)
         if self.closing and not self.streams:
             raise ConnectionLostError(CloseReason.UPSTREAM_CLOSES)
@@ -132,7 +134,7 @@
             self._read()
         else:
             self._handle_message(message)
-        self._end_overdue()
+        self._end_expired()
         if not self.streams and self.loop.now() >= idle_until:
             raise ConnectionLostError(CloseReason.IDLE)
 
@@ -141,11 +143,11 @@
             case StartExchange(exchange) if not self.connected or self.stream.unwritten:
                 self.waiting[exchange] = None
             case StartExchange(exchange):
-                self._begin(exchange)
+                self._start_exchange(exchange)
             case CancelExchange(exchange):
-                self._give_up(exchange, AttemptOutcome.CANCELLED)
+                self._cancel(exchange, AttemptOutcome.CANCELLED)
             case _ if message is CLOSE:
-                # Exchanges in progress are waited for; an idle connection ends at once.
+                # Exchanges in progress run to their end; an idle connection ends at once.
                 self.closing = True
 
     # Deadlines.
@@ -154,15 +156,15 @@
         exchanges = [*self.waiting, *(one.exchange for one in self.streams.values())]
         return min((exchange.deadline for exchange in exchanges), default=inf)
 
-    def _end_overdue(self) -> None:
+    def _end_expired(self) -> None:
         now = self.loop.now()
         for stream_exchange in [e for e in self.streams.values() if e.exchange.deadline <= now]:
-            self._give_up(stream_exchange.exchange, AttemptOutcome.TIMED_OUT)
+            self._cancel(stream_exchange.exchange, AttemptOutcome.TIMED_OUT)
         for exchange in [e for e in self.waiting if e.deadline <= now]:
-            self._give_up(exchange, AttemptOutcome.CONNECT_FAILED)
+            self._cancel(exchange, AttemptOutcome.CONNECT_FAILED)
 
-    def _give_up(self, exchange: Exchange, outcome: AttemptOutcome) -> None:
-        """End an exchange, and reset its stream; the others on the connection go on."""
+    def _cancel(self, exchange: Exchange, outcome: AttemptOutcome) -> None:
+        """End an exchange and reset its stream; the others on the connection continue."""
         if exchange in self.waiting:
             del self.waiting[exchange]
             if outcome is AttemptOutcome.TIMED_OUT:
@@ -170,18 +172,18 @@
             self._report(exchange, ExchangeResult(outcome))
             return
         for stream_exchange in [e for e in self.streams.values() if e.exchange is exchange]:
-            self.http.reset_stream(stream_exchange.number, h2.errors.ErrorCodes.CANCEL)
-            self._end(stream_exchange, outcome)
+            self.http.reset_stream(stream_exchange.stream_id, h2.errors.ErrorCodes.CANCEL)
+            self._end_exchange(stream_exchange, outcome)
 
     # Sending.
 
     def _flush(self) -> bool:
-        """Write on; True when nothing is left."""
+        """Write pending data; return True when none is left."""
         if data := self.http.data_to_send():
             self.stream.unwritten.append(data)
         return self.stream.write()
 
-    def _begin(self, exchange: Exchange) -> None:
+    def _start_exchange(self, exchange: Exchange) -> None:
         """Open a stream for an exchange, or report that it was not sent."""
         if (
             self.closing
@@ -194,18 +196,18 @@
         try:
             stream_exchange = self._open_stream(exchange)
         except h2.exceptions.ProtocolError:
-            # h2 does not send this request, or stream numbers are used up: the other exchanges go on.
+            # h2 rejects this request, or stream ids are used up; the other exchanges continue.
             self.closing = True
             self._report(exchange, ExchangeResult(AttemptOutcome.NOT_SENT))
             return
-        self.streams[stream_exchange.number] = stream_exchange
+        self.streams[stream_exchange.stream_id] = stream_exchange
         self.context.connections.idle_to_endpoints.pop(self, None)
         exchange.written = True
         self.exchange_count += 1
         self._send_body(stream_exchange)
 
     def _open_stream(self, exchange: Exchange) -> StreamExchange:
-        number = self.http.get_next_available_stream_id()
+        stream_id = self.http.get_next_available_stream_id()
         head = build_request(exchange, self.context, self.loop.now())
         authority = next((value for name, value in head.headers if name.lower() == b"host"), b"")
         pseudo_headers = [
@@ -217,27 +219,27 @@
         headers = [(name.lower(), value) for name, value in head.headers if name.lower() != b"host"]
         unsent = self._body_parts(exchange.pending)
         response_body = BufferedBody(self.context.buffer_pool)
-        self.http.send_headers(number, [*pseudo_headers, *headers], end_stream=not unsent)
-        return StreamExchange(exchange, number, response_body, unsent)
+        self.http.send_headers(stream_id, [*pseudo_headers, *headers], end_stream=not unsent)
+        return StreamExchange(exchange, stream_id, response_body, unsent)
 
     def _body_parts(self, pending: PendingRequest | None) -> list[bytes]:
-        """Return the body of a request; None: a health check, which has none."""
+        """Return the parts of a request's body; a health check (None) has none."""
         if pending is None:
             return []
         if isinstance(pending.body, BodyStream):
-            raise TypeError("a body that is still coming can't be sent over HTTP/2")
+            raise TypeError("a body that is still being received can't be sent over HTTP/2")
         return [bytes(view) for view in pending.body.views()]
 
     def _send_body(self, stream_exchange: StreamExchange) -> None:
-        """Send as much of the body as the endpoint has window for."""
-        number = stream_exchange.number
+        """Send as much of the body as the flow-control window allows."""
+        stream_id = stream_exchange.stream_id
         while stream_exchange.unsent:
-            limit = min(self.http.local_flow_control_window(number), self.http.max_outbound_frame_size)
+            limit = min(self.http.local_flow_control_window(stream_id), self.http.max_outbound_frame_size)
             if limit <= 0:
                 return
             piece, rest = stream_exchange.unsent[0][:limit], stream_exchange.unsent[0][limit:]
             stream_exchange.unsent[:1] = [rest] if rest else []
-            self.http.send_data(number, piece, end_stream=not stream_exchange.unsent)
+            self.http.send_data(stream_id, piece, end_stream=not stream_exchange.unsent)
 
     # Receiving.
 
@@ -264,10 +266,13 @@
                 self._handle_stream_event(event, stream_exchange)
 
     def _check_first_frame(self, data: bytes) -> None:
-        """Raise `ConnectionLostError` for what is no HTTP/2: h2 would wait for the end of a frame in it."""
-        if len(self.first_bytes) <= FRAME_TYPE_AT:
-            self.first_bytes += data[: FRAME_TYPE_AT + 1]
-            if self.first_bytes[FRAME_TYPE_AT : FRAME_TYPE_AT + 1] not in (b"", SETTINGS_FRAME):
+        """Raise `ConnectionLostError` for input that is not HTTP/2.
+
+        h2 would take its beginning for the length of a frame, and wait for the rest of that.
+        """
+        if len(self.first_bytes) <= FRAME_TYPE_OFFSET:
+            self.first_bytes += data[: FRAME_TYPE_OFFSET + 1]
+            if self.first_bytes[FRAME_TYPE_OFFSET : FRAME_TYPE_OFFSET + 1] not in (b"", SETTINGS_FRAME):
                 raise ConnectionLostError(CloseReason.MALFORMED)
 
     def _handle_connection_event(self, event: h2.events.Event) -> None:
@@ -275,15 +280,15 @@
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
                 for stream_exchange in [e for e in self.streams.values() if e.unsent]:
                     if self.context.gate.unwanted(stream_exchange.exchange):
-                        # Its client has left, and a `CancelExchange` may not come.
-                        self._give_up(stream_exchange.exchange, AttemptOutcome.CANCELLED)
+                        # The client may have disconnected, and no `CancelExchange` is certain to come.
+                        self._cancel(stream_exchange.exchange, AttemptOutcome.CANCELLED)
                     else:
                         self._send_body(stream_exchange)
             case h2.events.ConnectionTerminated():
                 self.closing = True
                 last = event.last_stream_id if event.last_stream_id is not None else 0
-                for stream_exchange in [e for e in self.streams.values() if e.number > last]:
-                    self._end(stream_exchange, AttemptOutcome.REJECTED)
+                for stream_exchange in [e for e in self.streams.values() if e.stream_id > last]:
+                    self._end_exchange(stream_exchange, AttemptOutcome.REJECTED)
             case h2.events.DataReceived():
                 self.http.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
 
@@ -297,12 +302,16 @@
                 self._add_data(stream_exchange, event.data)
             case h2.events.StreamReset():
                 refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-                self._end(stream_exchange, AttemptOutcome.REJECTED if refused else AttemptOutcome.RESET)
+                self._end_exchange(
+                    stream_exchange, AttemptOutcome.REJECTED if refused else AttemptOutcome.RESET
+                )
             case h2.events.StreamEnded():
                 if stream_exchange.unsent:
-                    # Answered before the request was complete: the rest is not wanted.
-                    self.http.reset_stream(stream_exchange.number, h2.errors.ErrorCodes.CANCEL)
-                self._end(stream_exchange, outcome_of(stream_exchange.status, dict(stream_exchange.headers)))
+                    # The response came before the end of the request, so the rest is not sent.
+                    self.http.reset_stream(stream_exchange.stream_id, h2.errors.ErrorCodes.CANCEL)
+                self._end_exchange(
+                    stream_exchange, response_outcome(stream_exchange.status, dict(stream_exchange.headers))
+                )
 
     def _add_data(self, stream_exchange: StreamExchange, data: bytes) -> None:
         body = stream_exchange.body
@@ -311,20 +320,20 @@
                 raise BuffersExhaustedError
             body.add(data)
         except BuffersExhaustedError:
-            self._give_up(stream_exchange.exchange, AttemptOutcome.RESET)
+            self._cancel(stream_exchange.exchange, AttemptOutcome.RESET)
 
-    # Ends.
+    # Ending exchanges and the connection.
 
-    def _end(self, stream_exchange: StreamExchange, outcome: AttemptOutcome) -> None:
-        del self.streams[stream_exchange.number]
+    def _end_exchange(self, stream_exchange: StreamExchange, outcome: AttemptOutcome) -> None:
+        del self.streams[stream_exchange.stream_id]
         self.idle_since = self.loop.now()
         if not self.streams and not self.closing:
-            # Where descriptors run short, a connection without an exchange makes room.
+            # When descriptors run short, a connection without an exchange is closed to make room.
             self.context.connections.idle_to_endpoints[self] = None
         exchange, body = stream_exchange.exchange, stream_exchange.body
         report: dict[str, float] = {}
         if stream_exchange.status:
-            report = load_report_of(stream_exchange.headers, exchange, body)
+            report = extract_load_report(stream_exchange.headers, exchange, body)
         response = None
         if outcome is AttemptOutcome.SUCCESS and exchange.pending is not None:
             content_type = dict(stream_exchange.headers).get(b"content-type", b"")
@@ -340,7 +349,7 @@
 
     def _close(self, reason: CloseReason) -> None:
         for stream_exchange in list(self.streams.values()):
-            self._end(stream_exchange, AttemptOutcome.RESET)
+            self._end_exchange(stream_exchange, AttemptOutcome.RESET)
         outcome = AttemptOutcome.NOT_SENT if self.connected else AttemptOutcome.CONNECT_FAILED
         for exchange in self.waiting:
             self._report(exchange, ExchangeResult(outcome))
--- a/starlingwheel/net/http/listener.py
+++ b/starlingwheel/net/http/listener.py
@@ -1,4 +1,4 @@
-"""The listener: accepts clients' connections, and closes those of no use where descriptors run short."""
+"""The listener: accepts connections of clients, and closes expendable ones when descriptors run short."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from ..context import SidecarContext
 
 MAX_ACCEPTS_PER_TURN = 64
-FIRST_REQUEST_GRACE = 0.05  # seconds within which a client that has connected usually sends something
+FIRST_REQUEST_GRACE = 0.05  # seconds within which a client usually sends something after connecting
 NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
@@ -23,13 +23,13 @@
     """Accepts connections until the process stops."""
 
     def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
-        """`sock`: listens already."""
+        """Accept connections on `sock`, which is listening already."""
         self.context, self.sock = context, sock
-        self.more_waiting = False  # some may still wait, though as many as one turn allows were accepted
+        self.more_waiting = False  # the limit per turn was reached, so more may be waiting
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
-        """Accept connections; when told to stop, those that wait already too."""
+        """Accept connections until told to stop, then those that are already in the backlog."""
         self.sock.setblocking(False)
         self.loop.register(self.sock.fileno(), self, READ)
         message = yield None
@@ -37,12 +37,12 @@
             if self._accept_waiting():
                 message = yield None
             else:
-                # Does not spin while descriptors are used up: a connection that ends makes room.
+                # Waits instead of spinning while descriptors are used up, until a connection has ended.
                 self.loop.unregister(self.sock.fileno())
                 message = yield self._retry_at()
                 self.loop.register(self.sock.fileno(), self, READ)
-        # Closing the socket resets connections that wait in it, so they are accepted before. What waits at a
-        # socket that another process of this sidecar has too is left to that process.
+        # Closing the socket resets the connections in its backlog, so they are accepted first. The backlog
+        # of a socket that is shared with another process of this sidecar is left to that process.
         while not self.context.passed_socket and (not self._accept_waiting() or self.more_waiting):
             yield self.loop.now() if self.more_waiting else self._retry_at()
         self.loop.unregister(self.sock.fileno())
@@ -53,11 +53,14 @@
         return self.loop.now() + self.context.shortest_objective / 64
 
     def _accept_waiting(self) -> bool:
-        """Accept what waits, up to the limit of one turn (`more_waiting`); False: there is no room."""
+        """Accept waiting connections, up to the limit of one turn; return False if there is no room.
+
+        Sets `more_waiting` if the limit was reached.
+        """
         self.more_waiting = False
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self.context.connections.is_exhausted:
-                # Otherwise connections of no use would keep others waiting until their time is up.
+                # Otherwise idle connections would keep new clients waiting until they time out.
                 self._make_room()
                 return False
             try:
@@ -70,24 +73,24 @@
                     return False
                 continue
             if self._serve(sock) and self.context.connections.is_exhausted:
-                break  # the descriptor of the one that was closed for it is free by the next turn
+                break  # the connection closed to make room frees its descriptor by the next turn
         self.more_waiting = True
         return True
 
     def _serve(self, sock: socket.socket) -> bool:
-        """Start a connection; True: another one, of no use, is closed, so that no client is shut out."""
-        expendable = self._expendable()
+        """Start a connection; return whether an expendable one is closed so that no client is shut out."""
+        closing = self._client_to_close()
         ClientConnection(self.context, sock).begin()
-        if expendable:
-            expendable.post(CLOSE)
-        return expendable is not None
+        if closing:
+            closing.post(CLOSE)
+        return closing is not None
 
     def _make_room(self) -> None:
         for _ in range(MAX_ACCEPTS_PER_TURN // 4):
-            expendable = self._expendable()
-            if expendable is None:
+            closing = self._client_to_close()
+            if closing is None:
                 return
-            expendable.post(CLOSE)
+            closing.post(CLOSE)
 
-    def _expendable(self) -> ClientConnection | None:
+    def _client_to_close(self) -> ClientConnection | None:
         return self.context.connections.client_to_close(self.loop.now() - FIRST_REQUEST_GRACE)
--- a/starlingwheel/net/http/load_report.py
+++ b/starlingwheel/net/http/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: the figures of its load that an endpoint sends with a response or a health check."""
+"""Load reports: load figures that an endpoint sends with a response or with the result of a health check."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from ..state.buffers import BufferedBody
 from ..state.requests import Exchange
 
-HEADER = b"endpoint-load-metrics"
+LOAD_REPORT_HEADER = b"endpoint-load-metrics"
 MAX_REPORT_LENGTH = 512  # bytes
 NUMBER = re.compile(r"\d{1,9}(\.\d{1,9})?")
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Return the figures that the decisions use, by their names there.
+    """Return the figures that the decisions use, by the names used there.
 
-    A report that can't be read is dropped as a whole: it gives an empty dict.
+    A report that can't be parsed is ignored as a whole: the result is an empty dict.
     """
     report: dict[str, float] = {}
     if len(text) > MAX_REPORT_LENGTH:
@@ -25,18 +25,18 @@
     for pair in text.strip().removeprefix("TEXT").split(","):
         name, _, value = pair.strip().partition("=")
         if figure := LOAD_REPORT_FIGURES.get(name):
-            # Words, signs, infinities and duplicate figures must not reach the decisions.
+            # Non-numeric, signed, infinite and duplicate figures must not reach the decisions.
             if figure in report or not NUMBER.fullmatch(value):
                 return {}
             report[figure] = float(value) * LOAD_REPORT_UNITS.get(figure, 1.0)
     return report
 
 
-def load_report_of(
+def extract_load_report(
     headers: Iterable[tuple[bytes, bytes]], exchange: Exchange, body: BufferedBody
 ) -> dict[str, float]:
     """Return the load report of a response: from its header, or from the body of a health check."""
-    values = [value for name, value in headers if name == HEADER]
+    values = [value for name, value in headers if name == LOAD_REPORT_HEADER]
     text = values[0].decode("latin-1") if len(values) == 1 else ""
     if not values and exchange.pending is None and body.length <= MAX_REPORT_LENGTH:
         text = b"".join(body.views()).decode("latin-1")
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one endpoint: an actor that gives each exchange to one of them."""
+"""The connection pool of one endpoint: an actor that assigns each exchange to a connection."""
 
 from __future__ import annotations
 
@@ -28,27 +28,28 @@
 
 
 class ConnectionPool(Actor):
-    """Gives exchanges to connections: to the quiescent one used last, else to a new one."""
+    """Assigns each exchange to the quiescent connection used last, or else to a new one."""
 
     daemon = True
 
     def __init__(self, context: SidecarContext, endpoint: DiscoveredEndpoint) -> None:
-        """`endpoint`: as the endpoint list describes it."""
+        """Create the pool of an endpoint, as the endpoint list describes it."""
         self.context, self.endpoint = context, endpoint
         self.idle: list[Http1Connection] = []
-        self.multiplexed: list[Http2Connection] = []  # where the settings allow many exchanges at once
-        self.last_started_at, self.last_trace_id = 0.0, b""  # of the last attempt begun here; 0: none
+        self.multiplexed: list[Http2Connection] = []  # used where the settings allow many exchanges at once
+        # The start and the trace id of the last attempt begun here; 0: there was none.
+        self.last_started_at, self.last_trace_id = 0.0, b""
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
-        """Handle message after message."""
+        """Handle messages until the process ends."""
         while True:
             match (yield None):
                 case StartExchange(exchange):
                     try:
                         self._start(exchange)
                     except Exception:
-                        # An attempt without an end would make its endpoint seem unresponsive for good.
+                        # An attempt that never ends would make its endpoint look unresponsive for ever.
                         self._report_not_sent(exchange)
                         raise
                 case CancelExchange(exchange) as cancel:
@@ -60,19 +61,19 @@
                 case ConnectionClosed(connection):
                     self.remove_idle(connection)
                 case EndpointMoved(endpoint):
-                    self._endpoint_moved(endpoint)
+                    self._update_endpoint(endpoint)
 
     def note_started(self, exchange: Exchange, now: float) -> None:
-        """The first byte of an attempt is about to be written."""
+        """Record that the first byte of an attempt is about to be written."""
         self.last_started_at = now
         self.last_trace_id = exchange.pending.trace_id if exchange.pending is not None else b""
 
     def take_quiescent(self) -> Http1Connection | None:
-        """Take the idle connection used last of those on which no unsolicited response is expected."""
+        """Remove and return the idle connection used last, of those that are quiescent."""
         return self._first_usable(c for c in reversed(self.idle.copy()) if c.is_quiescent())
 
     def remove_idle(self, connection: EndpointConnection) -> None:
-        """Give no further exchange to a connection that was idle or shared."""
+        """Remove an idle or shared connection, so that it is assigned no further exchange."""
         self.context.connections.idle_to_endpoints.pop(connection, None)
         both: tuple[list[Any], list[Any]] = (self.idle, self.multiplexed)
         for connections in both:
@@ -86,12 +87,12 @@
     def _start(self, exchange: Exchange) -> None:
         for multiplexed in self.multiplexed:
             if multiplexed.has_capacity():
-                self._give(exchange, multiplexed)
+                self._assign(exchange, multiplexed)
                 return
         has_room = self.context.connections.has_room_for_endpoint()
-        # Where there is no room for a new connection one is used that is not quiescent yet.
+        # Where there is no room for a new connection, one that is not quiescent yet is used.
         if idle := self.take_quiescent() or (None if has_room else self._take_longest_idle()):
-            self._give(exchange, idle)
+            self._assign(exchange, idle)
             return
         if not has_room and not self._make_room():
             self._report_not_sent(exchange)
@@ -101,7 +102,7 @@
             self.multiplexed.append(connection)
         connection.begin()
 
-    def _give(self, exchange: Exchange, connection: EndpointConnection) -> None:
+    def _assign(self, exchange: Exchange, connection: EndpointConnection) -> None:
         exchange.connection = connection
         connection.post(StartExchange(exchange))
 
@@ -109,7 +110,7 @@
         self.context.coordinator.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
 
     def _make_room(self) -> bool:
-        """Close the connection, of whatever pool, that has been idle for longest; False: there is none."""
+        """Close the connection that has been idle for longest, in any pool; return False if there is none."""
         connection = self.context.connections.longest_idle()
         if connection is None:
             return False
@@ -128,8 +129,8 @@
             connection.post(CLOSE)
         return None
 
-    def _endpoint_moved(self, endpoint: DiscoveredEndpoint | None) -> None:
-        """Close idle connections to a process that drains or has gone, or to its former address."""
+    def _update_endpoint(self, endpoint: DiscoveredEndpoint | None) -> None:
+        """Close idle connections if the endpoint drains or is gone, or has another process or address."""
         before = self.endpoint
         if (
             endpoint is None
@@ -139,11 +140,11 @@
             for connection in [*self.idle, *self.multiplexed]:
                 self.remove_idle(connection)
                 connection.post(CLOSE)
-            self._log_moved(endpoint)
+            self._log_endpoint_change(endpoint)
         self.endpoint = endpoint or before
 
-    def _log_moved(self, endpoint: DiscoveredEndpoint | None) -> None:
-        """Log the last attempt that was begun: shows whether any was begun after the notice."""
+    def _log_endpoint_change(self, endpoint: DiscoveredEndpoint | None) -> None:
+        """Log the last attempt that was begun, which shows whether any was begun after the notification."""
         self.context.log(
             "upstream.moved",
             upstream=self.endpoint.id,
--- a/starlingwheel/net/http/request_parser.py
+++ b/starlingwheel/net/http/request_parser.py
@@ -1,4 +1,4 @@
-"""From a client's HTTP request to a `PendingRequest`: the service's headers, and what is rejected at once."""
+"""Parses a client's HTTP request into a `PendingRequest`, and rejects invalid ones."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
     from .client_connection import ClientConnection
 
 MAX_TIMEOUT_DIGITS = 15
-ABSOLUTE_FORM = re.compile(rb"^https?://[^/?]*", re.IGNORECASE)  # a target may begin so (RFC 9112, 3.2.2)
+# The prefix of a target in absolute form (RFC 9112, 3.2.2).
+ABSOLUTE_FORM = re.compile(rb"^https?://[^/?]*", re.IGNORECASE)
 METHODS = {
     RetrySafety.IDEMPOTENT: b"GET",
     RetrySafety.IDEMPOTENT_WITH_KEY: b"POST",
@@ -29,16 +30,16 @@
 }
 
 
-def declared_length(request: h11.Request, longest: int) -> int | None:
-    """Return the length that a request says its body has; None: it says none.
+def declared_length(request: h11.Request, max_length: int) -> int | None:
+    """Return the length of the body that a request declares, or None if it declares none.
 
-    Raises `InvalidRequestError` for one that could be read in two ways, and, before it is read, for one of
-    more than `longest` bytes.
+    Raises `InvalidRequestError` if the framing is ambiguous, and, before the body is read, if the length
+    exceeds `max_length` bytes.
     """
     if has_conflicting_lengths(request.headers):
         raise InvalidRequestError(400, InvalidRequestReason.TWO_LENGTHS)
     length = next((int(value) for name, value in request.headers if name == b"content-length"), None)
-    if length is not None and length > longest:
+    if length is not None and length > max_length:
         raise InvalidRequestError(413, InvalidRequestReason.BODY_TOO_LONG)
     return length
 
@@ -50,9 +51,10 @@
     context: SidecarContext,
     received_at: float,
 ) -> PendingRequest:
-    """Return the request that a client waits for; raises `InvalidRequestError`.
+    """Return the pending request of a client. Raises `InvalidRequestError`.
 
-    `received_at`: when its last byte was read; of no account for a body that is still coming.
+    `received_at` is the time at which its last byte was read; it is ignored while the body is
+    incomplete.
     """
     headers = _headers_by_name(request)
     trace_id = headers.get(b"x-trace-id", b"")
@@ -64,13 +66,13 @@
         raise InvalidRequestError(409, InvalidRequestReason.TRACE_ID_IN_USE)
     timeout = _timeout(headers)
     if len(context.active_traces) >= context.connections.max_requests:
-        # Clients must not take the descriptors that their own requests need.
+        # Further requests would use up the descriptors that connections to endpoints need.
         raise InvalidRequestError(503, InvalidRequestReason.TOO_MANY_REQUESTS)
     return PendingRequest(
         request=Request(
             request_class=request_class,
             arrived_at=inf if isinstance(body, BodyStream) else received_at,
-            # No request is kept for longer than its class allows, however long its client says it waits.
+            # No request is kept for longer than its class allows, however long its client is willing to wait.
             time_left=min(timeout, request_class.timeout),
             tenant=context.tenants.get(headers.get(b"x-customer", b"").decode("latin-1")),
             is_retry=headers.get(b"x-second-try") == b"1",
@@ -96,7 +98,7 @@
 def _request_class(
     method: bytes, target: bytes, headers: dict[bytes, bytes], context: SidecarContext
 ) -> RequestClass:
-    """The class that a request names; its path, method and headers have to fit it."""
+    """Return the class that a request names; its path, method and headers have to match the class."""
     name = headers.get(b"x-qos", b"").decode("latin-1")
     request_class = context.request_class_for(name, _implied_retry_safety(method, headers))
     if request_class is None:
@@ -112,14 +114,14 @@
 
 
 def _implied_retry_safety(method: bytes, headers: dict[bytes, bytes]) -> RetrySafety:
-    """What the form of a request implies: of classes of one name, the one that fits it is taken."""
+    """Return the retry safety that a request implies, by which one of several classes of a name is chosen."""
     if method == b"GET":
         return RetrySafety.IDEMPOTENT
     return RetrySafety.IDEMPOTENT_WITH_KEY if headers.get(b"idempotency-key") else RetrySafety.NON_IDEMPOTENT
 
 
 def _timeout(headers: dict[bytes, bytes]) -> float:
-    """The seconds for which the client waits."""
+    """Return the number of seconds for which the client waits."""
     milliseconds = headers.get(b"x-expires-in-ms", b"")
     if not milliseconds.isdigit() or len(milliseconds) > MAX_TIMEOUT_DIGITS:
         raise InvalidRequestError(400, InvalidRequestReason.NO_TIMEOUT)
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -1,7 +1,7 @@
-"""Writing the requests of one HTTP/1.1 connection to an endpoint.
+"""Writes requests to an HTTP/1.1 connection to an endpoint.
 
-Before the last byte of a request is written its endpoint can't have run it; after that it may have.
-`Exchange.written` says which.
+An endpoint can't have run a request before its last byte is written, and may have run it afterwards.
+`Exchange.written` records which of the two holds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from ..state.body_stream import BodyStream
 from ..state.requests import Exchange
 from .errors import CloseReason, ConnectionLostError
-from .timing import caution_deadline
+from .timing import fault_recurrence_deadline
 from .upstream_request import build_request
 from .upstream_response import next_socket_event
 
@@ -28,16 +28,16 @@
 
 
 class RequestWriter:
-    """Writes request after request to one connection."""
+    """Writes the requests of one connection."""
 
     def __init__(self, context: SidecarContext, stream: Stream) -> None:
         """Write to `stream`, whose actor receives the messages."""
         self.context, self.stream, self.loop = context, stream, context.loop
-        self.written_at = 0.0  # when the last byte of the last request was written; 0: never
+        self.written_at = 0.0  # when the last byte of the latest request was written; 0: never
 
     def send(self, exchange: Exchange) -> Coroutine[None]:
-        """Write the whole request of an exchange; raises `ConnectionLostError`."""
-        self._put(exchange)
+        """Write the whole request of an exchange. Raises `ConnectionLostError`."""
+        self._enqueue_request(exchange)
         if exchange.body_stream is not None:
             yield from self._relay_body(exchange, exchange.body_stream)
         elif exchange.non_idempotent and self.loop.now() < self.context.resets_expected_until:
@@ -48,7 +48,7 @@
             exchange.restart_clock(self.written_at)
 
     def write(self, exchange: Exchange) -> Coroutine[None]:
-        """Write all that has been put to the stream; raises `ConnectionLostError`."""
+        """Write everything that is enqueued in the stream. Raises `ConnectionLostError`."""
         done = self.stream.write()
         self.context.gate.note_written(exchange)
         while not done:
@@ -59,24 +59,24 @@
             done = self.stream.write()
 
     def note_reset(self, exchange: Exchange) -> None:
-        """The connection broke: expect more resets if it did before or just after the last byte."""
+        """Expect more resets if the connection was reset before or just after the last byte of a request."""
         now = self.loop.now()
         delay = LAST_BYTE_DELAY_FRACTION * self.context.shortest_objective
         if not exchange.written or now < self.written_at + delay:
-            self.context.resets_expected_until = caution_deadline(self.context, now)
+            self.context.resets_expected_until = fault_recurrence_deadline(self.context, now)
 
     def check_no_early_response(self, ready: SocketReady) -> None:
-        """Raise `ConnectionLostError` if input has come: no response belongs to a request not yet written."""
+        """Raise `ConnectionLostError` if input has arrived before the request was written."""
         if ready.mask & INPUT:
             reason = CloseReason.RESET if ready.hung_up else CloseReason.RESPONSE_BEFORE_REQUEST
             raise ConnectionLostError(reason)
 
     def check_still_needed(self, exchange: Exchange) -> None:
-        """Raise `ConnectionLostError` if nothing more is to be sent for the exchange."""
+        """Raise `ConnectionLostError` if the gate says that nothing more is to be sent for the exchange."""
         if refusal := self.context.gate.unwanted(exchange):
             raise ConnectionLostError(CloseReason(refusal.value))
 
-    def _put(self, exchange: Exchange) -> None:
+    def _enqueue_request(self, exchange: Exchange) -> None:
         head = build_request(exchange, self.context, self.loop.now())
         self.stream.enqueue(h11.Request(method=head.method, target=head.target, headers=head.headers))
         pending = exchange.pending
@@ -87,7 +87,7 @@
         self.stream.enqueue(h11.EndOfMessage())
 
     def _relay_body(self, exchange: Exchange, body: BodyStream) -> Coroutine[None]:
-        """Write a body while it comes; the end of the message is put, but not written."""
+        """Write a body while it arrives; the end of the message is enqueued but not written."""
         body.sink = self.stream.actor
         yield from self.write(exchange)
         while not body.is_consumed:
@@ -95,12 +95,12 @@
                 raise ConnectionLostError(CloseReason.CLIENT_LEFT)
             part = body.take()
             if part.length:
-                # What has been taken can't be sent again: this attempt is the only one.
+                # Data taken from the body stream can't be sent again, so this attempt is the only one.
                 if exchange.pending is not None:
                     exchange.pending.request.max_attempts = 1
                 if body.is_consumed:
                     self.check_still_needed(exchange)
-                # With the last byte it may run: whether that arrived is not known if the connection breaks.
+                # The request may run from its last byte on: if the connection breaks now, nobody can tell.
                 exchange.written = body.taken == body.length
                 try:
                     yield from self._write_part(exchange, part.views())
@@ -131,15 +131,15 @@
             raise ConnectionLostError(CloseReason.CANCELLED)
 
     def _check_not_rejected(self, exchange: Exchange, ready: SocketReady) -> None:
-        """Raise `ConnectionLostError` if a response has come already: the rest is then of no use."""
+        """Raise `ConnectionLostError` if a response has already arrived, as the rest is then useless."""
         if ready.mask & INPUT and not exchange.written:
             raise ConnectionLostError(CloseReason.RESET if ready.hung_up else CloseReason.REJECTED_EARLY)
 
     def _delay_last_byte(self, exchange: Exchange) -> Coroutine[None]:
-        """Write all but the last byte, and wait a moment for the connection to break.
+        """Write all but the last byte, and wait briefly for the connection to break.
 
-        A non-idempotent request is then not lost to a connection that its endpoint has closed or reset
-        already: while a byte is missing none can have begun it.
+        The endpoint may have closed or reset the connection already. While the last byte is missing it can't
+        have begun the request, so that a non-idempotent request can still be sent again.
         """
         last = self.stream.take_last_byte()
         yield from self.write(exchange)
--- a/starlingwheel/net/http/response_writer.py
+++ b/starlingwheel/net/http/response_writer.py
@@ -1,4 +1,4 @@
-"""Writing responses to one client: buffered ones at once, long ones while they come from an endpoint."""
+"""Writes responses to a client: buffered ones at once, long ones while they arrive from an endpoint."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from ..state.requests import Headers
     from .stream import Stream
 
-WRITE_STALL_TIMEOUT = 4.0  # seconds after which a client that takes nothing of its response is given up
+WRITE_STALL_TIMEOUT = 4.0  # seconds without progress after which the connection of a slow reader is closed
 
 
 def response_headers(final: FinalResponse | None, close: bool) -> Headers:
-    """Return the headers of a response; None: one without a body."""
+    """Return the headers of a response; without `final` it has no body."""
     response = final.response if final else None
     length = response.body.length if response else 0
     headers = [(b"Transfer-Encoding", b"chunked")]
@@ -38,14 +38,14 @@
 
 
 class ResponseWriter:
-    """Writes response after response to one connection."""
+    """Writes the responses of one connection."""
 
     def __init__(self, stream: Stream) -> None:
         """Write to `stream`, whose actor receives the messages."""
         self.stream, self.loop = stream, stream.loop
 
     def write(self, status: int, final: FinalResponse | None, close: bool) -> Coroutine[None]:
-        """Write a response and release its body; `close`: announce that the connection ends with it.
+        """Write a response and release its body; `close` announces that the connection ends with it.
 
         Raises `ConnectionLostError`.
         """
@@ -65,9 +65,9 @@
                 body.release()
 
     def _relay(self, body: BodyStream) -> Coroutine[None]:
-        """Write a body while it comes."""
+        """Write a body while it arrives."""
         body.sink = self.stream.actor
-        # A small send buffer: with megabytes in it a slow reader would seem to take nothing for that long.
+        # With megabytes in the send buffer, a slow reader would seem to stall, so the buffer is kept small.
         self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_BUFFERED_BODY)
         while not body.is_consumed:
             part = body.take()
@@ -78,7 +78,7 @@
                 finally:
                     part.release()
             elif body.aborted:
-                # An incomplete response must not be taken for a complete one.
+                # The client must be able to tell that the response is incomplete.
                 self.stream.reset_on_close()
                 raise ConnectionLostError(CloseReason.UPSTREAM_BROKE)
             else:
@@ -94,4 +94,4 @@
             if message is None and self.loop.now() >= until:
                 raise ConnectionLostError(CloseReason.SLOW_READER)
             if isinstance(message, SocketReady):
-                until = self.loop.now() + WRITE_STALL_TIMEOUT  # the client has taken some
+                until = self.loop.now() + WRITE_STALL_TIMEOUT  # the client has read some of it
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 by h11 on a socket that does not block."""
+"""HTTP/1.1 by h11 on a non-blocking socket."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 
 
 def has_conflicting_lengths(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Whether a message has both framings: a second request could hide in the body of the first."""
+    """Return whether a message has both framings, which would allow request smuggling."""
     names = {name for name, _ in headers}
     return b"transfer-encoding" in names and b"content-length" in names
 
 
 class Stream:
-    """One connection of an actor: its socket, its h11 state, and what is still to be written."""
+    """One connection of an actor: its socket, its h11 state, and the data still to be written."""
 
     def __init__(self, loop: Loop, actor: Actor, sock: socket.socket, role: type, pool: BufferPool) -> None:
-        """`actor`: gets the socket's events; `role`: `h11.CLIENT` or `h11.SERVER`."""
+        """Deliver the events of `sock` to `actor`; `role` is `h11.CLIENT` or `h11.SERVER`."""
         self.loop, self.actor, self.sock, self.pool = loop, actor, sock, pool
         self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_LENGTH)
-        # Bytes read at once. Clients are read in small pieces: h11 limits only heads that are incomplete.
+        # Bytes per read. Input of clients is read in small pieces, as h11 limits only incomplete heads.
         self.read_size = BUFFER_SIZE if role is h11.SERVER else len(pool.scratch)
         self.unwritten: list[bytes | memoryview] = []
-        self.mask = 0  # the events that are waited for; 0: not registered
-        self.end_read = False  # the other side has closed, and that has been read
+        self.mask = 0  # the registered events; 0: the socket is not registered
+        self.end_read = False  # the end of the peer's input has been read
         sock.setblocking(False)
 
     def wait_for(self, mask: int) -> None:
-        """Wait for the events of this mask from now on."""
+        """Register for the events of `mask` instead of those before."""
         if not self.mask:
             self.loop.register(self.sock.fileno(), self.actor, mask)
         elif mask != self.mask:
@@ -54,20 +54,21 @@
         self.mask = mask
 
     def pause(self) -> None:
-        """Wait for no event, not even its end, which epoll would report in every turn."""
+        """Unregister from all events, including hang-up, which epoll would otherwise report in every turn."""
         if self.mask:
             self.loop.unregister(self.sock.fileno())
             self.mask = 0
 
     def check_connected(self) -> None:
-        """Check a connection whose socket can be written; raises `ConnectionLostError` if it failed."""
+        """Raise `ConnectionLostError` if connecting failed; called once the socket is writable."""
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             raise ConnectionLostError(CloseReason.CONNECT_REFUSED)
 
     def read(self) -> int | None:
-        """Give h11 what has come, and return the number of bytes; None: nothing yet, 0: the end.
+        """Read input into h11 and return the number of bytes.
 
-        Raises `ConnectionLostError`.
+        Return None if nothing has arrived, and 0 if the peer has closed its sending side. Raises
+        `ConnectionLostError`.
         """
         try:
             count = self.sock.recv_into(self.pool.scratch, self.read_size)
@@ -81,7 +82,7 @@
             raise ConnectionLostError(CloseReason.RESET) from error
 
     def next_event(self) -> Event:
-        """Return h11's next event; raises `ConnectionLostError` for what is not HTTP."""
+        """Return h11's next event. Raises `ConnectionLostError` for input that is not HTTP."""
         try:
             return self.http.next_event()
         except h11.RemoteProtocolError as error:
@@ -89,23 +90,23 @@
             raise ConnectionLostError(reason) from error
 
     def enqueue(self, *events: Event) -> None:
-        """Encode h11 events, to be written by `write`."""
+        """Encode h11 events and queue the bytes for `write`."""
         for event in events:
             self.unwritten += self.http.send_with_data_passthrough(event) or []
 
     def enqueue_body(self, views: Iterable[BytesLike]) -> None:
-        """Encode parts of a message's body, to be written by `write`."""
+        """Encode parts of a message's body and queue them for `write`."""
         for view in views:
             self.unwritten += self.http.send_with_data_passthrough(h11.Data(data=view)) or []
 
     def send_continue(self) -> None:
-        """Send `100 Continue` to a client that waits for it."""
+        """Send `100 Continue` if the client waits for it."""
         if self.http.they_are_waiting_for_100_continue:
             self.enqueue(h11.InformationalResponse(status_code=100, headers=[]))
             self.write()
 
     def take_last_byte(self) -> bytes:
-        """Take the last byte back from what is to be written, and return it."""
+        """Remove the last byte from the data to be written, and return it."""
         while not self.unwritten[-1]:
             self.unwritten.pop()
         last = memoryview(self.unwritten[-1])
@@ -113,7 +114,10 @@
         return bytes(last[-1:])
 
     def write(self) -> bool:
-        """Write what the socket takes; True when nothing is left. Raises `ConnectionLostError`."""
+        """Write as much as the socket takes; return True when nothing is left.
+
+        Raises `ConnectionLostError`.
+        """
         while self.unwritten:
             try:
                 count = self.sock.sendmsg(self.unwritten[:MAX_VIEWS_PER_WRITE])
@@ -128,16 +132,16 @@
         return True
 
     def has_no_input(self) -> bool:
-        """Whether nothing has come since it was last read, not even the end."""
+        """Return whether no input is unread, including the end of the connection."""
         return self._peek() is None
 
     def peer_has_closed(self) -> bool:
-        """Whether the other side has closed, even if what it sent before that is still unread."""
+        """Return whether the peer has closed, even if data that it sent before is still unread."""
         unread = self._peek()
         return unread == b"" or (unread is not None and self.loop.peer_has_closed(self.sock.fileno()))
 
     def _peek(self) -> bytes | None:
-        """The next byte, which stays unread; empty: the other side has closed, None: nothing has come."""
+        """Return the next byte without consuming it, b"" if the peer has closed, or None without input."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -145,17 +149,18 @@
         except OSError:
             return b""
 
-    def lingering_close(self, until: float, most: int) -> Generator[float | None, Any, None]:
-        """Close the sending side, then discard input until the other side closes, or until the time `until`.
+    def lingering_close(self, until: float, max_discarded: int) -> Generator[float | None, Any, None]:
+        """Close the sending side, then discard input until the peer closes or the time `until` has come.
 
-        Unread input would reset a response that is still on its way. At most `most` bytes are read of a
-        client that sends on and on: it can read its response while its own sending waits.
+        Closing a socket with unread input would reset the connection and lose a response in transit. At most
+        `max_discarded` bytes are read from a client that keeps sending: it can read its response while its
+        own sending is blocked.
         """
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
             self.wait_for(READ)
             while (message := (yield until)) is not None and message is not CLOSE:
-                if most <= 0:
+                if max_discarded <= 0:
                     if isinstance(message, SocketReady) and message.hung_up:
                         return
                     continue
@@ -163,31 +168,32 @@
                     count = self.sock.recv_into(self.pool.scratch)
                     if count == 0:
                         return
-                    most -= count
-                if most <= 0:
+                    max_discarded -= count
+                if max_discarded <= 0:
                     self.wait_for(HANGUP)
 
     def reset_on_close(self) -> None:
-        """Let `close` reset the connection, so that the other side can tell that a message is incomplete."""
+        """Make `close` reset the connection, so that the peer can tell that a message is incomplete."""
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT_LINGER)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Unregister and close the socket."""
         self.pause()
         self.unwritten = []
         self.sock.close()
-        del self.actor  # the two would keep each other in memory until a garbage collection
+        del self.actor  # breaks a reference cycle, which would last until a garbage collection
 
 
 def connect(address: str, source: str = "") -> socket.socket:
-    """Return a socket that connects to `address`; once it can be written, `Stream.check_connected` checks it.
+    """Return a socket that is connecting to `address`.
 
-    `source`: the local host address to connect from, where that matters. Raises `ConnectionLostError`.
+    Once the socket is writable, `Stream.check_connected` tells whether that succeeded. `source` is the local
+    address to connect from, if it matters. Raises `ConnectionLostError`.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    except OSError as error:  # no descriptor is left
+    except OSError as error:  # no file descriptor is left
         raise ConnectionLostError(CloseReason.CONNECT_REFUSED) from error
     try:
         sock.setblocking(False)
--- a/starlingwheel/net/http/timing.py
+++ b/starlingwheel/net/http/timing.py
@@ -1,4 +1,4 @@
-"""How long connections to endpoints may take to come up, stay idle, or are distrusted after a fault."""
+"""Time limits of connections to endpoints: connecting, idling, and expecting a fault to recur."""
 
 from __future__ import annotations
 
@@ -7,26 +7,29 @@
 if TYPE_CHECKING:
     from ..context import SidecarContext
 
-IDLE_TIMEOUT_FRACTION = 0.8  # of the time after which an endpoint closes an idle connection: we close before
+# Fraction of the time after which an endpoint closes an idle connection: the sidecar closes it before that.
+IDLE_TIMEOUT_FRACTION = 0.8
 CONNECT_TIMEOUT_FRACTION = 1 / 4  # of the shortest latency objective
-CAUTION_TIMEOUTS = 8.0  # longest request timeouts: for so long a fault of a connection may happen again
+FAULT_RECURRENCE_TIMEOUTS = (
+    8.0  # longest request timeouts: for so long a fault of a connection may happen again
+)
 
 
 def connect_deadline(context: SidecarContext, now: float) -> float:
-    """Return when a connection that is begun now has to be up.
+    """Return the time by which a connection that is opened now has to be established.
 
-    A machine that has vanished refuses nothing. A request that waits has not run, so it is given up while
-    there is time for another endpoint.
+    A machine that has vanished does not refuse connections. A request that waits for one has not run, so the
+    attempt is given up while there is still time for another endpoint.
     """
     objective = context.shortest_objective
     return now + min(context.balancer_config.connect_timeout, CONNECT_TIMEOUT_FRACTION * objective)
 
 
 def idle_deadline(context: SidecarContext, idle_since: float) -> float:
-    """Return when a connection that is idle since then has to be closed."""
+    """Return the time at which a connection that has been idle since `idle_since` has to be closed."""
     return idle_since + IDLE_TIMEOUT_FRACTION * context.balancer_config.idle_timeout
 
 
-def caution_deadline(context: SidecarContext, now: float) -> float:
-    """Return until when a fault that was seen now is expected to happen again, here or elsewhere."""
-    return now + CAUTION_TIMEOUTS * context.longest_timeout
+def fault_recurrence_deadline(context: SidecarContext, now: float) -> float:
+    """Return the time until which a fault seen now is expected to recur, at this or another endpoint."""
+    return now + FAULT_RECURRENCE_TIMEOUTS * context.longest_timeout
--- a/starlingwheel/net/http/upstream_request.py
+++ b/starlingwheel/net/http/upstream_request.py
@@ -1,4 +1,4 @@
-"""What is sent to an endpoint for an exchange: method, target and headers, for HTTP/1.1 and HTTP/2 alike."""
+"""The head of a request to an endpoint: method, target and headers, for HTTP/1.1 and HTTP/2."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from ..context import SidecarContext
 
 DEFAULT_HOST = (b"Host", b"backend.local")
-UPLOAD_TIME = 30.0  # seconds that the rest of a request body may take, as far as its endpoint is told
+UPLOAD_TIME = 30.0  # seconds added to the timeout sent to the endpoint while the request body is incomplete
 NOT_FORWARDED = {
     b"connection", b"keep-alive", b"te", b"trailer", b"transfer-encoding", b"upgrade", b"expect",
     b"proxy-authorization", b"proxy-authenticate", b"content-length", b"host", b"x-expires-in-ms",
@@ -21,7 +21,7 @@
 
 
 class RequestHead(msgspec.Struct):
-    """Method, target and headers of a request; the framing is the protocol's."""
+    """Method, target and headers of a request, without the framing of a protocol."""
 
     method: bytes
     target: bytes
@@ -29,7 +29,7 @@
 
 
 def build_request(exchange: Exchange, context: SidecarContext, now: float) -> RequestHead:
-    """Return the head of what an exchange sends: a client's request, or a health check."""
+    """Return the head of the request of an exchange, which is a client's request or a health check."""
     pending = exchange.pending
     if pending is None:
         target = b"/status/load" if context.balancer_config.load_reported else b"/health"
@@ -47,8 +47,8 @@
 
 
 def _milliseconds_left(exchange: Exchange, pending: PendingRequest, now: float) -> int:
-    """The time left for the request, at least 1 ms."""
+    """Return the time left for the request in milliseconds, at least 1."""
     seconds = exchange.deadline - now
-    if exchange.deadline == inf:  # its body is still coming
+    if exchange.deadline == inf:  # its body is still incomplete
         seconds = pending.request.time_left + UPLOAD_TIME
     return max(1, int(seconds * 1000))
--- a/starlingwheel/net/http/upstream_response.py
+++ b/starlingwheel/net/http/upstream_response.py
@@ -1,4 +1,4 @@
-"""The response of one exchange over HTTP/1.1: a short body is buffered, a long one relayed."""
+"""Reads the response of one HTTP/1.1 exchange: a short body is buffered, a long one is relayed."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from ..state.buffers import MAX_BUFFERED_BODY, BufferedBody, BuffersExhaustedError
 from ..state.requests import Exchange, UpstreamResponse
 from .errors import CloseReason, ConnectionLostError
-from .load_report import load_report_of
+from .load_report import extract_load_report
 
 if TYPE_CHECKING:
     from ..actor import Coroutine
     from ..context import SidecarContext
     from .stream import Stream
 
-RELAY_DELAY_FRACTION = 1 / 2  # of the latency objective: then a response of unknown length is relayed
-RELAY_STALL_TIMEOUT = 5.0  # seconds without a byte after which a relayed response counts as broken off
+RELAY_DELAY_FRACTION = 1 / 2  # of the latency objective, after which a response of unknown length is relayed
+RELAY_STALL_TIMEOUT = 5.0  # seconds without a byte after which a relayed response counts as lost
 VERSION_PREFIX = b"HTTP/1."
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """How an exchange has ended."""
+    """The result of an exchange."""
 
     outcome: AttemptOutcome
     load_report: dict[str, float] = field(default_factory=dict)
@@ -38,10 +38,11 @@
 
 
 def response_length(response: h11.Response) -> int | None:
-    """Return the length that a response says its body has; None: it says none.
+    """Return the length of the body that a response declares, or None if it declares none.
 
-    Raises `ConnectionLostError` for a body whose end can't be told, or that is too long to be forwarded. A
-    body that ends with its connection has to say so: otherwise its head may as well have been damaged.
+    Raises `ConnectionLostError` for a body whose end can't be determined, or that is too long to be
+    forwarded. A body that ends with its connection has to announce that: otherwise its head may have been
+    corrupted.
     """
     lengths = [value for name, value in response.headers if name == b"content-length"]
     chunked = any(name == b"transfer-encoding" for name, _ in response.headers)
@@ -54,8 +55,8 @@
     return int(lengths[0]) if lengths else None
 
 
-def outcome_of(status: int, headers: Mapping[bytes, bytes]) -> AttemptOutcome:
-    """Return what a response means for its attempt."""
+def response_outcome(status: int, headers: Mapping[bytes, bytes]) -> AttemptOutcome:
+    """Return the outcome of the attempt that got this response."""
     if status == 200:
         return AttemptOutcome.SUCCESS
     if status in (503, 504) and headers.get(b"x-never-ran") == b"1":
@@ -78,9 +79,10 @@
 def next_socket_event(
     exchange: Exchange | None, deadline: float, on_timeout: CloseReason, pause_at: float = inf
 ) -> Coroutine[SocketReady | None]:
-    """Wait for the socket; None: `pause_at` has come.
+    """Return the next event of the socket, or None at `pause_at`.
 
-    Raises `ConnectionLostError` when the exchange is cancelled, and with `on_timeout` at the deadline.
+    Raises `ConnectionLostError` when the exchange is cancelled, and with the reason `on_timeout` at the
+    deadline.
     """
     while True:
         message = yield min(deadline, pause_at)
@@ -95,7 +97,7 @@
 
 
 class ResponseReader:
-    """Reads one response; owns its body until the body is given to the client."""
+    """Reads one response; owns its body until that is passed to the client."""
 
     __slots__ = ("context", "stream", "exchange", "on_relay", "head", "headers", "length", "body", "relay")
 
@@ -106,20 +108,20 @@
         exchange: Exchange,
         on_relay: Callable[[ExchangeResult], None],
     ) -> None:
-        """`on_relay`: called with the final result when the body begins to be relayed."""
+        """Read from `stream`; `on_relay` is called with the final result when relaying the body begins."""
         self.context, self.stream, self.exchange, self.on_relay = context, stream, exchange, on_relay
         self.head: h11.Response | None = None
         self.headers: dict[bytes, bytes] = {}
         self.length: int | None = None
         self.body = BufferedBody(context.buffer_pool)
-        self.relay: BodyStream | None = None  # takes the place of `body` when that is too long to buffer
+        self.relay: BodyStream | None = None  # replaces `body` if that is too long to buffer
 
     def read(self) -> Coroutine[h11.Response]:
-        """Read the response and return its head; the body is then in `body`, or has been relayed.
+        """Read the response and return its head; the body is then in `body` or has been relayed.
 
         Raises `ConnectionLostError`.
         """
-        head: h11.Response  # h11 gives no other event before it
+        head: h11.Response  # h11 produces no other event before it
         try:
             while True:
                 event = self.stream.next_event()
@@ -142,7 +144,7 @@
                 self.relay.abort()
 
     def take_body(self) -> UpstreamResponse:
-        """Give the buffered body away, as the response of the exchange."""
+        """Return the buffered body as the response of the exchange, which then owns it."""
         body, self.body = self.body, BufferedBody(self.context.buffer_pool)
         return UpstreamResponse(body, self.headers.get(b"content-type", b""))
 
@@ -158,30 +160,30 @@
             raise ConnectionLostError(CloseReason.NO_BUFFERS) from None
 
     def _begin_relay(self) -> None:
-        """Give the body to the client while it comes.
+        """Pass the body to the client while it arrives.
 
-        Its first bytes are the final response, so from now on only the endpoint or the client ends it.
+        Its first bytes are the final response, so from now on only the endpoint or the client can end it.
         """
         exchange, head = self.exchange, self.head
         if head is None or exchange.pending is None:
             raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
-        outcome = outcome_of(head.status_code, self.headers)
+        outcome = response_outcome(head.status_code, self.headers)
         if outcome is not AttemptOutcome.SUCCESS:
             raise ConnectionLostError(CloseReason.RESPONSE_TOO_LONG)
-        report = load_report_of(head.headers, exchange, self.body)
+        report = extract_load_report(head.headers, exchange, self.body)
         received, self.body = self.body, BufferedBody(self.context.buffer_pool)
         self.relay = BodyStream(self.context.buffer_pool, self.stream.actor, self.length, received)
         response = UpstreamResponse(self.relay, self.headers.get(b"content-type", b""))
         self.on_relay(ExchangeResult(outcome, report, response))
 
     def _receive(self) -> Coroutine[None]:
-        """Wait for more of the response and read it; begins the relay of one that is late."""
+        """Wait for more of the response and read it; begin to relay a response that takes long."""
         if self.head is None:
             self._check_prefix()
         if self.relay is not None:
             yield from self._receive_for_relay(self.relay)
             return
-        relay_at = self._relay_at() if self.length is None else inf
+        relay_at = self._relay_deadline() if self.length is None else inf
         deadline = self.exchange.deadline
         ready = yield from next_socket_event(self.exchange, deadline, CloseReason.OVERDUE, relay_at)
         if ready is None:
@@ -190,14 +192,17 @@
             self.stream.read()
 
     def _check_prefix(self) -> None:
-        """Raise `ConnectionLostError` for noise without a line end, for which h11 would wait on and on."""
+        """Raise `ConnectionLostError` for input that is not HTTP.
+
+        Without a line end in it, h11 would wait for more indefinitely.
+        """
         received = self.stream.http.trailing_data[0]
         if not received.startswith(VERSION_PREFIX[: len(received)]):
             raise ConnectionLostError(CloseReason.MALFORMED)
 
     def _receive_for_relay(self, relay: BodyStream) -> Coroutine[None]:
         while not relay.has_room() and not relay.cancelled:
-            # The client is slow, or buffers are short: what follows waits in the kernel.
+            # The client is slow or buffers are short, so further input stays in the kernel.
             self.stream.pause()
             yield inf if relay.is_full else self.stream.loop.now() + self.context.shortest_objective / 64
         if relay.cancelled:
@@ -210,10 +215,10 @@
         if isinstance(message, SocketReady):
             self.stream.read()
 
-    def _relay_at(self) -> float:
-        """When the beginning of a response of unknown length, which may be a long one, is relayed.
+    def _relay_deadline(self) -> float:
+        """Return the time at which relaying a response of unknown length begins, as it may be a long one.
 
-        A response whose first bytes come in time is then not given up as late.
+        A response whose first bytes arrive in time is then not given up as late.
         """
         pending, head = self.exchange.pending, self.head
         if head is None or pending is None or head.status_code != 200 or not self.body.length:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -545,7 +545,7 @@
     make_surroundings: Callable[..., Surroundings], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The known endpoints are used after a while."""
-    monkeypatch.setattr(discovery, "USE_KNOWN_AFTER", 0.02)
+    monkeypatch.setattr(discovery, "USE_KNOWN_LIST_AFTER", 0.02)
     around = make_surroundings(settings=PUSHED)
     around.until(lambda: around.context.ready)
     client = around.ask()
