--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -506,7 +506,7 @@
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
     harness = make_harness(settings={"replicasOfMe": 400, "rules": {"mustAskIn": 10000000}}, seed="4")
     harness.accept_watch(b"")
-    harness.wait_until(lambda: harness.context.discovery.current is None)
+    harness.wait_until(lambda: harness.context.discovery.current_watch is None)
     assert harness.log_lines("list.end")[0]["reason"] == "silent"
     within = discovery.REOPEN_WITHIN * discovery.KEEPALIVE_INTERVAL
     assert harness.context.discovery.next_call_at <= harness.context.loop.now() + within
@@ -550,7 +550,7 @@
     make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The known endpoints are used after a while."""
-    monkeypatch.setattr(discovery, "USE_KNOWN_AFTER", 0.02)
+    monkeypatch.setattr(discovery, "USE_KNOWN_LIST_AFTER", 0.02)
     harness = make_harness(settings=PUSHED)
     harness.wait_until(lambda: harness.context.ready)
     client = harness.send_request()
@@ -570,7 +570,7 @@
     watch.close()
     for calls in range(1, 10):
         harness.wait_until(lambda: len(harness.log_lines("list.end")) >= calls)  # noqa: B023
-        harness.wait_until(lambda: harness.context.discovery.current is None)
+        harness.wait_until(lambda: harness.context.discovery.current_watch is None)
         assert harness.context.discovery.next_call_at <= harness.context.loop.now() + grace / 2
 
 
@@ -581,7 +581,7 @@
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
     harness = make_harness(settings=PUSHED)
     harness.accept(listener=harness.discovery)
-    harness.wait_until(lambda: harness.context.discovery.current is None)
+    harness.wait_until(lambda: harness.context.discovery.current_watch is None)
     assert harness.context.discovery.timeout_multiple == 2 * discovery.AGENT_ANSWER_TIMEOUT
     harness.push_snapshot()
     assert harness.context.discovery.timeout_multiple == discovery.AGENT_ANSWER_TIMEOUT
@@ -612,7 +612,7 @@
     harness.wait_until(lambda: harness.context.discovery.version == 9)
     harness.read_request(calls[1 - answered])
     assert harness.wait_until(lambda: harness.read(calls[1 - answered])) == b"end"
-    assert harness.context.discovery.current.address == socket_address(harness.discovery)
+    assert harness.context.discovery.current_watch.address == socket_address(harness.discovery)
     assert harness.context.discovery.second_watch is None and len(harness.log_lines("list.beside")) == 1
     harness.send_watch_line(calls[answered], word | {"version": 10})
     harness.wait_until(lambda: harness.context.discovery.version == 10)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -294,7 +294,7 @@
     harness.accept_watch({"version": 3, "full": True, "servers": [harness.endpoint_entry(0)]})
     harness.wait_until(lambda: harness.context.discovery.version == 3)
     assert (
-        harness.context.discovery.current.address == socket_address(last)
+        harness.context.discovery.current_watch.address == socket_address(last)
         and harness.context.discovery.new_watch is None
     )
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -167,7 +167,7 @@
     """Not starting would be worse than a price for what is not allowed."""
     harness = make_harness(settings=changed_settings(settings, **changed))
     assert [line["key"] for line in harness.log_lines("settings.mixed")] == named
-    if harness.context.discovery.pushed:
+    if harness.context.discovery.list_is_pushed:
         harness.push_snapshot()
     assert harness.context.ready
     harness.send_request()
