--- a/starlingwheel/cli/policy.py
+++ b/starlingwheel/cli/policy.py
@@ -49,7 +49,7 @@
         fail(ExitCode.REJECTED, str(unusable))
     if config.fleet is None:
         fail(ExitCode.REJECTED, f"{file}: fleet: missing")
-    body = document.policy_of(config.settings, config.fleet.replication, config.fleet.zones)
+    body = document.policy_from_config(config.settings, config.fleet.replication, config.fleet.zones)
     click.echo(json.dumps(body, indent=2))
 
 
@@ -58,7 +58,7 @@
 @click.option("--memory-mb", default=192.0, help="Memory limit of the smallest sidecar.")
 def check(file: str, memory_mb: float) -> None:
     """Tell all that is wrong with the policy in FILE by itself."""
-    faults = document.faults(_read_json(file), {}, memory_mb)
+    faults = document.validation_errors(_read_json(file), {}, memory_mb)
     if faults:
         fail(ExitCode.REJECTED, "\n".join(f"{file}: {fault}" for fault in faults))
     click.echo(f"{file}: fit")
--- a/starlingwheel/fleet/policy/document.py
+++ b/starlingwheel/fleet/policy/document.py
@@ -41,34 +41,34 @@
 MAX_DURATION = 1e12  # as the settings give it
 RETRY_SAFETIES = ("free", "guarded", "single_shot")
 encoder = msgspec.json.Encoder(order="sorted")
-Body = dict[str, Any]
+PolicyBody = dict[str, Any]
 
 
-def encode(body: Body) -> bytes:
+def encode(body: PolicyBody) -> bytes:
     """The one encoding of a policy, which its digest is of."""
     return encoder.encode(body)
 
 
-def digest(body: Body) -> str:
+def digest(body: PolicyBody) -> str:
     """The digest by which members compare policies."""
     return hashlib.blake2b(encode(body), digest_size=8).hexdigest()
 
 
-def policy_of(
+def policy_from_config(
     settings: dict[str, Any], replication: ReplicationConfig, zones: ZonesConfig | None = None
-) -> Body:
+) -> PolicyBody:
     """The policy that a configuration gives: the part that it has in common with others."""
     shared = {key: value for key, value in settings.items() if key not in MEMBER_KEYS}
     body = {"settings": shared, "cover": msgspec.to_builtins(replication)}
     return body if zones is None else body | {"zones": msgspec.to_builtins(zones)}
 
 
-def merge_settings(body: Body, settings: dict[str, Any]) -> dict[str, Any]:
+def merge_settings(body: PolicyBody, settings: dict[str, Any]) -> dict[str, Any]:
     """The settings of a sidecar under a policy: the policy's, and its own keys."""
     return dict(body["settings"]) | {key: settings[key] for key in MEMBER_KEYS if key in settings}
 
 
-def faults(body: object, known: dict[str, Any], memory_mb: float) -> list[str]:
+def validation_errors(body: object, known: dict[str, Any], memory_mb: float) -> list[str]:
     """All faults of a policy by itself, each with its key.
 
     `known`: the settings of this sidecar's file, whose further keys are the platform's. `memory_mb`: the
@@ -183,7 +183,7 @@
         yield Difference(key, left, right)
 
 
-def conflicting_edits(before: Body, now: Body, in_force: Body) -> list[str]:
+def conflicting_edits(before: PolicyBody, now: PolicyBody, active_policy: PolicyBody) -> list[str]:
     """Where a file that is read again differs from the policy in force by an edit, each with its key.
 
     What the file said `before` already is only old, not edited: a fleet whose files are as they were before
@@ -192,6 +192,6 @@
     edited_keys = {one.key for one in differences(now, before)}
     return [
         f"{one.key}: {one.left!r}, where the policy in force says {one.right!r}"
-        for one in differences(now, in_force)
+        for one in differences(now, active_policy)
         if any(one.key.startswith(edited) or edited.startswith(one.key) for edited in edited_keys)
     ]
--- a/starlingwheel/fleet/policy/host.py
+++ b/starlingwheel/fleet/policy/host.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..records import Policy, PolicyDecision, PolicyProposal
-from .document import Body
+from .document import PolicyBody
 
 
 class StoredPolicy(msgspec.Struct, rename={"ended_proposal": "ended", "registered_names": "names"}):
@@ -24,7 +24,7 @@
 class PolicyHost(Protocol):
     """What the replica asks of the process that it runs in."""
 
-    def check(self, body: Body) -> str:
+    def check(self, body: PolicyBody) -> str:
         """Why this sidecar can't follow that policy; empty: it can."""
 
     def store(self, stored: StoredPolicy) -> None:
@@ -33,7 +33,7 @@
     def store_state(self) -> str | None:
         """Whether what `store` was given last is stored: empty: it is; None: not yet; else why not."""
 
-    def put_in_force(self, policy: Policy) -> None:
+    def apply_policy(self, policy: Policy) -> None:
         """Put this policy in force."""
 
     def request_decision(self, member: str) -> None:
--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -22,7 +22,7 @@
 from ..records import Policy, PolicyDecision, PolicyProposal, StoreRecords, Transaction
 from ..turns import WriteTurns
 from . import transactions
-from .document import Body, digest
+from .document import PolicyBody, digest
 from .host import PolicyHost, StoredPolicy
 from .statuses import PeerStatuses, PolicyStatus
 from .transactions import MAX_REASON_LENGTH, REMEMBERED_PROPOSALS, Vote
@@ -49,7 +49,7 @@
         self.started_at = now
         self.stored = stored
         self.records = StoreRecords()
-        self.in_force = Policy()
+        self.active_policy = Policy()
         self.decision = stored.decision
         self.promise = stored.promise
         self.ended_proposal = stored.ended_proposal
@@ -74,7 +74,7 @@
         if bool(reason) != bool(self.unavailable_since):
             if reason:
                 self.unavailable_since = self.now
-                self.host.log_event("policy.doubt", reason=reason, version=self.in_force.version)
+                self.host.log_event("policy.doubt", reason=reason, version=self.active_policy.version)
             else:
                 lasted = self.now - self.unavailable_since
                 self.unavailable_seconds += lasted
@@ -104,7 +104,7 @@
 
     def _count_agreed_until(self) -> float:
         """Until when more than half of the registered names are known to follow the same policy."""
-        return self.peer_statuses.count(self.registered_names, self.in_force, self.now)
+        return self.peer_statuses.count(self.registered_names, self.active_policy, self.now)
 
     def next_check_at(self) -> float:
         """When to call `unavailable_reason` again, whatever comes."""
@@ -155,8 +155,8 @@
             member=self.member_id,
             name=self.name,
             made_at=self.now,
-            version=self.in_force.version,
-            digest=self.in_force.digest,
+            version=self.active_policy.version,
+            digest=self.active_policy.digest,
             follows_until=min(switch_at, self.promise.at if self.promise else inf),
             decided_version=self.decided_version,
             ended_proposal=self.ended_proposal,
@@ -171,7 +171,7 @@
 
     def receive_status(self, status: PolicyStatus) -> None:
         """Take over the status of a member, from itself or relayed."""
-        if not self.peer_statuses.add(status, self.in_force):
+        if not self.peer_statuses.add(status, self.active_policy):
             return
         if status.decided_version > self.decided_version:
             self.host.request_decision(status.member)
@@ -180,7 +180,7 @@
         is_late = self.now >= self.started_at + ASSUME_AFTER * self.lease
         if not self.is_decision_known and is_late and self.now < self._agreed_until():
             self.is_decision_known = True
-            self.host.log_event("policy.assumed", version=self.in_force.version)
+            self.host.log_event("policy.assumed", version=self.active_policy.version)
 
     @staticmethod
     def _is_dropped(proposal: PolicyProposal, status: PolicyStatus) -> bool:
@@ -208,7 +208,7 @@
             self._release_promise("dropped")
         if not self.is_decision_known and self.member_id in records.members:
             self.is_decision_known = True
-            self.host.log_event("policy.known", version=self.in_force.version)
+            self.host.log_event("policy.known", version=self.active_policy.version)
         proposal = records.proposal
         if proposal is not None and self.member_id in records.members and not self._has_voted(proposal):
             self._cast_vote(proposal)
@@ -260,12 +260,12 @@
         if self.decision is None:
             return
         policy = self.decision.policy if self.now >= self.decision.at else self.decision.before
-        if policy.version != self.in_force.version and policy.body is not None:
-            self.in_force = policy
+        if policy.version != self.active_policy.version and policy.body is not None:
+            self.active_policy = policy
             self.peer_statuses.invalidate_count()
             self.counts["switched"] += 1
             self.host.log_event("policy.in_force", version=policy.version, digest=policy.digest)
-            self.host.put_in_force(policy)
+            self.host.apply_policy(policy)
 
     def _store(self) -> None:
         stored = self.stored
@@ -309,7 +309,7 @@
 
     # What is to be written to the store.
 
-    def propose(self, body: Body, delay: float) -> tuple[Transaction, PolicyProposal]:
+    def propose(self, body: PolicyBody, delay: float) -> tuple[Transaction, PolicyProposal]:
         """A change that takes effect `delay` seconds from now. The caller has checked it."""
         policy = Policy(self.decided_version + 1, digest(body), body)
         proposal = PolicyProposal(policy, self.now + delay, self.now, self.member_id)
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from .membership import MAX_SHARDS, Member, MembershipView
-from .policy.document import Body
+from .policy.document import PolicyBody
 
 # Keys under the fleet's name. A prefix is followed by what stands in the comment.
 POLICY_PREFIX = "policy/"
@@ -30,7 +30,7 @@
 
     version: int = 0
     digest: str = ""
-    body: Body | None = None
+    body: PolicyBody | None = None
 
 
 class PolicyProposal(msgspec.Struct, frozen=True, rename={"proposed_at": "made"}):
--- a/starlingwheel/fleet/zones/planner.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -329,12 +329,12 @@
 
     # Operators.
 
-    def leave(self, name: str, reason: str) -> Transaction:
+    def leave_zone(self, name: str, reason: str) -> Transaction:
         """Send nothing to that zone until operators let it return."""
         left = self._left_state(name, 0, TRIAL_SHARE, self.plan.epoch + 1, reason)
         return self._write_zone(name, msgspec.structs.replace(left, share=0.0, by_operator=True))
 
-    def hold(self, name: str, reason: str) -> Transaction:
+    def hold_zone(self, name: str, reason: str) -> Transaction:
         """Keep the share of that zone as it is."""
         epoch = self.plan.epoch + 1
         zone = self.plan.zones.get(name)
@@ -349,7 +349,7 @@
         )
         return self._write_zone(name, held)
 
-    def let_return(self, name: str, reason: str) -> Transaction | None:
+    def begin_return(self, name: str, reason: str) -> Transaction | None:
         """Let that zone return in steps; None: it is not in the plan."""
         zone = self.plan.zones.get(name)
         if zone is None:
--- a/starlingwheel/net/fleet/etcd/lease_keeper.py
+++ b/starlingwheel/net/fleet/etcd/lease_keeper.py
@@ -45,7 +45,7 @@
         self.notify = notify
         self.lease_id = ""
 
-    def work(self) -> Coroutine[None]:
+    def run_until_failure(self) -> Coroutine[None]:
         """Register, then renew the lease until it is lost."""
         granted_at = self.loop.now()
         request = LeaseGrantRequest(str(int(self.lease)))
--- a/starlingwheel/net/fleet/etcd/member_evictor.py
+++ b/starlingwheel/net/fleet/etcd/member_evictor.py
@@ -25,7 +25,7 @@
             self.to_evict[message.member.id] = message.member
         super().post(message)
 
-    def work(self) -> Coroutine[None]:
+    def run_until_failure(self) -> Coroutine[None]:
         """Evict all members that are to be evicted, and wait for the next one."""
         while True:
             while self.to_evict:
--- a/starlingwheel/net/fleet/etcd/session.py
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -71,14 +71,14 @@
         """Run `work` for ever."""
         while True:
             try:
-                yield from self.work()
+                yield from self.run_until_failure()
             except (ConnectionLostError, EtcdError) as error:
                 self._record_failure(str(error))
                 retry_at = self.loop.now() + self.backoff * (0.5 + self.rng.random())
                 while self.loop.now() < retry_at:
                     yield retry_at
 
-    def work(self) -> Coroutine[None]:
+    def run_until_failure(self) -> Coroutine[None]:
         """Do the client's job until it fails by `ConnectionLostError` or `EtcdError`."""
         raise NotImplementedError
 
--- a/starlingwheel/net/fleet/etcd/state_watcher.py
+++ b/starlingwheel/net/fleet/etcd/state_watcher.py
@@ -50,7 +50,7 @@
         self.records = StoreRecords()
         self.revision = 0  # up to which all changes are known; 0: none is
 
-    def work(self) -> Coroutine[None]:
+    def run_until_failure(self) -> Coroutine[None]:
         """Read all records unless they are known, then watch."""
         keys = KeyRange(encode_base64(self.fleet_prefix), encode_base64(prefix_end(self.fleet_prefix)))
         if not self.revision:
--- a/starlingwheel/net/fleet/etcd/state_writer.py
+++ b/starlingwheel/net/fleet/etcd/state_writer.py
@@ -31,7 +31,7 @@
         self.due = due
         self.lease_id = lease_id
 
-    def work(self) -> Coroutine[None]:
+    def run_until_failure(self) -> Coroutine[None]:
         """Write each transaction when it is due or asked for."""
         next_at = 0.0
         while True:
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -214,7 +214,7 @@
     def send_frame(self, member: str, frame: Frame) -> bool:
         """Send a frame to a member. False: there is no link to it now."""
         link = self.links.get(member)
-        if link is None or link.over:
+        if link is None or link.end_reported:
             return False
         link.post(SendFrame(encode_frame(frame)))
         return True
--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -39,7 +39,7 @@
         self.activity = LinkActivity(self.connection, lambda: len(manager.links))
         self.early_frames: list[Frame] = []  # those that came with the hello
         self.closing_idle = False  # we have said that the link ends because neither side needs it
-        self.over = False
+        self.end_reported = False
         if self.dialed:
             manager.dialer.dialing[member] = self
         else:
@@ -65,11 +65,11 @@
             raise
         finally:
             self.connection.close()
-            if not self.over:
+            if not self.end_reported:
                 self._report_end(reason)
 
     def _report_end(self, reason: str) -> None:
-        self.over = True
+        self.end_reported = True
         self.manager.link_ended(self, self.member, reason)
 
     # The handshake
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -18,7 +18,7 @@
     PolicyStatusFrame,
 )
 from ...fleet.policy import document
-from ...fleet.policy.document import Body
+from ...fleet.policy.document import PolicyBody
 from ...fleet.policy.host import StoredPolicy
 from ...fleet.policy.replica import PolicyReplica
 from ...fleet.records import Policy, PolicyDecision
@@ -55,14 +55,14 @@
             member_id, config.name, float(fleet.lease_s), self, now, self.vote_store.read()
         )
         # The policy that the configuration file gives.
-        self.file_policy = document.policy_of(config.settings, fleet.replication, fleet.zones)
+        self.file_policy = document.policy_from_config(config.settings, fleet.replication, fleet.zones)
         self.fleet_host: FleetHost | None = None  # whose links the statuses go over, set once it is there
 
     # What the replica asks for; see `PolicyHost`.
 
-    def check(self, body: Body) -> str:
+    def check(self, body: PolicyBody) -> str:
         """Why this sidecar can't follow that policy; empty: it can."""
-        faults = document.faults(body, self.config.settings, self.config.limits.memory_mb)
+        faults = document.validation_errors(body, self.config.settings, self.config.limits.memory_mb)
         if not faults:
             try:
                 config = self._balancer_config_under(body, self.config)
@@ -80,7 +80,7 @@
         """Empty: what was given to `store` is stored; None: not yet; else why it can't be."""
         return self.vote_store.state
 
-    def put_in_force(self, policy: Policy) -> None:
+    def apply_policy(self, policy: Policy) -> None:
         """Put the policy in force."""
         if policy.body is None or self.fleet_host is None:
             return
@@ -105,7 +105,7 @@
         """Write a line to the log."""
         self.log(event, **fields)
 
-    def _balancer_config_under(self, body: Body, config: SidecarConfig) -> BalancerConfig:
+    def _balancer_config_under(self, body: PolicyBody, config: SidecarConfig) -> BalancerConfig:
         """What a configuration file gives under that policy; raises `ConfigError`."""
         settings = document.merge_settings(body, config.settings)
         return balancer_config_of(msgspec.structs.replace(config, settings=settings), "policy")
@@ -115,17 +115,17 @@
     def reloaded_config(self, config: SidecarConfig) -> BalancerConfig:
         """What a file that was read again gives; raises `ConfigError` where it changes the fleet's policy."""
         fleet = config.fleet or self.fleet
-        file_policy = document.policy_of(config.settings, fleet.replication, fleet.zones)
-        policy = self.policy_replica.in_force
-        in_force = policy.body if policy.body is not None else self.file_policy
-        if edits := document.conflicting_edits(self.file_policy, file_policy, in_force):
+        file_policy = document.policy_from_config(config.settings, fleet.replication, fleet.zones)
+        policy = self.policy_replica.active_policy
+        active_policy = policy.body if policy.body is not None else self.file_policy
+        if edits := document.conflicting_edits(self.file_policy, file_policy, active_policy):
             raise ConfigError(
                 f"version {policy.version} of the fleet's policy holds, a change is to be proposed: "
                 + "; ".join(edits)
             )
         self.file_policy = file_policy
         self.config = msgspec.structs.replace(self.config, settings=config.settings)
-        return self._balancer_config_under(in_force, config)
+        return self._balancer_config_under(active_policy, config)
 
     def answer_query(self, query: PolicyQueryFrame) -> list[Frame]:
         """The answer to a member that we have no link with: our status, and those received over our links."""
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -1,4 +1,7 @@
-"""What operators see of a member: its place in the fleet, and its policy. Field names are the admin API's."""
+"""Reports of the admin API: this member in its fleet, its policy and the zone plan.
+
+The encoded field names are the admin API's; `rename` maps fields whose name in the code differs.
+"""
 
 from __future__ import annotations
 
@@ -16,29 +19,37 @@
     from .member import FleetMember
 
 
-class ShardReport(msgspec.Struct):
-    """The shards of the fleet: their count, our own one and its members."""
+class ShardReport(msgspec.Struct, rename={"own_shard": "ours"}):
+    """The shards of the fleet: their count, this member's shard and its members."""
 
     count: int
-    ours: int
+    own_shard: int
     members: list[str]
     fleet_members: int  # in all shards
 
 
-class MemberReport(msgspec.Struct):
-    """This member in its fleet: who is in the view, who is linked, what is replicated, and why not."""
+class MemberReport(
+    msgspec.Struct,
+    rename={
+        "is_synced": "settled",
+        "shards": "cells",
+        "requests_by_state": "items",
+        "used_bytes": "kept_bytes",
+    },
+):
+    """This member in its fleet: the view, its links, the replicated requests and the counted failures."""
 
     member: str
     in_view: bool
-    lease_s: float  # seconds that our lease still holds
-    settled: bool
-    cells: ShardReport
-    view: list[Member]  # of our shard
+    lease_s: float  # seconds until this member's lease ends
+    is_synced: bool
+    shards: ShardReport
+    view: list[Member]  # of this member's shard
     links: list[str]
-    items: Mapping[str, int]  # replicated requests by state
-    kept_bytes: int
+    requests_by_state: Mapping[str, int]  # replicated requests
+    used_bytes: int
     counts: Mapping[str, int]
-    reasons: Mapping[str, int]  # why calls of the store and links have ended
+    reasons: Mapping[str, int]  # reason codes of failed calls of the coordination store and of ended links
 
 
 class PolicyStatusReport(msgspec.Struct):
@@ -48,35 +59,47 @@
     age_s: float
 
 
-class PolicyReport(msgspec.Struct):
-    """The policy in force, the proposal that is open, and earlier ones."""
+class PolicyReport(
+    msgspec.Struct,
+    rename={
+        "active_policy": "in_force",
+        "decided_version": "decided",
+        "unavailable_reason": "doubt",
+        "unavailable_s": "doubted_s",
+        "open_proposal": "open",
+        "past_proposals": "past",
+        "registered_names": "registered",
+        "peer_statuses": "words",
+    },
+):
+    """The policy in force, the open proposal, and earlier proposals."""
 
-    in_force: Policy
-    decided: int | None  # version
+    active_policy: Policy
+    decided_version: int | None
     decided_at: float | None
-    doubt: str
-    doubted_s: float  # seconds in doubt so far
-    open: dict[str, object] | None  # the proposal and its votes by member name
-    past: list[PastProposal]
-    registered: list[str]  # names of all members that ever were in the fleet
-    words: dict[str, PolicyStatusReport]  # by member name
+    unavailable_reason: str  # why no request may be accepted; empty: requests may be accepted
+    unavailable_s: float  # total seconds in which no request was accepted
+    open_proposal: dict[str, object] | None  # the proposal and its votes by member name
+    past_proposals: list[PastProposal]
+    registered_names: list[str]  # of all members that ever joined the fleet
+    peer_statuses: dict[str, PolicyStatusReport]  # by member name
     counts: Mapping[str, int]
 
 
 class ZonesReport(
     msgspec.Struct, rename={"reports": "said", "healthy_rates": "most", "lease_expired": "cut_off"}
 ):
-    """The plan of the zones, and what it rests on."""
+    """The zone plan, and the observations it is based on."""
 
     plan: ZonePlan
-    seen: dict[str, ZoneHealth]  # by this member, of each zone
-    reports: dict[str, dict[str, ZoneHealth]]  # by member name, of each zone
-    healthy_rates: Mapping[str, float]  # attempts a second, the highest at which a zone was healthy
+    seen: dict[str, ZoneHealth]  # by zone: what this member observes
+    reports: dict[str, dict[str, ZoneHealth]]  # by member name, then by zone
+    healthy_rates: Mapping[str, float]  # by zone: the highest rate at which it was healthy, attempts a second
     lease_expired: bool
 
 
 def member_report(fleet: FleetMember) -> MemberReport:
-    """Return the report of a member."""
+    """Return the report of this member in its fleet."""
     replicator = fleet.host.replicator
     view = replicator.view
     shard = view.shard_of_member(fleet.member_id)
@@ -85,32 +108,32 @@
         member=fleet.member_id,
         in_view=fleet.member_id in view,
         lease_s=round(max(0.0, replicator.lease_until - fleet.loop.now()), 3),
-        settled=replicator.is_synced,
-        cells=ShardReport(view.shard_count, shard, list(shard_members), len(view.members)),
+        is_synced=replicator.is_synced,
+        shards=ShardReport(view.shard_count, shard, list(shard_members), len(view.members)),
         view=list(shard_members.values()),
         links=sorted(replicator.links),
-        items=Counter(item.state.value for item in replicator.requests.values()),
-        kept_bytes=replicator.used_bytes,
+        requests_by_state=Counter(item.state.value for item in replicator.requests.values()),
+        used_bytes=replicator.used_bytes,
         counts=replicator.counts,
         reasons=fleet.reasons,
     )
 
 
 def policy_report(policy_replica: PolicyReplica, now: float) -> PolicyReport:
-    """Return the report of a member's policy."""
+    """Return the report of this member's policy."""
     policy_replica.now = now
-    doubt = policy_replica.unavailable_reason()  # first: it brings the other figures up to date
+    unavailable_reason = policy_replica.unavailable_reason()  # called first: it updates the other figures
     records, decision = policy_replica.records, policy_replica.decision
     return PolicyReport(
-        in_force=policy_replica.in_force,
-        decided=None if decision is None else decision.policy.version,
+        active_policy=policy_replica.active_policy,
+        decided_version=None if decision is None else decision.policy.version,
         decided_at=None if decision is None else decision.at,
-        doubt=doubt,
-        doubted_s=round(policy_replica.unavailable_seconds, 3),
-        open=_open_proposal(records),
-        past=[records.past[number] for number in sorted(records.past)],
-        registered=policy_replica.registered_names,
-        words={
+        unavailable_reason=unavailable_reason,
+        unavailable_s=round(policy_replica.unavailable_seconds, 3),
+        open_proposal=_open_proposal(records),
+        past_proposals=[records.past[number] for number in sorted(records.past)],
+        registered_names=policy_replica.registered_names,
+        peer_statuses={
             status.name: PolicyStatusReport(status.version, round(now - status.made_at, 3))
             for status in policy_replica.statuses.values()
         },
@@ -121,12 +144,12 @@
 def _open_proposal(records: StoreRecords) -> dict[str, object] | None:
     if records.proposal is None:
         return None
-    votes = {member.name: _vote(records.votes.get(member.id)) for member in records.members.values()}
+    votes = {member.name: _describe_vote(records.votes.get(member.id)) for member in records.members.values()}
     return msgspec.to_builtins(records.proposal) | {"votes": votes}
 
 
-def _vote(objection: str | None) -> str:
-    """`objection`: empty for a vote in favour, None: the member has not voted."""
+def _describe_vote(objection: str | None) -> str:
+    """Return a vote as text. `objection`: empty for a vote in favour, None if the member has not voted."""
     if objection is None:
         return "nothing"
     return f"no: {objection}" if objection else "yes"
--- a/tests/link_network.py
+++ b/tests/link_network.py
@@ -152,6 +152,6 @@
 def connected(one: LinkedMember, other: LinkedMember) -> bool:
     """Whether both have a link to the other, and it is the same connection."""
     mine, theirs = one.links.links.get(other.id), other.links.links.get(one.id)
-    if mine is None or theirs is None or mine.over or theirs.over:
+    if mine is None or theirs is None or mine.end_reported or theirs.end_reported:
         return False
     return mine.connection.sock.getsockname() == theirs.connection.sock.getpeername()
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -202,7 +202,7 @@
     while other.links.links:
         other.loop.run_once(0)
         network.clock.time += STEP
-    assert not link.over
+    assert not link.end_reported
     one.needs_link_to.add(other.id)
     link.post(SendFrame(encode_frame(SECOND_FRAME)))
     return network, one, other
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -92,7 +92,7 @@
 def test_all_faults_of_a_policy_are_reported_at_once_with_their_keys():
     twice = [{"name": "look", "effect": "free", "dueTime": 1, "expiry": 0}] * 2
     wrong = body(categories=twice, locality="here", capz={}, caps={"mostHandOff": 1}) | {"spare": 1}
-    faults = "; ".join(document.faults(wrong, {}, 192))
+    faults = "; ".join(document.validation_errors(wrong, {}, 192))
     for part in (
         "spare: unknown", "settings.locality: is each sidecar's own", "settings.capz: unknown; near: caps",
         "settings.caps.mostHandOff: unknown; near: mostHandOffs",
@@ -103,27 +103,27 @@
 
 
 def test_keys_that_the_platform_put_in_the_file_are_known():
-    assert not document.faults(body(resolution=3), {"resolution": 1}, 192)
-    assert document.faults(body(resolution=3), {}, 192) == ["settings.resolution: unknown"]
+    assert not document.validation_errors(body(resolution=3), {"resolution": 1}, 192)
+    assert document.validation_errors(body(resolution=3), {}, 192) == ["settings.resolution: unknown"]
 
 
 @pytest.mark.parametrize("wrong", [None, 3, [], "x", {}, {"settings": 1}, {"settings": {}, "cover": 0}])
 def test_a_document_that_is_no_policy_has_faults(wrong):
-    assert document.faults(wrong, {}, 192)
+    assert document.validation_errors(wrong, {}, 192)
 
 
 def test_a_policy_too_large_for_the_memory_limit_has_a_fault():
     large = body(tenants=[{"name": f"t{i:040}", "share": 1.0} for i in range(200)])
-    assert not document.faults(large, {}, 192)
-    assert "bytes; 4096 are taken here" in document.faults(large, {}, 16)[0]
+    assert not document.validation_errors(large, {}, 192)
+    assert "bytes; 4096 are taken here" in document.validation_errors(large, {}, 16)[0]
 
 
 def test_only_edits_of_a_file_conflict_with_the_policy_in_force():
-    old, in_force = body(), body(rules={"mustAskIn": 5})
-    assert document.conflicting_edits(old, old, in_force) == []
-    (fault,) = document.conflicting_edits(old, body(rules={"mustAskIn": 7}), in_force)
+    old, active_policy = body(), body(rules={"mustAskIn": 5})
+    assert document.conflicting_edits(old, old, active_policy) == []
+    (fault,) = document.conflicting_edits(old, body(rules={"mustAskIn": 7}), active_policy)
     assert fault == "settings.rules.mustAskIn: 7, where the policy in force says 5"
-    assert document.conflicting_edits(old, in_force, in_force) == []
+    assert document.conflicting_edits(old, active_policy, active_policy) == []
 
 
 def test_unreadable_records_hide_no_others_and_raise_nothing():
@@ -214,8 +214,8 @@
     assert status == 200 and answer["version"] == 1
     around = admin.around
     around.until(lambda: admin.policy_replica.decided_version == 1)
-    assert admin.policy_replica.in_force.version == 0 and around.context.longest_timeout < 3
-    around.until(lambda: admin.policy_replica.in_force.version == 1)
+    assert admin.policy_replica.active_policy.version == 0 and around.context.longest_timeout < 3
+    around.until(lambda: admin.policy_replica.active_policy.version == 1)
     assert around.context.longest_timeout == 3 and around.context.loop.now() >= answer["at"]
     status, answer = admin.call("GET /_policy")
     assert (
@@ -246,7 +246,7 @@
     assert answer["open"]["votes"]["n9"] == "nothing"
     assert admin.call("PUT /_policy/drop", {"id": "1"})[0] == 200
     admin.around.until(lambda: admin.policy_replica.records.proposal is None)
-    assert admin.policy_replica.promise is None and admin.policy_replica.in_force.version == 0
+    assert admin.policy_replica.promise is None and admin.policy_replica.active_policy.version == 0
 
 
 def b64(text):
@@ -266,7 +266,7 @@
     around.until(lambda: admin.policy_replica.promise is None)
     asked = around.ask("buy", b"one", x_trace_id="t2")
     around.serve()
-    assert around.status(asked) == 200 and admin.policy_replica.in_force.version == 0
+    assert around.status(asked) == 200 and admin.policy_replica.active_policy.version == 0
 
 
 def test_sighup_changes_only_the_settings_of_this_sidecar(admin):
@@ -280,7 +280,7 @@
 
 def test_a_process_that_was_down_starts_under_the_policy_in_force(admin, make_surroundings, served, tmp_path):
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.6})[0] == 200
-    admin.around.until(lambda: admin.policy_replica.in_force.version == 1)
+    admin.around.until(lambda: admin.policy_replica.active_policy.version == 1)
     part = part_at(served) | {"keep": str(tmp_path / "other")}
     late = make_surroundings(name="n1", fleet=part, settings=SETTINGS)
     late.until(lambda: joined(late))
--- a/tests/test_policy_over_links.py
+++ b/tests/test_policy_over_links.py
@@ -44,7 +44,7 @@
         """Have nothing stored."""
         return ""
 
-    def put_in_force(self, policy: object) -> None:
+    def apply_policy(self, policy: object) -> None:
         """Apply nothing."""
 
     def request_decision(self, member: str) -> None:
--- a/trials/capacity/bench.py
+++ b/trials/capacity/bench.py
@@ -99,7 +99,7 @@
         """Nothing failed to be stored."""
         return ""
 
-    def put_in_force(self, policy_: object) -> None:
+    def apply_policy(self, policy_: object) -> None:
         """Apply no policy."""
 
     def request_decision(self, member: str) -> None:
--- a/trials/emulated_member.py
+++ b/trials/emulated_member.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from starlingwheel.fleet.membership import Member
-from starlingwheel.fleet.policy.document import Body
+from starlingwheel.fleet.policy.document import PolicyBody
 from starlingwheel.fleet.policy.host import StoredPolicy
 from starlingwheel.fleet.policy.statuses import PolicyStatus
 from starlingwheel.fleet.records import MEMBERS_PREFIX, NAMES_PREFIX, Policy, StoreRecords, Transaction
@@ -56,7 +56,7 @@
 
     # What the replica asks for; see `PolicyHost`.
 
-    def check(self, body: Body) -> str:
+    def check(self, body: PolicyBody) -> str:
         """A policy may name members that can't follow it."""
         return "not here" if self.name in body["settings"].get("not", []) else ""
 
@@ -68,7 +68,7 @@
         """All is stored at once."""
         return ""
 
-    def put_in_force(self, policy: Policy) -> None:
+    def apply_policy(self, policy: Policy) -> None:
         """Nothing has to be put in force."""
 
     def request_decision(self, member: str) -> None:
@@ -112,7 +112,7 @@
 
     def _take_requests(self) -> None:
         if not self.policy_replica.unavailable_reason():
-            self.world.observe(self, self.policy_replica.in_force)
+            self.world.observe(self, self.policy_replica.active_policy)
 
     def _follow_watch(self) -> None:
         """The watch: late by a while, in order; nothing while the store can't be reached."""
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -16,7 +16,7 @@
 from math import inf
 from typing import NamedTuple
 
-from starlingwheel.fleet.policy.document import Body
+from starlingwheel.fleet.policy.document import PolicyBody
 from starlingwheel.fleet.policy.host import StoredPolicy
 from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY, PolicyReplica
 from starlingwheel.fleet.records import MEMBERS_PREFIX, PROPOSAL_KEY, Policy
@@ -228,7 +228,7 @@
         author = self.rng.choice(able)
         if author.policy_replica.records.proposal is not None:
             return
-        body: Body = {"settings": {"number": number}, "cover": {}}
+        body: PolicyBody = {"settings": {"number": number}, "cover": {}}
         if self.rng.random() < 0.15:
             body["settings"]["not"] = [self.rng.choice(able).name]
         author.policy_replica.now = author.clock()
@@ -287,7 +287,8 @@
         return [
             member.id
             for member in alive
-            if member.policy_replica.unavailable_reason() or member.policy_replica.in_force.version != last
+            if member.policy_replica.unavailable_reason()
+            or member.policy_replica.active_policy.version != last
         ]
 
 
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -278,7 +278,7 @@
             replica.now = self.now
             if name in self.paused or replica.unavailable_reason():
                 continue
-            version = replica.in_force.version
+            version = replica.active_policy.version
             self.served_old_after_switch |= version == 0 and self.now >= SWITCH_DELAY
             self.served_new |= version == 1
             self.served_new_before_switch |= version == 1 and self.now < SWITCH_DELAY
@@ -287,7 +287,7 @@
         """The text of a state: two of one text go on alike."""
         replicas = [
             (
-                name, r.member_id, r.in_force.version, r.decided_version, r.promise and r.promise.number,
+                name, r.member_id, r.active_policy.version, r.decided_version, r.promise and r.promise.number,
                 r.ended_proposal, r.is_decision_known, r.lease_until, r.entry_revision, r.vote,
                 sorted(r.statuses.items()), r.records.revision,
                 r.voter_left_at, sorted(r.turns.due_since.items()), self.events_seen[name],
--- a/trials/model_policy_host.py
+++ b/trials/model_policy_host.py
@@ -5,7 +5,7 @@
 import copy
 from typing import TYPE_CHECKING, NamedTuple
 
-from starlingwheel.fleet.policy.document import Body
+from starlingwheel.fleet.policy.document import PolicyBody
 from starlingwheel.fleet.policy.host import StoredPolicy
 from starlingwheel.fleet.policy.replica import PolicyReplica
 from starlingwheel.fleet.records import Policy
@@ -28,7 +28,7 @@
         """Without a model, what is asked leaves no trace."""
         self.model, self.name = model, name
 
-    def check(self, body: Body) -> str:
+    def check(self, body: PolicyBody) -> str:
         """Every member can follow every policy."""
         return ""
 
@@ -41,7 +41,7 @@
         """All is stored at once."""
         return ""
 
-    def put_in_force(self, policy: Policy) -> None:
+    def apply_policy(self, policy: Policy) -> None:
         """Nothing has to be put in force."""
 
     def request_decision(self, member: str) -> None:
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -157,7 +157,7 @@
             "views": Counter(str(view.digest) for view in views),
             "links": sum(len(fleet.links.links) for _, fleet in running),
             "changes": sum(host.counts["log.link.up"] + host.counts["log.link.down"] for host in hosts),
-            "versions": Counter(str(host.policy_replica.in_force.version) for host in hosts),
+            "versions": Counter(str(host.policy_replica.active_policy.version) for host in hosts),
             "doubt": sum(bool(host.policy_replica.unavailable_reason()) for host in hosts),
             "in_hand": sum(len(host.replicator.requests) for host in hosts),
         }
