--- a/starlingwheel/fleet/__init__.py
+++ b/starlingwheel/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""What several sidecars decide together. No I/O: clock and randomness are passed in, a host acts."""
+"""Decisions that the sidecars of a fleet make together.
+
+The package does no I/O: the clock and randomness are passed in, and a host carries out what is decided.
+"""
--- a/starlingwheel/fleet/frames.py
+++ b/starlingwheel/fleet/frames.py
@@ -1,7 +1,7 @@
 """The frames that members of a fleet send to each other, about replicated requests and the policy.
 
 On the wire they are MessagePack arrays: tags and the order of fields are fixed, field names are not sent.
-Times are seconds on the wall clock, on which the machines of a fleet agree but for a few milliseconds.
+Times are seconds on the wall clock; the clocks of a fleet's machines differ by a few milliseconds at most.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from .policy.statuses import PolicyStatus
 
 PROTOCOL_VERSION = 2
-MAX_FRAME_SIZE = 1 << 18  # bytes; the bodies of a request and of its response are 64 KiB at most
-MAX_RELAYED_STATUSES = 64  # policy statuses of other members in one answer
+MAX_FRAME_SIZE = 1 << 18  # bytes; the bodies of a request and of its response are at most 64 KiB each
+MAX_RELAYED_STATUSES = 64  # policy statuses of other members in one `PolicyStatusFrame`
 
 
 class RecordedRequest(msgspec.Struct, array_like=True, frozen=True):
@@ -29,7 +29,10 @@
 
 
 class AttemptIntent(msgspec.Struct, array_like=True):
-    """One attempt that the owner of a request starts, or has started; without `outcome` it may have run."""
+    """One attempt that the owner of a request is about to start or has started.
+
+    An attempt with an empty `outcome` may have run.
+    """
 
     endpoint_id: str
     zone: str
@@ -39,7 +42,7 @@
 
 
 class RecordedResponse(msgspec.Struct, array_like=True, frozen=True):
-    """A final response. `content_type` and `body`: with status 200 only. `retry_after`: seconds."""
+    """A final response. `content_type` and `body` are set with status 200 only; `retry_after`: seconds."""
 
     status: int
     retry_after: float = 0.0
@@ -61,7 +64,7 @@
         "objective_per_cost": "stretch",
     },
 ):
-    """`RequestClass` under the field names that frames have for it. Times are seconds."""
+    """A `RequestClass` under the field names that it has in frames. Times are seconds."""
 
     name: str
     retry_safety: RetrySafety
@@ -75,16 +78,19 @@
 
     @classmethod
     def of(cls, request_class: RequestClass) -> RequestClassRecord:
-        """The record of a request class."""
+        """Return the record of a request class."""
         return cls(**msgspec.structs.asdict(request_class))
 
     def request_class(self) -> RequestClass:
-        """The request class that this is a record of."""
+        """Return the recorded request class."""
         return RequestClass(**msgspec.structs.asdict(self))
 
 
 class HelloFrame(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """The first frame on a link. `shard_count`: by the view; members that differ in it have no link."""
+    """The first frame on a link.
+
+    `shard_count`: the number of shards in the sender's view; members that disagree on it close the link.
+    """
 
     fleet: str
     version: int
@@ -93,11 +99,12 @@
 
 
 class HeartbeatFrame(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Sent when nothing else is: the sender is alive, under the view of its cell with that digest.
+    """A sign of life, sent when there is no other frame to send.
 
-    `in_doubt`: its lease may have expired, or another policy may be in force. `policy_status`: its own, where
-    it may be needed; `requests_policy_status`: the sender needs that of the other side. `idle`: no request of
-    the sender needs this link.
+    `view_digest`: the digest of the view that the sender has of its shard. `in_doubt`: the sender's lease may
+    have expired, or another policy may be in force. `policy_status`: the sender's own, where the receiver may
+    need it. `idle`: no request of the sender needs this link. `requests_policy_status`: the sender needs the
+    receiver's status.
     """
 
     view_digest: int
@@ -108,9 +115,10 @@
 
 
 class ViewSyncedFrame(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """All state that the receiver has to know under the view of its cell with that digest was sent.
+    """Sent once the sender has sent all state that the receiver needs under a view.
 
-    Requests are granted under no older view.
+    `view_digest`: the digest of the view that the sender has of the receiver's shard. No request is granted
+    under an older view from then on.
     """
 
     view_digest: int
@@ -119,12 +127,13 @@
 class ReplicateFrame(msgspec.Struct, array_like=True, tag=4, frozen=True):
     """A request in progress, with its history.
 
-    `requests_grant`: the receiver is to answer whether the key is new; else it only records the request.
-    `fingerprint`: tells requests under the same key apart. `request_class`: its name. `retry_safety`: the
-    value of its `RetrySafety`. `is_retry`: the client says so. `intents`: its attempts so far. `is_granted`:
-    its owner was told before that the key is new, perhaps by a coordinator that is gone. `class_record`: the
-    request class as it was when the request was received, which holds whatever the fleet's policy becomes.
-    `coordinator`: as the owner sees it, where the owner is of another cell.
+    `requests_grant`: the receiver replies whether the key is new; otherwise it only records the request.
+    `fingerprint`: a hash that distinguishes different requests with the same key. `request_class`: the name
+    of its class. `retry_safety`: the value of its `RetrySafety`. `is_retry`: the client has marked the
+    request as a retry. `intents`: its attempts so far. `is_granted`: a coordinator, which may be gone, has
+    granted the request to its owner. `class_record`: the request class when the request was received, which
+    applies to it even if the fleet's policy changes. `coordinator`: the coordinator in the owner's view, set
+    if the owner is in another shard than the key.
     """
 
     key: bytes
@@ -145,14 +154,17 @@
 
 
 class FindOwnerFrame(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """Asks a member that would take over, where the coordinator can't be reached, who handles the request."""
+    """Asks the member that replaces an unreachable coordinator whether it knows the owner of a request."""
 
     key: bytes
     fingerprint: bytes
 
 
 class AttemptIntentFrame(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """The owner of a request is about to start one more attempt. `coordinator`: as in `ReplicateFrame`."""
+    """Announces that the owner of a request is about to start another attempt.
+
+    `number`: the index of the attempt in the request's history. `coordinator`: as in `ReplicateFrame`.
+    """
 
     key: bytes
     epoch: int
@@ -162,7 +174,7 @@
 
 
 class AttemptNotRunFrame(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """An attempt of that number is known not to have run."""
+    """Reports that the attempt of that number is known not to have run."""
 
     key: bytes
     epoch: int
@@ -179,26 +191,29 @@
 
 
 class ReplicaVerdict(StrEnum):
-    """What a replica, or a member that was asked for the owner, says of a request. The values are sent."""
+    """The reply of a replica, or of a member that was asked for the owner, about a request.
+
+    The values are sent.
+    """
 
-    GRANTED = "new"  # no other member handles the request: the receiver does
-    RECORDED = "kept"  # who else handles it is not known to the sender
+    GRANTED = "new"  # no other member handles the request: the receiver owns it
+    RECORDED = "kept"  # recorded; the sender does not know whether another member handles it
     IN_PROGRESS = "running"  # another member handles it; its response will follow
     FINISHED = "answered"  # the final response is in the frame
-    KEY_REUSED = "other"  # the key stands for another request
+    KEY_REUSED = "other"  # the key belongs to a different request
     SUPERSEDED = "stale"  # another member has taken it over from the receiver
-    NOT_COORDINATOR = "moved"  # its coordinator is another member, as the sender sees it
-    UNKNOWN = "unknown"  # to `FindOwnerFrame`: nothing is known of it
-    CONTESTED = "asked"  # another member asks for it too: to be replicated anew once it is granted
-    OUT_OF_MEMORY = "full"  # it is not recorded
-    RESPONSE_RECORDED = "noted"
+    NOT_COORDINATOR = "moved"  # another member is its coordinator in the sender's view
+    UNKNOWN = "unknown"  # reply to `FindOwnerFrame`: the sender has no record of it
+    CONTESTED = "asked"  # another member asks for it too: replicate it again once it is granted
+    OUT_OF_MEMORY = "full"  # the sender has no memory left for it and does not record it
+    RESPONSE_RECORDED = "noted"  # the final response is recorded
 
 
 class ReplicaStateFrame(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """What a replica knows of a request.
+    """A replica's state of a request.
 
-    `verdict`: a `ReplicaVerdict`; others are ignored. `acknowledged_intents`: so many attempts are recorded.
-    `coordinator`: as the replica sees it.
+    `verdict`: the value of a `ReplicaVerdict`; unknown values are ignored. `acknowledged_intents`: how many
+    attempts are recorded. `coordinator`: the coordinator in the replica's view.
     """
 
     key: bytes
@@ -210,7 +225,7 @@
 
 
 class RequestFinishedFrame(msgspec.Struct, array_like=True, tag=10, frozen=True):
-    """To a new coordinator: a request that has had its final response."""
+    """Tells a new coordinator of a request that already has its final response."""
 
     key: bytes
     owner: str
@@ -222,9 +237,10 @@
 
 
 class PolicyQueryFrame(msgspec.Struct, array_like=True, tag=11, frozen=True):
-    """Sent instead of a hello: asks which policy the receiver follows.
+    """Sent as the first frame instead of a hello: asks which policy the receiver follows.
 
-    `known_version`: the latest one that the sender knows to be decided.
+    `version`: the version of the protocol. `known_version`: the latest policy version that the sender knows
+    to be decided.
     """
 
     fleet: str
@@ -233,24 +249,24 @@
 
 
 class PolicyStatusFrame(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    """The sender's policy status, and those that it has lately received over its links."""
+    """The sender's policy status, and those that it has recently received over its links."""
 
     status: PolicyStatus
     relayed: list[PolicyStatus] = []
 
 
 class DecisionRequestFrame(msgspec.Struct, array_like=True, tag=13, frozen=True):
-    """Asks for the decision."""
+    """Asks the receiver for the policy decision."""
 
 
 class DecisionFrame(msgspec.Struct, array_like=True, tag=14, frozen=True):
-    """The decision in force, or that will be, encoded as the coordination store has it."""
+    """The policy decision that is or will be in force, encoded as in the coordination store."""
 
     decision: bytes
 
 
 class LinkIdleFrame(msgspec.Struct, array_like=True, tag=15, frozen=True):
-    """The last frame on a link that neither side needs: the sender reads nothing more from it."""
+    """The last frame on a link that neither side needs: the sender reads no further frames from it."""
 
 
 RequestFrame = (
--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -1,11 +1,12 @@
-"""Who is in the fleet, and who is responsible for what: the members that hold a lease, divided into shards.
+"""Membership views: the members that hold a lease, their shards, and which members are responsible for a key.
 
-A view's digest names it: an entry of the coordination store never comes back, so two views of one digest are
-the same set at the same time.
+A view is identified by its digest. It covers the revisions of the members' entries in the coordination store,
+which are never reused, so two views with the same digest hold the same entries.
 
-A member is of one shard, by a hash of its name; a key is of one, by a hash of the key. The members that
-record a request are of its key's shard: finding them is bounded, however large the fleet. With twice as many
-shards each is split in two, with half as many two are merged; a member that comes or goes moves no other one.
+A member belongs to one shard by a hash of its name, and a key belongs to one by a hash of the key. The
+members that record a request are those of its key's shard, so the cost of finding them is bounded, however
+large the fleet is. Doubling the number of shards splits each in two, halving it merges pairs; a member that
+joins or leaves never moves another member to a different shard.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 import msgspec
 
-MAX_CACHED_KEYS = 4096  # keys whose coordinator and successor are cached
+MAX_CACHED_KEYS = 4096  # keys whose coordinator and its successor are cached
 MAX_SHARDS = 4096
 
 
 class Member(msgspec.Struct, frozen=True):
     """One process of the fleet.
 
-    `id`: its name and incarnation, new with each start. `term`: revision of its entry in the coordination
-    store, new with each entry. `version`: of the policy that it follows.
+    `id`: its name and an incarnation that is new with each start. `term`: the revision at which its entry in
+    the coordination store was created. `version`: the version of the policy that it follows.
     """
 
     id: str
@@ -36,35 +37,40 @@
 
 
 def hash_position(name: bytes) -> int:
-    """The hash of a name; modulo the count of shards it is the name's shard."""
+    """Return the hash of a name; modulo the number of shards it is the name's shard."""
     return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest(), "big")
 
 
 @functools.lru_cache(maxsize=1 << 14)
 def member_position(member: str) -> int:
-    """The hash of a member: of its name, so that a restart comes back to its shard."""
+    """Return the hash of a member's name without its incarnation, so that a restart keeps its shard."""
     name, _, _ = member.rpartition(".")
     return hash_position((name or member).encode())
 
 
 def digest(lines: Iterable[str]) -> int:
-    """A hash of 7 bytes that names the lines."""
+    """Return a hash of the lines, 7 bytes long."""
     return int.from_bytes(hashlib.blake2b("\n".join(lines).encode(), digest_size=7).digest(), "big")
 
 
 class MembershipView:
-    """The members that hold a lease, and their shards. Does not change."""
+    """The members that hold a lease, and their shards. Immutable but for its caches."""
 
     def __init__(
         self, members: Iterable[Member] = (), shard_count: int = 1, resharded_at: float = 0.0
     ) -> None:
-        """`shard_count`, a power of two. `resharded_at`: since when, seconds on the wall clock."""
+        """Build the view.
+
+        `shard_count`: a power of two. `resharded_at`: since when it applies, seconds on the wall clock.
+        """
         self.members = {member.id: member for member in sorted(members, key=lambda m: m.id)}
         self.shard_count, self.resharded_at = shard_count, resharded_at
         lines = [f"{m.id} {m.term}" for m in self.members.values()]
         self.digest = digest(lines if shard_count == 1 else [*lines, f"cells {shard_count}"])
-        self._best_ranked: dict[bytes, list[str]] = {}  # by key: its coordinator and the successor
-        # Members by id, of each shard that has any.
+        self._best_ranked: dict[
+            bytes, list[str]
+        ] = {}  # by key: its coordinator and the coordinator's successor
+        # The members of each non-empty shard, by id.
         self.members_by_shard: dict[int, dict[str, Member]] = (
             {0: self.members} if shard_count == 1 and self.members else {}
         )
@@ -76,21 +82,21 @@
         self._shard_digests: dict[int, int] = {}
 
     def __contains__(self, member: object) -> bool:
-        """The member of that id is in the view."""
+        """Return whether the member with that id is in the view."""
         return member in self.members
 
     # Shards.
 
     def shard_of_key(self, key: bytes) -> int:
-        """The shard that is responsible for a key: the key's own, or the next that has members."""
+        """Return the shard that is responsible for a key: its own one, or the next that has members."""
         return self.shard_of_position(hash_position(key)) if self.shard_count > 1 else 0
 
     def shard_of_position(self, position: int) -> int:
-        """The shard that is responsible for a key of that hash (`hash_position`)."""
+        """Return the shard that is responsible for keys with that hash, which is that of `hash_position`."""
         return self._next_with_members(position % self.shard_count) if self.shard_count > 1 else 0
 
     def shard_of_member(self, member: str) -> int:
-        """The shard of a member, also of one that is not in the view."""
+        """Return the shard of a member, which need not be in the view."""
         return member_position(member) % self.shard_count if self.shard_count > 1 else 0
 
     def _next_with_members(self, shard: int) -> int:
@@ -99,16 +105,19 @@
         return shard
 
     def members_of_shard(self, shard: int) -> dict[str, Member]:
-        """The members of a shard, by id."""
+        """Return the members of a shard, by id."""
         return self.members_by_shard.get(shard, {})
 
     def fallback_members(self, shard: int) -> dict[str, Member]:
-        """The members of the next shard, if this one has a single member: they take over after its loss."""
+        """Return the members of the next shard if this one has a single member.
+
+        They become responsible for the shard's keys when that member is lost.
+        """
         alone = self.shard_count > 1 and len(self.members_of_shard(shard)) == 1 < len(self.members_by_shard)
         return self.members_of_shard(self._next_with_members((shard + 1) % self.shard_count)) if alone else {}
 
     def served_shards(self, shard: int) -> Iterator[int]:
-        """The shards for whose keys that one is responsible: itself, and the empty ones before it."""
+        """Yield the shards whose keys a shard is responsible for: itself, and the empty ones before it."""
         yield shard
         previous = (shard - 1) % self.shard_count
         while previous != shard and previous not in self.members_by_shard:
@@ -116,13 +125,16 @@
             previous = (previous - 1) % self.shard_count
 
     def peers(self, member_id: str) -> list[str]:
-        """The other members of a member's shard."""
+        """Return the other members of a member's shard."""
         return [
             member for member in self.members_of_shard(self.shard_of_member(member_id)) if member != member_id
         ]
 
     def shard_digest(self, shard: int) -> int:
-        """Names the shard as this view has it: who agrees on it agrees on the coordinator of each key."""
+        """Return a digest of a shard in this view.
+
+        Members that agree on it agree on the coordinator of each key that the shard is responsible for.
+        """
         if self.shard_count == 1:
             return self.digest
         known = self._shard_digests.get(shard)
@@ -135,26 +147,30 @@
         return known
 
     def holders(self, shard: int, older: MembershipView) -> set[str]:
-        """Members that may know, by an older view, of a key for which this shard is responsible now."""
+        """Return the members that may hold records, made under an older view, of keys of this shard."""
         if self.shard_count == older.shard_count == 1:
             return set(older.members)
         fewer = min(self.shard_count, older.shard_count)
-        ours = {one % fewer for one in self.served_shards(shard)}
-        older_shards = (one + fewer * turn for one in ours for turn in range(older.shard_count // fewer))
-        responsible = {older.shard_of_position(one) for one in older_shards}
+        residues = {served % fewer for served in self.served_shards(shard)}
+        older_shards = (
+            residue + fewer * multiple
+            for residue in residues
+            for multiple in range(older.shard_count // fewer)
+        )
+        responsible = {older.shard_of_position(older_shard) for older_shard in older_shards}
         return {
             member
-            for one in responsible
-            for member in (*older.members_of_shard(one), *older.fallback_members(one))
+            for older_shard in responsible
+            for member in (*older.members_of_shard(older_shard), *older.fallback_members(older_shard))
         }
 
     # Coordinators and replicas.
 
     def ranked_members(self, key: bytes) -> list[Member]:
-        """All members of the key's shard, best first, by rendezvous hashing.
+        """Return all members of the key's shard, best first, by rendezvous hashing.
 
-        A member that goes moves only the keys that it coordinates. After the only member of a shard come
-        those that are responsible if it is lost.
+        The loss of a member moves only the keys that it coordinates. The only member of a shard is followed
+        by the members that are responsible if it is lost.
         """
         key_hash = hashlib.blake2b(key, digest_size=8).digest()
 
@@ -166,21 +182,22 @@
         return ranked + sorted(self.fallback_members(shard).values(), key=weight, reverse=True)
 
     def coordinator(self, key: bytes, excluding: str = "") -> str:
-        """The key's coordinator; with `excluding`, the one if that member is lost. Empty: there is none."""
+        """Return the key's coordinator, or with `excluding` the one if that member is lost; empty: none."""
         ranked = self._best_ranked.get(key)
         if ranked is None:
-            # Cached, since each frame about a request asks for it, and ranking hashes all members.
+            # The ranking hashes all members of the shard, and each frame about a request asks for it.
             if len(self._best_ranked) >= MAX_CACHED_KEYS:
                 self._best_ranked.clear()
             ranked = self._best_ranked[key] = [member.id for member in self.ranked_members(key)[:2]]
         return next((member for member in ranked if member != excluding), "")
 
     def replicas(self, key: bytes, owner: str, count: int, reachable: Container[str]) -> list[str]:
-        """The replicas of a request that `owner` has under that key.
+        """Return the replicas of a request that `owner` owns under that key.
 
-        These are the coordinator, or the one in the owner's place; as many more as `count` says; and one in
-        another zone than the owner's, if there is one, so that the loss of a zone does not take both the
-        request and its records. `reachable`: asked for no more members than needed.
+        They are the `count` best ranked reachable members other than the owner, so the coordinator comes
+        first. If all of these are in the owner's zone, the best ranked member in another zone is added, so
+        that the loss of a zone does not destroy both the request and its records. `reachable` is asked only
+        for members that are needed.
         """
         zone = self.members[owner].zone if owner in self.members else None
         chosen: list[Member] = []
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -1,4 +1,4 @@
-"""What a fleet keeps in the coordination store: entries by key, their types, and transactions on them.
+"""The fleet's records in the coordination store: keys, types of the values, and transactions.
 
 Field names in the store are those of the first version; `rename` maps them.
 """
@@ -12,21 +12,24 @@
 from .membership import MAX_SHARDS, Member, MembershipView
 from .policy.document import PolicyBody
 
-# Keys under the fleet's name. A prefix is followed by what stands in the comment.
+# Keys below the fleet's name. The comment after a prefix says what follows it.
 POLICY_PREFIX = "policy/"
 DECISION_KEY = "policy/now"
 PROPOSAL_KEY = "policy/next"
-VOTES_PREFIX = "policy/votes/"  # proposal's number, slash, member
-PAST_PREFIX = "policy/past/"  # proposal's number
-MEMBERS_PREFIX = "members/"  # member
-NAMES_PREFIX = "names/"  # member's name
+VOTES_PREFIX = "policy/votes/"  # the proposal's number, a slash, the member's id
+PAST_PREFIX = "policy/past/"  # the proposal's number
+MEMBERS_PREFIX = "members/"  # the member's id
+NAMES_PREFIX = "names/"  # the member's name
 ZONE_PLAN_KEY = "zones/plan"
-ZONE_REPORTS_PREFIX = "zones/said/"  # member
+ZONE_REPORTS_PREFIX = "zones/said/"  # the member's id
 SHARDS_KEY = "cells"
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """One version of the fleet's policy; without a `body` none was decided yet, each follows its own file."""
+    """One version of the fleet's policy.
+
+    Without a `body` none has been decided yet, and each member follows its own configuration file.
+    """
 
     version: int = 0
     digest: str = ""
@@ -39,26 +42,26 @@
     policy: Policy
     at: float  # when it is to take effect
     proposed_at: float
-    author: str  # a member
-    number: int = 0  # the revision of the store that it was written at
+    author: str  # id of the member that has proposed it
+    number: int = 0  # the store's revision at which it was created
 
 
 class PolicyDecision(msgspec.Struct, frozen=True, rename={"previous": "before"}):
-    """What is in force from `at` on, and before."""
+    """A decided change of the policy: `policy` is in force from `at` on, and `previous` until then."""
 
     policy: Policy
     at: float  # seconds on the wall clock
-    number: int  # of the proposal
+    number: int  # the proposal's number
     previous: Policy
 
 
 class PastProposal(msgspec.Struct, frozen=True, rename={"outcome": "how", "reason": "why"}):
-    """How a proposal ended."""
+    """The outcome of an earlier proposal."""
 
     number: int
     version: int
     digest: str
-    outcome: str  # decided or dropped
+    outcome: str  # "decided" or "dropped"
     reason: str
     at: float  # seconds on the wall clock
     author: str
@@ -78,7 +81,7 @@
         "recent_trials": "last",
     },
 ):
-    """What one member sees of one zone."""
+    """The health of one zone as one member observes it."""
 
     usual_rate: float  # attempts a second
     rate: float = 0.0  # attempts a second now
@@ -86,16 +89,16 @@
     failing_fraction: float = 0.0
     rejecting: bool = False
     conclusive_attempts: int = 0  # recent attempts with a conclusive outcome
-    failures: int = 0  # of these
+    failures: int = 0  # attempts among these that failed
     consecutive_failures: int = 0  # since the last answer
-    epoch: int = 0  # of the plan that trials are counted from
+    epoch: int = 0  # the epoch of the plan since which trials are counted
     trial_successes: int = 0
     trial_failures: int = 0
-    recent_trials: list[tuple[float, bool]] = []  # when the last of them ended, and whether they succeeded
+    recent_trials: list[tuple[float, bool]] = []  # of the last trials: when each ended, whether it succeeded
 
 
 class ZoneReport(msgspec.Struct):
-    """What one member sees of all zones."""
+    """The health of all zones as one member observes it."""
 
     at: float  # seconds on the wall clock
     zones: dict[str, ZoneHealth]
@@ -106,10 +109,10 @@
     frozen=True,
     rename={"next_change_at": "next", "reason": "why", "failed_returns": "failed"},
 ):
-    """What the plan says of a zone that does not get all of its traffic. Times are on the wall clock."""
+    """The plan's state of a zone that does not get all of its traffic. Times are on the wall clock."""
 
-    share: float
-    state: str  # left, returning, held
+    share: float  # the fraction of its traffic that the zone gets
+    state: str  # "left", "returning" or "held"
     epoch: int
     since: float
     next_change_at: float
@@ -120,22 +123,22 @@
 
 
 class ZonePlan(msgspec.Struct, frozen=True, rename={"capacities": "bears"}):
-    """The fleet's plan; zones that are not in it get all of their traffic."""
+    """The fleet's zone plan; zones that are not in it get all of their traffic."""
 
     epoch: int = 0
     zones: dict[str, ZoneState] = {}
-    capacities: dict[str, float] = {}  # attempts a second at which a zone was seen to reject some
+    capacities: dict[str, float] = {}  # by zone: the rate in attempts a second at which it rejected some
 
 
 class Sharding(msgspec.Struct, frozen=True):
-    """Into how many cells the fleet is divided."""
+    """The number of shards that the fleet is divided into."""
 
     count: int  # a power of two
-    at: float = 0.0  # since when, seconds on the wall clock
+    at: float = 0.0  # when it was decided, seconds on the wall clock
 
 
 class StoreEntry(msgspec.Struct, frozen=True, rename={"create_revision": "create", "mod_revision": "mod"}):
-    """The value of one key, and the revisions that it was created and last modified at."""
+    """The value of one key, and the revisions at which it was created and last modified."""
 
     value: bytes
     create_revision: int
@@ -143,63 +146,68 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """A condition of a transaction. `prefix`: on every key that begins so."""
+    """A condition of a transaction. `prefix`: the condition is on every key that begins with `key`."""
 
     key: str
-    target: str  # CREATE or MOD, the revision that is compared
+    target: str  # CREATE or MOD: the revision that is compared
     result: str  # EQUAL or LESS
     value: int
     prefix: bool = False
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """What is written to the coordination store if all conditions hold."""
+    """A change that is written to the coordination store if all conditions hold."""
 
-    kind: str  # of change, for the log
+    kind: str  # the kind of change, for the log
     conditions: list[Condition]
     put: list[tuple[str, bytes]] = []
-    delete: list[str] = []  # a key, or all keys below one that ends in a slash
-    leased: bool = False  # what is put ends with our lease
+    delete: list[str] = []  # keys; one that ends in a slash stands for all keys below it
+    leased: bool = False  # the entries that are put expire with this member's lease
 
 
 def equal(key: str, target: str, value: int) -> Condition:
-    """The condition that the key's revision is this one; 0: there is no such key."""
+    """Return the condition that the key has this revision; 0: that the key does not exist."""
     return Condition(key, target, "EQUAL", value)
 
 
 class StoreRecords:
-    """What the coordination store holds under the fleet's name, as of one revision."""
+    """The entries below the fleet's name in the coordination store, as of one revision."""
 
     def __init__(self, shard_count: int = 0) -> None:
-        """`shard_count`: as in the records before, kept where the entry can't be read; 0: not known."""
+        """Start without entries.
+
+        `shard_count`: the number of shards in the previous records, which is kept if the entry can't be read;
+        0: not known.
+        """
         self.revision = 0
         self.previous_shard_count = shard_count
-        self.shard_count = 1  # into how many the fleet is divided; 0: not known
-        self.resharded_at = 0.0  # since when, seconds on the wall clock
+        self.shard_count = 1  # 0: not known
+        self.resharded_at = 0.0  # when the number of shards last changed, seconds on the wall clock
         self.shards_revision = 0
-        self.is_shard_count_unreadable = False  # the entry can't be read
+        self.is_shard_count_unreadable = False  # there is an entry that can't be read
         self.members: dict[str, Member] = {}
-        self.registered_names: dict[str, int] = {}  # registered names, and the revisions of their entries
+        self.registered_names: dict[str, int] = {}  # member names, with the revisions of their entries
         self.decision: PolicyDecision | None = None
         self.decision_revision = 0
         self.proposal: PolicyProposal | None = None
         self.proposal_revision = 0
-        self.is_proposal_unreadable = False  # there is a proposal that nobody can read
-        self.votes: dict[str, str] = {}  # on the open proposal, by member: a reason against it, empty: yes
+        self.is_proposal_unreadable = False  # there is a proposal that can't be read
+        # Votes on the open proposal by member: the objection; empty: in favour.
+        self.votes: dict[str, str] = {}
         self.past_proposals: dict[int, PastProposal] = {}
         self.plan: ZonePlan | None = None
         self.plan_revision = 0
         self.zone_reports: dict[str, ZoneReport] = {}  # by member
 
     def copy(self) -> StoreRecords:
-        """A copy that later changes to this one leave as it is."""
+        """Return a copy that later changes to this object do not affect."""
         other = copy.copy(self)
         for name in ("members", "registered_names", "votes", "past_proposals", "zone_reports"):
             setattr(other, name, dict(getattr(self, name)))
         return other
 
     def view(self) -> MembershipView:
-        """The members; empty while it is not known here into how many cells the fleet is divided."""
+        """Return the view of the members; it is empty while the number of shards is not known."""
         return (
             MembershipView(self.members.values(), self.shard_count, self.resharded_at)
             if self.shard_count
@@ -207,7 +215,7 @@
         )
 
     def put(self, key: str, entry: StoreEntry) -> str:
-        """Take over one entry; why it can't be read, or an empty string."""
+        """Apply one entry that was written; return why it can't be read, or an empty string."""
         try:
             self._put(key, entry)
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError):
@@ -241,9 +249,8 @@
 
     def _put_policy(self, key: str, entry: StoreEntry) -> None:
         if key == DECISION_KEY:
-            self.decision_revision = (
-                entry.mod_revision
-            )  # also of one that can't be read, so that it can be replaced
+            # Set for an unreadable decision too, so that it can be replaced.
+            self.decision_revision = entry.mod_revision
             self.decision = msgspec.json.decode(entry.value, type=PolicyDecision)
         elif key == PROPOSAL_KEY:
             self.proposal, self.proposal_revision, self.is_proposal_unreadable = (
@@ -263,12 +270,13 @@
             self.past_proposals[past.number] = past
 
     def _put_sharding(self, entry: StoreEntry) -> None:
-        # An entry that can't be read is not taken for one cell: coordinators would be others than elsewhere.
+        # While the entry can't be read the last known number of shards stays in force: any other would give
+        # keys different coordinators than the other members see.
         self.shard_count = self.shard_count if self.revision else self.previous_shard_count
         self.shards_revision, self.is_shard_count_unreadable = entry.mod_revision, True
         sharding = msgspec.json.decode(entry.value, type=Sharding)
         if not 1 <= sharding.count <= MAX_SHARDS or sharding.count & (sharding.count - 1):
-            raise ValueError(f"{sharding.count} cells")
+            raise ValueError(f"{sharding.count} shards: not a power of two from 1 to {MAX_SHARDS}")
         self.shard_count, self.resharded_at, self.is_shard_count_unreadable = (
             sharding.count,
             sharding.at,
@@ -276,7 +284,7 @@
         )
 
     def delete(self, key: str) -> None:
-        """Take over that a key is no more."""
+        """Apply the deletion of a key."""
         if key.startswith(MEMBERS_PREFIX):
             self.members.pop(key.removeprefix(MEMBERS_PREFIX), None)
         elif key.startswith(NAMES_PREFIX):
--- a/starlingwheel/fleet/replication/__init__.py
+++ b/starlingwheel/fleet/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Requests in flight that survive the loss of their sidecar; `replicator` is where to begin reading."""
+"""Replication of requests in flight, which survive the loss of their sidecar; begin with `replicator`."""
--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -1,4 +1,4 @@
-"""How a request ends here: with its final response, given up, or taken over by another member."""
+"""The end of a request on this member: a final response, a rejection, or its takeover by another member."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 from .request_table import RequestTable
 from .views import ViewTracker
 
-RETRY_AFTER = 1 / 8  # of the longest timeout: when to retry a request whose state can't be found out
+RETRY_AFTER = 1 / 8  # of the longest timeout: when to retry a request whose state can't be determined
 
 
 class RequestCompletion:
-    """Ends requests and informs replicas, coordinators, members and clients that wait."""
+    """Finishes requests and informs their replicas, coordinators, and the members and clients that wait."""
 
     def __init__(
         self, context: ReplicationContext, views: ViewTracker, links: PeerLinks, table: RequestTable
     ) -> None:
-        """The arguments are the parts that this one uses."""
+        """Store the components that this one uses."""
         self.context, self.views, self.links, self.table = context, views, links, table
 
     def finish(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
-        """The request has its final response."""
+        """Finish the request with its final response."""
         self.send_to_replicas(request, response)
         coordinator = self.views.coordinator_of(request)
         was_replica = request.state is RequestState.REPLICA
-        of_other_cell = was_replica and self.views.is_in_other_shard(request.owner, request)
+        owned_in_other_shard = was_replica and self.views.is_in_other_shard(request.owner, request)
         informed = coordinator in request.replicas and (
             self.views.view.shard_count == 1 or coordinator in self.links
         )
-        # An owner of another cell informs the coordinator that it sees by itself.
-        informed = informed or (of_other_cell and request.contact == coordinator)
+        # An owner in another shard itself informs the coordinator in its view.
+        informed = informed or (owned_in_other_shard and request.contact == coordinator)
         request.contact = coordinator if informed else ""
         request.replicas.clear()
         request.response, request.state = response, RequestState.DONE
@@ -45,13 +45,13 @@
         self.table.resize(request, len(response.body) - len(request.content.body))
         request.content = NO_CONTENT
         self._respond(request, response)
-        if of_other_cell and coordinator != self.context.member_id:
+        if owned_in_other_shard and coordinator != self.context.member_id:
             self.inform_coordinator(request, coordinator)
         if request.key_is_reusable:
             self.table.forget(request)
 
     def _respond(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
-        """Give the response to all that wait for it."""
+        """Give the response to all members and clients that wait for it."""
         members, request.waiting_members = request.waiting_members, {}
         clients, request.waiting_clients = request.waiting_clients, {}
         for member in members:
@@ -60,19 +60,19 @@
             self.context.host.respond(request, client, response)
 
     def send_to_replicas(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
-        """Have the replicas record a response."""
+        """Send a response to the replicas, which record it."""
         for member in request.replicas:
             self.context.host.send_frame(member, ResponseFrame(request.key, request.epoch, response))
 
     def cancel_attempts(self, request: ReplicatedRequest) -> None:
-        """Attempts that are not released yet never will be."""
+        """Cancel the attempts that have not been released."""
         held, request.held_attempts = request.held_attempts, {}
         for number in held:
             request.intents[number].outcome = NEVER_RELEASED
             self.context.host.cancel_intent(request, number)
 
-    def give_up(self, request: ReplicatedRequest, reason: str) -> None:
-        """Reject it at once: nothing was sent for it by us, and a member that acts on it goes on."""
+    def reject(self, request: ReplicatedRequest, reason: str) -> None:
+        """Reject a request for which this member has sent nothing; a member that handles it continues."""
         self.context.counts["given_up"] += 1
         self.context.host.log_event("cover.given_up", reason=reason)
         retry_after = RETRY_AFTER * self.context.longest_timeout
@@ -84,7 +84,7 @@
             self.context.host.respond(request, client, request.response)
 
     def relinquish(self, request: ReplicatedRequest) -> None:
-        """It has been taken over from us, or was in flight before we asked."""
+        """Stop handling a request that another member has taken over or already handled before we asked."""
         owned = request.state is RequestState.OWNING
         self.context.counts["superseded"] += owned and request.was_released
         self.cancel_attempts(request)
@@ -95,14 +95,14 @@
             self.table.schedule(request.waiting_clients[client], request, client)
 
     def join(self, request: ReplicatedRequest, member: str) -> None:
-        """Another member acts on it: no further attempts from us, and its response is ours."""
+        """Make no further attempts and wait for the response of the member that handles the request."""
         self.relinquish(request)
         request.state, request.contact = RequestState.JOINED, member
         if not request.waiting_clients and not request.waiting_members:
             self.table.forget(request)
 
     def inform_coordinator(self, request: ReplicatedRequest, coordinator: str) -> None:
-        """Tell a new coordinator of a response, so that it does not take the request for a new one."""
+        """Send a response to a new coordinator, so that it does not grant the request as a new one."""
         if coordinator in (request.contact, self.context.member_id) or coordinator not in self.links:
             return
         if request.response is None:
@@ -114,7 +114,7 @@
             self._send_finished(request, coordinator)
 
     def inform_successor(self, request: ReplicatedRequest, coordinator: str) -> None:
-        """Tell the member that follows the coordinator, where the owner is of another cell.
+        """Send a response to the coordinator's successor, where the owner is in another shard.
 
         The response then survives the loss of one replica after another.
         """
@@ -142,13 +142,13 @@
         self.context.host.send_frame(member, frame)
 
     def on_finished(self, frame: RequestFinishedFrame) -> None:
-        """Another member says that a request has its final response."""
+        """Record the final response of a request that another member has finished."""
         request = self.table.get(frame.key)
         if request is None:
             now, longest = self.context.now, self.context.longest_timeout
             if self.table.is_full or not now <= frame.deadline <= now + 2 * longest:
                 return
-            request = self.table.add(self._finished_elsewhere(frame))
+            request = self.table.add(self._request_from_finished(frame))
         elif request.state is RequestState.DONE or request.is_granted:
             return
         self.cancel_attempts(request)
@@ -156,8 +156,8 @@
         if self.table.get(frame.key) is request:
             self.inform_successor(request, self.views.coordinator_of(request))
 
-    def _finished_elsewhere(self, frame: RequestFinishedFrame) -> ReplicatedRequest:
-        """The record of a request that was not known here."""
+    def _request_from_finished(self, frame: RequestFinishedFrame) -> ReplicatedRequest:
+        """Return a record of a finished request that this member had not recorded."""
         replicate = ReplicateFrame(
             frame.key,
             frame.owner,
--- a/starlingwheel/fleet/replication/context.py
+++ b/starlingwheel/fleet/replication/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one member's replicator share: its host, the time, limits and counters."""
+"""State that the components of one member's replicator share: its host, the time, limits and counters."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class ReplicationHost(Protocol):
-    """Carries out what the replicator decides."""
+    """Interface of the host, which carries out what the replicator decides."""
 
     def send_frame(self, member: str, frame: Frame) -> bool:
-        """Send a frame to a member. False: there is no link to it now."""
+        """Send a frame to a member; return False if there is no link to it now."""
 
     def dial(self, member: str) -> bool:
-        """Open a link to a member of another cell; `link_up` or `link_failed` of the replicator follows.
+        """Open a link to a member of another shard; return False if none can be opened now.
 
-        False: none can be opened now.
+        Otherwise a call of the replicator's `link_up` or `link_failed` follows.
         """
 
     def release_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """That attempt may be written completely."""
+        """Let the attempt be written completely."""
 
     def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """That attempt must never be written completely."""
+        """Ensure that the attempt is never written completely."""
 
     def dispatch(self, request: ReplicatedRequest) -> None:
-        """Dispatch it with its history; attempts that run already go on."""
+        """Dispatch the request with its history; attempts that already run continue."""
 
     def respond(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
@@ -40,12 +40,12 @@
 
 @dataclass(slots=True)
 class ReplicationContext:
-    """Shared by the parts of one replicator; the host sets `now` before each call."""
+    """State shared by the components of one replicator; the host sets `now` before each call."""
 
     member_id: str
     host: ReplicationHost
     now: float  # seconds on the wall clock
-    longest_timeout: float  # seconds, of all request classes
+    longest_timeout: float  # seconds; the longest of all request classes
     replica_count: int  # replicas per request
     memory_limit: int  # bytes recorded for other members
     counts: Counter[str] = field(default_factory=Counter)
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -1,4 +1,4 @@
-"""What the owner of a request does: its attempts, its response, and what replicas say to it."""
+"""The role of a request's owner: its attempts, its response, and the replies of replicas."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class OwnerRole:
-    """Begins requests for the host's clients, has their attempts recorded and ends them."""
+    """Begins requests of the host's clients, has their attempts recorded, and finishes them."""
 
     def __init__(
         self,
@@ -45,16 +45,16 @@
         completion: RequestCompletion,
         placement: RequestPlacement,
     ) -> None:
-        """The arguments are the parts that this one uses."""
+        """Store the components that this one uses."""
         self.context, self.views, self.links, self.table = context, views, links, table
         self.completion, self.placement = completion, placement
 
-    # What the host asks.
+    # Calls of the host.
 
     def begin(
         self, frame: ReplicateFrame, client: Client, until: float
     ) -> tuple[BeginResult, ReplicatedRequest]:
-        """A client's request has arrived, to be answered by `until`. What to do, and its record."""
+        """Begin a client's request, which is to be answered by `until`; return what to do and its record."""
         request = self.table.get(frame.key)
         if request is not None and request.key_is_reusable:
             self.table.forget(request)
@@ -64,7 +64,8 @@
         request = self.table.add(ReplicatedRequest.from_frame(frame, RequestState.ASKING))
         self.table.add_client(request, client, until)
         self.context.counts["covered"] += 1
-        # A retry waits for the coordinator: a connection would be spoilt for what another member acts on.
+        # A retry waits for the coordinator: another member may handle it, and cancelling an attempt costs the
+        # connection.
         if not request.is_retry or self.views.coordinates(request.key):
             request.state, request.is_dispatched = RequestState.OWNING, True
         self.placement.locate_owner(request)
@@ -80,7 +81,7 @@
     def _begin_known(
         self, request: ReplicatedRequest, frame: ReplicateFrame, client: Client, until: float
     ) -> BeginResult:
-        """Another request with that key was begun before."""
+        """Begin a request whose key is already known here."""
         if request.fingerprint != frame.fingerprint:
             self.context.counts["other"] += 1
             return BeginResult.KEY_REUSED
@@ -93,12 +94,12 @@
         return BeginResult.WAIT
 
     def add_intent(self, request: ReplicatedRequest, intent: AttemptIntent) -> int:
-        """An attempt is to be started; its number."""
+        """Add an attempt that is to be started; return its number."""
         request.intents.append(intent)
         return len(request.intents) - 1
 
     def record_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """Have the intent of that number recorded, and release its attempt then."""
+        """Have the replicas record the intent of that number; its attempt is released after that."""
         if request.state is not RequestState.OWNING:
             request.intents[number].outcome = NEVER_RELEASED
             self.context.host.cancel_intent(request, number)
@@ -113,10 +114,10 @@
         self.placement.release_attempts(request)
 
     def attempt_not_run(self, request: ReplicatedRequest, number: int, outcome: str) -> None:
-        """An attempt is known never to have run."""
+        """Record that an attempt is known never to have run."""
         request.held_attempts.pop(number, None)
         if request.state is RequestState.REPLICA:
-            return  # the recorded intents are another member's
+            return  # the recorded intents are those of another member
         if number < len(request.intents):
             request.intents[number].outcome = outcome
         if request.state is RequestState.OWNING:
@@ -127,9 +128,9 @@
     def finish_request(
         self, request: ReplicatedRequest, response: RecordedResponse
     ) -> RecordedResponse | None:
-        """The host's decisions have a final response.
+        """Finish a request to which the host's scheduler has given a final response.
 
-        Returns what its client is to get; None: `ReplicationHost.respond` follows.
+        Returns the response that its client gets; None: a call of `ReplicationHost.respond` follows.
         """
         request.is_dispatched = False
         if request.state is RequestState.DONE:
@@ -138,7 +139,7 @@
             return self._finish_after_loss(request, response)
         others_wait = request.was_taken_over or request.waiting_members
         if response.status == REJECTED and request.may_have_run and others_wait:
-            # The lost owner may have finished it for a client: it is not rejected for another one.
+            # The lost owner may have finished it for a client, so it is not rejected for another one.
             response = RecordedResponse(FAILED)
         for member in [member for member, acked in request.replicas.items() if acked == NOT_SENT]:
             del request.replicas[member]
@@ -154,7 +155,7 @@
     def _finish_after_loss(
         self, request: ReplicatedRequest, response: RecordedResponse
     ) -> RecordedResponse | None:
-        """Another member has taken it over. An attempt that was released before may still finish it."""
+        """Finish a request that another member has taken over, if an attempt released earlier succeeded."""
         if response.status != FINISHED:
             return None
         frame = ResponseFrame(request.key, request.epoch, response)
@@ -163,14 +164,14 @@
         return response
 
     def wait_on(self, request: ReplicatedRequest, client: Client, until: float) -> None:
-        """A client whose decisions have ended without a response waits for another member's."""
+        """Let a client to which the scheduler has given no response wait for that of another member."""
         if request.state is RequestState.DONE and request.response is not None:
             self.context.host.respond(request, client, request.response)
         else:
             self.table.add_client(request, client, until)
 
     def client_disconnected(self, request: ReplicatedRequest, client: Client) -> bool:
-        """A client that waited has disconnected. True: the request is not needed any more and forgotten."""
+        """Remove a client that has disconnected; return whether the request is forgotten as not needed."""
         request.waiting_clients.pop(client, None)
         if request.waiting_clients or request.waiting_members or request.state is RequestState.DONE:
             return False
@@ -180,17 +181,17 @@
         if request.state is not RequestState.OWNING or request.was_taken_over:
             return False
         if not request.is_idempotent and request.may_have_run:
-            return False  # a retry with its key learns how it ended
+            return False  # a retry with its key gets its response
         self.completion.send_to_replicas(request, RecordedResponse(REJECTED))
         self.table.forget(request)
         return True
 
-    # What replicas say.
+    # Replies of replicas.
 
     def link_up(self, request: ReplicatedRequest, member: str) -> None:
-        """There is a new link to a member: replicate to it again, for frames on the one before may be lost.
+        """Replicate the request to a member again over a new link, as frames on the former one may be lost.
 
-        It may also have taken the request over meanwhile.
+        The member may also have taken the request over meanwhile.
         """
         acknowledged = request.replicas.get(member)
         if acknowledged is None:
@@ -199,7 +200,7 @@
             self.placement.replicate_to(request, member)
 
     def on_replica_state(self, member: str, frame: ReplicaStateFrame) -> None:
-        """A replica, or a member that was asked for the owner, has answered."""
+        """Handle the reply of a replica or of a member that was asked for the owner."""
         request = self.table.get(frame.key)
         if request is None or request.state in (RequestState.DONE, RequestState.REPLICA):
             return
@@ -209,7 +210,7 @@
             case ReplicaVerdict.IN_PROGRESS | ReplicaVerdict.SUPERSEDED:
                 self._owned_elsewhere(request, member, frame)
             case ReplicaVerdict.FINISHED:
-                self._answered_elsewhere(request, frame)
+                self._finished_elsewhere(request, frame)
             case ReplicaVerdict.KEY_REUSED:
                 self._key_reused(request)
             case ReplicaVerdict.UNKNOWN:
@@ -230,36 +231,37 @@
             self.completion.finish(request, request.unacknowledged_rejection)
 
     def _owned_elsewhere(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
-        """Another member acts on the request; its coordinator, if that is linked, knows which one."""
+        """Wait for the member that handles the request, through the coordinator if there is a link to it."""
         self.completion.join(request, frame.coordinator if frame.coordinator in self.links else member)
 
-    def _answered_elsewhere(self, request: ReplicatedRequest, frame: ReplicaStateFrame) -> None:
-        """Another member has given the final response."""
+    def _finished_elsewhere(self, request: ReplicatedRequest, frame: ReplicaStateFrame) -> None:
+        """Finish the request with the final response of another member."""
         if frame.response is not None:
             self.completion.cancel_attempts(request)
             self.completion.finish(request, frame.response)
 
     def _key_reused(self, request: ReplicatedRequest) -> None:
-        """The key was used for another request."""
+        """Fail a request whose key was used for a different request."""
         self.completion.cancel_attempts(request)
-        # Without this a replica of ours would give that response for the request that has the key.
+        # Otherwise replicas that have recorded it would answer the request that has the key with its
+        # response.
         self.completion.send_to_replicas(request, RecordedResponse(REJECTED))
         request.replicas.clear()
         self.completion.finish(request, RecordedResponse(KEY_REUSED))
         self.table.forget(request)
 
     def _owner_unknown(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
-        """The member that would replace the coordinator knows nothing of the request."""
+        """Handle the reply that the substitute of the coordinator has no record of the request."""
         if request.state is RequestState.OWNING or request.contact != member:
             return
         if frame.coordinator or self.placement.must_wait(request):
-            self.completion.give_up(request, "home-unreachable")
+            self.completion.reject(request, "home-unreachable")
         else:
             self.placement.own_with_substitute(request, member)
             self.placement.dispatch(request)
 
     def _recorded(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
-        """A replica has recorded the request, and perhaps granted it."""
+        """Handle the reply that a replica has recorded the request, and perhaps granted it."""
         if request.epoch != frame.epoch or member not in request.replicas:
             return
         request.replicas[member] = max(request.replicas[member], frame.acknowledged_intents)
@@ -271,14 +273,14 @@
         self.placement.release_attempts(request)
 
     def _contested(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
-        """Another member asks a replica for it too: replicate it there again once it is granted."""
+        """Handle the reply that another member asks for it too: replicate it again once it is granted."""
         if request.epoch == frame.epoch and member in request.replicas:
             request.replicas[member] = NOT_SENT
             if request.is_granted:
                 self.placement.replicate_to(request, member)
 
     def _not_recorded(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
-        """A member does not record the request."""
+        """Handle the reply that a member does not record the request."""
         request.replicas.pop(member, None)
         if frame.verdict == ReplicaVerdict.OUT_OF_MEMORY:
             self._replica_full(request, member)
@@ -286,22 +288,22 @@
             self._redirected(request, member, frame)
 
     def _redirected(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
-        """The coordinator is another member as seen from there."""
+        """Handle the reply that another member is the coordinator in that member's view."""
         if request.is_granted and self.views.is_in_other_shard(self.context.member_id, request):
-            # A coordinator to come asks that replica: attempts do not go on with one replica less.
+            # The next coordinator will ask that replica: no attempt is released without it.
             request.replicas[member], request.informed_coordinator = UNACKNOWLEDGED, ""
         elif request.contact == member and not request.is_granted:
-            # Our view may stay behind as long as the coordination store is unreachable.
+            # Our view may stay outdated as long as the coordination store is unreachable.
             request.contact = ""
             if frame.coordinator in self.links:
                 request.contact = frame.coordinator
                 self.placement.replicate_to(request, frame.coordinator, requests_grant=True)
 
     def _replica_full(self, request: ReplicatedRequest, member: str) -> None:
-        """A replica has no memory left for the request."""
+        """Handle the reply that a replica has no memory left for the request."""
         if not request.is_granted and member == request.contact:
             if request.is_retry and not request.is_idempotent:
-                self.completion.give_up(request, ReplicaVerdict.OUT_OF_MEMORY.value)
+                self.completion.reject(request, ReplicaVerdict.OUT_OF_MEMORY.value)
                 return
             self.placement.own_unreplicated(request, ReplicaVerdict.OUT_OF_MEMORY.value)
             self.placement.dispatch(request)
--- a/starlingwheel/fleet/replication/placement.py
+++ b/starlingwheel/fleet/replication/placement.py
@@ -1,4 +1,4 @@
-"""Where a request is recorded: which member grants it, which members replicate it, when its attempts go."""
+"""Placement of a request: which member grants it, which replicate it, and when its attempts are released."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from .request_table import RequestTable
 from .views import ViewTracker
 
-MIN_REMOTE_REPLICAS = 2  # of a request whose owner is of another cell
+MIN_REMOTE_REPLICAS = 2  # minimum of replicas of a request whose owner is in another shard
 
 
 class RequestPlacement:
-    """Finds the coordinator of a request and the replicas of what this member owns."""
+    """Finds the coordinator of a request, and the replicas of a request that this member owns."""
 
     def __init__(
         self,
@@ -26,14 +26,14 @@
         table: RequestTable,
         completion: RequestCompletion,
     ) -> None:
-        """The arguments are the parts that this one uses."""
+        """Store the components that this one uses."""
         self.context, self.views, self.links, self.table = context, views, links, table
         self.completion = completion
 
-    # Is it new?
+    # Finding out whether a request is new.
 
     def locate_owner(self, request: ReplicatedRequest) -> None:
-        """Ask the coordinator whether it is new; if that is unreachable, the member that would replace it."""
+        """Ask the coordinator whether the request is new; if it is unreachable, ask its substitute."""
         coordinator = self.views.coordinator_of(request)
         if self.views.is_in_other_shard(self.context.member_id, request):
             substitute = next(iter(self._choose_replicas(request)), "")
@@ -51,21 +51,24 @@
             request.contact = coordinator
             self.replicate(request)
         elif coordinator == self.context.member_id and substitute:
-            # Others may have a view without this member, and say who is its coordinator now.
+            # Other members may have a view without this one, and name the coordinator in theirs.
             request.contact = substitute
             self.replicate_to(request, substitute, requests_grant=True)
         else:
             self._ask_substitute(request, coordinator, substitute)
 
     def _grant_or_wait(self, request: ReplicatedRequest) -> None:
-        """This member is its coordinator."""
+        """Grant the request as its coordinator, or wait until this member may grant it."""
         if self.views.may_grant(request.key):
             self.own(request)
         else:
             self.context.counts["held"] += 1
 
     def _ask_substitute(self, request: ReplicatedRequest, coordinator: str, substitute: str) -> None:
-        """Its coordinator is unreachable. `substitute`: the member that would replace it, or empty."""
+        """Proceed with a request whose coordinator is unreachable.
+
+        `substitute`: the member that stands in for the coordinator; empty if there is none.
+        """
         reason = "no-link" if coordinator else "no-view"
         if request.is_idempotent:
             if substitute:
@@ -75,19 +78,20 @@
         elif substitute and self.context.host.send_frame(
             substitute, FindOwnerFrame(request.key, request.fingerprint)
         ):
-            # Only the coordinator may know of a member that acts on it already.
+            # Another member may handle it already, which perhaps only the coordinator knows.
             request.state, request.contact = RequestState.ASKING, substitute
         elif self.must_wait(request):
-            self.completion.give_up(request, "home-unreachable")
+            self.completion.reject(request, "home-unreachable")
         else:
             self.own_unreplicated(request, reason)
 
     def must_wait(self, request: ReplicatedRequest) -> bool:
-        """Its coordinator is unreachable, and a view to come may name another one.
+        """Return whether a request whose coordinator is unreachable has to wait for a new view.
 
-        While this member holds a lease that is soon. Without one service goes on, but not for what may be in
-        flight already, nor with so few reachable members that this one may be cut off; nor for a key of
-        another cell, of which too few members are linked.
+        While this member holds a lease, a view that names another coordinator follows soon. Without a lease
+        requests are served all the same, except for retries, which may be in flight already; where so few
+        members are reachable that this one may be partitioned; and for keys of another shard, since too few
+        members of that shard are linked.
         """
         has_view = bool(self.views.view.members)
         if has_view and self.views.is_in_other_shard(self.context.member_id, request):
@@ -98,7 +102,7 @@
     # Ownership.
 
     def own(self, request: ReplicatedRequest) -> None:
-        """This member, the coordinator, grants the request to itself."""
+        """Grant the request, whose coordinator is this member, to this member."""
         request.is_granted, request.state = True, RequestState.OWNING
         self.replicate(request)
         if not request.replicas:
@@ -106,19 +110,19 @@
             self.own_unreplicated(request, "alone" if alone else "no-link")
 
     def own_with_substitute(self, request: ReplicatedRequest, member: str) -> None:
-        """Act on it, recorded by the member that would replace its coordinator."""
+        """Own the request, with the coordinator's substitute as its replica."""
         self.context.counts["stood_in"] += 1
         request.is_granted, request.state = True, RequestState.OWNING
         self.replicate_to(request, member)
 
     def own_unreplicated(self, request: ReplicatedRequest, reason: str) -> None:
-        """Act on it though it is recorded nowhere else: service goes before replication."""
+        """Own the request though no other member records it: availability comes before replication."""
         self.context.counts["uncovered"] += 1
         self.context.host.log_event("cover.none", reason=reason)
         request.is_granted, request.state = True, RequestState.OWNING
 
     def dispatch(self, request: ReplicatedRequest) -> None:
-        """Have the host's decisions begin, if this member owns it."""
+        """Have the host dispatch the request, if this member owns it and it is not dispatched yet."""
         if request.state is RequestState.OWNING and not request.is_dispatched:
             request.is_dispatched = True
             request.dispatched_client = next(iter(request.waiting_clients), None)
@@ -127,17 +131,18 @@
     # Replicas.
 
     def _choose_replicas(self, request: ReplicatedRequest) -> list[str]:
-        """Who is to record it, the coordinator first, of the members that can be reached."""
+        """Return the reachable members that are to record the request, the coordinator first."""
         view, member_id, count = self.views.view, self.context.member_id, self.context.replica_count
         if not self.views.has_remote_replicas(request):
             return view.replicas(request.key, member_id, count, self.links)
         if self.views.is_in_other_shard(member_id, request):
-            # The coordinator may be lost before an owner that nobody there waits for has told the next one.
+            # The coordinator may be lost before the owner, whose state members of that shard do not wait for,
+            # has replicated the request to the next one.
             count = max(MIN_REMOTE_REPLICAS, count)
         return view.replicas(request.key, member_id, count, ReachableMembers(self.links))
 
     def replicate_to(self, request: ReplicatedRequest, member: str, requests_grant: bool = False) -> None:
-        """Have one member record it. `requests_grant`: it shall also say whether the request is new."""
+        """Replicate the request to one member; with `requests_grant` it also replies whether it is new."""
         request.owner = self.context.member_id
         coordinator = self.views.coordinator_of(request)
         outside = self.views.is_in_other_shard(self.context.member_id, request)
@@ -146,7 +151,7 @@
             request.replicas[member] = UNACKNOWLEDGED
 
     def replicate(self, request: ReplicatedRequest) -> None:
-        """Have all members record it that are to."""
+        """Replicate the request to all members that are to record it and do not yet."""
         chosen = self._choose_replicas(request)
         if self.views.is_in_other_shard(self.context.member_id, request):
             chosen = self._update_remote_replicas(request, chosen)
@@ -164,10 +169,10 @@
                 self.links.dial(member)
 
     def _update_remote_replicas(self, request: ReplicatedRequest, chosen: list[str]) -> list[str]:
-        """Adapt the replicas of another cell to the view. Returns who is to record it."""
+        """Adapt the replicas in another shard to the view; return the members that are to record it."""
         coordinator = self.views.coordinator_of(request)
         if request.informed_coordinator != coordinator:
-            # Replicas do not acknowledge what names the former coordinator any more.
+            # Replicas no longer acknowledge frames that name the former coordinator.
             for member in [member for member in request.replicas if member in self.links]:
                 self.replicate_to(request, member)
             request.informed_coordinator = coordinator
@@ -185,10 +190,10 @@
         if not request.is_granted or request.state is not RequestState.OWNING or not request.held_attempts:
             return
         if self.views.coordinates(request.key) and not self.views.may_grant(request.key):
-            return  # a member that took it over under the view before may act on it as well
+            return  # a member that took it over under the previous view may handle it as well
         alone = request.was_taken_over and not request.replicas and len(self.views.view.members) > 1
         if alone and not request.is_idempotent:
-            return  # two members may each believe to have taken it over
+            return  # another member may have taken it over too, as each may believe that the other is lost
         acknowledged = min(request.replicas.values(), default=inf)
         for number in [number for number in request.held_attempts if number < acknowledged]:
             del request.held_attempts[number]
--- a/starlingwheel/fleet/replication/records.py
+++ b/starlingwheel/fleet/replication/records.py
@@ -1,4 +1,4 @@
-"""What this member records for the owners of requests, and conflicts between what members say of one."""
+"""The records that this member keeps for owners of requests, and conflicts between several owners of one."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ReplicaRecords:
-    """Owns the replication frames and acknowledgements that wait for a view to be synchronised or changed."""
+    """Makes records for owners; stores frames and acknowledgements that wait for the view."""
 
     def __init__(
         self,
@@ -27,41 +27,45 @@
         table: RequestTable,
         completion: RequestCompletion,
     ) -> None:
-        """The arguments are the parts that this one uses."""
+        """Store the components that this one uses."""
         self.context, self.views, self.table, self.completion = context, views, table, completion
-        # Frames by their senders, which this member can answer only once its view is synchronised.
+        # Senders and their frames, which this member can answer only once its view is synchronised.
         self.held: list[tuple[str, ReplicateFrame]] = []
-        # Recorded here, while its owner, of another cell, names that coordinator and we another one.
+        # Records that are not acknowledged, since the owner, in another shard, sees another coordinator than
+        # this member does. By owner and key: the coordinator that the owner sees.
         self.awaiting_agreement: dict[tuple[str, bytes], str] = {}
 
-    # What waits.
+    # Frames and acknowledgements that wait.
 
     def hold(self, member: str, frame: ReplicateFrame) -> None:
-        """Handle the frame once the view is synchronised."""
+        """Store the frame until the view is synchronised."""
         self.held.append((member, frame))
 
     def take_held(self) -> list[tuple[str, ReplicateFrame]]:
-        """The frames that can be handled now."""
+        """Remove and return the frames that were stored, with their senders."""
         held, self.held = self.held, []
         return held
 
     def holds_frame_of(self, member: str) -> bool:
-        """A frame of that member waits."""
+        """Return whether a frame of that member waits."""
         return any(sender == member for sender, _ in self.held)
 
     def drop_held(self, member: str, key: bytes) -> None:
-        """The owner has finished the request: it is not to be recorded later."""
+        """Drop the frames of an owner that has finished the request, so that it is not recorded later."""
         self.held = [(sender, frame) for sender, frame in self.held if (sender, frame.key) != (member, key)]
 
     def forget_member(self, member: str) -> None:
-        """The link to a member has ended."""
+        """Drop what waits for a member whose link has ended."""
         self.held = [(sender, frame) for sender, frame in self.held if sender != member]
         self.awaiting_agreement = {
             one: named for one, named in self.awaiting_agreement.items() if one[0] != member
         }
 
     def pop_agreed(self) -> list[tuple[str, ReplicateFrame]]:
-        """Records to acknowledge, by owner: the view now names the coordinator that their owner does."""
+        """Remove and return, by owner, the records that can be acknowledged now.
+
+        The view names the coordinator that their owner sees, or their owner is in the key's shard now.
+        """
         agreed = []
         awaiting_agreement, self.awaiting_agreement = self.awaiting_agreement, {}
         for (member, key), named in awaiting_agreement.items():
@@ -81,7 +85,7 @@
     def send_state(
         self, member: str, frame: ReplicateFrame, state: str, response: RecordedResponse | None = None
     ) -> None:
-        """Tell the sender of a frame what becomes of it."""
+        """Reply to the sender of a frame."""
         self.send(member, ReplicaStateFrame(frame.key, frame.epoch, state, len(frame.intents), response))
 
     def send(self, member: str, frame: Frame) -> None:
@@ -89,14 +93,14 @@
         self.context.host.send_frame(member, frame)
 
     def acknowledge(self, member: str, frame: ReplicateFrame, state: str) -> None:
-        """Tell an owner that its request is recorded, once both views name the same coordinator."""
+        """Acknowledge to an owner that its request is recorded, once both views name the same coordinator."""
         request, coordinator = self.table.requests[frame.key], self.views.view.coordinator(frame.key)
         spans_shards = self.views.view.shard_count > 1
         request.granted_to_owner = spans_shards and (
             request.granted_to_owner or state == ReplicaVerdict.GRANTED
         )
         if self.views.is_in_other_shard(member, request):
-            request.contact = frame.coordinator  # as its owner sees it
+            request.contact = frame.coordinator  # the coordinator in the owner's view
             if frame.coordinator != coordinator:
                 self.awaiting_agreement[member, frame.key] = frame.coordinator
                 return
@@ -106,14 +110,17 @@
     # Conflicts.
 
     def is_contested(self, request: ReplicatedRequest, member: str, epoch: int) -> bool:
-        """Another member asks for it as well, and it is not known here whom the coordinator granted it."""
+        """Return whether another member asks for it too and it is not known here which one was granted it."""
         if self.views.view.shard_count == 1 or request.is_unclaimed:
             return self.views.view.shard_count > 1
         ungranted = request.state is RequestState.REPLICA and not request.granted_to_owner
         return ungranted and request.epoch == epoch and request.owner != member
 
     def record_indirect(self, request: ReplicatedRequest | None, frame: ReplicateFrame) -> None:
-        """Record what another member owns, or owned; it goes before what was not granted to this member."""
+        """Record a request that another member owns or owned.
+
+        The record replaces a request of this member's own that was not granted to it.
+        """
         if request is None:
             if not self.table.is_full:
                 self.table.add_replica(frame, self.views.view.shard_count > 1)
@@ -122,21 +129,22 @@
         elif request.state is RequestState.REPLICA and request.epoch <= frame.epoch:
             rivals = request.owner != frame.owner and request.epoch == frame.epoch
             if rivals and request.granted_to_owner and not frame.is_granted:
-                return  # the record of an owner to which it was never granted
+                return  # a record of an owner to which the request was never granted
             self._merge(request, frame)
 
     def record(self, request: ReplicatedRequest, frame: ReplicateFrame) -> None:
-        """This member becomes or stays a replica of the request."""
+        """Record the request for its owner, as a new or an existing replica."""
         was_unclaimed = request.is_unclaimed
         self.completion.relinquish(request)
         if was_unclaimed:
-            # Outcomes of attempts that were never released must not be taken for those of the owner's.
+            # These attempts were never released; their outcomes must not be attributed to the owner's
+            # attempts.
             request.intents.clear()
         request.state, request.contact = RequestState.REPLICA, ""
         self._merge(request, frame)
 
     def _merge(self, request: ReplicatedRequest, frame: ReplicateFrame) -> None:
-        """Join what both know of the history: an intent that is recorded anywhere counts."""
+        """Merge the histories of the record and the frame: an intent recorded in either counts."""
         same_epoch = request.epoch == frame.epoch
         other_owner = request.owner != frame.owner
         if other_owner:
@@ -146,9 +154,9 @@
         request.owner, request.epoch = frame.owner, frame.epoch
         request.deadline = max(request.deadline, frame.deadline)
         request.content, request.is_stale = frame.request, False
-        # The rules under which its owner, or the one before, accepted it.
+        # The request class under which its owner, or the former one, accepted it.
         request.class_record = frame.class_record or request.class_record
-        # The outcome of another owner's attempt is not taken over, of two that asked at once.
+        # Of two owners that asked at the same time, the outcomes of one say nothing of the other's attempts.
         keep_outcomes = not (other_owner and same_epoch)
         request.intents = _merge_intents(request.intents, frame.intents, keep_outcomes)
 
@@ -156,7 +164,7 @@
 def _merge_intents(
     known: list[AttemptIntent], received: list[AttemptIntent], keep_outcomes: bool
 ) -> list[AttemptIntent]:
-    """The received intents, with those and the outcomes that only the known ones have."""
+    """Return the received intents, complemented by the intents and outcomes that only `known` has."""
     merged = list(received)
     for number, intent in enumerate(known):
         if number >= len(merged):
--- a/starlingwheel/fleet/replication/replica.py
+++ b/starlingwheel/fleet/replication/replica.py
@@ -1,4 +1,4 @@
-"""What a replica does with the frames of owners, and of members that look for one."""
+"""The role of a replica: it handles the frames of owners and of members that look for an owner."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _Claim:
-    """What an owner says of a request, and what is known of that here."""
+    """A member's claim to own a request, with what this member knows about the request."""
 
     member: str  # the owner
     frame: ReplicateFrame
-    request: ReplicatedRequest | None  # as recorded here
-    coordinator: str  # in our view
-    requests_grant: bool  # its owner waits to be told whether it is new
+    request: ReplicatedRequest | None  # the record of this member
+    coordinator: str  # the coordinator in our view
+    requests_grant: bool  # the owner waits for the reply whether the request is new
 
     @property
     def is_open(self) -> bool:
-        """Nobody is known here that was granted the request."""
+        """Whether no member is known here to have been granted the request."""
         return self.request is None or self.request.is_unclaimed
 
 
 class ReplicaRole:
-    """Records requests for their owners, grants them, and says who acts on one."""
+    """Records requests for their owners, grants them, and replies who handles one."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
         records: ReplicaRecords,
         takeover: RequestTakeover,
     ) -> None:
-        """The arguments are the parts that this one uses."""
+        """Store the components that this one uses."""
         self.context, self.views, self.links, self.table = context, views, links, table
         self.completion, self.records, self.takeover = completion, records, takeover
 
     def on_replicate(self, member: str, frame: ReplicateFrame) -> None:
-        """A member has a request recorded that it, or a lost one, owns."""
+        """Handle a request to record what the sender, or a lost member, owns."""
         now, longest = self.context.now, self.context.longest_timeout
         if (
             not now - MAX_AGE * longest
@@ -68,7 +68,7 @@
             <= frame.deadline
             <= now + MAX_TIME_LEFT * longest
         ):
-            # Clocks differ too much, or the record would never expire.
+            # The clocks differ too much; a record with such a deadline might never expire.
             self.records.send_state(member, frame, ReplicaVerdict.OUT_OF_MEMORY)
             return
         request = self.table.get(frame.key)
@@ -87,22 +87,26 @@
             self._record(claim)
 
     def acknowledge_agreed(self) -> None:
-        """The view has changed: handle the records anew whose owners name the same coordinator now."""
+        """Handle the records again whose owners see the same coordinator since a change of the view."""
         for member, frame in self.records.pop_agreed():
             self.on_replicate(member, frame)
 
     def _redirect(self, claim: _Claim) -> bool:
-        """Where another member is the coordinator: wait until our view follows, or say who it is."""
+        """Store or redirect a claim that another member has to decide; return whether that was done.
+
+        The frame is stored if the owner's view is newer than ours; otherwise the reply names the coordinator.
+        """
         if claim.coordinator == self.context.member_id:
             return False
         member, frame, request = claim.member, claim.frame, claim.request
-        # Only the coordinator deals with members out of the view, and only while it is linked to them.
+        # Only the coordinator accepts requests of members out of the view, and only while it has a link to
+        # them.
         outsider = member not in self.views.view
         if outsider and request is not None:
             outsider = not self.views.agrees_on_coordinator(member, request, frame.coordinator)
         asks_here = claim.requests_grant and claim.is_open
         if asks_here and frame.coordinator == self.context.member_id and not outsider:
-            self.records.hold(member, frame)  # its view is ahead of ours
+            self.records.hold(member, frame)  # its view is newer than ours
             return True
         if outsider or asks_here:
             state = ReplicaStateFrame(
@@ -113,14 +117,21 @@
         return False
 
     def _replaces_owner(self, claim: _Claim) -> bool:
-        """Of two that ask at once the coordinator grants it to one, and any other replica follows."""
+        """Return whether the claim replaces the recorded owner.
+
+        Of two members that ask at the same time the coordinator grants the request to one, and the other
+        replicas follow it.
+        """
         request, frame = claim.request, claim.frame
         if request is None or not frame.is_granted:
             return False
         return self.records.is_contested(request, claim.member, frame.epoch)
 
     def _hold(self, claim: _Claim) -> bool:
-        """Wait until the view is synchronised, where another coordinator may have granted it."""
+        """Store the frame until the view is synchronised, if another coordinator may have granted it.
+
+        Returns whether it was stored.
+        """
         member, frame, request = claim.member, claim.frame, claim.request
         if not claim.requests_grant or self.views.may_grant(frame.key):
             return False
@@ -128,7 +139,7 @@
         if not (claim.is_open or same_owner or self._replaces_owner(claim)):
             return False
         if frame.is_granted:
-            self.records.record_indirect(request, frame)  # its owner may be lost meanwhile
+            self.records.record_indirect(request, frame)  # the owner may be lost meanwhile
         recorded = self.table.get(frame.key)
         if recorded is not None and recorded.state is RequestState.REPLICA and recorded.owner == member:
             recorded.contact = frame.coordinator
@@ -136,9 +147,10 @@
         return True
 
     def _record(self, claim: _Claim) -> None:
-        """Record the request, or say who else acts on it."""
+        """Record the request, or reply that it is finished or handled by another member."""
         member, frame, request = claim.member, claim.frame, claim.request
-        # Where the owner's view is ahead of ours we record it, and are its coordinator soon.
+        # If the owner's view is newer than ours and names this member as the coordinator, the request is only
+        # recorded until our view follows.
         granted = ReplicaVerdict.GRANTED if claim.requests_grant else ReplicaVerdict.RECORDED
         if request is None:
             self._record_new(claim, granted)
@@ -148,7 +160,7 @@
             self.records.send_state(member, frame, ReplicaVerdict.FINISHED, request.response)
         elif self._accepts(claim, request):
             if self._replaces_owner(claim) and not request.is_unclaimed:
-                request.intents.clear()  # none of those was released
+                request.intents.clear()  # none of these attempts was released
             self.records.record(request, frame)
             self.records.acknowledge(member, frame, granted)
         elif (
@@ -169,7 +181,7 @@
         self.records.acknowledge(claim.member, claim.frame, granted)
 
     def _accepts(self, claim: _Claim, request: ReplicatedRequest) -> bool:
-        """The frame's owner is the one whose record counts from now on."""
+        """Return whether the frame replaces the existing record."""
         frame = claim.frame
         same_owner = request.state is RequestState.REPLICA and request.owner == claim.member
         if same_owner and frame.epoch >= request.epoch:
@@ -179,7 +191,7 @@
         return self._replaces_owner(claim)
 
     def on_find_owner(self, member: str, frame: FindOwnerFrame) -> None:
-        """A member looks for the owner of a request whose coordinator it can't reach."""
+        """Reply to a member that looks for the owner of a request whose coordinator it can't reach."""
         request = self.table.get(frame.key)
         state, response = ReplicaVerdict.UNKNOWN, None
         known = (RequestState.OWNING, RequestState.REPLICA, RequestState.DONE)
@@ -191,18 +203,18 @@
             else:
                 state = ReplicaVerdict.IN_PROGRESS
                 request.waiting_members[member] = None
-        # Whether somebody is linked to its coordinator: nobody may replace that then.
+        # The coordinator is named if it is reachable from here: no other member may stand in for it then.
         coordinator = self.views.view.coordinator(frame.key)
         reachable = coordinator in self.links or coordinator == self.context.member_id
         where = coordinator if reachable else ""
         self.records.send(member, ReplicaStateFrame(frame.key, 0, state, 0, response, where))
 
     def on_intent(self, member: str, frame: AttemptIntentFrame) -> None:
-        """An owner wants to start an attempt once its replicas have recorded that."""
+        """Record the intent of an attempt, which its owner starts once all replicas have recorded it."""
         key, epoch = frame.key, frame.epoch
         request = self.table.get(key)
         if request is None:
-            return  # recording it was rejected, or it is over
+            return  # the request was not recorded, or has expired
         coordinator = self.views.view.coordinator(key)
         coordinates = coordinator == self.context.member_id
         if request.state is RequestState.DONE:
@@ -214,12 +226,12 @@
             and not coordinates
             and not self.views.agrees_on_coordinator(member, request, frame.coordinator)
         ):
-            # Its lease has ended, and the present coordinator may have taken the request over.
+            # The owner's lease has ended, and the present coordinator may have taken the request over.
             self.records.send(
                 member, ReplicaStateFrame(key, epoch, ReplicaVerdict.SUPERSEDED, coordinator=coordinator)
             )
         elif self.records.is_contested(request, member, epoch) and not coordinates:
-            return  # it was informed before
+            return  # the owner was already told that the request is contested
         elif request.state is not RequestState.REPLICA or (request.owner, request.epoch) != (member, epoch):
             request.waiting_members[member] = None
             self.records.send(member, ReplicaStateFrame(key, epoch, ReplicaVerdict.SUPERSEDED))
@@ -228,7 +240,7 @@
             self._acknowledge_intent(member, frame, request)
 
     def _acknowledge_intent(self, member: str, frame: AttemptIntentFrame, request: ReplicatedRequest) -> None:
-        """Acknowledge a recorded intent, at once or when the views agree."""
+        """Acknowledge a recorded intent, at once or once the views agree."""
         coordinator = self.views.view.coordinator(frame.key)
         if self.views.is_in_other_shard(member, request) and frame.coordinator != coordinator:
             self.records.awaiting_agreement[member, frame.key] = frame.coordinator
@@ -240,7 +252,7 @@
             )
 
     def on_attempt_not_run(self, member: str, frame: AttemptNotRunFrame) -> None:
-        """An owner's attempt is known never to have run."""
+        """Record that an owner's attempt is known never to have run."""
         request = self.table.get(frame.key)
         if request is None or (request.owner, request.epoch) != (member, frame.epoch):
             return
@@ -248,7 +260,7 @@
             request.intents[frame.number].outcome = frame.outcome
 
     def on_response(self, member: str, frame: ResponseFrame) -> None:
-        """A member says that a request has its final response."""
+        """Record the final response that a member reports for a request."""
         request = self.table.get(frame.key)
         recorded = ReplicaStateFrame(frame.key, frame.epoch, ReplicaVerdict.RESPONSE_RECORDED)
         self.records.drop_held(member, frame.key)
@@ -263,7 +275,7 @@
         elif request.state in (RequestState.JOINED, RequestState.ASKING):
             self.completion.finish(request, frame.response)
         elif frame.response.status == FINISHED:
-            # Its former owner was only cut off, and an attempt that was granted to it has finished it.
+            # The former owner was only partitioned, and an attempt that was released there has succeeded.
             self.completion.cancel_attempts(request)
             self.completion.finish(request, frame.response)
         else:
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -1,23 +1,25 @@
-"""Requests in flight survive the loss of their sidecar: another member takes each over, once.
-
-Each request with an idempotency key has a coordinator, one member by rendezvous hash over the view. The
-coordinator alone says that a key is new; the member that is told so owns the request. The owner's replicas
-(the coordinator, and others in its place) record the intent of each attempt before the last byte of that
-attempt is written. When the owner is lost the coordinator raises the request's epoch, which ends what the
-owner may still start, and owns the request with the history that it has.
-
-In a fleet of several cells the coordinator and the replicas are of the key's cell, and a member has links to
-its own cell alone. An owner of another cell dials two replicas. Nobody waits for it to synchronise when that
-cell changes. So each replica tells a new coordinator what others own, and acknowledges nothing to an owner
-that names another coordinator than it does itself: what a replica has acknowledged is then in what it tells.
-
-`RequestReplicator` is one member's part. It does no I/O: the host sets `now` and reports what happened, a
-`ReplicationHost` carries out what is decided. It relies on links that deliver frames completely and in order,
-or end.
-
-The parts depend on each other in one direction only: `views`, `peer_links` and `request_table` own the state;
-`completion`, `placement`, `records` and `takeover` change requests; `owner`, `replica` and `sync` handle what
-the host and other members report.
+"""Replication of requests in flight: if their sidecar is lost, another member takes over each request, once.
+
+Each request with an idempotency key has a coordinator, a member chosen by rendezvous hashing over the view.
+Only the coordinator decides that a key is new; the member to which it grants the request owns it. The owner's
+replicas (the coordinator, or other members if the owner is the coordinator or it can't be reached) record the
+intent of each attempt before the last byte of that attempt is written. When the owner is lost the coordinator
+increments the request's epoch, after which the former owner can start no more attempts, and owns the request
+with its recorded history.
+
+In a fleet of several shards the coordinator and the replicas are members of the key's shard, and members keep
+links to the members of their own shard only. An owner in another shard dials two replicas, and members do not
+wait for it to synchronise when the key's shard changes. Instead each replica sends a new coordinator the
+requests that it has recorded for other owners. It acknowledges nothing to an owner that names a different
+coordinator than the replica itself does, so all that it has acknowledged is included in what it sends.
+
+`RequestReplicator` is one member's part of this. It does no I/O: the host sets `now` and reports what has
+happened, and a `ReplicationHost` carries out what is decided. It relies on links that either deliver frames
+completely and in order, or end.
+
+The components depend on each other in one direction only: `views`, `peer_links` and `request_table` own the
+state; `completion`, `placement`, `records` and `takeover` change requests; `owner`, `replica` and `sync`
+handle what the host and other members report.
 """
 
 from __future__ import annotations
@@ -56,7 +58,7 @@
 class RequestReplicator:
     """One member's part in the replication of all requests of the fleet."""
 
-    # The parts; a trial replaces one to break a promise on purpose.
+    # The classes of the components; trials replace one with a broken variant on purpose.
     views_type = ViewTracker
     completion_type = RequestCompletion
     placement_type = RequestPlacement
@@ -72,7 +74,11 @@
         host: ReplicationHost,
         now: float,
     ) -> None:
-        """`longest_timeout`, `now`: seconds. `memory_limit`: bytes recorded for other members."""
+        """Build the components.
+
+        `longest_timeout`, `now`: seconds. `replica_count`: replicas per request. `memory_limit`: bytes
+        recorded for other members.
+        """
         context = ReplicationContext(member_id, host, now, longest_timeout, replica_count, memory_limit)
         views = self.views_type(context)
         peers = PeerLinks(context, views)
@@ -88,11 +94,11 @@
         self.replica, self.sync = replica, sync
         self.owner = OwnerRole(context, views, peers, table, completion, placement)
 
-    # What there is to see and to set.
+    # State that the host reads and sets.
 
     @property
     def now(self) -> float:
-        """The time that the host has set, seconds on the wall clock."""
+        """The current time as the host has set it, seconds on the wall clock."""
         return self.context.now
 
     @now.setter
@@ -101,7 +107,7 @@
 
     @property
     def lease_until(self) -> float:
-        """Until when this member holds its lease."""
+        """The time until which this member holds its lease, seconds on the wall clock."""
         return self.views.lease_until
 
     @lease_until.setter
@@ -119,7 +125,7 @@
 
     @property
     def replica_count(self) -> int:
-        """Replicas per request."""
+        """The number of replicas per request."""
         return self.context.replica_count
 
     @replica_count.setter
@@ -128,54 +134,55 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What has happened, by kind."""
+        """Counters of events by kind."""
         return self.context.counts
 
     @property
     def requests(self) -> dict[bytes, ReplicatedRequest]:
-        """The requests that are known here, by key."""
+        """The requests that this member knows, by key."""
         return self.table.requests
 
     @property
     def used_bytes(self) -> int:
-        """Memory that they take, bytes."""
+        """The memory that the requests take, in bytes."""
         return self.table.used_bytes
 
     @property
     def links(self) -> dict[str, None]:
-        """The members that are linked."""
+        """The members to which there is a link."""
         return self.peers.linked
 
     @property
     def view(self) -> MembershipView:
-        """The view that holds."""
+        """The current view."""
         return self.views.view
 
     @property
     def digest(self) -> int:
-        """Of our cell in the view that holds: what `HeartbeatFrame.view_digest` says."""
+        """The digest of our shard in the current view, which heartbeats contain."""
         return self.views.digest
 
     @property
     def is_synced(self) -> bool:
-        """All members have sent what they own under the view that holds."""
+        """Whether all members have sent what they own under the current view."""
         return self.views.is_synced
 
     def may_decide(self) -> bool:
-        """This member is in the view that holds, as far as it can know."""
+        """Return whether this member is in the current view as far as it can know; see `ViewTracker`."""
         return self.views.may_decide()
 
-    # What the host reports.
+    # Reports of the host.
 
     def view_changed(self, view: MembershipView, gap: bool) -> None:
-        """Another set of members holds leases. `gap`: there may have been others in between."""
+        """Replace the view. `gap`: views between the former and this one may have been missed."""
         before = self.views.view
         if view.digest == before.digest and not (gap and view.members):
             return
         member_id = self.context.member_id
         reentered = gap or before.members.get(member_id) != view.members.get(member_id)
         if reentered:
-            # Others may have gone on without this member: what it knows of their requests is old.
+            # Other members may have continued without this one, so its records of their requests are
+            # outdated.
             for request in self.table:
                 request.is_stale = request.state is RequestState.REPLICA
         self.views.replace(view, gap)
@@ -193,13 +200,13 @@
         self.sync.finish_if_synced()
 
     def _send_synced(self, member: str) -> None:
-        """All that concerns a member under this view was sent to it."""
+        """Tell a member that all that concerns it under this view has been sent to it."""
         view = self.views.view
         frame = ViewSyncedFrame(view.shard_digest(view.shard_of_member(member)))
         self.context.host.send_frame(member, frame)
 
     def link_up(self, member: str) -> None:
-        """There is a link to a member: the first one, or a new one."""
+        """Handle a link to a member that is up: the first one, or a new one."""
         self.peers.up(member)
         for request in self.table.concerning(member, self.views.view):
             self.owner.link_up(request, member)
@@ -207,7 +214,7 @@
         self._send_synced(member)
 
     def link_down(self, member: str) -> None:
-        """The link to a member has ended, or it is silent."""
+        """Handle the end of the link to a member, or its silence."""
         self.peers.down(member)
         self.views.forget_member(member)
         self.records.forget_member(member)
@@ -215,7 +222,7 @@
             self.takeover.link_down(request, member)
 
     def link_failed(self, member: str) -> None:
-        """No link that `ReplicationHost.dial` was asked for has come up."""
+        """Handle the failure to open a link that `ReplicationHost.dial` was asked for."""
         if member in self.peers:
             return
         self.peers.dial_failed(member)
@@ -223,7 +230,7 @@
             self.takeover.link_failed(request, member)
 
     def needs_link(self, member: str) -> bool:
-        """A request concerns that member: the link to it must stay."""
+        """Return whether the link to a member must stay because a request concerns that member."""
         unsynced = not self.views.is_synced and not self.views.is_synced_by(member)
         if unsynced and member in self.views.holders():
             return True
@@ -232,7 +239,7 @@
         return any(request.concerns(member) for request in self.table.requests.values())
 
     def frame_received(self, member: str, frame: Frame) -> None:
-        """A member has sent a frame, of bounded size and of a known type."""
+        """Handle a frame of a member, which is of bounded size and of a known type."""
         match frame:
             case HeartbeatFrame():
                 self.views.heartbeats[member] = (self.context.now, frame)
@@ -254,18 +261,18 @@
                 self.completion.on_finished(frame)
 
     def _member_synced(self, member: str, digest: int) -> None:
-        """A member has sent all that concerns this one under the view of that digest."""
+        """Record that a member has sent all that concerns this one under the view with that digest."""
         self.views.synced_digests[member] = digest
         self.sync.finish_if_synced()
         for request in self.table:
             if self.views.coordinator_of(request) == member:
-                # It may have rejected what it did not know yet that it coordinates.
+                # It may have rejected requests before it knew that it is their coordinator.
                 self.takeover.update(request)
             elif digest == self.views.digest and request.owner == member:
                 self.takeover.drop_unclaimed(request)
 
     def tick(self) -> None:
-        """Forget what has expired, answer clients that have waited long enough, dial again."""
+        """Forget expired requests, fail clients whose waiting time has ended, and dial members again."""
         for request, client in self.table.pop_due():
             self._timer_due(request, client)
         retriable = self.peers.pop_retriable()
@@ -278,7 +285,7 @@
             self.sync.finish_if_synced()
 
     def _timer_due(self, request: ReplicatedRequest, client: Client) -> None:
-        """A request may have expired; or a client has waited long enough, if one is given."""
+        """Forget the request if it has expired; with a client given, fail the client that has waited."""
         if client is None:
             expires_at = self.table.expires_at(request)
             if expires_at <= self.context.now:
@@ -288,51 +295,51 @@
             return
         dispatched = request.state is RequestState.OWNING and client is request.dispatched_client
         if client in request.waiting_clients and not dispatched:
-            # The response that a client which has joined waits for may be lost.
+            # The response of another member, for which the client waits, may be lost.
             del request.waiting_clients[client]
             self.context.counts["waited_out"] += 1
             self.context.host.respond(request, client, RecordedResponse(FAILED))
 
     def next_at(self) -> float:
-        """When to call `tick` again, seconds on the wall clock."""
+        """Return when to call `tick` again, seconds on the wall clock."""
         times = [self.table.next_at(), self.peers.next_retry_at()]
         if not self.views.is_synced:
             times.append(self.views.sync_deadline())
         return min(times)
 
-    # What the host asks.
+    # Calls of the host.
 
     def begin(
         self, frame: ReplicateFrame, client: Client, until: float
     ) -> tuple[BeginResult, ReplicatedRequest]:
-        """A client's request has arrived, to be answered by `until`. What to do, and its record."""
+        """Begin a client's request, which is to be answered by `until`; return what to do and its record."""
         return self.owner.begin(frame, client, until)
 
     def add_intent(self, request: ReplicatedRequest, intent: AttemptIntent) -> int:
-        """An attempt is to be started; its number. `record_intent` has to follow."""
+        """Add an attempt that is to be started; return its number. `record_intent` has to be called next."""
         return self.owner.add_intent(request, intent)
 
     def record_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """Have an intent recorded; the host's `release_intent` or `cancel_intent` follows."""
+        """Have the replicas record an intent; the host's `release_intent` or `cancel_intent` follows."""
         self.owner.record_intent(request, number)
 
     def attempt_not_run(self, request: ReplicatedRequest, number: int, outcome: str) -> None:
-        """An attempt is known never to have run."""
+        """Record that an attempt is known never to have run."""
         self.owner.attempt_not_run(request, number, outcome)
 
     def finish_request(
         self, request: ReplicatedRequest, response: RecordedResponse
     ) -> RecordedResponse | None:
-        """The host's decisions have a final response.
+        """Finish a request to which the host's scheduler has given a final response.
 
-        Returns what its client is to get; None: `ReplicationHost.respond` follows.
+        Returns the response that its client gets; None: a call of `ReplicationHost.respond` follows.
         """
         return self.owner.finish_request(request, response)
 
     def wait_on(self, request: ReplicatedRequest, client: Client, until: float) -> None:
-        """A client whose decisions have ended without a response waits for another member's."""
+        """Let a client to which the scheduler has given no response wait for that of another member."""
         self.owner.wait_on(request, client, until)
 
     def client_disconnected(self, request: ReplicatedRequest, client: Client) -> bool:
-        """A client that waited has disconnected. True: the request is not needed any more and forgotten."""
+        """Remove a client that has disconnected; return whether the request is forgotten as not needed."""
         return self.owner.client_disconnected(request, client)
--- a/starlingwheel/fleet/replication/request_table.py
+++ b/starlingwheel/fleet/replication/request_table.py
@@ -11,32 +11,33 @@
 from .context import ReplicationContext
 from .request import Client, ReplicatedRequest, RequestState
 
-RESPONSE_RETENTION = 1 / 2  # of the longest timeout: for so long after its deadline a response is stored
+RESPONSE_RETENTION = 1 / 2  # of the longest timeout: how long a response is stored after its deadline
 
 
 class RequestTable:
-    """Owns the requests by key, their memory use and their timers."""
+    """The requests by key, their memory use and their timers."""
 
     def __init__(self, context: ReplicationContext) -> None:
         """Start with no requests."""
         self.context = context
         self.requests: dict[bytes, ReplicatedRequest] = {}
         self.used_bytes = 0
-        # Time, sequence number, request; and the client that has waited long enough then, or None.
+        # Time, sequence number, request, and the client whose waiting time ends then; None: the request
+        # expires.
         self._timers: list[tuple[float, int, ReplicatedRequest, Client]] = []
         self._timer_count = 0
 
     def __iter__(self) -> Iterator[ReplicatedRequest]:
-        """The requests; the table may change while they are iterated."""
+        """Iterate over the requests; the table may change meanwhile."""
         return iter(list(self.requests.values()))
 
     @property
     def is_full(self) -> bool:
-        """No further request is recorded for another member."""
+        """Whether no further request can be recorded for another member."""
         return self.used_bytes > self.context.memory_limit
 
     def get(self, key: bytes) -> ReplicatedRequest | None:
-        """The request with that key."""
+        """Return the request with that key, if there is one."""
         return self.requests.get(key)
 
     def add(self, request: ReplicatedRequest) -> ReplicatedRequest:
@@ -58,17 +59,17 @@
             self.used_bytes -= request.size
 
     def resize(self, request: ReplicatedRequest, growth: int) -> None:
-        """The request takes so many bytes more."""
+        """Account for a change of the request's size by `growth` bytes."""
         if self.requests.get(request.key) is request:
             self.used_bytes += growth
         request.size += growth
 
     def expires_at(self, request: ReplicatedRequest) -> float:
-        """When the request and its response are forgotten."""
+        """Return when the request and its response are forgotten."""
         return request.deadline + RESPONSE_RETENTION * self.context.longest_timeout
 
     def add_client(self, request: ReplicatedRequest, client: Client, until: float) -> None:
-        """A client waits for the response until then."""
+        """Record that a client waits for the response, at most until that time."""
         request.waiting_clients[client] = until
         self.schedule(until, request, client)
 
@@ -78,25 +79,25 @@
         heapq.heappush(self._timers, (at, self._timer_count, request, client))
 
     def pop_due(self) -> Iterator[tuple[ReplicatedRequest, Client]]:
-        """Requests and clients whose time has come; timers that are set meanwhile count."""
+        """Remove and yield the requests and clients that are due, including those scheduled meanwhile."""
         while self._timers and self._timers[0][0] <= self.context.now:
             _, _, request, client = heapq.heappop(self._timers)
             yield request, client
 
     def next_at(self) -> float:
-        """When the next timer is due."""
+        """Return when the next timer is due."""
         return self._timers[0][0] if self._timers else inf
 
     def concerning(self, member: str, view: MembershipView) -> list[ReplicatedRequest]:
-        """Requests that a link to that member may concern."""
+        """Return the requests that a link to that member may concern."""
         if view.shard_count == 1:
             return list(self.requests.values())
-        cell, cell_at = view.shard_of_member(member), view.shard_of_position
+        shard, shard_of_position = view.shard_of_member(member), view.shard_of_position
         return [
             request
             for request in self.requests.values()
             if member in (request.owner, request.contact)
             or member in request.replicas
             or member in request.waiting_members
-            or cell_at(request.hash_position) == cell
+            or shard_of_position(request.hash_position) == shard
         ]
--- a/starlingwheel/fleet/replication/sync.py
+++ b/starlingwheel/fleet/replication/sync.py
@@ -1,4 +1,4 @@
-"""The end of a synchronisation: all members have sent what they own under the view that holds."""
+"""The end of a view's synchronisation, when all members have sent what they own under the current view."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ViewSynchronizer:
-    """Grants and handles what had to wait for the view to be synchronised."""
+    """Grants the requests and handles the frames that had to wait for the view to be synchronised."""
 
     def __init__(
         self,
@@ -27,12 +27,12 @@
         takeover: RequestTakeover,
         replica: ReplicaRole,
     ) -> None:
-        """The arguments are the parts that this one uses."""
+        """Store the components that this one uses."""
         self.context, self.views, self.links, self.table = context, views, links, table
         self.placement, self.records, self.takeover, self.replica = placement, records, takeover, replica
 
     def finish_if_synced(self) -> None:
-        """Go on with what waited, if all members have synchronised or the time for that is over."""
+        """Handle what has waited, if all members have synchronised or the deadline for that has passed."""
         if not self.views.view.members:
             return
         if not self._all_synced() and self.context.now < self.views.sync_deadline():
@@ -45,8 +45,8 @@
             self.replica.on_replicate(member, frame)
 
     def _all_synced(self) -> bool:
-        # Also linked members whose lease has ended: after an outage of the coordination store the view may
-        # lack members that live and own requests.
+        # Linked members whose lease has ended count too: after an outage of the coordination store the view
+        # may lack members that are alive and own requests.
         out_of_view = (member for member in self.links.linked if member not in self.views.view)
         needed = {*self.views.holders(), *out_of_view} - {self.context.member_id}
         return all(self.views.is_synced_by(member) for member in needed)
@@ -56,7 +56,7 @@
             outside = self.views.is_in_other_shard(request.owner, request)
             owner_lives = request.owner in self.views.view and not outside
             if request.is_stale and owner_lives and not request.waiting_clients:
-                self.table.forget(request)  # its owner has not sent it
+                self.table.forget(request)  # its owner has not sent it, so it no longer has it
             else:
                 self.takeover.update(request)
         if not self.views.coordinates(request.key) or not self.views.may_grant(request.key):
--- a/starlingwheel/fleet/replication/takeover.py
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -1,4 +1,4 @@
-"""What becomes of requests after members, links or views have changed: taken over, or recorded anew."""
+"""Updates of requests after changes of members, links or views: takeover, or new replicas."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RequestTakeover:
-    """Puts requests in order after a change; takes over those whose owner is lost."""
+    """Updates requests after a change of the view or a link; takes over those whose owner is lost."""
 
     def __init__(
         self,
@@ -26,12 +26,12 @@
         placement: RequestPlacement,
         records: ReplicaRecords,
     ) -> None:
-        """The arguments are the parts that this one uses."""
+        """Store the components that this one uses."""
         self.context, self.views, self.links, self.table = context, views, links, table
         self.completion, self.placement, self.records = completion, placement, records
 
     def update(self, request: ReplicatedRequest, owner_lost: bool = False) -> None:
-        """After a change of the view or of a link: have the right members know of a request.
+        """Ensure, after a change of the view or of a link, that the right members know of a request.
 
         `owner_lost`: the link to its owner has ended.
         """
@@ -47,7 +47,7 @@
             self._update_waiting(request, coordinator)
 
     def _update_owned(self, request: ReplicatedRequest, coordinator: str) -> None:
-        """This member owns it: replace replicas that are out of the view."""
+        """Replace replicas, which are out of the view, of a request that this member owns."""
         for member in [member for member in request.replicas if member not in self.views.view]:
             del request.replicas[member]
         if request.unacknowledged_rejection is not None:
@@ -68,24 +68,24 @@
         self.placement.release_attempts(request)
 
     def _update_replica(self, request: ReplicatedRequest, coordinator: str, owner_lost: bool) -> None:
-        """This member is a replica: inform a new coordinator, or take over from a lost owner."""
+        """Inform a new coordinator of a request that this member records, or take over from a lost owner."""
         outside = self.views.is_in_other_shard(request.owner, request)
         if (request.owner not in self.views.view or outside) and coordinator in self.links:
             if not outside or request.informed_coordinator != coordinator:
                 self.records.send(coordinator, request.to_frame(requests_grant=False))
                 request.informed_coordinator = coordinator if outside else ""
             return
-        # An owner whose lease has ended but that its coordinator, this member, is linked to goes on.
+        # An owner whose lease has ended but that still has a link to the coordinator, this member, continues.
         successor = self.views.view.coordinator(request.key, excluding=request.owner)
         if request.owner in self.links or successor != self.context.member_id:
             return
-        # An owner of another cell does not send what it owns by itself: it is dialled.
+        # An owner in another shard does not send what it owns of its own accord, so it is dialled.
         if not owner_lost and outside and self.links.dial(request.owner):
             return
         self.take_over(request)
 
     def _update_waiting(self, request: ReplicatedRequest, coordinator: str) -> None:
-        """This member waits for another one: ask again where that is lost or has been replaced."""
+        """Ask again for a request that waits for another member, if that is lost or has been replaced."""
         contact_lost = request.contact not in self.links
         is_asking = request.state is RequestState.ASKING
         replaced = is_asking and request.contact != coordinator and coordinator in self.links
@@ -96,7 +96,7 @@
             self.placement.dispatch(request)
 
     def link_down(self, request: ReplicatedRequest, member: str) -> None:
-        """The link to a member has ended: frames that were sent last may be lost."""
+        """Handle the end of the link to a member: the last frames that were sent may be lost."""
         request.waiting_members.pop(member, None)
         if request.informed_coordinator == member and request.state in (
             RequestState.REPLICA,
@@ -113,25 +113,25 @@
             self.update(request)
 
     def _replica_lost(self, request: ReplicatedRequest, member: str) -> None:
-        """The link to a replica of a request that this member owns has ended."""
+        """Handle the end of the link to a replica of a request that this member owns."""
         request.replicas[member] = UNACKNOWLEDGED
         if request.unacknowledged_rejection is not None:
-            # The replica may take the request over: its client is not told that nothing was done.
+            # The replica may take the request over, so its client must not be told that it has not run.
             self.completion.finish(request, RecordedResponse(FAILED))
         elif self.views.has_remote_replicas(request):
             self.update(request)
 
     def link_failed(self, request: ReplicatedRequest, member: str) -> None:
-        """A member could not be dialled."""
+        """Handle the failure to open a link to a member."""
         if request.state is RequestState.ASKING and member in request.replicas:
             self.placement.replicate(request)
         else:
             self.update(request)
 
     def take_over(self, request: ReplicatedRequest) -> None:
-        """The owner is lost.
+        """Take over the request, whose owner is lost.
 
-        Waits until the view is synchronised, where others may know more of the request than this member.
+        Waits until the view is synchronised if other members may know more of the request than this one.
         """
         knows_all = not request.is_stale and (
             not self.views.coordinates(request.key) or self.views.may_grant(request.key)
@@ -158,7 +158,7 @@
         self.placement.dispatch(request)
 
     def drop_unclaimed(self, request: ReplicatedRequest) -> None:
-        """Its owner, of another cell, has sent us all that it owns, and this was not among it."""
+        """Forget a record that its owner, in another shard, has not confirmed with all that it owns."""
         coordinator = self.views.coordinator_of(request)
         is_replica = request.state is RequestState.REPLICA
         ours = is_replica and coordinator == self.context.member_id != request.contact
@@ -171,7 +171,7 @@
             self.table.forget(request)
 
     def record_orphan(self, frame: ReplicateFrame) -> None:
-        """Another replica's record of what a lost member owned; this one is or becomes its coordinator."""
+        """Record a lost owner's request from another replica; this member is or becomes its coordinator."""
         self.records.record_indirect(self.table.get(frame.key), frame)
         request = self.table.get(frame.key)
         if request is not None and self.views.coordinates(frame.key):
--- a/starlingwheel/fleet/shards.py
+++ b/starlingwheel/fleet/shards.py
@@ -1,10 +1,10 @@
-"""Into how many shards the fleet is divided: the count follows its size, by one decision in the store.
+"""The number of shards of the fleet, which follows the fleet's size and is decided in the coordination store.
 
-The count is doubled once shards have more members on the mean than configured, and halved once they have
-fewer than a quarter of that: members that come and go in between change nothing. Any member may write it,
-each in its turn, and a transaction that compares the entry decides. `ShardPlanner` is one member's part and
-does no I/O: the host sets `now`, reports what the coordination store has, and asks `due` for the next
-transaction.
+The number is doubled once the mean shard has more members than configured, and halved once it has fewer than
+a quarter of that; sizes in between change nothing, so a few members that join or leave do not. Any member may
+write the change, each in its turn, and a transaction that compares the entry lets only one of them succeed.
+`ShardPlanner` is one member's part of this and does no I/O: the host sets `now`, passes in the records of the
+coordination store, and asks `due` for the next transaction.
 """
 
 from __future__ import annotations
@@ -16,26 +16,30 @@
 from .membership import MAX_SHARDS
 from .records import MEMBERS_PREFIX, SHARDS_KEY, Sharding, StoreRecords, Transaction, equal
 
-MERGE_FRACTION = 1 / 4  # of the configured mean size: shards with fewer members are merged
-STABLE_LEASES = 2.0  # leases for which the size has to stay beyond a bound
-CHANGE_INTERVAL_LEASES = 8.0  # leases between two changes
-TURN_LEASES = 1 / 16  # leases for which each member waits for the one before it
-MAX_TURNS = 16  # members that wait for one another
+MERGE_FRACTION = 1 / 4  # of the configured mean size: below that, shards are merged
+STABLE_LEASES = 2.0  # leases for which the size has to stay beyond a bound before a change
+CHANGE_INTERVAL_LEASES = 8.0  # minimum of leases between two changes
+TURN_LEASES = 1 / 16  # leases between the write times of two members
+MAX_TURNS = 16  # further members write at the same time as the last of these
 
 
 class ShardPlanner:
-    """One member's part in the decision into how many shards the fleet is divided."""
+    """One member's part in deciding the number of shards of the fleet."""
 
     def __init__(self, member_id: str, lease: float, max_mean_size: int, now: float) -> None:
-        """`lease`, `now`: seconds. `max_mean_size`: members of a shard; 0: changes nothing."""
+        """Start without records.
+
+        `lease`, `now`: seconds. `max_mean_size`: the mean number of members of a shard beyond which shards
+        are split; 0: this member never changes the number of shards.
+        """
         self.member_id, self.lease, self.max_mean_size, self.now = member_id, lease, max_mean_size, now
         self.records = StoreRecords()
-        self.changed_at = now  # when the entry was last seen to change, at the latest
-        self.wanted_count = 0  # shards that there should be; 0: as many as there are
+        self.changed_at = now  # the latest time at which the entry can have changed
+        self.wanted_count = 0  # how many shards there should be; 0: as many as there are
         self.wanted_since = inf
 
     def update_records(self, records: StoreRecords) -> None:
-        """The coordination store has other records."""
+        """Use the latest records of the coordination store."""
         if records.shards_revision != self.records.shards_revision:
             self.changed_at = self.now
         self.records = records
@@ -44,7 +48,7 @@
             self.wanted_count, self.wanted_since = wanted, self.now if wanted else inf
 
     def _compute_wanted_count(self) -> int:
-        """How many shards there should be; 0: as many as there are."""
+        """Return how many shards there should be; 0: as many as there are."""
         records = self.records
         if not self.max_mean_size or not records.shard_count or self.member_id not in records.members:
             return 0
@@ -53,11 +57,11 @@
             return 2 * count
         if members < count * self.max_mean_size * MERGE_FRACTION and count > 1:
             return count // 2
-        # An entry that nobody can read is written again: members that start would know no shards at all.
+        # An unreadable entry is written again, since members that start could not know the number of shards.
         return count if records.is_shard_count_unreadable else 0
 
     def due(self) -> Transaction | float:
-        """The transaction to carry out now, or when to ask again (seconds)."""
+        """Return the transaction to carry out now, or when to ask again (seconds)."""
         if not self.wanted_count:
             return inf
         records = self.records
@@ -68,7 +72,7 @@
         due_at += min(self._writers_before(), MAX_TURNS) * TURN_LEASES * self.lease
         if self.now < due_at:
             return due_at
-        # A change of the shards that was made meanwhile, or our own loss, makes it void.
+        # The transaction fails if the number of shards has changed meanwhile or this member's entry is gone.
         unchanged = [
             equal(SHARDS_KEY, "MOD", records.shards_revision),
             equal(MEMBERS_PREFIX + self.member_id, "CREATE", records.members[self.member_id].term),
@@ -77,6 +81,6 @@
         return Transaction("cut", unchanged, [(SHARDS_KEY, sharding)])
 
     def _writers_before(self) -> int:
-        """How many members write before this one; another order after each change."""
+        """Return how many members write before this one; the order differs after each change."""
         members = sorted(self.records.members)
         return (members.index(self.member_id) + self.records.shards_revision) % len(members)
