--- a/starlingwheel/net/fleet/__init__.py
+++ b/starlingwheel/net/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's actors: links between sidecars, the client of the coordination store, replication."""
+"""The fleet's actors: links between sidecars, clients of the coordination store, and replication."""
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -1,4 +1,4 @@
-"""Admin calls about the fleet: its members, its policy and its zone plan."""
+"""Admin API of the fleet: its members, its policy and its zone plan."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from .messages import WriteTransaction
 
 WRITE_TIMEOUT = 0.85  # seconds for which a call waits for the coordination store
-POLL_INTERVAL = 0.01  # seconds between two looks at whether it has answered
-MAX_PROPOSAL_SIZE = 2 * document.MAX_SIZE  # bytes of a proposal with its policy, not in its shortest encoding
+POLL_INTERVAL = 0.01  # seconds between two checks whether the store has answered
+MAX_PROPOSAL_SIZE = 2 * document.MAX_SIZE  # bytes; its policy need not be in the shortest encoding
 MAX_SWITCH_DELAY = 3600.0  # seconds from a proposal to its switch time
 OPERATORS_REASON = "operators have said so"
 
 CommandT = TypeVar("CommandT", bound=msgspec.Struct)
-PendingResult = Generator[float, Any, AdminResult]  # yields until when it waits
+PendingResult = Generator[float, Any, AdminResult]  # yields the times until which it waits
 ZoneChange = Callable[[ZonePlanner, str, str], Transaction | None]
 
 
@@ -35,7 +35,7 @@
 
 
 class ProposalCommand(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a proposal. `base`: the version that it was made from, if that matters."""
+    """The body of a proposal. `base`: the version that it was made from; None: not checked."""
 
     policy: Any
     switch_s: float | None = None  # seconds until it takes effect
@@ -43,17 +43,17 @@
 
 
 def fleet(context: SidecarContext, body: bytes) -> AdminResult:
-    """The members and links, as this sidecar sees them."""
+    """Return the members and links as this sidecar sees them."""
     return "", msgspec.json.encode(context.fleet.member_report()) + b"\n"
 
 
 def policy(context: SidecarContext, body: bytes) -> AdminResult:
-    """The policy in force, the open proposal and its votes."""
+    """Return the policy in force, the open proposal and its votes."""
     return "", msgspec.json.encode(context.fleet.policy_report()) + b"\n"
 
 
 def propose(context: SidecarContext, body: bytes) -> PendingResult:
-    """Propose a change of the policy; raises `CallRejectedError`."""
+    """Propose a change of the policy; raise `CallRejectedError` if that is not possible."""
     controller = context.fleet.policy_controller
     replica = controller.policy_replica
     command = _decode(body, ProposalCommand)
@@ -70,7 +70,7 @@
 
 
 def _switch_delay(command: ProposalCommand, lease: float) -> float:
-    """Seconds until the switch time; `lease`: seconds."""
+    """Return the seconds until the switch time; `lease`: seconds."""
     delay = DEFAULT_SWITCH_DELAY * lease if command.switch_s is None else command.switch_s
     if not MIN_SWITCH_DELAY * lease < delay <= MAX_SWITCH_DELAY:
         bounds = f"{MIN_SWITCH_DELAY * lease} and {MAX_SWITCH_DELAY}"
@@ -81,22 +81,24 @@
 def _check_may_propose(replica: PolicyReplica, command: ProposalCommand) -> None:
     if doubt := replica.unavailable_reason():
         raise _rejected(
-            HTTPStatus.SERVICE_UNAVAILABLE, f"which policy holds is not known here: {doubt}", doubt
+            HTTPStatus.SERVICE_UNAVAILABLE,
+            f"this sidecar does not know which policy is in force: {doubt}",
+            doubt,
         )
     known = replica.decided_version
     if command.base is not None and command.base != known:
         raise _rejected(
-            HTTPStatus.CONFLICT, f"made from version {command.base}; {known} is in force or decided"
+            HTTPStatus.CONFLICT, f"made from version {command.base}, but {known} is in force or decided"
         )
     if replica.decision is not None and replica.now < replica.decision.at:
-        raise _rejected(HTTPStatus.CONFLICT, f"version {known} is decided and does not hold yet")
+        raise _rejected(HTTPStatus.CONFLICT, f"version {known} is decided but not in force yet")
     if replica.records.proposal is not None:
         version = replica.records.proposal.policy.version
-        raise _rejected(HTTPStatus.CONFLICT, f"version {version} is proposed already")
+        raise _rejected(HTTPStatus.CONFLICT, f"version {version} is already proposed")
 
 
 def drop(context: SidecarContext, body: bytes) -> PendingResult:
-    """Drop the open proposal, whose version the call names; raises `CallRejectedError`."""
+    """Drop the open proposal, whose version the call names; raise `CallRejectedError` if it is not open."""
     replica = context.fleet.policy_controller.policy_replica
     replica.now = context.loop.now()
     version = decode_id(body)
@@ -110,16 +112,19 @@
 
 
 def retire(context: SidecarContext, body: bytes) -> PendingResult:
-    """Take a name off the registered ones, of which a majority is counted; raises `CallRejectedError`."""
+    """Remove a registered name, so that majorities are counted without it.
+
+    Raises `CallRejectedError` while a member has that name or a change of the policy is open.
+    """
     records = context.fleet.policy_controller.policy_replica.records
     name = decode_id(body)
     if name not in records.registered_names:
         raise _rejected(HTTPStatus.CONFLICT, f"{name!r} is not registered", "not registered")
     if any(member.name == name for member in records.members.values()):
-        raise _rejected(HTTPStatus.CONFLICT, f"{name!r} is there", "in the view")
+        raise _rejected(HTTPStatus.CONFLICT, f"{name!r} is the name of a member in the view", "in the view")
     if records.proposal is not None:
-        # Does not change of how many names a majority is while votes are given.
-        raise _rejected(HTTPStatus.CONFLICT, "a change of the policy is open", "a change is open")
+        # The number of names that form a majority must not change while members vote.
+        raise _rejected(HTTPStatus.CONFLICT, "a proposed change of the policy is open", "a change is open")
     unchanged = [
         equal(NAMES_PREFIX + name, "CREATE", records.registered_names[name]),
         equal(PROPOSAL_KEY, "CREATE", 0),
@@ -129,26 +134,26 @@
 
 
 def zones(context: SidecarContext, body: bytes) -> AdminResult:
-    """The zone plan, and what it rests on."""
+    """Return the zone plan and the observations that it is based on."""
     return "", msgspec.json.encode(context.fleet.host.zone_controller.status()) + b"\n"
 
 
 def zone(change: ZoneChange) -> Callable[[SidecarContext, bytes], PendingResult]:
-    """The call that makes this change of the plan for a zone."""
+    """Return the admin call that makes a change of the plan for a zone."""
 
     def carry_out(context: SidecarContext, body: bytes) -> PendingResult:
         controller = context.fleet.host.zone_controller
         command = _decode(body, ZoneCommand)
         if not controller.enabled:
-            raise _rejected(HTTPStatus.CONFLICT, "there is no zones part, so no plan", "no plan")
+            raise _rejected(HTTPStatus.CONFLICT, "zones are not configured, so there is no plan", "no plan")
         if command.zone not in {pool.endpoint.zone for pool in context.coordinator.pools.values()}:
             raise _rejected(
-                HTTPStatus.BAD_REQUEST, f"no upstream of a zone {command.zone!r} is listed", "unknown zone"
+                HTTPStatus.BAD_REQUEST, f"no endpoint of zone {command.zone!r} is listed", "unknown zone"
             )
         controller.zone_health.now = context.loop.now()
         transaction = change(controller.zone_planner, command.zone, command.reason)
         if transaction is None:
-            raise _rejected(HTTPStatus.CONFLICT, f"zone {command.zone!r} is not left", "whole")
+            raise _rejected(HTTPStatus.CONFLICT, f"zone {command.zone!r} already gets all traffic", "whole")
         yield from _write(context, transaction)
         return command.zone, b""
 
@@ -163,20 +168,20 @@
 
 
 def _write(context: SidecarContext, transaction: Transaction) -> Generator[float, Any, None]:
-    """Write to the coordination store; raises `CallRejectedError` if it fails or takes too long."""
+    """Write to the coordination store; raise `CallRejectedError` if that fails or takes too long."""
     message = WriteTransaction(transaction)
     context.fleet.state_writer.post(message)
     until = context.loop.now() + WRITE_TIMEOUT
     while message.done is None:
         if context.loop.now() >= until:
-            raise _rejected(HTTPStatus.SERVICE_UNAVAILABLE, "the arbiter has not answered")
+            raise _rejected(HTTPStatus.SERVICE_UNAVAILABLE, "the coordination store has not answered")
         yield context.loop.now() + POLL_INTERVAL
     if not message.done:
-        raise _rejected(HTTPStatus.CONFLICT, "something changed meanwhile")
+        raise _rejected(HTTPStatus.CONFLICT, "the state in the coordination store has changed meanwhile")
 
 
 def _rejected(status: int, error: str, reason: str = "") -> CallRejectedError:
-    """The error to raise. `reason`: for the log, where `error` says more."""
+    """Return the error to raise. `reason`: a short form of `error` for the log; empty: `error` itself."""
     return CallRejectedError(status, reason or error, msgspec.json.encode({"error": error}) + b"\n")
 
 
--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -1,4 +1,4 @@
-"""Connections that hold back the last byte of a replicated request until its attempt has been recorded."""
+"""Connections that withhold the last byte of a replicated request until its attempt has been recorded."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from ..state.requests import Exchange
     from .host import AttemptHold
 
-# Seconds for which a recorded intent to send is valid: as long as a silent member is waited for.
+# Seconds for which a recorded intent is valid: the time after which a silent member counts as lost.
 INTENT_VALIDITY = MISSED_HEARTBEATS * HEARTBEAT_INTERVAL
 
 
 class ReplicatedRequestWriter(RequestWriter):
-    """Writes the last byte of a request once the coordinator has released it."""
+    """Writes the last byte of a request once the replicator has released the attempt."""
 
     def write(self, exchange: Exchange) -> Coroutine[None]:
-        """Write what has been put, its last byte only after the release; raises `ConnectionLostError`."""
+        """Write the buffered request, its last byte only after the release; raise `ConnectionLostError`."""
         held: AttemptHold | None = self.context.fleet.host.held_attempts.get(exchange)
         if held is not None and not held.is_released and exchange.body_stream is None:
             last = self.stream.take_last_byte()
@@ -35,9 +35,9 @@
         yield from super().write(exchange)
 
     def _wait_for_release(self, exchange: Exchange, held: AttemptHold) -> Coroutine[None]:
-        """Wait until another member has recorded the attempt.
+        """Wait until the attempt is released, because its replicas have recorded it.
 
-        Otherwise nobody would know of its effect once this sidecar is lost.
+        If this sidecar was lost otherwise, no other member would know that the attempt may have run.
         """
         self.stream.wait_for(READ)
         while not held.is_released:
@@ -51,7 +51,8 @@
             if cancelled or self.loop.now() >= exchange.deadline:
                 raise ConnectionLostError(CloseReason.NOT_RELEASED)
         if self.loop.now() > held.started_at + INTENT_VALIDITY:
-            # The process was held up between the intent and the last byte: others may have gone on since.
+            # The process was paused between the intent and the last byte, and other members may have taken
+            # the request over since.
             raise ConnectionLostError(CloseReason.NOT_RELEASED)
         self.check_still_needed(exchange)
 
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator of a sidecar in a fleet: it also hosts the replicator, which releases its attempts.
+"""The request coordinator of a sidecar in a fleet, which also hosts the replicator.
 
-A request whose class is replicated and whose client gave it a name begins in the replicator; the decisions
-get it once it is known to be new, and each of its attempts is held until its intent is recorded.
+A request of a replicated class that has an idempotency key begins in the replicator. The scheduler accepts it
+once it is known to be new, and each of its attempts is held until its intent is recorded.
 """
 
 from __future__ import annotations
@@ -43,18 +43,18 @@
 if TYPE_CHECKING:
     from .policy import PolicyController
 
-POLICY_RETRY_AFTER = 1 / 8  # of a lease: when to retry a request that came while the policy was in doubt
-CLIENT_WAIT_FRACTION = 0.98  # of its time left: so long a client waits for another member's response
-MAX_NAME_LENGTH = 256  # bytes
-REPLICA_MEMORY_FRACTION = 1 / 8  # of the memory limit: for what is recorded for other members
+POLICY_RETRY_AFTER = 1 / 8  # of a lease: when to retry a request that arrived while the policy was in doubt
+CLIENT_WAIT_FRACTION = 0.98  # of its time left: how long a client waits for another member's response
+MAX_KEY_LENGTH = 256  # bytes of an idempotency key
+REPLICA_MEMORY_FRACTION = 1 / 8  # of the memory limit: the part for requests recorded for other members
 BYTES_PER_MB = 2**20
 IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
 BAD_REQUEST = 400
-OUTCOMES = {FINISHED: "finished", REJECTED: "deferred", FAILED: "written_off"}  # by status, as counted
+OUTCOMES = {FINISHED: "finished", REJECTED: "deferred", FAILED: "written_off"}  # by status: the counter
 
 
 class ReplicatingCoordinator(FleetHost, RequestCoordinator):
-    """Coordinates the requests of one sidecar, those that are replicated included."""
+    """Coordinates the requests of one sidecar, including the replicated ones."""
 
     def __init__(
         self,
@@ -64,8 +64,11 @@
         on_entry_lost: Callable[[EntryLost], None],
         policy_controller: PolicyController,
     ) -> None:
-        """`on_entry_lost` is called when this member's entry has gone from the view."""
-        self.rejected_in_doubt = 0  # requests rejected while it was not known which policy holds
+        """Set up the replicator and the scheduler.
+
+        `on_entry_lost` is called when this member's entry is no longer in the view.
+        """
+        self.rejected_in_doubt = 0  # requests rejected while it was not known which policy is in force
         self.replicated: dict[Request, ReplicatedRequest] = {}
         self.set_up(
             context.loop,
@@ -82,7 +85,7 @@
         self.replication_config_changed(config.replication)
 
     def replication_config_changed(self, config: ReplicationConfig) -> None:
-        """Replicate by another configuration; requests that are replicated already stay so."""
+        """Apply another replication configuration; requests that are already replicated stay so."""
         self.replicated_classes = frozenset(config.request_classes)
         self.idempotency_key_header = config.idempotency_key_header.encode()
         self.replicator.replica_count = config.replicas
@@ -90,7 +93,7 @@
         self.replicator.longest_timeout = max(self.replicator.longest_timeout, self.context.longest_timeout)
 
     def balancer_config_changed(self, config: BalancerConfig) -> None:
-        """Use another configuration of the decisions from the next message on."""
+        """Apply another configuration of the balancer from the next message on."""
         self.scheduler.reload(config)
 
     def _handle(self, message: object) -> None:
@@ -112,21 +115,24 @@
     def _request_received(self, pending: PendingRequest, message: RequestReceived) -> None:
         if self._reject_in_doubt(pending):
             return
-        name = self._idempotency_key_of(pending)
-        if name is None:
+        key = self._idempotency_key_of(pending)
+        if key is None:
             super()._handle(message)
         else:
-            self._begin(pending, name)
+            self._begin(pending, key)
 
     def _reject_in_doubt(self, pending: PendingRequest) -> bool:
-        """Reject a request while it is not known which policy holds; else it is accepted under that one."""
-        # A clock read in this turn may be from before a pause.
+        """Reject a request while it is not known which policy is in force; return whether it was rejected.
+
+        Otherwise the request gets its class under the current policy.
+        """
+        # The clock is read again, since the time read for this turn may be from before a pause.
         self.policy_replica.now = self.loop.now()
         reason = self.policy_replica.unavailable_reason()
         request = pending.request
         request_class = self.context.request_classes.get(request.request_class.name)
         if not reason and request_class is not request.request_class:
-            # It was read under a policy that is no longer in force.
+            # The request was read under a policy that is no longer in force.
             if request_class is None or request_class.retry_safety is not request.request_class.retry_safety:
                 reason = "switched"
             else:
@@ -138,28 +144,28 @@
             self._respond(pending, RecordedResponse(REJECTED, retry_after))
         return bool(reason)
 
-    # Requests with a name.
+    # Requests with an idempotency key.
 
     def _idempotency_key_of(self, pending: PendingRequest) -> bytes | None:
-        """The name that the client gave the request; None: it is not replicated."""
+        """Return the idempotency key of a request; None: it is not replicated."""
         if pending.request.request_class.name not in self.replicated_classes:
             return None
         headers = {header.lower(): value for header, value in reversed(pending.headers)}
-        name = headers.get(IDEMPOTENCY_KEY_HEADER, headers.get(self.idempotency_key_header))
-        if name is None:
+        key = headers.get(IDEMPOTENCY_KEY_HEADER, headers.get(self.idempotency_key_header))
+        if key is None:
             self.replicator.counts["unnamed"] += 1
         elif isinstance(pending.body, BodyStream):
-            # A body that is forwarded while it arrives is not buffered anywhere.
+            # A body that is forwarded while it arrives is never buffered as a whole, so it can't be recorded.
             self.replicator.counts["too_long"] += 1
-            name = None
-        return name
+            key = None
+        return key
 
-    def _begin(self, pending: PendingRequest, name: bytes) -> None:
-        """Have the replicator find out whether a request is new."""
-        if not 0 < len(name) <= MAX_NAME_LENGTH:
+    def _begin(self, pending: PendingRequest, key: bytes) -> None:
+        """Have the replicator determine whether a request is new."""
+        if not 0 < len(key) <= MAX_KEY_LENGTH:
             self._respond(pending, RecordedResponse(BAD_REQUEST))
             return
-        frame = self._replicate_frame(pending, name)
+        frame = self._replicate_frame(pending, key)
         wait_until = self.scheduler.now + CLIENT_WAIT_FRACTION * pending.request.time_left
         result, request = self.replicator.begin(frame, pending, wait_until)
         match result:
@@ -174,16 +180,16 @@
                 if pending.awaits_response:
                     self.replicated[pending.request] = request
 
-    def _replicate_frame(self, pending: PendingRequest, name: bytes) -> ReplicateFrame:
-        """The request as replicas record it."""
+    def _replicate_frame(self, pending: PendingRequest, key: bytes) -> ReplicateFrame:
+        """Return the frame with the request as replicas record it."""
         request, now = pending.request, self.scheduler.now
         request_class = request.request_class
-        assert isinstance(pending.body, BufferedBody), "a request with a name has its whole body"
+        assert isinstance(pending.body, BufferedBody), "a replicated request has its whole body"
         body = b"".join(pending.body.views())
         identity = b"\0".join((pending.method, pending.target, body))
         headers = [(bytes(header), bytes(value)) for header, value in pending.headers]
         return ReplicateFrame(
-            request_class.name.encode() + b"\0" + name,
+            request_class.name.encode() + b"\0" + key,
             self.member_id,
             0,
             False,
@@ -207,8 +213,9 @@
     def _replicated_client_disconnected(self, pending: PendingRequest, request: ReplicatedRequest) -> None:
         forgotten = self.replicator.client_disconnected(request, pending)
         if not forgotten and pending.request in self.pending_requests and pending.awaits_response:
-            # A retry with its name gets its response, so attempts that are written go on with nobody waiting.
-            # For a client that is gone nothing more is started, nor finished that is not written yet.
+            # A retry with the same key gets the response, so attempts that are written continue without a
+            # client. No further attempts are started for a disconnected client, and those that are not
+            # completely written are cancelled.
             pending.client = DISCONNECTED_CLIENT
             pending.request.max_attempts = 1
             for exchange in [exchange for exchange in pending.exchanges.values() if not exchange.written]:
@@ -221,19 +228,19 @@
             pending.awaits_response = False
             pending.body.release()
 
-    # What the replicator asks for.
+    # Calls of the replicator.
 
     def release_held_attempt(self, token: Exchange) -> None:
-        """That attempt may be written completely."""
+        """Let the attempt be written completely."""
         if token.connection is not None:
             token.connection.post(ExchangeReleased(token))
 
     def cancel_held_attempt(self, token: Exchange) -> None:
-        """That attempt must never be written completely."""
+        """Ensure that the attempt is never written completely."""
         self._cancel_exchange(token)
 
     def dispatch(self, replicated: ReplicatedRequest) -> None:
-        """Dispatch a request with its history, under the rules that it was accepted under."""
+        """Dispatch a request with its history, under the request class that it was accepted under."""
         request_class = self._class_of(replicated)
         if request_class is None:
             self._fail(replicated)
@@ -258,14 +265,14 @@
         self.scheduler.accept_request(request, attempts)
 
     def _class_of(self, replicated: ReplicatedRequest) -> RequestClass | None:
-        """The class that it was accepted under; else the one of its name."""
+        """Return the class that the request was accepted under or, if not recorded, the one of that name."""
         if replicated.class_record:
             return replicated.class_record.request_class()
         retry_safety = RetrySafety(replicated.retry_safety)
         return self.context.request_class_for(replicated.request_class, retry_safety)
 
     def _replace_pending(self, replicated: ReplicatedRequest, request: Request, body: BufferedBody) -> None:
-        """Make the request that is dispatched the one that its client, if any, waits for."""
+        """Make a request that is dispatched the one that its client, if any, waits for."""
         former = replicated.dispatched_client
         client = DISCONNECTED_CLIENT if former is None else former.client
         content = replicated.content
@@ -273,7 +280,7 @@
             request, client, content.method, content.target, content.headers, body, content.trace_id
         )
         if former is not None:
-            # What its client does to the former request concerns this one.
+            # From now on, events of the client concern this request instead of the former one.
             replicated.waiting_clients[pending] = replicated.waiting_clients.pop(former)
             self.replicated.pop(former.request, None)
             former.awaits_response = False
@@ -301,7 +308,7 @@
     # Responses.
 
     def _respond(self, pending: PendingRequest, response: RecordedResponse) -> None:
-        """Give a response that the decisions have not made."""
+        """Give a response that does not come from the scheduler."""
         self.replicated.pop(pending.request, None)
         dispatched = pending.request in self.pending_requests
         if not dispatched:
@@ -312,10 +319,10 @@
             self.scheduler.client_disconnected(pending.request)
             self._forget_if_finished(pending)
 
-    # What the decisions ask for.
+    # Calls of the scheduler.
 
     def start_attempt(self, attempt: Attempt, timeout: float) -> None:
-        """Start an attempt; that of a replicated request is held until its intent is recorded."""
+        """Start an attempt; one of a replicated request is held until its intent is recorded."""
         super().start_attempt(attempt, timeout)
         exchange = self.pending_requests[attempt.request].exchanges[attempt]
         endpoint, now = attempt.endpoint.entry, self.scheduler.now
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -1,7 +1,6 @@
-"""Hosts the replicator of one member: hands it messages of the fleet, sends its frames, holds attempts.
+"""The host of one member's replicator: passes it the fleet's messages, sends its frames, and holds attempts.
 
-What decides on requests is added by a subclass: a sidecar's coordinator, or whatever else is a member of a
-fleet.
+A subclass adds the scheduler of requests: a sidecar's coordinator, or any other member of a fleet.
 """
 
 from __future__ import annotations
@@ -56,13 +55,17 @@
     __slots__ = ("request", "number", "started_at", "is_released")
 
     def __init__(self, request: ReplicatedRequest, number: int, started_at: float) -> None:
-        """`number`: of the intent in the request. `started_at`: of the attempt, seconds on the wall clock."""
+        """Hold an attempt.
+
+        `number`: the index of the intent in the request. `started_at`: when the attempt started, seconds on
+        the wall clock.
+        """
         self.request, self.number, self.started_at = request, number, started_at
         self.is_released = False
 
 
 class FleetHost(Actor):
-    """For an actor that receives the fleet's messages; a subclass adds what decides on requests."""
+    """An actor that receives the fleet's messages; a subclass adds the scheduler of requests."""
 
     def set_up(
         self,
@@ -78,9 +81,9 @@
     ) -> None:
         """Set up the replicator and the zone controller.
 
-        `on_entry_lost` is called when this member's entry has gone from the view. `scheduler`: whose
-        decisions the zone plan concerns. `times`: shortest latency objective and longest timeout, seconds.
-        `memory_limit`: bytes recorded for other members.
+        `on_entry_lost` is called when this member's entry is no longer in the view. `scheduler` returns the
+        scheduler to which the zone plan is applied. `times`: the shortest latency objective and the longest
+        timeout in seconds. `memory_limit`: bytes recorded for other members.
         """
         self.member_id, self.on_entry_lost, self.log = member_id, on_entry_lost, log
         self.policy_controller, self.policy_replica = policy_controller, policy_controller.policy_replica
@@ -97,10 +100,10 @@
         )
         policy_controller.fleet_host = self
 
-    # What a subclass decides.
+    # Methods that a subclass implements.
 
     def dispatch(self, request: ReplicatedRequest) -> None:
-        """Dispatch a request with its history; attempts that run already go on."""
+        """Dispatch a request with its history; attempts that already run continue."""
         raise NotImplementedError
 
     def respond(self, request: ReplicatedRequest, client: Client, response: RecordedResponse) -> None:
@@ -108,25 +111,25 @@
         raise NotImplementedError
 
     def release_held_attempt(self, token: AttemptToken) -> None:
-        """That attempt may be written completely."""
+        """Let the attempt be written completely."""
         raise NotImplementedError
 
     def cancel_held_attempt(self, token: AttemptToken) -> None:
-        """That attempt must never be written completely."""
+        """Ensure that the attempt is never written completely."""
         raise NotImplementedError
 
     def replication_config_changed(self, config: ReplicationConfig) -> None:
-        """Use another configuration of the replication from now on."""
+        """Apply another replication configuration from now on."""
         raise NotImplementedError
 
     def balancer_config_changed(self, config: BalancerConfig) -> None:
-        """Use another configuration of the decisions from now on."""
+        """Apply another configuration of the balancer from now on."""
         raise NotImplementedError
 
-    # What the fleet's actors report.
+    # Messages of the fleet's actors.
 
     def handle_fleet_message(self, message: object, now: float) -> bool:
-        """Handle a message of the fleet's actors; False: it is none of these."""
+        """Handle a message of the fleet's actors; return False if it is not one of these."""
         self.replicator.now = self.policy_replica.now = now
         match message:
             case FrameReceived(member, frame):
@@ -175,44 +178,45 @@
         if self.member_id in self.replicator.view and self.member_id not in view:
             self.on_entry_lost(EntryLost())
         if gap:
-            # Frames may have been sent under a view in between that nobody here saw: new links synchronise.
+            # Frames may have been sent under a view that was missed here; opening new links synchronises
+            # again.
             for link in self.links.values():
                 link.post(CLOSE)
         self.replicator.view_changed(view, gap)
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Update the policy's state and have the replicator do what is due."""
         self.policy_replica.unavailable_reason()
         self._ask_for_policy_statuses()
         self.replicator.tick()
 
     def _ask_for_policy_statuses(self) -> None:
-        """Send heartbeats at once while the policy is in doubt, since peers send its status only then."""
+        """Ask for policy statuses at once while the policy is in doubt, as peers send them only then."""
         if self.policy_replica.needs_statuses:
             for link in self.links.values():
                 link.post(POLICY_STATUS_NEEDED)
 
     def next_at(self, now: float) -> float:
-        """When to call `tick` at the latest, seconds on the wall clock."""
+        """Return when to call `tick` at the latest, seconds on the wall clock."""
         at = self.policy_replica.next_check_at()
         return min(self.replicator.next_at(), at if at > now else inf)
 
     def make_heartbeat(self, member: str, with_policy_status: bool) -> HeartbeatFrame:
-        """The heartbeat for a member. `with_policy_status`: it may need our status of the policy."""
+        """Return the heartbeat for a member. `with_policy_status`: the member may need our policy status."""
         self.replicator.now = self.policy_replica.now = self.loop.now()
         self.policy_replica.unavailable_reason()
         in_doubt = not self.replicator.may_decide() or self.policy_replica.needs_statuses
         policy_status = self.policy_replica.status() if with_policy_status or in_doubt else None
         view = self.replicator.view
-        # Links within our own cell stay whether they are needed or not.
-        other_cell = view.shard_of_member(member) != view.shard_of_member(self.member_id)
-        idle = other_cell and not self.replicator.needs_link(member)
+        # Links within our own shard stay, whether a request needs them or not.
+        in_other_shard = view.shard_of_member(member) != view.shard_of_member(self.member_id)
+        idle = in_other_shard and not self.replicator.needs_link(member)
         return HeartbeatFrame(self.replicator.digest, in_doubt, policy_status, idle)
 
-    # What the replicator asks for.
+    # Calls of the replicator.
 
     def send_frame(self, member: str, frame: Frame) -> bool:
-        """Send a frame to a member. False: there is no link to it now."""
+        """Send a frame to a member; return False if there is no link to it now."""
         link = self.links.get(member)
         if link is None or link.end_reported:
             return False
@@ -220,18 +224,18 @@
         return True
 
     def dial(self, member: str) -> bool:
-        """Open a link to a member of another cell. False: none can be opened now."""
+        """Open a link to a member of another shard; return False if none can be opened now."""
         self.dial_link(member)
         return member in self.replicator.view
 
     def release_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """The attempt of that intent may be written completely."""
+        """Release the attempt of an intent, which may then be written completely."""
         if (token := self.tokens.get((request, number))) is not None:
             self.held_attempts[token].is_released = True
             self.release_held_attempt(token)
 
     def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """The attempt of that intent must never be written completely."""
+        """Cancel the attempt of an intent, which must never be written completely."""
         if (token := self.tokens.get((request, number))) is not None:
             self.cancel_held_attempt(token)
 
@@ -239,12 +243,12 @@
         """Write a line to the log."""
         self.log(event, **fields)
 
-    # Attempts that wait for their intents to be recorded.
+    # Held attempts, which wait until their intents are recorded.
 
     def hold_attempt(self, token: AttemptToken, request: ReplicatedRequest, intent: AttemptIntent) -> None:
-        """An attempt is to be started.
+        """Hold an attempt that is to be started.
 
-        `release_held_attempt` or `cancel_held_attempt` follows, perhaps at once.
+        A call of `release_held_attempt` or `cancel_held_attempt` follows, perhaps before this one returns.
         """
         number = self.replicator.add_intent(request, intent)
         self.held_attempts[token] = AttemptHold(request, number, intent.started_at)
@@ -252,7 +256,7 @@
         self.replicator.record_intent(request, number)
 
     def forget_hold(self, token: AttemptToken) -> AttemptHold | None:
-        """An attempt has ended. Returns how it was held, if it was."""
+        """Remove the hold of an attempt that has ended; return it, if there was one."""
         held = self.held_attempts.pop(token, None)
         if held is not None:
             del self.tokens[held.request, held.number]
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -1,4 +1,4 @@
-"""A member's actors of the fleet, whatever part of it decides on requests."""
+"""One member's actors of the fleet, independent of what schedules its requests."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
     from ..lifecycle.config import SidecarConfig
 
 
-LEAVE_TIMEOUT_FRACTION = 1 / 6  # of the lease, for which a process that ends waits to leave the view
-LEAVE_CHECKS = 32  # looks at the view in that time
-# Leases after which a sidecar that cannot reach the store serves all the same, without replication.
+LEAVE_TIMEOUT_FRACTION = 1 / 6  # of the lease: how long a process that ends waits to leave the view
+LEAVE_CHECKS = 32  # checks of the view in that time
+# Leases after which a sidecar that cannot reach the store since its start serves without replication.
 STORE_TIMEOUT_LEASES = 8.0
 
 
 @dataclass(frozen=True, slots=True)
 class MemberIdentity:
-    """A member as its configuration names it. `zone`: as its settings say."""
+    """A member as its configuration names it: its name, its zone and the seed of its random numbers."""
 
     name: str
     zone: str
@@ -47,48 +47,48 @@
 
 
 class FleetMember:
-    """Builds one member's actors of the fleet, and passes messages between them."""
+    """Builds one member's actors of the fleet and passes messages between them."""
 
     def __init__(
         self,
         loop: Loop,
         pool: BufferPool,
         log: Callable[..., None],
-        part: FleetConfig,
+        config: FleetConfig,
         sock: socket.socket,
         identity: MemberIdentity,
         make_policy_controller: Callable[[str], PolicyController],
         make_host: Callable[[str, PolicyController, Callable[[EntryLost], None]], FleetHost],
     ) -> None:
-        """Make the actors; `begin` starts them.
+        """Build the actors; `begin` starts them.
 
-        `sock` listens for links. `make_policy_controller` and `make_host` are given the member's id; the host
-        also gets the function to call when our own entry is no longer in the view.
+        `sock` listens for links. `make_policy_controller` and `make_host` are called with the member's id;
+        the host also gets the function to call when our own entry is no longer in the view.
         """
         rng = random.Random(f"{identity.seed} fleet")
-        address = part.advertise or "{}:{}".format(*sock.getsockname())
-        # New with each start, also where two starts are given the same seed.
+        address = config.advertise or "{}:{}".format(*sock.getsockname())
+        # New with each start, even if two starts have the same seed.
         self.member_id = f"{identity.name or 'sidecar'}.{random.SystemRandom().getrandbits(48):012x}"
         self.loop = loop
-        self.lease = part.lease_s
+        self.lease = config.lease_s
         self.leaving = False
         self.serve_without_store_at = inf
         member = Member(self.member_id, identity.name, address, identity.zone)
-        session = (loop, part.store_addresses, float(part.lease_s), pool, log, rng, part.name)
+        session = (loop, config.store_addresses, float(config.lease_s), pool, log, rng, config.name)
         self.lease_keeper = LeaseKeeper(*session, member=member, notify=self._deliver)
         self.state_watcher = StateWatcher(*session, notify=self._deliver)
         self.member_evictor = MemberEvictor(*session)
         self.policy_controller = make_policy_controller(self.member_id)
         self.host = make_host(self.member_id, self.policy_controller, self._entry_lost)
         self.shard_planner = ShardPlanner(
-            self.member_id, float(part.lease_s), part.max_mean_shard_size, loop.now()
+            self.member_id, float(config.lease_s), config.max_mean_shard_size, loop.now()
         )
         self.state_writer = StateWriter(
             *session, due=self._next_write, lease_id=lambda: self.lease_keeper.lease_id
         )
-        self.links = self._make_links(sock, part.name, log, rng)
+        self.links = self._make_links(sock, config.name, log, rng)
         self.policy_poller = PolicyPoller(
-            self.links, self.policy_controller.policy_replica, self.state_watcher, rng, float(part.lease_s)
+            self.links, self.policy_controller.policy_replica, self.state_watcher, rng, float(config.lease_s)
         )
 
     def _make_links(
@@ -161,7 +161,7 @@
 
     @property
     def reasons(self) -> Counter[str]:
-        """How often calls of the store and links have ended for each reason."""
+        """Counts of the reasons for which calls of the store and links have ended."""
         return (
             self.lease_keeper.reasons
             + self.state_watcher.reasons
@@ -193,7 +193,7 @@
             self.lease_keeper.post(message)
 
     def _deliver(self, message: object) -> None:
-        """Pass a message of the links or of the store's clients to whom it concerns."""
+        """Pass a message of the links or of the store's clients to the actors that it concerns."""
         if isinstance(message, EvictMember):
             self.member_evictor.post(message)
             return
--- a/starlingwheel/net/fleet/messages.py
+++ b/starlingwheel/net/fleet/messages.py
@@ -8,7 +8,7 @@
 from ...fleet.membership import Member, MembershipView
 from ...fleet.records import StoreRecords, Transaction
 
-# To the member's host
+# Messages to the member's host
 
 
 @dataclass(slots=True, eq=False)
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, eq=False)
 class FrameReceived:
-    """To the host: a frame of that member; empty: of one that has no link."""
+    """To the host: a frame of that member; an empty name stands for a sender without a link."""
 
     member: str
     frame: Any
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, eq=False)
 class ViewChanged:
-    """To the host and the links: the members by the store. `gap`: views between may have been missed."""
+    """To the host and the links: the view by the store. `gap`: views in between may have been missed."""
 
     view: MembershipView
     gap: bool
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseRenewed:
-    """To the host: our lease holds until that time; `entry_revision`: of our entry in the store."""
+    """To the host: our lease holds until that time. `entry_revision`: the revision of our entry."""
 
     until: float
     entry_revision: int
@@ -60,20 +60,20 @@
 
 @dataclass(slots=True, eq=False)
 class StoreRead:
-    """To the host: the records of the store. `gap`: changes between may have been missed."""
+    """To the host: the records of the store. `gap`: changes in between may have been missed."""
 
     records: StoreRecords
     gap: bool
 
 
-# To the links
+# Messages to the links
 
 
 @dataclass(slots=True, eq=False)
 class DialMember:
-    """To the `LinkManager`: that member is needed.
+    """To the `LinkManager`: open a link to that member.
 
-    `LinkUp` or `MemberUnreachable` follows, unless its link is up already.
+    `LinkUp` or `MemberUnreachable` follows, unless there is a link already.
     """
 
     member: str
@@ -95,7 +95,7 @@
 
 
 class RequestPolicyStatus:
-    """To a link: ask the other side for its policy status, once."""
+    """To a link: ask the other side once for its policy status."""
 
 
 POLICY_STATUS_NEEDED = PolicyStatusNeeded()
@@ -103,28 +103,28 @@
 REQUEST_POLICY_STATUS = RequestPolicyStatus()
 
 
-# To the clients of the coordination store
+# Messages to the clients of the coordination store
 
 
 @dataclass(slots=True, eq=False)
 class WriteTransaction:
-    """To the `StateWriter`: write this once. `done`: whether it was carried out; None: not known yet."""
+    """To the `StateWriter`: write this once. `done`: whether it was committed; None: not known yet."""
 
     transaction: Transaction
     done: bool | None = None
 
 
 class WritePending:
-    """To the `StateWriter`: look again at what is due."""
+    """To the `StateWriter`: check again what is due."""
 
 
 class RestartWatch:
-    """To the `StateWatcher`: the watch may deliver nothing any more; begin it anew."""
+    """To the `StateWatcher`: restart the watch, which may no longer deliver events."""
 
 
 @dataclass(slots=True, eq=False)
 class EvictMember:
-    """To the `MemberEvictor`: no process listens at that member's address any more."""
+    """To the `MemberEvictor`: no process listens at that member's address any longer."""
 
     member: Member
 
@@ -138,11 +138,11 @@
 RESTART_WATCH = RestartWatch()
 
 
-# To a connection
+# Messages to a connection
 
 
 @dataclass(slots=True, eq=False)
 class ExchangeReleased:
-    """To a connection: the attempt that it withholds may be sent in full."""
+    """To a connection: the attempt whose last byte it withholds may be written completely."""
 
     exchange: Any
--- a/starlingwheel/net/fleet/responses.py
+++ b/starlingwheel/net/fleet/responses.py
@@ -1,4 +1,4 @@
-"""Responses of replicated requests: from what replicas record to what clients get, and back."""
+"""Conversion between the responses that replicas record and those that clients get."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class DisconnectedClient:
-    """In place of a client that is gone or whose sidecar is lost: its response is recorded, not written."""
+    """Stands in for a client that is gone or whose sidecar is lost: its response is recorded, not written."""
 
     pending: PendingRequest | None = None
 
     def post(self, message: object) -> None:
-        """Take a message for the client and release its response."""
+        """Discard a message for the client and release its response."""
         if isinstance(message, FinalResponse) and message.response:
             message.response.body.release()
 
     def has_disconnected(self) -> bool:
-        """False: attempts go on though nobody waits for them."""
+        """Return False, so that attempts continue without a client."""
         return False
 
 
@@ -29,7 +29,7 @@
 
 
 def buffered_body(content: bytes, buffer_pool: BufferPool) -> BufferedBody | None:
-    """The bytes as a body; None: there are no buffers left for it."""
+    """Return the bytes as a body; None: there are no buffers left for it."""
     body = BufferedBody(buffer_pool)
     try:
         body.add(content)
@@ -40,7 +40,7 @@
 
 
 def final_response(response: RecordedResponse, buffer_pool: BufferPool) -> FinalResponse:
-    """A recorded response as a client gets it."""
+    """Return a recorded response as a client gets it."""
     if response.status != FINISHED:
         return FinalResponse(response.status, retry_after=response.retry_after)
     body = buffered_body(response.body, buffer_pool)
@@ -50,11 +50,11 @@
 
 
 def recorded_response(final: FinalResponse) -> RecordedResponse:
-    """A response of the decisions as replicas record it."""
+    """Return a response of the scheduler as replicas record it."""
     if final.response is None:
         return RecordedResponse(final.status, final.retry_after)
     body = final.response.body
     if isinstance(body, BodyStream):
-        # A body that is forwarded while it arrives can't be given to anybody else.
+        # A body that is forwarded while it arrives is not kept, so no other client can get it.
         return RecordedResponse(FAILED, 0.0, final.response.content_type, b"")
     return RecordedResponse(FINISHED, 0.0, final.response.content_type, b"".join(body.views()))
--- a/starlingwheel/net/fleet/sidecar.py
+++ b/starlingwheel/net/fleet/sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar as a member of its fleet; loaded only where the configuration has a `fleet` part."""
+"""A sidecar as a member of its fleet; imported only if the configuration has a `fleet` part."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class SidecarFleet(FleetMember):
-    """One sidecar's actors of the fleet, and the admin calls for them."""
+    """One sidecar's actors of the fleet, and their admin calls."""
 
     host: ReplicatingCoordinator
     admin_routes = ADMIN_ROUTES
 
-    def __init__(self, context: SidecarContext, part: FleetConfig, sock: socket.socket) -> None:
-        """`part`: the configuration's `fleet` part; `sock` listens for links."""
+    def __init__(self, context: SidecarContext, config: FleetConfig, sock: socket.socket) -> None:
+        """Build the actors. `config`: the configuration's `fleet` part; `sock` listens for links."""
         self.context = context
-        self.part = part
+        self.config = config
         super().__init__(
             context.loop,
             context.buffer_pool,
             context.log,
-            part,
+            config,
             sock,
             MemberIdentity(context.config.name, context.balancer_config.zone, context.config.seed),
             self._make_policy_controller,
@@ -41,7 +41,7 @@
         context = self.context
         return PolicyController(
             context.config,
-            self.part,
+            self.config,
             member_id,
             context.loop.now(),
             lambda: context.balancer_config,
@@ -55,4 +55,4 @@
         policy_controller: PolicyController,
         on_entry_lost: Callable[[EntryLost], None],
     ) -> ReplicatingCoordinator:
-        return ReplicatingCoordinator(self.context, member_id, self.part, on_entry_lost, policy_controller)
+        return ReplicatingCoordinator(self.context, member_id, self.config, on_entry_lost, policy_controller)
