--- a/starlingwheel/decisions/admission.py
+++ b/starlingwheel/decisions/admission.py
@@ -31,14 +31,16 @@
     def reload(self, config: BalancerConfig) -> None:
         """Adopt a new configuration."""
         self.config = config
-        self._max_weight = max(one.priority_weight for one in config.request_classes)
+        self.max_priority_weight = max(
+            request_class.priority_weight for request_class in config.request_classes
+        )
         self._longest_time_left: dict[str, float] = {}
 
     def objective(self, request: Request) -> Objective:
         """Return the latency objective and the priority of a request."""
         request_class = request.request_class
         seconds = request_class.latency_objective + request_class.objective_per_cost * request.cost
-        priority = (request_class.priority_weight / self._max_weight) ** PRIORITY_EXPONENT
+        priority = (request_class.priority_weight / self.max_priority_weight) ** PRIORITY_EXPONENT
         longest = self._update_longest_time_left(request)
         if request.is_retry and request.time_left < longest * GIVE_UP_FRACTION:
             # Earlier attempts by the client have used up a part of the objective.
--- a/starlingwheel/decisions/endpoint_set.py
+++ b/starlingwheel/decisions/endpoint_set.py
@@ -87,8 +87,8 @@
         for stats in ready:
             cell = stats.entry.cell
             self.cell_weights[cell] = self.cell_weights.get(cell, 0.0) + stats.capacity_weight
-        for side in (self.local, self.remote) if self.subset_size else ():
-            self._rank(side)
+        for group in (self.local, self.remote) if self.subset_size else ():
+            self._rank(group)
         self.remote_zones = list({stats.entry.zone: stats for stats in self.remote}.values())
         weights = sum(stats.capacity_weight for stats in ordered)
         self.mean_weight = weights / len(ordered) if ordered else 1.0
@@ -97,11 +97,12 @@
         endpoint_id = stats.endpoint_id
         return zlib.crc32(endpoint_id.encode(), self.subset_salt) if self.subset_size else 0, endpoint_id
 
-    def _rank(self, side: list[EndpointStats]) -> None:
-        # How many sidecars may send to one endpoint of this side: the mean plus three standard deviations.
-        sharing = self.config.sidecars * min(1.0, self.subset_width / max(1, len(side)))
+    def _rank(self, group: list[EndpointStats]) -> None:
+        """Set the rank of each endpoint of a group and how many sidecars may send to it."""
+        # How many sidecars may send to one endpoint of the group: the mean plus three standard deviations.
+        sharing = self.config.sidecars * min(1.0, self.subset_width / max(1, len(group)))
         sharing = min(self.config.sidecars, sharing + 3 * sharing**0.5)
-        for rank, stats in enumerate(side):
+        for rank, stats in enumerate(group):
             stats.rank, stats.sharing_sidecars = rank, sharing
 
     def ready_count(self) -> int:
--- a/starlingwheel/decisions/estimators.py
+++ b/starlingwheel/decisions/estimators.py
@@ -38,7 +38,10 @@
         self.total, self.sum = self.total / 2, self.sum / 2
 
     def age(self, now: float, interval: float, min_total: float = 0.0) -> Histogram:
-        """Halve the counts once per `interval` since the last call, while the total exceeds `min_total`."""
+        """Halve the counts once per `interval` since the last call, while the total exceeds `min_total`.
+
+        Return the histogram itself.
+        """
         times = int((now - self.halved_at) / interval)
         self.halved_at += times * interval
         while times and self.total > min_total:
--- a/starlingwheel/decisions/gossip.py
+++ b/starlingwheel/decisions/gossip.py
@@ -23,9 +23,8 @@
 UNANSWERED = 254  # code sent with a count: an attempt at the endpoint got no response
 # Code sent with a count: the sending sidecar ended an attempt itself, which tells nothing about the endpoint.
 ENDED_BY_SENDER = 253
-MESSAGES_PER_OBJECTIVE = (
-    512.0  # limit of messages received from all peers within the shortest latency objective
-)
+# Limit of the messages that a sidecar receives from all peers within the shortest latency objective.
+MESSAGES_PER_OBJECTIVE = 512.0
 BURST = 4.0  # messages that may be sent without a pause
 PRIOR_RESPONSES = 4.0  # number of responses that the prior of an endpoint's relative latency counts as
 
@@ -186,11 +185,11 @@
         if not self.is_current() or self._in_flight.responses < PRIOR_RESPONSES:
             return 1.0
         self._note_in_flight(stats)
-        here, everywhere = stats.gossip_in_flight, self._in_flight
-        mean = everywhere.in_flight_time / everywhere.responses
-        time = (here.in_flight_time + PRIOR_RESPONSES * mean) / (here.responses + PRIOR_RESPONSES)
-        queue = here.in_flight_time / (here.elapsed or 1.0)
-        usual = everywhere.in_flight_time / everywhere.elapsed / max(1, self.endpoints.ready_count())
-        alone = time / mean * (1 + QUEUED_REQUEST_COST * usual) / (1 + QUEUED_REQUEST_COST * queue)
+        own, overall = stats.gossip_in_flight, self._in_flight
+        mean = overall.in_flight_time / overall.responses
+        time = (own.in_flight_time + PRIOR_RESPONSES * mean) / (own.responses + PRIOR_RESPONSES)
+        queue = own.in_flight_time / (own.elapsed or 1.0)
+        mean_queue = overall.in_flight_time / overall.elapsed / max(1, self.endpoints.ready_count())
+        unloaded = time / mean * (1 + QUEUED_REQUEST_COST * mean_queue) / (1 + QUEUED_REQUEST_COST * queue)
         warm_fraction = stats.slow_start_fraction(self.config, self.clock.now)
-        return alone * warm_fraction / self.endpoints.relative_cost(stats)
+        return unloaded * warm_fraction / self.endpoints.relative_cost(stats)
--- a/starlingwheel/decisions/latency.py
+++ b/starlingwheel/decisions/latency.py
@@ -29,7 +29,7 @@
         self.clock, self.endpoints, self.gossip, self.load = clock, endpoints, gossip, load
         # Response times relative to the typical one of their class.
         self.relative_times = Histogram(0.25, 1.4, 16, 2000)
-        self._by_class: dict[str, Histogram] = {}
+        self.times_by_class: dict[str, Histogram] = {}
         self._by_zone: dict[str, Histogram] = {}
         self._with_key = Histogram(0.1, 1.4, 14, 400, clock.now)
         self._without_key = Histogram(0.1, 1.4, 14, 400, clock.now)
@@ -38,21 +38,21 @@
         """Adopt a new configuration; a class that keeps its name keeps what was learned."""
         self.config = config
         names = {request_class.name for request_class in config.request_classes}
-        self._by_class = {name: times for name, times in self._by_class.items() if name in names}
+        self.times_by_class = {name: times for name, times in self.times_by_class.items() if name in names}
 
     def typical(self, request_class: RequestClass) -> float:
         """Return the typical response time of a class, in seconds."""
-        times = self._by_class.get(request_class.name)
+        times = self.times_by_class.get(request_class.name)
         if times is None:
             times = Histogram(request_class.latency_objective / 64, 1.5, 14, 400)
-            self._by_class[request_class.name] = times
+            self.times_by_class[request_class.name] = times
         times = times.age(self.clock.now, self.clock.halving_interval, MIN_SAMPLES_PER_CLASS)
         return times.mean(prior=request_class.latency_objective / 8, prior_weight=PRIOR_CLASS_SAMPLES)
 
     def expected(self, stats: EndpointStats, request: Request, load: float) -> float:
         """Return the expected response time of a request at an endpoint with that load, in seconds."""
-        usual = self.typical(request.request_class)
-        return usual * self.endpoint_factor(stats, request) * self.load_factor(stats, load)
+        typical = self.typical(request.request_class)
+        return typical * self.endpoint_factor(stats, request) * self.load_factor(stats, load)
 
     def endpoint_factor(self, stats: EndpointStats, request: Request) -> float:
         """Return the response time of a request at an unloaded endpoint, relative to the typical one."""
@@ -111,36 +111,36 @@
     def learn(self, attempt: Attempt, duration: float, unfinished: bool = False) -> None:
         """Learn from the duration of an attempt; `unfinished`: the duration is only a lower bound."""
         stats, request = attempt.endpoint, attempt.request
-        usual, zone_factor = self.typical(request.request_class), self.zone_factor(stats)
+        typical, zone_factor = self.typical(request.request_class), self.zone_factor(stats)
         load_factor = self.load_factor(stats, attempt.load)
         key_factor = self._key_factor(stats, request)
         unloaded_time = duration / (load_factor * self.endpoints.relative_cost(stats) * key_factor)
         if stats.service_time:
-            self.load.note_response_time(attempt.load, unloaded_time * load_factor / zone_factor / usual)
+            self.load.note_response_time(attempt.load, unloaded_time * load_factor / zone_factor / typical)
         # Only the quick responses of a slow endpoint, or of a path that loses responses, are ever seen. So an
         # unfinished attempt counts as well where it shows that the endpoint is slower than it seemed.
-        if unfinished and (self.gossip.enabled or unloaded_time / usual <= self.slowness(stats)):
+        if unfinished and (self.gossip.enabled or unloaded_time / typical <= self.slowness(stats)):
             return
         if self.endpoints.local and stats.entry.zone != self.config.zone:
             # The call of `zone_factor` above has created the histogram.
             times = self._by_zone[stats.entry.zone]
-            times.add(unloaded_time * zone_factor / (usual * self.slowness(stats)))
+            times.add(unloaded_time * zone_factor / (typical * self.slowness(stats)))
         if unfinished:
             if stats.relative_times is not None:
-                stats.relative_times.add(unloaded_time / usual)
+                stats.relative_times.add(unloaded_time / typical)
             return
-        self._learn_response(attempt, duration, unloaded_time, usual, key_factor)
+        self._learn_response(attempt, duration, unloaded_time, typical, key_factor)
 
     def _learn_response(
-        self, attempt: Attempt, duration: float, unloaded_time: float, usual: float, key_factor: float
+        self, attempt: Attempt, duration: float, unloaded_time: float, typical: float, key_factor: float
     ) -> None:
         stats, request = attempt.endpoint, attempt.request
         if request.preferred_cell is not None:
             known = stats.entry.cell == request.preferred_cell
             times = self._with_key if known else self._without_key
-            times.add(unloaded_time * key_factor / (usual * self.slowness(stats)))
+            times.add(unloaded_time * key_factor / (typical * self.slowness(stats)))
         if stats.relative_times is None:
             stats.relative_times = Histogram(0.25, 2.0, 7, 24, self.clock.now)
-        stats.relative_times.add(unloaded_time / usual)
-        self._by_class[request.request_class.name].add(unloaded_time)
+        stats.relative_times.add(unloaded_time / typical)
+        self.times_by_class[request.request_class.name].add(unloaded_time)
         self.relative_times.add(duration / self.typical(request.request_class))
--- a/starlingwheel/decisions/load_polling.py
+++ b/starlingwheel/decisions/load_polling.py
@@ -34,9 +34,10 @@
     """
     classes = config.request_classes
     received = 2 * BILLED_MESSAGE_SIZE * (config.sidecars - 1) / MAX_MESSAGE_SIZE * config.gossip_price
-    checks = sum(min(CHECKS_REPLACED_BY_GOSSIP, load.affordable_health_checks(one)) for one in classes) / len(
-        classes
-    )
+    checks = sum(
+        min(CHECKS_REPLACED_BY_GOSSIP, load.affordable_health_checks(request_class))
+        for request_class in classes
+    ) / len(classes)
     polled = config.health_check_price * checks
     polling = config.health_checks_allowed and not config.load_reported_in_responses
     return (
@@ -104,7 +105,9 @@
         poll = Poll(request, objective, priority, max_checks, until)
         # In a congested fleet no endpoint is free. There, one with less than the mean load counts as free.
         free_threshold = max(1.0, self.load.mean_reported_load())
-        while self.clock.now < until and not any(self.load.of(one) < free_threshold for one in poll.answered):
+        while self.clock.now < until and not any(
+            self.load.of(stats) < free_threshold for stats in poll.answered
+        ):
             known_free = yield from self._check_next(poll)
             if known_free is not None:
                 return known_free
@@ -152,10 +155,10 @@
     def _best(self, poll: Poll) -> EndpointStats | None:
         request, objective, priority = poll.request, poll.objective, poll.priority
         # Many sidecars may have checked an endpoint whose slow-start budget is enough for one request.
-        answered = [one for one in poll.answered if self.slow_start.within_budget(one)]
+        answered = [stats for stats in poll.answered if self.slow_start.within_budget(stats)]
         if not answered:
             return self.selector.select_endpoint(request, [], objective, priority, poll.checked)
-        best = min(answered, key=lambda one: self.latency.expected(one, request, self.load.of(one)))
+        best = min(answered, key=lambda stats: self.latency.expected(stats, request, self.load.of(stats)))
         load = self.load.of(best)
         acceptable = objective * self.selector.latency_fraction * priority
         if load < self.load.queue_limit or self.latency.expected(best, request, load) < acceptable:
--- a/starlingwheel/decisions/outlier_detection.py
+++ b/starlingwheel/decisions/outlier_detection.py
@@ -108,8 +108,8 @@
 
     def suspect(self, stats: EndpointStats) -> None:
         """Suspect an endpoint at which an attempt of this sidecar or of a peer has failed."""
-        for old in [one for one in self.suspects if not self.is_suspected(one)]:
-            del self.suspects[old]
+        for expired in [suspect for suspect in self.suspects if not self.is_suspected(suspect)]:
+            del self.suspects[expired]
         # A fault common to all endpoints must not leave non-idempotent requests without an endpoint.
         if 2 * len(self.suspects) < self.endpoints.ready_count():
             stats.suspected_at = self.clock.now
@@ -122,9 +122,9 @@
     def announce_failure(self, stats: EndpointStats, connect_failed: bool) -> None:
         """Suspect an endpoint and tell the peers, unless failures are common or this one is known."""
         # Faults that all endpoints share must not keep non-idempotent requests away from half of them.
-        elsewhere = max(0.0, self._failures - stats.consecutive_failures) / self._outcomes
+        failure_rate = max(0.0, self._failures - stats.consecutive_failures) / self._outcomes
         ready = self.endpoints.ready_count()
-        rare = 2 * self._recent_outcomes * elsewhere**stats.consecutive_failures < ready
+        rare = 2 * self._recent_outcomes * failure_rate**stats.consecutive_failures < ready
         known = connect_failed or self.clock.now < stats.suspected_at + self.clock.shortest_objective
         if self.config.gossip_allowed and rare and not known:
             self.gossip.note_failure(stats)
@@ -149,8 +149,8 @@
             return
         stats.consecutive_failures += 1
         # A fault that is common to all endpoints, or is this sidecar's own, ejects none of them.
-        common = CHANCE_THRESHOLD if stats.connect_failing else self._failures / self._outcomes
-        probability = common**stats.consecutive_failures
+        failure_rate = CHANCE_THRESHOLD if stats.connect_failing else self._failures / self._outcomes
+        probability = failure_rate**stats.consecutive_failures
         # Where one endpoint gets many attempts, runs of failures occur by chance.
         probability *= max(1.0, self._recent_outcomes / (HALF_LIFE * self.endpoints.ready_count() + 1))
         if probability <= CHANCE_THRESHOLD or stats.probation_limit < inf or reported:
--- a/starlingwheel/decisions/scheduler.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -132,7 +132,9 @@
         """
         request.max_attempts = request.max_attempts or self.balancer.config.max_attempts
         if earlier_attempts:
-            request.earlier_attempts = [self._earlier_attempt(request, *one) for one in earlier_attempts]
+            request.earlier_attempts = [
+                self._earlier_attempt(request, *earlier) for earlier in earlier_attempts
+            ]
         scheduled = ScheduledCoroutine(self.balancer.dispatch(request), request)
         self._by_request[request] = scheduled
         self._resume(scheduled, None)
--- a/starlingwheel/decisions/selection.py
+++ b/starlingwheel/decisions/selection.py
@@ -106,7 +106,9 @@
             return None
         candidates = self._prefer_cell(candidates, search)
         candidates = self._prefer_open_connections(candidates, search)
-        chosen = self.rng.choices([one.endpoint for one in candidates], [one.weight for one in candidates])
+        chosen = self.rng.choices(
+            [candidate.endpoint for candidate in candidates], [candidate.weight for candidate in candidates]
+        )
         return chosen[0]
 
     def _search(
@@ -156,20 +158,23 @@
         """Return the local candidates, and the remote ones unless some local candidate is fast enough."""
         candidates: list[Candidate] = []
         cell = search.request.preferred_cell
-        for side in (self.endpoints.local, self.endpoints.remote):
-            candidates += self._candidates_of(side, search)
-            if side is not self.endpoints.local:
+        for group in (self.endpoints.local, self.endpoints.remote):
+            candidates += self._candidates_of(group, search)
+            if group is not self.endpoints.local:
                 continue
-            near = [one for one in candidates if one.expected <= search.cross_zone_threshold]
-            if near and (cell is None or any(one.endpoint.entry.cell == cell for one in near)):
+            near = [
+                candidate for candidate in candidates if candidate.expected <= search.cross_zone_threshold
+            ]
+            if near and (cell is None or any(candidate.endpoint.entry.cell == cell for candidate in near)):
                 return near
         return candidates
 
-    def _candidates_of(self, side: list[EndpointStats], search: Search) -> list[Candidate]:
-        pool = self._pool(side, search)
+    def _candidates_of(self, group: list[EndpointStats], search: Search) -> list[Candidate]:
+        """Return the candidates among the local or the remote endpoints, weighted for those left out."""
+        pool = self._pool(group, search)
         subset_size = self.endpoints.subset_size
         sampled = self._sample(pool, search)
-        found: list[Candidate] = []
+        candidates: list[Candidate] = []
         considered = 0
         for stats in sampled:
             if subset_size and (considered == subset_size or stats.rank >= self.endpoints.subset_width):
@@ -180,22 +185,26 @@
                 continue
             considered += 1
             if (candidate := self._evaluate(stats, search)) is not None:
-                found.append(candidate)
-        if not found:
-            return found
-        scale = len(pool) / (len(found) if subset_size else len(sampled))
+                candidates.append(candidate)
+        if not candidates:
+            return candidates
+        scale = len(pool) / (len(candidates) if subset_size else len(sampled))
         if scale == 1:
-            return found
-        return [Candidate(one.endpoint, one.weight * scale, one.expected) for one in found]
+            return candidates
+        return [
+            Candidate(candidate.endpoint, candidate.weight * scale, candidate.expected)
+            for candidate in candidates
+        ]
 
-    def _pool(self, side: list[EndpointStats], search: Search) -> list[EndpointStats]:
+    def _pool(self, group: list[EndpointStats], search: Search) -> list[EndpointStats]:
+        """Return the endpoints of a group that zone shares and the deduplication scope allow."""
         if search.excluded_zones:
-            side = [stats for stats in side if stats.entry.zone not in search.excluded_zones]
+            group = [stats for stats in group if stats.entry.zone not in search.excluded_zones]
         if search.scope is DeduplicationScope.ALL:
-            return side
+            return group
         scope = search.scope.value
         wanted = getattr(search.scope_endpoint, scope)
-        return [stats for stats in side if getattr(stats.entry, scope) == wanted]
+        return [stats for stats in group if getattr(stats.entry, scope) == wanted]
 
     def _sample(self, pool: list[EndpointStats], search: Search) -> list[EndpointStats]:
         """Return a sample of a pool, which includes all endpoints of the preferred cell."""
@@ -208,6 +217,7 @@
         return list(dict.fromkeys([stats for stats in pool if stats.entry.cell == cell] + sample))
 
     def _evaluate(self, stats: EndpointStats, search: Search) -> Candidate | None:
+        """Return an endpoint as a candidate with its weight; None if it is too slow or too full."""
         load = self.load.of(stats)
         # A sidecar that rejects everything gets no new information. So the limits do not apply while none of
         # its own attempts is in flight, unless the endpoint list itself reports load.
@@ -230,26 +240,28 @@
     def _prefer_cell(self, candidates: list[Candidate], search: Search) -> list[Candidate]:
         """Return the candidates in the key's cell, unless a popular key fills it and others are faster."""
         cell = search.request.preferred_cell
-        known = [one for one in candidates if one.endpoint.entry.cell == cell]
+        known = [candidate for candidate in candidates if candidate.endpoint.entry.cell == cell]
         if not known:
             return candidates
-        others = [one for one in candidates if one.endpoint.entry.cell != cell]
+        others = [candidate for candidate in candidates if candidate.endpoint.entry.cell != cell]
         near = [
-            one
-            for one in others
-            if one.endpoint.entry.zone == self.config.zone and one.expected <= search.cross_zone_threshold
+            candidate
+            for candidate in others
+            if candidate.endpoint.entry.zone == self.config.zone
+            and candidate.expected <= search.cross_zone_threshold
         ]
         others = near or others
-        mean_of_others = sum(one.expected for one in others) / len(others) if others else inf
-        return [one for one in known if one.expected <= mean_of_others] or others
+        mean_of_others = sum(candidate.expected for candidate in others) / len(others) if others else inf
+        return [candidate for candidate in known if candidate.expected <= mean_of_others] or others
 
     def _prefer_open_connections(self, candidates: list[Candidate], search: Search) -> list[Candidate]:
         if not self.config.connection_setup_price or self.endpoints.subset_size:
             return candidates
         preferred = [
-            one
-            for one in candidates
-            if self._has_open_connection(one.endpoint) and one.expected <= search.open_connection_threshold
+            candidate
+            for candidate in candidates
+            if self._has_open_connection(candidate.endpoint)
+            and candidate.expected <= search.open_connection_threshold
         ]
         return preferred or candidates
 
--- a/starlingwheel/decisions/slow_start.py
+++ b/starlingwheel/decisions/slow_start.py
@@ -59,9 +59,9 @@
 
     def _capacity(self, stats: EndpointStats, fraction: float) -> float:
         """Return the requests per second that all sidecars together may send to an endpoint."""
-        longest = max(self.latency.typical(one) for one in self.config.request_classes)
-        each = longest * self.endpoints.relative_cost(stats) / self.load.concurrency
-        return self.config.overload_factor * fraction / each
+        longest = max(self.latency.typical(request_class) for request_class in self.config.request_classes)
+        seconds_per_request = longest * self.endpoints.relative_cost(stats) / self.load.concurrency
+        return self.config.overload_factor * fraction / seconds_per_request
 
     def _advance_phase(self, stats: EndpointStats, span: float) -> None:
         now = self.clock.now
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -4,6 +4,7 @@
 
 
 def test_a_client_retry_past_its_objective_is_rejected_under_load(host: FakeHost) -> None:
+    """A late retry must not take capacity from requests that can still be answered in time."""
     host.submit(time_left=2.5)
     busy = [host.submit(BUY) for _ in range(4)]
     late = host.submit(time_left=1.5, is_retry=True)
@@ -13,6 +14,7 @@
 
 
 def test_full_queues_reject_requests_of_low_priority_weight_first(host: FakeHost) -> None:
+    """Under overload, requests of high weight must not be lost to those of low weight."""
     host.serve(40, duration=0.2)
     served = {BUY: 0, LOOK: 0}
     for _ in range(12):
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -21,6 +21,7 @@
 
 
 def test_a_reload_keeps_learned_times_and_a_new_class_starts_without_any(host: FakeHost) -> None:
+    """Also, a removed class is forgotten, and a client that still uses it is served."""
     host.serve(40, duration=0.2)
     balancer = host.scheduler.balancer
     learned = balancer.latency.typical(LOOK)
@@ -34,8 +35,8 @@
     host.scheduler.reload(msgspec.structs.replace(balancer.config, request_classes=[look, gaze]))
     assert balancer.latency.typical(look) == pytest.approx(learned)
     assert balancer.latency.typical(gaze) == gaze.latency_objective / 8
-    assert balancer.clock.shortest_objective == 0.5 and balancer.admission._max_weight == 2.0
-    assert set(balancer.latency._by_class) == {"look", "gaze"}
+    assert balancer.clock.shortest_objective == 0.5 and balancer.admission.max_priority_weight == 2.0
+    assert set(balancer.latency.times_by_class) == {"look", "gaze"}
     host.serve(5, request_class=gaze)
     host.serve(1, request_class=BUY)  # a class that the reload has removed, as a client may still use it
     assert all(answer.kind is AnswerKind.SUCCEEDED for answer in host.final_answers)
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -6,6 +6,7 @@
 
 
 def test_a_success_ends_the_request_and_nothing_more_is_sent(host: FakeHost) -> None:
+    """A hedge or retry after the final answer would waste work or take effect twice."""
     request = host.submit()
     host.end_attempt(host.attempts_of(request)[0])
     host.advance(5.0)
@@ -13,6 +14,7 @@
 
 
 def test_an_error_ends_only_its_own_attempt(host: FakeHost) -> None:
+    """A hedge that is in flight can still succeed after the first attempt has failed."""
     host.serve(110)
     request = host.submit()
     host.advance(0.5)
@@ -24,6 +26,7 @@
 
 
 def test_a_request_is_given_up_at_its_objective(host: FakeHost) -> None:
+    """It is rejected if a retry is harmless, failed otherwise, and its attempts are cancelled."""
     look, buy = host.submit(), host.submit(BUY)
     host.advance(1.0)
     assert host.answers_to(look) == [AnswerKind.REJECTED] and host.answers_to(buy) == [AnswerKind.FAILED]
@@ -31,6 +34,7 @@
 
 
 def test_no_final_answer_after_the_client_has_disconnected(host: FakeHost) -> None:
+    """Its attempt is cancelled, and nobody is there to receive an answer."""
     request = host.submit()
     host.scheduler.client_disconnected(request)
     host.advance(5.0)
@@ -38,6 +42,7 @@
 
 
 def test_a_request_is_rejected_at_once_when_all_endpoints_are_full(host: FakeHost) -> None:
+    """Waiting for a full endpoint would only delay the client's retry."""
     for _ in range(60):
         host.submit(LOOK)
     last = host.submit(LOOK)
@@ -46,6 +51,7 @@
 
 
 def test_the_same_seed_makes_the_same_decisions(make_host: MakeHost) -> None:
+    """Decisions depend on the events and the random generator alone."""
     choices = []
     for _ in range(2):
         host = make_host(seed=7)
@@ -55,6 +61,7 @@
 
 
 def test_a_started_response_is_not_given_up_at_the_objective(host: FakeHost) -> None:
+    """A streamed response may take longer than the objective."""
     request = host.submit()
     host.scheduler.response_started(host.attempts_of(request)[0])
     host.advance(5.0)
@@ -66,6 +73,7 @@
 def test_a_request_with_a_late_priority_weight_is_still_given_up_at_its_objective(
     make_host: MakeHost,
 ) -> None:
+    """A late response is worth only a fraction, so it does not hold capacity."""
     late = type(LOOK)("late", LOOK.retry_safety, 1.0, 1.0, 6.0, late_priority_weight=0.25)
     host = make_host(request_classes=[late])
     request = host.submit(late, time_left=6.0)
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -39,6 +39,7 @@
 
 
 def test_a_failing_endpoint_is_reported_to_peers_at_any_request_rate(make_host: MakeHost) -> None:
+    """At a high request rate, the test of whether failures are rare must still see them as such."""
     host = make_host(gossip_allowed=True)
     sick = host.scheduler.balancer.endpoints.by_id["u0"]
     for i in range(800):
@@ -55,6 +56,7 @@
 def test_a_failure_reported_by_a_peer_keeps_non_idempotent_requests_away_for_a_while(
     make_host: MakeHost,
 ) -> None:
+    """They cannot be retried after a failure; idempotent requests still go there."""
     host = make_host(sidecars=3, gossip_allowed=True)
     bad = host.scheduler.balancer.endpoints.by_id["u0"]
     host.receive_gossip(1, bad, 255)
@@ -68,6 +70,7 @@
 
 
 def test_a_failed_attempt_is_reported_to_peers_once(make_host: MakeHost) -> None:
+    """A second failure soon after the first one tells the peers nothing new."""
     host = make_host(endpoints=1, sidecars=3, gossip_allowed=True)
     for _ in range(2):
         host.end_attempt(host.attempts_of(host.submit())[0], AttemptOutcome.ERROR)
@@ -75,6 +78,7 @@
 
 
 def test_non_idempotent_requests_are_sent_even_if_all_endpoints_have_failed(make_host: MakeHost) -> None:
+    """At most about half of the endpoints may be suspected at a time."""
     host = make_host(sidecars=3, gossip_allowed=True)
     host.submit()
     for endpoint in host.scheduler.balancer.endpoints.by_id.values():
@@ -86,6 +90,7 @@
 def test_a_truncated_message_or_one_from_an_unknown_peer_does_no_harm(
     make_host: MakeHost, body: bytes
 ) -> None:
+    """Such messages arrive when the number of sidecars changes or a datagram is damaged."""
     host = make_host(sidecars=3, gossip_allowed=True)
     for peer in (-1, 1, 2, 99):
         host.scheduler.gossip_received(peer, body)
@@ -93,6 +98,7 @@
 
 
 def test_counts_of_a_silent_peer_are_dropped(make_host: MakeHost) -> None:
+    """Otherwise the attempts of a killed sidecar would make an endpoint look full for ever."""
     host = make_host(endpoints=1, sidecars=3, gossip_allowed=True)
     host.receive_gossip(1, host.scheduler.balancer.endpoints.by_id["u0"], 100)
     ahead = host.submit()
@@ -104,6 +110,7 @@
 
 
 def test_a_count_is_kept_as_long_as_its_attempt_can_be_in_flight(make_host: MakeHost) -> None:
+    """That is the longest latency objective of the classes, not the shortest."""
     slow = type(LOOK)("slow", LOOK.retry_safety, latency_objective=4.0, priority_weight=1.0, timeout=8.0)
     host = make_host(endpoints=1, request_classes=[LOOK, slow], sidecars=3, gossip_allowed=True)
     host.receive_gossip(1, host.scheduler.balancer.endpoints.by_id["u0"], 100)
@@ -114,6 +121,7 @@
 
 
 def test_health_checks_of_endpoints_no_longer_listed_do_no_harm(make_host: MakeHost) -> None:
+    """The list may change between a health check and its answer, which may arrive twice."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     request = host.submit(BUY)
     polled = list(host.health_checks)
@@ -125,6 +133,7 @@
 
 
 def test_an_endpoint_that_left_an_attempt_of_a_peer_unanswered_is_ejected(make_host: MakeHost) -> None:
+    """Each sidecar would otherwise lose an attempt of its own there."""
     host = make_host(**GOSSIP_SETTINGS)
     host.advance(2.0)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
@@ -136,6 +145,7 @@
 def test_an_endpoint_that_answers_other_peers_is_not_ejected_for_an_unanswered_attempt(
     make_host: MakeHost,
 ) -> None:
+    """A slow or full endpoint leaves single attempts unanswered."""
     host = make_host(**GOSSIP_SETTINGS)
     host.advance(2.0)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
@@ -146,6 +156,7 @@
 
 
 def test_an_unanswered_attempt_is_reported_to_peers(make_host: MakeHost) -> None:
+    """The report carries the endpoint's tag and the code for an unanswered attempt."""
     host = make_host(**GOSSIP_SETTINGS)
     attempt = host.attempts_of(host.submit())[0]
     time_out(host, attempt)
@@ -157,6 +168,7 @@
 
 
 def test_an_unresponsive_endpoint_returns_with_the_first_response_to_a_peer(make_host: MakeHost) -> None:
+    """Otherwise each sidecar would have to find out by itself that it has recovered."""
     host = make_host(**GOSSIP_SETTINGS)
     host.advance(2.0)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
@@ -171,6 +183,7 @@
 def test_an_endpoint_ejected_for_errors_does_not_return_with_a_response_to_a_peer(
     make_host: MakeHost,
 ) -> None:
+    """A response may be an error, so it does not show that the endpoint works."""
     host = make_host(**GOSSIP_SETTINGS)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
     host.serve(40, duration=0.01)
@@ -185,6 +198,7 @@
 
 
 def test_a_count_that_falls_without_a_response_does_not_end_an_ejection(make_host: MakeHost) -> None:
+    """A sender that ends its attempt itself lowers its count too."""
     host = make_host(**GOSSIP_SETTINGS)
     host.advance(2.0)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
@@ -198,6 +212,7 @@
 def test_an_attempt_cancelled_at_a_healthy_endpoint_is_reported_as_ended_by_the_sender(
     make_host: MakeHost,
 ) -> None:
+    """Peers would otherwise take the lower count for a response."""
     host = make_host(**GOSSIP_SETTINGS, endpoints=2)
     host.serve(110, duration=0.05)
     request = host.submit()
@@ -212,6 +227,7 @@
 
 
 def test_gossip_about_an_endpoint_not_yet_listed_does_not_eject_it(make_host: MakeHost) -> None:
+    """Gossip may arrive before the endpoint list that names the endpoint."""
     host = make_host(endpoints=2, **GOSSIP_SETTINGS)
     later = make_host(endpoints=0, **GOSSIP_SETTINGS)
     endpoint = host.scheduler.balancer.endpoints.by_id["u1"]
@@ -223,6 +239,7 @@
 
 
 def test_counts_from_peers_show_a_slow_endpoint(make_host: MakeHost) -> None:
+    """It then gets few requests, although this sidecar has not measured it."""
     host = make_host(endpoints=6, **GOSSIP_SETTINGS)
     receive_counts(host, {"u0": 0.5} | {f"u{i}": 0.1 for i in range(1, 6)})
     slow = host.scheduler.balancer.endpoints.by_id["u0"]
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -4,6 +4,7 @@
 
 
 def test_no_hedge_before_the_delay_has_been_learned(host: FakeHost) -> None:
+    """Without enough samples the percentile says nothing about lateness."""
     request = host.submit()
     host.advance(0.9)
     assert len(host.attempts_of(request)) == 1
@@ -12,6 +13,7 @@
 def test_a_late_response_causes_one_hedge_at_another_endpoint_and_the_slower_attempt_is_cancelled(
     host: FakeHost,
 ) -> None:
+    """A second hedge would add load without much gain."""
     host.serve(110)
     request = host.submit()
     host.advance(0.5)
@@ -24,6 +26,7 @@
 
 
 def test_a_non_idempotent_request_gets_no_hedge(host: FakeHost) -> None:
+    """Both attempts could take effect."""
     host.serve(110)
     request = host.submit(BUY)
     host.advance(0.9)
@@ -31,6 +34,7 @@
 
 
 def test_no_hedge_once_the_deduplication_window_has_ended_during_the_delay(make_host: MakeHost) -> None:
+    """After the window the endpoint does not recognise the idempotency key."""
     move = type(MOVE)(
         "move", MOVE.retry_safety, 1.0, 8.0, 9.0, deduplication_window=0.3, late_priority_weight=0.25
     )
@@ -41,6 +45,7 @@
 
 
 def test_an_expensive_request_gets_no_hedge(make_host: MakeHost) -> None:
+    """Later requests have finished at its endpoint, so the request itself takes the time."""
     host = make_host(endpoints=2)
     host.serve(110)
     heavy = host.submit()
--- a/tests/decisions/test_latency.py
+++ b/tests/decisions/test_latency.py
@@ -7,6 +7,7 @@
 
 
 def test_a_slow_endpoint_gets_fewer_requests(host: FakeHost) -> None:
+    """Without learned response times it would get a quarter of them."""
     slow = host.scheduler.balancer.endpoints.by_id["u0"]
     for _ in range(120):
         attempt = host.attempts_of(host.submit())[0]
@@ -16,6 +17,7 @@
 
 
 def test_a_slow_path_to_one_zone_does_not_affect_another_zone(make_host: MakeHost) -> None:
+    """Response times of remote zones are learned separately."""
     host = make_host(12)
     for i, name in enumerate(host.endpoint_ids):
         host.list_endpoints(WatchEvent.DELTA, name, zone=("here", "there", "yonder")[i % 3])
@@ -36,6 +38,7 @@
 
 
 def test_responses_that_take_no_time_cause_no_division_by_zero(make_host: MakeHost) -> None:
+    """Times of zero occur where the clock does not advance between two events."""
     host = make_host()
     for _ in range(20):
         for attempt in host.attempts_of(host.submit()):
@@ -44,6 +47,7 @@
 
 
 def test_an_unfinished_attempt_shows_that_its_endpoint_is_slow(make_host: MakeHost) -> None:
+    """Learning from finished attempts alone would never see the slow ones."""
     host = make_host(endpoints=1)
     host.serve(8)
     endpoint, before = (
--- a/tests/decisions/test_load.py
+++ b/tests/decisions/test_load.py
@@ -56,6 +56,7 @@
 
 
 def test_the_concurrency_is_learned_from_responses_and_reports(make_host: MakeHost) -> None:
+    """Reports give the requests held but not the busy fraction, so queueing delays show it."""
     one, four = make_host(), make_host()
     load_endpoints(one, concurrency=1)
     load_endpoints(four, concurrency=4)
@@ -64,6 +65,7 @@
 
 
 def test_the_concurrency_stays_within_bounds_for_implausible_reports(make_host: MakeHost) -> None:
+    """Zero, negative or huge figures in reports must not reach the decisions."""
     host = make_host()
     for service, held in ((0.0, 1e9), (-1.0, -5.0), (1e9, 0.0), (0.1, 3.0)) * 50:
         for attempt in host.attempts_of(host.submit()):
@@ -73,6 +75,7 @@
 
 
 def test_a_request_with_enough_time_for_a_short_queue_is_not_rejected(make_host: MakeHost) -> None:
+    """A third request at an endpoint can still be answered within its objective."""
     host = make_host(endpoints=1)
     host.serve(60, duration=0.17, request_class=BUY)
     host.submit(BUY), host.submit(BUY)
@@ -81,6 +84,7 @@
 
 @pytest.mark.parametrize("cores", [1, 3])
 def test_the_concurrency_is_learned_from_busy_reports(make_host: MakeHost, cores: int) -> None:
+    """The busy fraction shows it directly."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     for i in range(400):
         held = i % (2 * cores + 1)
--- a/tests/decisions/test_load_polling.py
+++ b/tests/decisions/test_load_polling.py
@@ -14,6 +14,7 @@
 
 
 def test_no_poll_where_responses_carry_reports_and_the_concurrency_is_high(make_host: MakeHost) -> None:
+    """There, a health check tells little that the reports do not."""
     host = make_host(**POLLING_SETTINGS, load_reported_in_responses=True)
     attempt = host.attempts_of(host.submit())[0]
     host.advance(0.1)
@@ -40,6 +41,7 @@
 def test_gossip_is_used_where_responses_carry_reports_and_its_price_is_below_the_gain(
     make_host: MakeHost,
 ) -> None:
+    """Its price grows with the number of sidecars; without reports polling is cheaper."""
     prices = {
         "health_checks_allowed": True,
         "health_check_price": 0.001,
@@ -55,6 +57,7 @@
 
 
 def test_the_least_loaded_of_the_polled_endpoints_gets_the_request(make_host: MakeHost) -> None:
+    """None of the three is free."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     request = host.submit(BUY)
     for held in (3.0, 1.0, 2.0):
@@ -66,6 +69,7 @@
 
 
 def test_polling_stops_at_the_first_free_endpoint(make_host: MakeHost) -> None:
+    """Further health checks would cost time and load without any gain."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     request = host.submit(BUY)
     host.scheduler.health_check_ended(
@@ -75,6 +79,7 @@
 
 
 def test_endpoints_that_do_not_answer_a_poll_are_not_chosen(make_host: MakeHost) -> None:
+    """The request goes to another endpoint when the time for polling is over."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     request = host.submit(BUY)
     host.scheduler.health_check_ended(
@@ -85,6 +90,7 @@
 
 
 def test_a_client_that_disconnects_during_a_poll_gets_no_answer(make_host: MakeHost) -> None:
+    """Late answers to health checks must not start an attempt."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     request = host.submit(BUY)
     host.scheduler.client_disconnected(request)
@@ -95,6 +101,7 @@
 
 
 def test_a_request_with_little_time_is_answered_even_if_no_poll_was(make_host: MakeHost) -> None:
+    """Unanswered health checks must not hold the request beyond its time."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     request = host.submit(BUY, time_left=0.1)
     host.advance(0.1)
@@ -102,6 +109,7 @@
 
 
 def test_an_endpoint_that_was_recently_free_is_not_polled_again(make_host: MakeHost) -> None:
+    """Its last report is recent enough."""
     host = make_host(endpoints=1, **LARGE_FLEET_POLLING_SETTINGS)
     first = host.submit(BUY)
     host.scheduler.health_check_ended("u0", AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
@@ -110,12 +118,14 @@
 
 
 def test_a_poll_that_costs_more_than_it_gains_is_not_made(make_host: MakeHost) -> None:
+    """The gain is proportional to the weight of the class."""
     host = make_host(**(LARGE_FLEET_POLLING_SETTINGS | {"health_check_price": 0.05}))
     light, heavy = host.submit(LOOK), host.submit(BUY)
     assert host.attempts_of(light) and not host.attempts_of(heavy) and len(host.health_checks) == 1
 
 
 def test_gossip_is_used_where_it_costs_less_than_polling(make_host: MakeHost) -> None:
+    """Its price grows with the number of sidecars."""
     prices = {
         "gossip_allowed": True,
         "health_checks_allowed": True,
@@ -128,6 +138,7 @@
 
 
 def test_in_a_congested_fleet_requests_of_low_weight_poll_too(make_host: MakeHost) -> None:
+    """The gain of a health check grows with the mean load."""
     host = make_host(**(LARGE_FLEET_POLLING_SETTINGS | {"health_check_price": 0.03}))
     host.submit(LOOK)
     assert not host.health_checks
@@ -143,6 +154,7 @@
 
 
 def test_in_a_subset_one_endpoint_is_polled_and_another_is_drawn_if_it_is_full(make_host: MakeHost) -> None:
+    """The subset is small, so only one of its endpoints is polled before a request."""
     host = make_host(endpoints=6, **(LARGE_FLEET_POLLING_SETTINGS | SUBSET_SETTINGS))
     request = host.submit(BUY)
     host.scheduler.health_check_ended(host.health_checks[0].endpoint_id, AttemptOutcome.REJECTED, 0.01, {})
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -37,6 +37,7 @@
 
 
 def test_consecutive_errors_eject_an_endpoint(host: FakeHost) -> None:
+    """No further request goes there while it is ejected."""
     endpoint = fail(host, "u0")
     before = len(host.attempts)
     host.serve(8)
@@ -46,6 +47,7 @@
 def test_an_ejected_endpoint_returns_through_a_probation_without_non_idempotent_requests(
     host: FakeHost,
 ) -> None:
+    """They could not be retried if the endpoint still fails."""
     endpoint = fail(host, "u0")
     host.advance(1.5)
     host.serve(40, duration=0.01, request_class=BUY)
@@ -55,6 +57,7 @@
 
 
 def test_an_unresponsive_endpoint_gets_no_further_requests(host: FakeHost) -> None:
+    """Its attempts have no outcome that could be counted as a failure."""
     host.serve(40)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
     hung = []
@@ -69,6 +72,7 @@
 
 
 def test_a_sidecar_that_has_seen_only_full_endpoints_tries_again(host: FakeHost) -> None:
+    """If it rejected everything it would get no new load report."""
     for _ in range(8):
         for attempt in host.attempts_of(host.submit()):
             host.advance(0.1)
@@ -78,6 +82,7 @@
 
 
 def test_a_fault_common_to_all_endpoints_ejects_none(host: FakeHost) -> None:
+    """Ejecting all endpoints would turn many errors into a complete outage."""
     for i in range(60):
         attempt = host.attempts_of(host.submit(BUY))[0]
         host.advance(0.05)
@@ -87,6 +92,7 @@
 
 
 def test_an_endpoint_that_refuses_connections_still_serves_over_open_ones(make_host: MakeHost) -> None:
+    """It accepts a request while an idle connection is left, and none beyond that."""
     host = make_host(endpoints=1, idle_timeout=5.0)
     host.serve(20)
     served, refused, refused_again = [host.submit(BUY) for _ in range(3)]
@@ -102,6 +108,7 @@
 
 
 def test_faults_that_all_endpoints_share_keep_no_request_away_from_them(make_host: MakeHost) -> None:
+    """Suspicion and ejection for chance failures would leave too few endpoints."""
     host = make_host(endpoints=8, gossip_allowed=True)
     balancer = host.scheduler.balancer
     max_avoided = 0
@@ -131,6 +138,8 @@
 
 
 def test_after_an_outage_of_all_endpoints_requests_succeed_again(host: FakeHost) -> None:
+    """The budget of probation must not be used up for good during the outage."""
+
     def succeeds(outcome: AttemptOutcome) -> bool:
         request = host.submit()
         while pending := [attempt for attempt in host.attempts_of(request) if attempt.pending]:
@@ -147,6 +156,7 @@
 
 
 def test_requests_leave_a_preferred_cell_that_fails(make_host: MakeHost) -> None:
+    """The preference for a cell must not override the ejection of its endpoints."""
     host = host_with_cells(make_host)
     home = cell_of(host, "race/7")
     for key in ["race/7", *KEYS[:20]] * 8:
@@ -163,6 +173,7 @@
 def test_few_attempts_are_on_probation_while_half_of_the_endpoints_are_gone(
     make_host: MakeHost, sidecars: int, part: float
 ) -> None:
+    """With gossip, many sidecars share the budget of attempts that may fail."""
     host = make_host(endpoints=40, sidecars=sidecars, gossip_allowed=True)
     host.serve(60, duration=0.01)
     gone = set(list(host.scheduler.balancer.endpoints.by_id.values())[:20])
@@ -179,6 +190,7 @@
 
 
 def test_recovered_endpoints_are_used_again_at_once(make_host: MakeHost) -> None:
+    """A budget spent during the outage must not delay their return."""
     host = make_host(endpoints=20)
     host.serve(60, duration=0.01)
     for _ in range(40):
@@ -193,6 +205,7 @@
 def test_attempts_unanswered_by_an_earlier_process_do_not_count_against_the_new_one(
     make_host: MakeHost,
 ) -> None:
+    """A restarted endpoint would otherwise start as unresponsive."""
     host = make_host(endpoints=1, **GOSSIP_SETTINGS)
     host.serve(40, duration=0.01)
     old = host.attempts_of(host.submit(BUY))[0]
@@ -207,6 +220,7 @@
 
 
 def test_an_endpoint_that_reports_many_failures_is_ejected_at_the_first_error(make_host: MakeHost) -> None:
+    """A sidecar with little traffic would need long to see two errors in a row."""
     host = make_host(endpoints=2, **SUBSET_SETTINGS)
     attempt = host.attempts_of(host.submit())[0]
     host.end_attempt(attempt, AttemptOutcome.ERROR, {"failing": 4.0, "served": 9.0})
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -9,6 +9,7 @@
 
 
 def test_a_non_idempotent_request_that_may_have_run_fails_at_once(host: FakeHost) -> None:
+    """A retry could take effect twice."""
     request = host.submit(BUY)
     host.end_attempt(host.attempts_of(request)[0], AttemptOutcome.ERROR)
     assert host.answers_to(request) == [AnswerKind.FAILED] and len(host.attempts_of(request)) == 1
@@ -18,6 +19,7 @@
 def test_a_request_known_not_to_have_run_goes_to_another_endpoint(
     host: FakeHost, request_class: RequestClass
 ) -> None:
+    """That is safe for every class."""
     request = host.submit(request_class)
     host.end_attempt(host.attempts_of(request)[0], AttemptOutcome.REJECTED)
     first, second = host.attempts_of(request)
@@ -25,6 +27,7 @@
 
 
 def test_a_request_with_a_key_that_may_have_run_stays_in_its_deduplication_scope(make_host: MakeHost) -> None:
+    """Only the same cell recognises the idempotency key here."""
     move = type(MOVE)(
         "move",
         MOVE.retry_safety,
@@ -46,6 +49,7 @@
 
 
 def test_a_request_with_a_key_is_not_sent_again_after_its_deduplication_window(make_host: MakeHost) -> None:
+    """By then the endpoints have forgotten the idempotency key."""
     move = type(MOVE)("move", MOVE.retry_safety, 1.0, 8.0, 3.0, deduplication_window=0.3)
     host = make_host(request_classes=[move])
     request = host.submit(move)
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -7,6 +7,7 @@
 
 
 def test_a_popular_key_does_not_fill_its_cell(make_host: MakeHost) -> None:
+    """Once the preferred cell is slower than the others, they get requests too."""
     host = host_with_cells(make_host, cells=3)
     sent = [
         attempt.endpoint.entry.cell
@@ -19,6 +20,7 @@
 def test_an_endpoint_that_loses_responses_to_this_sidecar_alone_is_still_tried_now_and_then(
     make_host: MakeHost,
 ) -> None:
+    """Without any attempt the sidecar would not notice its recovery."""
     host = make_host(8, cancel_allowed=True)
     for i in range(600):
         for attempt in host.attempts_of(host.submit(time_left=2.0)):
@@ -30,6 +32,7 @@
 
 
 def test_where_new_connections_have_a_price_open_ones_are_used_first(make_host: MakeHost) -> None:
+    """Few endpoints are used then, and all of them if connections are free."""
     used = {}
     for price in (0.0, 0.1):
         host = make_host(endpoints=12, cross_zone_price=0.01, connection_setup_price=price, idle_timeout=5.0)
@@ -41,6 +44,7 @@
 def test_an_open_connection_to_a_busy_endpoint_does_not_keep_requests_from_others(
     make_host: MakeHost,
 ) -> None:
+    """The preference ends at the time that a new connection is worth."""
     host = make_host(endpoints=4, connection_setup_price=0.1, idle_timeout=5.0)
     host.serve(20, duration=0.1, request_class=BUY)
     requests = [host.submit(BUY) for _ in range(4)]
@@ -48,6 +52,7 @@
 
 
 def test_no_request_goes_to_another_zone_whose_responses_are_no_faster(make_host: MakeHost) -> None:
+    """Crossing zones has no gain while the local queue is short."""
     host = make_host(endpoints=2)
     host.list_endpoints(WatchEvent.DELTA, "u2", "u3", zone="there")
     for _ in range(60):
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -6,6 +6,7 @@
 
 
 def test_a_restarted_endpoint_gets_no_more_than_its_slow_start_budget(make_host: MakeHost) -> None:
+    """A cold endpoint would be overloaded by its full share."""
     host = make_host(endpoints=1)
     host.advance(100.0)
     host.list_endpoints(WatchEvent.DELTA, "u0", started=100.0)
@@ -18,6 +19,7 @@
 
 
 def test_many_sidecars_together_keep_the_slow_start_budget(make_host: MakeHost) -> None:
+    """If each sidecar sent its first request at once, their sum would exceed the budget."""
     sent = 0
     for seed in range(100):
         host = make_host(endpoints=1, seed=seed, sidecars=100)
@@ -35,6 +37,7 @@
 
 
 def test_no_requests_queue_at_an_endpoint_that_is_warming_up(make_host: MakeHost) -> None:
+    """Its budget allows one request here, so the others are not sent."""
     host = make_host(endpoints=1)
     host.serve(40, duration=0.12, request_class=BUY)
     host.list_endpoints(WatchEvent.DELTA, "u0", started=host.scheduler.now)
@@ -45,6 +48,7 @@
 def test_many_sidecars_keep_the_slow_start_budget_where_few_of_them_may_use_an_endpoint(
     make_host: MakeHost,
 ) -> None:
+    """With subsets, the budget is divided among the sidecars that may send there."""
     sent, restarted = 0, "u3"
     for number in range(200):
         host = make_host(endpoints=30, seed=number, sidecar_index=number, **SUBSET_SETTINGS)
