--- a/starlingwheel/decisions/load_polling.py
+++ b/starlingwheel/decisions/load_polling.py
@@ -103,7 +103,7 @@
         """
         until = min(until, self.clock.now + objective * priority * MAX_OBJECTIVE_FRACTION)
         poll = Poll(request, objective, priority, max_checks, until)
-        # In a congested fleet no endpoint is free. There, one with less than the mean load counts as free.
+        # In a congested fleet no endpoint is free. An endpoint below the mean load then counts as free.
         free_threshold = max(1.0, self.load.mean_reported_load())
         while self.clock.now < until and not any(
             self.load.of(stats) < free_threshold for stats in poll.answered
--- a/starlingwheel/decisions/outlier_detection.py
+++ b/starlingwheel/decisions/outlier_detection.py
@@ -51,7 +51,7 @@
     # Eligibility of endpoints.
 
     def admits(self, stats: EndpointStats, request: Request) -> bool:
-        """Return whether the endpoint's failures allow the request to be sent there now."""
+        """Return whether the endpoint's failures allow a request to be sent to it now."""
         if stats.connect_failing and self._has_idle_connection(stats):
             # The endpoint accepts no new connections but still serves those that are open.
             return True
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -34,7 +34,7 @@
 
 
 def test_no_final_answer_after_the_client_has_disconnected(host: FakeHost) -> None:
-    """Its attempt is cancelled, and nobody is there to receive an answer."""
+    """Its attempt is cancelled, and an answer would reach no client."""
     request = host.submit()
     host.scheduler.client_disconnected(request)
     host.advance(5.0)
--- a/tests/decisions/test_load_polling.py
+++ b/tests/decisions/test_load_polling.py
@@ -14,7 +14,7 @@
 
 
 def test_no_poll_where_responses_carry_reports_and_the_concurrency_is_high(make_host: MakeHost) -> None:
-    """There, a health check tells little that the reports do not."""
+    """A health check adds little to what the reports give in that case."""
     host = make_host(**POLLING_SETTINGS, load_reported_in_responses=True)
     attempt = host.attempts_of(host.submit())[0]
     host.advance(0.1)
