--- a/starlingwheel/net/actor.py
+++ b/starlingwheel/net/actor.py
@@ -1,4 +1,4 @@
-"""Actors: a coroutine with a mailbox each. Other actors post messages to it and do not call it."""
+"""The base class of actors: a coroutine with a mailbox, to which other actors post messages."""
 
 from __future__ import annotations
 
@@ -15,31 +15,35 @@
 
 
 class Actor:
-    """Base class: a subclass writes `run`, which receives messages by `yield`."""
+    """Base class of actors: a subclass implements `run`, which receives messages by `yield`."""
 
-    priority = False  # its messages are delivered before those of others
-    daemon = False  # starts anew after an error
-    messages_per_turn = 1
+    priority = False  # whether its messages are delivered before those of other actors
+    daemon = False  # whether `run` is restarted after it has failed or returned
+    messages_per_turn = 1  # messages delivered to it in one turn of the loop, at most
 
     def __init__(self, loop: Loop) -> None:
-        """Prepare the coroutine; `begin` starts it."""
+        """Create the coroutine; `begin` starts it."""
         self.loop = loop
         self.mailbox: deque[Any] = deque()
         self.queued = self.ended = False
-        self.until = self.armed = inf
+        self.wake_at = self.timer_at = inf
         self.coroutine = self.run()
         self.ref = ref(self)
 
     def run(self) -> Coroutine[None]:
-        """The actor's coroutine: yields the time until which it waits, or None, and is sent messages."""
+        """Handle messages, as the actor's coroutine.
+
+        It yields the time until which it waits, or None to wait for a message alone. It is resumed with a
+        message, or with None once that time has come.
+        """
         raise NotImplementedError
 
     def begin(self) -> None:
-        """Run up to the first `yield`."""
+        """Start the coroutine: run it up to its first `yield`."""
         self.loop.start(self)
 
     def post(self, message: object) -> None:
-        """Queue a message; one for an actor that has ended goes to `undelivered`."""
+        """Queue a message; if the actor has ended, pass the message to `undelivered`."""
         if self.ended:
             self.undelivered(message)
             return
@@ -47,8 +51,8 @@
         self.loop.queue(self)
 
     def end(self) -> None:
-        """The coroutine has returned or failed."""
-        self.until = inf
+        """Restart a daemon whose coroutine has returned or failed; end any other actor."""
+        self.wake_at = inf
         if self.daemon:
             self.coroutine = self.run()
             self.loop.start(self)
@@ -59,4 +63,4 @@
             self.undelivered(message)
 
     def undelivered(self, message: object) -> None:
-        """Called with each message that came too late, to release what it holds."""
+        """Release what a message holds that arrived after the actor had ended, or that it left unread."""
--- a/starlingwheel/net/admin/__init__.py
+++ b/starlingwheel/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin address: HTTP calls by which operators inspect and change one sidecar."""
+"""The admin interface: HTTP calls by which operators inspect and change one sidecar."""
--- a/starlingwheel/net/admin/call.py
+++ b/starlingwheel/net/admin/call.py
@@ -1,6 +1,6 @@
 """One admin call: reads one HTTP/1.1 request, runs its handler, writes the response and closes.
 
-Owns the connection of the call. Times are seconds on the loop's clock.
+The actor owns the connection of the call. Times are seconds on the loop's clock.
 """
 
 from __future__ import annotations
@@ -20,35 +20,35 @@
 from ..state.overrides import OverridesLockedError
 from .routes import MAX_BODY_SIZE, AdminResult, AdminRoute, CallRejectedError
 
-READ_TIMEOUT = 2.0  # seconds within which a call has to be complete
-RESPONSE_TIMEOUT = 1.0  # seconds within which a response is due
+READ_TIMEOUT = 2.0  # seconds within which the whole request must arrive
+RESPONSE_TIMEOUT = 1.0  # seconds within which the response must be written
 HANDLER_TIMEOUT = 0.9 * RESPONSE_TIMEOUT  # leaves time to write the response
 LOCK_RETRY_INTERVAL = RESPONSE_TIMEOUT / 100
-CLOSE_TIMEOUT = READ_TIMEOUT / 4  # seconds for which the other side may take to close
+CLOSE_TIMEOUT = READ_TIMEOUT / 4  # seconds that the other side has to close
 MAX_DISCARDED = 4096  # bytes read and discarded after the response
 
 
 class CallOwner(Protocol):
-    """What a call needs of the listener that accepted it."""
+    """The interface of the listener that a call needs."""
 
-    calls: dict[AdminCall, None]  # the open calls; those first in it are closed first to make room
+    calls: dict[AdminCall, None]  # open calls, in the order in which they are closed to make room
     routes: dict[bytes, AdminRoute]
 
 
 class AdminCall(Actor):
-    """One connection of an operator: one call, read, handled and answered."""
+    """One connection of an operator, on which one call is read, handled and answered."""
 
     priority = True
 
     def __init__(self, context: SidecarContext, listener: CallOwner, sock: socket.socket) -> None:
-        """Take over an accepted connection."""
+        """Adopt an accepted connection."""
         self.context, self.listener = context, listener
         self.stream = Stream(context.loop, self, sock, h11.SERVER, context.buffer_pool)
         listener.calls[self] = None
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
-        """Serve the call; log it, or that its caller has gone."""
+        """Serve the call, and log its result or the loss of its connection."""
         target = ""
         opened_at = self.loop.now()
         try:
@@ -90,13 +90,13 @@
             if isinstance(event, h11.Request):
                 request = event
                 if has_conflicting_lengths(event.headers):
-                    raise CallRejectedError(HTTPStatus.BAD_REQUEST, "two lengths")
+                    raise CallRejectedError(HTTPStatus.BAD_REQUEST, "conflicting body lengths")
             elif isinstance(event, h11.Data) and request is not None:
                 body += bytes(event.data)
                 self._check_body_size(request, body)
             elif isinstance(event, h11.EndOfMessage) and request is not None:
                 if self.stream.http.trailing_data[0].strip():
-                    raise CallRejectedError(HTTPStatus.BAD_REQUEST, "more than one call")
+                    raise CallRejectedError(HTTPStatus.BAD_REQUEST, "more than one request")
                 return request, body
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionLostError(CloseReason.CALLER_LEFT)
@@ -115,19 +115,21 @@
             raise CallRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too long")
 
     def _receive(self, until: float, begun: bool) -> Coroutine[None]:
-        """Wait for more of the request, `until` at the latest."""
+        """Wait for more of the request, at the latest until `until`."""
         self.stream.send_continue()
         message = yield until
         if message is CLOSE:
             raise ConnectionLostError(CloseReason.NOT_NEEDED)
         if message is None:
-            raise CallRejectedError(HTTPStatus.REQUEST_TIMEOUT, "half a call" if begun else "no call")
+            raise CallRejectedError(
+                HTTPStatus.REQUEST_TIMEOUT, "incomplete request" if begun else "no request"
+            )
         self.stream.read()
 
     # The response.
 
     def _handle(self, request: h11.Request, body: bytes) -> Coroutine[AdminResult]:
-        """Run the handler, again while another process holds the file of the overrides."""
+        """Run the handler; retry it while another process holds the lock of the overrides file."""
         until = self.loop.now() + HANDLER_TIMEOUT
         route = self._route(request)
         while True:
@@ -135,13 +137,13 @@
                 result = route.handler(self.context, body)
                 return result if isinstance(result, tuple) else (yield from result)
             except OverridesLockedError:
-                # Waits by the loop, which has to go on running meanwhile.
+                # The wait yields to the loop, which must go on running.
                 if self.loop.now() >= until:
-                    reason = "the other process holds the file"
+                    reason = "another process holds the overrides file"
                     raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, reason) from None
                 yield self.loop.now() + LOCK_RETRY_INTERVAL
             except OSError as error:
-                reason = f"not written: {error.strerror}"
+                reason = f"overrides file not written: {error.strerror}"
                 raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, reason) from error
 
     def _route(self, request: h11.Request) -> AdminRoute:
@@ -154,7 +156,7 @@
 
     def _write(self, status: int, body: bytes) -> Coroutine[None]:
         if self.stream.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            return  # what came was not HTTP at all, and h11 has nothing to answer to
+            return  # the input was not HTTP at all, and h11 can't answer it
         headers = [(b"Content-Length", str(len(body)).encode()), (b"Connection", b"close")]
         self.stream.put(h11.Response(status_code=status, headers=headers))
         if body:
@@ -165,7 +167,7 @@
             self.stream.wait_for(WRITE)
             if (yield until) is None:
                 raise ConnectionLostError(CloseReason.SLOW_READER)
-        # Answered: it is closed to make room before those that have not called yet.
+        # An answered call is closed to make room before those that have not sent a request yet.
         self.listener.calls.pop(self, None)
         self.listener.calls = {self: None, **self.listener.calls}
         yield from self.stream.finish(self.loop.now() + CLOSE_TIMEOUT, MAX_DISCARDED)
--- a/starlingwheel/net/admin/listener.py
+++ b/starlingwheel/net/admin/listener.py
@@ -1,7 +1,7 @@
-"""The admin address: accepts operators' calls, one to a connection, ahead of clients' requests.
+"""The admin listener: accepts operators' calls, one per connection, with priority over clients' requests.
 
-Owns the listening socket and the set of open calls. It also polls what another process of the same sidecar
-was told by operators.
+The actor owns the listening socket and the set of open calls. It also polls for overrides that operators have
+set by way of another process of the same sidecar.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from .call import AdminCall
 from .routes import ROUTES
 
-MAX_ACCEPTS_PER_TURN = 16  # calls
+MAX_ACCEPTS_PER_TURN = 16  # connections
 OVERRIDES_POLL_INTERVAL = 0.05  # seconds
 
 
@@ -26,9 +26,9 @@
     daemon = True
 
     def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
-        """`sock` listens already."""
+        """Create the listener on `sock`, which is listening already."""
         self.context, self.sock = context, sock
-        self.calls: dict[AdminCall, None] = {}  # the first ones are closed first to make room
+        self.calls: dict[AdminCall, None] = {}  # open calls, in the order of closing them to make room
         self.routes = ROUTES | (context.fleet.admin_routes if context.fleet is not None else {})
         sock.setblocking(False)
         context.loop.register(sock.fileno(), self, READ)
@@ -45,7 +45,7 @@
             self.context.check_siblings()
 
     def _accept(self) -> None:
-        # Calls closed to make room give their descriptors back by the next turn: until then both are open.
+        # A call closed to make room releases its descriptor in the next turn; until then both are open.
         for _ in range(min(MAX_ACCEPTS_PER_TURN, self.context.connections.admin_call_limit)):
             try:
                 sock, _ = self.sock.accept()
@@ -59,7 +59,7 @@
             AdminCall(self.context, self, sock).begin()
 
     def _close_oldest(self) -> None:
-        """Callers that send nothing must not keep out those who call."""
+        """Close the first call in the order, so that silent connections do not keep out other callers."""
         oldest = next(iter(self.calls))
         del self.calls[oldest]
         oldest.post(CLOSE)
--- a/starlingwheel/net/admin/routes.py
+++ b/starlingwheel/net/admin/routes.py
@@ -1,7 +1,7 @@
-"""What the admin address offers: each path with its method and its handler.
+"""The routes of the admin interface: each path with its method and its handler.
 
-The only module that knows the paths and the JSON of the calls of one sidecar; `net/fleet/admin.py` adds those
-of a fleet.
+This is the only module that knows the paths and the JSON of the calls of one sidecar; `net/fleet/admin.py`
+adds those of a fleet.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from ..context import SidecarContext
 
 MAX_BODY_SIZE = 4096  # bytes
-AdminResult = tuple[str, bytes]  # the id that a call names, for the log, and the body of its response
+AdminResult = tuple[str, bytes]  # the id in the call, for the log, and the body of the response
 AdminHandler = Callable[[SidecarContext, bytes], AdminResult | Coroutine[AdminResult]]
 
 
 class IdCommand(msgspec.Struct):
-    """The body of a call about one thing: an endpoint, a policy version, a member of a fleet."""
+    """The body of a call that names one endpoint, policy version or fleet member."""
 
     id: str
 
@@ -30,12 +30,12 @@
     """The call is answered with an error."""
 
     def __init__(self, status: int, reason: str, body: bytes = b"") -> None:
-        """`reason`: for the log. `body`: of the response."""
+        """Create the error; `reason` is logged, `body` is that of the response."""
         self.status, self.reason, self.body = status, reason, body
 
 
 class AdminRoute(NamedTuple):
-    """One path. `handler` may wait: it then yields the time until which it waits, as an actor does."""
+    """The method, handler and body limit of a path; a handler may yield deadlines to wait, as actors do."""
 
     method: bytes
     handler: AdminHandler
@@ -43,7 +43,7 @@
 
 
 def decode_id(body: bytes) -> str:
-    """Return the id that the body of a call names; raises `CallRejectedError`."""
+    """Return the id in the body of a call; raises `CallRejectedError`."""
     try:
         name = msgspec.json.decode(body, type=IdCommand).id
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -55,7 +55,7 @@
 
 def _ready(context: SidecarContext, body: bytes) -> AdminResult:
     if not context.accepts_clients:
-        raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, "no list yet, or stopping")
+        raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, "no endpoint list yet, or stopping")
     return "", b""
 
 
@@ -72,7 +72,7 @@
 ) -> AdminResult:
     changed = change(endpoint_id)
     if changed is None:
-        raise CallRejectedError(HTTPStatus.NOT_FOUND, f"{endpoint_id!r} was never listed")
+        raise CallRejectedError(HTTPStatus.NOT_FOUND, f"{endpoint_id!r} was never in the endpoint list")
     context.overrides_changed(changed)
     return endpoint_id, b""
 
--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -1,6 +1,6 @@
-"""What the actors of one sidecar share: configuration, clock, log, limits and each other's mailboxes.
+"""State shared by the actors of one sidecar: configuration, clock, log, limits and references to each other.
 
-`lifecycle/sidecar.py` builds the actors and sets them here before the first turn of the loop. Times are
+`lifecycle/sidecar.py` creates the actors and stores them here before the first turn of the loop. Times are
 seconds on the loop's clock.
 """
 
@@ -30,12 +30,12 @@
 from .state.overrides import EndpointOverrides
 from .state.siblings import SiblingProcesses
 
-FORMER_CLASS_RETENTION = 3.0  # seconds for which clients may still use a request class that was dropped
-BUFFER_MEMORY_SHARE = 1 / 3  # of the memory limit
+FORMER_CLASS_RETENTION = 3.0  # seconds for which clients may still use a request class that a reload dropped
+BUFFER_MEMORY_SHARE = 1 / 3  # part of the memory limit that buffers may take
 
 
 class MessageReceiver(Protocol):
-    """An actor as others see it."""
+    """The interface of an actor that only receives messages."""
 
     ended: bool
 
@@ -44,14 +44,14 @@
 
 
 class Coordinator(MessageReceiver, Protocol):
-    """The actor that hosts the decisions, as the others see it."""
+    """The interface of the coordinator, the actor that hosts the decisions."""
 
     counts: dict[str, int]
-    slowest_turn: float  # seconds, since it was last reported
+    slowest_turn: float  # seconds that the slowest message took since the last report
 
     @property
     def has_endpoints(self) -> bool:
-        """The endpoint list has been heard."""
+        """Whether an endpoint list has been received."""
 
     @property
     def pending_requests(self) -> Collection[Any]:
@@ -63,30 +63,30 @@
 
     @property
     def mailbox(self) -> Collection[Any]:
-        """Messages that are not handled yet."""
+        """Messages that have not been handled yet."""
 
 
 class Discovery(MessageReceiver, Protocol):
-    """The discovery client, as the others see it."""
+    """The interface of the discovery client."""
 
     current: Any  # the watch in use
 
 
 class GossipSender(Protocol):
-    """Sends gossip to the peers."""
+    """The interface of the actor that sends gossip to the peers."""
 
     def send(self, body: bytes) -> None:
-        """Send it to each peer."""
+        """Send a datagram to each peer."""
 
 
 class Drainer(MessageReceiver, Protocol):
-    """Sends clients away while operators want the sidecar drained."""
+    """The interface of the actor that closes client connections while operators drain the sidecar."""
 
-    on: bool
+    is_draining: bool
 
 
 class SidecarContext:
-    """State that the actors of one sidecar share."""
+    """The state that the actors of one sidecar share."""
 
     coordinator: Coordinator
     discovery: Discovery
@@ -96,8 +96,8 @@
     signals: Any
     gossip_socket: GossipSender | None = None
     admin_listener: Any = None
-    fleet: Any = None  # `SidecarFleet`, where the configuration has a `fleet` part
-    connection_type: Callable[..., Any]  # of connections to endpoints
+    fleet: Any = None  # a `SidecarFleet` if the configuration has a `fleet` part
+    connection_type: Callable[..., Any]  # the class of connections to endpoints
     siblings: SiblingProcesses | None = None
 
     def __init__(
@@ -107,11 +107,11 @@
         environment: Mapping[str, str],
         log_fd: int = 1,
     ) -> None:
-        """`log_fd`: the descriptor that the log is written to."""
+        """Create the shared state; `log_fd` is the descriptor that the log is written to."""
         self.config = config
         self.environment = environment
         self.loop = Loop(self._log_error)
-        self.former_request_classes: list[tuple[float, RequestClass]] = []  # with the time of their end
+        self.former_request_classes: list[tuple[float, RequestClass]] = []  # with the end of their retention
         self.process_count = 1
         self._apply_config(balancer_config)
         self.log = EventLog(self.loop.now, log_fd)
@@ -126,27 +126,27 @@
             balancer_config.drain_grace, pushed=not balancer_config.must_watch_endpoints
         )
         self.gate = AttemptGate(self.lease, self.overrides, self.loop.now, self.log)
-        self.active_traces: set[bytes] = set()  # of the requests that clients wait for
-        self.resets_expected_until = -inf  # until then connections to endpoints may break at any time
-        self.unsolicited_responses_until = -inf  # until then unsolicited responses may come at any time
+        self.active_traces: set[bytes] = set()  # trace ids of the requests that clients wait for
+        self.resets_expected_until = -inf  # until then connections to endpoints may be reset at any time
+        self.unsolicited_responses_until = -inf  # until then unsolicited responses may arrive at any time
         self.stopping = False
         self.rng = random.Random(config.seed)
 
     # Processes of one sidecar.
 
     def set_process_count(self, processes: int) -> None:
-        """Share the limits, and the slow-start budgets, between so many processes of this sidecar."""
+        """Divide the limits, and the slow-start budgets, among `processes` processes of this sidecar."""
         limits = self.config.limits
         self.process_count = processes
         buffers = int(limits.memory_mb * BUFFER_MEMORY_SHARE * 2**20 / BUFFER_SIZE / processes)
         self.buffer_pool.set_limit(buffers)
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        # Where the system allows fewer descriptors than were configured, discovery must still get its own.
+        # If the system allows fewer descriptors than configured, discovery must still get those it needs.
         sockets = limits.sockets if soft == resource.RLIM_INFINITY else min(limits.sockets, soft)
         self.connections.set_limit(sockets, processes)
 
     def check_siblings(self) -> None:
-        """Look whether another process of this sidecar runs, and share the limits accordingly."""
+        """Check whether another process of this sidecar is running, and divide the limits accordingly."""
         processes = 1 + (self.siblings is not None and self.siblings.has_others())
         if processes != self.process_count:
             self.log("processes", count=processes)
@@ -156,22 +156,22 @@
     # Configuration.
 
     def reload(self, balancer_config: BalancerConfig) -> None:
-        """Put a new configuration in force for all requests that come from now on."""
+        """Apply a new configuration to all requests that arrive from now on."""
         now = self.loop.now()
         self.former_request_classes = [(end, c) for end, c in self.former_request_classes if end > now]
-        # Clients that have not heard of the new configuration yet go on using the request classes before it.
+        # Clients that do not know the new configuration yet go on using the former request classes.
         end = now + FORMER_CLASS_RETENTION
         self.former_request_classes += [(end, c) for c in self.balancer_config.request_classes]
         self._apply_config(balancer_config)
         self.coordinator.post(ConfigReloaded(self.balancer_config))
 
     def log_contradictory_settings(self) -> None:
-        """Log settings that contradict each other: no start is refused for them."""
-        for key, why in contradictions(self.config.settings):
-            self.log("settings.mixed", key=key, why=why)
+        """Log settings that contradict each other; they do not prevent a start."""
+        for key, reason in contradictions(self.config.settings):
+            self.log("settings.mixed", key=key, why=reason)
 
     def _apply_config(self, balancer_config: BalancerConfig) -> None:
-        """Derive all that depends on the configuration."""
+        """Set the configuration and the values derived from it."""
         self.balancer_config = msgspec.structs.replace(balancer_config, process_count=self.process_count)
         classes = balancer_config.request_classes
         former = [request_class for _, request_class in self.former_request_classes]
@@ -181,12 +181,13 @@
         self.longest_timeout = max(c.timeout for c in [*classes, *former])
 
     def request_class_for(self, name: str, retry_safety: RetrySafety) -> RequestClass | None:
-        """Return the class of that name and retry safety; failing that, the one of that name in force.
+        """Return the request class of that name and retry safety, or else the current class of that name.
 
-        One that was dropped, or whose retry safety changed, is served by its former rules for a while.
+        A class that a reload dropped, or whose retry safety it changed, keeps its former rules for
+        `FORMER_CLASS_RETENTION`.
         """
         current = self.request_classes.get(name)
-        # Members of a fleet accept no request under a policy that is over.
+        # Members of a fleet accept no request under a policy that is no longer in force.
         no_former = not self.former_request_classes or self.fleet is not None
         if no_former or (current is not None and current.retry_safety is retry_safety):
             return current
@@ -198,14 +199,18 @@
 
     @property
     def accepts_clients(self) -> bool:
-        """Requests are accepted: the endpoint list is known, and the process does not stop."""
+        """Whether requests are accepted: an endpoint list is known, and the process is not stopping."""
         return self.coordinator.has_endpoints and not self.stopping and self._fleet_joined
 
     @property
     def ready(self) -> bool:
-        """The answer to a readiness check; one that is being replaced does not speak for its sidecar."""
-        stays = not (self.stopping and not self.passed_socket) and not self.draining
-        return self.coordinator.has_endpoints and stays and self._fleet_joined
+        """Whether readiness checks succeed.
+
+        A process that stops because another one replaces it on the passed socket stays ready: the sidecar as
+        a whole goes on serving.
+        """
+        keeps_serving = not (self.stopping and not self.passed_socket) and not self.draining
+        return self.coordinator.has_endpoints and keeps_serving and self._fleet_joined
 
     @property
     def _fleet_joined(self) -> bool:
@@ -213,14 +218,14 @@
 
     @property
     def draining(self) -> bool:
-        """Operators want clients sent away, while the process stays."""
+        """Whether operators are draining the sidecar: clients are disconnected, the process keeps running."""
         return self.overrides.stored.sidecar_draining
 
     def overrides_changed(self, entries: list[DiscoveredEndpoint]) -> None:
-        """Operators have changed endpoints, or draining, by this process or by another of this sidecar."""
+        """Apply changes by operators, to endpoints or to draining, made in this process or in a sibling."""
         if entries:
             self.coordinator.post(EndpointsChanged(WatchEvent.DELTA, entries))
-        if self.draining != self.client_drainer.on:
+        if self.draining != self.client_drainer.is_draining:
             self.client_drainer.post(DRAIN)
 
     def _log_error(self, actor: Actor, error: Exception) -> None:
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -1,4 +1,4 @@
-"""The actor that hosts the decisions: turns messages into events for them, and their commands into messages.
+"""The actor that hosts the decisions: passes messages to them as events, and carries out their commands.
 
 It makes no decision itself.
 """
@@ -33,11 +33,11 @@
 
 SERVICE_UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-HEALTH_CHECK_TIMEOUT = 1 / 2  # of the shortest latency objective
+HEALTH_CHECK_TIMEOUT = 1 / 2  # as a part of the shortest latency objective
 
 
 def _request_of(message: object) -> PendingRequest | None:
-    """The request that a message is about; None: it is about none."""
+    """Return the request that a message is about, or None if it is not about one."""
     match message:
         case RequestReceived(pending) | RequestBodyComplete(pending) | ClientDisconnected(pending):
             return pending
@@ -50,27 +50,27 @@
     """Hosts the `DecisionScheduler` of one sidecar (`decisions.scheduler.DecisionHost`)."""
 
     daemon = True
-    # Gossip of many peers would pile up before an actor that gets as little of a turn as each of them.
+    # Each peer's actor handles one message per turn: at that rate gossip of many peers would accumulate here.
     messages_per_turn = 64
 
     def __init__(self, context: SidecarContext) -> None:
-        """Not started yet; no endpoint is known."""
+        """Create the coordinator, without any endpoint; `begin` starts it."""
         self.context = context
         self.scheduler = DecisionScheduler(
             context.balancer_config, context.rng, self, context.loop.now(), context.lease
         )
         self.pools: dict[str, ConnectionPool] = {}  # by endpoint id
         self.pending_requests: dict[Request, PendingRequest] = {}
-        self.alarm_at = inf  # when the decisions want to run next
-        self.restart_at = inf  # when the background tasks of the decisions start anew after an error
-        self.has_started = False  # the background tasks of the decisions
-        self.has_endpoints = False  # the endpoint list has been heard
-        self.counts = {"finished": 0, "deferred": 0, "written_off": 0, "left": 0}  # as they are logged
-        self.slowest_turn = 0.0  # seconds, since it was last reported
+        self.alarm_at = inf  # when the decisions are to run next
+        self.restart_at = inf  # when the background tasks of the decisions are restarted after an error
+        self.has_started = False  # whether the background tasks of the decisions have been started
+        self.has_endpoints = False  # whether an endpoint list has been received
+        self.counts = {"finished": 0, "deferred": 0, "written_off": 0, "left": 0}  # by their names in the log
+        self.slowest_turn = 0.0  # seconds that the slowest message took since the last report
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
-        """Handle messages and alarms, for ever. An error ends the request concerned, not the actor."""
+        """Handle messages and alarms forever. An error ends the request concerned, not the actor."""
         while True:
             message = yield min(self.alarm_at, self.restart_at)
             now = self.loop.now()
@@ -91,7 +91,7 @@
                 self.pending_requests[pending.request] = pending
                 self.scheduler.accept_request(pending.request)
             case RequestBodyComplete(pending):
-                # Its timeout counts from now on.
+                # The timeout of the request counts from the arrival of its last byte.
                 pending.request.arrived_at = self.scheduler.now
                 self.scheduler.request_body_complete(pending.request, list(pending.exchanges))
             case ExchangeEnded(exchange, outcome, load_report, response):
@@ -159,7 +159,7 @@
         self.has_endpoints = self.has_endpoints or bool(self.pools)
         self.scheduler.endpoints_changed(event, [endpoint.to_endpoint() for endpoint in endpoints])
         if not self.has_started:
-            # From the first list on: before that there is nothing to watch, poll or check.
+            # Before the first list there is nothing to watch, poll or check.
             self.has_started = True
             self.scheduler.start()
 
@@ -178,14 +178,14 @@
     # Commands of the decisions (`DecisionHost`).
 
     def start_attempt(self, attempt: Attempt, limit: float) -> None:
-        """Start an attempt; it is given up after `limit` seconds."""
+        """Start an attempt, which times out after `limit` seconds."""
         pending = self.pending_requests[attempt.request]
         pool = None
         if self.context.gate.may_start_attempt(pending):
             pool = self.pools.get(attempt.endpoint.endpoint_id)
         deadline = attempt.started_at + limit
         if pending.body_incomplete:
-            # The time that the client takes to send the rest is not the endpoint's.
+            # The time that the client takes to send the rest is not counted against the endpoint.
             attempt.started_at = inf
         exchange = Exchange(attempt.endpoint, pool, attempt.started_at, deadline, attempt, pending)
         pending.exchanges[attempt] = exchange
@@ -198,7 +198,7 @@
             self.post(ExchangeEnded(exchange, AttemptOutcome.NOT_SENT))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel an attempt in flight; one that has ended is ignored."""
+        """Cancel an attempt; does nothing if it has ended."""
         self._cancel_exchange(self.pending_requests[attempt.request].exchanges.get(attempt))
 
     def _cancel_exchange(self, exchange: Exchange | None) -> None:
@@ -206,7 +206,7 @@
             exchange.pool.post(CancelExchange(exchange))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Reject a request as harmless: the client may send it again after `retry_after` seconds."""
+        """Reject a request that has not run: the client may send it again after `retry_after` seconds."""
         pending = self.pending_requests[request]
         if not self.context.gate.may_reject(pending):
             self.fail_request(request)
@@ -217,17 +217,17 @@
         self._forget_if_finished(pending)
 
     def fail_request(self, request: Request) -> None:
-        """Answer a request that may have run, or whose time is over."""
+        """Answer 504 to a request that may have run, or whose deadline has passed."""
         pending = self.pending_requests[request]
         self._send_final_response(pending, FinalResponse(GATEWAY_TIMEOUT), "written_off")
         self._forget_if_finished(pending)
 
     def watch_endpoints(self) -> None:
-        """Have the endpoint list watched."""
+        """Tell the discovery client to watch the endpoint list."""
         self.context.discovery.post(WATCH_ENDPOINTS)
 
     def start_health_check(self, endpoint: EndpointStats) -> None:
-        """Check the health of an endpoint."""
+        """Start a health check of an endpoint."""
         now = self.loop.now()
         pool = self.pools.get(endpoint.endpoint_id)
         deadline = now + self.context.shortest_objective * HEALTH_CHECK_TIMEOUT
@@ -236,19 +236,19 @@
     def send_gossip(self, body: bytes) -> None:
         """Send gossip to all peers."""
         context = self.context
-        # Of two processes of one sidecar only the later one sends: peers would count its load twice.
+        # Of two processes of one sidecar only the later sends; otherwise peers would count its load twice.
         if context.gossip_socket is not None and not (context.stopping and context.passed_socket):
             context.gossip_socket.send(body)
 
     def set_alarm(self, at: float) -> None:
-        """Run the decisions at that time, at the latest."""
+        """Run the decisions at that time at the latest."""
         self.alarm_at = min(self.alarm_at, at)
 
     def report_defect(self, request: Request | None, error: Exception) -> None:
-        """Log an error in the decisions, and end the request concerned; None: a background task's error."""
+        """Log an error in the decisions and end its request; None means an error in a background task."""
         self.context.log.defect("module.defect", error)
         if request is None:
-            # The background tasks start anew: else the endpoint list would stay unwatched for good.
+            # Without a restart of the background tasks the endpoint list would never be watched again.
             self.restart_at = self.scheduler.now + self.context.shortest_objective
         elif pending := self.pending_requests.get(request):
             self._abandon_request(pending)
@@ -261,7 +261,7 @@
         pending.client.post(response)
 
     def _abandon_request(self, pending: PendingRequest) -> None:
-        """Answer a request that can't be decided on, because of an error, and cancel its exchanges."""
+        """Answer 504 to a request whose handling has failed with an error, and cancel its exchanges."""
         if pending.awaits_response:
             self.context.log(
                 "work.given_up",
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -1,9 +1,9 @@
-"""The gate: the one place that decides whether an attempt may begin now, and that counts what it refused.
+"""The last check before an attempt is sent: whether it may still begin. Refused attempts are counted.
 
-Decisions are made ahead of the first byte: a connection has to come up, a queue to empty, a replica to
-answer. So each attempt, first, repeated or hedged, each health check and each request on a kept
-connection asks here at the last moment, over HTTP/1.1 and HTTP/2 alike. Times are seconds on the loop's
-clock.
+Time passes between a decision and the first byte: a connection has to be established, a queue to drain, a
+replica to answer. So every attempt, whether first, retry or hedge, every health check and every request on
+a reused connection is checked here right before its first byte, over HTTP/1.1 and HTTP/2 alike. Times are
+seconds on the loop's clock.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 
 class Refusal(enum.Enum):
-    """Why an attempt may not begin. The values are logged."""
+    """The reason why an attempt may not begin. The values are logged."""
 
-    MOVED = "moved"  # the endpoint drains, is gone, or another process is there in its place
-    LEASE_EXPIRED = "lease-expired"  # the endpoint list may not be acted on any more
-    ANSWERED = "answered"  # the request has its final response
-    TOO_LATE = "too-late"  # its time is over
+    MOVED = "moved"  # the endpoint is draining, removed, or replaced by another process
+    LEASE_EXPIRED = "lease-expired"  # the lease of the endpoint list has expired
+    ANSWERED = "answered"  # the request already has its final response
+    TOO_LATE = "too-late"  # the deadline has passed
     CLIENT_LEFT = "client-left"
-    WINDOW_OVER = "window-over"  # repeats of what may have run are not deduplicated any more
+    WINDOW_OVER = "window-over"  # a retry of a request that may have run may not be deduplicated any more
 
 
 class AttemptGate:
-    """Asked before the first byte of whatever is sent to an endpoint."""
+    """Decides right before the first byte to an endpoint whether an exchange may begin."""
 
     def __init__(
         self,
@@ -41,19 +41,19 @@
         now: Callable[[], float],
         log: Callable[..., None],
     ) -> None:
-        """`now`: the loop's clock; `log`: called with an event's name and its fields."""
+        """Create the gate; `now` is the loop's clock, `log` is called with an event's name and its fields."""
         self.lease = lease
         self.overrides = overrides
         self.now = now
         self.log = log
         self.refused: Counter[Refusal] = Counter()
-        self.late_writes = 0  # first bytes written longer after the check than the lease allows for
+        self.late_writes = 0  # first bytes written later after the check than the lease allows for
         self.stale_rejections = 0  # requests rejected while the lease had expired
-        self.violations = 0  # attempts and responses that the decisions asked for and that no rule allows
+        self.violations = 0  # commands of the decisions that break the rules for non-idempotent requests
         self.last_state = LeaseState.FRESH
 
     def refusal(self, endpoint: DiscoveredEndpoint, exchange: Exchange) -> Refusal | None:
-        """Return why nothing may be sent to this endpoint for this exchange now; None: it may."""
+        """Return why the exchange may not be sent to this endpoint now, or None if it may."""
         reason = self._endpoint_refusal(endpoint)
         reason = reason or self._repeat_refusal(exchange) or self.exchange_refusal(exchange)
         if reason is not None:
@@ -63,7 +63,10 @@
         return reason
 
     def _endpoint_refusal(self, endpoint: DiscoveredEndpoint) -> Refusal | None:
-        """Refuse what was chosen before the endpoint drained, left or moved, and a list that is too old."""
+        """Refuse an endpoint that has drained, left or moved since it was selected.
+
+        Under an expired lease any endpoint is refused.
+        """
         current = self.overrides.current(endpoint.id)
         if current is None or current.state == DRAINING_STATE:
             return Refusal.MOVED
@@ -72,9 +75,9 @@
         return Refusal.LEASE_EXPIRED if self.update_lease_state() is LeaseState.EXPIRED else None
 
     def _repeat_refusal(self, exchange: Exchange) -> Refusal | None:
-        """Refuse a repeat that was chosen within its deduplication window and would begin after it.
+        """Refuse a retry that was decided on within its deduplication window and would begin after it.
 
-        That happens where a connection comes up late, or the process was held up.
+        That happens if a connection is established late, or if the process was suspended.
         """
         pending = exchange.pending
         if pending is None:
@@ -89,14 +92,14 @@
         )
         first = min(pending.first_may_have_run_at, *others, inf)
         window = request_class.deduplication_window
-        over = self.now() >= first + max(window - HELD_UP, window / 2)
-        return Refusal.WINDOW_OVER if over else None
+        is_over = self.now() >= first + max(window - HELD_UP, window / 2)
+        return Refusal.WINDOW_OVER if is_over else None
 
     def exchange_refusal(self, exchange: Exchange) -> Refusal | None:
-        """Return why nothing more is to be sent for an exchange; None: it is wanted.
+        """Return why nothing more may be sent for an exchange on account of its request, or None.
 
-        In a late turn of the loop a connection may be ready before the client's end, the final response or a
-        timeout has been handled. This also holds for exchanges that may not be cancelled.
+        In a late turn of the loop a connection may become ready before the client's disconnect, the final
+        response or a timeout has been handled. This also applies to exchanges that may not be cancelled.
         """
         if exchange.pending is None:
             return None
@@ -107,17 +110,17 @@
         return Refusal.CLIENT_LEFT if exchange.pending.client.has_disconnected() else None
 
     def record_first_write(self, exchange: Exchange) -> None:
-        """Count first bytes that were written too long after `refusal` let them."""
+        """Count a first byte that was written too long after `refusal` admitted its exchange."""
         if exchange.admitted_at and self.now() - exchange.admitted_at > HELD_UP:
             self.late_writes += 1
         exchange.admitted_at = 0.0
 
     def record_rejection(self) -> None:
-        """Count a rejected request, if the lease is the reason."""
+        """Count a rejected request if the lease has expired."""
         self.stale_rejections += self.update_lease_state() is LeaseState.EXPIRED
 
     def update_lease_state(self) -> LeaseState:
-        """Return the lease's state; a change of it is logged."""
+        """Return the state of the lease, and log it if it has changed."""
         now = self.now()
         state = self.lease.state(now)
         if state is not self.last_state:
@@ -125,18 +128,21 @@
             self.log("lease", state=state.value, ends_in_s=round(self.lease.ends_at - now, 3))
         return state
 
-    # Checks of the decisions at run time: an error there must not break a rule.
+    # Run-time checks of the decisions: an error in them must not break the rules for non-idempotent requests.
 
     def may_start_attempt(self, pending: PendingRequest) -> bool:
-        """Another attempt may begin: a non-idempotent request has none that may have run, or may yet."""
-        return self._none_may_have_run(pending, "a second attempt for what may have run")
+        """Return whether another attempt may begin.
+
+        A non-idempotent request must have no attempt that may have run or may still run.
+        """
+        return self._none_may_have_run(pending, "second attempt for a request that may have run")
 
     def may_reject(self, pending: PendingRequest) -> bool:
-        """The request may be rejected as harmless."""
-        return self._none_may_have_run(pending, "refused as harmless, though it may have run")
+        """Return whether the request may be rejected with the promise that it has not run."""
+        return self._none_may_have_run(pending, "rejected as safe to retry, though it may have run")
 
     def _none_may_have_run(self, pending: PendingRequest, violation: str) -> bool:
-        """Hold for a non-idempotent request only if no attempt may have run; else log a violation."""
+        """Return whether no attempt of a non-idempotent request may have run; log a violation otherwise."""
         if pending.request.request_class.retry_safety is not RetrySafety.NON_IDEMPOTENT:
             return True
         if not (pending.may_have_run or pending.exchanges):
--- a/starlingwheel/net/gossip/socket.py
+++ b/starlingwheel/net/gossip/socket.py
@@ -1,4 +1,4 @@
-"""Datagrams between sidecars: one actor owns the socket, one for each peer filters what it sends."""
+"""Gossip datagrams: one actor owns the socket, and one actor per peer filters the datagrams of that peer."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ..messages import GossipReceived
 
 MAX_DATAGRAM_SIZE = 256  # bytes
-MAX_DATAGRAMS_PER_TURN = 64  # the others wait in the kernel's buffer, or are dropped there
+MAX_DATAGRAMS_PER_TURN = 64  # further ones wait in the kernel's buffer, or are dropped there
 
 
 class GossipPeer(Actor):
-    """One other sidecar: passes on its datagrams, where their size is one that a sidecar may send."""
+    """One other sidecar: forwards its datagrams to the coordinator if their size is valid."""
 
     daemon = True
 
     def __init__(self, context: SidecarContext, number: int) -> None:
-        """`number`: the peer's index among the sidecars."""
+        """Create the actor; `number` is the peer's index among the sidecars."""
         self.context, self.number = context, number
         super().__init__(context.loop)
 
@@ -38,7 +38,7 @@
     daemon = True
 
     def __init__(self, context: SidecarContext, sock: socket.socket) -> None:
-        """`sock` is bound already."""
+        """Create the actor and its peers' actors; `sock` is bound already."""
         self.context, self.sock = context, sock
         self.peers: dict[tuple[str, int], GossipPeer] = {}
         for number, address in enumerate(context.config.peers):
@@ -58,21 +58,21 @@
         super().begin()
 
     def run(self) -> Coroutine[None]:
-        """Read datagrams when the socket has some."""
+        """Read datagrams whenever the socket is readable."""
         while True:
             yield None
-            # In a flood, what the decisions can't keep up with is left to the kernel to drop.
+            # In a flood, datagrams that the decisions can't keep up with are left to the kernel to drop.
             for _ in range(max(0, MAX_DATAGRAMS_PER_TURN - len(self.context.coordinator.mailbox))):
                 try:
                     body, sender = self.sock.recvfrom(MAX_DATAGRAM_SIZE + 1)
                 except OSError:
                     break
-                # Datagrams of strangers, and this sidecar's own, are ignored.
+                # Datagrams of unknown senders, and this sidecar's own, are ignored.
                 if peer := self.peers.get(sender):
                     peer.post(body)
 
     def send(self, body: bytes) -> None:
-        """Send a datagram to all peers; one that can't be sent is logged and lost."""
+        """Send a datagram to all peers; a failure is logged, and the datagram is lost."""
         if self.broadcast_address is None or len(body) > MAX_DATAGRAM_SIZE:
             return
         try:
--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -1,6 +1,6 @@
-"""The configuration file of a sidecar, named by EDGE_CONFIG: read at the start and again at a reload.
+"""The configuration file of a sidecar, named by EDGE_CONFIG: read at the start and again at each reload.
 
-`settings.py` decodes the part that the decisions follow.
+`settings.py` decodes its `settings`, the part that configures the decisions.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from ..address import split_host_port
 from ..discovery.messages import DiscoveryMessage
 
-START_ONLY = {"seed", "known"}  # used by the start alone: a reload does not compare them
-# Fields from which sockets, peers and background tasks are made at the start.
+START_ONLY = {"seed", "known"}  # used at the start only, so a reload ignores changes of them
+# Fields that determine sockets, peers and background tasks, which are created at the start.
 FIXED_AT_START = (
     "must_watch_endpoints",
     "streams_per_connection",
@@ -29,7 +29,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the process may use."""
+    """The resources that the process may use."""
 
     cores: float = 1.0
     memory_mb: float = 192
@@ -50,16 +50,16 @@
     peers_all: str = ""
     known: DiscoveryMessage | None = None
     mgmt: str = ""
-    fleet: Any = None  # as in the file, then as `fleet.config.decode` returns it
-    named: frozenset[str] = frozenset()  # the keys that the file has
+    fleet: Any = None  # as in the file; after decoding, as `fleet.config.decode` returns it
+    named: frozenset[str] = frozenset()  # the keys that are present in the file
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text names file and field."""
+    """The configuration can't be used; the message names the file and the field."""
 
 
 def load_config(environment: Mapping[str, str]) -> tuple[SidecarConfig, BalancerConfig]:
-    """Read the configuration for a start; raises `ConfigError`."""
+    """Read the configuration at the start; raises `ConfigError`."""
     config = _read(environment)
     return _decode_parts(config, environment["EDGE_CONFIG"])
 
@@ -67,10 +67,10 @@
 def reload_config(
     environment: Mapping[str, str], before: SidecarConfig
 ) -> tuple[SidecarConfig, BalancerConfig]:
-    """Read the configuration again, if it can take the place of `before`; raises `ConfigError`.
+    """Read the configuration that is to replace `before`; raises `ConfigError`.
 
-    The file may be half written or half edited: it must have every key that it had before, so that no absence
-    is taken for a default.
+    The file may be half written or half edited. So it must have every key that it had before; otherwise a
+    missing key would silently reset its value to the default.
     """
     config, path = _read(environment), environment["EDGE_CONFIG"]
     try:
@@ -81,17 +81,17 @@
 
 
 def balancer_config_of(config: SidecarConfig, path: str) -> BalancerConfig:
-    """Decode the settings; raises `ConfigError`, which names the key and, as the file, `path`."""
+    """Decode the settings; raises `ConfigError`, which names `path` and the key."""
     try:
         settings.validate(config.settings)
         balancer_config = settings.balancer_config(config.settings)
         if not balancer_config.request_classes or not all(
             c.latency_objective > 0 and c.timeout > 0 for c in balancer_config.request_classes
         ):
-            raise msgspec.ValidationError("categories: none, or one without dueTime or expiry")
+            raise msgspec.ValidationError("categories: empty, or an entry lacks a positive dueTime or expiry")
     except (msgspec.ValidationError, TypeError) as error:
         raise ConfigError(f"{path}: settings: {error}") from error
-    # A sidecar whose settings don't say how the endpoint list comes watches it.
+    # Without the key `discovery` in the settings, the sidecar watches the endpoint list.
     must_watch = config.settings.get("discovery", "ask") == "ask"
     return msgspec.structs.replace(balancer_config, must_watch_endpoints=must_watch)
 
@@ -99,8 +99,9 @@
 def keep_start_only_fields(
     balancer_config: BalancerConfig, before: BalancerConfig
 ) -> tuple[BalancerConfig, list[str]]:
-    """Return the configuration as far as a running process can follow it, and the names of the fields for
-    which it needs a restart.
+    """Return the configuration as far as a running process can apply it, and the fields that need a restart.
+
+    The fields in `FIXED_AT_START` keep their values of `before`; the names of those that differ are returned.
     """
     fixed = {name: getattr(before, name) for name in FIXED_AT_START}
     changed = [name for name, value in fixed.items() if getattr(balancer_config, name) != value]
@@ -110,7 +111,7 @@
 def _read(environment: Mapping[str, str]) -> SidecarConfig:
     path = environment.get("EDGE_CONFIG", "")
     if not path:
-        raise ConfigError("EDGE_CONFIG names no file")
+        raise ConfigError("EDGE_CONFIG is not set or empty")
     try:
         with open(path, "rb") as file:
             given = msgspec.json.decode(file.read())
@@ -128,13 +129,13 @@
     balancer_config = balancer_config_of(config, path)
     if config.fleet is not None:
         if not config.name:
-            raise ConfigError(f"{path}: name: missing; members of a fleet are told apart by it")
+            raise ConfigError(f"{path}: name: missing; it identifies the member in its fleet")
         config = msgspec.structs.replace(config, fleet=_decode_fleet(config, balancer_config, path))
     return config, balancer_config
 
 
 def _decode_fleet(config: SidecarConfig, balancer_config: BalancerConfig, path: str) -> object:
-    from ...fleet.config import decode  # here, so that a start without a fleet does not load it
+    from ...fleet.config import decode  # imported here so that a start without a fleet does not load it
 
     class_names = [c.name for c in balancer_config.request_classes]
     try:
@@ -143,7 +144,7 @@
         raise ConfigError(f"{path}: {error}") from error
 
 
-# What a reload checks.
+# Checks of a reload.
 
 
 def _check_complete(before: SidecarConfig, config: SidecarConfig, path: str) -> None:
@@ -153,7 +154,7 @@
         raise ConfigError(f"{path}: missing: {', '.join(missing)}")
     for key, value in _required_numbers(config.settings):
         if not _is_positive_number(value):
-            raise ConfigError(f"{path}: settings.{key}: {value!r} is no positive number")
+            raise ConfigError(f"{path}: settings.{key}: {value!r} is not a positive number")
 
 
 def _is_positive_number(value: object) -> bool:
@@ -175,7 +176,7 @@
 
 
 def _missing_in_list(key: str, before: list[dict[str, Any]], now: list[object]) -> Iterator[str]:
-    """What each entry of a list had, such as the deadline of a request class, each entry must have."""
+    """Yield the keys that all entries of a list had and an entry lacks now, such as a class's `expiry`."""
     common = set.intersection(*(set(entry) for entry in before))
     for index, entry in enumerate(now):
         present = {k for k, v in entry.items() if v is not None} if isinstance(entry, dict) else set()
--- a/starlingwheel/net/lifecycle/log.py
+++ b/starlingwheel/net/lifecycle/log.py
@@ -1,6 +1,6 @@
 """The log: one JSON line per event on standard output.
 
-A reader that is slow, or has gone, costs lines; it never blocks or ends the sidecar.
+If the reader is slow or has closed the pipe, lines are lost; the sidecar is never blocked or ended by it.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 
 import orjson
 
-MAX_WRITE_SIZE = select.PIPE_BUF  # bytes: a pipe that is writable takes so much without blocking
-MAX_BUFFERED = 1 << 20  # bytes
+MAX_WRITE_SIZE = select.PIPE_BUF  # bytes that a writable pipe accepts without blocking
+MAX_BUFFERED = 1 << 20  # bytes of lines waiting to be written
 
 
 class EventLog:
-    """Buffers lines and writes them when the reader takes them."""
+    """Buffers lines and writes them when the descriptor is writable."""
 
     def __init__(self, now: Callable[[], float], fd: int = 1) -> None:
-        """`now`: the clock of the lines, in seconds. `fd`: the descriptor to write to."""
+        """Create a log that writes to the descriptor `fd`; `now` returns the time of a line, in seconds."""
         self.now, self.fd = now, fd
         self.lines: deque[bytes] = deque()
         self.buffered_bytes = 0
-        self.lost_lines = 0  # since the log last told of lost lines
+        self.lost_lines = 0  # lines lost since the last `log.lost` event
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Buffer one line; a line for which there is no room is lost and counted."""
+        """Buffer one line; a line that does not fit into the buffer is lost and counted."""
         line = orjson.dumps({"at": round(self.now(), 6), "event": event, **fields}, default=str) + b"\n"
         if self.buffered_bytes + len(line) > MAX_BUFFERED:
             self.lost_lines += 1
@@ -39,16 +39,16 @@
         self.lines.append(line)
 
     def defect(self, event: str, error: Exception, **fields: object) -> None:
-        """Log a fault in the code, with its trace."""
+        """Log an unexpected exception, with its traceback."""
         self(event, error=repr(error), trace="".join(traceback.format_exception(error)), **fields)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as many lines as the descriptor accepts without blocking."""
         while self.lines and any(mask & select.POLLOUT for _, mask in self.poll.poll(0)):
             try:
                 os.write(self.fd, self._next_chunk())
             except OSError:
-                # The reader has gone: the sidecar goes on without a log.
+                # The reader has closed the pipe: the sidecar continues without a log.
                 self.lines.clear()
                 self.buffered_bytes = 0
             if self.lost_lines and not self.lines:
--- a/starlingwheel/net/lifecycle/shutdown.py
+++ b/starlingwheel/net/lifecycle/shutdown.py
@@ -1,6 +1,6 @@
-"""Graceful shutdown: every request in flight gets its response, then the process ends by itself.
+"""Graceful shutdown: every request in flight gets its response, then the process exits.
 
-A drain that operators ask for sends clients away in the same way, while the process stays.
+A drain by operators disconnects clients in the same way, while the process keeps running.
 """
 
 from __future__ import annotations
@@ -9,30 +9,31 @@
 from ..context import SidecarContext
 from ..messages import STOP
 
-LINGER = 0.6  # seconds for which clients are still served after a stop: they hear of it late
-STOP_POLLS_PER_OBJECTIVE = 64  # looks for clients that have become idle, in one latency objective
+LINGER = 0.6  # seconds for which clients are still served after a stop, because they notice it late
+# How often per latency objective idle clients are disconnected during a stop and during a drain.
+STOP_POLLS_PER_OBJECTIVE = 64
 DRAIN_POLLS_PER_OBJECTIVE = 16
 
 
 class ShutdownController(Actor):
-    """Ends the sidecar once it is sent `STOP`."""
+    """Ends the sidecar once it receives `STOP`."""
 
     def __init__(self, context: SidecarContext) -> None:
-        """Not started yet."""
+        """Create the actor; `begin` starts it."""
         self.context = context
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
-        """Wait for the first message, then stop listening, wait for the clients and stop the loop."""
+        """Wait for the first message, then stop listening, wait for clients to leave and stop the loop."""
         context = self.context
         yield None
-        context.stopping = True  # from now on each response says that its connection closes
+        context.stopping = True  # from now on each response announces that its connection closes
         context.log(
             "stop",
             clients=len(context.connections.clients),
             in_hand=len(context.coordinator.pending_requests),
         )
-        # Where another process listens on the same socket, new connections go there.
+        # With a passed socket another process listens on it too and accepts the new connections.
         if not context.passed_socket:
             yield from self._linger()
         context.listener.post(STOP)
@@ -46,38 +47,39 @@
         self.loop.stop()
 
     def _linger(self) -> Coroutine[None]:
-        """Wait the whole time, also if further signals arrive meanwhile."""
+        """Wait for `LINGER`, ignoring further messages."""
         until = self.loop.now() + LINGER
         while self.loop.now() < until:
             yield until
 
 
 class ClientDrainer(Actor):
-    """Closes the connections of clients while operators want the sidecar drained."""
+    """Closes client connections while operators drain the sidecar."""
 
     daemon = True
 
     def __init__(self, context: SidecarContext) -> None:
-        """Not started yet."""
+        """Create the actor; `begin` starts it."""
         self.context = context
-        self.on = False  # a drain is under way
+        self.is_draining = False  # whether this actor is carrying out a drain
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
-        """Wait for `DRAIN`, then follow `context.draining`, for ever."""
+        """Wait for `DRAIN`, then drain for as long as `context.draining` is set, forever."""
         context = self.context
         while True:
-            if context.draining == self.on:
+            if context.draining == self.is_draining:
                 yield None
                 continue
-            self.on = context.draining
+            self.is_draining = context.draining
             context.log(
                 "lameduck",
-                on=self.on,
+                on=self.is_draining,
                 clients=len(context.connections.clients),
                 in_hand=len(context.coordinator.pending_requests),
             )
-            # Clients still come for a moment after the first "not ready"; each response ends its connection.
+            # Clients still arrive for a moment after the first failed readiness check; each response closes
+            # its connection.
             until = self.loop.now() + LINGER
             while context.draining and self.loop.now() < until:
                 yield until
@@ -87,6 +89,6 @@
 
 
 def end_idle_clients(context: SidecarContext) -> None:
-    """Ask every client connection to end as soon as its client has its response."""
+    """Tell every client connection to end as soon as its client has its response."""
     for client in list(context.connections.clients):
         client.post(STOP)
--- a/starlingwheel/net/lifecycle/sidecar.py
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -26,11 +26,11 @@
 from .sockets import adopt_listening_socket, bind_socket
 from .stats import StatsReporter
 
-GC_THRESHOLD = 10_000  # objects allocated more than freed, after which reference cycles are looked for
+GC_THRESHOLD = 10_000  # net allocations after which the garbage collector looks for reference cycles
 
 
 class Sidecar:
-    """One sidecar: its context and the actors in it."""
+    """One sidecar: its context and its actors."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         environment: Mapping[str, str],
         log_fd: int = 1,
     ) -> None:
-        """Build the actors and bind their sockets; raises `ConfigError` where an address can't be bound."""
+        """Build the actors and bind their sockets; raises `ConfigError` if an address can't be bound."""
         context = self.context = SidecarContext(config, balancer_config, environment, log_fd)
-        # Imports inside this method: what the configuration does not ask for costs a start nothing.
+        # Some imports are inside this method, so that features that are not configured do not slow the start.
         context.connection_type = Http1Connection
         if balancer_config.streams_per_connection > 1:
             from ..http.http2 import Http2Connection
@@ -58,7 +58,7 @@
 
             context.admin_listener = AdminListener(context, bind_socket(socket.SOCK_STREAM, config.mgmt))
         signals = context.signals = SignalHandler(context)
-        # In the order in which they start.
+        # The actors, in the order in which they are started.
         self.actors: list[Actor] = [
             signals,
             coordinator,
@@ -75,7 +75,7 @@
         context = self.context
         if not context.config.peer_listen or not context.balancer_config.gossip_allowed:
             return None
-        # Where a process is replaced both have the address, and the later one receives.
+        # While a process is replaced both are bound to the address, and the later one receives.
         reuse_address = bool(context.passed_socket)
         sock = bind_socket(socket.SOCK_DGRAM, context.config.peer_listen, reuse_address)
         return GossipSocket(context, sock)
@@ -133,7 +133,7 @@
         )
 
     def run(self) -> None:
-        """Run until the shutdown has ended."""
+        """Run until the shutdown is complete."""
         context = self.context
         context.loop.run()
         context.loop.close()
@@ -142,7 +142,7 @@
 
 
 def _raise_descriptor_limit(wanted: int) -> int:
-    """Raise the soft limit of descriptors as far as the hard one allows; return what it is now."""
+    """Raise the soft limit of descriptors as far as the hard limit allows; return the new soft limit."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
@@ -150,7 +150,7 @@
 
 
 def main() -> int:
-    """Run one sidecar as its environment tells; return the exit code."""
+    """Run one sidecar, configured by its environment; return the exit code."""
     try:
         config, balancer_config = load_config(os.environ)
         wanted = config.limits.sockets
@@ -163,7 +163,7 @@
         return 2
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_THRESHOLD)  # nearly all memory is freed by reference counts
+    gc.set_threshold(GC_THRESHOLD)  # reference counting frees nearly all memory
     sidecar.begin()
     sidecar.run()
     return 0
--- a/starlingwheel/net/lifecycle/signals.py
+++ b/starlingwheel/net/lifecycle/signals.py
@@ -16,44 +16,44 @@
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 STOP_SIGNALS = {signal.SIGTERM, signal.SIGINT}
-RELOADABLE_FIELDS = {"discovery", "settings", "named"}  # of `SidecarConfig`; the others need a restart
+RELOADABLE_FIELDS = {"discovery", "settings", "named"}  # in `SidecarConfig`; the others need a restart
 
 
 class SignalHandler(Actor):
-    """Receives signals as bytes on a socket pair, so that they are handled in a turn of the loop."""
+    """Receives signals as bytes on a socket pair, so that they are handled within a turn of the loop."""
 
     daemon = True
 
     def __init__(self, context: SidecarContext) -> None:
-        """Open the socket pair; signals arrive on it from `begin` on."""
+        """Open the socket pair; signals arrive on it once `begin` has been called."""
         self.context = context
-        self.ours, self.theirs = socket.socketpair()
-        for end in (self.ours, self.theirs):
-            end.setblocking(False)
+        self.receiver, self.sender = socket.socketpair()
+        for sock in (self.receiver, self.sender):
+            sock.setblocking(False)
         super().__init__(context.loop)
 
     def begin(self) -> None:
-        """Handle signals from now on, those that arrived during the start first (__main__.py)."""
-        # Without a handler of its own a signal would end the process; its number is written to the socket.
+        """Handle signals from now on, starting with those that __main__.py blocked during the start."""
+        # Without a handler a signal would end the process. The interpreter writes its number to the socket.
         for number in HANDLED_SIGNALS:
             signal.signal(number, lambda *_: None)
-        signal.set_wakeup_fd(self.theirs.fileno(), warn_on_full_buffer=False)
-        self.loop.register(self.ours.fileno(), self, READ)
+        signal.set_wakeup_fd(self.sender.fileno(), warn_on_full_buffer=False)
+        self.loop.register(self.receiver.fileno(), self, READ)
         super().begin()
         signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
     def run(self) -> Coroutine[None]:
-        """Handle signals, for ever: a reload goes before a stop that arrives with it."""
+        """Handle signals forever; a reload is handled before a stop that arrives with it."""
         while True:
             yield None
-            numbers = set(self.ours.recv(4096))
+            numbers = set(self.receiver.recv(4096))
             if signal.SIGHUP in numbers:
                 self._reload()
             if numbers & STOP_SIGNALS:
                 self.context.shutdown.post(STOP)
 
     def _reload(self) -> None:
-        """Read the whole configuration again; one that can't be used leaves the former one in force."""
+        """Read the configuration again; if it can't be used, the former one stays in force."""
         context = self.context
         try:
             config, balancer_config = reload_config(context.environment, context.config)
@@ -70,7 +70,7 @@
             name for name in config.__struct_fields__ if getattr(config, name) != getattr(before, name)
         }
         reloaded = changed & RELOADABLE_FIELDS
-        # The other fields keep their values: a change that needs a restart is logged at each reload.
+        # The other fields keep their values, so a change that needs a restart is logged again at each reload.
         context.config = msgspec.structs.replace(before, **{name: getattr(config, name) for name in reloaded})
         need_restart = changed - RELOADABLE_FIELDS - START_ONLY
         if "settings" in reloaded:
@@ -78,7 +78,7 @@
             need_restart |= {f"settings: {name}" for name in fixed}
             context.reload(balancer_config)
             context.log_contradictory_settings()
-        taken_over = sorted(reloaded - {"named"})
-        context.log("config.read", taken_over=taken_over, need_restart=sorted(need_restart))
+        applied = sorted(reloaded - {"named"})
+        context.log("config.read", taken_over=applied, need_restart=sorted(need_restart))
         if "discovery" in reloaded:
             context.discovery.post(DiscoveryMoved(config.discovery))
--- a/starlingwheel/net/lifecycle/sockets.py
+++ b/starlingwheel/net/lifecycle/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets that a sidecar listens on: bound to an address, or handed over by the platform."""
+"""Sockets that a sidecar listens on: bound to an address, or passed in by the process that starts it."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def adopt_listening_socket(descriptor: str) -> socket.socket:
-    """Return the listening socket of a descriptor that the platform passed on.
+    """Return the listening socket of a descriptor that was passed to this process.
 
-    Raises `ConfigError` if it is no open listening socket.
+    Raises `ConfigError` if the descriptor is not an open listening socket.
     """
     try:
         sock = socket.socket(fileno=int(descriptor))
@@ -22,17 +22,17 @@
         raise ConfigError(f"EDGE_PASSED_SOCKET: {descriptor!r}: {error}") from error
     if not listening:
         sock.detach()
-        raise ConfigError(f"EDGE_PASSED_SOCKET: {descriptor!r} is no listening socket")
+        raise ConfigError(f"EDGE_PASSED_SOCKET: {descriptor!r} is not a listening socket")
     return sock
 
 
 def bind_socket(
     kind: socket.SocketKind, address: str, reuse_address: bool = False, reuse_port: bool = False
 ) -> socket.socket:
-    """Bind a socket to "host:port"; a stream socket listens, and its address may always be reused.
+    """Bind a socket to "host:port"; a stream socket listens, and may always reuse its address.
 
-    `reuse_address`, `reuse_port`: another process of this sidecar may be bound there too. Raises
-    `ConfigError` if the address can't be bound.
+    With `reuse_address` or `reuse_port`, another process of this sidecar may be bound to the address too.
+    Raises `ConfigError` if the address can't be bound.
     """
     sock = socket.socket(socket.AF_INET, kind)
     if reuse_port:
--- a/starlingwheel/net/lifecycle/stats.py
+++ b/starlingwheel/net/lifecycle/stats.py
@@ -6,21 +6,21 @@
 from ..context import SidecarContext
 
 STATS_INTERVAL = 5.0  # seconds
-PAGE_SIZE = 4096  # bytes, of /proc/self/statm
+PAGE_SIZE = 4096  # bytes; /proc/self/statm counts pages
 
 
 class StatsReporter(Actor):
-    """Logs how the sidecar is, every `STATS_INTERVAL`."""
+    """Logs the state of the sidecar every `STATS_INTERVAL`."""
 
     daemon = True
 
     def __init__(self, context: SidecarContext) -> None:
-        """Not started yet."""
+        """Create the actor; `begin` starts it."""
         self.context = context
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
-        """Log once an interval, for ever."""
+        """Log once per interval, forever."""
         context = self.context
         while True:
             yield self.loop.now() + STATS_INTERVAL
@@ -40,7 +40,7 @@
                 late_ms=round(self.loop.max_timer_delay * 1000, 1),
                 slowest_ms=round(context.coordinator.slowest_turn * 1000, 1),
                 lease=context.lease.state(self.loop.now()).value,
-                refused={why.value: count for why, count in context.gate.refused.items()},
+                refused={reason.value: count for reason, count in context.gate.refused.items()},
                 rejected_stale=context.gate.stale_rejections,
                 gate_violations=context.gate.violations,
                 written_late=context.gate.late_writes,
--- a/starlingwheel/net/loop.py
+++ b/starlingwheel/net/loop.py
@@ -1,8 +1,8 @@
 """The event loop: epoll, timers and the coroutines of the actors, in one thread.
 
-An actor's coroutine says `message = yield until` and is resumed with its next message, or with None once
-`until` has come (`yield None` waits for a message alone). A socket that is ready arrives as a message too.
-Times are seconds on the loop's clock: monotonic, offset once to the wall clock.
+An actor's coroutine executes `message = yield deadline` and is resumed with its next message, or with None
+once `deadline` has passed (`yield None` waits for a message alone). Readiness of a socket is a message too.
+Times are seconds on the loop's clock, which is monotonic and was set to the wall clock once, at the start.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Schedulable(Protocol):
-    """What the loop needs of an actor."""
+    """The interface of an actor that the loop needs."""
 
     priority: bool
     messages_per_turn: int
@@ -34,74 +34,75 @@
     mailbox: deque[Any]
     queued: bool
     ended: bool
-    until: float
-    armed: float
+    wake_at: float  # when to resume it without a message
+    timer_at: float  # when its earliest timer in the heap is due
     ref: ref[Any]
 
     def post(self, message: object) -> None:
         """Queue a message."""
 
     def end(self) -> None:
-        """The coroutine has ended."""
+        """Handle the end of the coroutine."""
 
 
 @dataclass(slots=True, eq=False)
 class SocketReady:
-    """A socket of the actor is ready, in the way that the epoll mask says."""
+    """To the actor that owns a socket: it is ready, as the epoll mask says."""
 
     mask: int
 
     @property
     def hung_up(self) -> bool:
-        """The other side has closed, or the connection has failed."""
+        """Whether the other side has closed or the connection has failed."""
         return bool(self.mask & HANGUP)
 
 
-socket_ready = cache(SocketReady)  # few masks occur, over and over
+socket_ready = cache(SocketReady)  # only a few different masks occur
 
 
 class Loop:
-    """Runs actors: one message to each that has any, then the timers that are due, turn after turn."""
+    """Runs actors: in each turn, delivers messages to the actors that have some, then runs due timers."""
 
     def __init__(self, on_error: Callable[[Any, Exception], None]) -> None:
-        """`on_error`: called with an actor and the exception that ended its coroutine."""
+        """Create a loop; `on_error` is called with an actor and the exception that ended its coroutine."""
         self.on_error = on_error
-        # The wall clock is read once: timers need a clock that does not step, discovery's times one scale.
-        self.offset = time.time() - time.monotonic()
+        # The wall clock is read once: timers need a clock that does not step, while the times that discovery
+        # lists are on the scale of the wall clock.
+        self.wall_clock_offset = time.time() - time.monotonic()
         self.epoll = select.epoll()
         self.hangup_epoll = select.epoll()
         self.actors_by_descriptor: dict[int, Schedulable] = {}
         self.run_queue: deque[Schedulable] = deque()
         self.priority_queue: deque[Schedulable] = deque()
-        # Weak references: an actor that has ended is freed before the last of its timers is due.
+        # Weak references, so that an actor that has ended is freed before its last timer is due.
         self.timers: list[tuple[float, int, ref[Schedulable]]] = []
         self.timer_count = 0
         self.running = False
-        self.max_timer_delay = 0.0  # seconds by which a timer ran late, at worst since the last report
+        self.max_timer_delay = 0.0  # seconds by which a timer ran late, at most, since the last report
         self.after_turn: Callable[[], None] = lambda: None
 
     def now(self) -> float:
-        """The time, in seconds."""
-        return time.monotonic() + self.offset
+        """Return the time, in seconds."""
+        return time.monotonic() + self.wall_clock_offset
 
     # Sockets.
 
     def register(self, descriptor: int, actor: Schedulable, mask: int) -> None:
-        """Post `SocketReady` to the actor whenever the descriptor is ready in a way of `mask`."""
+        """Post `SocketReady` to the actor whenever an event of `mask` occurs on the descriptor."""
         self.epoll.register(descriptor, mask)
         self.actors_by_descriptor[descriptor] = actor
 
     def modify(self, descriptor: int, mask: int) -> None:
-        """Wait for other events of a registered descriptor."""
+        """Change the events to wait for on a registered descriptor."""
         self.epoll.modify(descriptor, mask)
 
     def unregister(self, descriptor: int) -> None:
-        """Stop waiting for a descriptor; one that is not registered is ignored."""
+        """Stop waiting for a descriptor; does nothing if it is not registered."""
         if self.actors_by_descriptor.pop(descriptor, None) is not None:
             self.epoll.unregister(descriptor)
 
     def peer_has_closed(self, descriptor: int) -> bool:
-        """The other side has closed by now, even if what it sent before that is still unread."""
+        """Return whether the other side has closed, even if data that it sent before is still unread."""
         self.hangup_epoll.register(descriptor, HANGUP)
         try:
             return bool(self.hangup_epoll.poll(0, 1))
@@ -121,15 +122,15 @@
         self.running = False
 
     def close(self) -> None:
-        """End the coroutines that still hold a socket."""
+        """Close the coroutines of actors that still have a registered socket, and the loop itself."""
         for actor in list(self.actors_by_descriptor.values()):
             actor.coroutine.close()
         self.epoll.close()
         self.hangup_epoll.close()
 
-    def run_once(self, longest: float = inf) -> None:
-        """Wait at most `longest` seconds for events, then run each actor concerned once."""
-        wait = min(longest, self.timers[0][0] - self.now()) if self.timers else longest
+    def run_once(self, max_wait: float = inf) -> None:
+        """Run one turn: wait at most `max_wait` seconds for events, deliver messages, then run due timers."""
+        wait = min(max_wait, self.timers[0][0] - self.now()) if self.timers else max_wait
         if self.run_queue or self.priority_queue:
             wait = 0
         for descriptor, mask in self.epoll.poll(None if wait == inf else max(wait, 0), MAX_EVENTS_PER_POLL):
@@ -149,17 +150,17 @@
 
     def _run_timers(self) -> None:
         now = self.now()
-        # Collected first: an actor that waits until a time already past runs once a turn, not for ever.
+        # Due timers are collected first: an actor that waits for a past time runs once a turn, not endlessly.
         due = []
         while self.timers and self.timers[0][0] <= now:
             if (actor := heapq.heappop(self.timers)[2]()) is not None and not actor.ended:
-                actor.armed = inf
+                actor.timer_at = inf
                 due.append(actor)
         for actor in due:
             if actor.mailbox:
-                continue  # its messages go first; it says anew until when it waits
-            if actor.until <= now:
-                self.max_timer_delay = max(self.max_timer_delay, now - actor.until)
+                continue  # its messages are delivered first, and it then sets a new deadline
+            if actor.wake_at <= now:
+                self.max_timer_delay = max(self.max_timer_delay, now - actor.wake_at)
                 self._resume(actor, None)
             else:
                 self._arm(actor)
@@ -175,7 +176,7 @@
 
     def _resume(self, actor: Schedulable, message: object) -> None:
         try:
-            until = actor.coroutine.send(message)
+            wake_at = actor.coroutine.send(message)
         except StopIteration:
             actor.end()
             return
@@ -183,14 +184,14 @@
             self.on_error(actor, error)
             actor.end()
             return
-        actor.until = inf if until is None else until
+        actor.wake_at = inf if wake_at is None else wake_at
         self._arm(actor)
 
     def _arm(self, actor: Schedulable) -> None:
-        if not actor.ended and actor.until < actor.armed:
-            actor.armed = actor.until
+        if not actor.ended and actor.wake_at < actor.timer_at:
+            actor.timer_at = actor.wake_at
             self.timer_count += 1
-            heapq.heappush(self.timers, (actor.until, self.timer_count, actor.ref))
+            heapq.heappush(self.timers, (actor.wake_at, self.timer_count, actor.ref))
 
     def queue(self, actor: Schedulable) -> None:
         """Run the actor in the next turn."""
--- a/starlingwheel/net/messages.py
+++ b/starlingwheel/net/messages.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestBodyComplete:
-    """To the coordinator: the last byte of a request has arrived that was received before that."""
+    """To the coordinator: the last byte has arrived of a request that was received while incomplete."""
 
     pending: PendingRequest
 
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, eq=False)
 class GossipReceived:
-    """To the coordinator: a datagram of the peer of that number."""
+    """To the coordinator: a datagram of the peer with that index."""
 
     peer: int
     body: bytes
@@ -65,9 +65,9 @@
 
 @dataclass(slots=True, eq=False)
 class FinalResponse:
-    """To a client connection: the one response to its request.
+    """To a client connection: the final response to its request.
 
-    `retry_after`: seconds; 0: no Retry-After header.
+    `retry_after` is in seconds; 0 means no Retry-After header.
     """
 
     status: int
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, eq=False)
 class StartExchange:
-    """To a connection pool and its connections: run this exchange."""
+    """To a connection pool and its connections: start this exchange."""
 
     exchange: Exchange
 
@@ -105,14 +105,14 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointMoved:
-    """To a connection pool: its endpoint as it is listed now; None: it is gone."""
+    """To a connection pool: its endpoint as listed now, or None if it has been removed."""
 
     endpoint: DiscoveredEndpoint | None
 
 
 @dataclass(slots=True, eq=False)
 class ConfigReloaded:
-    """To the coordinator: a new configuration; requests in flight keep the one they came under."""
+    """To the coordinator: a new configuration; requests in flight keep the one they arrived under."""
 
     balancer_config: BalancerConfig
 
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True, eq=False)
 class DiscoveryMoved:
-    """To the discovery client: a new configuration names another address of discovery."""
+    """To the discovery client: the address of discovery has changed by a reload."""
 
     address: str
 
@@ -138,7 +138,7 @@
 
 @dataclass(slots=True, eq=False)
 class WatchAnswered:
-    """To the discovery client: the response to a call has begun, so the call does not hang."""
+    """To the discovery client: the response to a call has begun, so the call is not stuck."""
 
     watch: Any
 
@@ -151,7 +151,7 @@
 
 
 class Stop:
-    """To a listener or a connection: end as soon as every request has its response."""
+    """To a listener, a connection or the shutdown controller: end once every request has its response."""
 
 
 class Drain:
@@ -159,7 +159,7 @@
 
 
 class Close:
-    """To an idle connection: its descriptor is needed, or it can't be used again."""
+    """To an idle connection or an admin call: close, to free the descriptor or because it can't be reused."""
 
 
 WATCH_ENDPOINTS = WatchEndpoints()
--- a/starlingwheel/net/state/body_stream.py
+++ b/starlingwheel/net/state/body_stream.py
@@ -1,4 +1,4 @@
-"""A body that is passed on while it arrives: a bounded number of pooled buffers between two actors."""
+"""A body that is forwarded while it arrives: a bounded number of pooled buffers between two actors."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 
 from .buffers import BUFFER_SIZE, BufferedBody, BufferPool
 
-STREAM_WINDOW = 1 << 17  # bytes between source and sink, at most, and one read more
-MAX_STREAMED_BODY = 1 << 25  # bytes of a body that is passed on
+STREAM_WINDOW = 1 << 17  # bytes between source and sink, plus at most one read
+MAX_STREAMED_BODY = 1 << 25  # bytes of a body that is forwarded while it arrives
 
 
 class BodyStreamChanged:
-    """To either end of a stream: there is something to take, or room for more, or it has ended."""
+    """To either end of a stream: there are bytes to take, or there is room for more, or it has ended."""
 
 
 BODY_STREAM_CHANGED = BodyStreamChanged()
 
 
 class StreamEnd(Protocol):
-    """An actor at one end of a stream."""
+    """The interface of an actor at one end of a stream."""
 
     def post(self, message: object) -> None:
         """Queue a message."""
 
 
 class BodyStream:
-    """The source adds to it and ends it, or aborts it; the sink takes from it and releases it at the end.
+    """A bounded queue of body bytes between a source and a sink.
 
-    Each end looks at it again when it gets `BODY_STREAM_CHANGED`.
+    The source adds bytes and then ends or aborts the stream; the sink takes bytes and releases the stream at
+    the end. Each side checks the state again when it receives `BODY_STREAM_CHANGED`.
     """
 
     __slots__ = (
@@ -47,28 +48,28 @@
     def __init__(
         self, pool: BufferPool, source: StreamEnd, length: int | None, received: BufferedBody
     ) -> None:
-        """`length`: of the body, if it is known; `received`: what of it has arrived already."""
+        """Create a stream; `length` is that of the body, if known, `received` the part that has arrived."""
         self.pool = pool
         self.source = source
         self.length = length
         self.sink: StreamEnd | None = None
-        self.buffered = received  # arrived and not taken yet
+        self.buffered = received  # bytes that have arrived and have not been taken
         self.total = received.length  # bytes that have arrived
         self.taken = 0  # bytes that the sink has taken
         self.ended = False  # the source has added the last byte
         self.aborted = False  # the source has aborted it
-        self.cancelled = False  # the sink wants nothing more
-        self.sink_notified = False  # the sink has a `BodyStreamChanged` that it has not acted on
+        self.cancelled = False  # the sink wants no more bytes
+        self.sink_notified = False  # the sink has a `BodyStreamChanged` that it has not handled
 
-    # For the source.
+    # Used by the source.
 
     @property
     def is_full(self) -> bool:
-        """The sink has to take something before more is added."""
+        """Whether the sink has to take bytes before more may be added."""
         return self.buffered.length >= STREAM_WINDOW
 
     def has_room(self) -> bool:
-        """One read more may be added."""
+        """Return whether another read may be added."""
         return not self.is_full and self.pool.available * BUFFER_SIZE > len(self.pool.scratch)
 
     def add(self, data: bytes | bytearray) -> None:
@@ -79,12 +80,12 @@
         self._notify_sink()
 
     def end(self) -> None:
-        """The body is complete."""
+        """Mark the body as complete."""
         self.ended = True
         self._notify_sink()
 
     def abort(self) -> None:
-        """The rest of the body won't arrive; ignored after `end`."""
+        """Mark the body as broken off; does nothing after `end`."""
         self.aborted = not self.ended
         self._notify_sink()
 
@@ -93,15 +94,15 @@
             self.sink_notified = True
             self.sink.post(BODY_STREAM_CHANGED)
 
-    # For the sink.
+    # Used by the sink.
 
     @property
     def is_consumed(self) -> bool:
-        """All of the body has been taken."""
+        """Whether the whole body has been taken."""
         return not self.buffered.length and (self.ended or self.taken == self.length)
 
     def take(self) -> BufferedBody:
-        """Return what has arrived since the last call; the sink releases it once it is written."""
+        """Return the bytes that have arrived since the last call; the sink releases them once written."""
         was_full = self.is_full
         self.sink_notified = False
         part, self.buffered = self.buffered, BufferedBody(self.pool)
@@ -111,7 +112,7 @@
         return part
 
     def release(self) -> None:
-        """Nothing more of the body is wanted."""
+        """Release the buffers, and tell the source that no more bytes are wanted."""
         self.buffered.release()
         if not (self.cancelled or self.ended):
             self.cancelled = True
--- a/starlingwheel/net/state/buffers.py
+++ b/starlingwheel/net/state/buffers.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 BUFFER_SIZE = 8192  # bytes
-MAX_BUFFERED_BODY = 65536  # bytes of a body up to which it is kept until it is complete
-MAX_REQUEST_BODY = MAX_BUFFERED_BODY  # bytes, of a request that can't be passed on while it arrives
-MAX_BODY_SHARE = 1 / 16  # of all buffers that one body may take
+MAX_BUFFERED_BODY = 65536  # bytes up to which a body is buffered until it is complete
+MAX_REQUEST_BODY = MAX_BUFFERED_BODY  # bytes of a request body that can't be forwarded while it arrives
+MAX_BODY_SHARE = 1 / 16  # part of all buffers that one body may take
 
 
 class BuffersExhaustedError(Exception):
@@ -13,24 +13,25 @@
 
 
 class BufferPool:
-    """Hands out buffers, at most so many at a time, and keeps those that come back."""
+    """Hands out a limited number of buffers, and keeps the released ones for reuse."""
 
     def __init__(self, max_buffers: int) -> None:
-        """`max_buffers`: at a time."""
-        self.allocated = 0  # buffers that exist
+        """Create an empty pool that hands out at most `max_buffers` buffers at a time."""
+        self.allocated = 0  # buffers that exist, in use or free
         self.free: list[bytearray] = []
-        # Sockets are read into a buffer apart, empty again before the next turn: a full pool stops no read.
+        # Sockets are read into this separate buffer, which is emptied within the turn, so that an exhausted
+        # pool does not prevent reads.
         self.scratch = bytearray(MAX_REQUEST_BODY)
         self.set_limit(max_buffers)
 
     def set_limit(self, max_buffers: int) -> None:
-        """Allow so many buffers from now on."""
+        """Change the limit to `max_buffers` buffers."""
         self.max_buffers = max_buffers
         body_buffers = int(max_buffers * MAX_BODY_SHARE)
         self.max_body_size = max(MAX_BUFFERED_BODY, body_buffers * BUFFER_SIZE)  # bytes
 
     def acquire(self) -> bytearray:
-        """Return a buffer. Raises `BuffersExhaustedError`."""
+        """Return a buffer; raises `BuffersExhaustedError` if all are in use."""
         if self.free:
             return self.free.pop()
         if self.allocated >= self.max_buffers:
@@ -39,7 +40,7 @@
         return bytearray(BUFFER_SIZE)
 
     def release(self, buffer: bytearray) -> None:
-        """Take a buffer back."""
+        """Return a buffer to the pool, or drop it if there are more than the limit allows."""
         if self.allocated > self.max_buffers:
             self.allocated -= 1
             return
@@ -47,28 +48,28 @@
 
     @property
     def in_use(self) -> int:
-        """Buffers that are handed out."""
+        """The number of buffers that are handed out."""
         return self.allocated - len(self.free)
 
     @property
     def available(self) -> int:
-        """Buffers that may still be handed out."""
+        """The number of buffers that may still be handed out."""
         return self.max_buffers - self.in_use
 
 
 class BufferedBody:
-    """The body of one message. Its last holder gives the buffers back by `release`."""
+    """The body of one message; whoever uses it last returns its buffers by `release`."""
 
     __slots__ = ("pool", "buffers", "length")
 
     def __init__(self, pool: BufferPool) -> None:
-        """An empty body, whose buffers come from `pool`."""
+        """Create an empty body whose buffers come from `pool`."""
         self.pool = pool
         self.buffers: list[bytearray] = []
         self.length = 0  # bytes
 
     def add(self, data: bytes | bytearray) -> None:
-        """Append a copy of the bytes. Raises `BuffersExhaustedError`, with a part of them appended."""
+        """Append a copy of the bytes; raises `BuffersExhaustedError` after appending only a part of them."""
         rest = memoryview(data)
         while rest:
             start = self.length % BUFFER_SIZE
@@ -89,7 +90,7 @@
         return views
 
     def release(self) -> None:
-        """Give the buffers back to the pool."""
+        """Return the buffers to the pool."""
         for buffer in self.buffers:
             self.pool.release(buffer)
         self.buffers = []
--- a/starlingwheel/net/state/connections.py
+++ b/starlingwheel/net/state/connections.py
@@ -1,4 +1,4 @@
-"""Open connections against the descriptor limit: what clients need, what endpoints may have, a reserve."""
+"""Accounting of open connections: divides the descriptor limit among clients, endpoints and a reserve."""
 
 from __future__ import annotations
 
@@ -6,38 +6,37 @@
 
 # Parts of the descriptor limit.
 REQUEST_SHARE = 1 / 3  # for connections of clients with requests in flight
-ADMIN_SHARE = 1 / 32  # for operators' calls, where they have an address
+ADMIN_SHARE = 1 / 32  # for admin calls, if there is an admin address
 RESERVE_SHARE = 1 / 16  # for discovery, peers and the log; as much again for clients without a request
-MIN_RESERVE = 20  # descriptors: what an idle process has open, and a few files for a moment
+MIN_RESERVE = 20  # descriptors: those that an idle process has open, and a few short-lived files
 MIN_ADMIN_CALLS = 8
-CLOSE_IDLE_THRESHOLD = (
-    7 / 8
-)  # of the clients' part in use: from then on connections without a request are closed
+# Part of the clients' descriptors in use from which on client connections without a request are closed.
+CLOSE_IDLE_THRESHOLD = 7 / 8
 
 
 class ConnectionTracker:
-    """Counts open connections by kind, and says which to close first. Dicts serve as ordered sets."""
+    """Counts open connections by kind, and selects those to close first. Dicts serve as ordered sets."""
 
     def __init__(self, max_descriptors: int, admin_enabled: bool = False) -> None:
-        """`admin_enabled`: operators' calls need some of the descriptors."""
+        """Create a tracker; with `admin_enabled`, part of the descriptors is reserved for admin calls."""
         self.admin_enabled = admin_enabled
         self.set_limit(max_descriptors)
         self.clients: dict[Any, None] = {}
-        self.endpoint_connections: dict[Any, None] = {}  # to endpoints
-        # To endpoints and without an exchange, the longest idle first.
+        self.endpoint_connections: dict[Any, None] = {}
+        # Connections to endpoints without an exchange, the longest idle first.
         self.idle_endpoint_connections: dict[Any, None] = {}
-        self.silent_clients: dict[Any, None] = {}  # clients that have not sent anything yet, the oldest first
-        # Clients within their first request, the longest silent first.
+        self.silent_clients: dict[Any, None] = {}  # clients that have sent nothing yet, the oldest first
+        # Clients whose first request is incomplete, the longest silent first.
         self.partial_requests: dict[Any, None] = {}
         self.idle_clients: dict[Any, None] = {}  # clients between requests, the longest idle first
-        self.answered_clients: dict[Any, None] = {}  # clients that have their last response
-        self.peak = 0  # connections at a time, the most so far
+        self.answered_clients: dict[Any, None] = {}  # clients that have received their last response
+        self.peak = 0  # the highest number of connections at a time so far
 
     def set_limit(self, max_descriptors: int, processes: int = 1) -> None:
-        """Allow so many descriptors in all, from now on, for so many processes of one sidecar together.
+        """Change the limit to `max_descriptors` for `processes` processes of one sidecar together.
 
-        Clients hold no more of them with two processes than with one, and move to the new one all at once: it
-        is the endpoints' part that is divided.
+        Clients need no more descriptors with two processes than with one, and move to the new process all at
+        once. So only the endpoints' part is divided among the processes.
         """
         self.reserve = max(MIN_RESERVE, int(max_descriptors * RESERVE_SHARE))
         self.admin_call_limit = 0
@@ -45,13 +44,13 @@
             self.admin_call_limit = max(MIN_ADMIN_CALLS, int(max_descriptors * ADMIN_SHARE))
         self.max_requests = max(1, int(max_descriptors * REQUEST_SHARE))  # in flight at a time
         self.client_limit = max(1, int(self.max_requests * CLOSE_IDLE_THRESHOLD))
-        # Operators' calls count twice: those that make room for others stay open for one turn more.
+        # Admin calls count twice: a call closed to make room for another stays open for one more turn.
         for_others = self.max_requests + 2 * self.reserve + 2 * self.admin_call_limit
         self.endpoint_limit = max(1, (max_descriptors - for_others) // processes)
 
     @property
     def is_full(self) -> bool:
-        """Another client would keep a connection for which there is no descriptor."""
+        """Whether there is no descriptor for the connection of another client with a request."""
         expendable = (
             len(self.silent_clients)
             + len(self.partial_requests)
@@ -62,22 +61,22 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """There is no descriptor even for rejecting another client."""
+        """Whether there is no descriptor even to reject another client."""
         return len(self.clients) >= self.max_requests + self.reserve
 
     def has_room_for_endpoint(self) -> bool:
-        """Another connection to an endpoint may be opened."""
+        """Return whether another connection to an endpoint may be opened."""
         return len(self.endpoint_connections) < self.endpoint_limit
 
     def longest_idle(self) -> Any:  # noqa: ANN401
-        """Return the connection to an endpoint that has been idle the longest; None: none is idle."""
+        """Return the connection to an endpoint that has been idle the longest, or None if none is idle."""
         return next(iter(self.idle_endpoint_connections), None)
 
     def client_to_close(self, connected_before: float) -> Any:  # noqa: ANN401
-        """Return a client to close, so that silent ones don't shut others out; None: there is room.
+        """Return a client to close, so that silent clients do not shut out others, or None if there is room.
 
-        One that has connected since `connected_before` is about to send its request: it is chosen last. A
-        slow request that has begun is not closed for one that might.
+        A client that has connected since `connected_before` is likely to send its request soon, so it is
+        chosen last. A slow request that has begun is not closed in favour of one that may never begin.
         """
         if len(self.clients) < self.client_limit:
             return None
@@ -92,18 +91,18 @@
         return None
 
     def record_request_part(self, client: object) -> None:
-        """Another part of a client's first request has arrived."""
+        """Record that another part of a client's first request has arrived."""
         self.silent_clients.pop(client, None)
         self.partial_requests.pop(client, None)
         self.partial_requests[client] = None
 
     def record_request_complete(self, client: object) -> None:
-        """A client's request is complete."""
+        """Record that a client's request is complete."""
         self.silent_clients.pop(client, None)
         self.partial_requests.pop(client, None)
 
     def remove_client(self, client: object) -> None:
-        """A client's connection has ended."""
+        """Remove a client whose connection has ended."""
         for group in (
             self.clients,
             self.silent_clients,
@@ -114,5 +113,5 @@
             group.pop(client, None)
 
     def update_peak(self) -> None:
-        """Update the highest count."""
+        """Update the highest number of connections."""
         self.peak = max(self.peak, len(self.clients) + len(self.endpoint_connections))
--- a/starlingwheel/net/state/overrides.py
+++ b/starlingwheel/net/state/overrides.py
@@ -1,6 +1,6 @@
-"""Operators' overrides: endpoints that they have drained, joined with what discovery lists.
+"""Operators' overrides of the endpoint list: drained endpoints, merged with what discovery lists.
 
-The overrides are stored in a file of `$TMPDIR` that a process shares with the one that replaces it.
+The overrides are stored in a file in `$TMPDIR` that a process shares with the one that replaces it.
 """
 
 from __future__ import annotations
@@ -16,36 +16,36 @@
 from ..discovery.messages import DRAINING_STATE, LEFT_STATE, DiscoveredEndpoint
 
 OVERRIDES_FILE = "starlingwheel-operators.json"
-MAX_KNOWN_IDS = 4096  # endpoint ids that are remembered, the latest
-RESTORED_RETENTION = 600.0  # seconds for which it is remembered that an endpoint was restored
+MAX_KNOWN_IDS = 4096  # endpoint ids that are remembered; the latest ones are kept
+RESTORED_RETENTION = 600.0  # seconds for which the restoring of an endpoint is remembered
 
 
 class OverridesLockedError(Exception):
-    """Another process is writing the file; to be tried again in a moment."""
+    """Another process is writing the file; the caller should retry shortly."""
 
 
 class StoredOverrides(msgspec.Struct):
-    """The file's content; its JSON has the names given here."""
+    """The content of the file; the names given to the fields are the keys of its JSON."""
 
-    # Drained endpoints by id, each with the start that discovery gave then.
+    # Drained endpoints by id, each with the start time that discovery listed then.
     drained: dict[str, float | None] = msgspec.field(default_factory=dict, name="out")
-    # Restored ones: that start, and when they were restored, in milliseconds.
+    # Restored endpoints by id: that start time, and the time of the restoring, in milliseconds.
     restored: dict[str, tuple[float | None, float]] = msgspec.field(default_factory=dict, name="back")
-    known_ids: list[str] = msgspec.field(default_factory=list, name="known")  # that were ever listed
+    known_ids: list[str] = msgspec.field(default_factory=list, name="known")  # ever listed
     sidecar_draining: bool = msgspec.field(default=False, name="lameduck")
 
 
 class OverridesFile:
-    """Reads and writes the file; without a path the overrides last as long as the process."""
+    """Reads and writes the file; without a path the overrides are lost when the process ends."""
 
     def __init__(self, path: Path | None, log: Callable[..., None]) -> None:
-        """`log`: called with an event's name and its fields."""
+        """Prepare access to the file; `log` is called with an event's name and its fields."""
         self.path = path
         self.log = log
-        self._seen: tuple[int, int] | None = None  # inode and time of the version read or written last
+        self._seen: tuple[int, int] | None = None  # inode and mtime of the version read or written last
 
     def changed(self) -> bool:
-        """Return whether another process has written the file since it was read or written here."""
+        """Return whether another process has written the file since this process read or wrote it."""
         if self.path is None:
             return False
         try:
@@ -59,18 +59,18 @@
         return True
 
     def read(self, current: StoredOverrides) -> StoredOverrides:
-        """Return what is stored; `current` where nothing is, or where the file can't be read."""
+        """Return the stored overrides, or `current` if there are none or the file can't be read."""
         if self.path is None or not self.path.exists():
             return current
         try:
             return msgspec.json.decode(self.path.read_bytes(), type=StoredOverrides)
         except (OSError, msgspec.DecodeError, UnicodeDecodeError) as error:
-            # A torn file stops neither a start nor a call of an operator.
+            # A damaged file must not prevent a start or an admin call.
             self.log("operators.unreadable", error=str(error))
             return current
 
     def write(self, overrides: StoredOverrides) -> None:
-        """Replace the file in one step. Raises OSError; the file is unchanged then."""
+        """Replace the file atomically; raises OSError, which leaves it unchanged."""
         if self.path is None:
             return
         temporary = self.path.with_suffix(f".{os.getpid()}")
@@ -86,7 +86,7 @@
 
     @contextlib.contextmanager
     def lock(self) -> Iterator[None]:
-        """Keep other processes from writing. Raises `OverridesLockedError` if one of them does."""
+        """Lock out other writers; raises `OverridesLockedError` if another process holds the lock."""
         if self.path is None:
             yield
             return
@@ -99,24 +99,24 @@
 
 
 class EndpointOverrides:
-    """The endpoint list as it counts for this sidecar: as discovery gives it, changed by operators."""
+    """The effective endpoint list of this sidecar: what discovery lists, with the overrides applied."""
 
     def __init__(self, folder: str | None, now: Callable[[], float], log: Callable[..., None]) -> None:
-        """Read what is stored. `folder`: of the file; None: the overrides end with the process."""
+        """Read the stored overrides from `folder`; with None they are lost when the process ends."""
         self.now = now
         self.file = OverridesFile(Path(folder, OVERRIDES_FILE) if folder else None, log)
         self.stored = StoredOverrides()
-        self.discovered: dict[str, DiscoveredEndpoint] = {}  # as discovery lists them, by id
-        self.known_ids: dict[str, None] = {}  # ids that were ever listed, the latest last
-        self.has_unstored_ids = False  # `known_ids` has some that are not stored
+        self.discovered: dict[str, DiscoveredEndpoint] = {}  # endpoints as discovery lists them, by id
+        self.known_ids: dict[str, None] = {}  # ids that were ever listed, in the order of listing
+        self.has_unstored_ids = False  # whether `known_ids` has ids that are not stored
         self.reload()
 
-    # What discovery lists.
+    # The endpoint list of discovery.
 
     def apply_watch_message(
         self, full: bool, entries: Iterable[DiscoveredEndpoint]
     ) -> list[DiscoveredEndpoint]:
-        """Take over a snapshot (`full`) or a delta; return its endpoints as they count here."""
+        """Apply a snapshot (`full`) or a delta; return its endpoints with the overrides applied."""
         if full:
             self.discovered.clear()
         effective = []
@@ -132,12 +132,12 @@
         return effective
 
     def current(self, endpoint_id: str) -> DiscoveredEndpoint | None:
-        """Return an endpoint by the latest message, handled by the coordinator or not; None: not listed."""
+        """Return an endpoint as last received, even if the coordinator has not handled it, or None."""
         entry = self.discovered.get(endpoint_id)
         return None if entry is None else self.effective(entry)
 
     def effective(self, entry: DiscoveredEndpoint) -> DiscoveredEndpoint:
-        """Return an endpoint of discovery's as it counts here."""
+        """Return a discovered endpoint with the overrides applied."""
         if entry.state == LEFT_STATE:
             return entry
         if entry.id in self.stored.drained:
@@ -145,7 +145,7 @@
         if entry.id in self.stored.restored:
             start_when_drained, restored_at = self.stored.restored[entry.id]
             if entry.started_ms == start_when_drained:
-                # It may have been restarted meanwhile, and discovery not have heard of it: it starts slowly.
+                # It may have restarted without discovery knowing, so it goes through slow start.
                 return msgspec.structs.replace(entry, started_ms=restored_at)
         return entry
 
@@ -159,8 +159,8 @@
         kept = [one for one in self.known_ids if one in in_use]
         self.known_ids = dict.fromkeys([*others[-MAX_KNOWN_IDS // 2 :], *kept])
 
-    # What operators ask for. Each returns the endpoints that changed by it, or None for an id never listed,
-    # and raises `OverridesLockedError`, or OSError where the file can't be written: nothing has changed then.
+    # Operators' commands. Each returns the endpoints that it changed, or None for an id that was never
+    # listed. It raises `OverridesLockedError`, or OSError if the file can't be written; nothing changes then.
 
     def drain_endpoint(self, endpoint_id: str) -> list[DiscoveredEndpoint] | None:
         """Drain an endpoint."""
@@ -174,7 +174,7 @@
         return self._change_endpoint(endpoint_id, drain)
 
     def restore_endpoint(self, endpoint_id: str) -> list[DiscoveredEndpoint] | None:
-        """Restore an endpoint that was drained."""
+        """Restore an endpoint that operators drained."""
 
         def restore(overrides: StoredOverrides) -> None:
             if endpoint_id in overrides.drained:
@@ -183,7 +183,7 @@
         return self._change_endpoint(endpoint_id, restore)
 
     def set_sidecar_draining(self, on: bool) -> None:
-        """Drain the sidecar itself, or end that."""
+        """Start or end the draining of the sidecar itself."""
 
         def set_draining(overrides: StoredOverrides) -> None:
             overrides.sidecar_draining = on
@@ -202,7 +202,7 @@
         with self.file.lock():
             overrides = msgspec.convert(msgspec.to_builtins(self.file.read(self.stored)), StoredOverrides)
             change(overrides)
-            # By then a restored endpoint has warmed up, and ids that are gone for good are forgotten.
+            # After this time a restored endpoint has finished slow start; it need not be remembered longer.
             oldest = (self.now() - RESTORED_RETENTION) * 1000
             overrides.restored = {
                 endpoint_id: (start, restored_at)
@@ -222,14 +222,14 @@
         after = {endpoint_id: self.effective(entry) for endpoint_id, entry in self.discovered.items()}
         return [entry for endpoint_id, entry in after.items() if entry != before[endpoint_id]]
 
-    # What other processes of this sidecar have stored.
+    # Changes by other processes of this sidecar.
 
     def reload(self) -> list[DiscoveredEndpoint]:
-        """Take over what another process has written; return the endpoints that changed by it."""
+        """Adopt what another process has written; return the endpoints that it changed."""
         return self._adopt(self.file.read(self.stored)) if self.file.changed() else []
 
     def store_known_ids(self) -> None:
-        """Store the ids that were listed since, for the process that replaces this one."""
+        """Store the ids listed since the last write, for the process that replaces this one."""
         if self.has_unstored_ids:
             with contextlib.suppress(OverridesLockedError, OSError):
                 self._change(lambda overrides: None)
--- a/starlingwheel/net/state/requests.py
+++ b/starlingwheel/net/state/requests.py
@@ -1,4 +1,4 @@
-"""Requests in flight: what the network side keeps of a request until all of its exchanges have ended."""
+"""Requests in flight: the network state of a request until all of its exchanges have ended."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class Mailbox(Protocol):
-    """An actor that is sent messages."""
+    """The interface of an actor that messages can be posted to."""
 
     def post(self, message: object) -> None:
         """Queue a message."""
 
 
 class RequestClient(Mailbox, Protocol):
-    """The connection of a client, as those that answer it see it."""
+    """The interface of a client connection to those that answer its request."""
 
     pending: PendingRequest | None
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """One request as its client sent it."""
+    """One request as its client sent it, and its exchanges in flight."""
 
     request: Request
     client: RequestClient
@@ -41,49 +41,49 @@
     headers: Headers
     body: BufferedBody | BodyStream
     trace_id: bytes
-    awaits_response: bool = True  # it has no final response yet
+    awaits_response: bool = True  # its client is still waiting for the final response
     may_have_run: bool = False  # an attempt that has ended may have had an effect
-    first_may_have_run_at: float = inf  # when the first of those was sent
+    first_may_have_run_at: float = inf  # when the first such attempt was sent
     exchanges: dict[Attempt, Exchange] = field(default_factory=dict)
 
     @property
     def body_incomplete(self) -> bool:
-        """Its last byte has not arrived yet."""
+        """Whether the last byte of the body has not arrived yet."""
         return isinstance(self.body, BodyStream) and not self.body.ended
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One exchange with an endpoint on the wire: an attempt of a request, or a health check (no request)."""
+    """One exchange with an endpoint: an attempt of a request, or a health check, which has no request."""
 
-    endpoint: Any  # as the decisions know it
-    pool: Mailbox | None  # the pool that has it, also once its endpoint is gone from the list
+    endpoint: Any  # the endpoint as the decisions know it
+    pool: Mailbox | None  # the pool that runs it, even after its endpoint has left the list
     started_at: float
     deadline: float
     attempt: Attempt | None = None
     pending: PendingRequest | None = None
-    connection: Mailbox | None = None  # the one that the pool has given it to
+    connection: Mailbox | None = None  # the connection that the pool has assigned to it
     written: bool = False  # its first bytes have been written
-    admitted_at: float = 0.0  # when the gate let it begin; 0: not yet, or its first byte is written
+    admitted_at: float = 0.0  # when the gate admitted it; 0: not yet, or its first byte has been written
 
     @property
     def body_stream(self) -> BodyStream | None:
-        """Its body, if that is passed on while it arrives."""
+        """The request body, if it is forwarded while it arrives."""
         if self.pending is not None and isinstance(self.pending.body, BodyStream):
             return self.pending.body
         return None
 
     def restart_clock(self, now: float) -> None:
-        """Count its time from now on: the last byte of the request has been written."""
+        """Measure the exchange from now on, because the last byte of its request has been written."""
         if self.attempt is None or self.pending is None:
             return
         self.started_at = self.attempt.started_at = now
-        # The decisions time it out, but where they may not cancel this deadline does.
+        # The decisions time it out; if they may not cancel it, this deadline ends it.
         self.deadline = min(self.deadline, now + self.pending.request.time_left)
 
     @property
     def non_idempotent(self) -> bool:
-        """Its request can't be sent again if it may have run."""
+        """Whether its request must not be sent again once it may have run."""
         if self.pending is None:
             return False
         return self.pending.request.request_class.retry_safety is RetrySafety.NON_IDEMPOTENT
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamResponse:
-    """The response of an endpoint to a request: complete, or passed on while it arrives."""
+    """The response of an endpoint to a request: complete, or forwarded while it arrives."""
 
     body: BufferedBody | BodyStream
     content_type: bytes
--- a/starlingwheel/net/state/siblings.py
+++ b/starlingwheel/net/state/siblings.py
@@ -1,4 +1,4 @@
-"""Other processes of the same sidecar: while one replaces another, both share the sidecar's limits."""
+"""Detection of other processes of the same sidecar, which share its limits while one replaces another."""
 
 from __future__ import annotations
 
@@ -7,14 +7,17 @@
 from pathlib import Path
 
 LOCK_FILE = "starlingwheel-processes.lock"
-MAX_PROCESSES = 8  # of one sidecar at a time
+MAX_PROCESSES = 8  # processes of one sidecar at a time
 
 
 class SiblingProcesses:
-    """Each process locks one byte of a file; the kernel drops the lock with the process, however it ends."""
+    """The lock of this process: one byte of a file that all processes of the sidecar share.
+
+    The kernel releases the lock when the process ends, however it ends.
+    """
 
     def __init__(self, folder: str) -> None:
-        """Lock a byte of the file in `folder`. Raises OSError where the file can't be opened."""
+        """Lock a byte of the file in `folder`; raises OSError if the file can't be opened."""
         path = Path(folder, LOCK_FILE)
         self.descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.slot = next((slot for slot in range(MAX_PROCESSES) if self._lock(slot)), MAX_PROCESSES)
@@ -27,7 +30,7 @@
         return True
 
     def has_others(self) -> bool:
-        """Return whether another process of this sidecar runs."""
+        """Return whether another process of this sidecar is running."""
         for slot in range(MAX_PROCESSES):
             if slot == self.slot:
                 continue
@@ -37,5 +40,5 @@
         return False
 
     def close(self) -> None:
-        """Give the lock up."""
+        """Release the lock."""
         os.close(self.descriptor)
--- a/starlingwheel/settings.py
+++ b/starlingwheel/settings.py
@@ -1,7 +1,7 @@
-"""Decodes the settings of a sidecar, JSON with keys given from outside, into a `BalancerConfig`.
+"""Decoding of the settings of a sidecar, JSON with externally defined keys, into a `BalancerConfig`.
 
-The only module that knows these keys; the simulator adapter and the real sidecar share it. Durations in the
-settings are microseconds, those of `BalancerConfig` seconds.
+This is the only module that knows these keys; the simulator adapter and the real sidecar share it. Durations
+are microseconds in the settings and seconds in `BalancerConfig`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 T = TypeVar("T")
 
 RETRY_SAFETY = {"free": "rerunnable", "guarded": "ticketed", "single_shot": "exclusive"}
-# Figures of a load report: the name on the wire, and the one of the decisions.
+# Figures of a load report: their names on the wire, and those that the decisions use.
 LOAD_REPORT_FIGURES = {
     "busy_reqs": "held",
     "inflight": "held",
@@ -31,10 +31,10 @@
     "svc_ms": "service",
     "latency_ms": "service",
 }
-LOAD_REPORT_UNITS = {"service": 1e-3}  # seconds in a unit on the wire, a millisecond
+LOAD_REPORT_UNITS = {"service": 1e-3}  # seconds per unit on the wire, which is a millisecond
 MICROSECONDS_PER_SECOND = 1e6
 
-# What `validate` checks, by key; a dot separates a table from a key in it.
+# The checks of `validate`, by key; a dot separates a table from a key in it.
 ENUMERATED_KEYS = {
     "discovery": ("ask", "push"),
     "weightKind": ("off", "nominal", "rough", "live"),
@@ -48,7 +48,7 @@
     "charges.probe",
     "charges.peer",
 )
-# Each with its minimum.
+# Integer keys, each with its minimum.
 INTEGER_KEYS = {"caps.streamsPerConn": 1, "caps.mostHandOffs": 1, "replicasOfMe": 1, "slotNo": 0}
 
 
@@ -65,33 +65,33 @@
 def validate(given: dict[str, Any]) -> None:
     """Check types and enumerated values; raises `msgspec.ValidationError`, which names the key.
 
-    Only a real sidecar checks: the simulator's settings are taken as they come.
+    Only a real sidecar does this: the simulator's settings are used without these checks.
     """
     for key, allowed in ENUMERATED_KEYS.items():
         value = _value(given, key)
         if value is not None and value not in allowed:
-            raise msgspec.ValidationError(f"{key}: {value!r} is none of {', '.join(allowed)}")
+            raise msgspec.ValidationError(f"{key}: {value!r} is not one of {', '.join(allowed)}")
     for key in BOOLEAN_KEYS:
         if not isinstance(_value(given, key), bool | None):
-            raise msgspec.ValidationError(f"{key}: not true or false")
+            raise msgspec.ValidationError(f"{key}: neither true nor false")
     for key in PRICE_KEYS:
         value = _value(given, key)
         if value is not None and (not _is_number(value) or value < 0):
-            raise msgspec.ValidationError(f"{key}: not a price")
+            raise msgspec.ValidationError(f"{key}: not a number of 0 or more")
     for key, minimum in INTEGER_KEYS.items():
         value = _value(given, key)
         if value is not None and (type(value) is not int or value < minimum):
-            raise msgspec.ValidationError(f"{key}: not a whole number from {minimum}")
+            raise msgspec.ValidationError(f"{key}: not an integer, or less than {minimum}")
     columns = _value(given, "loadReport.columns")
     if columns is not None and not (isinstance(columns, list) and all(isinstance(c, str) for c in columns)):
-        raise msgspec.ValidationError("loadReport.columns: not a list of names")
+        raise msgspec.ValidationError("loadReport.columns: not a list of strings")
 
 
 def contradictions(given: dict[str, Any]) -> Iterator[Contradiction]:
-    """Yield the keys that contradict others.
+    """Yield the keys that contradict others, as if two kinds of deployment had been mixed.
 
-    They look like two kinds of deployment in one. Each setting can be followed as it stands, so they are
-    logged and never rejected: a deployment may well name a price for what it does not allow.
+    Each setting can be applied as it stands, so contradictions are logged and never rejected: a deployment
+    may well set a price for something that it does not allow.
     """
     health_checks = _value_or(given, "caps.probing", False)
     streams = _value_or(given, "caps.streamsPerConn", 1)
@@ -100,18 +100,18 @@
         if streams > 1:
             yield Contradiction(
                 "caps.streamsPerConn",
-                f"{streams}, where the list is asked for a connection carries one work item",
+                f"{streams}, but a connection carries one request at a time if the endpoint list is watched",
             )
         if weights_are_live:
             yield Contradiction(
-                "weightKind", "live, where the list is asked for weights would be older than what they tell"
+                "weightKind", "live, but weights in a watched list are older than the load that they describe"
             )
     if weights_are_live and health_checks:
-        yield Contradiction("caps.probing", "true, where weights are live load is told by the list")
+        yield Contradiction("caps.probing", "true, but live weights in the endpoint list already report load")
     if _value(given, "loadReport.how") == "on_probe" and not health_checks:
-        yield Contradiction("loadReport.how", "on_probe, where probes are not allowed no report ever comes")
+        yield Contradiction("loadReport.how", "on_probe, but probes are not allowed, so no report arrives")
     if _value_or(given, "charges.probe", 0) > 0 and not health_checks:
-        yield Contradiction("charges.probe", "a price for probes, where they are not allowed")
+        yield Contradiction("charges.probe", "a price for probes, which are not allowed")
     if _value_or(given, "slotNo", 0) >= _value_or(given, "replicasOfMe", 1):
         yield Contradiction("slotNo", "not below replicasOfMe")
 
@@ -124,7 +124,7 @@
 
 
 def decode(text: str) -> BalancerConfig:
-    """Decode settings from JSON text; raises `msgspec.ValidationError` for what can't be used."""
+    """Decode settings from JSON text; raises `msgspec.ValidationError` for unusable ones."""
     try:
         given = msgspec.json.decode(text)
     except msgspec.DecodeError as error:
@@ -133,7 +133,7 @@
 
 
 def balancer_config(given: object) -> BalancerConfig:
-    """Convert settings; absent keys have their defaults. Raises `msgspec.ValidationError`."""
+    """Convert settings, with defaults for absent keys; raises `msgspec.ValidationError`."""
     if not isinstance(given, dict):
         raise msgspec.ValidationError("not an object")
     given = _without_nulls(given)
@@ -206,13 +206,13 @@
 
 
 def _value(given: dict[str, Any], key: str) -> Any:  # noqa: ANN401  # any JSON value
-    """Return the value of a key that may stand in a table; None where it is absent."""
+    """Return the value of a key, which may be in a table, or None if it is absent."""
     table, _, name = key.rpartition(".")
     return (_table(given, table) if table else given).get(name)
 
 
 def _value_or(given: dict[str, Any], key: str, default: T) -> T:
-    """Return the value of a key; absent and null are the same."""
+    """Return the value of a key, or `default` if it is absent or null."""
     value = _value(given, key)
     return default if value is None else value
 
@@ -225,7 +225,7 @@
 
 
 def _without_nulls(table: dict[str, Any]) -> dict[str, Any]:
-    """A null is the same as an absent key, and not a value of the wrong type."""
+    """Return the table without its null values: a null means the same as an absent key."""
     return {key: value for key, value in table.items() if value is not None}
 
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -209,7 +209,7 @@
             (event, self.now, fields)
         )
         self.contexts.append(context)
-        for sock in (context.listener.sock, context.signals.ours, context.signals.theirs):
+        for sock in (context.listener.sock, context.signals.receiver, context.signals.sender):
             sock.close()
         context.discovery.begin()
         context.coordinator.begin()
