--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -69,7 +69,7 @@
 class Discovery(MessageReceiver, Protocol):
     """The interface of the discovery client."""
 
-    current: Any  # the watch in use
+    current_watch: Any  # the watch in use
 
 
 class GossipSender(Protocol):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -720,7 +720,7 @@
 ) -> None:
     """The error is logged, and other connections go on."""
     with monkeypatch.context() as patch:
-        patch.setattr(ClientConnection, "_take_request", lambda *_: 1 / 0)
+        patch.setattr(ClientConnection, "_accept_request", lambda *_: 1 / 0)
         assert harness.read_status(harness.send_request()) is None
     assert "ZeroDivisionError" in harness.log_lines("defect")[0]["trace"]
     assert harness.log_lines("client.end")[0]["reason"] == "defect"
