--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -120,7 +120,7 @@
         """Give the decisions their first list: the known one, or an empty one."""
         if known_list is not None:
             self.use_known_list_at = inf
-        entries = self.context.overrides.listed(True, known_list.endpoints if known_list else [])
+        entries = self.context.overrides.apply_watch_message(True, known_list.endpoints if known_list else [])
         self.context.coordinator.post(EndpointsChanged(WatchEvent.SNAPSHOT, entries))
 
     # Making calls.
@@ -219,7 +219,7 @@
         if self.use_known_list_at < inf and not message.full:
             self._post_first_list(self.known_list)  # the message holds only the changes since that list
         self.use_known_list_at = inf
-        entries = self.context.overrides.listed(message.full, message.endpoints)
+        entries = self.context.overrides.apply_watch_message(message.full, message.endpoints)
         self.context.coordinator.post(EndpointsChanged(message.event, entries))
 
     def _watch_ended(self, watch: DiscoveryWatch) -> None:
@@ -259,7 +259,7 @@
                 lease.note_watch_silent(now)
             else:
                 lease.note_watch_ended(now, reset=watch.reason is CloseReason.RESET)
-        self.context.gate.note_state()
+        self.context.gate.update_lease_state()
 
     def _reopen(self, watch: DiscoveryWatch) -> None:
         """Schedule the next call after the last one has ended."""
--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -65,7 +65,7 @@
         a request often follows immediately, and a new connection for each would be expensive for endpoints.
         """
         now = self.loop.now()
-        trusted = self.last_was_health_check and now >= self.context.unsolicited_until
+        trusted = self.last_was_health_check and now >= self.context.unsolicited_responses_until
         quiescent_at = self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
         return not self.exchange_count or trusted or now >= quiescent_at
 
@@ -178,7 +178,7 @@
         there is no room for another.
         """
         quiescent_at = self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
-        until = min(quiescent_at, self.context.unsolicited_until)
+        until = min(quiescent_at, self.context.unsolicited_responses_until)
         while self.loop.now() < until:
             message = yield until
             if isinstance(message, SocketReady):
@@ -196,7 +196,7 @@
 
     def _note_unsolicited_bytes(self) -> CloseReason:
         """Record that unsolicited bytes arrived, which may happen again here or at another endpoint."""
-        self.context.unsolicited_until = fault_recurrence_deadline(self.context, self.loop.now())
+        self.context.unsolicited_responses_until = fault_recurrence_deadline(self.context, self.loop.now())
         return CloseReason.UNSOLICITED_BYTES
 
     # Waiting for the next exchange, and closing.
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -57,7 +57,7 @@
                         exchange.connection.post(cancel)
                 case ConnectionIdle(connection):
                     self.idle.append(connection)
-                    self.context.connections.idle_to_endpoints[connection] = None
+                    self.context.connections.idle_endpoint_connections[connection] = None
                 case ConnectionClosed(connection):
                     self.remove_idle(connection)
                 case EndpointMoved(endpoint):
@@ -74,7 +74,7 @@
 
     def remove_idle(self, connection: EndpointConnection) -> None:
         """Remove an idle or shared connection, so that it is assigned no further exchange."""
-        self.context.connections.idle_to_endpoints.pop(connection, None)
+        self.context.connections.idle_endpoint_connections.pop(connection, None)
         both: tuple[list[Any], list[Any]] = (self.idle, self.multiplexed)
         for connections in both:
             if connection in connections:
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -50,7 +50,7 @@
     def write(self, exchange: Exchange) -> Coroutine[None]:
         """Write everything that is enqueued in the stream. Raises `ConnectionLostError`."""
         done = self.stream.write()
-        self.context.gate.note_written(exchange)
+        self.context.gate.record_first_write(exchange)
         while not done:
             self.stream.wait_for(READ | WRITE)
             ready = yield from next_socket_event(exchange, exchange.deadline, CloseReason.OVERDUE)
@@ -73,7 +73,7 @@
 
     def check_still_needed(self, exchange: Exchange) -> None:
         """Raise `ConnectionLostError` if the gate says that nothing more is to be sent for the exchange."""
-        if refusal := self.context.gate.unwanted(exchange):
+        if refusal := self.context.gate.exchange_refusal(exchange):
             raise ConnectionLostError(CloseReason(refusal.value))
 
     def _enqueue_request(self, exchange: Exchange) -> None:
