--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -51,10 +51,10 @@
 class Call:
     """One call, as discovery sees it."""
 
-    def __init__(self, caller: SidecarContext, sock: socket.socket, at: float) -> None:
+    def __init__(self, caller: SidecarContext, sock: socket.socket, began_at: float) -> None:
         """`caller`: the sidecar; `sock`: discovery's end; `at`: when it began."""
-        self.caller, self.sock, self.at = caller, sock, at
-        self.received, self.silent, self.written_at = b"", False, at
+        self.caller, self.sock, self.began_at = caller, sock, began_at
+        self.received, self.silent, self.written_at = b"", False, began_at
         sock.setblocking(False)
 
     def request_complete(self) -> bool:
@@ -82,9 +82,9 @@
 
     REFUSED, CUT, HANGS, RESET, BUSY = "refused", "cut", "hangs", "reset", "503"
 
-    def __init__(self, world: World, behaviour: Behaviour) -> None:
+    def __init__(self, simulation: Simulation, behaviour: Behaviour) -> None:
         """`behaviour`: decides on each call."""
-        self.world, self.behaviour = world, behaviour
+        self.simulation, self.behaviour = simulation, behaviour
         self.version = 1
         self.calls: list[Call] = []
         self.answered: list[Call] = []
@@ -93,7 +93,7 @@
     def connect(self, caller: SidecarContext) -> socket.socket:
         """Return the caller's end of a connection; raises `ConnectionLostError` if it is refused."""
         ours, theirs = socket.socketpair()
-        call = Call(caller, ours, self.world.now)
+        call = Call(caller, ours, self.simulation.now)
         self.calls.append(call)
         behaviour = self.behaviour(call)
         if behaviour == self.REFUSED:
@@ -103,8 +103,8 @@
             self.fill(theirs)  # it never comes up
         elif behaviour != self.HANGS:
             delay = behaviour if isinstance(behaviour, float) else 0.0
-            self.world.later(delay, lambda: self.answer(call, behaviour))
-        self.world.open_files.append(ours)
+            self.simulation.schedule(delay, lambda: self.answer(call, behaviour))
+        self.simulation.open_files.append(ours)
         return theirs
 
     def fill(self, sock: socket.socket) -> None:
@@ -121,26 +121,26 @@
         if behaviour == self.RESET:
             call.sock.close()
         elif not call.request_complete():
-            self.world.later(0.01, lambda: self.answer(call, behaviour))
+            self.simulation.schedule(0.01, lambda: self.answer(call, behaviour))
         elif behaviour == self.BUSY:
             call.write(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
         elif call.write(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n"):
             self.answered.append(call)
             self.write_list(call)
-            self.world.later(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
+            self.simulation.schedule(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
 
     def write_list(self, call: Call) -> None:
         """Write the whole list, whose one endpoint is named by the version."""
         servers = [{"id": f"v{self.version}", "addr": "127.0.0.1:1", "state": "active"}]
         text = msgspec.json.encode({"version": self.version, "full": True, "servers": servers}) + b"\n"
-        call.written_at = self.world.now
+        call.written_at = self.simulation.now
         call.write(b"%x\r\n%s\r\n" % (len(text), text))
 
     def write_empty_line(self, call: Call) -> None:
         """Write an empty line, now and at each interval."""
         if not call.silent and call.write(b"1\r\n\n\r\n"):
-            call.written_at = self.world.now
-            self.world.later(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
+            call.written_at = self.simulation.now
+            self.simulation.schedule(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
 
     def change(self) -> None:
         """Change the list, and write it to all open watches."""
@@ -161,7 +161,7 @@
             call.sock.close()
 
 
-class World:
+class Simulation:
     """The discovery clients of sidecars on one loop, whose clock moves only when nothing is left to do."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
@@ -172,7 +172,7 @@
         self.contexts: list[SidecarContext] = []
         self.discoveries: dict[str, Discovery] = {}
         self.log_lines: list[tuple[str, float, Json]] = []  # event, time and fields
-        self.loop = Loop(self.defect)
+        self.loop = Loop(self.fail)
         self.loop.now = lambda: self.now
         self.path = tmp_path / "config.json"
         monkeypatch.setattr("starlingwheel.net.context.Loop", lambda _: self.loop)
@@ -181,7 +181,7 @@
         )
         monkeypatch.setattr(discovery_watch.DiscoveryWatch, "begin", lambda watch: self.begin(watch))
 
-    def defect(self, actor: Actor, error: Exception) -> None:
+    def fail(self, actor: Actor, error: Exception) -> None:
         """Fail the test by an error in an actor."""
         raise error
 
@@ -215,7 +215,7 @@
         context.coordinator.begin()
         return context
 
-    def later(self, seconds: float, action: Callable[[], object]) -> None:
+    def schedule(self, seconds: float, action: Callable[[], object]) -> None:
         """Run an action after so many seconds."""
         heapq.heappush(self.due, (self.now + seconds, next(self.count), action))
 
@@ -263,33 +263,33 @@
             thing.close()
 
 
-MakeWorld = Callable[[], World]
+MakeSimulation = Callable[[], Simulation]
 
 
 @pytest.fixture
-def world(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> Iterator[MakeWorld]:
+def make_simulation(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> Iterator[MakeSimulation]:
     """Makes worlds, and closes them at the end."""
-    made: list[World] = []
+    simulations: list[Simulation] = []
 
-    def make() -> World:
-        made.append(World(monkeypatch, tmp_path))
-        return made[-1]
+    def make() -> Simulation:
+        simulations.append(Simulation(monkeypatch, tmp_path))
+        return simulations[-1]
 
     yield make
-    for one in made:
+    for one in simulations:
         one.close()
 
 
-def reachable_after(world: World, seconds: float, *first: float | str) -> Behaviour:
+def reachable_after(simulation: Simulation, seconds: float, *first: float | str) -> Behaviour:
     """Return the behaviour of a discovery from then on: `first` for the first calls, all others are answered.
 
     Until then it returns None.
     """
-    reachable_at = world.now + seconds
+    reachable_at = simulation.now + seconds
     remaining = list(first)
 
     def behaviour(_: Call) -> CallFate:
-        if world.now < reachable_at:
+        if simulation.now < reachable_at:
             return None
         return remaining.pop(0) if remaining else 0.0
 
@@ -306,12 +306,14 @@
 }
 
 
-def sidecar_with_watch(world: World, fleet: str, seed: int) -> tuple[Discovery, SidecarContext]:
+def sidecar_with_watch(simulation: Simulation, fleet: str, seed: int) -> tuple[Discovery, SidecarContext]:
     """Return a sidecar whose watch is open, at a random moment between two empty lines, and its discovery."""
-    discovery = world.discovery("a:1", lambda _: 0.0)
-    context = world.sidecar(seed=str(seed), **FLEETS[fleet])
-    world.until_notified(context, 1, 40)
-    world.run(world.now + 2 * KEEPALIVE_INTERVAL + random.Random(seed).random() * KEEPALIVE_INTERVAL)
+    discovery = simulation.discovery("a:1", lambda _: 0.0)
+    context = simulation.sidecar(seed=str(seed), **FLEETS[fleet])
+    simulation.until_notified(context, 1, 40)
+    simulation.run(
+        simulation.now + 2 * KEEPALIVE_INTERVAL + random.Random(seed).random() * KEEPALIVE_INTERVAL
+    )
     return discovery, context
 
 
@@ -328,23 +330,23 @@
 @pytest.mark.parametrize("first", FIRST_CALLS)
 @pytest.mark.parametrize("fleet", FLEETS)
 def test_a_change_missed_by_a_silent_watch_is_notified_in_time(
-    world: MakeWorld, fleet: str, first: str
+    make_simulation: MakeSimulation, fleet: str, first: str
 ) -> None:
     """Whatever becomes of the first call after it; no more calls are made than needed."""
     for seed in range(8):
-        w = world()
-        discovery, context = sidecar_with_watch(w, fleet, seed)
+        simulation = make_simulation()
+        discovery, context = sidecar_with_watch(simulation, fleet, seed)
         calls = len(discovery.calls)
         # It falls silent with its last line, at the earliest; what it misses may come at once.
         silent_at = discovery.answered[-1].written_at
         discovery.fall_silent()
         discovery.change()
-        discovery.behaviour = reachable_after(w, 0.0, *FIRST_CALLS[first])
-        w.until_notified(context, 2, 10)
-        took = w.now - silent_at
+        discovery.behaviour = reachable_after(simulation, 0.0, *FIRST_CALLS[first])
+        simulation.until_notified(context, 2, 10)
+        took = simulation.now - silent_at
         assert took <= NOTIFIED_WITHIN, (seed, took)
         # Where the list is asked for: a second call is made where the first hangs, and only there.
-        assert w.second_calls() == (fleet != "pushed" and first in ("hangs", "cut"))
+        assert simulation.second_calls() == (fleet != "pushed" and first in ("hangs", "cut"))
         assert len(discovery.calls) - calls <= (4 if fleet == "pushed" else 2)
 
 
@@ -352,24 +354,24 @@
 @pytest.mark.parametrize("down", ["refused", "cut", "hangs", "503"])
 @pytest.mark.parametrize("fleet", FLEETS)
 def test_a_change_during_an_outage_is_notified_in_time_after_it(
-    world: MakeWorld, fleet: str, down: str, first: str
+    make_simulation: MakeSimulation, fleet: str, down: str, first: str
 ) -> None:
     """However calls fail during the outage and after it."""
     for seed in range(6):
-        w = world()
-        discovery, context = sidecar_with_watch(w, fleet, seed)
+        simulation = make_simulation()
+        discovery, context = sidecar_with_watch(simulation, fleet, seed)
         if down in ("refused", "503"):
             discovery.end_all()
         else:
             discovery.fall_silent()
         outage = 0.3 + 2.9 * seed
-        reachable = reachable_after(w, outage, *FIRST_CALLS[first])
+        reachable = reachable_after(simulation, outage, *FIRST_CALLS[first])
         discovery.behaviour = failing_until(reachable, down)
-        w.run(w.now + outage)
+        simulation.run(simulation.now + outage)
         discovery.version += 1
         silence = 0.0 if down in ("refused", "503") else 3.0  # a silent watch is noticed after that
         calls = len(discovery.calls)
-        took = w.until_notified(context, 2, 20)
+        took = simulation.until_notified(context, 2, 20)
         assert took <= max(NOTIFIED_WITHIN, NOTIFIED_WITHIN - outage + silence), (seed, took)
         # Two in the time that a call of those before may take, and the one that is answered.
         assert len(discovery.calls) - calls <= (6 if fleet == "pushed" or first in ("503", "reset") else 3)
@@ -380,86 +382,88 @@
 @pytest.mark.parametrize("old", ["serves", "down", "hangs"])
 @pytest.mark.parametrize("fleet", FLEETS)
 def test_the_list_of_a_new_discovery_is_notified_in_time(
-    world: MakeWorld, fleet: str, old: str, down: str, first: str
+    make_simulation: MakeSimulation, fleet: str, old: str, down: str, first: str
 ) -> None:
     """Whatever the old one does, and however calls to the new one fail at first."""
     for seed in range(3):
-        w = world()
-        discovery, context = sidecar_with_watch(w, fleet, seed)
+        simulation = make_simulation()
+        discovery, context = sidecar_with_watch(simulation, fleet, seed)
         if old != "serves":
             discovery.end_all()
             discovery.behaviour = lambda _, old=old: Discovery.REFUSED if old == "down" else Discovery.HANGS
-            w.run(w.now + 1.7 * seed)
+            simulation.run(simulation.now + 1.7 * seed)
         outage = 2.3 * seed
-        reachable = reachable_after(w, outage, *FIRST_CALLS[first])
-        other = w.discovery("b:1", failing_until(reachable, down))
+        reachable = reachable_after(simulation, outage, *FIRST_CALLS[first])
+        other = simulation.discovery("b:1", failing_until(reachable, down))
         other.version = 2
         context.discovery.post(DiscoveryMoved("b:1"))
-        w.run(w.now + outage)
+        simulation.run(simulation.now + outage)
         # Where it is pushed, what the new agent has counts 4 s after the word that it is another discovery.
-        assert w.until_notified(context, 2, 20) <= (
+        assert simulation.until_notified(context, 2, 20) <= (
             4.0 if fleet == "pushed" and not outage else NOTIFIED_WITHIN
         )
 
 
 @pytest.mark.parametrize("fleet", ["small", "large", "seldom"])
-def test_a_call_that_waits_its_turn_is_not_replaced_by_a_second_one(world: MakeWorld, fleet: str) -> None:
+def test_a_call_that_waits_its_turn_is_not_replaced_by_a_second_one(
+    make_simulation: MakeSimulation, fleet: str
+) -> None:
     """At a discovery that takes nearly three seconds for an answer."""
     for seed in range(8):
-        w = world()
-        discovery, context = sidecar_with_watch(w, fleet, seed)
+        simulation = make_simulation()
+        discovery, context = sidecar_with_watch(simulation, fleet, seed)
         calls = len(discovery.calls)
         discovery.fall_silent()
         discovery.change()
         discovery.behaviour = lambda _: 2.9
-        w.until_notified(context, 2, 10)
+        simulation.until_notified(context, 2, 10)
         assert (
-            w.now - discovery.calls[calls].at <= 2.9 + 0.02
+            simulation.now - discovery.calls[calls].began_at <= 2.9 + 0.02
             and discovery.answered[-1] is discovery.calls[calls]
         )
         # It knows now that a call may wait: the next time none is made beside one that does.
-        second_calls = w.second_calls()
+        second_calls = simulation.second_calls()
         discovery.fall_silent()
         discovery.change()
-        w.until_notified(context, 3, 10)
-        assert w.second_calls() == second_calls <= 1
+        simulation.until_notified(context, 3, 10)
+        assert simulation.second_calls() == second_calls <= 1
 
 
 @pytest.mark.parametrize("down", ["hangs", "cut", "refused", "503"])
 @pytest.mark.parametrize("fleet", ["large", "seldom"])
 def test_while_none_is_answered_calls_go_on_at_a_rate_that_allows_for_one_to_hang(
-    world: MakeWorld, fleet: str, down: str
+    make_simulation: MakeSimulation, fleet: str, down: str
 ) -> None:
     """For a minute, in which a discovery in trouble is not called too often either."""
     for seed in range(4):
-        w = world()
-        discovery, context = sidecar_with_watch(w, fleet, seed)
+        simulation = make_simulation()
+        discovery, context = sidecar_with_watch(simulation, fleet, seed)
         calls = len(discovery.calls)
         discovery.end_all()
         discovery.behaviour = lambda _: down
-        w.run(w.now + 60)
-        begun = [call.at for call in discovery.calls[calls:]]
+        simulation.run(simulation.now + 60)
+        begun = [call.began_at for call in discovery.calls[calls:]]
         # Of two that begin within 5.5 s one may hang; one that is refused could not be reached until then.
         step, within = (1, 4.25) if down == "refused" else (2, 5.5)
-        assert all(later - at <= within for at, later in zip(begun, begun[step:], strict=False))
+        assert all(later - began_at <= within for began_at, later in zip(begun, begun[step:], strict=False))
         if down in ("hangs", "cut"):
             assert len(begun) <= 2 + 2 * 60 / 5
-            assert all(sum(at <= call < at + 4 for call in begun) <= 2 for at in begun)
+            assert all(sum(began_at <= call < began_at + 4 for call in begun) <= 2 for began_at in begun)
 
 
 @pytest.mark.parametrize("first, second_calls", [([], 0), ([0.4], 0), ([Discovery.HANGS], 1)])
 def test_of_many_sidecars_each_calls_once_and_once_more_where_its_call_hangs(
-    world: MakeWorld, first: list[float | str], second_calls: int
+    make_simulation: MakeSimulation, first: list[float | str], second_calls: int
 ) -> None:
     """After all watches of one discovery fell silent at once."""
-    w = world()
-    discovery = w.discovery("a:1", lambda _: 0.0)
-    contexts = [w.sidecar(seed=str(seed), **LARGE) for seed in range(40)]
-    w.run(w.now + 20)
+    simulation = make_simulation()
+    discovery = simulation.discovery("a:1", lambda _: 0.0)
+    contexts = [simulation.sidecar(seed=str(seed), **LARGE) for seed in range(40)]
+    simulation.run(simulation.now + 20)
     calls = len(discovery.calls)
     remaining: dict[SidecarContext, list[float | str]] = {}
     discovery.fall_silent()
-    silent_at = w.now
+    silent_at = simulation.now
     discovery.change()
     notified_at = {}
 
@@ -470,12 +474,12 @@
 
     discovery.behaviour = behaviour
     for context in contexts:
-        w.until_notified(context, 2, 10)
-        notified_at[context] = w.now
+        simulation.until_notified(context, 2, 10)
+        notified_at[context] = simulation.now
     assert max(notified_at.values()) <= silent_at + NOTIFIED_WITHIN
     assert (
         len(discovery.calls) - calls == len(contexts) * (1 + second_calls)
-        and w.second_calls() == len(contexts) * second_calls
+        and simulation.second_calls() == len(contexts) * second_calls
     )
 
 
@@ -484,7 +488,7 @@
 
 
 @pytest.fixture
-def crowded(tmp_path: Path) -> Iterator[StartCrowded]:
+def start_crowded_process(tmp_path: Path) -> Iterator[StartCrowded]:
     """A real process with few descriptors, discovery down, and more idle clients than it can serve."""
     discovery = bound_socket(listening=False)
     started: list[subprocess.Popen[bytes]] = []
@@ -535,10 +539,10 @@
 
 @pytest.mark.parametrize("configured, allowed", [(64, 64), (1024, 64)])
 def test_idle_clients_leave_discovery_its_descriptors(
-    crowded: StartCrowded, configured: int, allowed: int
+    start_crowded_process: StartCrowded, configured: int, allowed: int
 ) -> None:
     """Discovery is called, though more clients connect than there are descriptors."""
-    discovery, lines = crowded(configured, allowed)
+    discovery, lines = start_crowded_process(configured, allowed)
     discovery.listen()
     discovery.settimeout(30)
     call, _ = discovery.accept()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,7 @@
-"""What is to be done still in the instant in which something ends; docs/endings.md lists the cases.
+"""Races at the end of clients, connections, requests and watches; docs/endings.md lists the cases.
 
-The order of events is forced: the loop turns only while a test waits, and `events_delayed` delays a socket's.
+The tests force the order of events: the loop runs only while a test waits, and `events_delayed` delays the
+events of one socket.
 """
 
 import contextlib
@@ -33,10 +34,10 @@
 from starlingwheel.net.messages import CLOSE, STOP
 
 NO_CANCEL = {"caps": SETTINGS["caps"] | {"cancel": False}}
-PUSHED = {"discovery": "push", "rules": {"drainGrace": 100000}}
-Start = tuple[subprocess.Popen[bytes], Callable[[], int], Callable[[int], None]]
+PUSHED_LIST_SETTINGS = {"discovery": "push", "rules": {"drainGrace": 100000}}
+StartingProcess = tuple[subprocess.Popen[bytes], Callable[[], int], Callable[[int], None]]
 AnsweredOnce = tuple[SidecarHarness, socket.socket, socket.socket]
-LEAVE = ["closes", "resets", "ends its sending"]
+DISCONNECT_METHODS = ["closes", "resets", "ends its sending"]
 
 
 def disconnect(harness: SidecarHarness, client: socket.socket, how: str = "closes") -> None:
@@ -52,7 +53,7 @@
 
 @contextlib.contextmanager
 def events_delayed(harness: SidecarHarness, actor: Actor, mask: int) -> Iterator[None]:
-    """Delay the socket events of an actor meanwhile, as by a late turn of the loop."""
+    """Delay the socket events of an actor until the end of the block, as a late turn of the loop does."""
     descriptor = actor.stream.sock.fileno()
     harness.context.loop.unregister(descriptor)
     yield
@@ -60,15 +61,15 @@
         harness.context.loop.register(descriptor, actor, mask)
 
 
-def waiting_client(harness: SidecarHarness) -> ClientConnection:
-    """The sidecar's end of the only client that waits."""
+def pending_client_connection(harness: SidecarHarness) -> ClientConnection:
+    """Wait for the connection of the only client with a pending request, and return it."""
     return harness.wait_until(
         lambda: next((c for c in harness.context.connections.clients if c.pending is not None), None)
     )
 
 
-def connecting(harness: SidecarHarness) -> Http1Connection | Http2Connection:
-    """A connection to an endpoint that was begun, and none of whose socket events was read."""
+def begun_endpoint_connection(harness: SidecarHarness) -> Http1Connection | Http2Connection:
+    """Return the first connection to an endpoint once it is opened, before any of its socket events."""
     connections = harness.context.connections.endpoint_connections
     while not connections:
         harness.context.loop.run_once(0)
@@ -76,38 +77,38 @@
 
 
 def assert_nothing_arrives(harness: SidecarHarness, sock: socket.socket, seconds: float = 0.05) -> None:
-    """No byte arrives for some seconds; the connection may close."""
+    """Assert that no byte arrives within `seconds`; the connection may close."""
     harness.run_for(seconds)
     assert harness.read(sock) in (None, b"end")
 
 
-# A client that has left while its request waited: nothing is sent for it.
+# A client has disconnected while its request was waiting: nothing is sent for it.
 
 
-@pytest.mark.parametrize("how", LEAVE)
+@pytest.mark.parametrize("how", DISCONNECT_METHODS)
 @pytest.mark.parametrize("category", ["look", "buy", "move"])
 def test_a_request_unread_when_its_client_left_is_not_forwarded(
     harness: SidecarHarness, category: str, how: str
 ) -> None:
-    """The request and the close are read in the same turn."""
-    kept = harness.serve() if harness.send_request() else None
+    """The request and the disconnect are read in the same turn of the loop."""
+    idle = harness.serve() if harness.send_request() else None
     client = harness.send_request(category, b"" if category == "look" else b"one", x_trace_id="t2")
     disconnect(harness, client, how)
     harness.wait_until(lambda: harness.log_lines("client.end"))
-    assert_nothing_arrives(harness, kept)
+    assert_nothing_arrives(harness, idle)
     harness.assert_no_connection()
     assert harness.context.coordinator.counts["left"] == 0 and harness.context.buffer_pool.in_use == 0
 
 
 def test_a_pipelined_request_is_not_forwarded_once_its_client_has_left(harness: SidecarHarness) -> None:
-    """The response to the first and the close are handled in the same turn."""
+    """The response to the first request and the disconnect are handled in the same turn of the loop."""
     client = harness.connect_client()
     client.sendall(harness.request_bytes() + harness.request_bytes(x_trace_id="t2"))
     upstream = harness.accept()
     harness.read_request(upstream)
-    actor, ended = waiting_client(harness), socket_ready(HANGUP)
+    actor, ended = pending_client_connection(harness), socket_ready(HANGUP)
     post = actor.post
-    actor.post = lambda message: (post(message), post(ended))  # the answer, and behind it the client's end
+    actor.post = lambda message: (post(message), post(ended))  # the response, followed by the disconnect
     harness.send_response(upstream)
     client.close()
     harness.wait_until(lambda: actor.ended)
@@ -115,19 +116,19 @@
 
 
 @pytest.mark.parametrize("settings", [{}, NO_CANCEL], ids=["cancel", "no cancel"])
-@pytest.mark.parametrize("heard", [True, False], ids=["heard", "not yet heard"])
+@pytest.mark.parametrize("handled", [True, False], ids=["heard", "not yet heard"])
 def test_an_attempt_whose_connection_comes_up_after_its_client_left_is_not_written(
-    make_harness: Callable[..., SidecarHarness], settings: dict[str, Any], heard: bool
+    make_harness: Callable[..., SidecarHarness], settings: dict[str, Any], handled: bool
 ) -> None:
-    """Whether the close has been handled or not, and whether attempts may be cancelled or not."""
+    """Holds whether the disconnect has been handled or not, and whether attempts may be cancelled or not."""
     harness = make_harness(settings=settings)
     client = harness.send_request("buy", b"one")
-    connection = connecting(harness)
-    actor = waiting_client(harness)
-    with events_delayed(harness, actor, HANGUP) if not heard else contextlib.nullcontext():
+    connection = begun_endpoint_connection(harness)
+    actor = pending_client_connection(harness)
+    with events_delayed(harness, actor, HANGUP) if not handled else contextlib.nullcontext():
         with events_delayed(harness, connection, WRITE):
             client.close()
-            if heard:
+            if handled:
                 harness.wait_until(lambda: harness.log_lines("client.end"))
         assert_nothing_arrives(harness, harness.accept())
     assert (
@@ -136,13 +137,13 @@
     )
 
 
-def test_a_client_that_leaves_before_a_retry_ends_it(make_harness: Callable[..., SidecarHarness]) -> None:
-    """The retry's connection comes up, and nothing is written."""
+def test_a_retry_is_not_sent_once_its_client_has_left(make_harness: Callable[..., SidecarHarness]) -> None:
+    """The connection for the retry is established, but nothing is written."""
     harness = make_harness(upstreams=2)
     client = harness.send_request("buy", b"one")
     i, upstream = harness.wait_until(harness.accept_any)
     harness.read_request(upstream)
-    with events_delayed(harness, waiting_client(harness), HANGUP):
+    with events_delayed(harness, pending_client_connection(harness), HANGUP):
         harness.send_response(upstream, status=503, extra="X-Never-Ran: 1\r\n")
         client.close()
         assert_nothing_arrives(harness, harness.accept(1 - i))
@@ -151,14 +152,14 @@
 def test_a_request_whose_client_left_during_a_health_check_is_not_forwarded(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The health check of the endpoint ends after the close."""
+    """The health check of the endpoint ends after the client has disconnected."""
     caps = SETTINGS["caps"] | {"peers": False}
     harness = make_harness(settings={"caps": caps, "categories": request_class_settings(4000000)})
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     request, _ = harness.read_request(upstream)
     assert request.target == b"/health"
-    with events_delayed(harness, waiting_client(harness), HANGUP):
+    with events_delayed(harness, pending_client_connection(harness), HANGUP):
         client.close()
         harness.send_response(upstream)
         assert_nothing_arrives(harness, upstream)
@@ -167,20 +168,20 @@
 def test_a_delayed_last_byte_is_not_written_once_the_client_has_left(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """So the request does not run."""
+    """Without its last byte the request does not run."""
     monkeypatch.setattr("starlingwheel.net.http.request_writer.LAST_BYTE_DELAY_FRACTION", 0.2)
     harness.context.resets_expected_until = float("inf")
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     got = harness.wait_until(lambda: harness.read(upstream))
     assert got.endswith(b"on")
-    with events_delayed(harness, waiting_client(harness), HANGUP):
+    with events_delayed(harness, pending_client_connection(harness), HANGUP):
         client.close()
         assert_nothing_arrives(harness, upstream, 0.3)
 
 
-def test_a_client_is_heard_to_leave_while_its_body_waits_for_room(harness: SidecarHarness) -> None:
-    """It has sent all of its body before, which must not be forwarded in full."""
+def test_a_client_disconnect_is_detected_while_its_body_stream_is_full(harness: SidecarHarness) -> None:
+    """The client has sent all of its body, which must not be forwarded to its end after the disconnect."""
     size = 300_000
     client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size * 2)
@@ -194,13 +195,13 @@
             rest = rest[client.send(rest) :]
         harness.context.loop.run_once(0)
     upstream = harness.accept()
-    flow = harness.wait_until(
+    body_stream = harness.wait_until(
         lambda: next((j.body for j in harness.context.coordinator.pending_requests.values()), None)
     )
-    harness.wait_until(lambda: flow.is_full)
+    harness.wait_until(lambda: body_stream.is_full)
     client.close()
     assert harness.wait_until(lambda: harness.log_lines("client.end"))[0]["reason"] == "client-left"
-    assert not flow.ended
+    assert not body_stream.ended
     got = 0
     while data := harness.wait_until(lambda: harness.read(upstream)):
         if data == b"end":
@@ -212,28 +213,31 @@
 def test_over_http_2_a_stream_is_not_begun_for_a_client_that_has_left(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The connection comes up before the close is handled."""
-    from test_streams import NEW, Peer
+    """The connection is established before the disconnect is handled."""
+    from test_streams import HTTP2_SETTINGS, Http2Upstream
 
-    harness = make_harness(settings=NEW | {"rules": {}})
+    harness = make_harness(settings=HTTP2_SETTINGS | {"rules": {}})
     harness.push_snapshot()
     client = harness.send_request()
-    connection = connecting(harness)
-    with events_delayed(harness, waiting_client(harness), HANGUP):
+    connection = begun_endpoint_connection(harness)
+    with events_delayed(harness, pending_client_connection(harness), HANGUP):
         client.close()
-        peer = Peer(harness)
+        upstream = Http2Upstream(harness)
         harness.wait_until(lambda: connection.connected)
         for _ in range(5):
-            peer.read()
+            upstream.read()
             harness.run_for(0.01)
-        assert not peer.asked
+        assert not upstream.requests
 
 
 @pytest.fixture
 def just_answered(
     make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> AnsweredOnce:
-    """A client, and a connection to an endpoint that has just answered: for a minute it is not quiescent."""
+    """Return a client, and a connection to an endpoint that has just responded.
+
+    The connection is not quiescent for a minute.
+    """
     harness = make_harness(settings={"caps": SETTINGS["caps"] | {"keepalive": 600_000_000}})
     monkeypatch.setattr(http1, "QUIESCENCE_FRACTION", 60.0)
     client = harness.connect_client()
@@ -247,7 +251,7 @@
 def test_a_late_second_response_is_not_taken_for_that_of_the_next_request(
     just_answered: AnsweredOnce,
 ) -> None:
-    """The next request goes by another connection."""
+    """The next request uses another connection."""
     harness, client, first = just_answered
     client.sendall(harness.request_bytes(x_trace_id="t2"))
     second = harness.accept()
@@ -260,7 +264,7 @@
 
 
 def test_a_request_does_not_wait_for_a_connection_that_has_just_answered(just_answered: AnsweredOnce) -> None:
-    """New connections are opened until one is quiescent."""
+    """New connections are opened as long as none is quiescent."""
     harness, client, first = just_answered
     for more in (2, 3):
         client.sendall(harness.request_bytes(x_trace_id=f"t{more}"))
@@ -271,7 +275,7 @@
 
 
 def test_of_the_quiescent_connections_the_one_used_last_is_reused(just_answered: AnsweredOnce) -> None:
-    """The others stay idle."""
+    """The other connections stay idle."""
     harness, client, first = just_answered
     client.sendall(harness.request_bytes(x_trace_id="t2"))
     second = harness.serve()
@@ -292,11 +296,11 @@
     assert_nothing_arrives(harness, third, 0.01)
 
 
-@pytest.mark.parametrize("vain", [0, 1])
+@pytest.mark.parametrize("failed_takes", [0, 1])
 def test_a_request_takes_a_connection_that_becomes_quiescent_while_a_new_one_comes_up(
-    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch, vain: int
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch, failed_takes: int
 ) -> None:
-    """`vain`: looks at which the quiescent connection is in use by others."""
+    """The first `failed_takes` attempts to take the quiescent connection find none."""
     caps = SETTINGS["caps"] | {"connectTimeout": 5_000_000}
     harness = make_harness(settings={"caps": caps, "categories": request_class_settings(4000000)})
     client = harness.connect_client()
@@ -310,15 +314,17 @@
             (c for c in harness.context.connections.endpoint_connections if not c.exchange_count), None
         )
     )
-    looks, rested = iter([True] * vain), ConnectionPool.take_quiescent
-    monkeypatch.setattr(ConnectionPool, "take_quiescent", lambda u: None if next(looks, False) else rested(u))
+    takes_fail, take_quiescent = iter([True] * failed_takes), ConnectionPool.take_quiescent
+    monkeypatch.setattr(
+        ConnectionPool, "take_quiescent", lambda u: None if next(takes_fail, False) else take_quiescent(u)
+    )
     with events_delayed(harness, late, WRITE):
         harness.read_request(first)
         assert not harness.log_lines("upstream.end") and late.exchange is None
     harness.send_response(first)
     assert harness.read_status(client) == 200
     harness.wait_until(lambda: len(harness.context.connections.idle_endpoint_connections) == 2)
-    # What has come up in vain has nothing to rest from.
+    # The new connection has carried no exchange, so it is quiescent.
     assert late.is_quiescent()
     client.sendall(harness.request_bytes(x_trace_id="t3"))
     harness.serve()
@@ -328,7 +334,7 @@
 def test_without_room_for_a_new_connection_one_that_is_not_quiescent_is_reused(
     just_answered: AnsweredOnce,
 ) -> None:
-    """There is room for one connection."""
+    """The limit of connections to endpoints is one."""
     harness, client, first = just_answered
     harness.context.connections.endpoint_limit = 1
     client.sendall(harness.request_bytes(x_trace_id="t2"))
@@ -340,7 +346,7 @@
 def test_while_unsolicited_responses_occur_a_reused_connection_becomes_quiescent_first(
     just_answered: AnsweredOnce,
 ) -> None:
-    """There is room for one connection, and a second response comes on it meanwhile."""
+    """The limit of connections is one, and a second response arrives while the request waits."""
     harness, client, upstream = just_answered
     harness.context.connections.endpoint_limit, harness.context.unsolicited_responses_until = 1, float("inf")
     client.sendall(harness.request_bytes(x_trace_id="t2"))
@@ -356,45 +362,45 @@
     assert_nothing_arrives(harness, upstream)
 
 
-@pytest.mark.parametrize("wary", [False, True])
+@pytest.mark.parametrize("unsolicited_expected", [False, True])
 def test_a_request_after_a_health_check_reuses_its_connection_unless_unsolicited_responses_occur(
-    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch, wary: bool
+    make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch, unsolicited_expected: bool
 ) -> None:
-    """`wary`: they do."""
+    """Where such responses are expected, the request uses a new connection."""
     monkeypatch.setattr(http1, "QUIESCENCE_FRACTION", 60.0)
     caps = SETTINGS["caps"] | {"peers": False}
     harness = make_harness(settings={"caps": caps, "categories": request_class_settings(4000000)})
-    if wary:
+    if unsolicited_expected:
         harness.context.unsolicited_responses_until = float("inf")
     client = harness.send_request("buy", b"one")
-    asked = harness.accept()
-    assert harness.read_request(asked)[0].target == b"/health"
-    harness.send_response(asked)
-    carries = harness.accept() if wary else asked
+    checked = harness.accept()
+    assert harness.read_request(checked)[0].target == b"/health"
+    harness.send_response(checked)
+    carries = harness.accept() if unsolicited_expected else checked
     assert harness.read_request(carries)[1] == b"one"
     harness.send_response(carries)
     assert harness.read_status(client) == 200
-    assert_nothing_arrives(harness, asked)
+    assert_nothing_arrives(harness, checked)
 
 
-@pytest.mark.parametrize("comes", ["at rest", "behind its answer", "as it is to be used"])
+@pytest.mark.parametrize("arrival", ["at rest", "behind its answer", "as it is to be used"])
 def test_after_a_second_response_unsolicited_ones_are_expected_for_a_while(
-    harness: SidecarHarness, comes: str
+    harness: SidecarHarness, arrival: str
 ) -> None:
-    """Whenever it comes, unsolicited responses are expected for a while."""
+    """The second response arrives with the first, on an idle connection, or just before that is reused."""
     client = harness.send_request()
     first = harness.accept()
     harness.read_request(first)
     harness.send_response(first)
-    if comes == "behind its answer":
+    if arrival == "behind its answer":
         harness.send_response(first)
     assert harness.read_status(client) == 200
-    if comes != "behind its answer":
+    if arrival != "behind its answer":
         harness.wait_for_idle_connections()
         connection = harness.context.connections.longest_idle()
         with (
             events_delayed(harness, connection, READ)
-            if comes == "as it is to be used"
+            if arrival == "as it is to be used"
             else contextlib.nullcontext()
         ):
             harness.send_response(first)
@@ -410,7 +416,7 @@
 
 
 def test_the_close_of_an_idle_connection_is_no_unsolicited_response(harness: SidecarHarness) -> None:
-    """It makes nobody cautious."""
+    """No unsolicited responses are expected after it."""
     client = harness.send_request()
     first = harness.serve()
     assert harness.read_status(client) == 200
@@ -420,7 +426,7 @@
     assert harness.context.unsolicited_responses_until < harness.context.loop.now()
 
 
-# A hand-off that waited: for an upstream that goes, or past its time.
+# An attempt waited for its connection until its endpoint had changed or its deadline had passed.
 
 
 @pytest.mark.parametrize(
@@ -432,11 +438,11 @@
 def test_a_change_of_the_endpoint_while_its_connection_comes_up_sends_the_request_elsewhere(
     make_harness: Callable[..., SidecarHarness], changed: dict[str, Any], read: bool
 ) -> None:
-    """`read`: the coordinator has handled the change; else it is in the mailbox."""
+    """The coordinator has handled the change (`read`), or has not received it yet."""
     harness = make_harness(upstreams=2)
     watch, _ = harness.accept_watch(b"")
     client = harness.send_request("buy", b"one")
-    connection = connecting(harness)
+    connection = begun_endpoint_connection(harness)
     i = int(connection.pool.endpoint.id[1:])
     with events_delayed(harness, connection, WRITE):
         harness.send_watch_line(watch, {"version": 8, "servers": [harness.endpoint_entry(i, **changed)]})
@@ -456,11 +462,11 @@
 def test_a_connection_that_comes_up_after_the_deadline_of_its_request_is_not_written_to(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """In a turn so late that both are true at once."""
+    """A late turn of the loop finds the connection established and the deadline past."""
     harness = make_harness(settings=NO_CANCEL | {"categories": request_class_settings(200000)})
     client = harness.send_request("buy", b"one", x_expires_in_ms="390")
-    with events_delayed(harness, connecting(harness), WRITE):
-        time.sleep(0.25)  # a late turn: the connection has come up, and the due time is over
+    with events_delayed(harness, begun_endpoint_connection(harness), WRITE):
+        time.sleep(0.25)  # a late turn: the connection is established, and the latency objective has passed
     assert_nothing_arrives(harness, harness.accept())
     assert harness.read_status(client) == 503
 
@@ -468,26 +474,28 @@
 def test_an_attempt_unwritten_when_its_request_is_answered_is_not_written(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Where cancelling is not allowed no message comes to its connection."""
+    """Where attempts may not be cancelled, the connection is sent no message about that."""
     harness = make_harness(settings=NO_CANCEL)
     client = harness.send_request()
-    with events_delayed(harness, connecting(harness), WRITE):
+    with events_delayed(harness, begun_endpoint_connection(harness), WRITE):
         harness.context.coordinator.fail_request(next(iter(harness.context.coordinator.pending_requests)))
         assert harness.read_status(client) == 504
     assert_nothing_arrives(harness, harness.accept())
     assert harness.wait_until(lambda: not harness.context.coordinator.pending_requests)
 
 
-# The list.
+# The endpoint list.
 
 
 @pytest.mark.parametrize("indent", [1, 4])
-def test_a_list_may_come_indented(make_harness: Callable[..., SidecarHarness], indent: int) -> None:
-    """Messages of a watch that span several lines are read."""
+def test_an_indented_watch_message_is_parsed(
+    make_harness: Callable[..., SidecarHarness], indent: int
+) -> None:
+    """A message may span several lines, also with brackets and quotes inside its strings."""
     harness = make_harness(upstreams=2)
     odd = {"id": 's2}]"{', "addr": "127.0.0.1:1", "state": "leaving"}
-    news = {"version": 9, "full": True, "servers": [harness.endpoint_entry(1), odd]}
-    watch, _ = harness.accept_watch(msgspec.json.format(msgspec.json.encode(news), indent=indent), b"")
+    full_list = {"version": 9, "full": True, "servers": [harness.endpoint_entry(1), odd]}
+    watch, _ = harness.accept_watch(msgspec.json.format(msgspec.json.encode(full_list), indent=indent), b"")
     harness.wait_until(lambda: list(harness.context.coordinator.pools) == ["s1", 's2}]"{'])
     harness.send_watch_line(watch, b"")
     change = {"version": 10, "servers": [harness.endpoint_entry(1, state="leaving")]}
@@ -502,7 +510,7 @@
 def test_a_silent_watch_is_reopened_at_once_however_many_sidecars_there_are(
     make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The pause before it does not grow with their number."""
+    """The delay before the next call does not grow with the number of sidecars."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
     harness = make_harness(settings={"replicasOfMe": 400, "rules": {"mustAskIn": 10000000}}, seed="4")
     harness.accept_watch(b"")
@@ -516,8 +524,8 @@
 def test_an_empty_watch_event_confirms_the_known_endpoints(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The sidecar is then ready."""
-    harness = make_harness(settings=PUSHED)
+    """The sidecar is then ready and forwards requests."""
+    harness = make_harness(settings=PUSHED_LIST_SETTINGS)
     harness.accept_watch({"version": 7, "full": False, "servers": []})
     harness.wait_until(lambda: harness.context.ready)
     client = harness.send_request()
@@ -529,17 +537,17 @@
 def test_a_pushed_endpoint_list_is_awaited_before_any_request_is_forwarded(
     make_harness: Callable[..., SidecarHarness], full: bool
 ) -> None:
-    """The known endpoints may be old, and a drain that the agent knows of counts from the start on."""
-    harness = make_harness(upstreams=2, settings=PUSHED)
+    """The known endpoints may be outdated, and the agent's drains count as notified from the start."""
+    harness = make_harness(upstreams=2, settings=PUSHED_LIST_SETTINGS)
     assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
     assert harness.read_status(harness.send_request("buy", b"one")) == 503
     harness.assert_no_connection(0)
     harness.assert_no_connection(1)
     leaving = harness.endpoint_entry(0, state="leaving")
-    word = {"version": 9, "servers": [leaving]}
+    message = {"version": 9, "servers": [leaving]}
     if full:
-        word = {"version": 9, "full": True, "servers": [leaving, harness.endpoint_entry(1)]}
-    _, target = harness.accept_watch(word)
+        message = {"version": 9, "full": True, "servers": [leaving, harness.endpoint_entry(1)]}
+    _, target = harness.accept_watch(message)
     assert target.endswith(b"from=7")
     harness.wait_until(lambda: harness.context.ready)
     harness.assert_requests_reach(1, 4)
@@ -549,9 +557,9 @@
 def test_a_silent_discovery_agent_does_not_delay_the_start_for_ever(
     make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The known endpoints are used after a while."""
+    """The known endpoints are used once the delay has passed."""
     monkeypatch.setattr(discovery, "USE_KNOWN_LIST_AFTER", 0.02)
-    harness = make_harness(settings=PUSHED)
+    harness = make_harness(settings=PUSHED_LIST_SETTINGS)
     harness.wait_until(lambda: harness.context.ready)
     client = harness.send_request()
     harness.serve()
@@ -561,8 +569,8 @@
 def test_a_pushed_list_that_ended_is_reopened_well_within_the_drain_grace(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """However often that fails."""
-    harness = make_harness(settings=PUSHED)
+    """Holds for every backoff, however often the call fails."""
+    harness = make_harness(settings=PUSHED_LIST_SETTINGS)
     watch = harness.push_snapshot()
     grace = harness.context.balancer_config.drain_grace
     assert grace == 0.1
@@ -577,9 +585,9 @@
 def test_an_unanswered_call_to_an_agent_is_repeated_soon(
     make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With more patience, until one is answered."""
+    """The timeout doubles with each unanswered call, and is reset by an answer."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
-    harness = make_harness(settings=PUSHED)
+    harness = make_harness(settings=PUSHED_LIST_SETTINGS)
     harness.accept(listener=harness.discovery)
     harness.wait_until(lambda: harness.context.discovery.current_watch is None)
     assert harness.context.discovery.timeout_multiple == 2 * discovery.AGENT_ANSWER_TIMEOUT
@@ -589,14 +597,14 @@
 
 @pytest.mark.parametrize("moved", [False, True])
 @pytest.mark.parametrize("answered", [0, 1])
-def test_of_two_calls_to_discovery_the_first_to_be_answered_stays(
+def test_of_two_calls_to_discovery_the_first_to_be_answered_is_kept(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch, answered: int, moved: bool
 ) -> None:
-    """On real sockets; test_discovery_client.py tests when a second call begins, and how often."""
+    """Uses real sockets; test_discovery_client.py tests when and how often a second call begins."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.1)
     harness.accept_watch(b"")
     harness.context.discovery.initial_timeout_multiple = harness.context.discovery.timeout_multiple = (
-        1000.0  # the story may take its time
+        1000.0  # no call times out during the test
     )
     harness.context.discovery.hang_threshold = 0.1
     if moved:
@@ -604,25 +612,25 @@
         harness.reconfigure(discovery=socket_address(harness.discovery))
     calls = [harness.accept(listener=harness.discovery), harness.accept(listener=harness.discovery)]
     harness.context.discovery.latest_call_at = float("inf")
-    word = {"version": 9, "full": True, "servers": [harness.endpoint_entry(0, state="leaving")]}
+    message = {"version": 9, "full": True, "servers": [harness.endpoint_entry(0, state="leaving")]}
     request, _ = harness.read_request(calls[answered])
     assert request.target.endswith(b"from=0" if moved else b"from=7")
     calls[answered].sendall(b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n")
-    harness.send_watch_line(calls[answered], word)
+    harness.send_watch_line(calls[answered], message)
     harness.wait_until(lambda: harness.context.discovery.version == 9)
     harness.read_request(calls[1 - answered])
     assert harness.wait_until(lambda: harness.read(calls[1 - answered])) == b"end"
     assert harness.context.discovery.current_watch.address == socket_address(harness.discovery)
     assert harness.context.discovery.second_watch is None and len(harness.log_lines("list.beside")) == 1
-    harness.send_watch_line(calls[answered], word | {"version": 10})
+    harness.send_watch_line(calls[answered], message | {"version": 10})
     harness.wait_until(lambda: harness.context.discovery.version == 10)
 
 
-# Stop, start and room.
+# Shutdown, start and room for connections.
 
 
 def test_all_clients_in_the_backlog_are_accepted_before_the_listener_closes(harness: SidecarHarness) -> None:
-    """More than one turn accepts."""
+    """The backlog holds more connections than one turn accepts."""
     waiting = [
         harness.send_request(request_line="GET /ready HTTP/1.1") for _ in range(MAX_ACCEPTS_PER_TURN + 40)
     ]
@@ -634,7 +642,7 @@
 def test_a_second_stop_signal_does_not_shorten_the_shutdown(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Neither does a third: the listener stays open until the time for that is over."""
+    """The listener stays open for the linger time, however many stop signals arrive."""
     monkeypatch.setattr(stop, "LINGER", 60.0)
     harness.context.shutdown.post(STOP)
     harness.wait_until(lambda: harness.context.stopping)
@@ -648,7 +656,7 @@
 
 
 def test_a_request_whose_rest_is_unread_is_not_closed_to_make_room(harness: SidecarHarness) -> None:
-    """It is complete once it has been read."""
+    """The request is complete once its unread rest has been read."""
     client = harness.connect_client()
     text = harness.request_bytes()
     client.sendall(text[:40])
@@ -659,21 +667,21 @@
     assert harness.read_status(client) == 200
 
 
-def test_an_attempt_that_crosses_the_end_of_its_connection_is_no_fault_of_the_endpoint(
+def test_an_attempt_assigned_while_its_connection_ends_is_no_fault_of_the_endpoint(
     harness: SidecarHarness,
 ) -> None:
-    """The request is rejected as not sent."""
+    """The attempt counts as not sent, and the request is rejected."""
     client = harness.connect_client()
     client.sendall(harness.request_bytes())
     upstream = harness.serve()
     assert harness.read_status(client) == 200
     harness.wait_for_idle_connections()
     connection = next(iter(harness.context.connections.idle_endpoint_connections))
-    mailed = []
+    posted = []
     post = connection.post
-    connection.post = lambda message: (mailed.append(message), post(CLOSE), post(message))
+    connection.post = lambda message: (posted.append(message), post(CLOSE), post(message))
     client.sendall(harness.request_bytes(x_trace_id="t2"))
-    harness.wait_until(lambda: mailed)
+    harness.wait_until(lambda: posted)
     harness.wait_until(lambda: harness.log_lines("upstream.end"))
     [stats] = harness.context.coordinator.scheduler.balancer.endpoints.by_id.values()
     assert not stats.connect_failing
@@ -682,40 +690,40 @@
 
 
 @pytest.fixture
-def starting(tmp_path: Path) -> Iterator[Start]:
-    """A process that waits for its configuration, which the test has still to write."""
+def starting_process(tmp_path: Path) -> Iterator[StartingProcess]:
+    """Start a process that waits for its configuration, which the test writes into a pipe."""
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)
-    told = {"listen": free_address(), "discovery": "127.0.0.1:1", "settings": SETTINGS}
+    config = {"listen": free_address(), "discovery": "127.0.0.1:1", "settings": SETTINGS}
     process = subprocess.Popen(
         [sys.executable, "-m", "starlingwheel"],
         env=os.environ | {"EDGE_CONFIG": str(pipe)}, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
     )  # fmt: skip
 
-    def reader() -> int:
-        """The pipe, once it is being read."""
+    def open_pipe() -> int:
+        """Return the descriptor of the pipe once the process has opened it for reading."""
         while process.poll() is None:
             with contextlib.suppress(OSError):
                 return os.open(pipe, os.O_WRONLY | os.O_NONBLOCK)
             time.sleep(0.01)
-        raise AssertionError(f"it has ended: {process.returncode}")
+        raise AssertionError(f"the process ended early: {process.returncode}")
 
     def write(descriptor: int) -> None:
-        """What is read now; whoever reads it again finds a file in its place."""
-        (tmp_path / "again").write_bytes(msgspec.json.encode(told))
+        """Write the configuration into the pipe, and into a file in its place for later reads."""
+        (tmp_path / "again").write_bytes(msgspec.json.encode(config))
         os.replace(tmp_path / "again", pipe)
-        os.write(descriptor, msgspec.json.encode(told))
+        os.write(descriptor, msgspec.json.encode(config))
         os.close(descriptor)
 
-    yield process, reader, write
+    yield process, open_pipe, write
     process.kill()
     process.communicate()
 
 
-def test_sighup_during_the_start_reloads_the_configuration(starting: Start) -> None:
-    """The process goes on."""
-    process, reader, write = starting
-    descriptor = reader()
+def test_sighup_during_the_start_reloads_the_configuration(starting_process: StartingProcess) -> None:
+    """The process continues to run, and a SIGTERM ends it with status 0."""
+    process, open_pipe, write = starting_process
+    descriptor = open_pipe()
     process.send_signal(signal.SIGHUP)
     write(descriptor)
     while b'"config.read"' not in (line := process.stdout.readline()):
@@ -725,10 +733,10 @@
     assert process.returncode == 0
 
 
-def test_sigterm_during_the_start_stops_the_process_in_order(starting: Start) -> None:
-    """Exit status 0, nothing on standard error."""
-    process, reader, write = starting
-    descriptor = reader()
+def test_sigterm_during_the_start_stops_the_process_cleanly(starting_process: StartingProcess) -> None:
+    """The exit status is 0, and nothing is written to standard error."""
+    process, open_pipe, write = starting_process
+    descriptor = open_pipe()
     process.send_signal(signal.SIGTERM)
     write(descriptor)
     out, errors = process.communicate(timeout=10)
@@ -737,7 +745,7 @@
 
 @pytest.mark.parametrize("file", ["balancer.toml", "fleet.toml"])
 def test_sighup_before_the_interpreter_is_up_is_ignored(tmp_path: Path, file: str) -> None:
-    """By the shell command of the deploy file."""
+    """The shell command of the deploy file ignores SIGHUP."""
     run = tomllib.loads((Path(__file__).parent.parent / "deploy" / file).read_text())["run"]
     stand_in = tmp_path / ".venv" / "bin" / "python"
     stand_in.parent.mkdir(parents=True)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -20,7 +20,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-def content(size: int, seed: int = 1) -> bytes:
+def random_bytes(size: int, seed: int = 1) -> bytes:
     """Random bytes, the same for the same seed."""
     return random.Random(seed).randbytes(size)
 
@@ -58,7 +58,7 @@
     harness.wait_until(more, within)
 
 
-def head_and(harness: SidecarHarness, sock: socket.socket) -> tuple[bytes, bytes]:
+def read_head(harness: SidecarHarness, sock: socket.socket) -> tuple[bytes, bytes]:
     """Return the head of a response, and what came behind it."""
     got = b""
     while b"\r\n\r\n" not in got:
@@ -68,7 +68,7 @@
     return head, rest
 
 
-def empty(harness: SidecarHarness) -> None:
+def assert_nothing_left(harness: SidecarHarness) -> None:
     """All buffers are back, nothing is in hand."""
     harness.wait_until(
         lambda: harness.context.buffer_pool.in_use == 0 and not harness.context.coordinator.pending_requests
@@ -81,11 +81,11 @@
 
 def test_a_long_response_is_relayed_while_it_comes(harness: SidecarHarness) -> None:
     """Its attempt has ended with its first bytes, and the connection is reused after the last."""
-    client, body = harness.send_request(), content(MAX_BUFFERED_BODY + 1000)
+    client, body = harness.send_request(), random_bytes(MAX_BUFFERED_BODY + 1000)
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body[:1000])
-    head, got = head_and(harness, client)
+    head, got = read_head(harness, client)
     assert b"200" in head and b"%d" % len(body) in head
     # The request has ended: a long response takes no capacity of its endpoint, and no deadline ends it.
     harness.wait_until(lambda: not harness.context.coordinator.pending_requests)
@@ -97,7 +97,7 @@
     harness.read_request(upstream)
     harness.send_response(upstream)
     assert harness.read_status(client) == 200
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_a_relayed_response_may_outlast_the_latency_objective(
@@ -105,7 +105,7 @@
 ) -> None:
     """It began in time."""
     harness = make_harness(settings={"categories": request_class_settings(150000)})
-    client, body = harness.send_request(), content(3 * MAX_BUFFERED_BODY)
+    client, body = harness.send_request(), random_bytes(3 * MAX_BUFFERED_BODY)
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body))
@@ -113,7 +113,7 @@
     for start in range(0, len(body), MAX_BUFFERED_BODY // 2):
         upstream.sendall(body[start : start + MAX_BUFFERED_BODY // 2])
         harness.run_for(0.1)
-    head, got = head_and(harness, client)
+    head, got = read_head(harness, client)
     assert got + read_all(harness, client, len(body) - len(got)) == body
 
 
@@ -122,7 +122,7 @@
 ) -> None:
     """Though it is short, and ends late."""
     harness = make_harness(settings={"categories": request_class_settings(300000)})
-    client, body = harness.send_request(), content(60000)
+    client, body = harness.send_request(), random_bytes(60000)
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
@@ -132,7 +132,7 @@
     upstream.sendall(b"0\r\n\r\n")
     head, got = harness.read_message(client)
     assert head.status_code == 200 and got == body
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
@@ -140,7 +140,7 @@
     harness: SidecarHarness, framing: str
 ) -> None:
     """With a length, in chunks, or up to the close."""
-    client, body = harness.send_request(), content(5 * MAX_BUFFERED_BODY)
+    client, body = harness.send_request(), random_bytes(5 * MAX_BUFFERED_BODY)
     upstream = harness.accept()
     harness.read_request(upstream)
     if framing == "length":
@@ -155,7 +155,7 @@
         upstream.close()
     head, got = harness.read_message(client)
     assert head.status_code == 200 and got == body
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_a_short_response_that_ends_with_its_connection_is_complete(harness: SidecarHarness) -> None:
@@ -170,7 +170,7 @@
 
 def test_many_long_responses_to_slow_clients_take_few_buffers(harness: SidecarHarness) -> None:
     """And are forwarded unchanged."""
-    bodies = [content(2 * MB, seed) for seed in range(12)]
+    bodies = [random_bytes(2 * MB, seed) for seed in range(12)]
     clients, upstreams = [], []
     for number in range(len(bodies)):
         client = harness.connect_client()
@@ -183,10 +183,10 @@
         clients.append(client)
         upstreams.append(upstream)
     left, got = [memoryview(b)[100:] for b in bodies], [bytearray() for _ in bodies]
-    most = 0
+    peak_buffers = 0
 
-    def some() -> bool:
-        nonlocal most
+    def transfer_some() -> bool:
+        nonlocal peak_buffers
         for i, (client, upstream) in enumerate(zip(clients, upstreams, strict=True)):
             client.settimeout(0)
             upstream.settimeout(0)
@@ -194,26 +194,26 @@
                 left[i] = left[i][upstream.send(left[i][:MB]) :] if left[i] else left[i]
             with contextlib.suppress(BlockingIOError):
                 got[i] += client.recv(30000)
-        most = max(most, harness.context.buffer_pool.in_use)
+        peak_buffers = max(peak_buffers, harness.context.buffer_pool.in_use)
         return all(one.endswith(b[-100:]) for one, b in zip(got, bodies, strict=True))
 
-    harness.wait_until(some, 60.0)
+    harness.wait_until(transfer_some, 60.0)
     for body, one in zip(bodies, got, strict=True):
         assert bytes(one).partition(b"\r\n\r\n")[2] == body
     # Between a source and its sink lies a window and what is being written; never a whole answer.
-    assert most * BUFFER_SIZE <= len(bodies) * 3 * (STREAM_WINDOW + MAX_BUFFERED_BODY)
-    empty(harness)
+    assert peak_buffers * BUFFER_SIZE <= len(bodies) * 3 * (STREAM_WINDOW + MAX_BUFFERED_BODY)
+    assert_nothing_left(harness)
 
 
 def test_a_response_of_32_mib_is_forwarded_and_one_byte_more_is_too_long(harness: SidecarHarness) -> None:
     """The limit of a relayed body."""
-    client, body = harness.send_request(), content(MB) * 32
+    client, body = harness.send_request(), random_bytes(MB) * 32
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body))
     left, got = memoryview(body), bytearray()
 
-    def some() -> bool:
+    def transfer_some() -> bool:
         nonlocal left
         upstream.settimeout(0)
         client.settimeout(0)
@@ -224,9 +224,9 @@
                 got.extend(client.recv(MB))
         return len(got) > len(body)
 
-    harness.wait_until(some, 60.0)
+    harness.wait_until(transfer_some, 60.0)
     assert got.endswith(body[-1000:]) and len(got.partition(b"\r\n\r\n")[2]) == MAX_STREAMED_BODY == len(body)
-    empty(harness)
+    assert_nothing_left(harness)
     harness.wait_for_idle_connections()
     other = harness.send_request(x_trace_id="t2")
     harness.read_request(upstream)
@@ -245,7 +245,7 @@
     piece = b"x" * 70000
     chunk = b"%x\r\n%s\r\n" % (len(piece), piece) if b"chunked" in framing else piece
     upstream.sendall(HEAD + framing + b"\r\n\r\n" + chunk)
-    head_and(harness, client)
+    read_head(harness, client)
     upstream.close()
     with pytest.raises(ConnectionResetError):
         harness.wait_until(lambda: harness.log_lines("client.end"))
@@ -253,7 +253,7 @@
         while client.recv(MB):
             pass
     assert harness.log_lines("client.end")[0]["reason"] == "upstream-broke"
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_a_client_that_leaves_a_long_response_ends_the_connection_to_the_endpoint(
@@ -264,10 +264,10 @@
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Content-Length: 9000000\r\n\r\n" + b"x" * 70000)
-    head_and(harness, client)
+    read_head(harness, client)
     client.close()
     harness.wait_until(lambda: harness.read(upstream) == b"end")
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_of_two_long_responses_the_first_is_relayed_and_the_other_cancelled(
@@ -281,17 +281,17 @@
     harness.read_request(one)
     other = harness.accept(1 - i)
     harness.read_request(other)
-    body = content(2 * MAX_BUFFERED_BODY)
+    body = random_bytes(2 * MAX_BUFFERED_BODY)
     other.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
     assert harness.read_message(client)[1] == body
     assert harness.wait_until(lambda: harness.read(one)) == b"end"
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 # Requests.
 
 
-def upload(harness: SidecarHarness, body: bytes, length: bool = True, **headers: str) -> socket.socket:
+def begin_upload(harness: SidecarHarness, body: bytes, length: bool = True, **headers: str) -> socket.socket:
     """Begin a request with such a body, with or without a length; the body is not sent."""
     client = harness.connect_client()
     if length:
@@ -307,8 +307,8 @@
 ) -> None:
     """In few buffers; its time counts from its last byte."""
     harness = make_harness(limits={"memory_mb": 24})
-    body = content(3 * MB)
-    client = upload(harness, body, length)
+    body = random_bytes(3 * MB)
+    client = begin_upload(harness, body, length)
     text = (
         body
         if length
@@ -325,7 +325,7 @@
     assert request.arrived_at > harness.context.loop.now() + 1e6 and request.max_attempts == 1
     got, left = bytearray(), memoryview(text)[MB:]
 
-    def some() -> bool:
+    def transfer_some() -> bool:
         nonlocal left
         client.settimeout(0)
         with contextlib.suppress(BlockingIOError):
@@ -334,21 +334,21 @@
         assert harness.context.buffer_pool.in_use * BUFFER_SIZE < 24 * MB / 3
         return len(got) >= len(body) - 65536 * 2 and not left
 
-    harness.wait_until(some, 30.0)
+    harness.wait_until(transfer_some, 30.0)
     harness.run_for(0.1)
     got.extend(harness.read(upstream) or b"")
     harness.wait_until(lambda: request.arrived_at < harness.context.loop.now() + 1)
     harness.send_response(upstream)
     assert harness.read_status(client) == 200
-    empty(harness)
+    assert_nothing_left(harness)
 
 
-def long_request(
+def begin_long_request(
     make_harness: Callable[..., SidecarHarness], upstreams: int = 2, **given: object
 ) -> tuple[SidecarHarness, socket.socket, int, socket.socket]:
     """A request of 3 MiB, 700,000 bytes of which are sent, and the endpoint that gets it."""
     harness = make_harness(upstreams=upstreams, limits={"memory_mb": 24}, **given)
-    client = upload(harness, b"x" * 3 * MB)
+    client = begin_upload(harness, b"x" * 3 * MB)
     client.sendall(b"x" * 700000)
     i, upstream = harness.wait_until(harness.accept_any)
     harness.wait_until(lambda: harness.read(upstream))
@@ -359,21 +359,21 @@
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The client gets 503; it is not sent again."""
-    harness, client, i, upstream = long_request(make_harness)
+    harness, client, i, upstream = begin_long_request(make_harness)
     harness.reset(upstream)
     assert harness.read_status(client) == 503
     harness.assert_no_connection(1 - i)  # what has been passed on can't be sent again
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_a_long_non_idempotent_request_reset_after_its_last_byte_may_have_run(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The client gets 504."""
-    harness, client, i, upstream = long_request(make_harness)
+    harness, client, i, upstream = begin_long_request(make_harness)
     left = 3 * MB - 700000
 
-    def some() -> bool:
+    def transfer_some() -> bool:
         nonlocal left
         client.settimeout(0)
         with contextlib.suppress(BlockingIOError):
@@ -384,32 +384,32 @@
         )
 
     pending_requests = harness.context.coordinator.pending_requests
-    harness.wait_until(some, 20.0)
+    harness.wait_until(transfer_some, 20.0)
     harness.reset(upstream)
     assert harness.read_status(client) == 504
     harness.assert_no_connection(1 - i)
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_a_long_request_rejected_before_its_end_is_rejected_to_the_client(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The rest of its body is not sent."""
-    harness, client, i, upstream = long_request(make_harness)
+    harness, client, i, upstream = begin_long_request(make_harness)
     harness.send_response(upstream, status=503, extra="X-Never-Ran: 1\r\n")
     assert harness.read_status(client) == 503
     assert harness.log_lines("upstream.end")[0]["reason"] == "answered-early"
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_a_client_that_leaves_during_a_long_request_leaves_no_state(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The connection to the endpoint is closed."""
-    harness, client, i, upstream = long_request(make_harness)
+    harness, client, i, upstream = begin_long_request(make_harness)
     client.close()
     harness.wait_until(lambda: harness.read(upstream) == b"end")
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_a_long_request_that_could_not_be_sent_goes_to_another_endpoint(
@@ -418,25 +418,27 @@
     """While nothing of its body has been taken."""
     harness = make_harness(upstreams=2, limits={"memory_mb": 24})
     harness.listeners[0].close()
-    body = content(2 * MB)
+    body = random_bytes(2 * MB)
     for number in range(6):
-        client = upload(harness, body, x_trace_id=f"t{number}")
+        client = begin_upload(harness, body, x_trace_id=f"t{number}")
         write_all(harness, client, body[:MB])
         upstream = harness.accept(1)
         got = read_all(harness, upstream, MB // 2)
         assert got.startswith(b"POST /buy")
         client.close()
-        empty(harness)
+        assert_nothing_left(harness)
 
 
-@pytest.mark.parametrize("wrong", [{"x_qos": "other"}, {"x_expires_in_ms": "soon"}])
-def test_an_invalid_long_request_leaves_no_state(harness: SidecarHarness, wrong: dict[str, str]) -> None:
+@pytest.mark.parametrize("invalid_header", [{"x_qos": "other"}, {"x_expires_in_ms": "soon"}])
+def test_an_invalid_long_request_leaves_no_state(
+    harness: SidecarHarness, invalid_header: dict[str, str]
+) -> None:
     """Its buffers are given back."""
-    client = upload(harness, b"x" * 2 * MB, **wrong)
+    client = begin_upload(harness, b"x" * 2 * MB, **invalid_header)
     client.sendall(b"x" * 200000)
     assert harness.read_status(client) in (400, 404)
     client.close()
-    empty(harness)
+    assert_nothing_left(harness)
 
 
 def test_the_time_of_a_request_counts_from_its_last_byte(
@@ -444,8 +446,8 @@
 ) -> None:
     """Its body comes in pieces for longer than its latency objective, all of which is left then."""
     harness = make_harness(settings={"categories": request_class_settings(200000)})
-    body = content(30000)
-    client = upload(harness, body, x_expires_in_ms="390")
+    body = random_bytes(30000)
+    client = begin_upload(harness, body, x_expires_in_ms="390")
     for start in range(0, len(body), 5000):
         harness.run_for(0.08)
         client.sendall(body[start : start + 5000])
@@ -458,8 +460,8 @@
 
 def test_a_slow_steady_body_is_accepted_and_a_stalled_one_gets_408(harness: SidecarHarness) -> None:
     """At 32 kB/s for a short time."""
-    body = content(100000)
-    steady, stalled = upload(harness, body), upload(harness, body, x_trace_id="t2")
+    body = random_bytes(100000)
+    steady, stalled = begin_upload(harness, body), begin_upload(harness, body, x_trace_id="t2")
     stalled.sendall(body[:5000])
     for start in range(0, len(body), 5000):
         harness.run_for(5000 / 32000)
@@ -485,31 +487,31 @@
 # The flow itself.
 
 
-class End:
+class RecordingEnd:
     """One end of a body stream."""
 
     def __init__(self) -> None:
         """Prepare an empty mailbox."""
-        self.mail = []
+        self.messages = []
 
     def post(self, message: object) -> None:
         """Note a message."""
-        self.mail.append(message)
+        self.messages.append(message)
 
 
 def test_a_body_stream_notifies_its_ends_once_and_releases_its_buffers() -> None:
     """The source and the sink are notified of a change only until they have handled it."""
-    pool, source, sink = BufferPool(64), End(), End()
-    flow = BodyStream(pool, source, None, BufferedBody(pool))
-    flow.sink = sink
+    pool, source, sink = BufferPool(64), RecordingEnd(), RecordingEnd()
+    stream = BodyStream(pool, source, None, BufferedBody(pool))
+    stream.sink = sink
     for _ in range(17):
-        flow.add(b"x" * BUFFER_SIZE)
-    assert sink.mail == [BODY_STREAM_CHANGED] and flow.is_full and not flow.has_room()
-    part = flow.take()
-    assert part.length == 17 * BUFFER_SIZE and source.mail == [BODY_STREAM_CHANGED] and flow.has_room()
-    flow.add(b"x")
-    flow.release()
+        stream.add(b"x" * BUFFER_SIZE)
+    assert sink.messages == [BODY_STREAM_CHANGED] and stream.is_full and not stream.has_room()
+    part = stream.take()
+    assert part.length == 17 * BUFFER_SIZE and source.messages == [BODY_STREAM_CHANGED] and stream.has_room()
+    stream.add(b"x")
+    stream.release()
     part.release()
-    assert flow.cancelled and len(source.mail) == 2 and pool.in_use == 0
-    flow.add(b"more")
+    assert stream.cancelled and len(source.messages) == 2 and pool.in_use == 0
+    stream.add(b"more")
     assert pool.in_use == 0
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Connections that carry many requests at once, against an HTTP/2 endpoint played here."""
+"""HTTP/2 connections to an endpoint, which carry many requests at once; the test plays the endpoint."""
 
 import socket
 import subprocess
@@ -12,33 +12,33 @@
 import pytest
 from conftest import SETTINGS, SidecarHarness
 
-NEW = {"discovery": "push", "caps": SETTINGS["caps"] | {"streamsPerConn": 100}}
+HTTP2_SETTINGS = {"discovery": "push", "caps": SETTINGS["caps"] | {"streamsPerConn": 100}}
 
 
-class Peer:
-    """The upstream's end of one connection."""
+class Http2Upstream:
+    """An endpoint's side of one HTTP/2 connection."""
 
-    acknowledges = True  # what it has got: there is room for more
+    acknowledges = True  # reopens the flow-control window for the data it has received
 
     def __init__(self, harness: SidecarHarness, i: int = 0, sock: socket.socket | None = None) -> None:
-        """Accept a connection to endpoint `i`, unless `sock` is one."""
+        """Serve the accepted connection `sock`, or accept one to endpoint `i`."""
         self.harness, self.sock = harness, sock or harness.accept(i)
         self.http = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False))
         self.http.initiate_connection()
-        self.asked, self.bodies, self.resets, self.ended = {}, {}, {}, []
+        self.requests, self.bodies, self.resets, self.complete_streams = {}, {}, {}, []
         self.flush()
 
     def flush(self) -> None:
-        """Send what h2 has to send."""
+        """Send the bytes that h2 has ready."""
         self.sock.sendall(self.http.data_to_send())
 
     def read(self) -> None:
-        """Read what has come, and note its events."""
+        """Read available input and record its events."""
         data = self.harness.read(self.sock)
         for event in self.http.receive_data(data) if data and data != b"end" else ():
             match event:
                 case h2.events.RequestReceived():
-                    self.asked[event.stream_id] = {n.decode(): v.decode() for n, v in event.headers}
+                    self.requests[event.stream_id] = {n.decode(): v.decode() for n, v in event.headers}
                 case h2.events.DataReceived():
                     self.bodies[event.stream_id] = self.bodies.get(event.stream_id, b"") + event.data
                     if self.acknowledges:
@@ -46,11 +46,11 @@
                 case h2.events.StreamReset():
                     self.resets[event.stream_id] = event.error_code
                 case h2.events.StreamEnded():
-                    self.ended.append(event.stream_id)
+                    self.complete_streams.append(event.stream_id)
         self.flush()
 
-    def until(self, happened: Callable[[], object]) -> object:
-        """Turn the loop, and read, until something has happened."""
+    def wait_until(self, happened: Callable[[], object]) -> object:
+        """Run the loop and read input until the condition holds; return its value."""
 
         def seen() -> object:
             self.read()
@@ -58,25 +58,25 @@
 
         return self.harness.wait_until(seen)
 
-    def received(self, count: int) -> list[int]:
-        """The stream numbers of the requests, once so many are complete."""
-        self.until(lambda: len(self.ended) >= count)
-        return sorted(self.asked)
+    def wait_for_requests(self, count: int) -> list[int]:
+        """Return the stream ids of the requests once `count` of them are complete."""
+        self.wait_until(lambda: len(self.complete_streams) >= count)
+        return sorted(self.requests)
 
-    def answer(self, stream: int, body: bytes = b"fine", status: int = 200, **headers: str) -> None:
-        """Answer the request on a stream."""
-        given = [(":status", str(status)), ("content-length", str(len(body)))]
-        self.http.send_headers(stream, given + [(n.replace("_", "-"), v) for n, v in headers.items()])
+    def respond(self, stream: int, body: bytes = b"fine", status: int = 200, **headers: str) -> None:
+        """Send a response on a stream."""
+        pairs = [(":status", str(status)), ("content-length", str(len(body)))]
+        self.http.send_headers(stream, pairs + [(n.replace("_", "-"), v) for n, v in headers.items()])
         self.http.send_data(stream, body, end_stream=True)
         self.flush()
 
 
 @pytest.fixture
-def multiplexed(make_harness: Callable[..., SidecarHarness]) -> Callable[..., SidecarHarness]:
-    """Make surroundings of a sidecar that uses HTTP/2."""
+def make_http2_harness(make_harness: Callable[..., SidecarHarness]) -> Callable[..., SidecarHarness]:
+    """Make harnesses of sidecars that use HTTP/2."""
 
-    def make(**given: object) -> SidecarHarness:
-        harness = make_harness(settings=NEW, **given)
+    def make(**options: object) -> SidecarHarness:
+        harness = make_harness(settings=HTTP2_SETTINGS, **options)
         harness.push_snapshot()
         return harness
 
@@ -84,112 +84,114 @@
 
 
 def test_two_requests_share_a_connection_and_are_answered_in_any_order(
-    multiplexed: Callable[..., SidecarHarness],
+    make_http2_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The second is answered first."""
-    harness = multiplexed()
+    """The response to the second request comes first."""
+    harness = make_http2_harness()
     first, second = harness.send_request(x_trace_id="a"), harness.send_request(x_trace_id="b")
-    peer = Peer(harness)
-    one, two = peer.received(2)
-    peer.answer(two, b"two")
+    upstream = Http2Upstream(harness)
+    one, two = upstream.wait_for_requests(2)
+    upstream.respond(two, b"two")
     assert harness.read_message(second)[1] == b"two"
-    peer.answer(one, b"one")
+    upstream.respond(one, b"one")
     assert harness.read_message(first)[1] == b"one"
     harness.assert_no_connection()
 
 
-def test_a_body_is_sent_within_the_flow_control_window(multiplexed: Callable[..., SidecarHarness]) -> None:
-    """A body of 64 KiB arrives unchanged."""
-    harness, body = multiplexed(), bytes(range(256)) * 256
+def test_a_body_is_sent_within_the_flow_control_window(
+    make_http2_harness: Callable[..., SidecarHarness],
+) -> None:
+    """A request body of 64 KiB arrives unchanged."""
+    harness, body = make_http2_harness(), bytes(range(256)) * 256
     client = harness.send_request("move", body)
-    peer = Peer(harness)
-    (stream,) = peer.received(1)
-    assert peer.bodies[stream] == body and peer.asked[stream]["idempotency-key"] == "k1"
-    peer.answer(stream, body[:9000])
+    upstream = Http2Upstream(harness)
+    (stream,) = upstream.wait_for_requests(1)
+    assert upstream.bodies[stream] == body and upstream.requests[stream]["idempotency-key"] == "k1"
+    upstream.respond(stream, body[:9000])
     assert harness.read_message(client)[1] == body[:9000]
 
 
 def test_a_request_on_a_refused_stream_is_retried_elsewhere(
-    multiplexed: Callable[..., SidecarHarness],
+    make_http2_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """REFUSED_STREAM proves that it has not run."""
-    harness = multiplexed(upstreams=2)
+    """REFUSED_STREAM proves that the request has not run."""
+    harness = make_http2_harness(upstreams=2)
     client = harness.send_request("buy")
     i, sock = harness.wait_until(harness.accept_any)
-    peer = Peer(harness, sock=sock)
-    (stream,) = peer.received(1)
-    peer.http.reset_stream(stream, h2.errors.ErrorCodes.REFUSED_STREAM)
-    peer.flush()
-    other = Peer(harness, 1 - i)
-    (again,) = other.received(1)
-    other.answer(again)
+    upstream = Http2Upstream(harness, sock=sock)
+    (stream,) = upstream.wait_for_requests(1)
+    upstream.http.reset_stream(stream, h2.errors.ErrorCodes.REFUSED_STREAM)
+    upstream.flush()
+    other = Http2Upstream(harness, 1 - i)
+    (again,) = other.wait_for_requests(1)
+    other.respond(again)
     assert harness.read_status(client) == 200
 
 
-def test_a_goaway_rejects_later_streams_as_not_run(multiplexed: Callable[..., SidecarHarness]) -> None:
-    """The client gets 503, and the next request a new connection."""
-    harness = multiplexed()
+def test_a_goaway_rejects_later_streams_as_not_run(make_http2_harness: Callable[..., SidecarHarness]) -> None:
+    """The client gets 503, and the next request uses a new connection."""
+    harness = make_http2_harness()
     client = harness.send_request("buy")
-    peer = Peer(harness)
-    peer.received(1)
-    peer.http.close_connection(last_stream_id=0)
-    peer.flush()
+    upstream = Http2Upstream(harness)
+    upstream.wait_for_requests(1)
+    upstream.http.close_connection(last_stream_id=0)
+    upstream.flush()
     assert harness.read_status(client) == 503
     harness.send_request("buy", x_trace_id="t2")
-    assert Peer(harness).received(1)
+    assert Http2Upstream(harness).wait_for_requests(1)
 
 
 def test_a_non_idempotent_request_on_a_broken_connection_fails_without_a_retry(
-    multiplexed: Callable[..., SidecarHarness],
+    make_http2_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """It may have run."""
-    harness = multiplexed()
+    """The request may have run, so the client gets 504."""
+    harness = make_http2_harness()
     client = harness.send_request("buy")
-    peer = Peer(harness)
-    peer.received(1)
-    harness.reset(peer.sock)
+    upstream = Http2Upstream(harness)
+    upstream.wait_for_requests(1)
+    harness.reset(upstream.sock)
     assert harness.read_status(client) == 504
     harness.assert_no_connection()
 
 
 def test_a_client_that_disconnects_ends_its_stream_and_not_the_connection(
-    multiplexed: Callable[..., SidecarHarness],
+    make_http2_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The other stream goes on."""
-    harness = multiplexed()
-    leaves, stays = harness.send_request(x_trace_id="a"), harness.send_request(x_trace_id="b")
-    peer = Peer(harness)
-    one, two = peer.received(2)
-    leaves.close()
-    peer.until(lambda: peer.resets)
-    assert peer.resets == {one: h2.errors.ErrorCodes.CANCEL} or peer.resets == {
+    """The request on the other stream is answered."""
+    harness = make_http2_harness()
+    leaving, staying = harness.send_request(x_trace_id="a"), harness.send_request(x_trace_id="b")
+    upstream = Http2Upstream(harness)
+    one, two = upstream.wait_for_requests(2)
+    leaving.close()
+    upstream.wait_until(lambda: upstream.resets)
+    assert upstream.resets == {one: h2.errors.ErrorCodes.CANCEL} or upstream.resets == {
         two: h2.errors.ErrorCodes.CANCEL
     }
-    (left,) = {one, two} - set(peer.resets)
-    peer.answer(left)
-    assert harness.read_status(stays) == 200
+    (remaining,) = {one, two} - set(upstream.resets)
+    upstream.respond(remaining)
+    assert harness.read_status(staying) == 200
 
 
 def test_a_stream_past_its_deadline_is_reset_and_the_connection_stays(
-    multiplexed: Callable[..., SidecarHarness],
+    make_http2_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The next request goes by the same connection."""
-    harness = multiplexed()
+    """The next request uses the same connection."""
+    harness = make_http2_harness()
     client = harness.send_request(x_expires_in_ms="150")
-    peer = Peer(harness)
-    peer.received(1)
+    upstream = Http2Upstream(harness)
+    upstream.wait_for_requests(1)
     assert harness.read_status(client) == 503
-    peer.until(lambda: peer.resets)
+    upstream.wait_until(lambda: upstream.resets)
     again = harness.send_request(x_trace_id="t2")
-    peer.answer(peer.received(2)[-1])
+    upstream.respond(upstream.wait_for_requests(2)[-1])
     assert harness.read_status(again) == 200
 
 
 def test_an_endpoint_that_does_not_speak_http_2_loses_its_connection(
-    multiplexed: Callable[..., SidecarHarness],
+    make_http2_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The request fails, for it may have run."""
-    harness = multiplexed()
+    """The non-idempotent request fails, as it may have run."""
+    harness = make_http2_harness()
     client = harness.send_request("buy")
     sock = harness.accept()
     sock.sendall(b"HTTP/1.1 200 x\r\nContent-Length: 4\r\n\r\nfine")
@@ -200,8 +202,8 @@
 def test_a_pushed_endpoint_list_is_followed_and_reopened(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The call says from which version on."""
-    harness = make_harness(settings=NEW)
+    """After the end of the watch, the next call asks for the changes after the last version."""
+    harness = make_harness(settings=HTTP2_SETTINGS)
     sock = harness.push_snapshot()
     harness.send_watch_line(
         sock, {"version": 10, "full": False, "servers": [harness.endpoint_entry(0, state="leaving")]}
@@ -213,8 +215,8 @@
     harness.send_watch_line(sock, {"version": 11, "full": False, "servers": [harness.endpoint_entry(0)]})
     harness.wait_until(lambda: harness.context.discovery.version == 11)
     client = harness.send_request()
-    peer = Peer(harness)
-    peer.answer(peer.received(1)[0])
+    upstream = Http2Upstream(harness)
+    upstream.respond(upstream.wait_for_requests(1)[0])
     assert harness.read_status(client) == 200
 
 
