--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -131,7 +131,7 @@
         unavailable_reason=unavailable_reason,
         unavailable_s=round(policy_replica.unavailable_seconds, 3),
         open_proposal=_open_proposal(records),
-        past_proposals=[records.past[number] for number in sorted(records.past)],
+        past_proposals=[records.past_proposals[number] for number in sorted(records.past_proposals)],
         registered_names=policy_replica.registered_names,
         peer_statuses={
             status.name: PolicyStatusReport(status.version, round(now - status.made_at, 3))
