--- a/starlingwheel/fleet/config.py
+++ b/starlingwheel/fleet/config.py
@@ -139,7 +139,7 @@
     else:
         for index, name in enumerate(replicated):
             if name not in class_names:
-                yield f"{key}.categories[{index}]: {name!r} is no category of the settings"
+                yield f"{key}.categories[{index}]: {name!r} is not a category of the settings"
     header = given.get("name_header", DEFAULT_IDEMPOTENCY_KEY_HEADER)
     if not isinstance(header, str) or not HEADER.fullmatch(header):
         yield f"{key}.name_header: {header!r} is not a header name in lower case"
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -98,7 +98,7 @@
         "settings.capz: unknown; did you mean caps",
         "settings.caps.mostHandOff: unknown; did you mean mostHandOffs",
         "categories[1].name: 'look' is a duplicate",
-        "categories[0].expiry: 0 is not a positive number", "cover.categories[0]: 'buy' is no category",
+        "categories[0].expiry: 0 is not a positive number", "cover.categories[0]: 'buy' is not a category",
     ):  # fmt: skip
         assert part in faults, part
 
@@ -361,6 +361,6 @@
 
     decided, early, shown, open_, dropped = asyncio.run(played())
     assert decided[0] == 0 and "version 1 is decided" in decided[1]
-    assert early[0] == 1 and "does not hold yet" in early[1]
+    assert early[0] == 1 and "not in force yet" in early[1]
     assert "past: version 1 decided" in shown[1]
     assert open_[0] == 0 and dropped[0] == 0 and "dropped" in dropped[1]
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -1,4 +1,9 @@
-"""What a fleet reads: its configuration, frames of links, replies of the coordination store."""
+"""A member's input: its configuration, frames of links, and replies of the coordination store.
+
+The later tests run one real sidecar as the only member of a fleet, with a fake coordination store.
+"""
+
+from __future__ import annotations
 
 import asyncio
 import gc
@@ -8,10 +13,13 @@
 import socket
 import sys
 import threading
+from collections.abc import Callable, Coroutine, Iterator
+from types import FrameType
+from typing import Any, TypeVar
 
 import msgspec
 import pytest
-from conftest import SETTINGS
+from conftest import SETTINGS, SidecarHarness
 
 from fakes.etcd import FakeEtcd
 from fakes.loopback import free_address
@@ -35,7 +43,10 @@
 from starlingwheel.net.messages import STOP
 from trials.emulated import World
 
-PART = {
+T = TypeVar("T")
+HarnessFactory = Callable[..., SidecarHarness]
+
+PART: dict[str, Any] = {
     "name": "f",
     "listen": "127.0.0.1:7000",
     "arbiter": ["127.0.0.1:2379"],
@@ -51,16 +62,18 @@
 )
 
 
-def test_a_valid_configuration_is_decoded_with_its_defaults():
-    part = decode(PART, NAMES, 1)
+def test_a_valid_configuration_is_decoded_with_its_defaults() -> None:
+    """Keys that are missing get their documented defaults."""
+    config = decode(PART, NAMES, 1)
     assert (
-        part.lease_s == 3
-        and part.replication.replicas == 1
-        and part.replication.idempotency_key_header == "x-work-name"
+        config.lease_s == 3
+        and config.replication.replicas == 1
+        and config.replication.idempotency_key_header == "x-work-name"
     )
 
 
-def test_all_errors_of_a_configuration_are_reported_at_once_with_their_keys():
+def test_all_errors_of_a_configuration_are_reported_at_once_with_their_keys() -> None:
+    """The keys are those of the file, so that the operator finds each of them."""
     wrong = {
         "name": "a b", "listen": "nowhere", "arbiter": ["x", "127.0.0.1:99999"], "lease_s": 0.5, "spare": 1,
         "cell_size": -1,
@@ -68,32 +81,35 @@
     }  # fmt: skip
     with pytest.raises(ValueError) as caught:
         decode(wrong, NAMES, 2)
-    told = str(caught.value)
+    message = str(caught.value)
     for key in (
         "fleet.name:", "fleet.listen:", "fleet.arbiter[0]:", "fleet.arbiter[1]:", "fleet.lease_s:",
         "fleet.spare:", "fleet.cell_size:", "fleet.cover.categories[1]:", "fleet.cover.name_header:",
         "fleet.cover.keepers:", "fleet.cover.keeper:", "streamsPerConn",
     ):  # fmt: skip
-        assert key in told, key
+        assert key in message, key
 
 
 @pytest.mark.parametrize("wrong", [None, 3, [], {}, {"cover": 1}, {**PART, "cover": None}])
-def test_what_is_no_configuration_is_rejected(wrong):
+def test_a_value_that_is_not_a_configuration_is_rejected(wrong: object) -> None:
+    """The error is reported as one of the configuration, whatever the JSON value is."""
     with pytest.raises(ValueError, match="fleet"):
         decode(wrong, NAMES, 1)
 
 
-def policy_status():
+def policy_status() -> PolicyStatus:
+    """Return a policy status with all fields set."""
     return PolicyStatus("n1.ab", "n1", 3.5, 4, "0a", float("inf"), 4, 5, True)
 
 
-def some_frames():
-    asked = frames.RecordedRequest(b"POST", b"/buy/1", [(b"a", b"b")], b"x" * 30, b"t")
+def some_frames() -> list[frames.Frame]:
+    """Return frames of most types."""
+    request = frames.RecordedRequest(b"POST", b"/buy/1", [(b"a", b"b")], b"x" * 30, b"t")
     intent = frames.AttemptIntent("u1", "north", 3, 12.5)
     return [
         frames.HelloFrame("f", 1, "n1.ab"),
         frames.ReplicateFrame(
-            b"k", "n1", 0, True, b"m", "buy", "exclusive", 1.0, 2.0, False, asked, [intent]
+            b"k", "n1", 0, True, b"m", "buy", "exclusive", 1.0, 2.0, False, request, [intent]
         ),
         frames.AttemptIntentFrame(b"k", 0, 1, intent),
         frames.ReplicaStateFrame(
@@ -106,13 +122,15 @@
     ]
 
 
-def test_frames_are_decoded_as_they_were_sent_whatever_the_chunks():
+def test_frames_are_decoded_as_they_were_sent_in_chunks_of_any_size() -> None:
+    """A read from a socket may end anywhere in a frame."""
     data = b"".join(map(encode_frame, some_frames()))
     for step in (1, 7, 1000, len(data)):
-        reader, got = FrameReader(), []
+        reader = FrameReader()
+        received: list[object] = []
         for at in range(0, len(data), step):
-            got += reader.read(data[at : at + step])
-        assert got == some_frames()
+            received += reader.read(data[at : at + step])
+        assert received == some_frames()
 
 
 @pytest.mark.parametrize(
@@ -124,58 +142,74 @@
         (b"\0\0\0\3" + msgspec.msgpack.encode([99, 1]), "unreadable"),
     ],
 )
-def test_an_invalid_frame_ends_the_link_with_its_reason(data, reason):
+def test_an_invalid_frame_ends_the_link_with_its_reason(data: bytes, reason: str) -> None:
+    """Length and type of a frame are checked before it is handled."""
     with pytest.raises(LinkRejectedError, match=reason):
         FrameReader().read(data)
 
 
-def test_corrupted_frames_do_no_more_than_end_the_link():
+def test_corrupted_frames_do_no_more_than_end_the_link() -> None:
+    """No sequence of bytes may raise another error or make the reader buffer more than it was sent."""
     rng = random.Random(1)
     data = b"".join(map(encode_frame, some_frames()))
     ended = 0
     for _ in range(3000):
-        spoilt = bytearray(data)
+        corrupted = bytearray(data)
         for _ in range(rng.randint(1, 6)):
-            spoilt[rng.randrange(len(spoilt))] = rng.randrange(256)
+            corrupted[rng.randrange(len(corrupted))] = rng.randrange(256)
         reader = FrameReader()
         try:
-            reader.read(bytes(spoilt[: rng.randrange(len(spoilt))]))
+            reader.read(bytes(corrupted[: rng.randrange(len(corrupted))]))
         except LinkRejectedError:
             ended += 1
         assert len(reader.buffer) <= len(data)
     assert ended > 100
 
 
-def test_random_frames_leave_nothing_behind():
+def test_records_of_random_frames_expire() -> None:
+    """Valid frames with arbitrary contents raise no error, and what they record is forgotten in the end."""
     rng = random.Random(3)
     world = World(1, 3)
     world.run_until(1.0)
     one, other, third = world.alive()
     keys = [b"a", b"b", b"c"]
-    asked = frames.RecordedRequest(b"POST", b"/x", [], b"", b"")
+    request = frames.RecordedRequest(b"POST", b"/x", [], b"", b"")
     for _ in range(4000):
         key, epoch, number = (
             rng.choice(keys),
             rng.choice((-1, 0, 1, 9)),
             rng.choice((-5, 0, 1, 1 << 60)),
         )
-        who = rng.choice((one.id, other.id, third.id, "stranger.00"))
+        named_member = rng.choice((one.id, other.id, third.id, "stranger.00"))
         at = rng.choice((float("nan"), float("inf"), -1e300, world.now))
         intents = [frames.AttemptIntent("u", "", 0, at)] * rng.randrange(3)
         reply = frames.RecordedResponse(rng.choice((200, 503, 504, 0)))
         verdict = rng.choice((*SOME_VERDICTS, "?"))
-        effect = rng.choice(("exclusive", "ticketed", "rerunnable", "?"))
+        retry_safety = rng.choice(("exclusive", "ticketed", "rerunnable", "?"))
         frame = rng.choice(
             [
-                frames.ReplicateFrame(key, who, epoch, True, b"", "c", effect, at, at, True, asked, intents),
                 frames.ReplicateFrame(
-                    key, who, epoch, False, b"", "c", effect, world.now, world.now + 1, False, asked, []
+                    key, named_member, epoch, True, b"", "c", retry_safety, at, at, True, request, intents
+                ),
+                frames.ReplicateFrame(
+                    key,
+                    named_member,
+                    epoch,
+                    False,
+                    b"",
+                    "c",
+                    retry_safety,
+                    world.now,
+                    world.now + 1,
+                    False,
+                    request,
+                    [],
                 ),
                 frames.AttemptIntentFrame(key, epoch, number, frames.AttemptIntent("u", "", 0, at)),
                 frames.AttemptNotRunFrame(key, epoch, number, "unsent"),
                 frames.ResponseFrame(key, epoch, reply),
-                frames.ReplicaStateFrame(key, epoch, verdict, number, reply, who),
-                frames.RequestFinishedFrame(key, who, b"", "c", effect, at, reply),
+                frames.ReplicaStateFrame(key, epoch, verdict, number, reply, named_member),
+                frames.RequestFinishedFrame(key, named_member, b"", "c", retry_safety, at, reply),
                 frames.FindOwnerFrame(key, b""),
                 frames.ViewSyncedFrame(number),
                 frames.HeartbeatFrame(number, False),
@@ -189,17 +223,18 @@
     assert not one.replicator.requests and not one.replicator.records.held
 
 
-def test_a_coordinator_changes_only_with_the_members_that_change():
+def test_the_loss_of_a_member_moves_only_the_keys_that_it_coordinates() -> None:
+    """Keys are spread over all members, and one replica of each is in another zone than the owner."""
     members = [Member(f"n{i}", f"n{i}", "", "ab"[i % 2]) for i in range(12)]
-    view, less = MembershipView(members), MembershipView(members[1:])
+    view, smaller = MembershipView(members), MembershipView(members[1:])
     keys = [b"%d" % i for i in range(600)]
-    assert all(less.coordinator(k) == view.coordinator(k) for k in keys if view.coordinator(k) != "n0")
-    assert all(less.coordinator(k) == view.coordinator(k, excluding="n0") for k in keys)
+    assert all(smaller.coordinator(k) == view.coordinator(k) for k in keys if view.coordinator(k) != "n0")
+    assert all(smaller.coordinator(k) == view.coordinator(k, excluding="n0") for k in keys)
     counts = [sum(view.coordinator(k) == m.id for k in keys) for m in members]
     assert min(counts) > 25
     for key in keys:
-        keepers = view.replicas(key, "n0", 1, view.members)
-        assert "n0" not in keepers and any(view.members[k].zone == "b" for k in keepers)
+        replicas = view.replicas(key, "n0", 1, view.members)
+        assert "n0" not in replicas and any(view.members[replica].zone == "b" for replica in replicas)
 
 
 @pytest.mark.parametrize(
@@ -212,7 +247,8 @@
         WatchLine,
     ],
 )
-def test_an_arbiter_that_talks_nonsense_is_turned_away_with_a_reason(kind):
+def test_an_unreadable_reply_of_the_store_raises_the_error_for_it(kind: type[msgspec.Struct]) -> None:
+    """Replies that are cut short, have other types or are random bytes raise no other error."""
     rng = random.Random(2)
     whole = json.dumps({"header": {"revision": "3"}, "kvs": [{"key": "YQ==", "mod_revision": 4}], "ID": [1]})
     for text in ("", "{", "[]", "null", "1e999", '{"result":{"events":[{"kv":3}]}}', "[" * 5000, whole[:-5]):
@@ -225,34 +261,41 @@
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.5", "x", "9" * 30, "١"])
-def test_what_is_no_64_bit_number_is_none(text):
+def test_a_text_that_is_not_an_unsigned_64_bit_number_is_rejected(text: str) -> None:
+    """The store's gateway sends 64-bit numbers as text."""
     with pytest.raises((UnusableReplyError, ValueError)):
         assert parse_number(text) < 0
 
 
 class Served:
-    """The fake coordination store on a thread of its own."""
+    """The fake coordination store, which runs in a thread of its own."""
 
-    def __init__(self):
-        self.arbiter, self.loop = None, asyncio.new_event_loop()
+    def __init__(self) -> None:
+        """Start the store."""
+        self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.do(self._begin())
+        self.arbiter = self.do(self._start())
 
-    async def _begin(self):
-        self.arbiter = FakeEtcd()
-        await self.arbiter.begin()
+    async def _start(self) -> FakeEtcd:
+        etcd = FakeEtcd()
+        await etcd.begin()
+        return etcd
 
-    def do(self, coroutine):
+    def do(self, coroutine: Coroutine[Any, Any, T]) -> T:
+        """Run a coroutine in the store's thread and return its result."""
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(10)
 
-    def call(self, what, *given):
-        async def inside():
-            return what(*given)
+    def call(self, function: Callable[..., T], *given: object) -> T:
+        """Call a function in the store's thread and return its result."""
+
+        async def inside() -> T:
+            return function(*given)
 
         return self.do(inside())
 
-    def close(self):
+    def close(self) -> None:
+        """Stop the store and its thread."""
         self.do(self.arbiter.stop())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(5)
@@ -260,50 +303,61 @@
 
 
 @pytest.fixture
-def served():
-    one = Served()
-    yield one
-    one.close()
+def store() -> Iterator[Served]:
+    """Start a fake coordination store, and stop it at the end."""
+    started = Served()
+    yield started
+    started.close()
 
 
-def members_at(served):
-    return [key for key in served.arbiter.entries if b"/members/" in key]
+def member_keys(store: Served) -> list[bytes]:
+    """Return the keys of the members' entries in the store."""
+    return [key for key in store.arbiter.entries if b"/members/" in key]
 
 
-def part_at(served):
-    return PART | {"listen": free_address(), "arbiter": [served.arbiter.server.address], "lease_s": 1}
+def part_at(store: Served) -> dict[str, Any]:
+    """Return the configuration of a member that uses the store, with a lease of one second."""
+    return PART | {"listen": free_address(), "arbiter": [store.arbiter.server.address], "lease_s": 1}
 
 
-def enter(make_harness, served):
-    return make_harness(name="n0", fleet=part_at(served), settings=SETTINGS)
+def start_member(make_harness: HarnessFactory, store: Served) -> SidecarHarness:
+    """Start a sidecar as a member of the fleet."""
+    return make_harness(name="n0", fleet=part_at(store), settings=SETTINGS)
 
 
 @pytest.fixture
-def member(make_harness, served):
-    return enter(make_harness, served)
+def member(make_harness: HarnessFactory, store: Served) -> SidecarHarness:
+    """Start a sidecar as a member of the fleet."""
+    return start_member(make_harness, store)
 
 
-def joined(harness):
+def joined(harness: SidecarHarness) -> bool:
+    """Return whether the sidecar may serve as a member of its fleet."""
     return harness.context.fleet.joined
 
 
-def test_a_member_enters_and_is_ready_then(member):
+def test_a_member_enters_and_is_ready_then(member: SidecarHarness) -> None:
+    """A sidecar that was ready before other members see it would serve unreplicated requests."""
     assert not member.context.ready
     member.wait_until(lambda: joined(member))
     assert member.context.ready and len(member.context.coordinator.replicator.view.members) == 1
 
 
-def test_a_reply_lost_after_it_was_applied_costs_one_more_attempt(member, served):
-    served.call(served.arbiter.lost_replies.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
+def test_a_reply_that_is_lost_after_the_change_was_applied_leaves_one_entry(
+    member: SidecarHarness, store: Served
+) -> None:
+    """The member retries the change, and must not enter twice."""
+    store.call(store.arbiter.lost_replies.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
     member.wait_until(lambda: joined(member))
-    assert len(members_at(served)) == 1
+    assert len(member_keys(store)) == 1
 
 
-def test_a_lease_that_ends_early_is_granted_again(member, served):
+def test_a_member_whose_lease_ends_early_enters_again(member: SidecarHarness, store: Served) -> None:
+    """The store may lose a lease that the member believes to hold."""
     member.wait_until(lambda: joined(member))
     term = member.context.coordinator.replicator.view.members[member.context.fleet.member_id].term
-    (key,) = members_at(served)
-    served.call(served.arbiter.expire_lease_of, key.decode())
+    (key,) = member_keys(store)
+    store.call(store.arbiter.expire_lease_of, key.decode())
     replicator = member.context.coordinator.replicator
     member_id = member.context.fleet.member_id
     member.wait_until(
@@ -311,151 +365,171 @@
     )
 
 
-def test_a_watch_lost_at_a_compaction_reads_everything_again(member, served):
+def test_a_watch_lost_at_a_compaction_reads_everything_again(member: SidecarHarness, store: Served) -> None:
+    """The watch can't be resumed from a revision that was compacted."""
     member.wait_until(lambda: joined(member))
-    served.call(served.arbiter.compact)
-    served.call(served.arbiter.abort_watches)
+    store.call(store.arbiter.compact)
+    store.call(store.arbiter.abort_watches)
     other = Member("n9.ff", "n9", "127.0.0.1:1")
     put = {"key": encode_base64("/f/members/n9.ff"), "value": encode_base64(msgspec.json.encode(other))}
-    served.call(served.arbiter.put_encoded, put)
+    store.call(store.arbiter.put_encoded, put)
     member.wait_until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
 
 
-def test_two_members_that_end_at_the_same_time_are_both_evicted(member, served):
+def test_two_members_that_end_at_the_same_time_are_both_evicted(
+    member: SidecarHarness, store: Served
+) -> None:
+    """The second eviction arrives while the first one is being written."""
     member.wait_until(lambda: joined(member))
-    view = member.context.coordinator.replicator
+    replicator = member.context.coordinator.replicator
     for name in ("n8", "n9"):
         other = Member(f"{name}.ff", name, "127.0.0.1:1")
         put = {
             "key": encode_base64(f"/f/members/{name}.ff"),
             "value": encode_base64(msgspec.json.encode(other)),
         }
-        served.call(served.arbiter.put_encoded, put)
-    member.wait_until(lambda: len(view.view.members) == 3)
-    for gone in [m for m in view.view.members.values() if m.name != "n0"]:
+        store.call(store.arbiter.put_encoded, put)
+    member.wait_until(lambda: len(replicator.view.members) == 3)
+    for gone in [m for m in replicator.view.members.values() if m.name != "n0"]:
         member.context.fleet.member_evictor.post(EvictMember(gone))
-    member.wait_until(lambda: len(view.view.members) == 1)
+    member.wait_until(lambda: len(replicator.view.members) == 1)
 
 
-def test_an_unreadable_entry_hides_no_other(member, served):
+def test_an_unreadable_entry_hides_no_other(member: SidecarHarness, store: Served) -> None:
+    """The entry is logged, and the other entries are read."""
     member.wait_until(lambda: joined(member))
-    served.call(
-        served.arbiter.put_encoded, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")}
-    )
+    store.call(store.arbiter.put_encoded, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")})
     member.wait_until(lambda: member.log_lines("arbiter.entry"))
     assert len(member.context.coordinator.replicator.view.members) == 1
 
 
 @pytest.mark.parametrize("path", ["/v3/kv/range", "/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive"])
-def test_unreadable_replies_of_the_store_are_counted_and_survived(make_harness, served, path):
-    served.call(served.arbiter.canned_replies.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
-    member = enter(make_harness, served)
+def test_unreadable_replies_of_the_store_are_counted_and_the_calls_retried(
+    make_harness: HarnessFactory, store: Served, path: str
+) -> None:
+    """A member enters as soon as the replies are valid again."""
+    store.call(store.arbiter.canned_replies.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
+    member = start_member(make_harness, store)
     member.wait_until(lambda: member.context.fleet.reasons["unreadable"])
-    served.call(served.arbiter.canned_replies.clear)
+    store.call(store.arbiter.canned_replies.clear)
     member.wait_until(lambda: joined(member))
     assert not member.log_lines("defect")
 
 
-def test_requests_are_served_while_the_store_is_down(member, served):
+def test_requests_are_served_while_the_store_is_down(member: SidecarHarness, store: Served) -> None:
+    """The store is down for longer than the lease of one second."""
     member.wait_until(lambda: joined(member))
-    served.do(served.arbiter.down())
+    store.do(store.arbiter.down())
     member.run_for(1.5)
-    asked = member.send_request("buy", b"one", x_work_name="w1")
+    client = member.send_request("buy", b"one", x_work_name="w1")
     member.serve()
-    assert member.read_status(asked) == 200
+    assert member.read_status(client) == 200
 
 
-def test_a_retry_of_a_finished_request_gets_its_response_and_no_attempt(member):
+def test_a_retry_of_a_finished_request_gets_its_response_and_no_attempt(member: SidecarHarness) -> None:
+    """A different request with the same key is rejected."""
     member.wait_until(lambda: joined(member))
-    asked = member.send_request("buy", b"one", x_work_name="w1")
+    client = member.send_request("buy", b"one", x_work_name="w1")
     member.serve(body=b"done")
-    assert member.read_message(asked)[1] == b"done"
-    again = member.send_request("buy", b"one", x_work_name="w1", x_trace_id="t2", x_second_try="1")
-    assert member.read_message(again)[1] == b"done"
+    assert member.read_message(client)[1] == b"done"
+    retry = member.send_request("buy", b"one", x_work_name="w1", x_trace_id="t2", x_second_try="1")
+    assert member.read_message(retry)[1] == b"done"
     other = member.send_request("buy", b"two", x_work_name="w1", x_trace_id="t3")
     assert member.read_status(other) == 422
     member.assert_no_connection()
 
 
-def test_a_request_without_a_key_is_not_replicated(member):
+def test_a_request_without_a_key_is_not_replicated(member: SidecarHarness) -> None:
+    """It is served and counted."""
     member.wait_until(lambda: joined(member))
-    asked = member.send_request("buy", b"one")
+    client = member.send_request("buy", b"one")
     member.serve()
-    assert member.read_status(asked) == 200
-    module = member.context.coordinator
-    assert not module.replicator.requests and module.replicator.counts["unnamed"] == 1
+    assert member.read_status(client) == 200
+    replicator = member.context.coordinator.replicator
+    assert not replicator.requests and replicator.counts["unnamed"] == 1
 
 
-def test_operators_see_the_view_and_the_replicated_requests(make_harness, served):
-    part = part_at(served)
-    harness = make_harness(name="n0", fleet=part, mgmt="127.0.0.1:0")
+def test_operators_see_the_view_and_the_replicated_requests(
+    make_harness: HarnessFactory, store: Served
+) -> None:
+    """The admin API reports the member, its shard and what was replicated."""
+    harness = make_harness(name="n0", fleet=part_at(store), mgmt="127.0.0.1:0")
     harness.wait_until(lambda: joined(harness))
-    asked = harness.send_request("buy", b"one", x_work_name="w1")
+    client = harness.send_request("buy", b"one", x_work_name="w1")
     harness.serve()
-    assert harness.read_status(asked) == 200
+    assert harness.read_status(client) == 200
     caller = harness.close_at_end(socket.create_connection(harness.context.admin_listener.sock.getsockname()))
     caller.sendall(b"GET /_fleet HTTP/1.1\r\nHost: a\r\n\r\n")
-    answer, body = harness.read_message(caller)
-    told = json.loads(body)
-    assert answer.status_code == 200 and told["in_view"] and told["member"] == harness.context.fleet.member_id
-    cells = {"count": 1, "ours": 0, "members": [told["member"]], "fleet_members": 1}
-    assert told["cells"] == cells and [one["id"] for one in told["view"]] == cells["members"]
-    assert (
-        told["items"] == {"done": 1} and told["counts"]["covered"] == 1 and told["counts"]["uncovered"] == 1
-    )
-
-
-def test_without_a_fleet_its_admin_call_is_unknown(make_harness):
+    response, body = harness.read_message(caller)
+    report = json.loads(body)
+    assert response.status_code == 200 and report["in_view"]
+    assert report["member"] == harness.context.fleet.member_id
+    shards = {"count": 1, "ours": 0, "members": [report["member"]], "fleet_members": 1}
+    assert report["cells"] == shards and [entry["id"] for entry in report["view"]] == shards["members"]
+    assert report["items"] == {"done": 1}
+    assert report["counts"]["covered"] == 1 and report["counts"]["uncovered"] == 1
+
+
+def test_without_a_fleet_its_admin_call_is_unknown(make_harness: HarnessFactory) -> None:
+    """The fleet's admin calls exist only in sidecars that are members of a fleet."""
     harness = make_harness(mgmt="127.0.0.1:0")
     assert harness.call_admin("GET /_fleet") == 404
 
 
-def test_a_member_that_stops_leaves_the_view_before_its_process_ends(member, served):
+def test_a_member_that_stops_leaves_the_view_before_its_process_ends(
+    member: SidecarHarness, store: Served
+) -> None:
+    """Other members would otherwise wait for its lease to expire."""
     member.wait_until(lambda: joined(member))
     member.context.shutdown.post(STOP)
-    member.wait_until(lambda: not member.context.loop.running and not members_at(served))
-
-
-def test_two_processes_of_one_sidecar_can_both_be_linked_to(make_harness, served):
-    # The process that replaces another one must start while that still listens on its address.
-    part = part_at(served)
-    with socket.socket() as one:
-        one.bind(("127.0.0.1", 0))
-        one.listen()
-        made = []
+    member.wait_until(lambda: not member.context.loop.running and not member_keys(store))
+
+
+def test_two_processes_of_one_sidecar_can_both_be_linked_to(
+    make_harness: HarnessFactory, store: Served
+) -> None:
+    """The process that replaces another one must start while that one still listens on its address."""
+    config = part_at(store)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        processes = []
         for _ in range(2):
-            environment = {"EDGE_PASSED_SOCKET": str(os.dup(one.fileno()))}
-            made.append(make_harness(name="n0", fleet=part, environment=environment))
-        for harness in made:
+            environment = {"EDGE_PASSED_SOCKET": str(os.dup(listener.fileno()))}
+            processes.append(make_harness(name="n0", fleet=config, environment=environment))
+        for harness in processes:
             harness.wait_until(lambda harness=harness: joined(harness))
-    assert made[0].context.fleet.member_id != made[1].context.fleet.member_id
+    assert processes[0].context.fleet.member_id != processes[1].context.fleet.member_id
 
 
-def calls_of_the_fleet(harness, **headers):
-    """How often functions of the fleet's code are called for one request, until it has its answer."""
-    counts = {}
+def calls_of_the_fleet(harness: SidecarHarness, **headers: str) -> dict[str, int]:
+    """Count, by function, the calls of the fleet's code for one request until it has its response."""
+    counts: dict[str, int] = {}
 
-    def count(frame, event, _):
+    def count(frame: FrameType, event: str, _: object) -> None:
         if event == "call" and "fleet" in frame.f_code.co_filename.rpartition("/starlingwheel/")[2]:
             name = frame.f_code.co_name
             counts[name] = counts.get(name, 0) + 1
 
-    gc.collect()  # objects of earlier tests would be closed, and counted, whenever they are collected
-    asked = harness.send_request("buy", b"one", **headers)
+    # Otherwise objects of earlier tests would be closed, and their calls counted, when they are collected.
+    gc.collect()
+    client = harness.send_request("buy", b"one", **headers)
     sys.setprofile(count)
     try:
         harness.serve()
-        assert harness.read_status(asked) == 200
+        assert harness.read_status(client) == 200
     finally:
         sys.setprofile(None)
     return counts
 
 
-def test_a_request_at_a_sidecar_without_a_fleet_calls_none_of_its_code(harness):
+def test_a_request_at_a_sidecar_without_a_fleet_calls_none_of_its_code(harness: SidecarHarness) -> None:
+    """A sidecar without a fleet must not pay for the feature."""
     assert calls_of_the_fleet(harness) == {}
 
 
-def test_a_request_without_a_key_makes_no_record(member):
+def test_a_request_without_a_key_makes_no_record(member: SidecarHarness) -> None:
+    """Only the lookup of its key is done for it, and nothing of the replicator is called."""
     member.wait_until(lambda: joined(member))
     counts = calls_of_the_fleet(member)
     assert counts["_idempotency_key_of"] == 1
@@ -475,9 +549,12 @@
 # Nothing more is sent for a client that has disconnected, whether its request is replicated or not.
 
 
-def test_a_replicated_request_of_a_disconnected_client_is_not_retried(make_harness, served):
-    part = part_at(served) | {"cover": {"categories": ["move"]}}
-    harness = make_harness(name="n0", fleet=part, upstreams=2)
+def test_a_replicated_request_of_a_disconnected_client_is_not_retried(
+    make_harness: HarnessFactory, store: Served
+) -> None:
+    """The attempt in flight continues for a retry of the client, but no further one is started."""
+    config = part_at(store) | {"cover": {"categories": ["move"]}}
+    harness = make_harness(name="n0", fleet=config, upstreams=2)
     harness.wait_until(lambda: joined(harness))
     client = harness.send_request("move", b"one")
     i, upstream = harness.wait_until(harness.accept_any)
@@ -490,38 +567,42 @@
 
 
 def test_an_attempt_that_waits_for_its_replica_is_not_sent_once_the_client_has_disconnected(
-    member, monkeypatch
-):
+    member: SidecarHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The replica's acknowledgement arrives after the disconnect, and must not release the last byte."""
     member.wait_until(lambda: joined(member))
     waiting = []
-    module = member.context.coordinator
+    coordinator = member.context.coordinator
     monkeypatch.setattr(
-        module.replicator, "record_intent", lambda item, number: waiting.append((item, number))
+        coordinator.replicator, "record_intent", lambda request, number: waiting.append((request, number))
     )
     client = member.send_request("buy", b"one", x_work_name="w1")
     upstream = member.accept()
     assert member.wait_until(lambda: member.read(upstream)).endswith(b"on")
     client.close()
     member.wait_until(lambda: member.log_lines("client.end"))
-    module.release_intent(*waiting[0])  # the replica acknowledges it now
+    coordinator.release_intent(*waiting[0])  # the replica acknowledges it now
     member.run_for(0.05)
     assert member.read(upstream) in (None, b"end")
 
 
-def test_a_client_that_waits_is_given_the_dispatched_request_in_place_of_its_own(member):
+def test_a_client_that_waits_gets_the_dispatched_request_in_place_of_its_own(member: SidecarHarness) -> None:
+    """Its disconnect would otherwise concern a request that is no longer handled."""
     member.wait_until(lambda: joined(member))
     member.send_request("buy", b"one", x_work_name="w1")
     member.accept()
     coordinator = member.context.coordinator
-    [item] = coordinator.replicator.requests.values()
-    connection = item.dispatched_client.client
-    coordinator.dispatch(item)
-    assert connection.pending is item.dispatched_client
+    [request] = coordinator.replicator.requests.values()
+    connection = request.dispatched_client.client
+    coordinator.dispatch(request)
+    assert connection.pending is request.dispatched_client
 
 
 @pytest.mark.parametrize("headers", [{}, {"x_work_name": "w1"}])
-def test_a_client_that_disconnects_is_counted_and_causes_no_error(member, headers):
-    """Also of a request that the replicator knows nothing of."""
+def test_a_client_that_disconnects_is_counted_and_causes_no_error(
+    member: SidecarHarness, headers: dict[str, str]
+) -> None:
+    """The request is replicated in one case, and unknown to the replicator in the other."""
     member.wait_until(lambda: joined(member))
     client = member.send_request("buy", b"one", **headers)
     member.read_request(member.accept())
