--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a host of the decisions, and the surroundings of a real sidecar."""
+"""Fixtures: a host for the decisions, and a harness around a real sidecar."""
 
 from __future__ import annotations
 
@@ -29,34 +29,34 @@
 
 
 class Closeable(Protocol):
-    """What has to be closed at the end."""
+    """An object that has to be closed at the end of the test."""
 
     def close(self) -> object:
-        """Close it."""
+        """Release what the object holds."""
 
 
 CloseableT = TypeVar("CloseableT", bound=Closeable)
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Add the plugin that passes over the tests of KNOWN-RED.txt."""
+    """Register the plugin that expects the tests in KNOWN-RED.txt to fail."""
     config.pluginmanager.register(KnownRed(config), "known-red")
 
 
 @pytest.fixture
 def host() -> FakeHost:
-    """A host of the decisions."""
+    """Return a host for the decisions."""
     return FakeHost()
 
 
 @pytest.fixture
 def make_host() -> type[FakeHost]:
-    """Makes hosts of the decisions."""
+    """Return the class of hosts for the decisions."""
     return FakeHost
 
 
 def request_class_settings(due_time: int = 1000000) -> list[Json]:
-    """Return request classes whose times are long enough for a busy machine; `due_time`: microseconds."""
+    """Return settings of request classes; the default `due_time`, in microseconds, suits a busy machine."""
     times = {"dueTime": due_time, "expiry": 2 * due_time}
     return [
         {"name": "look", "effect": "free"} | times,
@@ -80,7 +80,7 @@
 def bound_socket(
     kind: socket.SocketKind = socket.SOCK_STREAM, backlog: int = 16, listening: bool = True
 ) -> Socket:
-    """Return a socket that is bound to a free port."""
+    """Return a non-blocking socket that is bound to a free port."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.bind((own_host(), 0))
     if kind is socket.SOCK_STREAM and listening:
@@ -90,14 +90,14 @@
 
 
 def socket_address(sock: Socket) -> str:
-    """Return the address that a socket is bound to, as the configuration writes it."""
+    """Return the address that a socket is bound to, as "host:port"."""
     return "{}:{}".format(*sock.getsockname())
 
 
 class SidecarHarness:
-    """Client, endpoints, discovery and a peer of one real sidecar, all played by the test itself.
+    """A real sidecar, and the sockets by which a test acts as its client, endpoints, discovery and peer.
 
-    Nothing happens behind its back: the sidecar's loop turns only while the test waits for something.
+    The sidecar's loop runs only while the test waits for something, so nothing happens concurrently.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         environment: dict[str, str] | None = None,
         **config: object,
     ) -> None:
-        """Start the sidecar. `upstreams`: the number of endpoints; `config`: fields of the configuration."""
+        """Start a sidecar with `upstreams` endpoints; `config` overrides fields of its configuration."""
         self.closeables: list[Closeable] = []
         self.listeners = [self.close_at_end(bound_socket()) for _ in range(upstreams)]
         self.discovery, self.peer = (
@@ -137,14 +137,14 @@
         self.wait_until(lambda: not self.context.coordinator.mailbox)
 
     def write_config(self, text: bytes = b"", **changed: object) -> None:
-        """Write the configuration file: `text`, or the configuration with some fields changed."""
+        """Write `text`, or the configuration with some fields changed, to the configuration file."""
         self.config_file.seek(0)
         self.config_file.truncate()
         self.config_file.write(text or msgspec.json.encode(self.config | changed))
         self.config_file.flush()
 
     def reconfigure(self, text: bytes = b"", **changed: object) -> None:
-        """Write another configuration and have it reloaded by SIGHUP."""
+        """Write another configuration, and reload it by SIGHUP."""
         lines = len(self.log_lines("config.read") + self.log_lines("config.unusable"))
         self.write_config(text, **changed)
         os.kill(os.getpid(), signal.SIGHUP)
@@ -153,7 +153,7 @@
         )
 
     def close_at_end(self, thing: CloseableT) -> CloseableT:
-        """Close it at the end of the test."""
+        """Register an object to be closed at the end of the test, and return it."""
         self.closeables.append(thing)
         return thing
 
@@ -162,7 +162,7 @@
         return {"id": f"s{i}", "addr": socket_address(self.listeners[i]), "state": "active"} | changed
 
     def close(self) -> None:
-        """Close all, and restore the handling of signals."""
+        """Close everything, and restore the signal handlers."""
         signal.set_wakeup_fd(-1)
         for number in (signal.SIGTERM, signal.SIGHUP):
             signal.signal(number, signal.SIG_DFL)
@@ -171,23 +171,23 @@
         for thing in self.closeables:
             thing.close()
 
-    def wait_until(self, happened: Callable[[], T], within: float = 5.0) -> T:
-        """Run the loop until `happened` returns something true, and return that."""
-        end = time.monotonic() + within
+    def wait_until(self, condition: Callable[[], T], timeout: float = 5.0) -> T:
+        """Run the loop until `condition` returns a true value, and return that value."""
+        end = time.monotonic() + timeout
         while time.monotonic() < end:
-            if result := happened():
+            if result := condition():
                 return result
             self.context.loop.run_once(0.01)
-        raise AssertionError("it has not happened")
+        raise AssertionError("the condition was not met in time")
 
     def run_for(self, seconds: float) -> None:
-        """Run the loop for so long, to show that something does not happen."""
+        """Run the loop for a while, to show that something does not happen."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.context.loop.run_once(0.01)
 
     def log_lines(self, event: str) -> list[Json]:
-        """Return the lines of that event in the sidecar's log."""
+        """Return the lines of an event in the sidecar's log."""
         self.context.log.flush()
         self.log_file.seek(0)
         return [line for line in map(msgspec.json.decode, self.log_file) if line["event"] == event]
@@ -201,7 +201,7 @@
     def request_bytes(
         self, category: str = "look", body: bytes = b"", request_line: str = "", **headers: str | None
     ) -> bytes:
-        """Return the bytes of a request. `request_line`: its first line; a header of None is left out."""
+        """Return the bytes of a request; `request_line` overrides its first line, None omits a header."""
         method = "GET" if category == "look" else "POST"
         given = {"host": "a", "x-trace-id": "t1", "x-qos": category, "x-expires-in-ms": "1900"}
         if body:
@@ -214,20 +214,20 @@
         return "\r\n".join([first, *lines, "", ""]).encode() + body
 
     def send_request(self, category: str = "look", body: bytes = b"", **headers: str | None) -> Socket:
-        """Send a request as a new client, and return its socket."""
+        """Send a request as a new client; return the client's socket."""
         client = self.connect_client()
         client.sendall(self.request_bytes(category, body, **headers))
         return client
 
     def call_admin(self, request_line: str, body: bytes = b"", extra: str = "") -> int | None:
-        """Make an admin call; return the status of its response, None for a close without one."""
+        """Make an admin call; return the status of its response, or None if it is closed without one."""
         caller = self.close_at_end(socket.create_connection(self.context.admin_listener.sock.getsockname()))
         length = f"Content-Length: {len(body)}\r\n" if body else ""
         caller.sendall(f"{request_line} HTTP/1.1\r\nHost: a\r\n{length}{extra}\r\n".encode() + body)
         return self.read_status(caller)
 
     def read_message(self, sock: Socket, role: type = h11.CLIENT) -> tuple[Any, bytes] | None:
-        """Return the next message on a connection, head and body; None: it has ended without one."""
+        """Return the head and body of the next message on a connection, or None if it ends without one."""
         http, body = h11.Connection(role), b""
         events: list[Any] = []
         if role is h11.CLIENT:
@@ -247,7 +247,7 @@
                 events.append(event)
 
     def read(self, sock: Socket) -> bytes | None:
-        """Read what has arrived; None: nothing, `b"end"`: the other side has closed."""
+        """Return what has arrived: None for nothing, `b"end"` once the other side has closed."""
         sock.settimeout(0)
         try:
             return sock.recv(65536) or b"end"
@@ -257,14 +257,14 @@
             return b"end"
 
     def read_status(self, sock: Socket) -> int | None:
-        """Return the status of the next response on a connection; None: it has ended without one."""
+        """Return the status of the next response on a connection, or None if it ends without one."""
         answer = self.read_message(sock)
         return answer[0].status_code if answer else None
 
-    # The servers.
+    # The endpoints.
 
     def accept(self, i: int = 0, listener: Socket | None = None) -> Socket:
-        """Wait for a connection to an endpoint, or at another listener."""
+        """Wait for a connection to an endpoint, or to another listener, and return it."""
 
         def accepted() -> Any:  # noqa: ANN401
             with contextlib.suppress(BlockingIOError):
@@ -273,24 +273,24 @@
         return self.wait_until(accepted)
 
     def accept_any(self) -> Any:  # noqa: ANN401
-        """Return the number of an endpoint that the sidecar has connected to, and the connection, if any."""
+        """Return an endpoint's index and a new connection to it, or None if there is no new connection."""
         for i, listener in enumerate(self.listeners):
             with contextlib.suppress(BlockingIOError):
                 return i, self.close_at_end(listener.accept()[0])
 
     def serve(self, i: int = 0, **reply: Any) -> Socket:  # noqa: ANN401
-        """Accept a connection to an endpoint, receive the request on it and respond."""
+        """Accept a connection to an endpoint, read the request on it and respond; return the connection."""
         sock = self.accept(i)
         self.read_request(sock)
         self.send_response(sock, **reply)
         return sock
 
     def read_request(self, sock: Socket) -> Any:  # noqa: ANN401
-        """Return the next request on a connection to an endpoint, head and body; None: it has ended."""
+        """Return the head and body of the next request on a connection to an endpoint, or None at its end."""
         return self.read_message(sock, h11.SERVER)
 
     def send_response(self, sock: Socket, status: int = 200, body: bytes = b"fine", extra: str = "") -> None:
-        """Write a response. `extra`: header lines."""
+        """Write a response; `extra` is further header lines."""
         head = f"HTTP/1.1 {status} x\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
         sock.sendall(head.encode() + body)
 
@@ -301,25 +301,27 @@
 
     def wait_for_idle_connections(self) -> None:
         """Run until the connections to endpoints are idle and no unsolicited response is expected on them."""
-        rest = QUIESCENCE_FRACTION * self.context.shortest_objective
+        quiescence = QUIESCENCE_FRACTION * self.context.shortest_objective
         idle = self.context.connections.idle_endpoint_connections
-        self.wait_until(lambda: idle and all(c.idle_since + rest <= self.context.loop.now() for c in idle))
+        self.wait_until(
+            lambda: idle and all(c.idle_since + quiescence <= self.context.loop.now() for c in idle)
+        )
 
     def assert_requests_reach(self, i: int, times: int) -> None:
-        """Check that so many requests, each of a new client and on a new connection, reach this endpoint."""
+        """Check that each of `times` requests of new clients reaches this endpoint on a new connection."""
         for _ in range(times):
             client = self.send_request(connection="close")
             self.serve(i, extra="Connection: close\r\n")
             assert self.read_status(client) == 200
 
     def assert_no_connection(self, i: int = 0, seconds: float = 0.05) -> None:
-        """Check that nobody connects to an endpoint."""
+        """Check that the sidecar does not connect to an endpoint."""
         self.run_for(seconds)
         with pytest.raises(BlockingIOError):
             self.listeners[i].accept()
 
     def accept_watch(self, *lines: Json | bytes, status: int = 200) -> tuple[Socket, bytes]:
-        """Accept the sidecar's call to discovery, write some messages, return its connection and target."""
+        """Accept the sidecar's call to discovery and write messages; return its connection and target."""
         sock = self.accept(listener=self.discovery)
         request, _ = self.read_request(sock)
         sock.sendall(f"HTTP/1.1 {status} x\r\nTransfer-Encoding: chunked\r\n\r\n".encode())
@@ -328,14 +330,14 @@
         return sock, request.target
 
     def push_snapshot(self) -> Socket:
-        """Where the list is pushed: accept the call, write a snapshot, and return the connection."""
+        """Accept the call for a pushed endpoint list and write a snapshot; return the connection."""
         servers = [self.endpoint_entry(i) for i in range(len(self.listeners))]
         watch, _ = self.accept_watch({"version": 9, "full": True, "servers": servers})
         self.wait_until(lambda: self.context.ready)
         return watch
 
     def send_watch_line(self, sock: Socket, line: Json | bytes) -> None:
-        """Write one message, or a line as it is, to a watch."""
+        """Write one message, or a line of bytes as it is, to a watch in two chunks."""
         text = (line if isinstance(line, bytes) else msgspec.json.encode(line)) + b"\n"
         half = len(text) // 2
         for part in (text[:half], text[half:]):
@@ -345,19 +347,19 @@
 
 @pytest.fixture
 def make_harness() -> Iterator[Callable[..., SidecarHarness]]:
-    """Makes real sidecars with their surroundings, and closes them at the end."""
-    made: list[SidecarHarness] = []
+    """Yield a function that starts sidecars in a harness; they are closed at the end of the test."""
+    harnesses: list[SidecarHarness] = []
 
     def make(**given: Any) -> SidecarHarness:  # noqa: ANN401
-        made.append(SidecarHarness(**given))
-        return made[-1]
+        harnesses.append(SidecarHarness(**given))
+        return harnesses[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for harness in harnesses:
+        harness.close()
 
 
 @pytest.fixture
 def harness(make_harness: Callable[..., SidecarHarness]) -> SidecarHarness:
-    """A real sidecar with its surroundings."""
+    """Return a harness with a running sidecar."""
     return make_harness()
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration at SIGHUP: all of it or nothing, and requests in flight keep the former one."""
+"""Reload of the configuration by SIGHUP: it is applied as a whole or not at all."""
 
 import copy
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 def changed_settings(path: Path, value: object) -> dict[str, Any]:
-    """Return the settings with the value at a path replaced, or removed (`...`)."""
+    """Return the settings with the value at a path replaced, or removed if the value is `...`."""
     settings: dict[str, Any] = copy.deepcopy(SETTINGS)
     *parents, key = path
     table: Any = settings
@@ -53,7 +53,7 @@
 def test_invalid_settings_change_nothing(
     harness: SidecarHarness, named: str, path: Path, value: object
 ) -> None:
-    """Neither the settings nor another field of that file; the log names the key."""
+    """A file with invalid settings is rejected as a whole, and the log names the key."""
     before = harness.context.config, harness.context.balancer_config, harness.context.discovery.address
     harness.reconfigure(settings=changed_settings(path, value), discovery="127.0.0.1:9")
     [line] = harness.log_lines("config.unusable")
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("text", [b" ", b"{", b"{}", b"[]", b'{"listen":"127.0.0.1:0"}'])
 def test_an_incomplete_file_changes_nothing(harness: SidecarHarness, text: bytes) -> None:
-    """Half written, or without fields that a configuration must have."""
+    """A half-written file, or one without required fields, is rejected."""
     before = harness.context.config, harness.context.balancer_config
     harness.reconfigure(text)
     assert (
@@ -81,7 +81,7 @@
 def test_a_file_without_a_key_that_was_there_is_rejected(
     make_harness: Callable[..., SidecarHarness], key: str
 ) -> None:
-    """Even one that has a default; the log names it."""
+    """A missing key that has a default is rejected too, and the log names it."""
     harness = make_harness(name="n0")
     config = {k: v for k, v in harness.config.items() if k != key}
     harness.reconfigure(msgspec.json.encode(config))
@@ -90,9 +90,9 @@
 
 
 def test_a_dropped_request_class_is_served_by_its_former_rules_for_a_while(harness: SidecarHarness) -> None:
-    """So is one whose retry safety changed, while a new one is served by its own; afterwards they end."""
+    """The same applies to a class whose retry safety changed; after the retention both are gone."""
     times = {"dueTime": 1000000, "expiry": 2000000}
-    # `look` is dropped, `buy` may be repeated now, `gaze` is new.
+    # `look` is dropped, `buy` becomes retryable with a key, and `gaze` is new.
     classes = [
         {"name": "gaze", "effect": "free"} | times,
         {"name": "buy", "effect": "guarded", "window": 2000000} | times,
@@ -116,7 +116,7 @@
         harness.send_response(upstream)
         assert harness.read_status(client) == 200
         harness.wait_for_idle_connections()
-    # Three seconds later:
+    # After the retention of 3 s:
     former = harness.context.former_request_classes
     harness.context.former_request_classes = [(0.0, request_class) for _, request_class in former]
     assert harness.read_status(harness.send_request("look", x_trace_id="e")) == 404
@@ -124,7 +124,7 @@
 
 
 def test_several_reloads_while_a_request_is_in_flight(harness: SidecarHarness) -> None:
-    """Each is in force at once, and the request is answered though its class has been dropped."""
+    """Each reload applies at once, and the request is answered although its class has been dropped."""
     client = harness.send_request("look")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -140,7 +140,7 @@
 
 
 def test_fields_that_are_fixed_at_the_start_need_a_restart(harness: SidecarHarness) -> None:
-    """They keep their values, and the log names them."""
+    """Such fields keep their values, and the log names them."""
     harness.reconfigure(settings=SETTINGS | {"replicasOfMe": 3, "slotNo": 1})
     [line] = harness.log_lines("config.read")
     assert line["need_restart"] == ["settings: sidecar_index", "settings: sidecars"]
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -115,7 +115,7 @@
             begun += self.attempts()
             return begun >= count
 
-        self.harness.wait_until(enough, within=LATENCY_OBJECTIVE / 1e6)
+        self.harness.wait_until(enough, timeout=LATENCY_OBJECTIVE / 1e6)
         assert begun == count
 
     def begun_meanwhile(self) -> int:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease of the endpoint list by itself, and the gate that checks it right before the first byte."""
+"""The lease of the endpoint list, and the gate that checks it right before the first byte of an attempt."""
 
 from math import inf
 
@@ -17,7 +17,7 @@
 
 
 def make_lease(pushed: bool = False, grace: float = GRACE) -> EndpointLease:
-    """A lease that was proved at 10 s."""
+    """Return a lease that was renewed at 10 s."""
     lease = EndpointLease(grace, pushed)
     lease.start(0.0)
     lease.renew(10.0, 10.0)
@@ -25,12 +25,12 @@
 
 
 def test_without_a_source_the_lease_never_expires() -> None:
-    """No watch has ever begun."""
+    """Before any watch has begun, the known list may be used without limit."""
     assert EndpointLease(GRACE, pushed=False).state(1e9) is LeaseState.FRESH
 
 
 def test_each_line_of_a_watch_renews_the_lease() -> None:
-    """Without another line it is in doubt."""
+    """Some time after the last line, the lease is in doubt."""
     lease = make_lease()
     for at in (12.0, 14.0, 16.0):
         assert lease.state(at) is LeaseState.FRESH
@@ -39,9 +39,9 @@
 
 
 def test_a_silent_watch_expires_the_lease_within_the_grace_after_a_missed_notice() -> None:
-    """Whether its silence has been noticed or not."""
+    """The lease expires whether or not the silence of the watch has been detected."""
     lease = make_lease()
-    # Also where nobody ever finds it silent.
+    # The silence has not been detected yet.
     assert lease.allows(10.0 + NOTICE) and not lease.allows(10.0 + NOTICE + GRACE)
     lease.note_watch_silent(13.0)
     assert lease.state(13.0) is LeaseState.IN_DOUBT
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("reset, notice", [(False, 1.68), (True, 4.0)])
 def test_the_end_of_a_watch_counts_as_a_missed_notice(reset: bool, notice: float) -> None:
-    """A reset leaves more time, for it says nothing of the source."""
+    """A reset leaves more time than an end, because it tells nothing about the source."""
     lease = make_lease()
     lease.note_watch_ended(11.0, reset)
     assert lease.state(11.0) is LeaseState.IN_DOUBT
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("end", ["prove", "end_watch", "miss_source", "nothing"])
 def test_a_message_that_has_begun_counts_as_a_notice(end: str) -> None:
-    """Until it is complete, whatever happens meanwhile."""
+    """Until the message is complete it limits the lease to the grace, whatever happens meanwhile."""
     lease = make_lease()
     lease.note_message_started(12.0)
     if end == "prove":
@@ -75,7 +75,7 @@
 
 
 def test_a_message_in_two_pieces_renews_the_lease_once_it_is_complete() -> None:
-    """It counts from its beginning."""
+    """The lease is renewed as of the beginning of the message."""
     lease = make_lease()
     lease.note_message_started(12.0)
     lease.renew(12.2, 12.0)
@@ -83,7 +83,7 @@
 
 
 def test_a_source_that_cannot_be_reached_notifies_nobody() -> None:
-    """Each failed call shows that nobody can have been notified meanwhile."""
+    """Each failed call shows that no one can have been notified meanwhile, so the lease lasts longer."""
     lease = make_lease()
     lease.note_watch_ended(11.0, reset=False)
     for at in range(11, 60, 4):
@@ -93,7 +93,7 @@
 
 
 def test_where_lists_are_pushed_a_missed_notice_counts_at_once() -> None:
-    """Without the time in which a polled list notifies."""
+    """The time in which a polled list notifies does not apply to a pushed list."""
     lease = make_lease(pushed=True)
     lease.note_watch_ended(11.0, reset=False)
     assert lease.allows(11.0 + GRACE / 2) and not lease.allows(11.0 + GRACE)
@@ -102,7 +102,7 @@
 
 
 def test_a_former_source_stops_renewing_the_lease() -> None:
-    """A while after the configuration names another."""
+    """After a reload that names another source, the former one proves the list only for a while."""
     lease = make_lease()
     lease.begin_source_change(12.0)
     for at in (14.0, 16.0, 18.0):
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("grace", [0.0, 0.05, 0.1, 0.15, 0.25, 0.5, 2.5])
 def test_part_of_the_grace_is_reserved_for_delays(grace: float) -> None:
-    """For the rest of a message, and for a late turn of the loop."""
+    """The reserve covers the rest of a message and a late turn of the loop."""
     lease = EndpointLease(grace, pushed=False)
     assert 0 < lease.allowance < (grace or 0.2)
 
@@ -124,7 +124,7 @@
 
 
 def test_under_an_expired_lease_requests_are_rejected_and_nothing_is_sent() -> None:
-    """Nor are health checks begun."""
+    """No attempt and no health check begins."""
     host = FakeHost(health_checks_allowed=True, load_reported=True)
     lease = host.scheduler.balancer.lease
     lease.start(0.0)
@@ -135,7 +135,7 @@
 
 
 def test_under_an_expired_lease_attempts_in_flight_are_neither_hedged_nor_retried() -> None:
-    """They are waited for."""
+    """Attempts in flight are waited for, and their outcomes still count."""
     host = FakeHost()
     host.serve(60)
     lease = host.scheduler.balancer.lease
@@ -157,12 +157,12 @@
 def test_the_gate_refuses_an_attempt_if_the_lease_expires_before_the_first_byte(
     harness: SidecarHarness,
 ) -> None:
-    """The connection stays and carries the next request."""
+    """The connection stays open, and carries a request once the lease has been renewed."""
     watch, _ = harness.accept_watch({"version": 8, "servers": []})
     harness.wait_until(lambda: harness.context.discovery.version == 8)
     client = harness.send_request("buy")
     harness.wait_until(lambda: harness.context.connections.endpoint_connections)
-    # The connection is on its way up, and the list expires before the first byte.
+    # The lease expires while the connection is being established.
     harness.context.lease.expires_at = harness.context.loop.now()
     assert harness.read_status(client) == 503
     sock = harness.accept()
@@ -172,7 +172,7 @@
     harness.send_watch_line(watch, {"version": 9, "servers": []})
     harness.wait_until(lambda: harness.context.lease.allows(harness.context.loop.now()))
     assert [line["state"] for line in harness.log_lines("lease")] == ["expired", "fresh"]
-    # The connection stays, and carries the next one.
+    # The connection is still open and carries the next request.
     client = harness.send_request("buy")
     harness.read_request(sock)
     harness.send_response(sock)
@@ -180,7 +180,7 @@
 
 
 def test_a_message_that_breaks_off_behind_a_complete_one_counts_as_begun(harness: SidecarHarness) -> None:
-    """Both came in the same bytes."""
+    """A complete message and the beginning of the next one arrive in the same bytes."""
     watch, _ = harness.accept_watch({"version": 8, "servers": []})
     harness.wait_until(lambda: harness.context.discovery.version == 8)
     lease = harness.context.lease
@@ -190,7 +190,7 @@
 
     watch.sendall(chunk(b'{"version": 9, '))
     harness.wait_until(lambda: lease.incomplete_since < inf)
-    # The rest of it, and in the same bytes the beginning of the next, of which no more comes.
+    # The rest of that message, followed in the same bytes by the beginning of one that is not completed.
     watch.sendall(chunk(b'"servers": []}\n') + chunk(b'{"version": 10, '))
     harness.wait_until(lambda: harness.context.discovery.version == 9)
     assert lease.incomplete_since < inf
@@ -202,14 +202,14 @@
 def test_the_gate_stops_a_retry_of_a_non_idempotent_request_that_may_have_run(
     harness: SidecarHarness,
 ) -> None:
-    """Even if the decisions ask for it."""
+    """The gate refuses the retry even if the decisions start it."""
     client = harness.send_request("buy")
     sock = harness.accept()
     harness.read_request(sock)
     (pending,) = harness.context.coordinator.pending_requests.values()
     (attempt,) = pending.exchanges
-    again = Attempt(attempt.request, attempt.endpoint, harness.context.loop.now())
-    harness.context.coordinator.start_attempt(again, 1.0)
+    retry = Attempt(attempt.request, attempt.endpoint, harness.context.loop.now())
+    harness.context.coordinator.start_attempt(retry, 1.0)
     harness.assert_no_connection()
     assert harness.context.gate.violations == 1
     harness.send_response(sock)
@@ -221,22 +221,22 @@
 def test_a_retry_does_not_begin_after_its_deduplication_window(
     harness: SidecarHarness, left: float, refused: bool
 ) -> None:
-    """Though it was decided on within the window."""
+    """A retry that was decided on within the window is refused if it would begin after it."""
     client = harness.send_request("move")
     sock = harness.accept()
     harness.read_request(sock)
     (pending,) = harness.context.coordinator.pending_requests.values()
     (first,) = pending.exchanges.values()
     at = harness.context.loop.now()
-    harness.context.gate.now = lambda: at  # however long the story takes
+    harness.context.gate.now = lambda: at  # independent of how long the test takes
     harness.context.lease.expires_at = inf
     repeat = Exchange(first.endpoint, first.pool, at, inf, first.attempt, pending)
     first.started_at = at - pending.request.request_class.deduplication_window + left
     assert (harness.context.gate.refusal(first.pool.endpoint, repeat) is Refusal.WINDOW_OVER) == refused
-    # The same once the first has ended in a way that may have run.
-    sent = first.started_at
+    # The same applies once the first attempt has ended with an outcome that may have run.
+    sent_at = first.started_at
     harness.send_response(sock, status=500)
     harness.wait_until(lambda: pending.may_have_run)
-    assert pending.first_may_have_run_at == sent
+    assert pending.first_may_have_run_at == sent_at
     assert (harness.context.gate.refusal(first.pool.endpoint, repeat) is Refusal.WINDOW_OVER) == refused
     client.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -594,7 +594,7 @@
     assert len(tracker.clients) <= tracker.client_limit + tracker.reserve
     serve_one(harness, harness.connect_client())
     for client in [*silent, half]:
-        assert harness.read(client) == b"end" or harness.wait_until(lambda: harness.read(client), within=3)  # noqa: B023
+        assert harness.read(client) == b"end" or harness.wait_until(lambda: harness.read(client), timeout=3)  # noqa: B023
 
 
 def test_a_client_that_has_just_connected_is_not_closed_for_the_next_one(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,16 +1,25 @@
-"""Settings: what is rejected at the start, and what follows from them."""
+"""Settings: which of them are rejected at the start, and the configuration that follows from them."""
 
 import copy
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
 
 import msgspec
 import pytest
-from conftest import SETTINGS, request_class_settings
+from conftest import SETTINGS, SidecarHarness, request_class_settings
 
+from starlingwheel.decisions.config import BalancerConfig
 from starlingwheel.net.http.load_report import parse_load_report
 from starlingwheel.net.lifecycle.config import ConfigError, load_config
 from starlingwheel.simulator.wire import SimulatorLine
 
-PUSHED = {
+Settings = dict[str, Any]
+ChangeSettings = Callable[..., Settings]
+MakeConfig = Callable[..., BalancerConfig]
+MakeHarness = Callable[..., SidecarHarness]
+
+PUSHED: Settings = {
     "categories": request_class_settings(),
     "discovery": "push",
     "weightKind": "live",
@@ -23,8 +32,10 @@
 
 
 @pytest.fixture
-def changed_settings():
-    def changed_settings(settings, **changed):
+def changed_settings() -> ChangeSettings:
+    """Return a function that changes some keys of settings; `__` separates a table from a key in it."""
+
+    def changed_settings(settings: Settings, **changed: object) -> Settings:
         settings = copy.deepcopy(settings)
         for key, value in changed.items():
             table, _, name = key.rpartition("__")
@@ -35,10 +46,10 @@
 
 
 @pytest.fixture
-def config_of(tmp_path, changed_settings):
-    """The configuration of the decisions for these settings."""
+def config_of(tmp_path: Path, changed_settings: ChangeSettings) -> MakeConfig:
+    """Return a function that decodes settings, with some keys changed, as a start does."""
 
-    def config_of(settings, **changed):
+    def config_of(settings: Settings, **changed: object) -> BalancerConfig:
         settings = changed_settings(settings, **changed)
         path = tmp_path / "config.json"
         given = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings}
@@ -48,7 +59,8 @@
     return config_of
 
 
-def test_a_watching_deployment_has_the_defaults(config_of):
+def test_a_watching_deployment_has_the_defaults(config_of: MakeConfig) -> None:
+    """Without the key `discovery` the list is watched too."""
     config = config_of(SETTINGS)
     assert (
         config.must_watch_endpoints
@@ -59,7 +71,8 @@
     assert config_of({k: v for k, v in SETTINGS.items() if k != "discovery"}).must_watch_endpoints
 
 
-def test_a_pushed_deployment_follows_from_its_settings_alone(config_of):
+def test_a_pushed_deployment_follows_from_its_settings_alone(config_of: MakeConfig) -> None:
+    """Its list is not watched, and a connection carries several requests."""
     config = config_of(PUSHED)
     assert (
         not config.must_watch_endpoints and config.streams_per_connection == 100 and config.weights_are_live
@@ -68,7 +81,7 @@
 
 
 CAPS = SETTINGS["caps"] | {"streamsPerConn": 1, "mostHandOffs": 5, "connectTimeout": 200000}
-CLAIMS = {
+CLAIMS: Settings = {
     "categories": [
         {"name": "look", "effect": "guarded", "dedupScope": "zone", "window": 1500000,
          "dueTime": 500000, "expiry": 1500000, "payoff": 5.0},
@@ -80,7 +93,7 @@
     "charges": {"crossZone": 0.03, "waste": 0.05, "probe": 0.04, "peer": 0.0, "lateFail": 0.03},
     "rules": {"drainGrace": 3000000, "fallMultiple": 4.0, "overloadFor": 1000000, "coldShare": 0.13},
 }  # fmt: skip
-RESULTS = {
+RESULTS: Settings = {
     "categories": request_class_settings(600000), "discovery": "ask", "weightKind": "nominal",
     "replicasOfMe": 110, "slotNo": 0, "locality": "howrah", "caps": CAPS, "specifics": {"warmKeys": True},
     "loadReport": {"how": "inline", "columns": ["svc_ms", "busy_reqs"]},
@@ -90,7 +103,10 @@
 
 
 @pytest.mark.parametrize("settings", [CLAIMS, RESULTS])
-def test_a_sidecar_starts_with_the_settings_of_two_deployments(config_of, make_harness, settings):
+def test_a_sidecar_starts_with_the_settings_of_two_deployments(
+    config_of: MakeConfig, make_harness: MakeHarness, settings: Settings
+) -> None:
+    """It starts with each of them, and serves a request."""
     config = config_of(settings)
     assert (
         config.key_affinity
@@ -104,20 +120,22 @@
         harness.push_snapshot()
     client = harness.send_request()
     sock = harness.serve()
-    if settings is CLAIMS:  # that was the poll of its load; the request comes after it
+    if settings is CLAIMS:  # the first request was a load poll; that of the client follows
         harness.read_request(sock)
         harness.send_response(sock)
     assert harness.read_status(client) == 200
 
 
-def test_key_affinity_is_off_unless_the_settings_ask_for_it(config_of):
+def test_key_affinity_is_off_unless_the_settings_enable_it(config_of: MakeConfig) -> None:
+    """Neither an absent key nor a null enables it."""
     assert (
         not config_of(SETTINGS).key_affinity
         and not config_of(SETTINGS, specifics={"warmKeys": None}).key_affinity
     )
 
 
-def test_times_in_load_reports_are_converted_to_seconds():
+def test_times_in_load_reports_are_converted_to_seconds() -> None:
+    """Times are converted in headers of responses and in the lines of the simulator alike."""
     assert parse_load_report("TEXT inflight=3, latency_ms=120") == {"held": 3.0, "service": 0.12}
     assert SimulatorLine(1, "ENDED feedback=svc_ms:120,busy_reqs:3").load_report() == {
         "held": 3.0,
@@ -142,13 +160,16 @@
         (PUSHED, {"replicasOfMe": 0}, "replicasOfMe"),
     ],
 )
-def test_invalid_settings_are_rejected_in_one_line_that_names_the_key(config_of, settings, changed, named):
+def test_invalid_settings_are_rejected_in_one_line_that_names_the_key(
+    config_of: MakeConfig, settings: Settings, changed: Settings, named: str
+) -> None:
+    """A wrong type or an unknown value prevents the start."""
     with pytest.raises(ConfigError) as refused:
         config_of(settings, **changed)
     assert f"settings: {named}: " in str(refused.value) and "\n" not in str(refused.value)
 
 
-CONTRADICTORY = [
+CONTRADICTORY: list[tuple[Settings, Settings, list[str]]] = [
     (SETTINGS, {"caps__streamsPerConn": 100}, ["caps.streamsPerConn"]),
     (SETTINGS, {"weightKind": "live"}, ["weightKind", "caps.probing"]),
     (PUSHED, {"discovery": "ask"}, ["caps.streamsPerConn", "weightKind"]),
@@ -161,10 +182,14 @@
 
 
 @pytest.mark.parametrize(("settings", "changed", "named"), CONTRADICTORY)
-def test_contradictory_settings_are_logged_once_and_followed(
-    changed_settings, make_harness, settings, changed, named
-):
-    """Not starting would be worse than a price for what is not allowed."""
+def test_contradictory_settings_are_logged_once_and_applied(
+    changed_settings: ChangeSettings,
+    make_harness: MakeHarness,
+    settings: Settings,
+    changed: Settings,
+    named: list[str],
+) -> None:
+    """They do not prevent the start, which would be worse than a price for something that is not allowed."""
     harness = make_harness(settings=changed_settings(settings, **changed))
     assert [line["key"] for line in harness.log_lines("settings.mixed")] == named
     if harness.context.discovery.list_is_pushed:
@@ -174,7 +199,8 @@
     harness.accept()
 
 
-def test_contradictory_settings_read_at_a_reload_are_logged_and_followed(make_harness):
+def test_contradictory_settings_read_at_a_reload_are_logged_and_applied(make_harness: MakeHarness) -> None:
+    """The reload succeeds, and requests are served."""
     harness = make_harness()
     harness.reconfigure(settings=SETTINGS | {"weightKind": "live"})
     assert not harness.log_lines("config.unusable") and harness.context.balancer_config.weights_are_live
@@ -184,7 +210,7 @@
     assert harness.read_status(client) == 200
 
 
-NULLS = {
+NULLS: Settings = {
     "replicasOfMe": None, "slotNo": None, "locality": None, "weightKind": None, "tenants": None,
     "rules": None, "charges": {"crossZone": None, "probe": None}, "loadReport": {"how": None},
     "caps": {"mostHandOffs": 3, "retryAfter": True, "maxRetryAfter": None, "keepalive": None, "peers": None},
@@ -195,8 +221,10 @@
 }  # fmt: skip
 
 
-def test_a_null_is_the_same_as_an_absent_key(config_of):
-    def without_nulls(value):
+def test_a_null_is_the_same_as_an_absent_key(config_of: MakeConfig) -> None:
+    """Nulls in the settings, in their tables and in request classes are ignored."""
+
+    def without_nulls(value: Any) -> Any:  # noqa: ANN401
         if isinstance(value, dict):
             return {key: without_nulls(one) for key, one in value.items() if one is not None}
         return [without_nulls(one) for one in value] if isinstance(value, list) else value
