--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -40,10 +40,10 @@
 # The endpoint list.
 
 
-def test_a_message_in_pieces_is_followed_and_draining_endpoints_get_no_requests(
+def test_a_message_in_pieces_is_applied_and_draining_endpoints_get_no_requests(
     make_harness: MakeHarness,
 ) -> None:
-    """The first call asks for what changed since the known list."""
+    """The first watch starts from the version of the known list."""
     harness = make_harness(upstreams=2)
     watch, target = harness.accept_watch(b"")
     assert target == b"/v1/endpoints?watch=1&from=7"
@@ -53,10 +53,10 @@
     harness.assert_no_connection(0)
 
 
-def test_a_watch_message_is_read_ahead_of_requests_that_came_just_before_it(
+def test_a_watch_message_is_handled_before_a_request_that_arrived_just_before_it(
     make_harness: MakeHarness,
 ) -> None:
-    """Each time an endpoint begins to drain, though its idle connection is there."""
+    """An endpoint that begins to drain gets no request, although there is an idle connection to it."""
     harness = make_harness(upstreams=2)
     watch, _ = harness.accept_watch(b"")
     client = harness.connect_client()
@@ -74,7 +74,7 @@
 
 
 def test_an_attempt_at_an_endpoint_removed_since_can_still_be_cancelled(harness: SidecarHarness) -> None:
-    """Its connection ends when the client disconnects."""
+    """Its connection is closed when the client disconnects."""
     watch, _ = harness.accept_watch(b"")
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
@@ -86,22 +86,22 @@
 
 
 def test_a_snapshot_removes_endpoints_that_it_does_not_name(make_harness: MakeHarness) -> None:
-    """On the network side and in the decisions."""
+    """They are removed from the coordinator and from the decisions."""
     harness = make_harness(upstreams=2)
     harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(1)]})
     harness.wait_until(lambda: list(harness.context.coordinator.pools) == ["s1"])
     assert list(harness.context.coordinator.scheduler.balancer.endpoints.by_id) == ["s1"]
 
 
-def test_an_address_may_change_under_a_known_id(harness: SidecarHarness) -> None:
+def test_the_address_of_a_known_endpoint_may_change(harness: SidecarHarness) -> None:
     """Connections to the former address are closed."""
     watch, _ = harness.accept_watch(b"")
     client = harness.connect_client()
-    kept = serve(harness, client)
+    former = serve(harness, client)
     harness.listeners.append(harness.close_at_end(bound_socket()))
     moved = harness.endpoint_entry(0, addr=socket_address(harness.listeners[1]))
     harness.send_watch_line(watch, {"version": 8, "servers": [moved]})
-    assert harness.wait_until(lambda: harness.read(kept)) == b"end"
+    assert harness.wait_until(lambda: harness.read(former)) == b"end"
     assert harness.log_lines("upstream.end")[0]["reason"] == "not-needed"
     serve(harness, client, i=1)
 
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize(
     ("lines", "reason"),
     [
-        ([b"{", b""], "unreadable"),  # the beginning of an indented object; nothing empty lies within one
+        ([b"{", b""], "unreadable"),  # an indented object: its first line and a heartbeat
         ([b"{", {"version": 9, "servers": []}], "unreadable"),
         ([b"{]"], "unreadable"),
         ([b'{"version": }'], "unreadable"),
@@ -117,10 +117,10 @@
         ([b"\xff"], "unreadable"),
     ],
 )
-def test_after_an_unreadable_line_the_last_list_stays_and_a_snapshot_is_asked_for(
+def test_after_an_unreadable_line_the_last_list_is_kept_and_a_snapshot_is_requested(
     harness: SidecarHarness, lines: list[dict[str, Any] | bytes], reason: str
 ) -> None:
-    """What came before that line has been taken over."""
+    """The watch ends, and the next one starts from version 0."""
     harness.accept_watch(*lines)
     _, target = harness.accept_watch(b"")
     assert target.endswith(b"from=0")
@@ -129,7 +129,7 @@
 
 
 def test_a_failed_call_and_an_ended_watch_are_followed_by_new_calls(harness: SidecarHarness) -> None:
-    """The list stays in force meanwhile."""
+    """The list stays in use meanwhile."""
     sock, _ = harness.accept_watch(status=503)
     assert harness.wait_until(lambda: harness.log_lines("list.end"))[-1]["reason"] == "answered-503"
     sock, _ = harness.accept_watch(b"")
@@ -140,7 +140,7 @@
 
 
 def test_a_silent_watch_is_replaced(harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-    """After a time without a byte."""
+    """A watch on which no byte arrives for some time is replaced."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.05)
     harness.accept_watch(b"", b"")
     harness.accept_watch(b"")
@@ -150,7 +150,7 @@
 def test_a_watch_that_stalls_within_a_line_is_replaced_and_the_line_dropped(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The next call asks for changes after the last complete message."""
+    """The next watch starts from the last complete message."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.05)
     watch, _ = harness.accept_watch(b"")
     half = msgspec.json.encode({"version": 8, "servers": [harness.endpoint_entry(0, state="leaving")]})[:-9]
@@ -160,10 +160,10 @@
     serve(harness, harness.connect_client())
 
 
-def test_after_changes_of_an_older_version_a_snapshot_is_asked_for(
+def test_after_a_delta_of_an_older_version_a_snapshot_is_requested(
     make_harness: MakeHarness,
 ) -> None:
-    """They are not taken over."""
+    """The delta is not applied."""
     harness = make_harness(upstreams=2)
     watch, _ = harness.accept_watch({"version": 9, "servers": [harness.endpoint_entry(0, state="leaving")]})
     harness.wait_until(lambda: harness.context.discovery.version == 9)
@@ -177,7 +177,7 @@
 def test_with_an_outdated_known_list_requests_are_rejected_promptly_until_the_watch_answers(
     make_harness: MakeHarness,
 ) -> None:
-    """No process listens at the addresses that it names."""
+    """No process listens at the addresses in the known list."""
     harness = make_harness(upstreams=3)
     for listener in harness.listeners[:2]:
         listener.close()
@@ -190,8 +190,8 @@
     serve(harness, harness.connect_client(), i=3)
 
 
-def test_thousands_of_removed_endpoints_leave_nothing_behind(harness: SidecarHarness) -> None:
-    """Neither pools and connections nor what the decisions, gossip and timers kept of them."""
+def test_thousands_of_removed_endpoints_leave_no_state_behind(harness: SidecarHarness) -> None:
+    """Pools, connections and timers are gone, as is the state of the decisions and of gossip."""
     watch, _ = harness.accept_watch(b"")
     context, balancer = harness.context, harness.context.coordinator.scheduler.balancer
     for version in range(8, 108):
@@ -205,7 +205,7 @@
         for u in list(balancer.endpoints.by_id.values())[:5]:
             context.coordinator.scheduler.gossip_received(1, u.gossip_tag.to_bytes(2, "big") + b"\x03")
         client = harness.send_request("buy", b"one", x_trace_id=f"t{version}", connection="close")
-        harness.serve(status=500 if version % 2 else 200)  # all of them at one address
+        harness.serve(status=500 if version % 2 else 200)  # all endpoints have the same address
         assert harness.read_status(client) in (200, 504)
         client.close()
     harness.wait_until(lambda: not context.coordinator.pending_requests and not context.connections.clients)
@@ -221,7 +221,7 @@
     balancer.endpoints.stale = True
     balancer.endpoints.refresh()
     assert not balancer.gossip._by_peer and not balancer.gossip.counts
-    # Connections to the last ones are kept.
+    # A connection to the last endpoint may still be open.
     assert len(context.connections.endpoint_connections) <= 1 and not context.active_traces
     gc.collect()
     assert len([actor for _, _, held in context.loop.timers if (actor := held())]) < 10
@@ -230,10 +230,10 @@
 # Reload.
 
 
-def test_a_new_discovery_is_called_at_once_and_the_old_watch_serves_until_its_first_message(
+def test_a_new_discovery_is_called_at_once_and_the_old_watch_is_used_until_its_first_message(
     make_harness: MakeHarness,
 ) -> None:
-    """The new one is asked for a snapshot."""
+    """The new watch starts from version 0, so that it gets a snapshot."""
     harness = make_harness(upstreams=2)
     old, _ = harness.accept_watch(b"")
     before, harness.discovery = harness.discovery, harness.close_at_end(bound_socket())
@@ -254,12 +254,11 @@
 def test_a_new_discovery_that_is_not_up_yet_is_called_again(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Even once the old watch has ended too."""
+    """The calls go on once the old watch has ended too."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
     old, _ = harness.accept_watch(b"")
-    harness.discovery = harness.close_at_end(
-        bound_socket(listening=False)
-    )  # it has its address, and does not listen yet
+    # Bound to its address, but not listening yet.
+    harness.discovery = harness.close_at_end(bound_socket(listening=False))
     harness.reconfigure(discovery=socket_address(harness.discovery))
     harness.wait_until(
         lambda: [line for line in harness.log_lines("list.end") if line["reason"] == "refused"]
@@ -270,8 +269,8 @@
     harness.wait_until(lambda: harness.context.discovery.version == 1)
 
 
-def test_an_unusable_configuration_leaves_the_one_before_in_force(harness: SidecarHarness) -> None:
-    """A later reload of the same file as before changes nothing either."""
+def test_an_unusable_configuration_leaves_the_former_one_in_force(harness: SidecarHarness) -> None:
+    """A reload of the original file afterwards changes nothing, and the watch continues."""
     watch, _ = harness.accept_watch(b"")
     harness.reconfigure(text=b"{")
     harness.reconfigure()
@@ -284,7 +283,7 @@
 def test_fields_that_need_a_restart_are_logged_and_the_last_of_several_changes_holds(
     harness: SidecarHarness,
 ) -> None:
-    """The watch moves to the last address."""
+    """After two changes of the address of discovery the watch moves to the last one."""
     harness.accept_watch(b"")
     first, last = harness.close_at_end(bound_socket()), harness.close_at_end(bound_socket())
     harness.reconfigure(discovery=socket_address(first))
@@ -302,10 +301,10 @@
 # Peers.
 
 
-def test_gossip_of_a_peer_is_received_and_that_of_a_stranger_is_not(
+def test_gossip_of_a_peer_is_received_and_that_of_an_unknown_sender_is_not(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nor what is empty or too long."""
+    """Datagrams that are empty or too long are ignored too."""
     received: list[tuple[int, bytes]] = []
     monkeypatch.setattr(
         harness.context.coordinator.scheduler,
@@ -327,7 +326,7 @@
 
 
 def test_a_flood_of_datagrams_does_not_pile_up(harness: SidecarHarness) -> None:
-    """What can't be handled is left to the kernel to drop."""
+    """Datagrams that can't be handled in time are left to the kernel to drop."""
     to = harness.context.gossip_socket.sock.getsockname()
     most = 0
     for _ in range(50):
@@ -340,7 +339,7 @@
 
 
 def test_requests_in_flight_are_gossiped_to_all_peers(harness: SidecarHarness) -> None:
-    """A count of requests in flight, behind the tag of the endpoint."""
+    """The datagram has the tag of the endpoint and the count of requests in flight."""
     harness.send_request()
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -368,7 +367,7 @@
 def test_the_error_of_an_unusable_configuration_names_the_key(
     tmp_path: Path, text: bytes, named: str
 ) -> None:
-    """Or the file, where it can't be read; on one line."""
+    """It is one line, and names the file if that can't be read."""
     path = tmp_path / "config.json"
     path.write_bytes(text)
     with pytest.raises(ConfigError) as refused:
@@ -377,7 +376,7 @@
 
 
 def test_a_sidecar_without_an_endpoint_list_is_not_ready(make_harness: MakeHarness) -> None:
-    """It rejects requests until the first message."""
+    """It answers 503 to requests until the first message of the watch."""
     harness = make_harness(known=None)
     assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
     assert harness.read_status(harness.send_request("buy", b"one")) == 503
@@ -388,7 +387,7 @@
 
 @pytest.fixture
 def program(tmp_path: Path) -> Iterator[Program]:
-    """Starts the program itself, as its users do; the endpoint list is empty."""
+    """Yield a function that starts the program as a process, without an endpoint list."""
     listen = free_address()
     config = {"listen": listen, "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path = tmp_path / "config.json"
@@ -410,7 +409,7 @@
 
 
 def test_the_program_starts_and_ends_at_a_signal(program: Program) -> None:
-    """With exit code 0 and nothing on standard error."""
+    """The exit code is 0, and nothing is written to standard error."""
     process, _ = program()
     process.send_signal(signal.SIGTERM)
     out, errors = process.communicate(timeout=10)
@@ -418,7 +417,7 @@
 
 
 def test_a_reload_does_not_end_the_program(program: Program) -> None:
-    """It answers clients afterwards."""
+    """The program answers clients afterwards."""
     process, listen = program()
     process.send_signal(signal.SIGHUP)
     while b'"config.read"' not in (line := process.stdout.readline()):
@@ -432,7 +431,7 @@
 
 
 def test_after_a_kill_the_program_starts_again_at_its_address(program: Program) -> None:
-    """Though a client's connection to the former process is open."""
+    """An open connection of a client to the former process does not prevent it."""
     process, listen = program()
     with socket.create_connection(listen):
         process.kill()
@@ -440,11 +439,11 @@
         program()
         with socket.create_connection(listen) as again:
             again.sendall(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-            assert again.recv(64).startswith(b"HTTP/1.1 503")  # it has no list yet
+            assert again.recv(64).startswith(b"HTTP/1.1 503")  # there is no endpoint list yet
 
 
 def test_an_unusable_start_ends_with_one_line() -> None:
-    """It names the file, and the exit code is 2."""
+    """The line names the file, and the exit code is 2."""
     command = [sys.executable, "-m", "starlingwheel"]
     done = subprocess.run(command, env={**os.environ, "EDGE_CONFIG": "/nowhere"}, capture_output=True)
     assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and b"/nowhere" in done.stderr
@@ -454,7 +453,7 @@
 
 
 def test_a_shutdown_answers_all_accepted_requests_and_then_ends(make_harness: MakeHarness) -> None:
-    """Requests that come during the first moments too; idle clients are closed."""
+    """Requests that arrive shortly after the stop are answered too; idle clients are disconnected."""
     harness = make_harness(settings={"categories": request_class_settings(4000000)})
     loop = harness.context.loop
     loop.running = True
@@ -464,7 +463,7 @@
     harness.context.shutdown.post(STOP)
     harness.wait_until(lambda: harness.context.stopping)
     assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
-    late = harness.send_request(x_trace_id="t2")  # they go on coming for a while
+    late = harness.send_request(x_trace_id="t2")  # clients still send requests for a while
     other = harness.accept()
     harness.read_request(other)
     harness.send_response(other)
@@ -483,8 +482,8 @@
 # The log and the loop.
 
 
-def test_a_slow_reader_of_the_log_costs_lines_and_never_the_loop() -> None:
-    """The log says how many once the reader goes on."""
+def test_a_slow_log_reader_loses_lines_but_does_not_block_the_loop() -> None:
+    """Once the reader continues, the log reports how many lines were lost."""
     reader, writer = os.pipe()
     log = EventLog(time.time, writer)
     for n in range(2 * MAX_BUFFERED // 100):
@@ -502,7 +501,7 @@
 
 
 def test_a_closed_log_does_not_end_the_sidecar() -> None:
-    """Lines are dropped then."""
+    """Lines are dropped once the reader has closed the pipe."""
     reader, writer = os.pipe()
     os.close(reader)
     log = EventLog(time.time, writer)
@@ -512,7 +511,7 @@
 
 
 def test_messages_are_handled_before_timers() -> None:
-    """In a turn in which both are due."""
+    """In a turn in which both are due, the actor gets the message and no timeout."""
     ours, theirs = socket.socketpair()
     seen: list[object] = []
 
@@ -524,7 +523,7 @@
     loop = Loop(lambda actor, error: pytest.fail(repr(error)))
     Waiting(loop).begin()
     theirs.send(b"x")
-    time.sleep(0.02)  # a late turn: both have happened
+    time.sleep(0.02)  # a late turn: the socket is readable, and the timer is due
     loop.run_once()
     assert len(seen) == 1 and seen[0] is not None
     ours.close()
@@ -532,20 +531,20 @@
 
 
 def test_an_actor_that_waits_for_a_past_time_does_not_stop_the_others() -> None:
-    """It runs once a turn."""
+    """Such an actor runs once per turn."""
 
-    class Hasty(Actor):
+    class PastDeadline(Actor):
         def run(self) -> Coroutine[None]:
             while True:
                 yield self.loop.now() - 1
 
-    class Patient(Actor):
+    class Waiting(Actor):
         def run(self) -> Coroutine[None]:
             got.append((yield self.loop.now()))
 
     got: list[object] = []
     loop = Loop(lambda actor, error: pytest.fail(repr(error)))
-    actors = [Hasty(loop), Patient(loop)]
+    actors = [PastDeadline(loop), Waiting(loop)]
     for actor in actors:
         actor.begin()
     for _ in range(3):
@@ -555,9 +554,9 @@
 
 
 def test_a_daemon_actor_restarts_after_an_error() -> None:
-    """The messages behind the one that failed are handled."""
+    """Messages after the one that caused the error are handled."""
 
-    class Fragile(Actor):
+    class Failing(Actor):
         daemon = True
 
         def run(self) -> Coroutine[None]:
@@ -567,7 +566,7 @@
     got: list[float] = []
     defects: list[Exception] = []
     loop = Loop(lambda actor, error: defects.append(error))
-    actor = Fragile(loop)
+    actor = Failing(loop)
     actor.begin()
     for n in (0, 2):
         actor.post(n)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The real sidecar's sockets: attempts, clients and their responses."""
+"""The sockets of a real sidecar: forwarding, attempts at endpoints, clients, limits and internal errors."""
 
 import socket
 import threading
@@ -18,7 +18,7 @@
 
 
 def test_request_and_response_are_forwarded_unchanged(harness: SidecarHarness) -> None:
-    """Method, target, headers and body arrive at the endpoint, the response's body and type at the client."""
+    """The endpoint gets method, target, headers and body; the client gets the response's body and type."""
     body = bytes(range(256)) * 250
     client = harness.send_request("move", body, x_customer="inn", x_props="a=1")
     upstream = harness.accept()
@@ -37,7 +37,7 @@
 
 
 def test_an_idle_connection_is_reused(harness: SidecarHarness) -> None:
-    """One connection to the endpoint carries three requests."""
+    """One connection to the endpoint carries several requests."""
     client = harness.connect_client()
     client.sendall(harness.request_bytes())
     upstream = harness.accept()
@@ -51,7 +51,7 @@
 
 
 def test_expect_100_continue_is_answered(harness: SidecarHarness) -> None:
-    """The `Expect` header is answered here and not forwarded."""
+    """The sidecar answers the `Expect` header itself and does not forward it."""
     client = harness.connect_client()
     client.sendall(harness.request_bytes("buy", expect="100-continue", content_length="3"))
     assert harness.wait_until(lambda: harness.read(client)).startswith(b"HTTP/1.1 100")
@@ -81,7 +81,7 @@
 def test_a_response_longer_than_any_request_is_forwarded_in_little_memory(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The body is relayed, and all buffers are given back."""
+    """The body is forwarded while it arrives, and all buffers are released."""
     harness = make_harness(limits={"memory_mb": 32})
     client = harness.send_request()
     body = bytes(range(256)) * 1200
@@ -111,7 +111,7 @@
 def test_a_client_that_does_not_read_its_response_is_disconnected(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Its buffers are given back."""
+    """Its buffers are released."""
     harness = make_harness(settings={"categories": request_class_settings(100000)})
     client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -124,7 +124,7 @@
 
 
 def test_unsolicited_bytes_end_a_connection(harness: SidecarHarness) -> None:
-    """A second response behind the first ends the connection, and the first is forwarded."""
+    """A second response right behind the first ends the connection; the first one is forwarded."""
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -136,7 +136,7 @@
 
 
 def test_a_pipelined_request_is_sent_after_the_response_before_it(harness: SidecarHarness) -> None:
-    """Nothing is sent for the second request before the first is answered."""
+    """Nothing is sent for the second request before the first one is answered."""
     client = harness.connect_client()
     client.sendall(harness.request_bytes(x_trace_id="first") + harness.request_bytes(x_trace_id="second"))
     for trace in (b"first", b"second"):
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize(
-    "cut",
+    "response",
     [
         b"",
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
@@ -163,21 +163,21 @@
     ],
 )
 def test_an_incomplete_response_fails_a_non_idempotent_request_without_a_retry(
-    make_harness: Callable[..., SidecarHarness], cut: bytes
+    make_harness: Callable[..., SidecarHarness], response: bytes
 ) -> None:
-    """The client gets 504, and no other endpoint gets the request."""
+    """The request may have run, so the client gets 504 and no other endpoint gets the request."""
     harness = make_harness(upstreams=2)
     client = harness.send_request("buy", b"one")
     i, upstream = harness.wait_until(harness.accept_any)
     harness.read_request(upstream)
-    upstream.sendall(cut)
+    upstream.sendall(response)
     upstream.close()
     assert harness.read_status(client) == 504
     harness.assert_no_connection(1 - i)
 
 
 @pytest.mark.parametrize(
-    ("spoilt", "reason"),
+    ("response", "reason"),
     [
         (b"\x00\xff noise", "malformed"),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nx", "answer-too-long"),
@@ -185,20 +185,20 @@
     ],
 )
 def test_a_malformed_response_head_is_detected_while_its_connection_is_open(
-    harness: SidecarHarness, spoilt: bytes, reason: str
+    harness: SidecarHarness, response: bytes, reason: str
 ) -> None:
-    """The request does not wait for its timeout."""
+    """The request fails at once instead of at its timeout."""
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     harness.read_request(upstream)
     begun = time.monotonic()
-    upstream.sendall(spoilt)
+    upstream.sendall(response)
     assert harness.read_status(client) == 504 and time.monotonic() - begun < 0.5
     assert harness.log_lines("upstream.end")[0]["reason"] == reason
 
 
 def test_informational_responses_are_skipped(harness: SidecarHarness) -> None:
-    """100 and 103 before the response are not forwarded."""
+    """Responses 100 and 103 before the final one are not forwarded."""
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -211,14 +211,14 @@
 def test_unsolicited_bytes_are_not_taken_for_the_next_response(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Bytes that came after a response, and after the check of the idle connection."""
+    """Bytes that arrive on an idle connection after its check must not answer the next request."""
     client = harness.connect_client()
     client.sendall(harness.request_bytes("buy", b"one"))
     upstream = harness.accept()
     harness.read_request(upstream)
     harness.send_response(upstream, body=b"first")
     assert harness.read_message(client)[1] == b"first"
-    monkeypatch.setattr(Http1Connection, "is_usable", lambda _: True)  # it comes after that look
+    monkeypatch.setattr(Http1Connection, "is_usable", lambda _: True)  # the bytes arrive after the check
     harness.wait_for_idle_connections()
     harness.send_response(upstream, body=b"copy")
     client.sendall(harness.request_bytes("buy", b"two"))
@@ -229,20 +229,20 @@
 def test_a_response_before_the_end_of_its_request_is_discarded(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The request has not run, so another endpoint gets it."""
+    """The incomplete request has not run, so another endpoint gets it."""
     harness = make_harness(upstreams=2)
     client = harness.send_request("buy", b"x" * MAX_REQUEST_BODY)
     i, upstream = harness.wait_until(harness.accept_any)
     carrying = harness.wait_until(lambda: next(iter(harness.context.connections.endpoint_connections), None))
-    carrying.stream.unwritten.append(b"more" * 4000000)  # more than the kernel takes
+    carrying.stream.unwritten.append(b"more" * 4000000)  # more than the kernel buffers
     harness.send_response(upstream)
     assert harness.wait_until(lambda: harness.log_lines("upstream.end"))[0]["reason"] == "early-answer"
     harness.serve(1 - i, body=b"fine")
     assert harness.read_message(client)[1] == b"fine"
 
 
-def test_a_reset_just_after_a_request_was_written_makes_cautious(harness: SidecarHarness) -> None:
-    """More resets are expected for a while."""
+def test_after_a_reset_of_a_written_request_more_resets_are_expected(harness: SidecarHarness) -> None:
+    """The caution lasts for a while after the reset."""
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -254,13 +254,13 @@
 def test_while_resets_are_expected_the_last_byte_of_a_non_idempotent_request_is_delayed(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """A reset before the last byte proves that the request has not run."""
+    """A reset before the last byte proves that the request has not run, so it can be retried."""
     harness = make_harness(upstreams=2)
     harness.context.resets_expected_until = float("inf")
     client = harness.connect_client()
     client.sendall(harness.request_bytes("buy", b"one"))
     i, upstream = harness.wait_until(harness.accept_any)
-    assert harness.read_request(upstream)[1] == b"one"  # the last byte comes too
+    assert harness.read_request(upstream)[1] == b"one"  # the last byte arrives too
     harness.send_response(upstream, extra="Connection: close\r\n")
     assert harness.read_status(client) == 200
     client.sendall(harness.request_bytes("buy", b"two"))
@@ -268,11 +268,11 @@
     assert harness.wait_until(lambda: harness.read(upstream)).endswith(b"tw")
     harness.reset(upstream)
     harness.serve(1 - i)
-    assert harness.read_status(client) == 200  # it had not run
+    assert harness.read_status(client) == 200  # the request had not run, so it was retried
 
 
 def test_a_reset_of_a_reused_connection_is_not_a_fault_of_its_endpoint(harness: SidecarHarness) -> None:
-    """The endpoint's failures are not counted up."""
+    """The endpoint's count of consecutive failures does not change."""
     harness.context.resets_expected_until = float("inf")
     client = harness.connect_client()
     client.sendall(harness.request_bytes("buy", b"one"))
@@ -290,7 +290,7 @@
 def test_an_error_of_a_request_that_may_have_run_is_not_reported_as_harmless(
     harness: SidecarHarness, status: int, extra: str
 ) -> None:
-    """The client gets 504, not 503."""
+    """The client gets 504, because 503 would promise that the request has not run."""
     client = harness.send_request("buy", b"one")
     harness.serve(status=status, extra=extra)
     assert harness.read_status(client) == 504
@@ -324,10 +324,10 @@
         assert harness.read_status(client) == 200
 
 
-def vanish(harness: SidecarHarness) -> None:
-    """The first upstream says nothing to those that connect."""
+def make_unresponsive(harness: SidecarHarness) -> None:
+    """Move the first endpoint to an address at which connection attempts get no reply."""
     full = harness.close_at_end(bound_socket(backlog=0))
-    for _ in range(4):  # a full queue of connections says nothing to the next
+    for _ in range(4):  # once the accept queue is full, further attempts get no reply
         waiting = harness.close_at_end(socket.socket())
         waiting.setblocking(False)
         waiting.connect_ex(full.getsockname())
@@ -339,7 +339,7 @@
 def test_a_connection_that_never_comes_up_times_out(make_harness: Callable[..., SidecarHarness]) -> None:
     """The request is answered within its latency objective."""
     harness = make_harness()
-    vanish(harness)
+    make_unresponsive(harness)
     begun = time.monotonic()
     client = harness.send_request("buy", b"one")
     assert harness.read_status(client) in (503, 504) and time.monotonic() - begun < 0.9
@@ -349,17 +349,17 @@
 def test_a_connection_that_does_not_come_up_leaves_time_for_another_endpoint(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Even where the configured connect timeout is long."""
+    """The time is left even if the configured connect timeout is long."""
     harness = make_harness(upstreams=2, settings={"caps": SETTINGS["caps"] | {"connectTimeout": 5000000}})
-    vanish(harness)
+    make_unresponsive(harness)
     while "never-came-up" not in [line["reason"] for line in harness.log_lines("upstream.end")]:
         client = harness.send_request("buy", b"one", connection="close")
         harness.serve(i=1, extra="Connection: close\r\n")
         assert harness.read_status(client) == 200
 
 
-def test_an_endpoint_that_does_not_answer_is_given_up_at_the_timeout(harness: SidecarHarness) -> None:
-    """The client gets 504, and the connection ends."""
+def test_an_attempt_at_an_endpoint_that_does_not_answer_times_out(harness: SidecarHarness) -> None:
+    """The client gets 504, and the connection to the endpoint ends."""
     begun = time.monotonic()
     client = harness.send_request("buy", b"one", x_expires_in_ms="200")
     upstream = harness.accept()
@@ -369,7 +369,7 @@
 
 
 def test_a_connection_closed_by_its_endpoint_is_not_reused(harness: SidecarHarness) -> None:
-    """Each request gets a new connection."""
+    """Each request gets a new connection instead."""
     client = harness.connect_client()
     for _ in range(3):
         client.sendall(harness.request_bytes("buy", b"one"))
@@ -379,31 +379,31 @@
 
 
 def test_an_idle_connection_is_checked_before_it_is_reused(harness: SidecarHarness) -> None:
-    """A close that the loop has not seen yet counts."""
+    """The check sees a close for which the loop has not had an event yet."""
     client = harness.send_request()
     upstream = harness.serve()
     assert harness.read_status(client) == 200
     connection = harness.wait_until(harness.context.connections.longest_idle)
     assert connection.is_usable()
-    upstream.close()  # the loop has not turned since
+    upstream.close()  # the loop does not run in between
     assert not connection.is_usable()
 
 
 def test_unread_input_does_not_reset_the_response(harness: SidecarHarness) -> None:
-    """What a client sends after its last response is discarded, so that the response arrives."""
+    """Input after the last response is read and discarded: unread, it would make the kernel reset."""
     client = harness.send_request("buy", b"x" * (MAX_REQUEST_BODY + 1), content_length="60000000")
     assert harness.read_status(client) == 413
     client.sendall(b"x" * 50000)
     harness.run_for(0.02)
     client.settimeout(1)
-    assert client.recv(1) == b""  # an end, no reset
+    assert client.recv(1) == b""  # an orderly end instead of a reset
 
 
 @pytest.mark.parametrize("client_first", [True, False])
-def test_a_response_for_a_client_that_has_just_left_gives_its_buffers_back(
+def test_a_response_for_a_client_that_has_just_left_releases_its_buffers(
     harness: SidecarHarness, client_first: bool
 ) -> None:
-    """Whether the close or the response comes first."""
+    """They are released whether the close or the response comes first."""
     for _ in range(20):
         client = harness.send_request("buy", b"one")
         upstream = harness.accept()
@@ -422,7 +422,7 @@
 def test_an_idle_connection_is_closed_before_its_endpoint_would_close_it(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The endpoint's keep-alive time is 50 ms."""
+    """The idle timeout in the settings is 50 ms."""
     caps = {"mostHandOffs": 1, "connectTimeout": 60000, "keepalive": 50000}
     harness = make_harness(settings={"caps": caps})
     client = harness.send_request()
@@ -433,7 +433,7 @@
 
 
 def test_a_client_that_disconnects_cancels_its_attempt(harness: SidecarHarness) -> None:
-    """The connection to the endpoint is closed, and nothing is kept."""
+    """The connection to the endpoint is closed, and the request is not retried."""
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -446,7 +446,7 @@
     assert not harness.context.coordinator.pending_requests
 
 
-BAD = [
+INVALID_REQUESTS = [
     ({"x_trace_id": None}, 400, "x-trace-id is missing"),
     ({"x_qos": None}, 404, "unknown category"),
     ({"x_qos": "other"}, 404, "unknown category"),
@@ -473,21 +473,21 @@
 ]
 
 
-@pytest.mark.parametrize(("asked", "status", "reason"), BAD)
+@pytest.mark.parametrize(("asked", "status", "reason"), INVALID_REQUESTS)
 def test_an_invalid_request_is_answered_and_not_forwarded(
     harness: SidecarHarness, asked: dict[str, str], status: int, reason: str
 ) -> None:
-    """Each with its status and a reason in the log; the connection ends."""
+    """Each gets its status and a reason in the log, and the connection ends."""
     client = harness.send_request(**asked)
     assert harness.read_status(client) == status
     line = harness.log_lines("request.unfit")[0]
     assert (line["status"], line["reason"]) == (status, reason)
     harness.assert_no_connection()
-    assert harness.read(client) == b"end"  # it can't ask the same again at full speed
+    assert harness.read(client) == b"end"  # the client can't repeat the request without connecting again
 
 
 def test_a_smuggled_request_is_not_forwarded(harness: SidecarHarness) -> None:
-    """A request with two lengths is rejected, and what follows is discarded."""
+    """A request with two body lengths is rejected, and the request hidden in its body is discarded."""
     hidden = harness.request_bytes(x_trace_id="hidden")
     client = harness.connect_client()
     length = len(hidden) + 5
@@ -502,7 +502,7 @@
 
 
 def test_a_trace_id_in_use_is_rejected(harness: SidecarHarness) -> None:
-    """The second request gets 409, and the id is free after the first has ended."""
+    """The second request with it gets 409; the id is free again once the first has ended."""
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -513,12 +513,12 @@
 
 
 def test_input_after_the_last_response_is_discarded_up_to_a_limit(harness: SidecarHarness) -> None:
-    """The connection of a client that sends on and on is closed."""
+    """A client that never stops sending is disconnected."""
     client = harness.send_request("buy", content_length="60000000")
     client.setblocking(False)
     sent = 0
 
-    def over() -> object:
+    def send_until_closed() -> object:
         nonlocal sent
         try:
             sent += client.send(b"x" * 65536)
@@ -528,12 +528,14 @@
             return True
         return harness.log_lines("client.end")
 
-    harness.wait_until(over)
-    assert sent < 30 * MAX_DISCARDED_INPUT  # what the kernel holds, and what is read
+    harness.wait_until(send_until_closed)
+    assert sent < 30 * MAX_DISCARDED_INPUT  # the kernel's buffers and the discarded input
 
 
-def test_half_a_request_then_silence_is_ended(make_harness: Callable[..., SidecarHarness]) -> None:
-    """A client that stalls in its first request gets 408."""
+def test_a_client_that_stalls_within_its_first_request_is_answered_408(
+    make_harness: Callable[..., SidecarHarness],
+) -> None:
+    """The time limit counts from the connection, so that a late first byte does not extend it."""
     harness = make_harness()
     begun = time.monotonic()
     client, late = harness.connect_client(), harness.connect_client()
@@ -548,7 +550,7 @@
 def test_a_client_with_an_endless_timeout_is_answered_at_the_timeout_of_its_class(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The class's timeout limits the client's."""
+    """The timeout of the class limits that of the client."""
     patient = [one | {"overduePayoff": 0.5} for one in request_class_settings(200000)]
     harness = make_harness(settings={"categories": patient})
     client = harness.send_request("buy", b"one", x_expires_in_ms="999999999999")
@@ -558,22 +560,21 @@
 
 
 def test_a_request_of_an_unknown_tenant_is_served(harness: SidecarHarness) -> None:
-    """As a request without a tenant."""
+    """It is served like a request without a tenant."""
     client = harness.send_request(x_customer="nobody")
     harness.serve()
     assert harness.read_status(client) == 200
 
 
 def test_clients_beyond_the_limit_are_answered_503(make_harness: Callable[..., SidecarHarness]) -> None:
-    """Those that have no room even for that wait; requests in progress go on."""
+    """Clients for which there is no descriptor even for that wait; requests in flight continue."""
     harness = make_harness(limits={"sockets": 120})
     tracker = harness.context.connections
     tracker.client_limit = tracker.max_requests = 2
     busy = [harness.send_request(x_trace_id=f"busy{n}") for n in range(tracker.max_requests)]
     harness.wait_until(lambda: len(harness.context.coordinator.pending_requests) == len(busy))
-    more = [
-        harness.send_request(x_trace_id=f"more{n}") for n in range(64)
-    ]  # more than there is room to say it to
+    # More clients than can be answered at a time.
+    more = [harness.send_request(x_trace_id=f"more{n}") for n in range(64)]
     assert {harness.read_status(one) for one in more[:8]} == {503}
     assert len(tracker.clients) <= tracker.client_limit + tracker.reserve
     for client in more:
@@ -583,7 +584,7 @@
 
 
 def test_silent_clients_do_not_shut_out_others(make_harness: Callable[..., SidecarHarness]) -> None:
-    """They are closed to make room, or at the latest after a while."""
+    """Silent connections are closed to make room for others, and after a timeout at the latest."""
     harness = make_harness(limits={"sockets": 120})
     tracker = harness.context.connections
     silent = [harness.connect_client() for _ in range(200)]
@@ -600,7 +601,7 @@
 def test_a_client_that_has_just_connected_is_not_closed_for_the_next_one(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Idle connections are closed first."""
+    """Idle connections are closed to make room, before those that have just been opened."""
     harness = make_harness(limits={"sockets": 120})
     harness.context.connections.client_limit = 3
     kept = [harness.connect_client() for _ in range(3)]
@@ -613,10 +614,10 @@
         serve_one(harness, client)
 
 
-def test_a_slow_client_goes_on_while_incomplete_requests_crowd_in(
+def test_a_slow_client_is_not_closed_in_favour_of_new_incomplete_requests(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Connections whose request makes no progress are closed first."""
+    """Connections whose request makes no progress are closed to make room, before those that progress."""
     harness = make_harness(limits={"sockets": 120})
     harness.context.connections.client_limit = 6
     slow, text = harness.connect_client(), harness.request_bytes(connection="keep-alive")
@@ -632,14 +633,14 @@
 
 
 def serve_one(harness: SidecarHarness, client: socket.socket) -> None:
-    """Send a request on a client's connection, and answer it."""
+    """Send a request on a client's connection, and answer it as the endpoint."""
     client.sendall(harness.request_bytes(connection="keep-alive"))
     harness.serve(extra="Connection: close\r\n")
     assert harness.read_status(client) == 200
 
 
-def test_an_idle_connection_makes_room_for_a_new_one(make_harness: Callable[..., SidecarHarness]) -> None:
-    """The idle connection to another endpoint is closed."""
+def test_an_idle_connection_is_closed_to_open_a_new_one(make_harness: Callable[..., SidecarHarness]) -> None:
+    """At the limit, the idle connection to another endpoint is closed."""
     harness = make_harness(upstreams=2)
     harness.context.connections.endpoint_limit = 1
     client = harness.connect_client()
@@ -654,8 +655,8 @@
     assert len(harness.context.connections.endpoint_connections) == 1
 
 
-def test_without_room_for_a_connection_requests_are_rejected(harness: SidecarHarness) -> None:
-    """With a Retry-After, and nothing is sent."""
+def test_without_a_descriptor_for_a_connection_requests_are_rejected(harness: SidecarHarness) -> None:
+    """The response has a Retry-After, and nothing is sent."""
     harness.context.connections.has_room_for_endpoint = lambda: False
     client = harness.send_request("buy", b"one")
     answer, _ = harness.read_message(client)
@@ -664,7 +665,7 @@
 
 
 def test_without_buffers_requests_are_answered_503(harness: SidecarHarness) -> None:
-    """Nothing is sent."""
+    """Nothing is sent to an endpoint."""
     harness.context.buffer_pool.max_buffers = 0
     assert harness.read_status(harness.send_request("buy", b"one")) == 503
     harness.assert_no_connection()
@@ -673,7 +674,7 @@
 def test_an_error_in_the_decisions_fails_the_request_and_is_logged(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The sidecar goes on."""
+    """The sidecar continues to serve."""
     monkeypatch.setattr(
         "starlingwheel.decisions.selection.EndpointSelector.select_endpoint", lambda *_: 1 / 0
     )
@@ -685,7 +686,7 @@
 def test_an_error_in_watching_the_endpoint_list_does_not_end_the_watch(
     make_harness: Callable[..., SidecarHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The watch is begun again."""
+    """The background tasks of the decisions are restarted, and begin the watch again."""
     with monkeypatch.context() as patch:
         patch.setattr("starlingwheel.decisions.endpoint_watch.WatchEndpoints", lambda: 1 / 0)
         harness = make_harness()
@@ -696,7 +697,7 @@
 def test_an_error_in_handling_an_outcome_still_answers_the_client(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The request is forgotten as usual."""
+    """The request is removed as usual."""
     monkeypatch.setattr("starlingwheel.decisions.balancer.Balancer.attempt_ended", lambda *_: 1 / 0)
     client = harness.send_request("buy", b"one")
     harness.serve(status=500)
@@ -707,7 +708,7 @@
 def test_an_error_in_handling_a_message_answers_the_request_concerned(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The error is logged."""
+    """The client gets 504, and the error is logged."""
     monkeypatch.setattr(RequestCoordinator, "_exchange_ended", lambda *_: 1 / 0)
     client = harness.send_request("buy", b"one")
     harness.serve()
@@ -718,7 +719,7 @@
 def test_an_error_in_a_client_connection_ends_only_that_connection(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The error is logged, and other connections go on."""
+    """The error is logged, and other connections continue."""
     with monkeypatch.context() as patch:
         patch.setattr(ClientConnection, "_accept_request", lambda *_: 1 / 0)
         assert harness.read_status(harness.send_request()) is None
@@ -727,10 +728,10 @@
     assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 200
 
 
-def test_a_defect_on_a_kept_connection_does_not_give_out_an_earlier_answer(
+def test_an_error_on_a_reused_connection_does_not_return_an_earlier_response(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After an error on a reused connection, the earlier response is not reported again."""
+    """The response to the previous request on the connection must not be reported again."""
     client = harness.connect_client()
     client.sendall(harness.request_bytes("buy", b"one"))
     harness.serve()
@@ -744,7 +745,7 @@
 def test_an_error_in_the_connection_pool_ends_the_attempt(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The pool goes on with the next request."""
+    """The pool continues with the next request."""
     with monkeypatch.context() as patch:
         patch.setattr(ConnectionPool, "_start", lambda *_: 1 / 0)
         assert harness.read_status(harness.send_request("buy", b"one")) == 503
@@ -761,6 +762,6 @@
     ],
 )
 def test_an_unreadable_load_report_is_dropped(text: str) -> None:
-    """As a whole; unknown figures are ignored."""
+    """It is dropped as a whole, while unknown figures in a readable one are ignored."""
     assert parse_load_report(text) == {}
     assert parse_load_report("TEXT inflight=7, queue=2, other=3") == {"held": 7.0, "waiting": 2.0}
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Admin calls: detaching endpoints, draining, and replacing the process."""
+"""Admin calls: detaching endpoints, draining the sidecar, and replacing the process."""
 
 import json
 import os
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def operated(make_harness: Callable[..., SidecarHarness], tmp_path: Path) -> MakeOperated:
-    """Makes sidecars with an admin address; overrides are kept in one folder."""
+    """Return a function that starts sidecars with an admin address and a common folder for overrides."""
 
     def make(**given: object) -> SidecarHarness:
         return make_harness(mgmt="127.0.0.1:0", environment={"TMPDIR": str(tmp_path)}, **given)
@@ -43,8 +43,8 @@
     return make
 
 
-def body_naming(name: str) -> bytes:
-    """Return the body of a call about an endpoint."""
+def id_body(name: str) -> bytes:
+    """Return the body of a call that names an endpoint."""
     return json.dumps({"id": name}).encode()
 
 
@@ -54,20 +54,20 @@
 
 
 def detach(harness: SidecarHarness, name: str = "s0") -> int | None:
-    """Have an endpoint detached; return the status."""
-    return harness.call_admin("PUT /_upstreams/detach", body_naming(name))
+    """Detach an endpoint; return the status of the call."""
+    return harness.call_admin("PUT /_upstreams/detach", id_body(name))
 
 
 def attach(harness: SidecarHarness, name: str = "s0") -> int | None:
-    """Have an endpoint attached again; return the status."""
-    return harness.call_admin("PUT /_upstreams/attach", body_naming(name))
+    """Attach an endpoint again; return the status of the call."""
+    return harness.call_admin("PUT /_upstreams/attach", id_body(name))
 
 
 # The calls.
 
 
 def test_ready_tells_whether_clients_are_accepted(operated: MakeOperated) -> None:
-    """503 until the endpoint list is known."""
+    """The status is 503 until an endpoint list is known."""
     harness = operated(known=None)
     assert harness.call_admin("GET /_ready") == 503
     harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(0)]})
@@ -85,12 +85,12 @@
         ("PUT /_upstreams/detach", b'{"id":""}', "", 400),
         ("PUT /_upstreams/detach", b'{"id":7}', "", 400),
         ("PUT /_upstreams/detach", b'{"id":"\xff"}', "", 400),
-        ("PUT /_upstreams/detach", body_naming("nobody"), "", 404),
-        ("PUT /_upstreams/attach", body_naming("nobody"), "", 404),
-        ("PUT /_upstreams/detach", body_naming("s0") + b" " * 5000, "", 413),
-        ("PUT /_upstreams/detach", body_naming("s0"), "Transfer-Encoding: chunked\r\n", 400),
-        ("PUT /_upstreams", body_naming("s0"), "", 404),
-        ("POST /_upstreams/detach", body_naming("s0"), "", 405),
+        ("PUT /_upstreams/detach", id_body("nobody"), "", 404),
+        ("PUT /_upstreams/attach", id_body("nobody"), "", 404),
+        ("PUT /_upstreams/detach", id_body("s0") + b" " * 5000, "", 413),
+        ("PUT /_upstreams/detach", id_body("s0"), "Transfer-Encoding: chunked\r\n", 400),
+        ("PUT /_upstreams", id_body("s0"), "", 404),
+        ("POST /_upstreams/detach", id_body("s0"), "", 405),
         ("GET /_lameduck/on", b"", "", 405),
         ("PUT /_ready", b"", "", 405),
         ("nothing", b"", "", 400),
@@ -99,7 +99,7 @@
 def test_an_invalid_call_is_rejected_and_changes_nothing(
     operated: MakeOperated, request_line: str, body: bytes, extra: str, status: int
 ) -> None:
-    """It is logged with its status."""
+    """The call is logged with its status."""
     harness = operated()
     assert harness.call_admin(request_line, body, extra) == status
     assert not harness.context.overrides.stored.drained and not harness.context.draining
@@ -108,34 +108,34 @@
 
 
 def test_of_two_calls_on_one_connection_neither_is_carried_out(operated: MakeOperated) -> None:
-    """The second begins in what follows the first one's body."""
+    """The second call follows the body of the first one; the status is 400."""
     harness = operated()
-    body = body_naming("s0")
+    body = id_body("s0")
     extra = f"Content-Length: {len(body)}\r\n\r\n{body.decode()}PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\n"
     assert harness.call_admin("PUT /_upstreams/detach", extra=extra) == 400
     assert not harness.context.overrides.stored.drained and not harness.context.draining
 
 
 def test_callers_that_send_nothing_do_not_keep_out_others(operated: MakeOperated) -> None:
-    """There are never more open calls than their part of the descriptors."""
+    """No more calls are open than the descriptors reserved for them allow."""
     harness = operated(limits={"sockets": 256})
-    place = harness.context.admin_listener.sock.getsockname()
-    silent = [harness.close_at_end(socket.create_connection(place)) for _ in range(20)]
+    address = harness.context.admin_listener.sock.getsockname()
+    silent = [harness.close_at_end(socket.create_connection(address)) for _ in range(20)]
     for one in silent[::2]:
         one.sendall(b"PUT /_upstreams/detach HTTP/1.1\r\nHost:")
     harness.run_for(0.05)
     assert len(harness.context.admin_listener.calls) <= harness.context.connections.admin_call_limit
     assert detach(harness) == 200
-    # Calls for which there is no room are closed, the oldest first; the others end by themselves.
+    # Calls beyond the limit are closed, the oldest first; the others time out.
     assert harness.wait_until(lambda: harness.read(silent[0])) == b"end"
 
 
 def test_a_call_is_closed_only_to_make_room_for_another(operated: MakeOperated) -> None:
-    """As many as there is room for stay open."""
+    """Up to the limit all calls stay open."""
     harness = operated(limits={"sockets": 256})
-    place = harness.context.admin_listener.sock.getsockname()
+    address = harness.context.admin_listener.sock.getsockname()
     silent = [
-        harness.close_at_end(socket.create_connection(place))
+        harness.close_at_end(socket.create_connection(address))
         for _ in range(harness.context.connections.admin_call_limit)
     ]
     harness.run_for(0.1)
@@ -145,14 +145,14 @@
 def test_an_admin_address_in_use_ends_the_start_with_one_line(
     make_harness: Callable[..., SidecarHarness], harness: SidecarHarness
 ) -> None:
-    """The error fits on one line of the log."""
+    """The error message is a single line."""
     with pytest.raises(ConfigError) as refused:
         make_harness(mgmt=socket_address(harness.listeners[0]))
     assert "\n" not in str(refused.value)
 
 
 def test_without_an_admin_address_nothing_listens(harness: SidecarHarness) -> None:
-    """And no descriptors are reserved for calls."""
+    """No descriptors are reserved for calls either."""
     assert harness.context.admin_listener is None and harness.context.connections.admin_call_limit == 0
     assert ConnectionTracker(1024).endpoint_limit > ConnectionTracker(1024, admin_enabled=True).endpoint_limit
 
@@ -161,11 +161,11 @@
 
 
 def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(operated: MakeOperated) -> None:
-    """Not even after a restart, a removal or a new snapshot."""
+    """It stays detached after its restart, its removal and a new snapshot."""
     harness = operated(upstreams=2)
     watch, _ = harness.accept_watch(b"")
     assert detach(harness) == 200 and detach(harness) == 200
-    for message in (  # a restart, a removal, and being listed again
+    for message in (  # a restart, a removal, and a snapshot that lists it again
         {"version": 8, "servers": [harness.endpoint_entry(0, started_ms=5)]},
         {"version": 9, "servers": [harness.endpoint_entry(0, state="left")]},
         {"version": 10, "full": True, "servers": [harness.endpoint_entry(0), harness.endpoint_entry(1)]},
@@ -177,17 +177,17 @@
 
 
 def test_one_attach_undoes_all_detaches_and_slow_start_begins(operated: MakeOperated) -> None:
-    """The moment of the call counts as its start."""
+    """The time of the call counts as the start time of the endpoint."""
     harness = operated(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
     harness.accept_watch(b"")
     before = entry_in_decisions(harness, "s0")
-    assert attach(harness) == 200  # it was not out
+    assert attach(harness) == 200  # it was not detached
     assert entry_in_decisions(harness, "s0") == before
     assert detach(harness) == 200 and detach(harness) == 200
     harness.wait_until(lambda: entry_in_decisions(harness, "s0").state is EndpointState.DRAINING)
     assert attach(harness) == 200
     harness.wait_until(lambda: entry_in_decisions(harness, "s0").state is EndpointState.READY)
-    # Discovery does not list its restart yet.
+    # Discovery lists no start time.
     assert entry_in_decisions(harness, "s0").started_at > harness.context.loop.now() - 5
     assert (
         harness.context.coordinator.scheduler.balancer.slow_start.fraction(
@@ -198,7 +198,7 @@
 
 
 def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(operated: MakeOperated) -> None:
-    """Once discovery lists a new one."""
+    """Discovery lists the new start time some time after the call."""
     harness = operated()
     watch, _ = harness.accept_watch(b"")
     assert detach(harness) == 200 and attach(harness) == 200
@@ -208,7 +208,7 @@
 
 
 def test_idle_connections_to_a_detached_endpoint_are_closed(operated: MakeOperated) -> None:
-    """At once, not after their idle time."""
+    """They are closed at once instead of after the idle timeout."""
     harness = operated()
     client = harness.send_request()
     upstream = harness.serve()
@@ -218,7 +218,7 @@
 
 
 def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(operated: MakeOperated) -> None:
-    """Two that run side by side, and one that starts later."""
+    """Two processes run side by side, and a third one starts later."""
     one, other = operated(), operated()
     assert detach(one) == 200
     other.wait_until(lambda: entry_in_decisions(other, "s0").state is EndpointState.DRAINING)
@@ -230,7 +230,7 @@
     after = operated(known={"version": 7, "full": True, "servers": []})
     assert after.context.overrides.stored.drained and after.context.draining
     assert after.call_admin("PUT /_lameduck/off") == 200
-    # Nobody has listed it to this one.
+    # Discovery has not listed the endpoint to this process.
     assert attach(after) == 200 and detach(after, "s9") == 404
 
 
@@ -238,7 +238,7 @@
 def test_an_unreadable_overrides_file_stops_neither_start_nor_call(
     operated: MakeOperated, tmp_path: Path, text: bytes
 ) -> None:
-    """It is logged, and replaced by the next call."""
+    """The file is logged as unreadable, and replaced by the next call."""
     (tmp_path / OVERRIDES_FILE).write_bytes(text)
     harness = operated()
     assert harness.log_lines("operators.unreadable")
@@ -246,7 +246,7 @@
 
 
 def test_a_call_succeeds_only_once_its_change_is_stored(operated: MakeOperated, tmp_path: Path) -> None:
-    """Where the file can't be written the call gets 503, and nothing changes."""
+    """If the file can't be written the call gets 503, and nothing changes."""
     harness = operated()
     harness.wait_until(lambda: not harness.context.overrides.has_unstored_ids)
     harness.context.overrides.file.path = tmp_path / "gone" / OVERRIDES_FILE
@@ -254,8 +254,8 @@
     assert entry_in_decisions(harness, "s0").state is EndpointState.READY
 
 
-def test_an_overrides_file_locked_by_another_process_is_retried(tmp_path: Path) -> None:
-    """A locked file raises an error and changes nothing."""
+def test_an_overrides_file_locked_by_another_process_can_be_retried(tmp_path: Path) -> None:
+    """A locked file raises an error and changes nothing; a retry after its release succeeds."""
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.apply_watch_message(True, [DiscoveredEndpoint("s0")])
     with out.file.lock(), pytest.raises(OverridesLockedError):
@@ -265,7 +265,7 @@
 
 
 def test_old_ids_are_forgotten_but_not_those_in_use(tmp_path: Path) -> None:
-    """However many ids were ever listed."""
+    """The number of remembered ids is limited, however many were ever listed."""
     out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
     out.apply_watch_message(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
     out.drain_endpoint("second")
@@ -281,8 +281,8 @@
 # Draining.
 
 
-def test_draining_sends_clients_away_and_can_be_undone(operated: MakeOperated) -> None:
-    """Each response ends its connection, idle ones are closed, and readiness is denied."""
+def test_draining_disconnects_clients_and_can_be_undone(operated: MakeOperated) -> None:
+    """Each response closes its connection, idle connections are closed, and readiness checks get 503."""
     harness = operated()
     idle, kept = harness.connect_client(), harness.connect_client()
     kept.sendall(harness.request_bytes())
@@ -291,7 +291,7 @@
     assert harness.call_admin("PUT /_lameduck/on") == 200
     assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
     assert harness.call_admin("GET /_ready") == 200
-    # Requests that still come are served, on new and on idle connections, and told to close.
+    # Requests that still arrive, on new and on idle connections, are served with `Connection: close`.
     for client in (harness.connect_client(), kept):
         harness.wait_for_idle_connections()
         client.sendall(harness.request_bytes())
@@ -314,7 +314,7 @@
 
 
 def test_a_stop_while_draining_ends_the_process(operated: MakeOperated) -> None:
-    """Both send clients away."""
+    """Draining and shutdown both disconnect clients, and do not hinder each other."""
     harness = operated()
     harness.context.loop.running = True
     assert harness.call_admin("PUT /_lameduck/on") == 200
@@ -325,8 +325,8 @@
 # Replacing the process.
 
 
-def test_a_sibling_process_is_seen_while_it_lives(tmp_path: Path) -> None:
-    """By its lock, which ends with it."""
+def test_a_sibling_process_is_detected_while_it_runs(tmp_path: Path) -> None:
+    """It is detected by its lock, which the kernel releases when the process ends."""
     text = f"""if True:
         from starlingwheel.net.state.siblings import SiblingProcesses
         siblings = SiblingProcesses({str(tmp_path)!r})
@@ -345,7 +345,7 @@
 
 
 def test_sibling_processes_share_the_limits_of_one(operated: MakeOperated) -> None:
-    """Buffers and connections to endpoints are divided, clients' descriptors are not."""
+    """Buffers and connections to endpoints are divided; the descriptors for clients are not."""
     harness = operated()
     context, balancer = harness.context, harness.context.coordinator.scheduler.balancer
     clients = context.connections.client_limit
@@ -358,7 +358,7 @@
     context.siblings = AnotherProcess()
     harness.wait_until(lambda: balancer.config.process_count == 2)
     shared = context.buffer_pool.max_buffers, context.connections.endpoint_limit
-    assert context.connections.client_limit == clients  # they come over to the new one all at once
+    assert context.connections.client_limit == clients  # clients move to the new process all at once
     assert all(half < full * 0.6 for half, full in zip(shared, alone, strict=True))
     context.siblings = None
     harness.wait_until(lambda: balancer.config.process_count == 1)
@@ -367,7 +367,7 @@
 
 @pytest.mark.parametrize("value", ["x", "9999", "0"])
 def test_an_invalid_passed_socket_ends_the_start_with_one_line(tmp_path: Path, value: str) -> None:
-    """It names the variable, and the exit code is 2."""
+    """The line names the variable, and the exit code is 2."""
     config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path = tmp_path / "config.json"
     path.write_bytes(msgspec.json.encode(config))
@@ -378,10 +378,10 @@
 
 
 class CountingEndpoint:
-    """An endpoint on threads of its own: counts how often it ran each trace id."""
+    """An endpoint that runs in threads and counts how often it ran each trace id."""
 
     def __init__(self) -> None:
-        """Start to accept connections."""
+        """Listen, and accept connections in a thread."""
         self.listener = bound_socket(backlog=128)
         self.ran: dict[bytes, int] = {}
         self.listener.settimeout(None)
@@ -410,10 +410,10 @@
 
 @pytest.mark.xdist_group("trials-1")
 def test_under_load_a_process_is_replaced_and_no_request_is_lost_or_run_twice(tmp_path: Path) -> None:
-    """Clients with kept connections go on sending while a second process takes over the passed socket."""
+    """Clients on kept connections continue to send while a second process replaces the first one."""
     endpoint, passed, rng = CountingEndpoint(), bound_socket(backlog=256), random.Random(5)
-    place = socket_address(endpoint.listener)
-    servers = [{"id": f"s{i}", "addr": place, "state": "active"} for i in range(8)]
+    endpoint_address = socket_address(endpoint.listener)
+    servers = [{"id": f"s{i}", "addr": endpoint_address, "state": "active"} for i in range(8)]
     settings = SETTINGS | {"caps": SETTINGS["caps"] | {"mayDuplicate": False, "mostHandOffs": 1}}
     processes: list[subprocess.Popen[bytes]] = []
     ended = threading.Event()
@@ -427,7 +427,7 @@
         config = {"listen": socket_address(passed), "discovery": "127.0.0.1:1", "settings": settings}
         config |= {"known": {"version": 7, "full": True, "servers": servers}, "mgmt": mgmt}
         path.write_bytes(msgspec.json.encode(config))
-        place = split_host_port(mgmt)
+        admin_address = split_host_port(mgmt)
         environment = os.environ | {
             "EDGE_CONFIG": str(path),
             "EDGE_PASSED_SOCKET": str(passed.fileno()),
@@ -441,7 +441,7 @@
             )
         while True:
             try:
-                with socket.create_connection(place) as caller:
+                with socket.create_connection(admin_address) as caller:
                     caller.sendall(b"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n")
                     if caller.recv(64).startswith(b"HTTP/1.1 200"):
                         return processes[-1]
@@ -456,15 +456,15 @@
             request = f"GET /look/1 HTTP/1.1\r\nHost: a\r\nX-Trace-Id: {trace}\r\nX-Qos: look\r\n"
             sock = sock or socket.create_connection(passed.getsockname())
             sock.sendall(f"{request}X-Expires-In-Ms: 1900\r\n\r\n".encode())
-            got = b""
-            while b"\r\n\r\n" not in got or (b" 200 " in got and trace.encode() not in got):
+            response = b""
+            while b"\r\n\r\n" not in response or (b" 200 " in response and trace.encode() not in response):
                 if not (data := sock.recv(4096)):
                     lost.append(trace)
                     break
-                got += data
+                response += data
             else:
-                (answered if trace.encode() in got else rejected).append(trace)
-            if b"connection: close" in got.lower() or trace in lost:
+                (answered if trace.encode() in response else rejected).append(trace)
+            if b"connection: close" in response.lower() or trace in lost:
                 sock.close()
                 sock = None
             time.sleep(pauses.random() / 100)
