--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -1,4 +1,4 @@
-"""What a fleet keeps in the coordination store: entries by key, their types, and transactions on them.
+"""The fleet's records in the coordination store: keys, types of the values, and transactions.
 
 Field names in the store are those of the first version; `rename` maps them.
 """
@@ -12,21 +12,24 @@
 from .membership import MAX_SHARDS, Member, MembershipView
 from .policy.document import PolicyBody
 
-# Keys under the fleet's name. A prefix is followed by what stands in the comment.
+# Keys below the fleet's name. The comment after a prefix says what follows it.
 POLICY_PREFIX = "policy/"
 DECISION_KEY = "policy/now"
 PROPOSAL_KEY = "policy/next"
-VOTES_PREFIX = "policy/votes/"  # proposal's number, slash, member
-PAST_PREFIX = "policy/past/"  # proposal's number
-MEMBERS_PREFIX = "members/"  # member
-NAMES_PREFIX = "names/"  # member's name
+VOTES_PREFIX = "policy/votes/"  # the proposal's number, a slash, the member's id
+PAST_PREFIX = "policy/past/"  # the proposal's number
+MEMBERS_PREFIX = "members/"  # the member's id
+NAMES_PREFIX = "names/"  # the member's name
 ZONE_PLAN_KEY = "zones/plan"
-ZONE_REPORTS_PREFIX = "zones/said/"  # member
-CELLS_KEY = "cells"
+ZONE_REPORTS_PREFIX = "zones/said/"  # the member's id
+SHARDS_KEY = "cells"
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """One version of the fleet's policy; without a `body` none was decided yet, each follows its own file."""
+    """One version of the fleet's policy.
+
+    Without a `body` none has been decided yet, and each member follows its own configuration file.
+    """
 
     version: int = 0
     digest: str = ""
@@ -39,26 +42,26 @@
     policy: Policy
     at: float  # when it is to take effect
     proposed_at: float
-    author: str  # a member
-    number: int = 0  # the revision of the store that it was written at
+    author: str  # id of the member that has proposed it
+    number: int = 0  # the store's revision at which it was created
 
 
-class PolicyDecision(msgspec.Struct, frozen=True):
-    """What is in force from `at` on, and before."""
+class PolicyDecision(msgspec.Struct, frozen=True, rename={"previous": "before"}):
+    """A decided change of the policy: `policy` is in force from `at` on, and `previous` until then."""
 
     policy: Policy
     at: float  # seconds on the wall clock
-    number: int  # of the proposal
-    before: Policy
+    number: int  # the proposal's number
+    previous: Policy
 
 
 class PastProposal(msgspec.Struct, frozen=True, rename={"outcome": "how", "reason": "why"}):
-    """How a proposal ended."""
+    """The outcome of an earlier proposal."""
 
     number: int
     version: int
     digest: str
-    outcome: str  # decided or dropped
+    outcome: str  # "decided" or "dropped"
     reason: str
     at: float  # seconds on the wall clock
     author: str
@@ -73,27 +76,29 @@
         "failures": "bad_counted",
         "trial_successes": "tried_well",
         "trial_failures": "tried_badly",
+        "conclusive_attempts": "counted",
+        "consecutive_failures": "row",
         "recent_trials": "last",
     },
 ):
-    """What one member sees of one zone."""
+    """The health of one zone as one member observes it."""
 
     usual_rate: float  # attempts a second
     rate: float = 0.0  # attempts a second now
     failing: bool = False
     failing_fraction: float = 0.0
     rejecting: bool = False
-    counted: int = 0  # attempts with a conclusive outcome, lately
-    failures: int = 0  # of these
-    row: int = 0  # failures since the last answer
-    epoch: int = 0  # of the plan that trials are counted from
+    conclusive_attempts: int = 0  # recent attempts with a conclusive outcome
+    failures: int = 0  # attempts among these that failed
+    consecutive_failures: int = 0  # since the last answer
+    epoch: int = 0  # the epoch of the plan since which trials are counted
     trial_successes: int = 0
     trial_failures: int = 0
-    recent_trials: list[tuple[float, bool]] = []  # when the last of them ended, and whether they succeeded
+    recent_trials: list[tuple[float, bool]] = []  # of the last trials: when each ended, whether it succeeded
 
 
 class ZoneReport(msgspec.Struct):
-    """What one member sees of all zones."""
+    """The health of all zones as one member observes it."""
 
     at: float  # seconds on the wall clock
     zones: dict[str, ZoneHealth]
@@ -104,10 +109,10 @@
     frozen=True,
     rename={"next_change_at": "next", "reason": "why", "failed_returns": "failed"},
 ):
-    """What the plan says of a zone that does not get all of its traffic. Times are on the wall clock."""
+    """The plan's state of a zone that does not get all of its traffic. Times are on the wall clock."""
 
-    share: float
-    state: str  # left, returning, held
+    share: float  # the fraction of its traffic that the zone gets
+    state: str  # "left", "returning" or "held"
     epoch: int
     since: float
     next_change_at: float
@@ -118,94 +123,99 @@
 
 
 class ZonePlan(msgspec.Struct, frozen=True, rename={"capacities": "bears"}):
-    """The fleet's plan; zones that are not in it get all of their traffic."""
+    """The fleet's zone plan; zones that are not in it get all of their traffic."""
 
     epoch: int = 0
     zones: dict[str, ZoneState] = {}
-    capacities: dict[str, float] = {}  # attempts a second at which a zone was seen to reject some
+    capacities: dict[str, float] = {}  # by zone: the rate in attempts a second at which it rejected some
 
 
 class Sharding(msgspec.Struct, frozen=True):
-    """Into how many cells the fleet is divided."""
+    """The number of shards that the fleet is divided into."""
 
     count: int  # a power of two
-    at: float = 0.0  # since when, seconds on the wall clock
+    at: float = 0.0  # when it was decided, seconds on the wall clock
 
 
-class StoreEntry(msgspec.Struct, frozen=True):
-    """The value of one key, and the revisions that it was created and last modified at."""
+class StoreEntry(msgspec.Struct, frozen=True, rename={"create_revision": "create", "mod_revision": "mod"}):
+    """The value of one key, and the revisions at which it was created and last modified."""
 
     value: bytes
-    create: int
-    mod: int
+    create_revision: int
+    mod_revision: int
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """A condition of a transaction. `prefix`: on every key that begins so."""
+    """A condition of a transaction. `prefix`: the condition is on every key that begins with `key`."""
 
     key: str
-    target: str  # CREATE or MOD, the revision that is compared
+    target: str  # CREATE or MOD: the revision that is compared
     result: str  # EQUAL or LESS
     value: int
     prefix: bool = False
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """What is written to the coordination store if all conditions hold."""
+    """A change that is written to the coordination store if all conditions hold."""
 
-    kind: str  # of change, for the log
+    kind: str  # the kind of change, for the log
     conditions: list[Condition]
     put: list[tuple[str, bytes]] = []
-    delete: list[str] = []  # a key, or all keys below one that ends in a slash
-    leased: bool = False  # what is put ends with our lease
+    delete: list[str] = []  # keys; one that ends in a slash stands for all keys below it
+    leased: bool = False  # the entries that are put expire with this member's lease
 
 
 def equal(key: str, target: str, value: int) -> Condition:
-    """The condition that the key's revision is this one; 0: there is no such key."""
+    """Return the condition that the key has this revision; 0: that the key does not exist."""
     return Condition(key, target, "EQUAL", value)
 
 
 class StoreRecords:
-    """What the coordination store holds under the fleet's name, as of one revision."""
+    """The entries below the fleet's name in the coordination store, as of one revision."""
+
+    def __init__(self, shard_count: int = 0) -> None:
+        """Start without entries.
 
-    def __init__(self, cells: int = 0) -> None:
-        """`cells`: as in the records before, kept where the entry can't be read; 0: not known."""
+        `shard_count`: the number of shards in the previous records, which is kept if the entry can't be read;
+        0: not known.
+        """
         self.revision = 0
-        self.previous_cells = cells
-        self.cells = 1  # into how many the fleet is divided; 0: not known
-        self.divided_at = 0.0  # since when, seconds on the wall clock
-        self.cells_mod = 0
-        self.cells_unreadable = False  # the entry can't be read
+        self.previous_shard_count = shard_count
+        self.shard_count = 1  # 0: not known
+        self.resharded_at = 0.0  # when the number of shards last changed, seconds on the wall clock
+        self.shards_revision = 0
+        self.is_shard_count_unreadable = False  # there is an entry that can't be read
         self.members: dict[str, Member] = {}
-        self.names: dict[str, int] = {}  # registered names, and the revisions of their entries
+        self.registered_names: dict[str, int] = {}  # member names, with the revisions of their entries
         self.decision: PolicyDecision | None = None
-        self.decision_mod = 0
+        self.decision_revision = 0
         self.proposal: PolicyProposal | None = None
-        self.proposal_mod = 0
-        self.is_proposal_unreadable = False  # there is a proposal that nobody can read
-        self.votes: dict[str, str] = {}  # on the open proposal, by member: a reason against it, empty: yes
-        self.past: dict[int, PastProposal] = {}
+        self.proposal_revision = 0
+        self.is_proposal_unreadable = False  # there is a proposal that can't be read
+        # Votes on the open proposal by member: the objection; empty: in favour.
+        self.votes: dict[str, str] = {}
+        self.past_proposals: dict[int, PastProposal] = {}
         self.plan: ZonePlan | None = None
-        self.plan_mod = 0
-        self.said: dict[str, ZoneReport] = {}  # by member
+        self.plan_revision = 0
+        self.zone_reports: dict[str, ZoneReport] = {}  # by member
 
     def copy(self) -> StoreRecords:
-        """A copy that later changes to this one leave as it is."""
+        """Return a copy that later changes to this object do not affect."""
         other = copy.copy(self)
-        for name in ("members", "names", "votes", "past", "said"):
+        for name in ("members", "registered_names", "votes", "past_proposals", "zone_reports"):
             setattr(other, name, dict(getattr(self, name)))
         return other
 
     def view(self) -> MembershipView:
-        """The members; empty while it is not known here into how many cells the fleet is divided."""
+        """Return the view of the members; it is empty while the number of shards is not known."""
         return (
-            MembershipView(self.members.values(), self.cells, self.divided_at)
-            if self.cells
+            MembershipView(self.members.values(), self.shard_count, self.resharded_at)
+            if self.shard_count
             else MembershipView()
         )
 
     def put(self, key: str, entry: StoreEntry) -> str:
-        """Take over one entry; why it can't be read, or an empty string."""
+        """Apply one entry that was written; return why it can't be read, or an empty string."""
         try:
             self._put(key, entry)
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError):
@@ -218,71 +228,86 @@
         if key.startswith(MEMBERS_PREFIX):
             self._put_member(key.removeprefix(MEMBERS_PREFIX), entry)
         elif key.startswith(NAMES_PREFIX):
-            self.names[key.removeprefix(NAMES_PREFIX)] = entry.create
+            self.registered_names[key.removeprefix(NAMES_PREFIX)] = entry.create_revision
         elif key.startswith(POLICY_PREFIX):
             self._put_policy(key, entry)
         elif key == ZONE_PLAN_KEY:
-            self.plan_mod, self.plan = entry.mod, None
+            self.plan_revision, self.plan = entry.mod_revision, None
             self.plan = msgspec.json.decode(entry.value, type=ZonePlan)
         elif key.startswith(ZONE_REPORTS_PREFIX):
-            self.said[key.removeprefix(ZONE_REPORTS_PREFIX)] = msgspec.json.decode(
+            self.zone_reports[key.removeprefix(ZONE_REPORTS_PREFIX)] = msgspec.json.decode(
                 entry.value, type=ZoneReport
             )
-        elif key == CELLS_KEY:
-            self._put_cells(entry)
+        elif key == SHARDS_KEY:
+            self._put_sharding(entry)
 
     def _put_member(self, member_id: str, entry: StoreEntry) -> None:
         member = msgspec.json.decode(entry.value, type=Member)
         if member.id != member_id:
             raise ValueError(member_id)
-        self.members[member.id] = msgspec.structs.replace(member, term=entry.create)
+        self.members[member.id] = msgspec.structs.replace(member, term=entry.create_revision)
 
     def _put_policy(self, key: str, entry: StoreEntry) -> None:
         if key == DECISION_KEY:
-            self.decision_mod = entry.mod  # also of one that can't be read, so that it can be replaced
+            # Set for an unreadable decision too, so that it can be replaced.
+            self.decision_revision = entry.mod_revision
             self.decision = msgspec.json.decode(entry.value, type=PolicyDecision)
         elif key == PROPOSAL_KEY:
-            self.proposal, self.proposal_mod, self.is_proposal_unreadable = None, entry.mod, True
+            self.proposal, self.proposal_revision, self.is_proposal_unreadable = (
+                None,
+                entry.mod_revision,
+                True,
+            )
             proposal = msgspec.json.decode(entry.value, type=PolicyProposal)
-            self.proposal = msgspec.structs.replace(proposal, number=entry.create)
+            self.proposal = msgspec.structs.replace(proposal, number=entry.create_revision)
             self.is_proposal_unreadable = False
         elif key.startswith(VOTES_PREFIX):
             number, _, member = key.removeprefix(VOTES_PREFIX).partition("/")
-            if int(number) == self.proposal_mod:
+            if int(number) == self.proposal_revision:
                 self.votes[member] = msgspec.json.decode(entry.value, type=str)
         elif key.startswith(PAST_PREFIX):
             past = msgspec.json.decode(entry.value, type=PastProposal)
-            self.past[past.number] = past
+            self.past_proposals[past.number] = past
 
-    def _put_cells(self, entry: StoreEntry) -> None:
-        # An entry that can't be read is not taken for one cell: coordinators would be others than elsewhere.
-        self.cells = self.cells if self.revision else self.previous_cells
-        self.cells_mod, self.cells_unreadable = entry.mod, True
+    def _put_sharding(self, entry: StoreEntry) -> None:
+        # While the entry can't be read the last known number of shards stays in force: any other would give
+        # keys different coordinators than the other members see.
+        self.shard_count = self.shard_count if self.revision else self.previous_shard_count
+        self.shards_revision, self.is_shard_count_unreadable = entry.mod_revision, True
         sharding = msgspec.json.decode(entry.value, type=Sharding)
         if not 1 <= sharding.count <= MAX_SHARDS or sharding.count & (sharding.count - 1):
-            raise ValueError(f"{sharding.count} cells")
-        self.cells, self.divided_at, self.cells_unreadable = sharding.count, sharding.at, False
+            raise ValueError(f"{sharding.count} shards: not a power of two from 1 to {MAX_SHARDS}")
+        self.shard_count, self.resharded_at, self.is_shard_count_unreadable = (
+            sharding.count,
+            sharding.at,
+            False,
+        )
 
     def delete(self, key: str) -> None:
-        """Take over that a key is no more."""
+        """Apply the deletion of a key."""
         if key.startswith(MEMBERS_PREFIX):
             self.members.pop(key.removeprefix(MEMBERS_PREFIX), None)
         elif key.startswith(NAMES_PREFIX):
-            self.names.pop(key.removeprefix(NAMES_PREFIX), None)
+            self.registered_names.pop(key.removeprefix(NAMES_PREFIX), None)
         elif key.startswith(POLICY_PREFIX):
             self._delete_policy(key)
         elif key == ZONE_PLAN_KEY:
-            self.plan, self.plan_mod = None, 0
+            self.plan, self.plan_revision = None, 0
         elif key.startswith(ZONE_REPORTS_PREFIX):
-            self.said.pop(key.removeprefix(ZONE_REPORTS_PREFIX), None)
-        elif key == CELLS_KEY:
-            self.cells, self.cells_mod, self.cells_unreadable = 1, 0, False
+            self.zone_reports.pop(key.removeprefix(ZONE_REPORTS_PREFIX), None)
+        elif key == SHARDS_KEY:
+            self.shard_count, self.shards_revision, self.is_shard_count_unreadable = 1, 0, False
 
     def _delete_policy(self, key: str) -> None:
         if key == DECISION_KEY:
-            self.decision_mod = 0
+            self.decision_revision = 0
         elif key == PROPOSAL_KEY:
-            self.proposal, self.proposal_mod, self.is_proposal_unreadable, self.votes = None, 0, False, {}
+            self.proposal, self.proposal_revision, self.is_proposal_unreadable, self.votes = (
+                None,
+                0,
+                False,
+                {},
+            )
         elif key.startswith(PAST_PREFIX):
             number = key.removeprefix(PAST_PREFIX)
-            self.past.pop(int(number) if number.isdigit() else -1, None)
+            self.past_proposals.pop(int(number) if number.isdigit() else -1, None)
