--- a/starlingwheel/net/admin/call.py
+++ b/starlingwheel/net/admin/call.py
@@ -28,7 +28,7 @@
 MAX_DISCARDED = 4096  # bytes read and discarded after the response
 
 
-class CallOwner(Protocol):
+class CallListener(Protocol):
     """The interface of the listener that a call needs."""
 
     calls: dict[AdminCall, None]  # open calls, in the order in which they are closed to make room
@@ -40,7 +40,7 @@
 
     priority = True
 
-    def __init__(self, context: SidecarContext, listener: CallOwner, sock: socket.socket) -> None:
+    def __init__(self, context: SidecarContext, listener: CallListener, sock: socket.socket) -> None:
         """Adopt an accepted connection."""
         self.context, self.listener = context, listener
         self.stream = Stream(context.loop, self, sock, h11.SERVER, context.buffer_pool)
@@ -137,7 +137,7 @@
                 result = route.handler(self.context, body)
                 return result if isinstance(result, tuple) else (yield from result)
             except OverridesLockedError:
-                # The wait yields to the loop, which must go on running.
+                # The wait yields to the loop, which must keep running.
                 if self.loop.now() >= until:
                     reason = "another process holds the overrides file"
                     raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, reason) from None
--- a/starlingwheel/net/admin/listener.py
+++ b/starlingwheel/net/admin/listener.py
@@ -40,7 +40,7 @@
             message = yield self.loop.now() + OVERRIDES_POLL_INTERVAL
             if isinstance(message, SocketReady):
                 self._accept()
-            self.context.overrides_changed(self.context.overrides.reload())
+            self.context.apply_override_changes(self.context.overrides.reload())
             self.context.overrides.store_known_ids()
             self.context.check_siblings()
 
--- a/starlingwheel/net/admin/routes.py
+++ b/starlingwheel/net/admin/routes.py
@@ -73,14 +73,14 @@
     changed = change(endpoint_id)
     if changed is None:
         raise CallRejectedError(HTTPStatus.NOT_FOUND, f"{endpoint_id!r} was never in the endpoint list")
-    context.overrides_changed(changed)
+    context.apply_override_changes(changed)
     return endpoint_id, b""
 
 
 def _set_draining(on: bool) -> AdminHandler:
     def handle(context: SidecarContext, body: bytes) -> AdminResult:
         context.overrides.set_sidecar_draining(on)
-        context.overrides_changed([])
+        context.apply_override_changes([])
         return "", b""
 
     return handle
--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -159,7 +159,7 @@
         """Apply a new configuration to all requests that arrive from now on."""
         now = self.loop.now()
         self.former_request_classes = [(end, c) for end, c in self.former_request_classes if end > now]
-        # Clients that do not know the new configuration yet go on using the former request classes.
+        # Clients that do not know the new configuration yet continue to use the former request classes.
         end = now + FORMER_CLASS_RETENTION
         self.former_request_classes += [(end, c) for c in self.balancer_config.request_classes]
         self._apply_config(balancer_config)
@@ -207,7 +207,7 @@
         """Whether readiness checks succeed.
 
         A process that stops because another one replaces it on the passed socket stays ready: the sidecar as
-        a whole goes on serving.
+        a whole continues to serve.
         """
         keeps_serving = not (self.stopping and not self.passed_socket) and not self.draining
         return self.coordinator.has_endpoints and keeps_serving and self._fleet_joined
@@ -221,12 +221,12 @@
         """Whether operators are draining the sidecar: clients are disconnected, the process keeps running."""
         return self.overrides.stored.sidecar_draining
 
-    def overrides_changed(self, entries: list[DiscoveredEndpoint]) -> None:
-        """Apply changes by operators, to endpoints or to draining, made in this process or in a sibling."""
+    def apply_override_changes(self, entries: list[DiscoveredEndpoint]) -> None:
+        """Apply operators' changes to endpoints or to draining, made in this process or in a sibling."""
         if entries:
             self.coordinator.post(EndpointsChanged(WatchEvent.DELTA, entries))
         if self.draining != self.client_drainer.is_draining:
             self.client_drainer.post(DRAIN)
 
     def _log_error(self, actor: Actor, error: Exception) -> None:
-        self.log.defect("defect", error, actor=type(actor).__name__)
+        self.log.exception("defect", error, actor=type(actor).__name__)
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -63,10 +63,10 @@
         self.pending_requests: dict[Request, PendingRequest] = {}
         self.alarm_at = inf  # when the decisions are to run next
         self.restart_at = inf  # when the background tasks of the decisions are restarted after an error
-        self.has_started = False  # whether the background tasks of the decisions have been started
+        self.tasks_started = False  # whether the background tasks of the decisions have been started
         self.has_endpoints = False  # whether an endpoint list has been received
         self.counts = {"finished": 0, "deferred": 0, "written_off": 0, "left": 0}  # by their names in the log
-        self.slowest_turn = 0.0  # seconds that the slowest message took since the last report
+        self.slowest_turn = 0.0  # seconds that the slowest message duration since the last report
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
@@ -78,7 +78,7 @@
             try:
                 self._handle(message)
             except Exception as error:
-                self.context.log.defect("module.defect", error)
+                self.context.log.exception("module.defect", error)
                 if (pending := _request_of(message)) is not None:
                     self._abandon_request(pending)
             self.slowest_turn = max(self.slowest_turn, self.loop.now() - now)
@@ -128,10 +128,10 @@
         load_report: dict[str, float],
         response: UpstreamResponse | None,
     ) -> None:
-        took = self.loop.now() - exchange.started_at
+        duration = self.loop.now() - exchange.started_at
         attempt, pending = exchange.attempt, exchange.pending
         if attempt is None or pending is None:
-            self.scheduler.health_check_ended(exchange.endpoint.endpoint_id, outcome, took, load_report)
+            self.scheduler.health_check_ended(exchange.endpoint.endpoint_id, outcome, duration, load_report)
             return
         del pending.exchanges[attempt]
         if not outcome.never_ran:
@@ -144,7 +144,7 @@
                 response.body.release()
         try:
             self.scheduler.attempt_ended(
-                AttemptEnded(attempt, outcome, took, not pending.awaits_response, load_report)
+                AttemptEnded(attempt, outcome, duration, not pending.awaits_response, load_report)
             )
         finally:
             self._forget_if_finished(pending)
@@ -158,9 +158,9 @@
             self._update_pool(endpoint)
         self.has_endpoints = self.has_endpoints or bool(self.pools)
         self.scheduler.endpoints_changed(event, [endpoint.to_endpoint() for endpoint in endpoints])
-        if not self.has_started:
+        if not self.tasks_started:
             # Before the first list there is nothing to watch, poll or check.
-            self.has_started = True
+            self.tasks_started = True
             self.scheduler.start()
 
     def _update_pool(self, endpoint: DiscoveredEndpoint) -> None:
@@ -246,7 +246,7 @@
 
     def report_defect(self, request: Request | None, error: Exception) -> None:
         """Log an error in the decisions and end its request; None means an error in a background task."""
-        self.context.log.defect("module.defect", error)
+        self.context.log.exception("module.defect", error)
         if request is None:
             # Without a restart of the background tasks the endpoint list would never be watched again.
             self.restart_at = self.scheduler.now + self.context.shortest_objective
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -50,7 +50,7 @@
         self.late_writes = 0  # first bytes written later after the check than the lease allows for
         self.stale_rejections = 0  # requests rejected while the lease had expired
         self.violations = 0  # commands of the decisions that break the rules for non-idempotent requests
-        self.last_state = LeaseState.FRESH
+        self.last_lease_state = LeaseState.FRESH
 
     def refusal(self, endpoint: DiscoveredEndpoint, exchange: Exchange) -> Refusal | None:
         """Return why the exchange may not be sent to this endpoint now, or None if it may."""
@@ -123,8 +123,8 @@
         """Return the state of the lease, and log it if it has changed."""
         now = self.now()
         state = self.lease.state(now)
-        if state is not self.last_state:
-            self.last_state = state
+        if state is not self.last_lease_state:
+            self.last_lease_state = state
             self.log("lease", state=state.value, ends_in_s=round(self.lease.ends_at - now, 3))
         return state
 
--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -114,10 +114,10 @@
         raise ConfigError("EDGE_CONFIG is not set or empty")
     try:
         with open(path, "rb") as file:
-            given = msgspec.json.decode(file.read())
-        config = msgspec.convert(given, SidecarConfig)
+            document = msgspec.json.decode(file.read())
+        config = msgspec.convert(document, SidecarConfig)
         mgmt = environment.get("EDGE_MGMT") or config.mgmt
-        config = msgspec.structs.replace(config, mgmt=mgmt, named=frozenset(given))
+        config = msgspec.structs.replace(config, mgmt=mgmt, named=frozenset(document))
         for field in ("listen", "discovery", "mgmt")[: 3 if config.mgmt else 2]:
             split_host_port(getattr(config, field))
     except (OSError, msgspec.DecodeError, ValueError) as error:
@@ -165,14 +165,14 @@
 
 def _missing_keys(before: dict[str, Any], now: dict[str, Any]) -> Iterator[str]:
     for key, value in before.items():
-        given = now.get(key)
-        if given is None and value is not None:
+        new_value = now.get(key)
+        if new_value is None and value is not None:
             yield key
         elif isinstance(value, dict):
-            inner_keys = _missing_keys(value, given if isinstance(given, dict) else {})
+            inner_keys = _missing_keys(value, new_value if isinstance(new_value, dict) else {})
             yield from (f"{key}.{inner}" for inner in inner_keys)
         elif value and isinstance(value, list) and all(isinstance(one, dict) for one in value):
-            yield from _missing_in_list(key, value, given if isinstance(given, list) else [])
+            yield from _missing_in_list(key, value, new_value if isinstance(new_value, list) else [])
 
 
 def _missing_in_list(key: str, before: list[dict[str, Any]], now: list[object]) -> Iterator[str]:
--- a/starlingwheel/net/lifecycle/log.py
+++ b/starlingwheel/net/lifecycle/log.py
@@ -38,7 +38,7 @@
         self.buffered_bytes += len(line)
         self.lines.append(line)
 
-    def defect(self, event: str, error: Exception, **fields: object) -> None:
+    def exception(self, event: str, error: Exception, **fields: object) -> None:
         """Log an unexpected exception, with its traceback."""
         self(event, error=repr(error), trace="".join(traceback.format_exception(error)), **fields)
 
--- a/starlingwheel/net/state/connections.py
+++ b/starlingwheel/net/state/connections.py
@@ -81,9 +81,9 @@
         if len(self.clients) < self.client_limit:
             return None
         oldest = next(iter(self.silent_clients), None)
-        silent = oldest is not None and oldest.opened_at < connected_before
-        between = (self.idle_clients, self.partial_requests)
-        order = (self.silent_clients, *between) if silent else (*between, self.silent_clients)
+        silent_first = oldest is not None and oldest.opened_at < connected_before
+        others = (self.idle_clients, self.partial_requests)
+        order = (self.silent_clients, *others) if silent_first else (*others, self.silent_clients)
         for expendable in (self.answered_clients, *order):
             for client in expendable:
                 del expendable[client]
--- a/starlingwheel/settings.py
+++ b/starlingwheel/settings.py
@@ -62,41 +62,41 @@
 # Checks.
 
 
-def validate(given: dict[str, Any]) -> None:
+def validate(settings: dict[str, Any]) -> None:
     """Check types and enumerated values; raises `msgspec.ValidationError`, which names the key.
 
     Only a real sidecar does this: the simulator's settings are used without these checks.
     """
     for key, allowed in ENUMERATED_KEYS.items():
-        value = _value(given, key)
+        value = _value(settings, key)
         if value is not None and value not in allowed:
             raise msgspec.ValidationError(f"{key}: {value!r} is not one of {', '.join(allowed)}")
     for key in BOOLEAN_KEYS:
-        if not isinstance(_value(given, key), bool | None):
+        if not isinstance(_value(settings, key), bool | None):
             raise msgspec.ValidationError(f"{key}: neither true nor false")
     for key in PRICE_KEYS:
-        value = _value(given, key)
+        value = _value(settings, key)
         if value is not None and (not _is_number(value) or value < 0):
             raise msgspec.ValidationError(f"{key}: not a number of 0 or more")
     for key, minimum in INTEGER_KEYS.items():
-        value = _value(given, key)
+        value = _value(settings, key)
         if value is not None and (type(value) is not int or value < minimum):
             raise msgspec.ValidationError(f"{key}: not an integer, or less than {minimum}")
-    columns = _value(given, "loadReport.columns")
+    columns = _value(settings, "loadReport.columns")
     if columns is not None and not (isinstance(columns, list) and all(isinstance(c, str) for c in columns)):
         raise msgspec.ValidationError("loadReport.columns: not a list of strings")
 
 
-def contradictions(given: dict[str, Any]) -> Iterator[Contradiction]:
+def contradictions(settings: dict[str, Any]) -> Iterator[Contradiction]:
     """Yield the keys that contradict others, as if two kinds of deployment had been mixed.
 
     Each setting can be applied as it stands, so contradictions are logged and never rejected: a deployment
     may well set a price for something that it does not allow.
     """
-    health_checks = _value_or(given, "caps.probing", False)
-    streams = _value_or(given, "caps.streamsPerConn", 1)
-    weights_are_live = _value(given, "weightKind") == "live"
-    if _value_or(given, "discovery", "ask") == "ask":
+    health_checks = _value_or(settings, "caps.probing", False)
+    streams = _value_or(settings, "caps.streamsPerConn", 1)
+    weights_are_live = _value(settings, "weightKind") == "live"
+    if _value_or(settings, "discovery", "ask") == "ask":
         if streams > 1:
             yield Contradiction(
                 "caps.streamsPerConn",
@@ -108,11 +108,11 @@
             )
     if weights_are_live and health_checks:
         yield Contradiction("caps.probing", "true, but live weights in the endpoint list already report load")
-    if _value(given, "loadReport.how") == "on_probe" and not health_checks:
+    if _value(settings, "loadReport.how") == "on_probe" and not health_checks:
         yield Contradiction("loadReport.how", "on_probe, but probes are not allowed, so no report arrives")
-    if _value_or(given, "charges.probe", 0) > 0 and not health_checks:
+    if _value_or(settings, "charges.probe", 0) > 0 and not health_checks:
         yield Contradiction("charges.probe", "a price for probes, which are not allowed")
-    if _value_or(given, "slotNo", 0) >= _value_or(given, "replicasOfMe", 1):
+    if _value_or(settings, "slotNo", 0) >= _value_or(settings, "replicasOfMe", 1):
         yield Contradiction("slotNo", "not below replicasOfMe")
 
 
@@ -126,27 +126,27 @@
 def decode(text: str) -> BalancerConfig:
     """Decode settings from JSON text; raises `msgspec.ValidationError` for unusable ones."""
     try:
-        given = msgspec.json.decode(text)
+        settings = msgspec.json.decode(text)
     except msgspec.DecodeError as error:
         raise msgspec.ValidationError(str(error)) from None
-    return balancer_config(given)
+    return balancer_config(settings)
 
 
-def balancer_config(given: object) -> BalancerConfig:
+def balancer_config(settings: object) -> BalancerConfig:
     """Convert settings, with defaults for absent keys; raises `msgspec.ValidationError`."""
-    if not isinstance(given, dict):
+    if not isinstance(settings, dict):
         raise msgspec.ValidationError("not an object")
-    given = _without_nulls(given)
+    settings = _without_nulls(settings)
     caps, rules, charges, load_report = (
-        _table(given, name) for name in ("caps", "rules", "charges", "loadReport")
+        _table(settings, name) for name in ("caps", "rules", "charges", "loadReport")
     )
     fields = {
-        "request_classes": [_request_class(c) for c in given.get("categories", [])],
-        "tenants": [_tenant(c) for c in given.get("tenants") or []],
-        "zone": given.get("locality", ""),
-        "sidecar_index": given.get("slotNo", 0),
-        "sidecars": given.get("replicasOfMe", 1),
-        "must_watch_endpoints": given.get("discovery") == "ask",
+        "request_classes": [_request_class(c) for c in settings.get("categories", [])],
+        "tenants": [_tenant(c) for c in settings.get("tenants") or []],
+        "zone": settings.get("locality", ""),
+        "sidecar_index": settings.get("slotNo", 0),
+        "sidecars": settings.get("replicasOfMe", 1),
+        "must_watch_endpoints": settings.get("discovery") == "ask",
         "endpoint_list_max_age": _seconds(rules, "mustAskIn"),
         "slow_start_initial_fraction": rules.get("coldShare", 1.0),
         "slow_start_duration": _seconds(rules, "cold"),
@@ -157,13 +157,13 @@
         "connection_setup_price": charges.get("handshake", 0.0),
         "open_connection_price": charges.get("connection", 0.0),
         "streams_per_connection": caps.get("streamsPerConn", 1),
-        "weights_are_live": given.get("weightKind") == "live",
+        "weights_are_live": settings.get("weightKind") == "live",
         "health_check_price": charges.get("probe", 0.0),
         "gossip_price": charges.get("peer", 0.0),
         "health_checks_allowed": caps.get("probing", False),
         "load_reported": load_report.get("how", "off") != "off",
         "load_reported_in_responses": load_report.get("how") == "inline",
-        "key_affinity": _table(given, "specifics").get("warmKeys") or False,
+        "key_affinity": _table(settings, "specifics").get("warmKeys") or False,
         "hedging_allowed": caps.get("mayDuplicate", False),
         "cancel_allowed": caps.get("cancel", False),
         "gossip_allowed": caps.get("peers", False),
@@ -175,50 +175,50 @@
     return msgspec.convert(fields, BalancerConfig)
 
 
-def _request_class(given: object) -> dict[str, Any]:
-    if not isinstance(given, dict):
+def _request_class(settings: object) -> dict[str, Any]:
+    if not isinstance(settings, dict):
         raise msgspec.ValidationError("a category is not an object")
-    given = _without_nulls(given)
+    settings = _without_nulls(settings)
     return {
-        "name": given.get("name"),
-        "retry_safety": RETRY_SAFETY.get(given.get("effect", "free"), "exclusive"),
-        "latency_objective": _seconds(given, "dueTime"),
-        "timeout": _seconds(given, "expiry"),
-        "priority_weight": given.get("payoff", 1.0),
-        "deduplication_scope": given.get("dedupScope") or "all",
-        "deduplication_window": _seconds(given, "window"),
-        "late_priority_weight": given.get("overduePayoff", 0.0),
-        "objective_per_cost": given.get("aimStretch") or 0.0,
+        "name": settings.get("name"),
+        "retry_safety": RETRY_SAFETY.get(settings.get("effect", "free"), "exclusive"),
+        "latency_objective": _seconds(settings, "dueTime"),
+        "timeout": _seconds(settings, "expiry"),
+        "priority_weight": settings.get("payoff", 1.0),
+        "deduplication_scope": settings.get("dedupScope") or "all",
+        "deduplication_window": _seconds(settings, "window"),
+        "late_priority_weight": settings.get("overduePayoff", 0.0),
+        "objective_per_cost": settings.get("aimStretch") or 0.0,
     }
 
 
-def _tenant(given: object) -> dict[str, Any]:
-    if not isinstance(given, dict):
+def _tenant(settings: object) -> dict[str, Any]:
+    if not isinstance(settings, dict):
         raise msgspec.ValidationError("a tenant is not an object")
-    given = _without_nulls(given)
+    settings = _without_nulls(settings)
     return {
-        "name": given.get("name"),
-        "share": given.get("share", 0.0),
+        "name": settings.get("name"),
+        "share": settings.get("share", 0.0),
     }
 
 
 # Access by key.
 
 
-def _value(given: dict[str, Any], key: str) -> Any:  # noqa: ANN401  # any JSON value
+def _value(settings: dict[str, Any], key: str) -> Any:  # noqa: ANN401  # any JSON value
     """Return the value of a key, which may be in a table, or None if it is absent."""
     table, _, name = key.rpartition(".")
-    return (_table(given, table) if table else given).get(name)
+    return (_table(settings, table) if table else settings).get(name)
 
 
-def _value_or(given: dict[str, Any], key: str, default: T) -> T:
+def _value_or(settings: dict[str, Any], key: str, default: T) -> T:
     """Return the value of a key, or `default` if it is absent or null."""
-    value = _value(given, key)
+    value = _value(settings, key)
     return default if value is None else value
 
 
-def _table(given: dict[str, Any], name: str) -> dict[str, Any]:
-    table = given.get(name) or {}
+def _table(settings: dict[str, Any], name: str) -> dict[str, Any]:
+    table = settings.get(name) or {}
     if not isinstance(table, dict):
         raise msgspec.ValidationError(f"{name} is not an object")
     return _without_nulls(table)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -203,13 +203,13 @@
     ) -> bytes:
         """Return the bytes of a request; `request_line` overrides its first line, None omits a header."""
         method = "GET" if category == "look" else "POST"
-        given = {"host": "a", "x-trace-id": "t1", "x-qos": category, "x-expires-in-ms": "1900"}
+        fields = {"host": "a", "x-trace-id": "t1", "x-qos": category, "x-expires-in-ms": "1900"}
         if body:
-            given["content-length"] = str(len(body))
+            fields["content-length"] = str(len(body))
         if category == "move":
-            given["idempotency-key"] = "k1"
-        given |= {name.replace("_", "-"): value for name, value in headers.items()}
-        lines = [f"{name}: {value}" for name, value in given.items() if value is not None]
+            fields["idempotency-key"] = "k1"
+        fields |= {name.replace("_", "-"): value for name, value in headers.items()}
+        lines = [f"{name}: {value}" for name, value in fields.items() if value is not None]
         first = request_line or f"{method} /{category}/1?q=2 HTTP/1.1"
         return "\r\n".join([first, *lines, "", ""]).encode() + body
 
@@ -350,8 +350,8 @@
     """Yield a function that starts sidecars in a harness; they are closed at the end of the test."""
     harnesses: list[SidecarHarness] = []
 
-    def make(**given: Any) -> SidecarHarness:  # noqa: ANN401
-        harnesses.append(SidecarHarness(**given))
+    def make(**options: Any) -> SidecarHarness:  # noqa: ANN401
+        harnesses.append(SidecarHarness(**options))
         return harnesses[-1]
 
     yield make
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -6,14 +6,14 @@
 from conftest import BUY, LOOK, FakeHost, SidecarHarness
 from decision_host import AnswerKind
 
-from starlingwheel.decisions import lease as module
+from starlingwheel.decisions import lease as lease_module
 from starlingwheel.decisions.lease import EndpointLease, LeaseState
 from starlingwheel.decisions.model import Attempt, AttemptOutcome
 from starlingwheel.net.gate import Refusal
 from starlingwheel.net.state.requests import Exchange
 
 GRACE = 0.5
-NOTICE = module.MISSED_NOTICE_DELAY
+NOTICE_DELAY = lease_module.MISSED_NOTICE_DELAY
 
 
 def make_lease(pushed: bool = False, grace: float = GRACE) -> EndpointLease:
@@ -35,17 +35,17 @@
     for at in (12.0, 14.0, 16.0):
         assert lease.state(at) is LeaseState.FRESH
         lease.renew(at, at)
-    assert lease.state(16.0 + module.IN_DOUBT_AFTER) is LeaseState.IN_DOUBT
+    assert lease.state(16.0 + lease_module.IN_DOUBT_AFTER) is LeaseState.IN_DOUBT
 
 
 def test_a_silent_watch_expires_the_lease_within_the_grace_after_a_missed_notice() -> None:
     """The lease expires whether or not the silence of the watch has been detected."""
     lease = make_lease()
     # The silence has not been detected yet.
-    assert lease.allows(10.0 + NOTICE) and not lease.allows(10.0 + NOTICE + GRACE)
+    assert lease.allows(10.0 + NOTICE_DELAY) and not lease.allows(10.0 + NOTICE_DELAY + GRACE)
     lease.note_watch_silent(13.0)
     assert lease.state(13.0) is LeaseState.IN_DOUBT
-    assert lease.ends_at <= 10.0 + NOTICE + GRACE
+    assert lease.ends_at <= 10.0 + NOTICE_DELAY + GRACE
 
 
 @pytest.mark.parametrize("reset, notice", [(False, 1.68), (True, 4.0)])
@@ -89,7 +89,7 @@
     for at in range(11, 60, 4):
         assert lease.allows(float(at))
         lease.note_source_unreachable(float(at))
-    assert not lease.allows(59.0 + NOTICE + GRACE)
+    assert not lease.allows(59.0 + NOTICE_DELAY + GRACE)
 
 
 def test_where_lists_are_pushed_a_missed_notice_counts_at_once() -> None:
@@ -108,7 +108,7 @@
     for at in (14.0, 16.0, 18.0):
         lease.renew(at, at)
     assert lease.state(14.0) is LeaseState.IN_DOUBT
-    assert not lease.allows(12.0 + NOTICE + GRACE)
+    assert not lease.allows(12.0 + NOTICE_DELAY + GRACE)
     lease.complete_source_change()
     assert lease.state(18.0) is LeaseState.FRESH
 
@@ -140,15 +140,15 @@
     host.serve(60)
     lease = host.scheduler.balancer.lease
     lease.renew(host.scheduler.now, host.scheduler.now)
-    looked, bought = host.submit(LOOK), host.submit(BUY)
-    sent = len(host.attempts)
+    idempotent, non_idempotent = host.submit(LOOK), host.submit(BUY)
+    attempts = len(host.attempts)
     lease.expires_at = host.scheduler.now
     host.advance(0.5)
-    assert len(host.attempts) == sent
-    host.end_attempt(host.attempts_of(looked)[0], AttemptOutcome.CONNECT_FAILED)
-    assert host.answers_to(looked) == [AnswerKind.REJECTED] and len(host.attempts) == sent
-    host.end_attempt(host.attempts_of(bought)[0])
-    assert host.answers_to(bought) == [AnswerKind.SUCCEEDED]
+    assert len(host.attempts) == attempts
+    host.end_attempt(host.attempts_of(idempotent)[0], AttemptOutcome.CONNECT_FAILED)
+    assert host.answers_to(idempotent) == [AnswerKind.REJECTED] and len(host.attempts) == attempts
+    host.end_attempt(host.attempts_of(non_idempotent)[0])
+    assert host.answers_to(non_idempotent) == [AnswerKind.SUCCEEDED]
 
 
 # The gate.
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -254,7 +254,7 @@
 def test_a_new_discovery_that_is_not_up_yet_is_called_again(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The calls go on once the old watch has ended too."""
+    """The calls continue after the old watch has ended too."""
     monkeypatch.setattr(discovery, "KEEPALIVE_INTERVAL", 0.2)
     old, _ = harness.accept_watch(b"")
     # Bound to its address, but not listening yet.
@@ -313,9 +313,9 @@
     )
     assert list(harness.context.gossip_socket.peers) == [harness.peer.getsockname()]  # not itself
     to = harness.context.gossip_socket.sock.getsockname()
-    stranger = harness.close_at_end(bound_socket(socket.SOCK_DGRAM))
+    unknown = harness.close_at_end(bound_socket(socket.SOCK_DGRAM))
     for sender, body in [
-        (stranger, b"no"),
+        (unknown, b"no"),
         (harness.peer, b"x" * 257),
         (harness.peer, b""),
         (harness.peer, b"yes"),
@@ -328,13 +328,13 @@
 def test_a_flood_of_datagrams_does_not_pile_up(harness: SidecarHarness) -> None:
     """Datagrams that can't be handled in time are left to the kernel to drop."""
     to = harness.context.gossip_socket.sock.getsockname()
-    most = 0
+    longest = 0
     for _ in range(50):
         for _ in range(200):
             harness.peer.sendto(b"abc", to)
         harness.context.loop.run_once(0.01)
-        most = max(most, len(harness.context.coordinator.mailbox))
-    assert most <= 128
+        longest = max(longest, len(harness.context.coordinator.mailbox))
+    assert longest <= 128
     serve(harness, harness.connect_client())
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -30,15 +30,15 @@
 )
 from starlingwheel.net.state.siblings import SiblingProcesses
 
-MakeOperated = Callable[..., SidecarHarness]
+MakeAdminHarness = Callable[..., SidecarHarness]
 
 
 @pytest.fixture
-def operated(make_harness: Callable[..., SidecarHarness], tmp_path: Path) -> MakeOperated:
+def make_admin_harness(make_harness: Callable[..., SidecarHarness], tmp_path: Path) -> MakeAdminHarness:
     """Return a function that starts sidecars with an admin address and a common folder for overrides."""
 
-    def make(**given: object) -> SidecarHarness:
-        return make_harness(mgmt="127.0.0.1:0", environment={"TMPDIR": str(tmp_path)}, **given)
+    def make(**options: object) -> SidecarHarness:
+        return make_harness(mgmt="127.0.0.1:0", environment={"TMPDIR": str(tmp_path)}, **options)
 
     return make
 
@@ -66,9 +66,9 @@
 # The calls.
 
 
-def test_ready_tells_whether_clients_are_accepted(operated: MakeOperated) -> None:
+def test_ready_tells_whether_clients_are_accepted(make_admin_harness: MakeAdminHarness) -> None:
     """The status is 503 until an endpoint list is known."""
-    harness = operated(known=None)
+    harness = make_admin_harness(known=None)
     assert harness.call_admin("GET /_ready") == 503
     harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(0)]})
     harness.wait_until(lambda: harness.log_lines("list.news"))
@@ -97,28 +97,28 @@
     ],
 )
 def test_an_invalid_call_is_rejected_and_changes_nothing(
-    operated: MakeOperated, request_line: str, body: bytes, extra: str, status: int
+    make_admin_harness: MakeAdminHarness, request_line: str, body: bytes, extra: str, status: int
 ) -> None:
     """The call is logged with its status."""
-    harness = operated()
+    harness = make_admin_harness()
     assert harness.call_admin(request_line, body, extra) == status
     assert not harness.context.overrides.stored.drained and not harness.context.draining
     assert entry_in_decisions(harness, "s0").state is EndpointState.READY
     assert [line["status"] for line in harness.log_lines("operator.call")] == [status]
 
 
-def test_of_two_calls_on_one_connection_neither_is_carried_out(operated: MakeOperated) -> None:
+def test_of_two_calls_on_one_connection_neither_is_carried_out(make_admin_harness: MakeAdminHarness) -> None:
     """The second call follows the body of the first one; the status is 400."""
-    harness = operated()
+    harness = make_admin_harness()
     body = id_body("s0")
     extra = f"Content-Length: {len(body)}\r\n\r\n{body.decode()}PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\n"
     assert harness.call_admin("PUT /_upstreams/detach", extra=extra) == 400
     assert not harness.context.overrides.stored.drained and not harness.context.draining
 
 
-def test_callers_that_send_nothing_do_not_keep_out_others(operated: MakeOperated) -> None:
+def test_callers_that_send_nothing_do_not_keep_out_others(make_admin_harness: MakeAdminHarness) -> None:
     """No more calls are open than the descriptors reserved for them allow."""
-    harness = operated(limits={"sockets": 256})
+    harness = make_admin_harness(limits={"sockets": 256})
     address = harness.context.admin_listener.sock.getsockname()
     silent = [harness.close_at_end(socket.create_connection(address)) for _ in range(20)]
     for one in silent[::2]:
@@ -130,9 +130,9 @@
     assert harness.wait_until(lambda: harness.read(silent[0])) == b"end"
 
 
-def test_a_call_is_closed_only_to_make_room_for_another(operated: MakeOperated) -> None:
+def test_a_call_is_closed_only_to_make_room_for_another(make_admin_harness: MakeAdminHarness) -> None:
     """Up to the limit all calls stay open."""
-    harness = operated(limits={"sockets": 256})
+    harness = make_admin_harness(limits={"sockets": 256})
     address = harness.context.admin_listener.sock.getsockname()
     silent = [
         harness.close_at_end(socket.create_connection(address))
@@ -160,9 +160,11 @@
 # Detaching an endpoint.
 
 
-def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(operated: MakeOperated) -> None:
+def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(
+    make_admin_harness: MakeAdminHarness,
+) -> None:
     """It stays detached after its restart, its removal and a new snapshot."""
-    harness = operated(upstreams=2)
+    harness = make_admin_harness(upstreams=2)
     watch, _ = harness.accept_watch(b"")
     assert detach(harness) == 200 and detach(harness) == 200
     for message in (  # a restart, a removal, and a snapshot that lists it again
@@ -176,9 +178,9 @@
     harness.assert_no_connection(0)
 
 
-def test_one_attach_undoes_all_detaches_and_slow_start_begins(operated: MakeOperated) -> None:
+def test_one_attach_undoes_all_detaches_and_slow_start_begins(make_admin_harness: MakeAdminHarness) -> None:
     """The time of the call counts as the start time of the endpoint."""
-    harness = operated(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
+    harness = make_admin_harness(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
     harness.accept_watch(b"")
     before = entry_in_decisions(harness, "s0")
     assert attach(harness) == 200  # it was not detached
@@ -197,9 +199,11 @@
     )
 
 
-def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(operated: MakeOperated) -> None:
+def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(
+    make_admin_harness: MakeAdminHarness,
+) -> None:
     """Discovery lists the new start time some time after the call."""
-    harness = operated()
+    harness = make_admin_harness()
     watch, _ = harness.accept_watch(b"")
     assert detach(harness) == 200 and attach(harness) == 200
     started = (time.time() - 1) * 1000
@@ -207,9 +211,9 @@
     harness.wait_until(lambda: entry_in_decisions(harness, "s0").started_at == started / 1000)
 
 
-def test_idle_connections_to_a_detached_endpoint_are_closed(operated: MakeOperated) -> None:
+def test_idle_connections_to_a_detached_endpoint_are_closed(make_admin_harness: MakeAdminHarness) -> None:
     """They are closed at once instead of after the idle timeout."""
-    harness = operated()
+    harness = make_admin_harness()
     client = harness.send_request()
     upstream = harness.serve()
     assert harness.read_status(client) == 200
@@ -217,9 +221,11 @@
     assert harness.wait_until(lambda: harness.read(upstream)) == b"end"
 
 
-def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(operated: MakeOperated) -> None:
+def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(
+    make_admin_harness: MakeAdminHarness,
+) -> None:
     """Two processes run side by side, and a third one starts later."""
-    one, other = operated(), operated()
+    one, other = make_admin_harness(), make_admin_harness()
     assert detach(one) == 200
     other.wait_until(lambda: entry_in_decisions(other, "s0").state is EndpointState.DRAINING)
     assert other.call_admin("PUT /_lameduck/on") == 200
@@ -227,7 +233,7 @@
     assert attach(other) == 200
     one.wait_until(lambda: entry_in_decisions(one, "s0").state is EndpointState.READY)
     assert detach(other) == 200
-    after = operated(known={"version": 7, "full": True, "servers": []})
+    after = make_admin_harness(known={"version": 7, "full": True, "servers": []})
     assert after.context.overrides.stored.drained and after.context.draining
     assert after.call_admin("PUT /_lameduck/off") == 200
     # Discovery has not listed the endpoint to this process.
@@ -236,18 +242,20 @@
 
 @pytest.mark.parametrize("text", [b"", b"{", b'{"out":7}', b"\xff\x00"])
 def test_an_unreadable_overrides_file_stops_neither_start_nor_call(
-    operated: MakeOperated, tmp_path: Path, text: bytes
+    make_admin_harness: MakeAdminHarness, tmp_path: Path, text: bytes
 ) -> None:
     """The file is logged as unreadable, and replaced by the next call."""
     (tmp_path / OVERRIDES_FILE).write_bytes(text)
-    harness = operated()
+    harness = make_admin_harness()
     assert harness.log_lines("operators.unreadable")
     assert detach(harness) == 200 and "s0" in json.loads((tmp_path / OVERRIDES_FILE).read_bytes())["out"]
 
 
-def test_a_call_succeeds_only_once_its_change_is_stored(operated: MakeOperated, tmp_path: Path) -> None:
+def test_a_call_succeeds_only_once_its_change_is_stored(
+    make_admin_harness: MakeAdminHarness, tmp_path: Path
+) -> None:
     """If the file can't be written the call gets 503, and nothing changes."""
-    harness = operated()
+    harness = make_admin_harness()
     harness.wait_until(lambda: not harness.context.overrides.has_unstored_ids)
     harness.context.overrides.file.path = tmp_path / "gone" / OVERRIDES_FILE
     assert detach(harness) == 503
@@ -256,34 +264,34 @@
 
 def test_an_overrides_file_locked_by_another_process_can_be_retried(tmp_path: Path) -> None:
     """A locked file raises an error and changes nothing; a retry after its release succeeds."""
-    out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
-    out.apply_watch_message(True, [DiscoveredEndpoint("s0")])
-    with out.file.lock(), pytest.raises(OverridesLockedError):
-        out.drain_endpoint("s0")
-    assert not out.stored.drained
-    assert out.drain_endpoint("s0")
+    overrides = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
+    overrides.apply_watch_message(True, [DiscoveredEndpoint("s0")])
+    with overrides.file.lock(), pytest.raises(OverridesLockedError):
+        overrides.drain_endpoint("s0")
+    assert not overrides.stored.drained
+    assert overrides.drain_endpoint("s0")
 
 
 def test_old_ids_are_forgotten_but_not_those_in_use(tmp_path: Path) -> None:
     """The number of remembered ids is limited, however many were ever listed."""
-    out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
-    out.apply_watch_message(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
-    out.drain_endpoint("second")
+    overrides = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
+    overrides.apply_watch_message(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
+    overrides.drain_endpoint("second")
     for i in range(3 * MAX_KNOWN_IDS):
-        out.apply_watch_message(
+        overrides.apply_watch_message(
             False, [DiscoveredEndpoint(f"s{i}"), DiscoveredEndpoint(f"s{i}", state="left")]
         )
-    assert len(out.known_ids) <= MAX_KNOWN_IDS + 2
-    assert out.drain_endpoint("first") and out.restore_endpoint("second") is not None
-    assert out.drain_endpoint("s0") is None
+    assert len(overrides.known_ids) <= MAX_KNOWN_IDS + 2
+    assert overrides.drain_endpoint("first") and overrides.restore_endpoint("second") is not None
+    assert overrides.drain_endpoint("s0") is None
 
 
 # Draining.
 
 
-def test_draining_disconnects_clients_and_can_be_undone(operated: MakeOperated) -> None:
+def test_draining_disconnects_clients_and_can_be_undone(make_admin_harness: MakeAdminHarness) -> None:
     """Each response closes its connection, idle connections are closed, and readiness checks get 503."""
-    harness = operated()
+    harness = make_admin_harness()
     idle, kept = harness.connect_client(), harness.connect_client()
     kept.sendall(harness.request_bytes())
     upstream = harness.serve()
@@ -313,9 +321,9 @@
     assert [line["on"] for line in harness.log_lines("lameduck")] == [True, False]
 
 
-def test_a_stop_while_draining_ends_the_process(operated: MakeOperated) -> None:
+def test_a_stop_while_draining_ends_the_process(make_admin_harness: MakeAdminHarness) -> None:
     """Draining and shutdown both disconnect clients, and do not hinder each other."""
-    harness = operated()
+    harness = make_admin_harness()
     harness.context.loop.running = True
     assert harness.call_admin("PUT /_lameduck/on") == 200
     os.kill(os.getpid(), signal.SIGTERM)
@@ -344,9 +352,9 @@
     siblings.close()
 
 
-def test_sibling_processes_share_the_limits_of_one(operated: MakeOperated) -> None:
+def test_sibling_processes_share_the_limits_of_one(make_admin_harness: MakeAdminHarness) -> None:
     """Buffers and connections to endpoints are divided; the descriptors for clients are not."""
-    harness = operated()
+    harness = make_admin_harness()
     context, balancer = harness.context, harness.context.coordinator.scheduler.balancer
     clients = context.connections.client_limit
     alone = context.buffer_pool.max_buffers, context.connections.endpoint_limit
