--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -119,7 +119,7 @@
             begun += self.count_new_attempts()
             return begun >= count
 
-        self.harness.wait_until(enough, within=LATENCY_OBJECTIVE / 1e6)
+        self.harness.wait_until(enough, timeout=LATENCY_OBJECTIVE / 1e6)
         assert begun == count
 
     def count_later_attempts(self) -> int:
