--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,7 +1,7 @@
 """A change at discovery reaches the decisions within 6 s, whatever calls fail or hang.
 
-The discovery client, the coordinator and its decisions run on their own code; the clock is stepped, and their
-sockets are pairs whose other end is a simulated discovery, so that each run goes the same way each time.
+The discovery client, the coordinator and the decisions are the real ones. The clock is simulated, and their
+sockets are pairs whose other end is a simulated discovery, so that each run is reproducible.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 NOTIFIED_WITHIN = 6.0  # seconds after which a change counts as notified
 KEEPALIVE_INTERVAL = 2.0  # seconds between empty lines
 PUSHED = {"discovery": "push"}
-# Fleets that watch: a small one that may call often, a large one that spreads its calls, one of rare calls.
+# Fleets that watch: a small one may call often, a large one spreads its calls, and one calls rarely.
 SMALL = {"replicasOfMe": 4, "rules": {"mustAskIn": 1_000_000}}
 LARGE = {"replicasOfMe": 200, "rules": {"mustAskIn": 8_000_000}}
 SELDOM = {"replicasOfMe": 400, "rules": {"mustAskIn": 60_000_000}}
@@ -49,30 +49,30 @@
 
 
 class Call:
-    """One call, as discovery sees it."""
+    """One call, on the side of discovery."""
 
     def __init__(self, caller: SidecarContext, sock: socket.socket, began_at: float) -> None:
-        """`caller`: the sidecar; `sock`: discovery's end; `at`: when it began."""
+        """Accept the call of the sidecar `caller`; `sock` is discovery's end of the connection."""
         self.caller, self.sock, self.began_at = caller, sock, began_at
         self.received, self.silent, self.written_at = b"", False, began_at
         sock.setblocking(False)
 
     def request_complete(self) -> bool:
-        """Return whether its request has arrived."""
+        """Return whether the whole request has arrived."""
         with contextlib.suppress(BlockingIOError):
             self.received += self.sock.recv(65536)
         return self.received.endswith(b"\r\n\r\n")
 
     def write(self, data: bytes) -> bool:
-        """Write, if the other side is still there; return whether it is."""
+        """Write, and return whether the connection is still open."""
         try:
             self.sock.sendall(data)
             return True
         except OSError:
-            return False  # the call was given up
+            return False  # the caller has closed the connection
 
 
-# What becomes of a call: seconds until its answer, or one of the constants of `Discovery`; None: undecided.
+# The result of a call: seconds until its answer, or one of the constants of `Discovery`; None: undecided.
 CallFate = float | str | None
 Behaviour = Callable[[Call], CallFate]
 
@@ -83,15 +83,15 @@
     REFUSED, CUT, HANGS, RESET, BUSY = "refused", "cut", "hangs", "reset", "503"
 
     def __init__(self, simulation: Simulation, behaviour: Behaviour) -> None:
-        """`behaviour`: decides on each call."""
+        """Decide on each call by `behaviour`."""
         self.simulation, self.behaviour = simulation, behaviour
         self.version = 1
         self.calls: list[Call] = []
         self.answered: list[Call] = []
-        self.silent = False  # open watches get nothing any more
+        self.silent = False  # open watches receive nothing more
 
     def connect(self, caller: SidecarContext) -> socket.socket:
-        """Return the caller's end of a connection; raises `ConnectionLostError` if it is refused."""
+        """Return the caller's end of a connection. Raises `ConnectionLostError` if it is refused."""
         ours, theirs = socket.socketpair()
         call = Call(caller, ours, self.simulation.now)
         self.calls.append(call)
@@ -100,7 +100,7 @@
             ours.close(), theirs.close()
             raise ConnectionLostError(CloseReason.CONNECT_REFUSED)
         if behaviour == self.CUT:
-            self.fill(theirs)  # it never comes up
+            self.fill(theirs)  # the connection never becomes writable
         elif behaviour != self.HANGS:
             delay = behaviour if isinstance(behaviour, float) else 0.0
             self.simulation.schedule(delay, lambda: self.answer(call, behaviour))
@@ -117,7 +117,7 @@
             pass
 
     def answer(self, call: Call, behaviour: CallFate) -> None:
-        """Answer a call once its request has arrived, or reset it."""
+        """Answer a call once its request has arrived, or close it."""
         if behaviour == self.RESET:
             call.sock.close()
         elif not call.request_complete():
@@ -130,7 +130,7 @@
             self.simulation.schedule(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
 
     def write_list(self, call: Call) -> None:
-        """Write the whole list, whose one endpoint is named by the version."""
+        """Write the whole list, whose only endpoint is named after the version."""
         servers = [{"id": f"v{self.version}", "addr": "127.0.0.1:1", "state": "active"}]
         text = msgspec.json.encode({"version": self.version, "full": True, "servers": servers}) + b"\n"
         call.written_at = self.simulation.now
@@ -143,29 +143,29 @@
             self.simulation.schedule(KEEPALIVE_INTERVAL, lambda: self.write_empty_line(call))
 
     def change(self) -> None:
-        """Change the list, and write it to all open watches."""
+        """Change the list and write it to all open watches."""
         self.version += 1
         for call in self.answered:
             if not call.silent:
                 self.write_list(call)
 
     def fall_silent(self) -> None:
-        """Write nothing more to the watches that are open."""
+        """Stop writing to the open watches."""
         for call in self.answered:
             call.silent = True
 
     def end_all(self) -> None:
-        """Close all watches, as discovery does when it goes down."""
+        """Close all watches, as discovery does when it stops."""
         for call in self.answered:
             call.silent = True
             call.sock.close()
 
 
 class Simulation:
-    """The discovery clients of sidecars on one loop, whose clock moves only when nothing is left to do."""
+    """The discovery clients of sidecars on one loop, whose clock advances only when nothing is left to do."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-        """Put the simulated clock and sockets in place of the real ones."""
+        """Replace the real clock and sockets by simulated ones."""
         self.now, self.count = 1000.0, count()
         self.due: list[tuple[float, int, Callable[[], object]]] = []
         self.open_files: list[IO[bytes] | socket.socket] = []
@@ -182,11 +182,11 @@
         monkeypatch.setattr(discovery_watch.DiscoveryWatch, "begin", lambda watch: self.begin(watch))
 
     def fail(self, actor: Actor, error: Exception) -> None:
-        """Fail the test by an error in an actor."""
+        """Fail the test because of an exception in an actor."""
         raise error
 
     def begin(self, watch: discovery_watch.DiscoveryWatch) -> None:
-        """Start a watch, and note who makes its call."""
+        """Start a watch, and record which sidecar makes its call."""
         self.calling = watch.context
         self.loop.start(watch)
 
@@ -216,11 +216,11 @@
         return context
 
     def schedule(self, seconds: float, action: Callable[[], object]) -> None:
-        """Run an action after so many seconds."""
+        """Run an action after `seconds` seconds."""
         heapq.heappush(self.due, (self.now + seconds, next(self.count), action))
 
     def settle(self) -> None:
-        """Turn until nothing is left to do at this time."""
+        """Run the loop until nothing is left to do at the current time."""
         quiet = 0
         while quiet < 2:
             quiet += 1
@@ -229,7 +229,7 @@
             self.loop.run_once(0)
 
     def run(self, until: float) -> None:
-        """Run until that time."""
+        """Run the simulation up to the time `until`."""
         while True:
             self.settle()
             ahead = [self.due[0][0]] if self.due else []
@@ -242,11 +242,11 @@
                 heapq.heappop(self.due)[2]()
 
     def second_calls(self) -> int:
-        """Return the number of calls that began beside one that hung."""
+        """Return the number of calls that were made in parallel to one that hung."""
         return sum(event == "list.beside" for event, _, _ in self.log_lines)
 
     def until_notified(self, context: SidecarContext, version: int, within: float) -> float:
-        """Run until the decisions have that version; return the seconds that it took."""
+        """Run until the decisions have this version; return the seconds that this took."""
         began = self.now
         while f"v{version}" not in context.coordinator.scheduler.balancer.endpoints.by_id:
             assert self.now < began + within, f"not notified within {within} s"
@@ -268,7 +268,7 @@
 
 @pytest.fixture
 def make_simulation(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> Iterator[MakeSimulation]:
-    """Makes worlds, and closes them at the end."""
+    """Make simulations, and close them at the end of the test."""
     simulations: list[Simulation] = []
 
     def make() -> Simulation:
@@ -281,9 +281,9 @@
 
 
 def reachable_after(simulation: Simulation, seconds: float, *first: float | str) -> Behaviour:
-    """Return the behaviour of a discovery from then on: `first` for the first calls, all others are answered.
+    """Return the behaviour of a discovery that is reachable again after `seconds`.
 
-    Until then it returns None.
+    It is None until then. Afterwards the first calls have the results `first`, and all others are answered.
     """
     reachable_at = simulation.now + seconds
     remaining = list(first)
@@ -307,7 +307,7 @@
 
 
 def sidecar_with_watch(simulation: Simulation, fleet: str, seed: int) -> tuple[Discovery, SidecarContext]:
-    """Return a sidecar whose watch is open, at a random moment between two empty lines, and its discovery."""
+    """Return a discovery and a sidecar with an open watch, at a random time between two empty lines."""
     discovery = simulation.discovery("a:1", lambda _: 0.0)
     context = simulation.sidecar(seed=str(seed), **FLEETS[fleet])
     simulation.until_notified(context, 1, 40)
@@ -318,7 +318,7 @@
 
 
 def failing_until(reachable: Behaviour, down: CallFate) -> Behaviour:
-    """Return the behaviour `down` for as long as `reachable` returns None."""
+    """Return a behaviour that is `down` as long as `reachable` returns None."""
 
     def behaviour(call: Call) -> CallFate:
         answer = reachable(call)
@@ -332,12 +332,12 @@
 def test_a_change_missed_by_a_silent_watch_is_notified_in_time(
     make_simulation: MakeSimulation, fleet: str, first: str
 ) -> None:
-    """Whatever becomes of the first call after it; no more calls are made than needed."""
+    """Holds whatever the result of the first call, and no more calls are made than needed."""
     for seed in range(8):
         simulation = make_simulation()
         discovery, context = sidecar_with_watch(simulation, fleet, seed)
         calls = len(discovery.calls)
-        # It falls silent with its last line, at the earliest; what it misses may come at once.
+        # The watch is silent from its last line on, at the earliest; the change may follow immediately.
         silent_at = discovery.answered[-1].written_at
         discovery.fall_silent()
         discovery.change()
@@ -345,7 +345,7 @@
         simulation.until_notified(context, 2, 10)
         took = simulation.now - silent_at
         assert took <= NOTIFIED_WITHIN, (seed, took)
-        # Where the list is asked for: a second call is made where the first hangs, and only there.
+        # If the list is not pushed, a second call is made only where the first one hangs.
         assert simulation.second_calls() == (fleet != "pushed" and first in ("hangs", "cut"))
         assert len(discovery.calls) - calls <= (4 if fleet == "pushed" else 2)
 
@@ -356,7 +356,7 @@
 def test_a_change_during_an_outage_is_notified_in_time_after_it(
     make_simulation: MakeSimulation, fleet: str, down: str, first: str
 ) -> None:
-    """However calls fail during the outage and after it."""
+    """Holds however calls fail during the outage and after it."""
     for seed in range(6):
         simulation = make_simulation()
         discovery, context = sidecar_with_watch(simulation, fleet, seed)
@@ -369,11 +369,11 @@
         discovery.behaviour = failing_until(reachable, down)
         simulation.run(simulation.now + outage)
         discovery.version += 1
-        silence = 0.0 if down in ("refused", "503") else 3.0  # a silent watch is noticed after that
+        silence = 0.0 if down in ("refused", "503") else 3.0  # seconds after which a silent watch is detected
         calls = len(discovery.calls)
         took = simulation.until_notified(context, 2, 20)
         assert took <= max(NOTIFIED_WITHIN, NOTIFIED_WITHIN - outage + silence), (seed, took)
-        # Two in the time that a call of those before may take, and the one that is answered.
+        # Two calls in the time that an earlier call may take, and the one that is answered.
         assert len(discovery.calls) - calls <= (6 if fleet == "pushed" or first in ("503", "reset") else 3)
 
 
@@ -384,7 +384,7 @@
 def test_the_list_of_a_new_discovery_is_notified_in_time(
     make_simulation: MakeSimulation, fleet: str, old: str, down: str, first: str
 ) -> None:
-    """Whatever the old one does, and however calls to the new one fail at first."""
+    """Holds whatever the old discovery does, and however the first calls to the new one fail."""
     for seed in range(3):
         simulation = make_simulation()
         discovery, context = sidecar_with_watch(simulation, fleet, seed)
@@ -398,7 +398,7 @@
         other.version = 2
         context.discovery.post(DiscoveryMoved("b:1"))
         simulation.run(simulation.now + outage)
-        # Where it is pushed, what the new agent has counts 4 s after the word that it is another discovery.
+        # Where the list is pushed, the new agent's list counts as notified 4 s after the address has changed.
         assert simulation.until_notified(context, 2, 20) <= (
             4.0 if fleet == "pushed" and not outage else NOTIFIED_WITHIN
         )
@@ -408,7 +408,7 @@
 def test_a_call_that_waits_its_turn_is_not_replaced_by_a_second_one(
     make_simulation: MakeSimulation, fleet: str
 ) -> None:
-    """At a discovery that takes nearly three seconds for an answer."""
+    """Discovery takes nearly three seconds for an answer."""
     for seed in range(8):
         simulation = make_simulation()
         discovery, context = sidecar_with_watch(simulation, fleet, seed)
@@ -421,7 +421,7 @@
             simulation.now - discovery.calls[calls].began_at <= 2.9 + 0.02
             and discovery.answered[-1] is discovery.calls[calls]
         )
-        # It knows now that a call may wait: the next time none is made beside one that does.
+        # The hang threshold is adapted, so that the next time no second call is made beside one that waits.
         second_calls = simulation.second_calls()
         discovery.fall_silent()
         discovery.change()
@@ -431,10 +431,10 @@
 
 @pytest.mark.parametrize("down", ["hangs", "cut", "refused", "503"])
 @pytest.mark.parametrize("fleet", ["large", "seldom"])
-def test_while_none_is_answered_calls_go_on_at_a_rate_that_allows_for_one_to_hang(
+def test_unanswered_calls_are_repeated_at_a_rate_that_allows_for_one_to_hang(
     make_simulation: MakeSimulation, fleet: str, down: str
 ) -> None:
-    """For a minute, in which a discovery in trouble is not called too often either."""
+    """For a minute, calls are frequent enough and do not overload a discovery in trouble."""
     for seed in range(4):
         simulation = make_simulation()
         discovery, context = sidecar_with_watch(simulation, fleet, seed)
@@ -443,7 +443,7 @@
         discovery.behaviour = lambda _: down
         simulation.run(simulation.now + 60)
         begun = [call.began_at for call in discovery.calls[calls:]]
-        # Of two that begin within 5.5 s one may hang; one that is refused could not be reached until then.
+        # Of two calls within 5.5 s one may hang; a refused call shows that discovery was down until then.
         step, within = (1, 4.25) if down == "refused" else (2, 5.5)
         assert all(later - began_at <= within for began_at, later in zip(begun, begun[step:], strict=False))
         if down in ("hangs", "cut"):
@@ -455,7 +455,7 @@
 def test_of_many_sidecars_each_calls_once_and_once_more_where_its_call_hangs(
     make_simulation: MakeSimulation, first: list[float | str], second_calls: int
 ) -> None:
-    """After all watches of one discovery fell silent at once."""
+    """All watches of one discovery have fallen silent at the same time."""
     simulation = make_simulation()
     discovery = simulation.discovery("a:1", lambda _: 0.0)
     contexts = [simulation.sidecar(seed=str(seed), **LARGE) for seed in range(40)]
@@ -468,7 +468,7 @@
     notified_at = {}
 
     def behaviour(call: Call) -> CallFate:
-        """`first` is for the first calls of each sidecar."""
+        """Apply `first` to the first calls of each sidecar."""
         own = remaining.setdefault(call.caller, list(first))
         return own.pop(0) if own else 0.0
 
@@ -483,13 +483,13 @@
     )
 
 
-LogLines = Callable[..., list[Json]]  # of the events that are named
+LogLines = Callable[..., list[Json]]  # returns the log lines of the named events
 StartCrowded = Callable[[int, int], tuple[socket.socket, LogLines]]
 
 
 @pytest.fixture
 def start_crowded_process(tmp_path: Path) -> Iterator[StartCrowded]:
-    """A real process with few descriptors, discovery down, and more idle clients than it can serve."""
+    """Start a real process with few descriptors, no discovery, and more idle clients than it can serve."""
     discovery = bound_socket(listening=False)
     started: list[subprocess.Popen[bytes]] = []
     clients: list[socket.socket] = []
@@ -541,7 +541,7 @@
 def test_idle_clients_leave_discovery_its_descriptors(
     start_crowded_process: StartCrowded, configured: int, allowed: int
 ) -> None:
-    """Discovery is called, though more clients connect than there are descriptors."""
+    """Discovery is called although more clients connect than there are descriptors."""
     discovery, lines = start_crowded_process(configured, allowed)
     discovery.listen()
     discovery.settimeout(30)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,6 +1,6 @@
-"""The endpoint list is acted on only while it is known to be current: real processes, faults between.
+"""Sidecars act on the endpoint list only while it is known to be current, with faults between real processes.
 
-Attempts are counted at the servers, notices at discovery; what the sidecars say of themselves does not count.
+Attempts are counted at the endpoints and notifications at discovery, independently of the sidecars' own logs.
 """
 
 import asyncio
@@ -13,31 +13,33 @@
 from trials.verdict import Verdict
 
 
-def play_together(*runs: Awaitable[Verdict]) -> list[Verdict]:
-    """Run trials side by side."""
+def run_together(*runs: Awaitable[Verdict]) -> list[Verdict]:
+    """Run trials concurrently and return their verdicts."""
 
-    async def play_all() -> list[Verdict]:
+    async def run_all() -> list[Verdict]:
         return await asyncio.gather(*runs)
 
-    return asyncio.run(play_all())
+    return asyncio.run(run_all())
 
 
 def assert_kept(verdicts: Iterable[Verdict]) -> None:
-    """No rule was broken, and there was enough traffic to show it."""
+    """Assert that no rule was broken and that there was enough traffic to show it."""
     for verdict in verdicts:
         assert verdict.kept, (verdict.counts, verdict.broken[:10])
-        # The trial shows something only where the draining server had requests before.
+        # A trial is conclusive only if the draining endpoint had requests before.
         assert verdict.counts["attempts"] > 100 and verdict.counts["answered 200"] > 100
 
 
 @pytest.mark.xdist_group("endpoint-list-1")
 def test_no_attempt_follows_a_notice_that_arrived_incomplete() -> None:
+    """The watch ends, is reset or stalls in the middle of the message about a drain."""
     faults = (Fault.ENDED, Fault.RESET, Fault.STALLED)
-    assert_kept(play_together(*(endpoint_list.broken_message(fault) for fault in faults)))
+    assert_kept(run_together(*(endpoint_list.broken_message(fault) for fault in faults)))
 
 
 @pytest.mark.xdist_group("endpoint-list-2")
 def test_no_attempt_follows_a_notice_that_was_missed() -> None:
+    """Watches fall silent or end instead of delivering it, or sidecars restart with a list from before it."""
     assert_kept(
-        play_together(endpoint_list.silent_watch(), endpoint_list.ended_instead(), endpoint_list.restarted())
+        run_together(endpoint_list.silent_watch(), endpoint_list.ended_instead(), endpoint_list.restarted())
     )
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -1,4 +1,4 @@
-"""Large bodies, which are relayed while they come, and slow ones."""
+"""Long bodies, which are relayed while they arrive, and slow ones."""
 
 import contextlib
 import random
@@ -21,12 +21,12 @@
 
 
 def random_bytes(size: int, seed: int = 1) -> bytes:
-    """Random bytes, the same for the same seed."""
+    """Return pseudo-random bytes, the same for the same seed."""
     return random.Random(seed).randbytes(size)
 
 
 def read_all(harness: SidecarHarness, sock: socket.socket, size: int, at_most: int | None = None) -> bytes:
-    """So many bytes from a connection, at most some in a turn."""
+    """Read `size` bytes from a connection, at most `at_most` per turn of the loop."""
     got = bytearray()
 
     def more() -> bool:
@@ -43,7 +43,7 @@
 
 
 def write_all(harness: SidecarHarness, sock: socket.socket, data: bytes, within: float = 20.0) -> None:
-    """Send all of the data while the loop turns."""
+    """Send all of the data while the loop runs."""
     rest = memoryview(data)
 
     def more() -> bool:
@@ -59,7 +59,7 @@
 
 
 def read_head(harness: SidecarHarness, sock: socket.socket) -> tuple[bytes, bytes]:
-    """Return the head of a response, and what came behind it."""
+    """Return the head of a response and the body bytes that arrived with it."""
     got = b""
     while b"\r\n\r\n" not in got:
         got += harness.wait_until(lambda: harness.read(sock))
@@ -69,29 +69,29 @@
 
 
 def assert_nothing_left(harness: SidecarHarness) -> None:
-    """All buffers are back, nothing is in hand."""
+    """Assert that all buffers are released and no request is pending."""
     harness.wait_until(
         lambda: harness.context.buffer_pool.in_use == 0 and not harness.context.coordinator.pending_requests
     )
     assert not harness.log_lines("defect") and not harness.log_lines("module.defect")
 
 
-# Answers.
+# Responses.
 
 
 def test_a_long_response_is_relayed_while_it_comes(harness: SidecarHarness) -> None:
-    """Its attempt has ended with its first bytes, and the connection is reused after the last."""
+    """The attempt ends with the first bytes of the body, and the connection is reused after the last."""
     client, body = harness.send_request(), random_bytes(MAX_BUFFERED_BODY + 1000)
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body[:1000])
     head, got = read_head(harness, client)
     assert b"200" in head and b"%d" % len(body) in head
-    # The request has ended: a long response takes no capacity of its endpoint, and no deadline ends it.
+    # The request has ended, so that the response takes no capacity of its endpoint and has no deadline.
     harness.wait_until(lambda: not harness.context.coordinator.pending_requests)
     upstream.sendall(body[1000:])
     assert got + read_all(harness, client, len(body) - len(got)) == body
-    # The connection goes on.
+    # The connection is reused.
     harness.wait_for_idle_connections()
     client.sendall(harness.request_bytes())
     harness.read_request(upstream)
@@ -103,7 +103,7 @@
 def test_a_relayed_response_may_outlast_the_latency_objective(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """It began in time."""
+    """The response began in time."""
     harness = make_harness(settings={"categories": request_class_settings(150000)})
     client, body = harness.send_request(), random_bytes(3 * MAX_BUFFERED_BODY)
     upstream = harness.accept()
@@ -120,7 +120,7 @@
 def test_a_response_of_unknown_length_that_began_in_time_is_relayed(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Though it is short, and ends late."""
+    """The response is relayed although it is short and ends late."""
     harness = make_harness(settings={"categories": request_class_settings(300000)})
     client, body = harness.send_request(), random_bytes(60000)
     upstream = harness.accept()
@@ -139,7 +139,7 @@
 def test_a_long_response_in_each_framing_is_forwarded_unchanged(
     harness: SidecarHarness, framing: str
 ) -> None:
-    """With a length, in chunks, or up to the close."""
+    """The body has a length, is chunked, or ends with the connection."""
     client, body = harness.send_request(), random_bytes(5 * MAX_BUFFERED_BODY)
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -159,7 +159,7 @@
 
 
 def test_a_short_response_that_ends_with_its_connection_is_complete(harness: SidecarHarness) -> None:
-    """If it has `Connection: close`."""
+    """The response has `Connection: close`."""
     client = harness.send_request()
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -169,7 +169,7 @@
 
 
 def test_many_long_responses_to_slow_clients_take_few_buffers(harness: SidecarHarness) -> None:
-    """And are forwarded unchanged."""
+    """The bodies are forwarded unchanged, within a limit of buffers for each."""
     bodies = [random_bytes(2 * MB, seed) for seed in range(12)]
     clients, upstreams = [], []
     for number in range(len(bodies)):
@@ -200,13 +200,13 @@
     harness.wait_until(transfer_some, 60.0)
     for body, one in zip(bodies, got, strict=True):
         assert bytes(one).partition(b"\r\n\r\n")[2] == body
-    # Between a source and its sink lies a window and what is being written; never a whole answer.
+    # Buffered between source and sink is at most a window and what is being written, not a whole response.
     assert peak_buffers * BUFFER_SIZE <= len(bodies) * 3 * (STREAM_WINDOW + MAX_BUFFERED_BODY)
     assert_nothing_left(harness)
 
 
 def test_a_response_of_32_mib_is_forwarded_and_one_byte_more_is_too_long(harness: SidecarHarness) -> None:
-    """The limit of a relayed body."""
+    """32 MiB is the maximum size of a relayed body."""
     client, body = harness.send_request(), random_bytes(MB) * 32
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -238,7 +238,7 @@
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 200000", b"Transfer-Encoding: chunked"])
 def test_a_response_that_breaks_off_resets_the_client(harness: SidecarHarness, framing: bytes) -> None:
-    """However it is framed."""
+    """Holds for a body with a length and for a chunked one."""
     client = harness.send_request()
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -259,7 +259,7 @@
 def test_a_client_that_leaves_a_long_response_ends_the_connection_to_the_endpoint(
     harness: SidecarHarness,
 ) -> None:
-    """All buffers are given back."""
+    """All buffers are released."""
     client = harness.send_request()
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -273,7 +273,7 @@
 def test_of_two_long_responses_the_first_is_relayed_and_the_other_cancelled(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Of a request and its hedge."""
+    """The responses are those to a request and its hedge."""
     harness = make_harness(upstreams=2)
     client = harness.send_request()
     harness.context.coordinator.scheduler.balancer.hedging.delay = lambda request: 0.01
@@ -292,7 +292,7 @@
 
 
 def begin_upload(harness: SidecarHarness, body: bytes, length: bool = True, **headers: str) -> socket.socket:
-    """Begin a request with such a body, with or without a length; the body is not sent."""
+    """Send the head of a request for this body, with a length or chunked, but not the body."""
     client = harness.connect_client()
     if length:
         client.sendall(harness.request_bytes("buy", content_length=str(len(body)), **headers))
@@ -305,7 +305,7 @@
 def test_a_long_request_body_is_relayed_while_it_comes(
     make_harness: Callable[..., SidecarHarness], length: bool
 ) -> None:
-    """In few buffers; its time counts from its last byte."""
+    """The body takes few buffers, and the timeout counts from its last byte."""
     harness = make_harness(limits={"memory_mb": 24})
     body = random_bytes(3 * MB)
     client = begin_upload(harness, body, length)
@@ -318,7 +318,7 @@
     )
     text = text if length else text + b"0\r\n\r\n"
     write_all(harness, client, text[:MB])
-    # The upstream has it already, before its last byte has come.
+    # The endpoint receives the request before its last byte has arrived.
     upstream = harness.accept()
     assert harness.wait_until(lambda: harness.read(upstream)).startswith(b"POST /buy/1?q=2")
     [request] = [pending.request for pending in harness.context.coordinator.pending_requests.values()]
@@ -346,7 +346,10 @@
 def begin_long_request(
     make_harness: Callable[..., SidecarHarness], upstreams: int = 2, **given: object
 ) -> tuple[SidecarHarness, socket.socket, int, socket.socket]:
-    """A request of 3 MiB, 700,000 bytes of which are sent, and the endpoint that gets it."""
+    """Send 700,000 bytes of a request of 3 MiB.
+
+    Return the harness, the client, and the index and the connection of the endpoint that receives it.
+    """
     harness = make_harness(upstreams=upstreams, limits={"memory_mb": 24}, **given)
     client = begin_upload(harness, b"x" * 3 * MB)
     client.sendall(b"x" * 700000)
@@ -358,18 +361,18 @@
 def test_a_long_request_reset_before_its_last_byte_has_not_run(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The client gets 503; it is not sent again."""
+    """The client gets 503, and the request is not sent again."""
     harness, client, i, upstream = begin_long_request(make_harness)
     harness.reset(upstream)
     assert harness.read_status(client) == 503
-    harness.assert_no_connection(1 - i)  # what has been passed on can't be sent again
+    harness.assert_no_connection(1 - i)  # the data that was forwarded can't be sent again
     assert_nothing_left(harness)
 
 
 def test_a_long_non_idempotent_request_reset_after_its_last_byte_may_have_run(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The client gets 504."""
+    """The client gets 504, and the request is not sent again."""
     harness, client, i, upstream = begin_long_request(make_harness)
     left = 3 * MB - 700000
 
@@ -394,7 +397,7 @@
 def test_a_long_request_rejected_before_its_end_is_rejected_to_the_client(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The rest of its body is not sent."""
+    """The client gets 503, and the rest of the body is not sent."""
     harness, client, i, upstream = begin_long_request(make_harness)
     harness.send_response(upstream, status=503, extra="X-Never-Ran: 1\r\n")
     assert harness.read_status(client) == 503
@@ -415,7 +418,7 @@
 def test_a_long_request_that_could_not_be_sent_goes_to_another_endpoint(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """While nothing of its body has been taken."""
+    """The body can still be sent, as nothing of it has been taken."""
     harness = make_harness(upstreams=2, limits={"memory_mb": 24})
     harness.listeners[0].close()
     body = random_bytes(2 * MB)
@@ -433,7 +436,7 @@
 def test_an_invalid_long_request_leaves_no_state(
     harness: SidecarHarness, invalid_header: dict[str, str]
 ) -> None:
-    """Its buffers are given back."""
+    """All buffers are released."""
     client = begin_upload(harness, b"x" * 2 * MB, **invalid_header)
     client.sendall(b"x" * 200000)
     assert harness.read_status(client) in (400, 404)
@@ -444,7 +447,7 @@
 def test_the_time_of_a_request_counts_from_its_last_byte(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Its body comes in pieces for longer than its latency objective, all of which is left then."""
+    """The body arrives for longer than the latency objective, which then counts in full."""
     harness = make_harness(settings={"categories": request_class_settings(200000)})
     body = random_bytes(30000)
     client = begin_upload(harness, body, x_expires_in_ms="390")
@@ -459,14 +462,14 @@
 
 
 def test_a_slow_steady_body_is_accepted_and_a_stalled_one_gets_408(harness: SidecarHarness) -> None:
-    """At 32 kB/s for a short time."""
+    """The steady body arrives at 32 kB/s."""
     body = random_bytes(100000)
     steady, stalled = begin_upload(harness, body), begin_upload(harness, body, x_trace_id="t2")
     stalled.sendall(body[:5000])
     for start in range(0, len(body), 5000):
         harness.run_for(5000 / 32000)
         steady.sendall(body[start : start + 5000])
-    # The head's time and 5 kB at the slowest pace are long over for the one that has stalled.
+    # The stalled request has exceeded the request timeout and the time for 5 kB at the minimum rate.
     assert harness.log_lines("request.unfit") and harness.read_status(stalled) == 408
     upstream = harness.accept()
     assert harness.read_request(upstream)[1] == body
@@ -475,7 +478,7 @@
 
 
 def test_an_absolute_target_is_forwarded_as_a_path(harness: SidecarHarness) -> None:
-    """RFC 9112, 3.2.2."""
+    """RFC 9112, 3.2.2 allows targets in absolute form."""
     client = harness.send_request(request_line="GET http://backend.local/look/1?q=2 HTTP/1.1")
     upstream = harness.accept()
     request, _ = harness.read_request(upstream)
@@ -484,23 +487,23 @@
     assert harness.read_status(client) == 200
 
 
-# The flow itself.
+# Body streams.
 
 
 class RecordingEnd:
-    """One end of a body stream."""
+    """One end of a body stream, which records its messages."""
 
     def __init__(self) -> None:
         """Prepare an empty mailbox."""
         self.messages = []
 
     def post(self, message: object) -> None:
-        """Note a message."""
+        """Record a message."""
         self.messages.append(message)
 
 
 def test_a_body_stream_notifies_its_ends_once_and_releases_its_buffers() -> None:
-    """The source and the sink are notified of a change only until they have handled it."""
+    """An end that has been notified of a change is not notified again until it has handled that."""
     pool, source, sink = BufferPool(64), RecordingEnd(), RecordingEnd()
     stream = BodyStream(pool, source, None, BufferedBody(pool))
     stream.sink = sink
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,8 +1,8 @@
-"""Rule 4 in a whole fleet: what all sidecars send one endpoint that is warming up, counted where it arrives.
+"""A whole fleet does not overload an endpoint that is warming up (rule 4); requests are counted on arrival.
 
-Each sidecar keeps its share of the slow-start budget by itself. An endpoint that is warming up is overloaded
-when it gets more than N + 2 * sqrt(N) + 2 requests of mean service time within the overload window of the
-settings, N being what the settings allow it then. Time is stepped.
+Each sidecar keeps to its share of the slow-start budget on its own. An endpoint that is warming up is
+overloaded if it receives more than N + 2 * sqrt(N) + 2 requests of mean service time within the overload
+window of the settings, where N is the number that the settings allow at that time. Time is simulated.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from starlingwheel.decisions.events import WatchEvent
 from starlingwheel.decisions.model import Attempt, AttemptOutcome
 
-RESTART = 50.0  # seconds: when the endpoint is restarted
-CONNECT_TIME = 0.25  # seconds within which a connection comes up
-LOAD = 1.0  # requests of all clients, relative to what overloads the endpoint when it is warm
+RESTART = 50.0  # seconds; the time at which the endpoint is restarted
+CONNECT_TIME = 0.25  # seconds within which a connection is established
+LOAD = 1.0  # request rate of all clients, relative to the rate that overloads a warm endpoint
 SHORT_RAMP = {
     "slow_start_initial_fraction": 0.25,
     "slow_start_duration": 8.0,
@@ -40,7 +40,7 @@
 
 
 class Fleet:
-    """Sidecars with one endpoint, and the requests that arrive there from those that have been notified."""
+    """Sidecars with one endpoint, which get requests for it once they are notified of its restart."""
 
     def __init__(
         self,
@@ -51,9 +51,12 @@
         ramp: dict[str, float],
         slow_connects: bool = False,
     ) -> None:
-        """`service_time`: seconds; `slow_connects`: connections come up late, all at once."""
+        """Create the processes; `service_time` is in seconds.
+
+        With `slow_connects`, connections are established late and all at the same time.
+        """
         self.make_host, self.service_time, self.rng = make_host, service_time, rng
-        # The objective is a multiple of the service time, as in any deployment.
+        # The latency objective is a multiple of the service time, as in any deployment.
         self.request_class = RequestClass(
             "look",
             RetrySafety.IDEMPOTENT,
@@ -77,7 +80,7 @@
         self.hosts = [self.new_process() for _ in range(sidecars)]
 
     def new_process(self, experienced: bool = True) -> FakeHost:
-        """A process of a sidecar, which has learned the latency or has just begun."""
+        """Return a process of a sidecar, which has learned the latency if it is `experienced`."""
         host: FakeHost = self.make_host(endpoints=1, seed=self.rng.getrandbits(32), **self.config)
         if experienced:
             host.serve(40, duration=self.service_time, request_class=self.request_class)
@@ -86,64 +89,64 @@
         return host
 
     def notify(self, host: FakeHost) -> None:
-        """Of the restart of the endpoint."""
+        """Notify a process of the restart of the endpoint."""
         self.advance(host)
         host.list_endpoints(WatchEvent.DELTA, "u0", started=RESTART)
         self.notified[host] = True
 
     def advance(self, host: FakeHost) -> None:
-        """Bring a process to the present time; what it cancelled ends."""
+        """Advance the clock of a process to the current time, and end the attempts that it has cancelled."""
         host.advance(self.now - host.scheduler.now)
         for attempt in [attempt for attempt in host.cancelled if attempt.pending]:
             host.end_attempt(attempt, AttemptOutcome.CANCELLED)
 
     def schedule(self, at: float, event: Callable[..., None], *arguments: object) -> None:
-        """Call `event` at a time."""
+        """Call `event` at the time `at`."""
         heapq.heappush(self.scheduled, (at, next(self.order), event, arguments))
 
     def submit(self, host: FakeHost) -> None:
-        """A client's request at this process; its attempts arrive now or when their connection is up."""
+        """Submit a client's request; its attempts arrive now, or when their connection is established."""
         self.advance(host)
         if host not in self.notified:
             return
         host.submit(self.request_class, time_left=24 * self.service_time)
         while host.attempts:
             attempt = host.attempts.pop()
-            # The worst that late connections can do: what was sent over a while arrives in one burst.
+            # The worst case of slow connects: requests sent over some time arrive in one burst.
             at = (self.now // self.connect_time + 1) * self.connect_time if self.connect_time else self.now
             self.schedule(at, self.arrive, host, attempt)
 
     def arrive(self, host: FakeHost, attempt: Attempt) -> None:
-        """The endpoint serves one at a time, in order of arrival, as slowly as the settings allow."""
+        """Serve an attempt at the endpoint, in order of arrival and as slowly as the settings allow."""
         self.arrivals.append(self.now)
         begin = max(self.endpoint_free_at, self.now)
         self.endpoint_free_at = begin + self.service_time / self.slow_start_fraction(self.now)
         self.schedule(self.endpoint_free_at, self.respond, host, attempt)
 
     def respond(self, host: FakeHost, attempt: Attempt) -> None:
-        """The response to an attempt arrives, unless it was cancelled."""
+        """Deliver the response to an attempt, unless that was cancelled."""
         self.advance(host)
         if attempt.pending:
             host.end_attempt(attempt)
 
     def run(self) -> None:
-        """All that is scheduled, until the endpoint is warm."""
+        """Run the scheduled events until the endpoint is warm."""
         while self.scheduled and self.scheduled[0][0] < self.end:
             self.now, _, event, arguments = heapq.heappop(self.scheduled)
             event(*arguments)
 
     def allowed(self, at: float) -> float:
-        """N: the requests that the settings allow in a window that ends then."""
+        """Return N, the number of requests that the settings allow in a window that ends at `at`."""
         factor, window = self.config["overload_factor"], self.config["overload_window"]
         return factor * self.slow_start_fraction(at) * window / self.service_time
 
     def slow_start_fraction(self, at: float) -> float:
-        """The capacity of the endpoint then, relative to a warm one."""
+        """Return the capacity of the endpoint at `at`, relative to a warm one."""
         initial = self.config["slow_start_initial_fraction"]
         return initial + (1 - initial) * (at - RESTART) / self.config["slow_start_duration"]
 
     def peak_load(self) -> float:
-        """The most requests in a window, relative to what overloads the endpoint."""
+        """Return the most requests in any window, relative to the number that overloads the endpoint."""
         window = self.config["overload_window"]
         recent: deque[float] = deque()
         peak = 0.0
@@ -160,31 +163,31 @@
 Event = Callable[[Fleet], None]
 
 
-# The traffic of the clients; `rate`: requests a second of the whole fleet.
+# The traffic of the clients; `rate` is in requests per second of the whole fleet.
 
 
 def even(fleet: Fleet, rate: float) -> None:
-    """The same at each process."""
+    """Send the same rate to each process."""
     for host in fleet.hosts:
         steady(fleet, host, rate / len(fleet.hosts))
 
 
 def uneven(fleet: Fleet, rate: float) -> None:
-    """Half of all at one process, little at most of the others."""
+    """Send half of the requests to one process, and few to most of the others."""
     shares = [0.5**i for i in range(1, len(fleet.hosts) + 1)]
     for host, share in zip(fleet.hosts, shares, strict=True):
         steady(fleet, host, rate * max(share, 0.2 / len(fleet.hosts)))
 
 
 def steady(fleet: Fleet, host: FakeHost, rate: float) -> None:
-    """Requests at one process until the endpoint is warm."""
+    """Send requests to one process until the endpoint is warm."""
     at = fleet.now
     while (at := at + fleet.rng.expovariate(rate)) < fleet.end:
         fleet.schedule(at, fleet.submit, host)
 
 
 def bursts(fleet: Fleet, rate: float) -> None:
-    """A quiet time, then clients of all processes send at once and some go on, several times."""
+    """Send bursts to all processes after quiet times, each of which tapers off."""
     length = fleet.end - RESTART
     for part in (0.05, 0.2, 0.35, 0.5, 0.65, 0.85):
         for host in fleet.hosts:
@@ -194,35 +197,38 @@
                 at += fleet.rng.random() * length / 100
 
 
-# When the processes are notified of the restart.
+# The times at which the processes are notified of the restart.
 
 
 def at_once(fleet: Fleet) -> None:
-    """All at the same time."""
+    """Notify all processes at the same time."""
     for host in fleet.hosts:
         fleet.notify(host)
 
 
 def one_by_one(fleet: Fleet) -> None:
-    """Each at a time of its own, up to 4 s late; until then it does not count and sends nothing here."""
+    """Notify each process at a different time, up to 4 s late; until then it sends the endpoint nothing."""
     for host in fleet.hosts:
         fleet.schedule(RESTART + 4 * fleet.rng.random(), fleet.notify, host)
 
 
-# What happens to the processes.
+# Changes of the processes.
 
 
 def unchanged(fleet: Fleet) -> None:
-    """Nothing."""
+    """Change nothing."""
 
 
 def third_down(fleet: Fleet) -> None:
-    """A third are gone; their share is unused."""
+    """Remove a third of the processes, whose share is then unused."""
     fleet.hosts = fleet.hosts[: -(len(fleet.hosts) // 3) or None]
 
 
 def restarted(fleet: Fleet) -> None:
-    """One after another, within 2 s: the new process does not know what the one before has sent."""
+    """Restart the processes one after another within 2 s.
+
+    A new process does not know what the one before it has sent.
+    """
 
     def restart(host: FakeHost) -> None:
         fleet.notified.pop(host, None)
@@ -235,7 +241,7 @@
 
 
 def doubled(fleet: Fleet) -> None:
-    """All are replaced at the same time: for a while two processes of each sidecar have clients."""
+    """Replace all processes at the same time, so that for a while two of each sidecar have clients."""
 
     def replace(host: FakeHost) -> None:
         fleet.advance(host)
@@ -258,13 +264,13 @@
     notification: Event = at_once,
     processes: Event = unchanged,
     seeds: int = 1,
-    **more: Any,  # noqa: ANN401
+    **options: Any,  # noqa: ANN401
 ) -> float:
-    """The highest peak load of some runs; `more`: arguments of `Fleet`."""
+    """Return the highest peak load of some runs; `options` are arguments of `Fleet`."""
     peak = 0.0
     for seed in range(seeds):
         rng = random.Random(f"{seed} {sidecars} {service_time}")
-        fleet = Fleet(make_host, sidecars, service_time, rng, **more)
+        fleet = Fleet(make_host, sidecars, service_time, rng, **options)
         notification(fleet)
         processes(fleet)
         traffic(fleet, LOAD * fleet.allowed(fleet.end) / fleet.config["overload_window"])
@@ -290,7 +296,7 @@
     notification: Event,
     slow_connects: bool,
 ) -> None:
-    """Whatever the traffic, and whenever each sidecar is notified."""
+    """Holds for each kind of traffic, and whenever the sidecars are notified."""
     peak = peak_load(
         make_host, sidecars, service_time, traffic, notification, ramp=ramp, slow_connects=slow_connects
     )
@@ -301,7 +307,7 @@
 @pytest.mark.parametrize("traffic", [even, bursts])
 @pytest.mark.parametrize("ramp, service_time", [(SHORT_RAMP, 0.02), (LONG_RAMP, 0.15)])
 @pytest.mark.parametrize("sidecars", [1, 5, 20, 30])
-def test_it_is_not_overloaded_while_processes_come_and_go(
+def test_an_endpoint_that_is_warming_up_is_not_overloaded_while_processes_change(
     make_host: MakeHost,
     sidecars: int,
     ramp: dict[str, float],
@@ -309,21 +315,21 @@
     traffic: Traffic,
     processes: Event,
 ) -> None:
-    """Down, restarted or replaced."""
+    """A third of the processes are down, or all are restarted or replaced."""
     assert 0 < peak_load(make_host, sidecars, service_time, traffic, processes=processes, ramp=ramp) <= 1
 
 
-def test_hundreds_of_sidecars_that_send_at_once_after_a_quiet_time_do_not_overload_it(
+def test_hundreds_of_sidecars_that_send_at_once_do_not_overload_an_endpoint_that_is_warming_up(
     make_host: MakeHost,
 ) -> None:
-    """None of them knows what the others send."""
+    """They send after a quiet time, and none of them knows what the others send."""
     assert 0 < peak_load(make_host, 200, 0.15, bursts, ramp=LONG_RAMP, seeds=1) <= 1
 
 
 def test_requests_that_wait_for_a_load_poll_do_not_all_go_to_the_endpoint_that_answered(
     make_host: MakeHost,
 ) -> None:
-    """It is polled for all while the budget allows some; the budget is checked again after the poll."""
+    """The endpoint is polled for all of them; the budget, which allows some, is checked again afterwards."""
     ramp = SHORT_RAMP | {
         "slow_start_initial_fraction": 0.1,
         "slow_start_duration": 80.0,
