--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -280,7 +280,7 @@
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
                 for stream_exchange in [e for e in self.streams.values() if e.unsent]:
                     if self.context.gate.exchange_refusal(stream_exchange.exchange):
-                        # The client may have disconnected, and no `CancelExchange` is certain to come.
+                        # The client may have disconnected, and a `CancelExchange` does not always follow.
                         self._cancel(stream_exchange.exchange, AttemptOutcome.CANCELLED)
                     else:
                         self._send_body(stream_exchange)
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -100,7 +100,7 @@
                     exchange.pending.request.max_attempts = 1
                 if body.is_consumed:
                     self.check_still_needed(exchange)
-                # The request may run from its last byte on: if the connection breaks now, nobody can tell.
+                # The request may run from its last byte on; a broken connection hides whether that arrived.
                 exchange.written = body.taken == body.length
                 try:
                     yield from self._write_part(exchange, part.views())
