--- a/tests/link_network.py
+++ b/tests/link_network.py
@@ -1,4 +1,4 @@
-"""Members whose links run on real sockets, on loops that the test steps under a clock of its own."""
+"""Members whose links use real sockets, on event loops that the test steps under a simulated clock."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from starlingwheel.net.fleet.messages import FrameReceived, LinkDown, LinkUp, ViewChanged
 from starlingwheel.net.loop import Loop
 
-STEP = 0.001  # seconds between turns
-WAIT = 8.0  # seconds of the test's clock within which something happens
+STEP = 0.001  # simulated seconds between two steps
+WAIT_TIMEOUT = 8.0  # simulated seconds
 T = TypeVar("T")
 
 
 class Clock:
-    """Goes on with the turns of the test, however busy the machine is."""
+    """A simulated clock that advances with the steps of the test, independent of the machine's load."""
 
     def __init__(self) -> None:
         """Start at an arbitrary time."""
@@ -32,16 +32,16 @@
 
 
 class LinkedMember:
-    """A member: its links on a loop of their own, and the messages that they give out."""
+    """A member with its links on an event loop of its own, which records the messages to its host."""
 
     def __init__(self, clock: Clock, name: str, hello: frames.HelloFrame | None = None) -> None:
-        """`hello`: what it greets with; None: what it should."""
+        """`hello`: the hello that it sends; None: the correct one."""
         self.id = f"{name}.00"
-        self.defects: list[Exception] = []
+        self.errors: list[Exception] = []
         self.messages: list[object] = []
         self.log_lines: list[tuple[str, dict[str, object]]] = []
         self.needs_link_to: set[str] = set()
-        self.loop = Loop(lambda actor, error: self.defects.append(error))
+        self.loop = Loop(lambda actor, error: self.errors.append(error))
         self.loop.now = clock
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
@@ -68,12 +68,12 @@
         return [message for message in self.messages if isinstance(message, kind)]
 
     def request_frames(self) -> list[object]:
-        """Return the frames that were received and are no heartbeats."""
+        """Return the received frames that are not heartbeats."""
         received = [message.frame for message in self.messages_of(FrameReceived)]
         return [frame for frame in received if not isinstance(frame, frames.HeartbeatFrame)]
 
     def established_links(self) -> dict[str, PeerLink]:
-        """Return the links as the host knows them from the messages."""
+        """Return the links that the host knows from its messages."""
         links: dict[str, PeerLink] = {}
         for message in self.messages:
             if isinstance(message, LinkUp):
@@ -84,15 +84,15 @@
 
     @property
     def reasons(self) -> Counter[str]:
-        """Why links have ended."""
+        """The number of ended links by reason code."""
         return self.links.reasons
 
 
 class LinkNetwork:
-    """Members whose loops take turns in a random order."""
+    """Members whose event loops run in a random order."""
 
     def __init__(self, seed: int = 1) -> None:
-        """`seed`: of the order of turns."""
+        """`seed`: of the order in which the loops run."""
         self.members: list[LinkedMember] = []
         self.rng = random.Random(seed)
         self.clock = Clock()
@@ -103,43 +103,43 @@
         self.members.append(LinkedMember(self.clock, name, hello))
         return self.members[-1]
 
-    def set_view(self, shards: int, *who: LinkedMember) -> None:
-        """Have members (all unless named) see the members in so many shards."""
-        everybody = [one.member for one in self.members]
-        for one in who or self.members:
-            one.links.post(ViewChanged(MembershipView(everybody, shards), False))
+    def set_view(self, shards: int, *receivers: LinkedMember) -> None:
+        """Send a view of all members in that number of shards to `receivers`, by default to all."""
+        all_members = [one.member for one in self.members]
+        for one in receivers or self.members:
+            one.links.post(ViewChanged(MembershipView(all_members, shards), False))
 
     def step(self) -> None:
-        """Have some members take a turn, and the clock go on."""
+        """Run the loops of a random selection of members once, and advance the clock."""
         for one in self.rng.sample(self.members, self.rng.randint(1, len(self.members))):
             one.loop.run_once(0)
         self.clock.time += self.step_seconds
 
-    def wait_until(self, condition: Callable[[], T], within: float = WAIT) -> T:
-        """Step until a condition holds; return its result."""
+    def wait_until(self, condition: Callable[[], T], within: float = WAIT_TIMEOUT) -> T:
+        """Step until the condition is true, and return its result."""
         end = self.clock() + within
         while self.clock() < end:
             if result := condition():
                 return result
             self.step()
-        raise AssertionError("it has not happened")
+        raise AssertionError("the condition has not become true in time")
 
     def advance(self, seconds: float) -> None:
-        """Step for so many seconds."""
+        """Step for that many simulated seconds."""
         end = self.clock() + seconds
         while self.clock() < end:
             self.step()
 
     def close(self) -> None:
-        """Close all sockets; nothing may have failed unexpectedly."""
+        """Close all sockets, and check that no actor has raised an exception."""
         for one in self.members:
             one.loop.close()
             one.sock.close()
-            assert not one.defects
+            assert not one.errors
 
 
 def names_in_shards(count: int, *shards: int) -> list[str]:
-    """Return a name in each of these shards, in the order of the alphabet."""
+    """Return a name for each of these shards out of `count`, in alphabetical order."""
     names, number = [], 0
     for shard in shards:
         while MembershipView([], count).shard_of_member(f"n{number:03d}.00") != shard:
@@ -150,7 +150,7 @@
 
 
 def connected(one: LinkedMember, other: LinkedMember) -> bool:
-    """Whether both have a link to the other, and it is the same connection."""
+    """Return whether both members have a link to each other over the same connection."""
     mine, theirs = one.links.links.get(other.id), other.links.links.get(one.id)
     if mine is None or theirs is None or mine.end_reported or theirs.end_reported:
         return False
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -66,7 +66,7 @@
 
 
 def test_members_of_one_shard_are_linked_and_others_are_not(make_network: MakeNetwork) -> None:
-    """Links follow the shards of the view."""
+    """A member of another shard is dialed only on demand."""
     network = make_network()
     for name in names_in_shards(2, 0, 0, 0, 1, 1):
         network.add(name)
@@ -81,10 +81,10 @@
             assert set(one.established_links()) == {other.id for other in shard} - {one.id}
 
 
-@pytest.mark.parametrize("who", [0, 1])
-def test_a_member_of_either_shard_can_dial_one_of_the_other(pair: LinkNetwork, who: int) -> None:
-    """A second request to dial changes nothing."""
-    one, other = pair.members[who], pair.members[1 - who]
+@pytest.mark.parametrize("dialer", [0, 1])
+def test_a_member_of_either_shard_can_dial_one_of_the_other(pair: LinkNetwork, dialer: int) -> None:
+    """A second request to dial has no effect."""
+    one, other = pair.members[dialer], pair.members[1 - dialer]
     assert not one.links.links
     one.links.post(DialMember(other.id))
     pair.wait_until(lambda: other.id in one.established_links() and one.id in other.established_links())
@@ -97,7 +97,7 @@
 def dial_simultaneously(
     make_network: MakeNetwork, seed: int, within: float = 8.0
 ) -> tuple[LinkNetwork, bool]:
-    """Both dial in one moment. Return whether one link, the same for both, is left."""
+    """Have both members dial at the same time. Return whether exactly one link remains, the same for both."""
     network = make_network(seed)
     for name in names_in_shards(2, 0, 1):
         network.add(name)
@@ -121,13 +121,13 @@
 
 
 def test_of_two_simultaneous_dials_one_link_remains_the_same_for_both(make_network: MakeNetwork) -> None:
-    """In many orders of turns, and both hosts are told of one link only."""
+    """In many random orders of events, each host is informed of one link only."""
     rejected = 0
     for seed in range(40):
         network, same = dial_simultaneously(make_network, seed)
         assert same
         for one in network.members:
-            assert len(one.messages_of(LinkUp)) == 1  # the host was told of no other one
+            assert len(one.messages_of(LinkUp)) == 1  # the host was informed of no other link
             assert (
                 not one.messages_of(LinkDown)
                 and not one.messages_of(MemberUnreachable)
@@ -137,10 +137,10 @@
     assert rejected > 10
 
 
-def test_without_the_check_of_dials_two_simultaneous_ones_end_each_other(
+def test_without_the_check_of_dials_two_simultaneous_dials_end_each_other(
     make_network: MakeNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Shows that the test before depends on the check."""
+    """The test above is strict enough: it fails without the check."""
     monkeypatch.setattr(LinkManager, "_check_accepts_dial", lambda self, member: None)
     assert not all(
         dial_simultaneously(make_network, seed, within=timing.HANDSHAKE_TIMEOUT)[1] for seed in range(40)
@@ -148,7 +148,7 @@
 
 
 def test_a_link_that_neither_side_needs_closes_without_loss(pair: LinkNetwork) -> None:
-    """The end is no sign that the process has ended, and leaves no socket."""
+    """The end of an idle link must not be taken for the end of the process, and must not leak a socket."""
     one, other = pair.members
     one.links.post(DialMember(other.id))
     pair.wait_until(lambda: connected(one, other))
@@ -166,23 +166,26 @@
     )  # their listening sockets
 
 
-@pytest.mark.parametrize("who", [0, 1])
-def test_a_link_that_one_side_needs_stays_open(pair: LinkNetwork, who: int) -> None:
-    """It closes once that side does not need it either."""
+@pytest.mark.parametrize("needing", [0, 1])
+def test_a_link_that_one_side_needs_stays_open(pair: LinkNetwork, needing: int) -> None:
+    """The link closes once that side no longer needs it either."""
     one, other = pair.members
-    pair.members[who].needs_link_to.add(pair.members[1 - who].id)
+    pair.members[needing].needs_link_to.add(pair.members[1 - needing].id)
     one.links.post(DialMember(other.id))
     pair.wait_until(lambda: connected(one, other))
     pair.advance(timing.IDLE_LINK_TIMEOUT * 2)
     assert connected(one, other) and len(one.messages_of(LinkUp)) == 1
-    pair.members[who].needs_link_to.clear()
+    pair.members[needing].needs_link_to.clear()
     pair.wait_until(lambda: not one.established_links() and not other.established_links())
 
 
 def close_idle_as_request_begins(
     make_network: MakeNetwork, seed: int
 ) -> tuple[LinkNetwork, LinkedMember, LinkedMember]:
-    """A request begins on one side in the moment in which the other side closes the link as idle."""
+    """Begin a request on one side just as the other side closes the link as idle.
+
+    Return the network, the member with the request and the member that closed the link.
+    """
     network = make_network(seed)
     for name in names_in_shards(2, 0, 1):
         network.add(name)
@@ -198,7 +201,7 @@
     last_used = min(theirs.activity.last_request_frame, link.activity.last_request_frame)
     while network.clock() < last_used + timing.IDLE_LINK_TIMEOUT - 0.1:
         network.step()
-    # The other side takes turns alone until it has closed the link.
+    # Only the other side's loop runs until it has closed the link.
     while other.links.links:
         other.loop.run_once(0)
         network.clock.time += STEP
@@ -211,12 +214,12 @@
 def test_a_request_that_begins_as_a_link_closes_opens_a_new_one_and_loses_nothing(
     make_network: MakeNetwork,
 ) -> None:
-    """The frame that came too late is sent again on the new link."""
+    """The frame that arrived after the close is sent again on the new link."""
     for seed in range(3):
         network, one, other = close_idle_as_request_begins(make_network, seed)
         network.wait_until(lambda one=one: one.messages_of(LinkDown))
         assert one.reasons["at-rest"] == 1 and other.request_frames() == [FIRST_FRAME]
-        # As the replicator does when a link ends that it needs.
+        # The replicator does the same when a link ends that it needs.
         one.links.post(DialMember(other.id))
         network.wait_until(lambda one=one, other=other: other.id in one.established_links())
         one.established_links()[other.id].post(SendFrame(encode_frame(SECOND_FRAME)))
@@ -226,7 +229,7 @@
 
 
 def test_links_to_former_peers_close_and_new_peers_are_dialed(make_network: MakeNetwork) -> None:
-    """As the number of shards changes, and back."""
+    """The number of shards changes from one to two and back."""
     network = make_network()
     for name in names_in_shards(2, 0, 0, 1, 1):
         network.add(name)
@@ -243,7 +246,7 @@
 
 
 def test_a_member_with_another_shard_count_is_rejected_and_dials_again(make_network: MakeNetwork) -> None:
-    """Until both have a view of the same number of shards."""
+    """Both members are linked once their views have the same number of shards."""
     network = make_network()
     for name in names_in_shards(4, 0, 0):
         network.add(name)
@@ -259,8 +262,8 @@
     network.wait_until(lambda: connected(one, other))
 
 
-def test_a_member_that_no_link_reaches_in_time_is_reported_as_unreachable(pair: LinkNetwork) -> None:
-    """So is one that is in no view."""
+def test_a_member_that_is_not_reached_in_time_is_reported_as_unreachable(pair: LinkNetwork) -> None:
+    """A member that is not in the view is reported as well."""
     one, other = pair.members
     pair.set_view(4, other)
     one.links.post(DialMember(other.id))
@@ -273,7 +276,7 @@
 
 
 def test_a_process_that_has_ended_is_reported_at_once(pair: LinkNetwork) -> None:
-    """A rejected connection needs no timeout."""
+    """A refused connection is reported without a timeout."""
     one, other = pair.members
     other.links.loop.unregister(other.sock.fileno())
     other.sock.close()
@@ -283,23 +286,24 @@
     other.loop.close()
 
 
-def test_a_dial_after_one_side_alone_lost_the_link_shows_that_and_gets_a_new_one(pair: LinkNetwork) -> None:
-    """The rejected dial has the other side probe its link."""
+def test_a_dial_replaces_a_link_that_only_one_side_has_lost(pair: LinkNetwork) -> None:
+    """The first dial is rejected, but has the other side probe its link and notice that it has ended."""
     one, other = pair.members
     one.needs_link_to.add(other.id)
     other.needs_link_to.add(one.id)
     one.links.post(DialMember(other.id))
     pair.wait_until(lambda: connected(one, other))
-    # The side of the greater id ends; the other one does not see that, as where the network drops it.
-    there = other.links.links[one.id]
-    silent = socket.socket(fileno=socket.dup(there.connection.sock.fileno()))
-    there.post(CLOSE)
+    # The side of the greater id closes its link. The duplicate descriptor keeps the connection open, so that
+    # the other side does not notice, as if the network had dropped the packets.
+    their_link = other.links.links[one.id]
+    duplicate = socket.socket(fileno=socket.dup(their_link.connection.sock.fileno()))
+    their_link.post(CLOSE)
     pair.wait_until(lambda: other.messages_of(LinkDown))
     assert connected(one, other) is False and other.id in one.established_links()
     other.links.post(DialMember(one.id))
     pair.wait_until(lambda: one.reasons["crossed"])
-    silent.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-    silent.close()
+    duplicate.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+    duplicate.close()
     pair.wait_until(lambda: connected(one, other))
     assert not other.messages_of(MemberUnreachable)
 
@@ -317,19 +321,19 @@
 def test_a_wrong_hello_is_rejected_and_the_frames_after_it_are_ignored(
     pair: LinkNetwork, changed: dict[str, object], reason: str
 ) -> None:
-    """The host gets no message at all."""
+    """The host of the accepting member receives no message at all."""
     one, other = pair.members
     hello = msgspec.structs.replace(frames.HelloFrame("f", frames.PROTOCOL_VERSION, other.id, 2), **changed)
-    with socket.create_connection(one.sock.getsockname()) as caller:
-        caller.sendall(
+    with socket.create_connection(one.sock.getsockname()) as client:
+        client.sendall(
             encode_frame(hello) + encode_frame(FIRST_FRAME) + encode_frame(frames.HeartbeatFrame(1, False))
         )
         pair.wait_until(lambda: one.reasons[reason])
         assert not one.messages
 
 
-def test_a_member_that_answers_under_another_name_is_rejected(make_network: MakeNetwork) -> None:
-    """The dialing side checks the member's id."""
+def test_a_member_that_answers_with_another_id_is_rejected(make_network: MakeNetwork) -> None:
+    """The dialing side checks the id in the hello."""
     network = make_network()
     one_name, other_name = names_in_shards(1, 0, 0)
     one = network.add(one_name)
@@ -341,26 +345,26 @@
 
 
 def test_an_incomplete_frame_is_ignored_when_the_link_ends(pair: LinkNetwork) -> None:
-    """Also where it is the hello."""
+    """The same holds for an incomplete hello."""
     one, other = pair.members
     hello = encode_frame(frames.HelloFrame("f", frames.PROTOCOL_VERSION, other.id, 2))
-    with socket.create_connection(one.sock.getsockname()) as caller:
-        caller.sendall(hello + encode_frame(FIRST_FRAME)[:-1])
+    with socket.create_connection(one.sock.getsockname()) as client:
+        client.sendall(hello + encode_frame(FIRST_FRAME)[:-1])
         pair.wait_until(lambda: one.established_links())
         pair.advance(0.05)
         assert not one.request_frames()
     pair.wait_until(lambda: not one.established_links())
     assert not one.request_frames()
-    with socket.create_connection(one.sock.getsockname()) as caller:
-        caller.sendall(hello[:-1])
+    with socket.create_connection(one.sock.getsockname()) as client:
+        client.sendall(hello[:-1])
         pair.wait_until(lambda: one.reasons["no-greeting"])
     assert len(one.messages_of(LinkUp)) == 1
 
 
-def test_on_an_idle_link_a_heartbeat_is_answered_at_once_so_that_one_side_waits(
+def test_on_an_idle_link_a_heartbeat_is_answered_at_once(
     connected_pair: LinkNetwork,
 ) -> None:
-    """Both sides' heartbeats together are few."""
+    """The heartbeats of both sides stay aligned, so each side sends about one per interval."""
     network = connected_pair
     one, other = network.members
     network.advance(timing.ACTIVE_PERIOD + 0.5)
@@ -374,7 +378,10 @@
 def test_an_idle_shard_sends_a_few_heartbeats_a_second_whatever_its_size(
     make_network: MakeNetwork, count: int, silent: float
 ) -> None:
-    """The interval grows with the links; a member that hangs is noticed later."""
+    """The interval grows with the number of links, so a hung member is noticed later.
+
+    `silent`: seconds without a frame after which the link to it counts as lost.
+    """
     network = make_network()
     for number in range(count):
         network.add(f"n{number:03d}")
@@ -384,30 +391,30 @@
     network.advance(20.0)
     before = [len(one.messages_of(FrameReceived)) for one in network.members]
     network.advance(40.0)
-    for one, heard in zip(network.members, before, strict=True):
-        assert len(one.messages_of(FrameReceived)) - heard <= 1.1 * 40.0 * timing.IDLE_HEARTBEATS_PER_SECOND
+    for one, earlier in zip(network.members, before, strict=True):
+        assert len(one.messages_of(FrameReceived)) - earlier <= 1.1 * 40.0 * timing.IDLE_HEARTBEATS_PER_SECOND
         assert len(one.links.links) == count - 1 and not one.messages_of(LinkDown)
-    # A member that hangs is noticed by all in three times the interval, as the page says.
+    # All members notice a hung member within three intervals, as the documentation states.
     hung = network.members.pop()
     network.advance(silent - timing.MAX_IDLE_HEARTBEAT_INTERVAL)
-    at = network.clock()
+    checked_at = network.clock()
     network.wait_until(
         lambda: all(hung.id not in one.established_links() for one in network.members), within=60.0
     )
-    assert network.clock() - at < timing.MAX_IDLE_HEARTBEAT_INTERVAL + 1.0
+    assert network.clock() - checked_at < timing.MAX_IDLE_HEARTBEAT_INTERVAL + 1.0
     network.members.append(hung)
 
 
 def test_request_frames_do_not_replace_heartbeats_where_a_policy_status_is_needed(
     connected_pair: LinkNetwork,
 ) -> None:
-    """Heartbeats go on beside them."""
+    """Heartbeats continue while frames about requests are sent."""
     network = connected_pair
     one, other = network.members
-    link, latest = one.links.links[other.id], []
+    link, heartbeats = one.links.links[other.id], []
     for _ in range(40):
         link.post(POLICY_STATUS_NEEDED)
         link.post(SendFrame(encode_frame(FIRST_FRAME)))
         network.advance(timing.HEARTBEAT_INTERVAL / 2)
-        latest.append(len(other.messages_of(FrameReceived)) - len(other.request_frames()))
-    assert latest[-1] >= 40 // 2 - 2
+        heartbeats.append(len(other.messages_of(FrameReceived)) - len(other.request_frames()))
+    assert heartbeats[-1] >= 40 // 2 - 2
--- a/tests/test_policy_over_links.py
+++ b/tests/test_policy_over_links.py
@@ -1,4 +1,4 @@
-"""Which policy members follow while the store is unavailable and each is linked to its own shard only."""
+"""Policy statuses over links while the coordination store is unavailable and links stay within a shard."""
 
 import random
 from collections.abc import Callable, Iterable, Iterator
@@ -23,15 +23,15 @@
 SHARDS = 8
 MEMBERS = 24
 MAJORITY = 13  # of the members
-Note = tuple[str, dict[str, object]]
+LogLine = tuple[str, dict[str, object]]
 
 
 class RecordingPolicyHost:
-    """The host of a `PolicyReplica` that accepts every policy and records the notes."""
+    """The host of a `PolicyReplica` that accepts every policy and records log lines."""
 
-    def __init__(self, notes: list[Note]) -> None:
-        """`notes`: where they are put."""
-        self.notes = notes
+    def __init__(self, log_lines: list[LogLine]) -> None:
+        """`log_lines`: the list that the lines are appended to."""
+        self.log_lines = log_lines
 
     def check(self, body: object) -> str:
         """Accept a policy."""
@@ -41,28 +41,28 @@
         """Store nothing."""
 
     def store_state(self) -> str:
-        """Have nothing stored."""
+        """Report that everything is stored."""
         return ""
 
     def apply_policy(self, policy: object) -> None:
-        """Apply nothing."""
+        """Do nothing."""
 
     def request_decision(self, member: str) -> None:
-        """Ask nobody."""
+        """Do nothing."""
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Record a note."""
-        self.notes.append((event, fields))
+        """Record a log line."""
+        self.log_lines.append((event, fields))
 
 
 class PolicyMember(LinkedMember):
-    """A member that follows a policy as its host has it: statuses over links, and for those who ask."""
+    """A member with a policy replica, which sends statuses over links and answers policy queries."""
 
     def __init__(self, clock: Clock, name: str) -> None:
-        """`name`: of the member."""
+        """`name`: the registered name of the member."""
         super().__init__(clock, name)
-        self.notes: list[Note] = []
-        host = RecordingPolicyHost(self.notes)
+        self.policy_log: list[LogLine] = []
+        host = RecordingPolicyHost(self.policy_log)
         now = self.loop.now()
         self.policy_replica = PolicyReplica(self.id, name, LEASE, host, now, StoredPolicy("f"))
         self.links.answer_query = self.answer_query
@@ -76,12 +76,12 @@
         """Return a heartbeat, with the policy status where it may be needed."""
         self.policy_replica.now = self.loop.now()
         self.policy_replica.unavailable_reason()
-        lapsed = self.policy_replica.needs_statuses
-        status = self.policy_replica.status() if with_status or lapsed else None
-        return frames.HeartbeatFrame(1, lapsed, status, True)
+        in_doubt = self.policy_replica.needs_statuses
+        status = self.policy_replica.status() if with_status or in_doubt else None
+        return frames.HeartbeatFrame(1, in_doubt, status, True)
 
     def answer_query(self, query: frames.PolicyQueryFrame) -> list[frames.Frame]:
-        """Return our policy status with those of others, and the decision if it is not known there."""
+        """Return our policy status with those of others, and the decision if the sender does not know it."""
         self.policy_replica.now = self.loop.now()
         others = self.policy_replica.recent_statuses(self.links.links, frames.MAX_RELAYED_STATUSES)
         answers: list[frames.Frame] = [frames.PolicyStatusFrame(self.policy_replica.status(), others)]
@@ -90,7 +90,7 @@
         return answers
 
     def handle_message(self, message: object) -> None:
-        """Take over policy statuses and decisions."""
+        """Pass received policy statuses and decisions to the replica."""
         self.policy_replica.now = self.loop.now()
         if not isinstance(message, FrameReceived):
             return
@@ -104,18 +104,18 @@
             self.policy_replica.receive_status(frame.policy_status)
 
     def unavailable_reason(self) -> str:
-        """Return why no request may be taken now; empty: the policy in force holds."""
+        """Return why no request may be accepted now; empty if requests may be accepted."""
         self.policy_replica.now = self.loop.now()
         return self.policy_replica.unavailable_reason()
 
 
 class PolicyNetwork(LinkNetwork):
-    """Members of several shards, all registered in the store; from then on it is unavailable."""
+    """Members of several shards that are registered in the store, which is unavailable from then on."""
 
     members: list[PolicyMember]
 
     def __init__(self, seed: int) -> None:
-        """`seed`: of the order of turns."""
+        """`seed`: of the order in which the loops run."""
         super().__init__(seed)
         self.members = [PolicyMember(self.clock, f"n{number:03d}") for number in range(MEMBERS)]
         records = StoreRecords()
@@ -129,9 +129,9 @@
             assert not one.unavailable_reason()
         self.set_view(SHARDS)
 
-    def members_that_doubted(self) -> list[str]:
-        """Return the members that were in doubt at any time."""
-        return [one.id for one in self.members if any(event == "policy.doubt" for event, _ in one.notes)]
+    def members_once_unavailable(self) -> list[str]:
+        """Return the members that could not accept requests at any time so far."""
+        return [one.id for one in self.members if any(event == "policy.doubt" for event, _ in one.policy_log)]
 
 
 MakePolicyNetwork = Callable[[int], PolicyNetwork]
@@ -151,73 +151,75 @@
         network.close()
 
 
-def test_without_the_store_nobody_doubts_though_each_is_linked_to_its_own_shard_only(
+def test_without_the_store_members_stay_available_with_links_to_their_own_shard_only(
     make_policy_network: MakePolicyNetwork,
 ) -> None:
-    """No member doubts the policy for six leases."""
+    """For six leases, queries to other shards provide each member with the statuses of a majority."""
     network = make_policy_network(1)
     network.advance(6 * LEASE)
-    assert not network.members_that_doubted()
+    assert not network.members_once_unavailable()
     assert max(len(one.links.links) for one in network.members) < 12
 
 
-def all_doubt_after_losing_a_majority(network: PolicyNetwork) -> bool:
-    """More than half hang. Return whether each of the others comes to doubt, and stays in it."""
+def all_unavailable_after_losing_a_majority(network: PolicyNetwork) -> bool:
+    """Hang more than half of the members; return whether all others become and stay unavailable."""
     network.advance(2 * LEASE)
     network.rng.shuffle(network.members)
     hung, network.members = network.members[:MAJORITY], network.members[MAJORITY:]
     until = network.clock() + 2 * LEASE
-    doubts: set[str] = set()
-    while len(doubts) < len(network.members) and network.clock() < until:
+    unavailable: set[str] = set()
+    while len(unavailable) < len(network.members) and network.clock() < until:
         network.step()
-        doubts |= {one.id for one in network.members if one.unavailable_reason()}
-    all_doubt = len(doubts) == len(network.members)
+        unavailable |= {one.id for one in network.members if one.unavailable_reason()}
+    all_unavailable = len(unavailable) == len(network.members)
     network.advance(LEASE)
-    all_doubt = all_doubt and all(one.unavailable_reason() == "alone" for one in network.members)
+    all_unavailable = all_unavailable and all(one.unavailable_reason() == "alone" for one in network.members)
     network.members += hung
-    return all_doubt
+    return all_unavailable
 
 
-def test_with_more_than_half_lost_all_others_doubt_however_statuses_are_relayed(
+def test_with_more_than_half_lost_all_others_become_unavailable(
     make_policy_network: MakePolicyNetwork,
 ) -> None:
-    """A relayed status does not keep members from doubt."""
-    assert all_doubt_after_losing_a_majority(make_policy_network(2))
+    """Statuses that the remaining members relay to each other do not extend their validity."""
+    assert all_unavailable_after_losing_a_majority(make_policy_network(2))
 
 
-def test_a_relay_that_made_statuses_younger_would_be_noticed(
+def test_relays_that_renewed_the_time_of_statuses_would_be_detected(
     make_policy_network: MakePolicyNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With relayed statuses dated anew, members would not doubt."""
+    """The test above is strict enough: with a new time on each relay, members would stay available."""
     recent_statuses = PolicyReplica.recent_statuses
 
-    def younger(self: PolicyReplica, members: Iterable[str], limit: int) -> list[PolicyStatus]:
+    def renewed_statuses(self: PolicyReplica, members: Iterable[str], limit: int) -> list[PolicyStatus]:
         known = {**self.statuses}
-        self.statuses = {m: msgspec.structs.replace(w, made_at=self.now) for m, w in known.items()}
+        self.statuses = {
+            member: msgspec.structs.replace(status, made_at=self.now) for member, status in known.items()
+        }
         relayed = recent_statuses(self, self.statuses, limit)
         self.statuses = known
         return relayed
 
-    monkeypatch.setattr(PolicyReplica, "recent_statuses", younger)
-    assert not all_doubt_after_losing_a_majority(make_policy_network(2))
+    monkeypatch.setattr(PolicyReplica, "recent_statuses", renewed_statuses)
+    assert not all_unavailable_after_losing_a_majority(make_policy_network(2))
 
 
-def test_a_member_that_alone_cannot_reach_the_store_does_not_doubt(
+def test_a_single_member_that_cannot_reach_the_store_stays_available(
     make_policy_network: MakePolicyNetwork,
 ) -> None:
-    """The statuses of members whose leases hold are enough."""
+    """The statuses of the members with valid leases are sufficient."""
     network = make_policy_network(3)
-    cut = network.members[0]
+    isolated = network.members[0]
     for _ in range(8):
         for one in network.members[1:]:
             one.policy_replica.lease_renewed(one.loop.now() + LEASE, 1)
         network.advance(LEASE / 2)
-    assert not network.members_that_doubted() and cut.policy_replica.needs_statuses
+    assert not network.members_once_unavailable() and isolated.policy_replica.needs_statuses
     assert all(not one.policy_replica.needs_statuses for one in network.members[1:])
 
 
 def test_a_decision_that_a_single_member_knows_reaches_all(make_policy_network: MakePolicyNetwork) -> None:
-    """Members without a link to it learn of the decision too."""
+    """Members without a link to that member receive the decision too."""
     network = make_policy_network(4)
     network.advance(1.5 * LEASE)
     body = {"settings": {}}
@@ -235,7 +237,7 @@
 def test_the_watch_is_restarted_once_a_lease_while_a_decision_is_awaited(
     make_policy_network: MakePolicyNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Not with each poll: a watch that is restarted over and over would never bring the decision."""
+    """A watch that is restarted with each poll would never deliver the decision."""
     network = make_policy_network(5)
     member = network.members[0]
     restarts: list[float] = []
@@ -252,8 +254,8 @@
     assert all(later - earlier >= LEASE for earlier, later in pairwise(restarts))
 
 
-def test_a_status_counts_by_its_own_age_whoever_relays_it() -> None:
-    """A relayed status ends with its own lease, and is not relayed after that."""
+def test_a_relayed_status_expires_by_its_original_time() -> None:
+    """An expired status does not count and is not relayed again."""
     members = {f"n{i}.00": Member(f"n{i}.00", f"n{i}", "") for i in range(3)}
     records = StoreRecords()
     records.revision, records.members = 1, members
--- a/tests/test_state_watcher.py
+++ b/tests/test_state_watcher.py
@@ -1,4 +1,4 @@
-"""What the client of the store tells of members and shards."""
+"""The views that the watcher of the coordination store publishes."""
 
 from collections.abc import Iterator
 
@@ -14,11 +14,11 @@
 LEASE = 1.0  # seconds
 
 
-class Watched:
-    """A state watcher that is given the lines of a watch, and the views that it publishes."""
+class WatcherHarness:
+    """A state watcher that receives the lines of a watch from the test, and the views that it publishes."""
 
     def __init__(self) -> None:
-        """All records are known up to revision 1."""
+        """Start as if all records up to revision 1 had been read."""
         self.messages: list[object] = []
         self.loop = Loop(lambda actor, error: None)
         self.watcher = StateWatcher(
@@ -39,27 +39,27 @@
 
     @property
     def views(self) -> list[MembershipView]:
-        """The views that were published, in order."""
+        """The published views, in order."""
         return [message.view for message in self.messages if isinstance(message, ViewChanged)]
 
 
 @pytest.fixture
-def watched() -> Iterator[Watched]:
-    """A state watcher whose loop is closed after the test."""
-    one = Watched()
-    yield one
-    one.loop.close()
+def watched() -> Iterator[WatcherHarness]:
+    """Provide a state watcher whose loop is closed after the test."""
+    harness = WatcherHarness()
+    yield harness
+    harness.loop.close()
 
 
 def event(key: str, value: object, revision: int, type_: str = "PUT") -> Event:
-    """Return a change of an entry."""
+    """Return the event of a change of an entry."""
     pair = KeyValue(encode_base64(f"/f/{key}"), encode_base64(msgspec.json.encode(value)))
     pair.create_revision = pair.mod_revision = str(revision)
     return Event(pair, type_)
 
 
-def test_views_come_in_the_order_of_changes_of_members_and_of_shards(watched: Watched) -> None:
-    """Each change of the members or shards is published by itself."""
+def test_views_come_in_the_order_of_changes_of_members_and_of_shards(watched: WatcherHarness) -> None:
+    """Each change is published by itself, because other members may use the view in between."""
     a, b, c = (Member(f"n{i}.00", f"n{i}", "") for i in range(3))
     watched.receive(
         event("members/n0.00", a, 2),
@@ -77,8 +77,10 @@
 
 
 @pytest.mark.parametrize("value", [None, 3, {}, {"count": 3}, {"count": 0}, {"count": 1 << 20}])
-def test_an_unreadable_shard_count_leaves_the_one_before(watched: Watched, value: object) -> None:
-    """A value that is no power of two in range is not taken over."""
+def test_an_invalid_shard_count_does_not_replace_the_previous_one(
+    watched: WatcherHarness, value: object
+) -> None:
+    """A value that is not a power of two within bounds is ignored."""
     member = Member("n0.00", "n0", "")
     watched.receive(event("members/n0.00", member, 2), event("cells", {"count": 4}, 3))
     watched.receive(event("cells", value, 4))
