--- a/fakes/__main__.py
+++ b/fakes/__main__.py
@@ -21,7 +21,7 @@
     store = FakeEtcd()
     store.server.host = LOCAL
     store.server.port = port
-    await store.begin()
+    await store.start()
     print(f"arbiter at {store.server.address}", flush=True)
     await asyncio.Event().wait()
 
@@ -32,17 +32,17 @@
     served = [Upstream(f"u{i}", "here", random.Random(i), SERVICE_TIME, runs) for i in range(3)]
     for number, upstream in enumerate(served):
         upstream.server.host, upstream.server.port = LOCAL, port + 1 + number
-        await upstream.server.begin()
+        await upstream.server.start()
     entries = [{"id": u.name, "addr": u.server.address, "zone": u.zone, "state": "active"} for u in served]
     endpoint_list = EndpointListServer(lambda: entries)
     endpoint_list.server.host, endpoint_list.server.port = LOCAL, port
-    await endpoint_list.server.begin()
+    await endpoint_list.server.start()
     print(f"list at {endpoint_list.server.address}", flush=True)
     printed = 0
     while True:
         await asyncio.sleep(PRINT_INTERVAL)
         for run in runs[printed:]:
-            print(f"{run.upstream} runs {run.name} ({run.request_class})", flush=True)
+            print(f"{run.upstream} runs {run.request_id} ({run.request_class})", flush=True)
         printed = len(runs)
 
 
--- a/fakes/clients.py
+++ b/fakes/clients.py
@@ -29,9 +29,9 @@
 
 @dataclass
 class ClientRequest:
-    """A request of a client, with all attempts of it. `name`: its idempotency key, if it has one."""
+    """A client's request and all its attempts. `request_id` is also its idempotency key, if it has one."""
 
-    name: str
+    request_id: str
     request_class: str
     started_at: float
     deadline: float
@@ -58,7 +58,7 @@
         self.sidecars, self.rng, self.timeout = list(addresses), rng, timeout
         self.requests: list[ClientRequest] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.make_body: Callable[[ClientRequest], bytes] = lambda request: request.name.encode()
+        self.make_body: Callable[[ClientRequest], bytes] = lambda request: request.request_id.encode()
         self.avoided: set[str] = set()  # sidecars that no client sends to unless there is no other
 
     async def send(
@@ -86,7 +86,7 @@
 
     def start_request(
         self,
-        name: str,
+        request_id: str,
         request_class: str,
         sidecar: str,
         keyed: bool = True,
@@ -95,7 +95,7 @@
         """Send one request, and the same from a second client where `duplicate_sidecar` names a sidecar."""
         now = asyncio.get_running_loop().time()
         request = ClientRequest(
-            name, request_class, now, now + self.timeout, duplicate_sidecar=duplicate_sidecar
+            request_id, request_class, now, now + self.timeout, duplicate_sidecar=duplicate_sidecar
         )
         self.requests.append(request)
         self._start_client(request, sidecar, keyed, client=0)
@@ -118,7 +118,7 @@
         loop = asyncio.get_running_loop()
         number = 0
         while (time_left := request.deadline - loop.time()) > MIN_TIME_LEFT:
-            attempt = ClientAttempt(loop.time(), sidecar, f"{request.name}-{client}-{number}")
+            attempt = ClientAttempt(loop.time(), sidecar, f"{request.request_id}-{client}-{number}")
             request.attempts.append(attempt)
             headers = self._headers(request, attempt, time_left, keyed, is_retry=number > 0)
             wait = await self._send_attempt(request, attempt, headers, time_left)
@@ -141,9 +141,9 @@
         headers = {"X-Trace-Id": attempt.trace_id, "X-Qos": request.request_class}
         headers["X-Expires-In-Ms"] = str(int(time_left * 1000))
         if keyed:
-            headers["X-Work-Name"] = request.name
+            headers["X-Work-Name"] = request.request_id
         if request.request_class == "move":
-            headers["Idempotency-Key"] = request.name
+            headers["Idempotency-Key"] = request.request_id
         if is_retry:
             headers["X-Second-Try"] = "1"
         return headers
@@ -157,7 +157,7 @@
     ) -> float:
         """Record the outcome of the attempt; return the seconds to wait before the next one."""
         method = METHODS[request.request_class]
-        target = f"/{request.request_class}/{request.name}"
+        target = f"/{request.request_class}/{request.request_id}"
         body = b"" if method == "GET" else self.make_body(request)
         wait = DEFAULT_RETRY_AFTER
         try:
--- a/fakes/discovery.py
+++ b/fakes/discovery.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from .http1 import abort
-from .loopback import own_host
+from .loopback import loopback_host
 
 KEEP_ALIVE_INTERVAL = 2.0  # seconds after which an open watch has an empty line
 MISSED_CHANGE_TIMEOUT = 6.0  # seconds after which what a sidecar missed counts as notified
@@ -69,9 +69,9 @@
         self.server: asyncio.Server | None = None
         self.address = ""
         self.calls: set[DiscoveryCall] = set()
-        self.process_restarted()
+        self.record_process_start()
 
-    def process_restarted(self) -> None:
+    def record_process_start(self) -> None:
         """A new process has started: only what is written to it counts."""
         self.started_at = asyncio.get_running_loop().time()
         for call in self.calls:
@@ -79,9 +79,9 @@
         self.written: list[tuple[float, int]] = []  # when which version was written
         self.stalled_since = inf
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Listen."""
-        self.server = await asyncio.start_server(self._connected, own_host(), 0, backlog=64)
+        self.server = await asyncio.start_server(self._connected, loopback_host(), 0, backlog=64)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
 
     async def stop(self) -> None:
@@ -131,23 +131,23 @@
         self.rng = rng
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
-        self.changed_at: dict[str, tuple[int, float]] = {}  # version and time of an entry's last change
+        self.last_changes: dict[str, tuple[int, float]] = {}  # version and time of an entry's last change
         self.frontends: list[Frontend] = []
         self.queue: deque[DiscoveryCall] = deque()
         self.call_queued = asyncio.Event()
         self.up_since = -inf
         self.down = False  # each call ends with 503 after `longest_wait`
         self.calls_per_second = inf
-        self.longest_wait = 2.0  # seconds after which a waiting call ends with 503
+        self.max_wait = 2.0  # seconds after which a waiting call ends with 503
         self.push_delay = 0.05
         self.push_fault = Fault.NONE
         self.worker: asyncio.Task[None] | None = None
 
-    async def begin(self, count: int) -> None:
+    async def start(self, count: int) -> None:
         """Open a frontend for each of so many sidecars."""
         for number in range(count):
             frontend = Frontend(self, number)
-            await frontend.begin()
+            await frontend.start()
             self.frontends.append(frontend)
         self.worker = asyncio.create_task(self._work())
 
@@ -170,7 +170,7 @@
         self.version += 1
         for entry in entries:
             self.entries[entry["id"]] = entry
-            self.changed_at[entry["id"]] = self.version, loop.time()
+            self.last_changes[entry["id"]] = self.version, loop.time()
         for frontend in self.frontends:
             for call in frontend.calls:
                 if call.watching:
@@ -183,7 +183,7 @@
             entry
             for name, entry in self.entries.items()
             if (full and entry["state"] == "active")
-            or (not full and self.changed_at.get(name, (0, 0.0))[0] > known)
+            or (not full and self.last_changes.get(name, (0, 0.0))[0] > known)
         ]
         return json.dumps({"version": self.version, "full": full, "servers": named}).encode() + b"\n"
 
@@ -193,7 +193,7 @@
         """Queue a call for its turn."""
         self.queue.append(call)
         self.call_queued.set()
-        asyncio.get_running_loop().call_later(self.longest_wait, self._time_out, call)
+        asyncio.get_running_loop().call_later(self.max_wait, self._time_out, call)
 
     def _time_out(self, call: DiscoveryCall) -> None:
         if call in self.queue:
@@ -271,12 +271,12 @@
                     abort(call.writer)
                     call.end()
 
-    def go_down(self) -> None:
+    def take_down(self) -> None:
         """Reset the watches and answer no call until `come_up`."""
         self.down = True
         self.reset_watches()
 
-    def come_up(self) -> None:
+    def bring_up(self) -> None:
         """Answer calls again."""
         self.down = False
         self.up_since = asyncio.get_running_loop().time()
--- a/fakes/etcd.py
+++ b/fakes/etcd.py
@@ -71,12 +71,12 @@
 class FakeEtcd:
     """One etcd that listens on loopback.
 
-    Faults: `down`, `reply_delay`, `lost_replies`, `canned_replies`, `freeze_reads`, `abort_watches`,
+    Faults: `take_down`, `reply_delay`, `lost_replies`, `canned_replies`, `freeze_reads`, `abort_watches`,
     `compact`, `expire_lease_of`.
     """
 
     def __init__(self) -> None:
-        """`begin` starts it."""
+        """`start` starts it."""
         self.server = Server(self._answer)
         self.store = EtcdStore()
         self.reply_delay = 0.0  # seconds before each answer
@@ -94,17 +94,17 @@
         return self.store.entries
 
     @property
-    def written(self) -> list[tuple[float, str, bytes]]:
+    def write_history(self) -> list[tuple[float, str, bytes]]:
         """Every value there ever was: when, key, value."""
-        return self.store.written
+        return self.store.write_history
 
-    async def begin(self) -> None:
-        """Listen, also again after `down`."""
-        await self.server.begin()
+    async def start(self) -> None:
+        """Listen, also again after `take_down`."""
+        await self.server.start()
         if self.expiry_task is None:
             self.expiry_task = asyncio.create_task(self._expire_leases())
 
-    async def down(self) -> None:
+    async def take_down(self) -> None:
         """Refuse and reset connections; the data stays, and leases run on."""
         await self.server.stop()
 
--- a/fakes/etcd_store.py
+++ b/fakes/etcd_store.py
@@ -94,7 +94,7 @@
         self.compacted = 0  # changes up to that revision can't be read any more
         self.last_lease = 7_000_000_000_000
         self.changed = asyncio.Event()  # set and replaced at each new revision
-        self.written: list[tuple[float, str, bytes]] = []  # every value there ever was, and when
+        self.write_history: list[tuple[float, str, bytes]] = []  # every value there ever was, and when
 
     def entries_at(self, revision: int) -> dict[bytes, Entry]:
         """Return the entries as of a revision; 0: of now. Raises `EtcdApiError`."""
@@ -132,7 +132,7 @@
         if lease:
             self.leases[lease].keys.add(key)
         self.changes.append(Change(revision, "PUT", entry))
-        self.written.append((now(), key.decode(), entry.value))
+        self.write_history.append((now(), key.decode(), entry.value))
 
     def delete(self, keys: KeyRange, revision: int) -> int:
         """Delete entries under a revision, as `put`. Returns how many there were."""
--- a/fakes/http1.py
+++ b/fakes/http1.py
@@ -12,7 +12,7 @@
 
 import h11
 
-from .loopback import own_host
+from .loopback import loopback_host
 
 READ_SIZE = 65536  # bytes read at once
 MAX_BIND_ATTEMPTS = 50
@@ -27,7 +27,7 @@
     target: str
     headers: dict[str, str]
     body: bytes
-    origin: tuple[str, int]  # the address that it came from
+    client_address: tuple[str, int]  # the address that it came from
 
 
 @dataclass
@@ -88,11 +88,11 @@
 
 
 class Server:
-    """Listens on loopback; `handler` answers each request. `stop` and `begin` may alternate."""
+    """Listens on loopback; `handler` answers each request. `stop` and `start` may alternate."""
 
     def __init__(self, handler: Handler, host: str = "") -> None:
         """`host`: where to listen; empty: on a host that no other process uses."""
-        self.handler, self.host, self.port = handler, host or own_host(), 0
+        self.handler, self.host, self.port = handler, host or loopback_host(), 0
         self.server: asyncio.Server | None = None
         self.connections: dict[asyncio.StreamWriter, asyncio.Task[Any]] = {}
         # Called before a connection closes.
@@ -103,7 +103,7 @@
         """Where it listens, host:port."""
         return f"{self.host}:{self.port}"
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Listen; at the same port as before, if it has listened before."""
         if self.server is not None:
             return
@@ -169,8 +169,10 @@
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                origin = connection.writer.get_extra_info("peername")
-                return Request(head.method.decode(), head.target.decode(), _decoded(head), body, origin)
+                client_address = connection.writer.get_extra_info("peername")
+                return Request(
+                    head.method.decode(), head.target.decode(), _decoded(head), body, client_address
+                )
             else:
                 return None
 
--- a/fakes/loopback.py
+++ b/fakes/loopback.py
@@ -11,7 +11,7 @@
 PORTS = range(10_000, 32_000)  # outside the range that the system picks ports from
 
 
-def own_host(number: int = 0) -> str:
+def loopback_host(number: int = 0) -> str:
     """Return one of 254 loopback hosts; up to 57,344 processes, by their ids, have different ones."""
     block = os.getpid() % (224 * 256)
     return f"127.{16 + block // 256}.{block % 256}.{number + 1}"
@@ -30,5 +30,5 @@
 
 def free_address() -> str:
     """Return an address, host:port, for a process to listen at."""
-    host = own_host()
+    host = loopback_host()
     return f"{host}:{free_ports(host, 1)[0]}"
--- a/fakes/relay.py
+++ b/fakes/relay.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from .http1 import READ_SIZE, abort
-from .loopback import own_host
+from .loopback import loopback_host
 
 Address = tuple[str, int]  # host and port
 
@@ -39,7 +39,7 @@
         `on_connect`: called with our own address on each new connection to the other side, by which that
         side knows whose it is, and with the address of who connected.
         """
-        self.target, self.rng, self.host, self.on_connect = target, rng, host or own_host(), on_connect
+        self.target, self.rng, self.host, self.on_connect = target, rng, host or loopback_host(), on_connect
         self.port = 0
         # By the host that connects: from it, and to it.
         self.links: dict[str, tuple[LinkDirection, LinkDirection]] = {}
@@ -61,7 +61,7 @@
     def _link_of(self, source: str) -> tuple[LinkDirection, LinkDirection]:
         return self.links.get(source) or self.link()
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Listen."""
         self.server = await asyncio.start_server(self._connection, self.host, 0, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
--- a/fakes/upstream.py
+++ b/fakes/upstream.py
@@ -15,11 +15,14 @@
 
 @dataclass(frozen=True)
 class Run:
-    """One run of a request, which begins with its last byte. `name`: its idempotency key, else its trace."""
+    """One execution of a request, which starts with the request's last byte.
+
+    `request_id`: the idempotency key; without one, the trace identifier.
+    """
 
     started_at: float
     upstream: str
-    name: str
+    request_id: str
     trace_id: str
     request_class: str
     sidecar: str
@@ -46,11 +49,11 @@
             return Response(404)
         if self.mode == "refuse":
             return Response(503, headers=NEVER_RAN)
-        name = request.headers.get("x-work-name") or request.headers.get("idempotency-key") or trace_id
+        request_id = request.headers.get("x-work-name") or request.headers.get("idempotency-key") or trace_id
         request_class = request.headers.get("x-qos", "")
         now = asyncio.get_running_loop().time()
-        sidecar = self.sidecars.get(request.origin[:2], "?")
-        self.runs.append(Run(now, self.name, name, trace_id, request_class, sidecar))
+        sidecar = self.sidecars.get(request.client_address[:2], "?")
+        self.runs.append(Run(now, self.name, request_id, trace_id, request_class, sidecar))
         if self.mode == "hang":
             await asyncio.sleep(HANG_TIME)
         await asyncio.sleep(self.mean_service_time * self.slowdown * self.rng.lognormvariate(0, 0.4))
@@ -58,4 +61,4 @@
             return Response(500)
         if self.mode == "lose":
             return RESET
-        return Response(200, f"{name} by {self.name}".encode(), {"Content-Type": "text/plain"})
+        return Response(200, f"{request_id} by {self.name}".encode(), {"Content-Type": "text/plain"})
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
 from decision_host import BUY, LOOK, MOVE, FakeHost  # noqa: F401
 from known_red import KnownRed
 
-from fakes.loopback import own_host
+from fakes.loopback import loopback_host
 from starlingwheel.net.http.http1 import QUIESCENCE_FRACTION
 from starlingwheel.net.lifecycle.config import load_config
 from starlingwheel.net.lifecycle.sidecar import Sidecar
@@ -82,7 +82,7 @@
 ) -> Socket:
     """Return a socket that is bound to a free port."""
     sock = socket.socket(socket.AF_INET, kind)
-    sock.bind((own_host(), 0))
+    sock.bind((loopback_host(), 0))
     if kind is socket.SOCK_STREAM and listening:
         sock.listen(backlog)
     sock.settimeout(0)
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -262,10 +262,10 @@
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})[0] == 200
     harness = admin.harness
     harness.wait_until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
-    served.do(served.arbiter.down())
+    served.do(served.arbiter.take_down())
     harness.wait_until(lambda: admin.policy_replica.unavailable_reason() == "undecided")
     assert harness.read_status(harness.send_request("buy", b"one")) == 503
-    served.do(served.arbiter.begin())
+    served.do(served.arbiter.start())
     harness.wait_until(lambda: admin.policy_replica.promise is None)
     asked = harness.send_request("buy", b"one", x_trace_id="t2")
     harness.serve()
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -241,7 +241,7 @@
 
     async def _begin(self):
         self.arbiter = FakeEtcd()
-        await self.arbiter.begin()
+        await self.arbiter.start()
 
     def do(self, coroutine):
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(10)
@@ -358,7 +358,7 @@
 
 def test_requests_are_served_while_the_store_is_down(member, served):
     member.wait_until(lambda: joined(member))
-    served.do(served.arbiter.down())
+    served.do(served.arbiter.take_down())
     member.run_for(1.5)
     asked = member.send_request("buy", b"one", x_work_name="w1")
     member.serve()
--- a/trials/added.py
+++ b/trials/added.py
@@ -25,7 +25,7 @@
 from typing import Any
 
 from fakes.endpoint_list import EndpointListServer
-from fakes.loopback import free_address, own_host
+from fakes.loopback import free_address, loopback_host
 
 from .processes import die_with_parent, processor_time
 from .rig import CAPS, CATEGORIES, MEMORY_FOLDER, READY_TIMEOUT, ROOT
@@ -58,7 +58,7 @@
     """Serve GET requests at so many ports of loopback; the first line out is their addresses."""
     listeners = {}
     for _ in range(count):
-        listener = socket.create_server((own_host(), 0), backlog=512)
+        listener = socket.create_server((loopback_host(), 0), backlog=512)
         listener.setblocking(False)
         listeners[listener.fileno()] = listener
     print(json.dumps(["{}:{}".format(*one.getsockname()) for one in listeners.values()]), flush=True)
@@ -281,7 +281,7 @@
                 {"id": f"u{i}", "addr": address, "zone": "here", "state": "active"}
                 for i, address in enumerate(direct)
             ]
-            await listing.server.begin()
+            await listing.server.start()
             address = free_address()
             config = _configuration(seed, address, listing.server.address, servers)
             (folder / "config.json").write_text(json.dumps(config))
--- a/trials/endpoint_list/cases.py
+++ b/trials/endpoint_list/cases.py
@@ -37,7 +37,7 @@
     async def play_faults(trial: Trial) -> None:
         await asyncio.sleep(0.7)
         trial.discovery.push_fault = fault
-        trial.discovery.longest_wait = 10.0
+        trial.discovery.max_wait = 10.0
         trial.drain("s0")
         trial.discovery.calls_per_second = 1 / 1.2
         await asyncio.sleep(trial.discovery.push_delay + 0.01)
--- a/trials/endpoint_list/faults.py
+++ b/trials/endpoint_list/faults.py
@@ -53,15 +53,15 @@
         """Discovery answers few calls a second, and makes the others wait."""
         discovery = self.trial.discovery
         discovery.calls_per_second = len(discovery.frontends) / (1.0 + 4.0 * self.rng.random())
-        discovery.longest_wait = self.rng.choice((1.0, 2.0, 3.0))
+        discovery.max_wait = self.rng.choice((1.0, 2.0, 3.0))
         await asyncio.sleep(seconds)
         discovery.calls_per_second = inf
 
     async def outage(self, seconds: float) -> None:
         """Discovery is down."""
-        self.trial.discovery.go_down()
+        self.trial.discovery.take_down()
         await asyncio.sleep(seconds)
-        self.trial.discovery.come_up()
+        self.trial.discovery.bring_up()
 
     async def silence(self, seconds: float) -> None:
         """All watches fall silent."""
--- a/trials/endpoint_list/process.py
+++ b/trials/endpoint_list/process.py
@@ -12,7 +12,7 @@
 
 from fakes.discovery import Frontend
 from fakes.http1 import ConnectionBrokenError, HttpClient
-from fakes.loopback import free_ports, own_host
+from fakes.loopback import free_ports, loopback_host
 
 from ..processes import die_with_parent
 from ..rig import CAPS, CATEGORIES, READY_TIMEOUT
@@ -30,7 +30,7 @@
     def __init__(self, trial: Trial, number: int, front: Frontend) -> None:
         """Not started yet."""
         self.trial, self.number, self.front = trial, number, front
-        host = own_host(1 + number % 250)
+        host = loopback_host(1 + number % 250)
         self.address = f"{host}:{free_ports(host, 1)[0]}"
         self.caller = HttpClient(self.address)
         self.process: subprocess.Popen[bytes] | None = None
@@ -41,7 +41,7 @@
     def start(self) -> None:
         """Start a process, under the name and address of the one before."""
         self.started += 1
-        self.front.process_restarted()
+        self.front.record_process_start()
         self.caller.close()  # its connections are those of the process before
         self.path.with_suffix(".json").write_text(json.dumps(self._configuration()))
         environment = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
--- a/trials/endpoint_list/trial.py
+++ b/trials/endpoint_list/trial.py
@@ -72,10 +72,10 @@
         for number in range(self.server_count):
             name = f"s{number}"
             server = Server(self._handler(name))
-            await server.begin()
+            await server.start()
             self.servers[name] = server
             self.discovery.add_entries(self.entry(name))
-        await self.discovery.begin(self.sidecar_count)
+        await self.discovery.start(self.sidecar_count)
         self.sidecars = [
             Process(self, number, front) for number, front in enumerate(self.discovery.frontends)
         ]
@@ -142,7 +142,7 @@
         now = asyncio.get_running_loop().time()
         self.counts["attempts"] += 1
         sidecar = self.sidecars[request.sidecar]
-        changed = self.discovery.changed_at.get(name)
+        changed = self.discovery.last_changes.get(name)
         if changed is not None and self.discovery.entries[name]["state"] != "active":
             notified = sidecar.front.notified_at(*changed)
             self.counts["attempts at servers that drain"] += 1
--- a/trials/hard.py
+++ b/trials/hard.py
@@ -22,7 +22,7 @@
         verdict = await rig.judged(sending)
         later = [w for w in rig.clients.requests if w.started_at > killed_at + rig.lease]
         # Requests from before the next view are outside the promise: counted, but not held against it.
-        early = [w.name for w in rig.clients.requests if w.started_at <= killed_at + rig.lease]
+        early = [w.request_id for w in rig.clients.requests if w.started_at <= killed_at + rig.lease]
         verdict.broken = [b for b in verdict.broken if not any(f" {name} " in f"{b} " for name in early)]
         verdict.counts["after the next view"] = len(later)
         verdict.counts["of these finished"] = sum(w.succeeded for w in later)
@@ -34,7 +34,7 @@
 async def bodies(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
     """A loss while requests with bodies of 60 KiB are open."""
     async with Rig(seed, sidecars, root=root, fleet=fleet) as rig:
-        rig.clients.make_body = lambda work: work.name.encode().ljust(60 * 1024, b".")
+        rig.clients.make_body = lambda work: work.request_id.encode().ljust(60 * 1024, b".")
         sending = asyncio.create_task(rig.clients.send(60.0, 2.0, {"buy": 1.0, "move": 1.0}))
         await asyncio.sleep(1.0)
         lost = rig.rng.choice(rig.sidecars)
@@ -63,7 +63,7 @@
             {"work": len(works), "finished": sum(w.succeeded for w in works), "held up": len(again)}
         )
         if again:
-            verdict.broken.append(f"work without a name was held up: {[w.name for w in again][:5]}")
+            verdict.broken.append(f"work without a name was held up: {[w.request_id for w in again][:5]}")
         return verdict
 
 
@@ -103,7 +103,7 @@
             rig.clients.avoided.discard(sidecar.name)
         verdict = await rig.judged(sending)
         if any(not w.succeeded for w in rig.clients.requests):
-            lost = [w.name for w in rig.clients.requests if not w.succeeded]
+            lost = [w.request_id for w in rig.clients.requests if not w.succeeded]
             verdict.broken.append(f"work was lost at a planned stop: {lost[:5]}")
         return verdict
 
@@ -144,13 +144,13 @@
     async with Rig(seed, sidecars, root=root, fleet=fleet, lease=1, cell_size=cell_size) as rig:
         sending = asyncio.create_task(rig.clients.send(80.0, 10.0, REQUEST_MIX))
         await asyncio.sleep(1.0)
-        await rig.arbiter.down()
+        await rig.arbiter.take_down()
         await asyncio.sleep(8.0)
         reports = [(await s.admin_call("GET", "/_fleet"))[1] for s in rig.sidecars]
         verdict = await rig.judged(sending)
         doubts = sum(line["reason"] == "alone" for s in rig.sidecars for line in s.logged("policy.doubt"))
         uncovered = sum(len(s.logged("cover.none", "cover.given_up")) for s in rig.sidecars)
-        held_up = [w.name for w in rig.clients.requests if not w.succeeded or len(w.attempts) > 1]
+        held_up = [w.request_id for w in rig.clients.requests if not w.succeeded or len(w.attempts) > 1]
         verdict.counts |= {"doubts": doubts, "uncovered or given up": uncovered, "held up": len(held_up)}
         verdict.counts["with a lease still"] = sum(report["lease_s"] > 0 for report in reports)
         if doubts or uncovered or held_up:
--- a/trials/loss.py
+++ b/trials/loss.py
@@ -35,5 +35,5 @@
         verdict.counts["in hand at the loss"] = len(in_hand)
         verdict.counts["of these finished"] = sum(w.succeeded for w in in_hand)
         verdict.counts["of these written off"] = sum("504" in w.statuses for w in in_hand)
-        verdict.counts["of these ran twice"] = sum(len(rig.of(w.name)) > 1 for w in in_hand)
+        verdict.counts["of these ran twice"] = sum(len(rig.of(w.request_id)) > 1 for w in in_hand)
         return verdict
--- a/trials/policy.py
+++ b/trials/policy.py
@@ -60,7 +60,7 @@
         categories = decision["policy"]["body"]["settings"]["categories"]
         if label in [category["name"] for category in categories]:
             return "decided"
-    for _, key, value in rig.arbiter.written:
+    for _, key, value in rig.arbiter.write_history:
         if key == NEXT_KEY.decode() and label.encode() in value:
             proposal = rig.arbiter.entries.get(NEXT_KEY)
             return "" if proposal and label.encode() in proposal.value else "dropped"
@@ -142,10 +142,10 @@
         observer, loop = PolicyObserver(rig), asyncio.get_running_loop()
         await _change_without_faults(rig, rng, change, 1.0)
         gone_at = loop.time()
-        await rig.arbiter.down()
+        await rig.arbiter.take_down()
         await asyncio.sleep(20.0 * LEASE)
         back_at = loop.time()
-        await rig.arbiter.begin()
+        await rig.arbiter.start()
         await asyncio.sleep(3.0 * LEASE)
         observer.stop()
         verdict = _verdict(rig, observer, [change])
@@ -165,7 +165,7 @@
         rng, change = _make_rng(seed), Change("a1")
         observer, loop = PolicyObserver(rig), asyncio.get_running_loop()
         await _change_without_faults(rig, rng, change, 0.5)
-        await rig.arbiter.down()
+        await rig.arbiter.take_down()
         for sidecar in rig.sidecars:
             sidecar.kill()
         since = loop.time()
--- a/trials/policy_faults.py
+++ b/trials/policy_faults.py
@@ -109,9 +109,9 @@
         store = self.rig.arbiter
         match fault.kind:
             case FaultKind.STORE_OUTAGE:
-                await store.down()
+                await store.take_down()
                 await asyncio.sleep(fault.duration)
-                await store.begin()
+                await store.start()
             case FaultKind.REPLY_LOST:
                 store.lost_replies["/v3/kv/txn"] = self.rng.randint(1, 4)
             case FaultKind.WATCH_COMPACTED:
@@ -139,14 +139,14 @@
             others = [sidecar for sidecar in self.rig.sidecars if sidecar not in sidecars]
             ways += [way for s in sidecars for other in others for way in self.rig.between(s, other)]
         if fault.kind == FaultKind.PARTITION_AND_OUTAGE:
-            await self.rig.arbiter.down()
+            await self.rig.arbiter.take_down()
         for way in ways:
             way.blocked = True
         await asyncio.sleep(fault.duration)
         for way in ways:
             way.blocked = False
         if fault.kind == FaultKind.PARTITION_AND_OUTAGE:
-            await self.rig.arbiter.begin()
+            await self.rig.arbiter.start()
 
     async def _delay(self, sidecar: Sidecar, duration: float) -> None:
         for way in sidecar.to_arbiter.link():
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -20,7 +20,7 @@
 from fakes.endpoint_list import EndpointListServer
 from fakes.etcd import FakeEtcd
 from fakes.http1 import ConnectionBrokenError, HttpClient
-from fakes.loopback import free_ports, own_host
+from fakes.loopback import free_ports, loopback_host
 from fakes.relay import LinkDirection, Relay
 from fakes.upstream import Run, Upstream
 
@@ -66,7 +66,7 @@
     def __init__(self, rig: Rig, number: int) -> None:
         """Not started yet."""
         self.rig, self.number, self.name = rig, number, f"n{number}"
-        self.host = own_host(1 + number)
+        self.host = loopback_host(1 + number)
         self.zone = ZONES[number % len(ZONES)]
         self.port, self.mgmt, self.fleet_port = free_ports(self.host, 3)
         self.process: subprocess.Popen[bytes] | None = None
@@ -92,16 +92,16 @@
 
     async def prepare(self) -> None:
         """Open its relays and its endpoint list."""
-        await self.list.server.begin()
-        await self.front.begin()
-        await self.to_arbiter.begin()
+        await self.list.server.start()
+        await self.front.start()
+        await self.to_arbiter.start()
         for upstream in self.rig.upstreams:
 
             def note(far: tuple[str, int], near: tuple[str, int], u: Upstream = upstream) -> None:
                 u.sidecars[far] = self.name
 
             relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.rng, on_connect=note)
-            await relay.begin()
+            await relay.start()
             self.relays.append(relay)
 
     def configuration(self) -> dict[str, Any]:
@@ -310,9 +310,9 @@
 
     async def _begin(self) -> None:
         for upstream in self.upstreams:
-            await upstream.server.begin()
+            await upstream.server.start()
         if self.fleet:
-            await self.arbiter.begin()
+            await self.arbiter.start()
         if self.cells > 1 and self.cut:
             self.arbiter.put("/trial/cells", json.dumps({"count": self.cells}))
         for sidecar in self.sidecars:
@@ -368,4 +368,4 @@
 
     def of(self, name: str) -> list[Run]:
         """Return the runs of a request."""
-        return [run for run in self.runs if run.name == name]
+        return [run for run in self.runs if run.request_id == name]
--- a/trials/scale/etcd_process.py
+++ b/trials/scale/etcd_process.py
@@ -67,10 +67,10 @@
     """Carry out one command, and return its answer."""
     match command["do"]:
         case "begin" | "up":
-            await etcd.begin()
+            await etcd.start()
             return {"host": etcd.server.host, "port": etcd.server.port}
         case "down":
-            await etcd.down()
+            await etcd.take_down()
         case "sample":
             return {
                 "sample": msgspec.to_builtins(counter.sample()),
--- a/trials/storm.py
+++ b/trials/storm.py
@@ -95,7 +95,7 @@
             affected.append(work)
             later = [
                 r.started_at - loss.at
-                for r in rig.of(work.name)
+                for r in rig.of(work.request_id)
                 if r.started_at > loss.at and r.sidecar != loss.name
             ]
             if work.request_class != "buy" and later:
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -150,9 +150,9 @@
     async def _play_store_fault(self, kind: str, one: Sidecar, duration: float) -> None:
         arbiter = self.rig.arbiter
         if kind == "arbiter_down":
-            await arbiter.down()
+            await arbiter.take_down()
             await asyncio.sleep(duration)
-            await arbiter.begin()
+            await arbiter.start()
         elif kind == "arbiter_slow":
             arbiter.reply_delay = SLOW_STORE_DELAY
             await asyncio.sleep(duration)
--- a/trials/verdict.py
+++ b/trials/verdict.py
@@ -41,12 +41,12 @@
 def judge(works: list[ClientRequest], runs: list[Run], start: float = 0.0) -> Verdict:
     """Check the promise that each request runs once, over all processes."""
     verdict = Verdict()
-    runs_by_name: dict[str, list[Run]] = {}
+    runs_by_request: dict[str, list[Run]] = {}
     for run in runs:
-        runs_by_name.setdefault(run.name, []).append(run)
+        runs_by_request.setdefault(run.request_id, []).append(run)
     ends: Counter[str] = Counter()
     for work in works:
-        its_runs = runs_by_name.get(work.name, [])
+        its_runs = runs_by_request.get(work.request_id, [])
         _count_end(ends, work, its_runs)
         verdict.broken += [
             f"{broken}: {history(work, its_runs, start)}" for broken in _broken_promises(work, its_runs)
@@ -74,18 +74,18 @@
 
 def _broken_promises(work: ClientRequest, runs: list[Run]) -> Iterator[str]:
     if work.request_class in NON_IDEMPOTENT and len(runs) > 1:
-        yield f"once: {work.name} ran {len(runs)} times"
+        yield f"once: {work.request_id} ran {len(runs)} times"
     last_answer = work.statuses[-1:] if not work.duplicate_sidecar else []
     if work.succeeded and last_answer == ["503"]:
-        yield f"contradicted: {work.name}"
+        yield f"contradicted: {work.request_id}"
     if (
         work.request_class in WITH_KEY
         and runs
         and runs[-1].started_at > runs[0].started_at + DEDUPLICATION_WINDOW
     ):
-        yield f"ticketed: {work.name} ran too late"
+        yield f"ticketed: {work.request_id} ran too late"
     for one in work.attempts:
-        if one.outcome == "200" and not one.body.startswith(f"{work.name} by ".encode()):
-            yield f"another's answer: {work.name}: {one.body!r}"
+        if one.outcome == "200" and not one.body.startswith(f"{work.request_id} by ".encode()):
+            yield f"another's answer: {work.request_id}: {one.body!r}"
     if work.succeeded and not runs:
-        yield f"no such answer: {work.name}"
+        yield f"no such answer: {work.request_id}"
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -52,7 +52,7 @@
 
 async def _refuse(rig: Rig, on: bool) -> None:
     for upstream in _upstreams(rig, FAILING):
-        await (upstream.server.stop() if on else upstream.server.begin())
+        await (upstream.server.stop() if on else upstream.server.start())
 
 
 async def _slow(rig: Rig, on: bool) -> None:
@@ -229,7 +229,7 @@
     """Each plan that the coordination store has had."""
     return [
         WrittenPlan(at, msgspec.json.decode(value, type=ZonePlan).zones)
-        for at, key, value in rig.arbiter.written
+        for at, key, value in rig.arbiter.write_history
         if key == "/trial/zones/plan"
     ]
 
