--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -279,7 +279,7 @@
 
     async def _start(self) -> FakeEtcd:
         etcd = FakeEtcd()
-        await etcd.begin()
+        await etcd.start()
         return etcd
 
     def do(self, coroutine: Coroutine[Any, Any, T]) -> T:
@@ -419,7 +419,7 @@
 def test_requests_are_served_while_the_store_is_down(member: SidecarHarness, store: Served) -> None:
     """The store is down for longer than the lease of one second."""
     member.wait_until(lambda: joined(member))
-    store.do(store.arbiter.down())
+    store.do(store.arbiter.take_down())
     member.run_for(1.5)
     client = member.send_request("buy", b"one", x_work_name="w1")
     member.serve()
