--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -67,9 +67,8 @@
         self.shard_count, self.resharded_at = shard_count, resharded_at
         lines = [f"{m.id} {m.term}" for m in self.members.values()]
         self.digest = digest(lines if shard_count == 1 else [*lines, f"cells {shard_count}"])
-        self._best_ranked: dict[
-            bytes, list[str]
-        ] = {}  # by key: its coordinator and the coordinator's successor
+        # By key: its coordinator and the coordinator's successor.
+        self._best_ranked: dict[bytes, list[str]] = {}
         # The members of each non-empty shard, by id.
         self.members_by_shard: dict[int, dict[str, Member]] = (
             {0: self.members} if shard_count == 1 and self.members else {}
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -243,8 +243,7 @@
     def _key_reused(self, request: ReplicatedRequest) -> None:
         """Fail a request whose key was used for a different request."""
         self.completion.cancel_attempts(request)
-        # Otherwise replicas that have recorded it would answer the request that has the key with its
-        # response.
+        # Otherwise replicas that recorded it would answer the request that has the key with its response.
         self.completion.send_to_replicas(request, RecordedResponse(REJECTED))
         request.replicas.clear()
         self.completion.finish(request, RecordedResponse(KEY_REUSED))
--- a/starlingwheel/fleet/replication/records.py
+++ b/starlingwheel/fleet/replication/records.py
@@ -137,8 +137,7 @@
         was_unclaimed = request.is_unclaimed
         self.completion.relinquish(request)
         if was_unclaimed:
-            # These attempts were never released; their outcomes must not be attributed to the owner's
-            # attempts.
+            # These attempts were never released; their outcomes must not count for the owner's attempts.
             request.intents.clear()
         request.state, request.contact = RequestState.REPLICA, ""
         self._merge(request, frame)
--- a/starlingwheel/fleet/replication/replica.py
+++ b/starlingwheel/fleet/replication/replica.py
@@ -99,8 +99,7 @@
         if claim.coordinator == self.context.member_id:
             return False
         member, frame, request = claim.member, claim.frame, claim.request
-        # Only the coordinator accepts requests of members out of the view, and only while it has a link to
-        # them.
+        # Only the coordinator accepts requests of members out of the view, while it has a link to them.
         outsider = member not in self.views.view
         if outsider and request is not None:
             outsider = not self.views.agrees_on_coordinator(member, request, frame.coordinator)
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -181,8 +181,7 @@
         member_id = self.context.member_id
         reentered = gap or before.members.get(member_id) != view.members.get(member_id)
         if reentered:
-            # Other members may have continued without this one, so its records of their requests are
-            # outdated.
+            # Other members may have gone on without this one: its records of their requests may be outdated.
             for request in self.table:
                 request.is_stale = request.state is RequestState.REPLICA
         self.views.replace(view, gap)
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -74,17 +74,17 @@
         self.leaving = False
         self.serve_without_store_at = inf
         member = Member(self.member_id, identity.name, address, identity.zone)
-        session = (loop, config.store_addresses, float(config.lease_s), pool, log, rng, config.name)
-        self.lease_keeper = LeaseKeeper(*session, member=member, notify=self._deliver)
-        self.state_watcher = StateWatcher(*session, notify=self._deliver)
-        self.member_evictor = MemberEvictor(*session)
+        session_arguments = (loop, config.store_addresses, float(config.lease_s), pool, log, rng, config.name)
+        self.lease_keeper = LeaseKeeper(*session_arguments, member=member, notify=self._deliver)
+        self.state_watcher = StateWatcher(*session_arguments, notify=self._deliver)
+        self.member_evictor = MemberEvictor(*session_arguments)
         self.policy_controller = make_policy_controller(self.member_id)
         self.host = make_host(self.member_id, self.policy_controller, self._entry_lost)
         self.shard_planner = ShardPlanner(
             self.member_id, float(config.lease_s), config.max_mean_shard_size, loop.now()
         )
         self.state_writer = StateWriter(
-            *session, due=self._next_write, lease_id=lambda: self.lease_keeper.lease_id
+            *session_arguments, due=self._next_write, lease_id=lambda: self.lease_keeper.lease_id
         )
         self.links = self._make_links(sock, config.name, log, rng)
         self.policy_poller = PolicyPoller(
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -15,7 +15,7 @@
 import msgspec
 import pytest
 from conftest import SETTINGS, SidecarHarness
-from test_fleet_wire import Served, joined, part_at
+from test_fleet_wire import StoreThread, fleet_config, joined
 
 from fakes.loopback import free_address
 from starlingwheel.fleet.policy import document
@@ -191,9 +191,9 @@
 
 
 @pytest.fixture
-def served() -> Iterator[Served]:
+def served() -> Iterator[StoreThread]:
     """Provide a fake coordination store."""
-    store = Served()
+    store = StoreThread()
     yield store
     store.close()
 
@@ -204,9 +204,11 @@
 class AdminClient:
     """A sidecar of a fleet, and a client of its admin address."""
 
-    def __init__(self, make_harness: MakeHarness, served: Served, tmp_path: Path, **more: object) -> None:
+    def __init__(
+        self, make_harness: MakeHarness, served: StoreThread, tmp_path: Path, **more: object
+    ) -> None:
         """Start the sidecar and wait until it has joined. `more`: fields of its `fleet` configuration."""
-        part = part_at(served) | {"keep": str(tmp_path)} | more
+        part = fleet_config(served) | {"keep": str(tmp_path)} | more
         self.harness = make_harness(name="n0", fleet=part, settings=SETTINGS, mgmt=free_address())
         self.harness.wait_until(lambda: joined(self.harness))
 
@@ -229,7 +231,7 @@
 
 
 @pytest.fixture
-def admin(make_harness: MakeHarness, served: Served, tmp_path: Path) -> AdminClient:
+def admin(make_harness: MakeHarness, served: StoreThread, tmp_path: Path) -> AdminClient:
     """Provide a sidecar of a fleet with one member."""
     return AdminClient(make_harness, served, tmp_path)
 
@@ -270,12 +272,12 @@
 
 
 def test_a_second_proposal_is_rejected_and_the_first_can_be_dropped(
-    admin: AdminClient, served: Served
+    admin: AdminClient, served: StoreThread
 ) -> None:
     """A member that never votes keeps the first proposal open."""
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
     put = {"key": encode_text("/f/members/n9.ff"), "value": encode_text(json.dumps(other))}
-    served.call(served.arbiter.put_encoded, put)
+    served.call(served.etcd.put_encoded, put)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 60})[0] == 200
     admin.harness.wait_until(lambda: admin.policy_replica.records.proposal)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(4)})[0] == 409
@@ -292,21 +294,21 @@
 
 
 def test_requests_are_rejected_while_it_is_not_known_whether_a_change_was_decided(
-    admin: AdminClient, served: Served
+    admin: AdminClient, served: StoreThread
 ) -> None:
     """The store fails after the vote, so the voter cannot learn how the proposal ended."""
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
     served.call(
-        served.arbiter.put_encoded,
+        served.etcd.put_encoded,
         {"key": encode_text("/f/members/n9.ff"), "value": encode_text(json.dumps(other))},
     )
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})[0] == 200
     harness = admin.harness
     harness.wait_until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
-    served.do(served.arbiter.take_down())
+    served.run(served.etcd.take_down())
     harness.wait_until(lambda: admin.policy_replica.unavailable_reason() == "undecided")
     assert harness.read_status(harness.send_request("buy", b"one")) == 503
-    served.do(served.arbiter.start())
+    served.run(served.etcd.start())
     harness.wait_until(lambda: admin.policy_replica.promise is None)
     client = harness.send_request("buy", b"one", x_trace_id="t2")
     harness.serve()
@@ -324,12 +326,12 @@
 
 
 def test_a_process_that_was_down_starts_under_the_policy_in_force(
-    admin: AdminClient, make_harness: MakeHarness, served: Served, tmp_path: Path
+    admin: AdminClient, make_harness: MakeHarness, served: StoreThread, tmp_path: Path
 ) -> None:
     """Its configuration file still has the policy from before the change."""
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.6})[0] == 200
     admin.harness.wait_until(lambda: admin.policy_replica.active_policy.version == 1)
-    part = part_at(served) | {"keep": str(tmp_path / "other")}
+    part = fleet_config(served) | {"keep": str(tmp_path / "other")}
     late = make_harness(name="n1", fleet=part, settings=SETTINGS)
     late.wait_until(lambda: joined(late))
     assert late.context.longest_timeout == 3 and late.log_lines("policy.file_differs")
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -46,13 +46,13 @@
 T = TypeVar("T")
 HarnessFactory = Callable[..., SidecarHarness]
 
-PART: dict[str, Any] = {
+FLEET_CONFIG: dict[str, Any] = {
     "name": "f",
     "listen": "127.0.0.1:7000",
     "arbiter": ["127.0.0.1:2379"],
     "cover": {"categories": ["buy"]},
 }
-NAMES = ["look", "buy", "move"]
+CLASS_NAMES = ["look", "buy", "move"]
 SOME_VERDICTS = (
     frames.ReplicaVerdict.GRANTED,
     frames.ReplicaVerdict.IN_PROGRESS,
@@ -64,7 +64,7 @@
 
 def test_a_valid_configuration_is_decoded_with_its_defaults() -> None:
     """Keys that are missing get their documented defaults."""
-    config = decode(PART, NAMES, 1)
+    config = decode(FLEET_CONFIG, CLASS_NAMES, 1)
     assert (
         config.lease_s == 3
         and config.replication.replicas == 1
@@ -80,7 +80,7 @@
         "cover": {"categories": ["buy", "sell"], "name_header": "X_Y", "keepers": 9, "keeper": 2},
     }  # fmt: skip
     with pytest.raises(ValueError) as caught:
-        decode(wrong, NAMES, 2)
+        decode(wrong, CLASS_NAMES, 2)
     message = str(caught.value)
     for key in (
         "fleet.name:", "fleet.listen:", "fleet.arbiter[0]:", "fleet.arbiter[1]:", "fleet.lease_s:",
@@ -90,11 +90,11 @@
         assert key in message, key
 
 
-@pytest.mark.parametrize("wrong", [None, 3, [], {}, {"cover": 1}, {**PART, "cover": None}])
+@pytest.mark.parametrize("wrong", [None, 3, [], {}, {"cover": 1}, {**FLEET_CONFIG, "cover": None}])
 def test_a_value_that_is_not_a_configuration_is_rejected(wrong: object) -> None:
     """The error is reported as one of the configuration, whatever the JSON value is."""
     with pytest.raises(ValueError, match="fleet"):
-        decode(wrong, NAMES, 1)
+        decode(wrong, CLASS_NAMES, 1)
 
 
 def policy_status() -> PolicyStatus:
@@ -267,7 +267,7 @@
         assert parse_number(text) < 0
 
 
-class Served:
+class StoreThread:
     """The fake coordination store, which runs in a thread of its own."""
 
     def __init__(self) -> None:
@@ -275,14 +275,14 @@
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.arbiter = self.do(self._start())
+        self.etcd = self.run(self._start())
 
     async def _start(self) -> FakeEtcd:
         etcd = FakeEtcd()
         await etcd.start()
         return etcd
 
-    def do(self, coroutine: Coroutine[Any, Any, T]) -> T:
+    def run(self, coroutine: Coroutine[Any, Any, T]) -> T:
         """Run a coroutine in the store's thread and return its result."""
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(10)
 
@@ -292,41 +292,41 @@
         async def inside() -> T:
             return function(*given)
 
-        return self.do(inside())
+        return self.run(inside())
 
     def close(self) -> None:
         """Stop the store and its thread."""
-        self.do(self.arbiter.stop())
+        self.run(self.etcd.stop())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(5)
         self.loop.close()
 
 
 @pytest.fixture
-def store() -> Iterator[Served]:
+def store() -> Iterator[StoreThread]:
     """Start a fake coordination store, and stop it at the end."""
-    started = Served()
+    started = StoreThread()
     yield started
     started.close()
 
 
-def member_keys(store: Served) -> list[bytes]:
+def member_keys(store: StoreThread) -> list[bytes]:
     """Return the keys of the members' entries in the store."""
-    return [key for key in store.arbiter.entries if b"/members/" in key]
+    return [key for key in store.etcd.entries if b"/members/" in key]
 
 
-def part_at(store: Served) -> dict[str, Any]:
+def fleet_config(store: StoreThread) -> dict[str, Any]:
     """Return the configuration of a member that uses the store, with a lease of one second."""
-    return PART | {"listen": free_address(), "arbiter": [store.arbiter.server.address], "lease_s": 1}
+    return FLEET_CONFIG | {"listen": free_address(), "arbiter": [store.etcd.server.address], "lease_s": 1}
 
 
-def start_member(make_harness: HarnessFactory, store: Served) -> SidecarHarness:
+def start_member(make_harness: HarnessFactory, store: StoreThread) -> SidecarHarness:
     """Start a sidecar as a member of the fleet."""
-    return make_harness(name="n0", fleet=part_at(store), settings=SETTINGS)
+    return make_harness(name="n0", fleet=fleet_config(store), settings=SETTINGS)
 
 
 @pytest.fixture
-def member(make_harness: HarnessFactory, store: Served) -> SidecarHarness:
+def member(make_harness: HarnessFactory, store: StoreThread) -> SidecarHarness:
     """Start a sidecar as a member of the fleet."""
     return start_member(make_harness, store)
 
@@ -344,20 +344,20 @@
 
 
 def test_a_reply_that_is_lost_after_the_change_was_applied_leaves_one_entry(
-    member: SidecarHarness, store: Served
+    member: SidecarHarness, store: StoreThread
 ) -> None:
     """The member retries the change, and must not enter twice."""
-    store.call(store.arbiter.lost_replies.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
+    store.call(store.etcd.lost_replies.update, {"/v3/kv/txn": 1, "/v3/lease/grant": 1})
     member.wait_until(lambda: joined(member))
     assert len(member_keys(store)) == 1
 
 
-def test_a_member_whose_lease_ends_early_enters_again(member: SidecarHarness, store: Served) -> None:
+def test_a_member_whose_lease_ends_early_enters_again(member: SidecarHarness, store: StoreThread) -> None:
     """The store may lose a lease that the member believes to hold."""
     member.wait_until(lambda: joined(member))
     term = member.context.coordinator.replicator.view.members[member.context.fleet.member_id].term
     (key,) = member_keys(store)
-    store.call(store.arbiter.expire_lease_of, key.decode())
+    store.call(store.etcd.expire_lease_of, key.decode())
     replicator = member.context.coordinator.replicator
     member_id = member.context.fleet.member_id
     member.wait_until(
@@ -365,19 +365,21 @@
     )
 
 
-def test_a_watch_lost_at_a_compaction_reads_everything_again(member: SidecarHarness, store: Served) -> None:
+def test_a_watch_lost_at_a_compaction_reads_everything_again(
+    member: SidecarHarness, store: StoreThread
+) -> None:
     """The watch can't be resumed from a revision that was compacted."""
     member.wait_until(lambda: joined(member))
-    store.call(store.arbiter.compact)
-    store.call(store.arbiter.abort_watches)
+    store.call(store.etcd.compact)
+    store.call(store.etcd.abort_watches)
     other = Member("n9.ff", "n9", "127.0.0.1:1")
     put = {"key": encode_base64("/f/members/n9.ff"), "value": encode_base64(msgspec.json.encode(other))}
-    store.call(store.arbiter.put_encoded, put)
+    store.call(store.etcd.put_encoded, put)
     member.wait_until(lambda: "n9.ff" in member.context.coordinator.replicator.view)
 
 
 def test_two_members_that_end_at_the_same_time_are_both_evicted(
-    member: SidecarHarness, store: Served
+    member: SidecarHarness, store: StoreThread
 ) -> None:
     """The second eviction arrives while the first one is being written."""
     member.wait_until(lambda: joined(member))
@@ -388,38 +390,38 @@
             "key": encode_base64(f"/f/members/{name}.ff"),
             "value": encode_base64(msgspec.json.encode(other)),
         }
-        store.call(store.arbiter.put_encoded, put)
+        store.call(store.etcd.put_encoded, put)
     member.wait_until(lambda: len(replicator.view.members) == 3)
     for gone in [m for m in replicator.view.members.values() if m.name != "n0"]:
         member.context.fleet.member_evictor.post(EvictMember(gone))
     member.wait_until(lambda: len(replicator.view.members) == 1)
 
 
-def test_an_unreadable_entry_hides_no_other(member: SidecarHarness, store: Served) -> None:
+def test_an_unreadable_entry_hides_no_other(member: SidecarHarness, store: StoreThread) -> None:
     """The entry is logged, and the other entries are read."""
     member.wait_until(lambda: joined(member))
-    store.call(store.arbiter.put_encoded, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")})
+    store.call(store.etcd.put_encoded, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")})
     member.wait_until(lambda: member.log_lines("arbiter.entry"))
     assert len(member.context.coordinator.replicator.view.members) == 1
 
 
 @pytest.mark.parametrize("path", ["/v3/kv/range", "/v3/kv/txn", "/v3/lease/grant", "/v3/lease/keepalive"])
 def test_unreadable_replies_of_the_store_are_counted_and_the_calls_retried(
-    make_harness: HarnessFactory, store: Served, path: str
+    make_harness: HarnessFactory, store: StoreThread, path: str
 ) -> None:
     """A member enters as soon as the replies are valid again."""
-    store.call(store.arbiter.canned_replies.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
+    store.call(store.etcd.canned_replies.update, {path: b'{"ID":7,"kvs":3,"header":[],"result":null}'})
     member = start_member(make_harness, store)
     member.wait_until(lambda: member.context.fleet.reasons["unreadable"])
-    store.call(store.arbiter.canned_replies.clear)
+    store.call(store.etcd.canned_replies.clear)
     member.wait_until(lambda: joined(member))
     assert not member.log_lines("defect")
 
 
-def test_requests_are_served_while_the_store_is_down(member: SidecarHarness, store: Served) -> None:
+def test_requests_are_served_while_the_store_is_down(member: SidecarHarness, store: StoreThread) -> None:
     """The store is down for longer than the lease of one second."""
     member.wait_until(lambda: joined(member))
-    store.do(store.arbiter.take_down())
+    store.run(store.etcd.take_down())
     member.run_for(1.5)
     client = member.send_request("buy", b"one", x_work_name="w1")
     member.serve()
@@ -450,10 +452,10 @@
 
 
 def test_operators_see_the_view_and_the_replicated_requests(
-    make_harness: HarnessFactory, store: Served
+    make_harness: HarnessFactory, store: StoreThread
 ) -> None:
     """The admin API reports the member, its shard and what was replicated."""
-    harness = make_harness(name="n0", fleet=part_at(store), mgmt="127.0.0.1:0")
+    harness = make_harness(name="n0", fleet=fleet_config(store), mgmt="127.0.0.1:0")
     harness.wait_until(lambda: joined(harness))
     client = harness.send_request("buy", b"one", x_work_name="w1")
     harness.serve()
@@ -477,7 +479,7 @@
 
 
 def test_a_member_that_stops_leaves_the_view_before_its_process_ends(
-    member: SidecarHarness, store: Served
+    member: SidecarHarness, store: StoreThread
 ) -> None:
     """Other members would otherwise wait for its lease to expire."""
     member.wait_until(lambda: joined(member))
@@ -486,10 +488,10 @@
 
 
 def test_two_processes_of_one_sidecar_can_both_be_linked_to(
-    make_harness: HarnessFactory, store: Served
+    make_harness: HarnessFactory, store: StoreThread
 ) -> None:
     """The process that replaces another one must start while that one still listens on its address."""
-    config = part_at(store)
+    config = fleet_config(store)
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
@@ -550,10 +552,10 @@
 
 
 def test_a_replicated_request_of_a_disconnected_client_is_not_retried(
-    make_harness: HarnessFactory, store: Served
+    make_harness: HarnessFactory, store: StoreThread
 ) -> None:
     """The attempt in flight continues for a retry of the client, but no further one is started."""
-    config = part_at(store) | {"cover": {"categories": ["move"]}}
+    config = fleet_config(store) | {"cover": {"categories": ["move"]}}
     harness = make_harness(name="n0", fleet=config, upstreams=2)
     harness.wait_until(lambda: joined(harness))
     client = harness.send_request("move", b"one")
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -6,7 +6,7 @@
 
 import pytest
 from test_fleet_policy import AdminClient, MakeHarness, encode_text
-from test_fleet_wire import NAMES, PART, Served
+from test_fleet_wire import CLASS_NAMES, FLEET_CONFIG, StoreThread
 
 from starlingwheel.decisions.model import AttemptOutcome
 from starlingwheel.fleet.config import ZonesConfig, decode
@@ -148,27 +148,27 @@
 
 def test_all_errors_of_the_zones_part_are_reported() -> None:
     """Each error names its key, and an empty part is valid."""
-    wrong = PART | {"zones": {"regions": {"a": 1}, "bears": {"a": -1, "b": True}, "spare": 1}}
+    wrong = FLEET_CONFIG | {"zones": {"regions": {"a": 1}, "bears": {"a": -1, "b": True}, "spare": 1}}
     with pytest.raises(ValueError) as caught:
-        decode(wrong, NAMES, 1)
+        decode(wrong, CLASS_NAMES, 1)
     for key in ("fleet.zones.regions:", "fleet.zones.bears.a:", "fleet.zones.bears.b:", "fleet.zones.spare:"):
         assert key in str(caught.value), key
-    assert decode(PART | {"zones": {}}, NAMES, 1).zones == ZonesConfig()
+    assert decode(FLEET_CONFIG | {"zones": {}}, CLASS_NAMES, 1).zones == ZonesConfig()
 
 
 # One real sidecar.
 
 
 @pytest.fixture
-def served() -> Iterator[Served]:
+def served() -> Iterator[StoreThread]:
     """Provide a fake coordination store."""
-    store = Served()
+    store = StoreThread()
     yield store
     store.close()
 
 
 @pytest.fixture
-def admin(make_harness: MakeHarness, served: Served, tmp_path: Path) -> AdminClient:
+def admin(make_harness: MakeHarness, served: StoreThread, tmp_path: Path) -> AdminClient:
     """Provide a sidecar with a zones part, in a fleet of one member."""
     return AdminClient(make_harness, served, tmp_path, zones={})
 
@@ -195,7 +195,7 @@
     admin.harness.wait_until(lambda: zone_shares_of(admin).get(zone, 0.0) > 0)
 
 
-def test_the_report_of_a_member_that_has_left_is_not_shown(admin: AdminClient, served: Served) -> None:
+def test_the_report_of_a_member_that_has_left_is_not_shown(admin: AdminClient, served: StoreThread) -> None:
     """The planner keeps a report until its next evaluation, even if the member has left since."""
     zone_planner = admin.harness.context.fleet.host.zone_controller.zone_planner
     member_id = admin.harness.context.fleet.member_id
@@ -204,9 +204,9 @@
     assert status == 200 and set(answer["said"]) == {"n0"}
 
 
-def test_an_unreadable_plan_counts_as_none(admin: AdminClient, served: Served) -> None:
+def test_an_unreadable_plan_counts_as_none(admin: AdminClient, served: StoreThread) -> None:
     """Without a readable plan no share is reduced."""
     put = {"key": encode_text("/f/zones/plan"), "value": "e30x"}
-    served.call(served.arbiter.put_encoded, put)
+    served.call(served.etcd.put_encoded, put)
     admin.harness.wait_until(lambda: admin.harness.log_lines("arbiter.entry"))
     assert zone_shares_of(admin) == {}
