--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -33,7 +33,7 @@
 ASSUME_AFTER = 8.0  # leases after which a process that started without the store relies on others' statuses
 RENEWAL_MARGIN = 1 / 3  # of a lease: a lease is normally renewed by this time before its end
 WRITE_DELAY = 1 / 16  # of a lease: how long each member waits for the previous one to decide or drop
-MAX_WRITE_DELAYS = 16
+MAX_WRITE_DELAYS = 16  # write delays that a member waits at most
 REMEMBERED_WRITES = 4 * REMEMBERED_PROPOSALS
 LATE_MARGIN = 1 / 1000  # of a lease: time from the switch time until an undecided proposal is dropped
 MAX_NAMED_MEMBERS = 8  # listed in the reason for which a proposal is dropped
@@ -70,16 +70,16 @@
 
     def unavailable_reason(self) -> str:
         """Return why no request may be accepted now; empty if `active_policy` may be applied to requests."""
-        self._update_in_force()
+        self._update_active_policy()
         reason = self._find_unavailable_reason()
         if bool(reason) != bool(self.unavailable_since):
             if reason:
                 self.unavailable_since = self.now
                 self.host.log_event("policy.doubt", reason=reason, version=self.active_policy.version)
             else:
-                lasted = self.now - self.unavailable_since
-                self.unavailable_seconds += lasted
-                self.host.log_event("policy.sure", after=round(lasted, 3))
+                duration = self.now - self.unavailable_since
+                self.unavailable_seconds += duration
+                self.host.log_event("policy.sure", after=round(duration, 3))
                 self.unavailable_since = 0.0
         return reason
 
@@ -151,7 +151,7 @@
 
     def status(self) -> PolicyStatus:
         """Return our own status as of `now`."""
-        self._update_in_force()
+        self._update_active_policy()
         switch_at = self.decision.at if self.decision and self.decision.at > self.now else inf
         return PolicyStatus(
             member=self.member_id,
@@ -169,7 +169,7 @@
 
     def restore(self) -> None:
         """Apply the stored policy."""
-        self._update_in_force()
+        self._update_active_policy()
 
     def receive_status(self, status: PolicyStatus) -> None:
         """Handle the status of a member, received from the member itself or relayed."""
@@ -200,7 +200,7 @@
     def update_records(self, records: StoreRecords, gap: bool) -> None:
         """Apply the records of the coordination store. `gap`: some changes may not have been observed."""
         before, self.records = self.records, records
-        self._follow_members(before, gap)
+        self._update_members(before, gap)
         if records.decision is not None:
             self._adopt(records.decision)
         self.ended_proposal = max([self.ended_proposal, *records.past_proposals])
@@ -215,7 +215,7 @@
         if proposal is not None and self.member_id in records.members and not self._has_voted(proposal):
             self._cast_vote(proposal)
 
-    def _follow_members(self, before: StoreRecords, gap: bool) -> None:
+    def _update_members(self, before: StoreRecords, gap: bool) -> None:
         """Update the state that depends on the members and the registered names."""
         records = self.records
         if self.member_id in before.members and self.member_id not in records.members:
@@ -249,7 +249,7 @@
         self._store()
         self.counts["decided"] += 1
         self.host.log_event("policy.decided", version=decision.policy.version, at=round(decision.at, 3))
-        self._update_in_force()
+        self._update_active_policy()
 
     def _release_promise(self, reason: str) -> None:
         promise, self.promise = self.promise, None
@@ -258,7 +258,7 @@
             self.counts["released"] += 1
             self.host.log_event("policy.released", version=promise.policy.version, reason=reason)
 
-    def _update_in_force(self) -> None:
+    def _update_active_policy(self) -> None:
         if self.decision is None:
             return
         policy = self.decision.policy if self.now >= self.decision.at else self.decision.previous
@@ -340,7 +340,7 @@
             self._cast_vote(proposal)
         if self._has_voted(proposal) and self.member_id not in records.votes:
             return self._vote_due(proposal)
-        return self._end_due(proposal)
+        return self._outcome_due(proposal)
 
     def _vote_due(self, proposal: PolicyProposal) -> Transaction | float:
         """Return our vote, or when to call again.
@@ -355,7 +355,7 @@
             self.promise, self.vote = None, Vote(proposal.number, reason)
         return transactions.vote(self.records, self.vote, self.member_id)
 
-    def _end_due(self, proposal: PolicyProposal) -> Transaction | float:
+    def _outcome_due(self, proposal: PolicyProposal) -> Transaction | float:
         """Return the transaction that decides or drops the proposal, or when to call again."""
         records, number = self.records, proposal.number
         votes = {member: reason for member, reason in records.votes.items() if member in records.members}
@@ -372,7 +372,7 @@
         return proposal.at + LATE_MARGIN * self.lease
 
     def _is_majority(self, votes: Collection[str]) -> bool:
-        """Whether the members that have voted are more than half of the registered names."""
+        """Return whether the members that have voted are more than half of the registered names."""
         names = {self.records.members[member].name for member in votes} & self.records.registered_names.keys()
         return 2 * len(names) > len(self.records.registered_names)
 
@@ -398,9 +398,9 @@
         write_at = self.turns.write_at((action, number), self._turn(number), self.now)
         if self.now < write_at:
             return write_at
-        made = transaction()
-        assert made is not None  # there is a proposal
-        return made
+        due = transaction()
+        assert due is not None  # a proposal is open
+        return due
 
     def _turn(self, number: int) -> int:
         """Return how many other members write before this one; 0 for the author."""
--- a/starlingwheel/fleet/zones/evidence.py
+++ b/starlingwheel/fleet/zones/evidence.py
@@ -102,14 +102,14 @@
     def _side_weights(self, zone: str, inside: bool) -> SideWeights:
         """Return the weights of the members inside or outside the zone."""
         side = [member.id for member in self.members.values() if (member.zone == zone) == inside]
-        reaching = [m for m in side if self.weight(m, zone) > 0 and self._is_informed(m, zone)]
+        reaching = [m for m in side if self.weight(m, zone) > 0 and self._has_observed(m, zone)]
         failing = [m for m in reaching if self.reports[m].zones[zone].failing]
         return SideWeights(
             reaching=sum(self.weight(m, zone) for m in reaching),
             failing=sum(self.weight(m, zone) for m in failing),
         )
 
-    def _is_informed(self, member: str, zone: str) -> bool:
+    def _has_observed(self, member: str, zone: str) -> bool:
         """Return whether the member has observed the zone recently."""
         report = self.reports[member]
         health = report.zones[zone]
@@ -142,7 +142,7 @@
         weights = [
             (self.weight(member, zone), report.zones[zone].consecutive_failures >= MIN_FAILURES_IN_A_ROW)
             for member, report in self.reports.items()
-            if zone in report.zones and self._is_informed(member, zone)
+            if zone in report.zones and self._has_observed(member, zone)
         ]
         counts = self.health_reports(zone)
         failures = sum(health.failures for health in counts)
--- a/starlingwheel/fleet/zones/failing.py
+++ b/starlingwheel/fleet/zones/failing.py
@@ -17,10 +17,9 @@
     def __init__(self, regions: Mapping[str, str], window: float) -> None:
         """`regions`: the region by zone, if it has one. `window`: of the health tracker, seconds."""
         self.regions, self.window = dict(regions), window
-        self.scores: dict[
-            str, int
-        ] = {}  # evaluations in which a zone failed, minus those in which it did not
-        self.stay_until = -inf  # no zone is left before this time, seconds
+        # By zone: the evaluations in which it failed, minus those in which it did not.
+        self.scores: dict[str, int] = {}
+        self.hold_off_until = -inf  # no zone is left before this time, seconds
 
     def zones_to_leave(
         self, agreed: Collection[str], planned: Collection[str], loads: Mapping[str, ZoneLoad], now: float
@@ -29,7 +28,7 @@
 
         `agreed`: zones that the members agree are failing; `planned`: zones that are already in the plan.
         """
-        failing = self._persistent(agreed, loads)
+        failing = self._persistently_failing(agreed, loads)
         if not failing:
             return []
         failing += self._rest_of_regions(failing, planned, loads)
@@ -43,10 +42,10 @@
         relieved = [name for name in failing if best <= ELSEWHERE_FRACTION * loads[name].failing_fraction]
         if not staying or not relieved:
             # After a fault of all zones has ended, the zone that recovers last must not be left needlessly.
-            self.stay_until = now + 2 * REPORTED_WINDOWS * self.window
-        return relieved if now >= self.stay_until else []
+            self.hold_off_until = now + 2 * REPORTED_WINDOWS * self.window
+        return relieved if now >= self.hold_off_until else []
 
-    def _persistent(self, agreed: Collection[str], loads: Mapping[str, ZoneLoad]) -> list[str]:
+    def _persistently_failing(self, agreed: Collection[str], loads: Mapping[str, ZoneLoad]) -> list[str]:
         """Return the zones that fail in several evaluations, so that a short stall does not suffice."""
         scores = {name: self.scores.get(name, 0) + (1 if name in agreed else -1) for name in loads}
         self.scores = {name: min(score, MIN_FAILING_SCORE) for name, score in scores.items() if score > 0}
@@ -59,12 +58,12 @@
         rest: list[str] = []
         for region in {self.regions[name] for name in failing if name in self.regions}:
             inside = [name for name in loads if self.regions.get(name) == region]
-            gone = [name for name in inside if name in failing or name in planned]
+            lost = [name for name in inside if name in failing or name in planned]
             others = [
                 name
                 for name in inside
-                if name not in gone and loads[name].failing_fraction >= FAILING_FRACTION
+                if name not in lost and loads[name].failing_fraction >= FAILING_FRACTION
             ]
-            if 2 * len(gone) > len(inside) and len(gone) + len(others) == len(inside):
+            if 2 * len(lost) > len(inside) and len(lost) + len(others) == len(inside):
                 rest += others
         return rest
--- a/starlingwheel/fleet/zones/health.py
+++ b/starlingwheel/fleet/zones/health.py
@@ -205,13 +205,13 @@
 
     def report(self) -> dict[str, ZoneHealth]:
         """Return the health report of each zone. To be called at least every eighth of a window."""
-        self._discount_own_pause()
+        self._discount_pause()
         self._find_silent_attempts()
         self._rotate_windows()
         counts = {zone: window.failure_counts() for zone, window in self.zones.items()}
         return {zone: self._zone_health(zone, window, counts) for zone, window in self.zones.items()}
 
-    def _discount_own_pause(self) -> None:
+    def _discount_pause(self) -> None:
         """Shift the start of pending attempts, so that a pause of this process does not make them silent."""
         gap, self.reported_at = self.now - self.reported_at, self.now
         if gap > self.window * PAUSE_WINDOWS:
@@ -286,7 +286,7 @@
         The report remains for `REPORTED_WINDOWS` without new attempts.
         """
         fraction = counts[zone].fraction
-        fails = self._fails_here(window, counts[zone]) and self._answered_elsewhere(zone, window)
+        fails = self._has_failures(window, counts[zone]) and self._is_zone_specific(zone, window)
         if fails and self._fraction_elsewhere(zone, counts) <= ELSEWHERE_FRACTION * fraction:
             window.failing_until = self.now + REPORTED_WINDOWS * self.window
         elif not window.failures_in_a_row and fraction < FAILING_FRACTION:
@@ -295,14 +295,14 @@
         return self.now < window.failing_until
 
     @staticmethod
-    def _fails_here(window: OutcomeWindow, seen: FailureCounts) -> bool:
+    def _has_failures(window: OutcomeWindow, seen: FailureCounts) -> bool:
         # The threshold is low, because a member sends few attempts to zones other than its own; the plan
         # requires the reports of more than half of the weight.
         all_failed = window.failures_in_a_row and window.failures_in_a_row >= seen.attempts
         many_failed = seen.failures >= MIN_FAILURES_IN_A_ROW and seen.fraction >= FAILING_FRACTION
         return bool(all_failed or many_failed)
 
-    def _answered_elsewhere(self, zone: str, window: OutcomeWindow) -> bool:
+    def _is_zone_specific(self, zone: str, window: OutcomeWindow) -> bool:
         """Return whether the failures are specific to this zone, not those of a fault that all zones share.
 
         They are if another zone was healthy before this zone's failures began, and has answered since.
--- a/starlingwheel/fleet/zones/planner.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -46,7 +46,7 @@
 MAX_PAUSE_LEASES = 64.0
 RECENT_PLAN_LEASES = 8.0  # leases for which other members may still use the shares of a former plan
 WRITE_DELAY_LEASES = 1 / 32  # leases that each member waits for the previous one to write a plan
-MAX_WRITE_DELAYS = 16
+MAX_WRITE_DELAYS = 16  # write delays that a member waits at most
 REMEMBERED_EPOCHS = 8  # plans whose write delays are kept
 EVALUATION_WINDOWS = 1 / 16  # windows: minimum between two evaluations of all reports
 POLL_WINDOWS = 1 / 8  # windows after which the planner needs to be called again
@@ -100,7 +100,7 @@
         self.reporter = ZoneReporter(member_id, lease)
         self.records = StoreRecords()
         self.plan = ZonePlan()
-        self.plan_mod = 0
+        self.plan_revision = 0
         self.reports: dict[str, ZoneReport] = {}  # the reports of all members
         self.evidence = self._collect_evidence()
         self.turns = WriteTurns(WRITE_DELAY_LEASES * lease, MAX_WRITE_DELAYS, REMEMBERED_EPOCHS)
@@ -123,8 +123,8 @@
     def update_records(self, records: StoreRecords) -> None:
         """Apply the records of the coordination store."""
         self.records = records
-        if records.plan_revision != self.plan_mod:
-            self.plan_mod = records.plan_revision
+        if records.plan_revision != self.plan_revision:
+            self.plan_revision = records.plan_revision
             self._adopt_plan(records.plan or ZonePlan())
 
     def _adopt_plan(self, plan: ZonePlan) -> None:
@@ -329,8 +329,8 @@
         return write_at if self.now < write_at else self._write_plan(plan)
 
     def _write_plan(self, plan: ZonePlan) -> Transaction:
-        unchanged = [equal(ZONE_PLAN_KEY, "MOD", self.plan_mod)]
-        return Transaction("zones.plan", unchanged, [(ZONE_PLAN_KEY, msgspec.json.encode(plan))])
+        conditions = [equal(ZONE_PLAN_KEY, "MOD", self.plan_revision)]
+        return Transaction("zones.plan", conditions, [(ZONE_PLAN_KEY, msgspec.json.encode(plan))])
 
     # Commands of operators.
 
--- a/starlingwheel/net/fleet/links/dialer.py
+++ b/starlingwheel/net/fleet/links/dialer.py
@@ -39,9 +39,8 @@
         self.rng = rng
         self.on_unreachable = on_unreachable
         self.dialing: dict[str, PeerLink] = {}  # dialed links that are not established yet
-        self.needed_until: dict[
-            str, float
-        ] = {}  # members to which a link is required, and the time of giving up
+        # Members to which a link is required, and the time at which each is given up.
+        self.needed_until: dict[str, float] = {}
         self.attempts: dict[str, DialAttempt] = {}  # next dial by member
 
     def next_at(self) -> float | None:
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -68,8 +68,8 @@
                 config = self._balancer_config_under(body, self.config)
             except ConfigError as error:
                 return str(error)
-            fixed = keep_start_only_fields(config, self.balancer_config())[1]
-            errors = [f"{name}: a change requires a restart" for name in fixed]
+            start_only = keep_start_only_fields(config, self.balancer_config())[1]
+            errors = [f"{name}: a change requires a restart" for name in start_only]
         return "; ".join(errors)
 
     def store(self, stored: StoredPolicy) -> None:
