--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Admin calls: detaching endpoints, draining, and replacing the process."""
+"""Admin calls: detaching endpoints, draining the sidecar, and replacing the process."""
 
 import json
 import os
@@ -30,21 +30,21 @@
 )
 from starlingwheel.net.state.siblings import SiblingProcesses
 
-MakeOperated = Callable[..., SidecarHarness]
+MakeAdminHarness = Callable[..., SidecarHarness]
 
 
 @pytest.fixture
-def operated(make_harness: Callable[..., SidecarHarness], tmp_path: Path) -> MakeOperated:
-    """Makes sidecars with an admin address; overrides are kept in one folder."""
+def make_admin_harness(make_harness: Callable[..., SidecarHarness], tmp_path: Path) -> MakeAdminHarness:
+    """Return a function that starts sidecars with an admin address and a common folder for overrides."""
 
-    def make(**given: object) -> SidecarHarness:
-        return make_harness(mgmt="127.0.0.1:0", environment={"TMPDIR": str(tmp_path)}, **given)
+    def make(**options: object) -> SidecarHarness:
+        return make_harness(mgmt="127.0.0.1:0", environment={"TMPDIR": str(tmp_path)}, **options)
 
     return make
 
 
-def body_naming(name: str) -> bytes:
-    """Return the body of a call about an endpoint."""
+def id_body(name: str) -> bytes:
+    """Return the body of a call that names an endpoint."""
     return json.dumps({"id": name}).encode()
 
 
@@ -54,21 +54,21 @@
 
 
 def detach(harness: SidecarHarness, name: str = "s0") -> int | None:
-    """Have an endpoint detached; return the status."""
-    return harness.call_admin("PUT /_upstreams/detach", body_naming(name))
+    """Detach an endpoint; return the status of the call."""
+    return harness.call_admin("PUT /_upstreams/detach", id_body(name))
 
 
 def attach(harness: SidecarHarness, name: str = "s0") -> int | None:
-    """Have an endpoint attached again; return the status."""
-    return harness.call_admin("PUT /_upstreams/attach", body_naming(name))
+    """Attach an endpoint again; return the status of the call."""
+    return harness.call_admin("PUT /_upstreams/attach", id_body(name))
 
 
 # The calls.
 
 
-def test_ready_tells_whether_clients_are_accepted(operated: MakeOperated) -> None:
-    """503 until the endpoint list is known."""
-    harness = operated(known=None)
+def test_ready_tells_whether_clients_are_accepted(make_admin_harness: MakeAdminHarness) -> None:
+    """The status is 503 until an endpoint list is known."""
+    harness = make_admin_harness(known=None)
     assert harness.call_admin("GET /_ready") == 503
     harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(0)]})
     harness.wait_until(lambda: harness.log_lines("list.news"))
@@ -85,57 +85,57 @@
         ("PUT /_upstreams/detach", b'{"id":""}', "", 400),
         ("PUT /_upstreams/detach", b'{"id":7}', "", 400),
         ("PUT /_upstreams/detach", b'{"id":"\xff"}', "", 400),
-        ("PUT /_upstreams/detach", body_naming("nobody"), "", 404),
-        ("PUT /_upstreams/attach", body_naming("nobody"), "", 404),
-        ("PUT /_upstreams/detach", body_naming("s0") + b" " * 5000, "", 413),
-        ("PUT /_upstreams/detach", body_naming("s0"), "Transfer-Encoding: chunked\r\n", 400),
-        ("PUT /_upstreams", body_naming("s0"), "", 404),
-        ("POST /_upstreams/detach", body_naming("s0"), "", 405),
+        ("PUT /_upstreams/detach", id_body("nobody"), "", 404),
+        ("PUT /_upstreams/attach", id_body("nobody"), "", 404),
+        ("PUT /_upstreams/detach", id_body("s0") + b" " * 5000, "", 413),
+        ("PUT /_upstreams/detach", id_body("s0"), "Transfer-Encoding: chunked\r\n", 400),
+        ("PUT /_upstreams", id_body("s0"), "", 404),
+        ("POST /_upstreams/detach", id_body("s0"), "", 405),
         ("GET /_lameduck/on", b"", "", 405),
         ("PUT /_ready", b"", "", 405),
         ("nothing", b"", "", 400),
     ],
 )
 def test_an_invalid_call_is_rejected_and_changes_nothing(
-    operated: MakeOperated, request_line: str, body: bytes, extra: str, status: int
+    make_admin_harness: MakeAdminHarness, request_line: str, body: bytes, extra: str, status: int
 ) -> None:
-    """It is logged with its status."""
-    harness = operated()
+    """The call is logged with its status."""
+    harness = make_admin_harness()
     assert harness.call_admin(request_line, body, extra) == status
     assert not harness.context.overrides.stored.drained and not harness.context.draining
     assert entry_in_decisions(harness, "s0").state is EndpointState.READY
     assert [line["status"] for line in harness.log_lines("operator.call")] == [status]
 
 
-def test_of_two_calls_on_one_connection_neither_is_carried_out(operated: MakeOperated) -> None:
-    """The second begins in what follows the first one's body."""
-    harness = operated()
-    body = body_naming("s0")
+def test_of_two_calls_on_one_connection_neither_is_carried_out(make_admin_harness: MakeAdminHarness) -> None:
+    """The second call follows the body of the first one; the status is 400."""
+    harness = make_admin_harness()
+    body = id_body("s0")
     extra = f"Content-Length: {len(body)}\r\n\r\n{body.decode()}PUT /_lameduck/on HTTP/1.1\r\nHost: a\r\n"
     assert harness.call_admin("PUT /_upstreams/detach", extra=extra) == 400
     assert not harness.context.overrides.stored.drained and not harness.context.draining
 
 
-def test_callers_that_send_nothing_do_not_keep_out_others(operated: MakeOperated) -> None:
-    """There are never more open calls than their part of the descriptors."""
-    harness = operated(limits={"sockets": 256})
-    place = harness.context.admin_listener.sock.getsockname()
-    silent = [harness.close_at_end(socket.create_connection(place)) for _ in range(20)]
+def test_callers_that_send_nothing_do_not_keep_out_others(make_admin_harness: MakeAdminHarness) -> None:
+    """No more calls are open than the descriptors reserved for them allow."""
+    harness = make_admin_harness(limits={"sockets": 256})
+    address = harness.context.admin_listener.sock.getsockname()
+    silent = [harness.close_at_end(socket.create_connection(address)) for _ in range(20)]
     for one in silent[::2]:
         one.sendall(b"PUT /_upstreams/detach HTTP/1.1\r\nHost:")
     harness.run_for(0.05)
     assert len(harness.context.admin_listener.calls) <= harness.context.connections.admin_call_limit
     assert detach(harness) == 200
-    # Calls for which there is no room are closed, the oldest first; the others end by themselves.
+    # Calls beyond the limit are closed, the oldest first; the others time out.
     assert harness.wait_until(lambda: harness.read(silent[0])) == b"end"
 
 
-def test_a_call_is_closed_only_to_make_room_for_another(operated: MakeOperated) -> None:
-    """As many as there is room for stay open."""
-    harness = operated(limits={"sockets": 256})
-    place = harness.context.admin_listener.sock.getsockname()
+def test_a_call_is_closed_only_to_make_room_for_another(make_admin_harness: MakeAdminHarness) -> None:
+    """Up to the limit all calls stay open."""
+    harness = make_admin_harness(limits={"sockets": 256})
+    address = harness.context.admin_listener.sock.getsockname()
     silent = [
-        harness.close_at_end(socket.create_connection(place))
+        harness.close_at_end(socket.create_connection(address))
         for _ in range(harness.context.connections.admin_call_limit)
     ]
     harness.run_for(0.1)
@@ -145,14 +145,14 @@
 def test_an_admin_address_in_use_ends_the_start_with_one_line(
     make_harness: Callable[..., SidecarHarness], harness: SidecarHarness
 ) -> None:
-    """The error fits on one line of the log."""
+    """The error message is a single line."""
     with pytest.raises(ConfigError) as refused:
         make_harness(mgmt=socket_address(harness.listeners[0]))
     assert "\n" not in str(refused.value)
 
 
 def test_without_an_admin_address_nothing_listens(harness: SidecarHarness) -> None:
-    """And no descriptors are reserved for calls."""
+    """No descriptors are reserved for calls either."""
     assert harness.context.admin_listener is None and harness.context.connections.admin_call_limit == 0
     assert ConnectionTracker(1024).endpoint_limit > ConnectionTracker(1024, admin_enabled=True).endpoint_limit
 
@@ -160,12 +160,14 @@
 # Detaching an endpoint.
 
 
-def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(operated: MakeOperated) -> None:
-    """Not even after a restart, a removal or a new snapshot."""
-    harness = operated(upstreams=2)
+def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(
+    make_admin_harness: MakeAdminHarness,
+) -> None:
+    """It stays detached after its restart, its removal and a new snapshot."""
+    harness = make_admin_harness(upstreams=2)
     watch, _ = harness.accept_watch(b"")
     assert detach(harness) == 200 and detach(harness) == 200
-    for message in (  # a restart, a removal, and being listed again
+    for message in (  # a restart, a removal, and a snapshot that lists it again
         {"version": 8, "servers": [harness.endpoint_entry(0, started_ms=5)]},
         {"version": 9, "servers": [harness.endpoint_entry(0, state="left")]},
         {"version": 10, "full": True, "servers": [harness.endpoint_entry(0), harness.endpoint_entry(1)]},
@@ -176,18 +178,18 @@
     harness.assert_no_connection(0)
 
 
-def test_one_attach_undoes_all_detaches_and_slow_start_begins(operated: MakeOperated) -> None:
-    """The moment of the call counts as its start."""
-    harness = operated(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
+def test_one_attach_undoes_all_detaches_and_slow_start_begins(make_admin_harness: MakeAdminHarness) -> None:
+    """The time of the call counts as the start time of the endpoint."""
+    harness = make_admin_harness(settings={"rules": {"mustAskIn": 800000, "cold": 8000000, "coldShare": 0.3}})
     harness.accept_watch(b"")
     before = entry_in_decisions(harness, "s0")
-    assert attach(harness) == 200  # it was not out
+    assert attach(harness) == 200  # it was not detached
     assert entry_in_decisions(harness, "s0") == before
     assert detach(harness) == 200 and detach(harness) == 200
     harness.wait_until(lambda: entry_in_decisions(harness, "s0").state is EndpointState.DRAINING)
     assert attach(harness) == 200
     harness.wait_until(lambda: entry_in_decisions(harness, "s0").state is EndpointState.READY)
-    # Discovery does not list its restart yet.
+    # Discovery lists no start time.
     assert entry_in_decisions(harness, "s0").started_at > harness.context.loop.now() - 5
     assert (
         harness.context.coordinator.scheduler.balancer.slow_start.fraction(
@@ -197,9 +199,11 @@
     )
 
 
-def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(operated: MakeOperated) -> None:
-    """Once discovery lists a new one."""
-    harness = operated()
+def test_the_start_time_that_the_list_gives_replaces_that_of_the_attach(
+    make_admin_harness: MakeAdminHarness,
+) -> None:
+    """Discovery lists the new start time some time after the call."""
+    harness = make_admin_harness()
     watch, _ = harness.accept_watch(b"")
     assert detach(harness) == 200 and attach(harness) == 200
     started = (time.time() - 1) * 1000
@@ -207,9 +211,9 @@
     harness.wait_until(lambda: entry_in_decisions(harness, "s0").started_at == started / 1000)
 
 
-def test_idle_connections_to_a_detached_endpoint_are_closed(operated: MakeOperated) -> None:
-    """At once, not after their idle time."""
-    harness = operated()
+def test_idle_connections_to_a_detached_endpoint_are_closed(make_admin_harness: MakeAdminHarness) -> None:
+    """They are closed at once instead of after the idle timeout."""
+    harness = make_admin_harness()
     client = harness.send_request()
     upstream = harness.serve()
     assert harness.read_status(client) == 200
@@ -217,9 +221,11 @@
     assert harness.wait_until(lambda: harness.read(upstream)) == b"end"
 
 
-def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(operated: MakeOperated) -> None:
-    """Two that run side by side, and one that starts later."""
-    one, other = operated(), operated()
+def test_overrides_hold_in_all_processes_of_a_sidecar_and_in_the_next_one(
+    make_admin_harness: MakeAdminHarness,
+) -> None:
+    """Two processes run side by side, and a third one starts later."""
+    one, other = make_admin_harness(), make_admin_harness()
     assert detach(one) == 200
     other.wait_until(lambda: entry_in_decisions(other, "s0").state is EndpointState.DRAINING)
     assert other.call_admin("PUT /_lameduck/on") == 200
@@ -227,63 +233,65 @@
     assert attach(other) == 200
     one.wait_until(lambda: entry_in_decisions(one, "s0").state is EndpointState.READY)
     assert detach(other) == 200
-    after = operated(known={"version": 7, "full": True, "servers": []})
+    after = make_admin_harness(known={"version": 7, "full": True, "servers": []})
     assert after.context.overrides.stored.drained and after.context.draining
     assert after.call_admin("PUT /_lameduck/off") == 200
-    # Nobody has listed it to this one.
+    # Discovery has not listed the endpoint to this process.
     assert attach(after) == 200 and detach(after, "s9") == 404
 
 
 @pytest.mark.parametrize("text", [b"", b"{", b'{"out":7}', b"\xff\x00"])
 def test_an_unreadable_overrides_file_stops_neither_start_nor_call(
-    operated: MakeOperated, tmp_path: Path, text: bytes
+    make_admin_harness: MakeAdminHarness, tmp_path: Path, text: bytes
 ) -> None:
-    """It is logged, and replaced by the next call."""
+    """The file is logged as unreadable, and replaced by the next call."""
     (tmp_path / OVERRIDES_FILE).write_bytes(text)
-    harness = operated()
+    harness = make_admin_harness()
     assert harness.log_lines("operators.unreadable")
     assert detach(harness) == 200 and "s0" in json.loads((tmp_path / OVERRIDES_FILE).read_bytes())["out"]
 
 
-def test_a_call_succeeds_only_once_its_change_is_stored(operated: MakeOperated, tmp_path: Path) -> None:
-    """Where the file can't be written the call gets 503, and nothing changes."""
-    harness = operated()
+def test_a_call_succeeds_only_once_its_change_is_stored(
+    make_admin_harness: MakeAdminHarness, tmp_path: Path
+) -> None:
+    """If the file can't be written the call gets 503, and nothing changes."""
+    harness = make_admin_harness()
     harness.wait_until(lambda: not harness.context.overrides.has_unstored_ids)
     harness.context.overrides.file.path = tmp_path / "gone" / OVERRIDES_FILE
     assert detach(harness) == 503
     assert entry_in_decisions(harness, "s0").state is EndpointState.READY
 
 
-def test_an_overrides_file_locked_by_another_process_is_retried(tmp_path: Path) -> None:
-    """A locked file raises an error and changes nothing."""
-    out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
-    out.apply_watch_message(True, [DiscoveredEndpoint("s0")])
-    with out.file.lock(), pytest.raises(OverridesLockedError):
-        out.drain_endpoint("s0")
-    assert not out.stored.drained
-    assert out.drain_endpoint("s0")
+def test_an_overrides_file_locked_by_another_process_can_be_retried(tmp_path: Path) -> None:
+    """A locked file raises an error and changes nothing; a retry after its release succeeds."""
+    overrides = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
+    overrides.apply_watch_message(True, [DiscoveredEndpoint("s0")])
+    with overrides.file.lock(), pytest.raises(OverridesLockedError):
+        overrides.drain_endpoint("s0")
+    assert not overrides.stored.drained
+    assert overrides.drain_endpoint("s0")
 
 
 def test_old_ids_are_forgotten_but_not_those_in_use(tmp_path: Path) -> None:
-    """However many ids were ever listed."""
-    out = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
-    out.apply_watch_message(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
-    out.drain_endpoint("second")
+    """The number of remembered ids is limited, however many were ever listed."""
+    overrides = EndpointOverrides(str(tmp_path), lambda: 0.0, lambda *_, **__: None)
+    overrides.apply_watch_message(True, [DiscoveredEndpoint("first"), DiscoveredEndpoint("second")])
+    overrides.drain_endpoint("second")
     for i in range(3 * MAX_KNOWN_IDS):
-        out.apply_watch_message(
+        overrides.apply_watch_message(
             False, [DiscoveredEndpoint(f"s{i}"), DiscoveredEndpoint(f"s{i}", state="left")]
         )
-    assert len(out.known_ids) <= MAX_KNOWN_IDS + 2
-    assert out.drain_endpoint("first") and out.restore_endpoint("second") is not None
-    assert out.drain_endpoint("s0") is None
+    assert len(overrides.known_ids) <= MAX_KNOWN_IDS + 2
+    assert overrides.drain_endpoint("first") and overrides.restore_endpoint("second") is not None
+    assert overrides.drain_endpoint("s0") is None
 
 
 # Draining.
 
 
-def test_draining_sends_clients_away_and_can_be_undone(operated: MakeOperated) -> None:
-    """Each response ends its connection, idle ones are closed, and readiness is denied."""
-    harness = operated()
+def test_draining_disconnects_clients_and_can_be_undone(make_admin_harness: MakeAdminHarness) -> None:
+    """Each response closes its connection, idle connections are closed, and readiness checks get 503."""
+    harness = make_admin_harness()
     idle, kept = harness.connect_client(), harness.connect_client()
     kept.sendall(harness.request_bytes())
     upstream = harness.serve()
@@ -291,7 +299,7 @@
     assert harness.call_admin("PUT /_lameduck/on") == 200
     assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
     assert harness.call_admin("GET /_ready") == 200
-    # Requests that still come are served, on new and on idle connections, and told to close.
+    # Requests that still arrive, on new and on idle connections, are served with `Connection: close`.
     for client in (harness.connect_client(), kept):
         harness.wait_for_idle_connections()
         client.sendall(harness.request_bytes())
@@ -313,9 +321,9 @@
     assert [line["on"] for line in harness.log_lines("lameduck")] == [True, False]
 
 
-def test_a_stop_while_draining_ends_the_process(operated: MakeOperated) -> None:
-    """Both send clients away."""
-    harness = operated()
+def test_a_stop_while_draining_ends_the_process(make_admin_harness: MakeAdminHarness) -> None:
+    """Draining and shutdown both disconnect clients, and do not hinder each other."""
+    harness = make_admin_harness()
     harness.context.loop.running = True
     assert harness.call_admin("PUT /_lameduck/on") == 200
     os.kill(os.getpid(), signal.SIGTERM)
@@ -325,8 +333,8 @@
 # Replacing the process.
 
 
-def test_a_sibling_process_is_seen_while_it_lives(tmp_path: Path) -> None:
-    """By its lock, which ends with it."""
+def test_a_sibling_process_is_detected_while_it_runs(tmp_path: Path) -> None:
+    """It is detected by its lock, which the kernel releases when the process ends."""
     text = f"""if True:
         from starlingwheel.net.state.siblings import SiblingProcesses
         siblings = SiblingProcesses({str(tmp_path)!r})
@@ -344,9 +352,9 @@
     siblings.close()
 
 
-def test_sibling_processes_share_the_limits_of_one(operated: MakeOperated) -> None:
-    """Buffers and connections to endpoints are divided, clients' descriptors are not."""
-    harness = operated()
+def test_sibling_processes_share_the_limits_of_one(make_admin_harness: MakeAdminHarness) -> None:
+    """Buffers and connections to endpoints are divided; the descriptors for clients are not."""
+    harness = make_admin_harness()
     context, balancer = harness.context, harness.context.coordinator.scheduler.balancer
     clients = context.connections.client_limit
     alone = context.buffer_pool.max_buffers, context.connections.endpoint_limit
@@ -358,7 +366,7 @@
     context.siblings = AnotherProcess()
     harness.wait_until(lambda: balancer.config.process_count == 2)
     shared = context.buffer_pool.max_buffers, context.connections.endpoint_limit
-    assert context.connections.client_limit == clients  # they come over to the new one all at once
+    assert context.connections.client_limit == clients  # clients move to the new process all at once
     assert all(half < full * 0.6 for half, full in zip(shared, alone, strict=True))
     context.siblings = None
     harness.wait_until(lambda: balancer.config.process_count == 1)
@@ -367,7 +375,7 @@
 
 @pytest.mark.parametrize("value", ["x", "9999", "0"])
 def test_an_invalid_passed_socket_ends_the_start_with_one_line(tmp_path: Path, value: str) -> None:
-    """It names the variable, and the exit code is 2."""
+    """The line names the variable, and the exit code is 2."""
     config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path = tmp_path / "config.json"
     path.write_bytes(msgspec.json.encode(config))
@@ -378,10 +386,10 @@
 
 
 class CountingEndpoint:
-    """An endpoint on threads of its own: counts how often it ran each trace id."""
+    """An endpoint that runs in threads and counts how often it ran each trace id."""
 
     def __init__(self) -> None:
-        """Start to accept connections."""
+        """Listen, and accept connections in a thread."""
         self.listener = bound_socket(backlog=128)
         self.ran: dict[bytes, int] = {}
         self.listener.settimeout(None)
@@ -410,10 +418,10 @@
 
 @pytest.mark.xdist_group("trials-1")
 def test_under_load_a_process_is_replaced_and_no_request_is_lost_or_run_twice(tmp_path: Path) -> None:
-    """Clients with kept connections go on sending while a second process takes over the passed socket."""
+    """Clients on kept connections continue to send while a second process replaces the first one."""
     endpoint, passed, rng = CountingEndpoint(), bound_socket(backlog=256), random.Random(5)
-    place = socket_address(endpoint.listener)
-    servers = [{"id": f"s{i}", "addr": place, "state": "active"} for i in range(8)]
+    endpoint_address = socket_address(endpoint.listener)
+    servers = [{"id": f"s{i}", "addr": endpoint_address, "state": "active"} for i in range(8)]
     settings = SETTINGS | {"caps": SETTINGS["caps"] | {"mayDuplicate": False, "mostHandOffs": 1}}
     processes: list[subprocess.Popen[bytes]] = []
     ended = threading.Event()
@@ -427,7 +435,7 @@
         config = {"listen": socket_address(passed), "discovery": "127.0.0.1:1", "settings": settings}
         config |= {"known": {"version": 7, "full": True, "servers": servers}, "mgmt": mgmt}
         path.write_bytes(msgspec.json.encode(config))
-        place = split_host_port(mgmt)
+        admin_address = split_host_port(mgmt)
         environment = os.environ | {
             "EDGE_CONFIG": str(path),
             "EDGE_PASSED_SOCKET": str(passed.fileno()),
@@ -441,7 +449,7 @@
             )
         while True:
             try:
-                with socket.create_connection(place) as caller:
+                with socket.create_connection(admin_address) as caller:
                     caller.sendall(b"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n")
                     if caller.recv(64).startswith(b"HTTP/1.1 200"):
                         return processes[-1]
@@ -456,15 +464,15 @@
             request = f"GET /look/1 HTTP/1.1\r\nHost: a\r\nX-Trace-Id: {trace}\r\nX-Qos: look\r\n"
             sock = sock or socket.create_connection(passed.getsockname())
             sock.sendall(f"{request}X-Expires-In-Ms: 1900\r\n\r\n".encode())
-            got = b""
-            while b"\r\n\r\n" not in got or (b" 200 " in got and trace.encode() not in got):
+            response = b""
+            while b"\r\n\r\n" not in response or (b" 200 " in response and trace.encode() not in response):
                 if not (data := sock.recv(4096)):
                     lost.append(trace)
                     break
-                got += data
+                response += data
             else:
-                (answered if trace.encode() in got else rejected).append(trace)
-            if b"connection: close" in got.lower() or trace in lost:
+                (answered if trace.encode() in response else rejected).append(trace)
+            if b"connection: close" in response.lower() or trace in lost:
                 sock.close()
                 sock = None
             time.sleep(pauses.random() / 100)
