--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -411,6 +411,6 @@
 
     decided, rejected, shown, open_, dropped = asyncio.run(run_commands())
     assert decided[0] == 0 and "version 1 is decided" in decided[1]
-    assert rejected[0] == 1 and "does not hold yet" in rejected[1]
+    assert rejected[0] == 1 and "is decided but not in force yet" in rejected[1]
     assert "past: version 1 decided" in shown[1]
     assert open_[0] == 0 and dropped[0] == 0 and "dropped" in dropped[1]
