--- a/starlingwheel/cli/__init__.py
+++ b/starlingwheel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators. No sidecar loads it."""
+"""Command-line interface for operators; a sidecar process does not import it."""
--- a/starlingwheel/cli/__main__.py
+++ b/starlingwheel/cli/__main__.py
@@ -1,6 +1,6 @@
-"""python -m starlingwheel.cli: the fleet's policy, zones and members, from a shell.
+"""Command `python -m starlingwheel.cli`: manages a fleet's policy, zones and members.
 
-Exit codes: 0 done or decided, 1 refused, 2 wrong use, 3 dropped, 4 undecided or nobody can be reached.
+Exit codes: 0 done or decided, 1 rejected, 2 usage error, 3 dropped, 4 undecided or sidecar unreachable.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from .zones import zones
 
 
-@click.group(epilog="Exit codes: 0 done or decided, 1 refused, 3 dropped, 4 undecided or out of reach.")
+@click.group(epilog="Exit codes: 0 done or decided, 1 rejected, 3 dropped, 4 undecided or unreachable.")
 def main() -> None:
-    """Starlingwheel from a shell."""
+    """Manage a Starlingwheel fleet."""
 
 
 main.add_command(policy)
@@ -25,7 +25,7 @@
 @click.argument("name")
 @at_option
 def retire(name: str, at: str) -> None:
-    """Say that the sidecar NAME will not come back: majorities are counted without it."""
+    """Retire the sidecar NAME, which will not return: majorities are counted without it."""
     change(at, "/_fleet/retire", {"id": name})
     click.echo(f"{name} is retired")
 
--- a/starlingwheel/cli/admin_client.py
+++ b/starlingwheel/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Admin calls from the command line: each makes one HTTP request, and exits with a message where it fails."""
+"""Admin calls of the command line: each sends one HTTP request and exits with a message if it fails."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 class ExitCode(enum.IntEnum):
-    """How a command ended; 2, wrong use, is click's own."""
+    """Exit codes of the commands; click itself exits with 2 on a usage error."""
 
     DONE = 0
     REJECTED = 1
     DROPPED = 3
-    UNDECIDED = 4  # or nobody can be reached
+    UNDECIDED = 4  # or the sidecar is unreachable
 
 
 def fail(code: ExitCode, text: str) -> NoReturn:
-    """Exit with a message on standard error."""
+    """Print a message to standard error and exit."""
     click.echo(text, err=True)
     sys.exit(code)
 
 
 def call(address: str, method: str, path: str, body: object = None) -> tuple[int, Any]:
-    """Make one call and return the status and the decoded body of its response."""
+    """Send one request; return the status and the decoded body of the response."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise click.BadParameter(f"{address!r} is no host:port", param_hint="--at")
+        raise click.BadParameter(f"{address!r} is not of the form host:port", param_hint="--at")
     connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT)
     try:
         connection.request(method, path, None if body is None else json.dumps(body))
@@ -50,23 +50,23 @@
 def change(
     address: str, path: str, body: object, rejected: tuple[HTTPStatus, ...] = REJECTED
 ) -> dict[str, Any]:
-    """Make a call that changes something; exit with the reason where it is rejected, or fails otherwise.
+    """Send a PUT request and return the body of the response; exit with the reason if it does not succeed.
 
-    `rejected`: the statuses that mean the former.
+    `rejected`: the statuses that exit with `ExitCode.REJECTED`; other errors exit with `ExitCode.UNDECIDED`.
     """
     status, response = call(address, "PUT", path, body)
     if status != HTTPStatus.OK:
         code = ExitCode.REJECTED if status in rejected else ExitCode.UNDECIDED
-        fail(code, response.get("error", f"answered {status}"))
+        fail(code, response.get("error", f"status {status}"))
     return response
 
 
-def get_of_fleet(address: str, path: str) -> dict[str, Any]:
-    """Make a call that only a member of a fleet answers."""
+def get_from_fleet(address: str, path: str) -> dict[str, Any]:
+    """Send a GET request that only a member of a fleet answers."""
     status, response = call(address, "GET", path)
     if status != HTTPStatus.OK:
-        fail(ExitCode.REJECTED, f"{address}: answered {status}: no fleet")
+        fail(ExitCode.REJECTED, f"{address}: status {status}: not a member of a fleet")
     return response
 
 
-at_option = click.option("--at", required=True, help="Second address of any sidecar of the fleet, host:port.")
+at_option = click.option("--at", required=True, help="Admin address of any sidecar of the fleet, host:port.")
--- a/starlingwheel/cli/zones.py
+++ b/starlingwheel/cli/zones.py
@@ -1,24 +1,24 @@
-"""The commands about zones. Their docstrings are the help texts."""
+"""The commands for zones. Their docstrings are the help texts."""
 
 from __future__ import annotations
 
 import click
 
-from .admin_client import at_option, change, get_of_fleet
+from .admin_client import at_option, change, get_from_fleet
 
 
 @click.group()
 def zones() -> None:
-    """The fleet's plan for zones that fail, or are to be left."""
+    """Manage the fleet's plan for zones that fail or are taken out of use."""
 
 
 @zones.command(name="show")
 @at_option
 def show_zones(at: str) -> None:
-    """Tell which zones are not whole, and why."""
-    planned = get_of_fleet(at, "/_zones")["plan"]["zones"]
+    """Show the zones with reduced traffic, and the reasons."""
+    planned = get_from_fleet(at, "/_zones")["plan"]["zones"]
     if not planned:
-        click.echo("all zones are whole")
+        click.echo("all zones are in full use")
     for name, zone in sorted(planned.items()):
         by_operator = ", by an operator" if zone["by_operator"] else ""
         click.echo(f"{name}: {zone['state']}, share {zone['share']:.3f}: {zone['why']}{by_operator}")
@@ -29,7 +29,7 @@
     click.echo(f"{zone}: {action}")
 
 
-reason_option = click.option("--why", "reason", default="", help="The reason, for those who look at it.")
+reason_option = click.option("--why", "reason", default="", help="The reason, shown with the plan.")
 
 
 @zones.command()
@@ -37,7 +37,7 @@
 @reason_option
 @at_option
 def leave(zone: str, reason: str, at: str) -> None:
-    """Send nothing more to ZONE, until it is returned to."""
+    """Stop sending to ZONE until `return` is called."""
     _change_plan(at, zone, "leave", reason)
 
 
@@ -46,7 +46,7 @@
 @reason_option
 @at_option
 def return_to(zone: str, reason: str, at: str) -> None:
-    """Begin to return to ZONE, by the ramp."""
+    """Start to return to ZONE, with a ramp."""
     _change_plan(at, zone, "return", reason)
 
 
@@ -55,5 +55,5 @@
 @reason_option
 @at_option
 def hold(zone: str, reason: str, at: str) -> None:
-    """Keep the share of ZONE as it is."""
+    """Keep the share of ZONE at its present value."""
     _change_plan(at, zone, "hold", reason)
--- a/starlingwheel/command/__init__.py
+++ b/starlingwheel/command/__init__.py
@@ -1,1 +1,1 @@
-"""Former name of `starlingwheel.cli`, kept for scripts that call it."""
+"""Deprecated name of `starlingwheel.cli`, kept for scripts that use it."""
--- a/starlingwheel/command/__main__.py
+++ b/starlingwheel/command/__main__.py
@@ -1,4 +1,4 @@
-"""python -m starlingwheel.command: the former name of `python -m starlingwheel.cli`."""
+"""Command `python -m starlingwheel.command`: deprecated name of `python -m starlingwheel.cli`."""
 
 from ..cli.__main__ import main
 
--- a/starlingwheel/simulator/__init__.py
+++ b/starlingwheel/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Connects the decisions with the simulator: its lines become events, and their commands become its lines."""
+"""Simulator adapter: decodes input lines as decision events and encodes decision commands as output."""
--- a/starlingwheel/simulator/__main__.py
+++ b/starlingwheel/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""python -m starlingwheel.simulator: batches on standard input, only replies on standard output."""
+"""Command `python -m starlingwheel.simulator`: reads batches from stdin and writes only replies to stdout."""
 
 import gc
 import sys
@@ -11,7 +11,7 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends; return the exit code."""
+    """Process batches until the end of the input; return the exit code."""
     gc.freeze()
     process = SimulatorProcess()
     lines = iter(sys.stdin.readline, "")
@@ -21,7 +21,7 @@
             process.line_number += 1
             continue
         try:
-            reply = process.batch(first, lines)
+            reply = process.process_batch(first, lines)
         except MalformedMessageError as error:
             print(f"starlingwheel: {error}", file=sys.stderr)
             return EXIT_MALFORMED_INPUT
--- a/starlingwheel/simulator/process.py
+++ b/starlingwheel/simulator/process.py
@@ -1,4 +1,4 @@
-"""All simulated sidecars of one process, fed batch by batch."""
+"""The simulated sidecars of one process, driven by batches of input lines."""
 
 from __future__ import annotations
 
@@ -16,56 +16,57 @@
 
 
 class SimulatorProcess:
-    """Owns the sidecars, the endpoint lists and the simulated time."""
+    """The sidecars, the endpoint lists and the simulated time."""
 
     def __init__(self) -> None:
-        """No sidecar has started yet."""
+        """Start without any sidecars."""
         self.sidecars: dict[str, SimulatedSidecar | None] = {}  # None: killed
         self.lists: dict[int, list[Endpoint]] = {}
         self.now = 0.0  # seconds
         self.line_number = 0
 
-    def batch(self, first: str, more: Iterator[str]) -> list[str]:
-        """Take one batch, from its first line and the iterator of those that follow; return the answer.
+    def process_batch(self, first: str, more: Iterator[str]) -> list[str]:
+        """Process one batch and return the lines of the reply.
 
+        `first` is the first line of the batch, and `more` iterates over the lines that follow it.
         Raises `MalformedMessageError`.
         """
-        opening = self._read(first)
-        if opening.name != LineName.BATCH_BEGIN:
-            raise opening.error("a batch opens with SYNC")
-        self.now = opening.time
-        turn = opening.turn
-        touched = self._read_events(more)
-        answer = []
-        for name, sidecar in touched.items():
+        header = self._read(first)
+        if header.name != LineName.BATCH_BEGIN:
+            raise header.error("a batch must start with SYNC")
+        self.now = header.time
+        turn = header.turn
+        addressed = self._read_events(more)
+        reply = []
+        for name, sidecar in addressed.items():
             if sidecar.output:
-                answer.append(encode_select_sidecar(name))
-                answer += sidecar.output
+                reply.append(encode_select_sidecar(name))
+                reply += sidecar.output
                 sidecar.output = []
-        answer.append(encode_batch_end(turn))
-        return answer
+        reply.append(encode_batch_end(turn))
+        return reply
 
     def _read(self, text: str) -> SimulatorLine:
         self.line_number += 1
         return SimulatorLine(self.line_number, text)
 
     def _read_events(self, more: Iterator[str]) -> dict[str, SimulatedSidecar]:
-        """Handle the lines up to the end of the batch; return the sidecars they were for, in order."""
-        touched: dict[str, SimulatedSidecar] = {}
+        """Handle the lines up to the end of the batch; return the addressed sidecars in order."""
+        addressed: dict[str, SimulatedSidecar] = {}
         current: str | None = None
         for text in more:
             line = self._read(text.rstrip("\r\n"))
             if line.name == LineName.BATCH_END:
-                return touched
+                return addressed
             if line.name == LineName.ENDPOINT_LIST:
                 self._read_list(line, more)
             elif line.name == LineName.SELECT_SIDECAR:
                 current = line.sidecar
             elif current is None:
-                raise line.error("an event before any CONTEXT")
+                raise line.error("event before the first CONTEXT")
             else:
-                self._handle(current, line, touched)
-        raise MalformedMessageError(f"line {self.line_number}: the input ends within a batch")
+                self._handle(current, line, addressed)
+        raise MalformedMessageError(f"line {self.line_number}: end of input within a batch")
 
     def _read_list(self, line: SimulatorLine, more: Iterator[str]) -> None:
         number, size = line.list_number, line.list_size
@@ -74,29 +75,29 @@
             entry = self._read(next(more, "").rstrip("\r\n"))
             if entry.name != LineName.ENDPOINT:
                 raise MalformedMessageError(
-                    f"line {self.line_number}: SHEET: UPSTREAM expected, not {entry.name!r}"
+                    f"line {self.line_number}: SHEET: expected UPSTREAM, got {entry.name!r}"
                 )
             endpoints.append(entry.endpoint())
         self.lists[number] = endpoints
 
-    def _handle(self, name: str, line: SimulatorLine, touched: dict[str, SimulatedSidecar]) -> None:
+    def _handle(self, name: str, line: SimulatorLine, addressed: dict[str, SimulatedSidecar]) -> None:
         if line.name == LineName.SIDECAR_KILLED:
             self.sidecars[name] = None
-            touched.pop(name, None)
+            addressed.pop(name, None)
             return
         if line.name == LineName.SIDECAR_STARTED:
             sidecar = self.sidecars[name] = SimulatedSidecar(line, self.now)
-            touched.pop(name, None)
+            addressed.pop(name, None)
         else:
-            sidecar = self._started(name, line)
-        if name not in touched:
-            touched[name] = sidecar
+            sidecar = self._started_sidecar(name, line)
+        if name not in addressed:
+            addressed[name] = sidecar
             sidecar.scheduler.set_time(self.now)
         if line.name != LineName.SIDECAR_STARTED:
             sidecar.handle(line, self.lists)
 
-    def _started(self, name: str, line: SimulatorLine) -> SimulatedSidecar:
+    def _started_sidecar(self, name: str, line: SimulatorLine) -> SimulatedSidecar:
         sidecar = self.sidecars.get(name)
         if sidecar is None:
-            raise line.error(f"for an instance that has not started: {name!r}")
+            raise line.error(f"not a started sidecar: {name!r}")
         return sidecar
--- a/starlingwheel/simulator/sidecar.py
+++ b/starlingwheel/simulator/sidecar.py
@@ -1,4 +1,4 @@
-"""One simulated sidecar: hosts the decisions, and maps the simulator's request numbers to their objects."""
+"""One simulated sidecar: hosts the decisions and maps the simulator's request numbers to request objects."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class SimulatedRequest:
-    """A request under its number, held until it is answered and all its attempts have ended."""
+    """A request and its number, kept until it is answered and all its attempts have ended."""
 
     __slots__ = ("number", "request", "attempts", "unanswered")
 
     def __init__(self, number: int, request: Request) -> None:
-        """A request that has just come."""
+        """Create the entry of a request that has just arrived."""
         self.number = number
         self.request = request
         self.attempts: list[Attempt] = []
@@ -27,10 +27,10 @@
 
 
 class SimulatedSidecar:
-    """The `DecisionHost` of one sidecar. Its commands are collected as lines in `output`."""
+    """The `DecisionHost` of one sidecar; appends each command to `output` as a line."""
 
     def __init__(self, line: SimulatorLine, now: float) -> None:
-        """Start as the line configures it; raises `MalformedMessageError`."""
+        """Start with the configuration in the line. Raises `MalformedMessageError`."""
         self.output: list[str] = []
         config = line.balancer_config
         self._request_classes = {c.name: c for c in config.request_classes}
@@ -38,15 +38,15 @@
         self._by_number: dict[int, SimulatedRequest] = {}
         self._by_request: dict[Request, SimulatedRequest] = {}
         self._started = False
-        self._alarms: list[int] = []  # in microseconds, each sooner than the one before it
+        self._alarms: list[int] = []  # pending alarms in microseconds, in descending order
         self.scheduler = DecisionScheduler(config, random.Random(line.random_seed), self, now)
 
     # Events.
 
     def handle(self, line: SimulatorLine, lists: Mapping[int, list[Endpoint]]) -> None:
-        """Pass one event to the decisions; raises `MalformedMessageError`.
+        """Pass one event to the decisions. Raises `MalformedMessageError`.
 
-        `lists`: the endpoint lists by the number that an event refers to them by.
+        `lists`: the endpoint lists by the number that events use to refer to them.
         """
         if line.name == LineName.ENDPOINTS_CHANGED:
             self._endpoints_changed(line, lists)
@@ -74,19 +74,19 @@
             cost=line.cost,
             key=line.affinity_key,
         )
-        pending = SimulatedRequest(line.request_number, request)
-        self._by_number[pending.number] = self._by_request[request] = pending
+        tracked = SimulatedRequest(line.request_number, request)
+        self._by_number[tracked.number] = self._by_request[request] = tracked
         self.scheduler.accept_request(request)
 
     def _attempt(self, line: SimulatorLine) -> Attempt | None:
-        """Return the attempt that a line is about; None when its request is long over."""
-        pending = self._by_number.get(line.request_number)
-        if pending is None:
+        """Return the attempt that a line refers to; None when its request is no longer tracked."""
+        tracked = self._by_number.get(line.request_number)
+        if tracked is None:
             return None
         index = line.attempt_index
-        if not 0 <= index < len(pending.attempts):
-            raise line.unknown_attempt()
-        return pending.attempts[index]
+        if not 0 <= index < len(tracked.attempts):
+            raise line.unknown_attempt_error()
+        return tracked.attempts[index]
 
     def _attempt_ended(self, line: SimulatorLine) -> None:
         attempt = self._attempt(line)
@@ -94,12 +94,12 @@
         if attempt is None or not attempt.pending:
             return
         answered = line.answered_client
-        pending = self._by_request[attempt.request]
-        pending.unanswered = pending.unanswered and not answered
+        tracked = self._by_request[attempt.request]
+        tracked.unanswered = tracked.unanswered and not answered
         self.scheduler.attempt_ended(
             AttemptEnded(attempt, outcome, line.duration, answered, line.load_report())
         )
-        self._forget_if_over(pending)
+        self._remove_if_finished(tracked)
 
     def _response_started(self, line: SimulatorLine) -> None:
         attempt = self._attempt(line)
@@ -107,14 +107,14 @@
             self.scheduler.response_started(attempt)
 
     def _client_disconnected(self, line: SimulatorLine) -> None:
-        pending = self._by_number.get(line.request_number)
-        if pending is not None and pending.unanswered:
-            pending.unanswered = False
-            self.scheduler.client_disconnected(pending.request)
-            self._forget_if_over(pending)
+        tracked = self._by_number.get(line.request_number)
+        if tracked is not None and tracked.unanswered:
+            tracked.unanswered = False
+            self.scheduler.client_disconnected(tracked.request)
+            self._remove_if_finished(tracked)
 
     def _alarm(self, line: SimulatorLine) -> None:
-        _ = line.alarm_mark  # the field has to be there, whatever it says
+        _ = line.alarm_mark  # the field is required, but its value is not used
         while self._alarms and self._alarms[-1] <= wire.to_microseconds(self.scheduler.now):
             self._alarms.pop()
         self.scheduler.tick()
@@ -136,58 +136,59 @@
         LineName.GOSSIP_RECEIVED: _gossip_received,
     }
 
-    def _forget_if_over(self, pending: SimulatedRequest) -> None:
-        if not pending.unanswered and not any(attempt.pending for attempt in pending.attempts):
-            self._by_number.pop(pending.number, None)
-            self._by_request.pop(pending.request, None)
+    def _remove_if_finished(self, tracked: SimulatedRequest) -> None:
+        if not tracked.unanswered and not any(attempt.pending for attempt in tracked.attempts):
+            self._by_number.pop(tracked.number, None)
+            self._by_request.pop(tracked.request, None)
 
     # Commands: the methods of `DecisionHost`.
 
     def start_attempt(self, attempt: Attempt, timeout: float) -> None:
-        """Send the request to the attempt's endpoint, with a timeout of `timeout` seconds."""
-        pending = self._by_request[attempt.request]
-        pending.attempts.append(attempt)
-        self.output.append(wire.encode_start_attempt(pending.number, attempt.endpoint.endpoint_id, timeout))
+        """Send the request to the attempt's endpoint. `timeout`: seconds."""
+        tracked = self._by_request[attempt.request]
+        tracked.attempts.append(attempt)
+        self.output.append(wire.encode_start_attempt(tracked.number, attempt.endpoint.endpoint_id, timeout))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Give an attempt up; its end is still reported."""
-        pending = self._by_request[attempt.request]
-        self.output.append(wire.encode_cancel_attempt(pending.number, pending.attempts.index(attempt)))
+        """Cancel an attempt; its end is still reported."""
+        tracked = self._by_request[attempt.request]
+        self.output.append(wire.encode_cancel_attempt(tracked.number, tracked.attempts.index(attempt)))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Final answer: not executed; it may be sent again after so many seconds."""
+        """Answer that the request was not executed and may be retried. `retry_after`: seconds."""
         self._answer(request, wire.encode_reject_request(self._by_request[request].number, retry_after))
 
     def fail_request(self, request: Request) -> None:
-        """Final answer: failed, perhaps after it had an effect."""
+        """Answer that the request failed, possibly after it had an effect."""
         self._answer(request, wire.encode_fail_request(self._by_request[request].number))
 
     def _answer(self, request: Request, line: str) -> None:
-        pending = self._by_request[request]
-        pending.unanswered = False
+        tracked = self._by_request[request]
+        tracked.unanswered = False
         self.output.append(line)
-        self._forget_if_over(pending)
+        self._remove_if_finished(tracked)
 
     def watch_endpoints(self) -> None:
         """Open the watch of the endpoint list."""
         self.output.append(wire.encode_watch_endpoints())
 
     def start_health_check(self, endpoint: EndpointStats) -> None:
-        """Ask an endpoint for its load."""
+        """Request a load report from an endpoint."""
         self.output.append(wire.encode_health_check(endpoint.endpoint_id))
 
     def send_gossip(self, body: bytes) -> None:
-        """Send a message to all peers."""
+        """Send a gossip message to all peers."""
         self.output.append(wire.encode_gossip(body))
 
     def report_defect(self, request: Request | None, error: Exception) -> None:
-        """Raise the error: a fault in the decisions ends the process."""
+        """Raise the error, since an exception in the decisions ends the process."""
         raise error
 
     def set_alarm(self, at: float) -> None:
-        """Have `DecisionScheduler.tick` called at that time."""
+        """Request a call of `DecisionScheduler.tick` at a time."""
         alarm = wire.to_alarm_time(at)
-        # Alarms can't be cancelled, and must not pile up: one that comes sooner asks for the next.
+        # Alarms can't be cancelled and must not accumulate: a new one is set only if it is due before the
+        # earliest pending alarm. When that one fires, the scheduler requests the next.
         if not self._alarms or alarm < self._alarms[-1]:
             self._alarms.append(alarm)
             self.output.append(wire.encode_alarm(alarm))
--- a/starlingwheel/simulator/wire.py
+++ b/starlingwheel/simulator/wire.py
@@ -1,7 +1,7 @@
 """The simulator's wire format: lines of `NAME field=value ...`, times in microseconds.
 
-The only module that knows the names on that wire. A line that came is read by `SimulatorLine`, whose
-properties have the names and units of the decisions (seconds); `encode_...` write the lines of the answer.
+The only module that contains the names used on this wire. `SimulatorLine` decodes an input line; its
+properties have the names and units of the decisions (seconds). The `encode_...` functions encode the reply.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 T = TypeVar("T")
 
 MICROSECONDS_PER_SECOND = 1e6
-MAX_QUOTED = 80  # characters of a value that an error message quotes
+MAX_QUOTED = 80  # length limit of a value quoted in an error message, in characters
 EMPTY_BODY = "-"
-# Their values go on to the end of the line, spaces included.
+# Fields whose values extend to the end of the line and may contain spaces.
 TEXT_FIELDS = ("facts", "message")
 
 
 class LineName(enum.StrEnum):
-    """The names of the lines that the simulator writes."""
+    """Names of the lines that the simulator sends."""
 
     BATCH_BEGIN = "SYNC"
     BATCH_END = "GO"
@@ -69,31 +69,34 @@
 
 
 class MalformedMessageError(Exception):
-    """A line that can't be read; the text names line and field."""
+    """A line that can't be decoded; the message identifies the line and the field."""
 
 
 class SimulatorLine:
-    """One line that came. Its fields are decoded on access; each raises `MalformedMessageError`."""
+    """One input line. Its fields are decoded on access, which can raise `MalformedMessageError`."""
 
     __slots__ = ("number", "name", "fields")
 
     def __init__(self, number: int, text: str) -> None:
-        """`number`: of the line in the input, for error messages. Raises `MalformedMessageError`."""
+        """Split a line into its fields. Raises `MalformedMessageError`.
+
+        `number`: the line's number in the input, for error messages.
+        """
         self.number = number
         self.name, _, rest = text.partition(" ")
         self.fields: dict[str, str] = {}
         while rest:
             name, equals, rest = rest.partition("=")
             if not equals or not name or " " in name:
-                raise self.error(f"a part without name=value: {name[:MAX_QUOTED]!r}")
+                raise self.error(f"expected name=value, got {name[:MAX_QUOTED]!r}")
             if name in TEXT_FIELDS:
                 self.fields[name] = rest
                 break
             self.fields[name], _, rest = rest.partition(" ")
 
-    def error(self, why: str) -> MalformedMessageError:
+    def error(self, reason: str) -> MalformedMessageError:
         """Return the error to raise for this line."""
-        return MalformedMessageError(f"line {self.number}: {self.name}: {why}")
+        return MalformedMessageError(f"line {self.number}: {self.name}: {reason}")
 
     # Fields by type.
 
@@ -111,8 +114,8 @@
             return decode_value(value)
         except (ValueError, KeyError, binascii.Error, msgspec.ValidationError) as error:
             shown = value if len(value) < MAX_QUOTED else value[: MAX_QUOTED - 3] + "..."
-            why = f" ({error})" if isinstance(error, msgspec.ValidationError) else ""
-            raise self.error(f"field {field} can't be read: {shown!r}{why}") from None
+            detail = f" ({error})" if isinstance(error, msgspec.ValidationError) else ""
+            raise self.error(f"field {field} has an invalid value: {shown!r}{detail}") from None
 
     def _seconds(self, field: str, default: float | None = None) -> float:
         return self._read(field, _to_seconds, default)
@@ -121,7 +124,7 @@
 
     @property
     def time(self) -> float:
-        """The simulated time of a batch."""
+        """The simulated time of a batch, in seconds."""
         return self._seconds("simTime")
 
     @property
@@ -131,7 +134,7 @@
 
     @property
     def sidecar(self) -> str:
-        """The sidecar that the next lines are for."""
+        """The sidecar that the following lines address."""
         return self._text("sidecar")
 
     @property
@@ -148,17 +151,17 @@
 
     @property
     def list_number(self) -> int:
-        """The number of an endpoint list, by which later lines refer to it."""
+        """The number of an endpoint list, which later lines use to refer to it."""
         return self._read("bank", int)
 
     @property
     def list_size(self) -> int:
-        """How many endpoint lines follow."""
+        """The number of endpoint lines that follow."""
         return self._read("entries", int)
 
     @property
     def watch_event(self) -> WatchEvent:
-        """What kind of change of the endpoints it is."""
+        """The kind of endpoint change."""
         return self._read("scope", WATCH_EVENTS.__getitem__)
 
     def endpoint_list(self, lists: Mapping[int, list[Endpoint]]) -> list[Endpoint]:
@@ -167,7 +170,7 @@
 
     @property
     def endpoint_id(self) -> str:
-        """The endpoint that the line is about."""
+        """The endpoint that the line refers to."""
         return self._text("upstream")
 
     def endpoint(self) -> Endpoint:
@@ -186,7 +189,7 @@
 
     @property
     def request_number(self) -> int:
-        """The request that the line is about."""
+        """The number of the request that the line refers to."""
         return self._read("job", int)
 
     def request_class(self, classes: Mapping[str, RequestClass]) -> RequestClass:
@@ -200,32 +203,32 @@
 
     @property
     def tenant(self) -> str:
-        """The name of a request's tenant; empty: none."""
+        """The name of a request's tenant; empty if there is none."""
         return self.fields.get("team", "")
 
     @property
     def is_retry(self) -> bool:
-        """The client has sent the request before."""
+        """Whether the client has sent the request before."""
         return self._read("isRetry", _to_bool, False)
 
     @property
     def cost(self) -> float:
-        """What a request costs an endpoint, in seconds; 0: unknown."""
+        """The cost of a request to an endpoint, in seconds; 0 if unknown."""
         return self._seconds("cost", 0.0)
 
     @property
     def affinity_key(self) -> str:
-        """The key of a request by which an endpoint is preferred; empty: none."""
+        """The key of a request that determines its preferred endpoint; empty if there is none."""
         return self.fields.get("affinity", "")
 
     @property
     def attempt_index(self) -> int:
-        """Which attempt of its request the line is about, counted from 0."""
+        """The index of the attempt within its request, from 0."""
         return self._read("hop", int)
 
-    def unknown_attempt(self) -> MalformedMessageError:
+    def unknown_attempt_error(self) -> MalformedMessageError:
         """Return the error for an attempt that was never started."""
-        return self.error(f"field hop names no hand-off: '{self.attempt_index}'")
+        return self.error(f"field hop refers to an unknown attempt: '{self.attempt_index}'")
 
     @property
     def outcome(self) -> AttemptOutcome:
@@ -234,33 +237,33 @@
 
     @property
     def duration(self) -> float:
-        """How long it took, in seconds."""
+        """The duration of an attempt or a health check, in seconds."""
         return self._seconds("duration")
 
     @property
     def answered_client(self) -> bool:
-        """The attempt's response was the answer to the client."""
+        """Whether the attempt's response was delivered to the client."""
         return self._read("doneFlag", _to_bool, False)
 
     def load_report(self) -> dict[str, float]:
-        """Decode the figures of a load report that the decisions know; others are skipped."""
+        """Decode the load report; figures that the decisions do not use are skipped."""
         return self._read("feedback", _decode_load_report, {}) if "feedback" in self.fields else {}
 
     # Peers and alarms.
 
     @property
     def peer(self) -> int:
-        """The peer that gossip came from."""
+        """The peer that sent the gossip."""
         return self._read("src", int)
 
     @property
     def gossip(self) -> bytes:
-        """The gossip that came."""
+        """The body of a gossip message."""
         return self._read("body", _decode_body)
 
     @property
     def alarm_mark(self) -> str:
-        """The mark that the alarm was set with."""
+        """The mark that was passed when the alarm was set."""
         return self._text("mark")
 
 
@@ -284,69 +287,69 @@
     return b"" if value == EMPTY_BODY else base64.b64decode(value, validate=True)
 
 
-# What is written to the simulator.
+# Output lines.
 
 
 def to_microseconds(seconds: float) -> int:
-    """Round a time or a duration to the wire's unit."""
+    """Round a time or a duration in seconds to microseconds, the unit on the wire."""
     return round(seconds * MICROSECONDS_PER_SECOND)
 
 
 def to_alarm_time(seconds: float) -> int:
-    """Return the first microsecond that is not before a time."""
+    """Return the first whole microsecond that is not before a time in seconds."""
     return math.ceil(seconds * MICROSECONDS_PER_SECOND)
 
 
 def encode_start_attempt(request_number: int, endpoint_id: str, timeout: float) -> str:
-    """The request is to be sent to the endpoint; `timeout` in seconds."""
+    """Encode the command to send a request to an endpoint. `timeout`: seconds."""
     return f"ROUTE job={request_number} upstream={endpoint_id} cap={max(to_microseconds(timeout), 1)}"
 
 
 def encode_cancel_attempt(request_number: int, attempt_index: int) -> str:
-    """The attempt is to be given up."""
+    """Encode the command to cancel an attempt."""
     return f"ABANDON job={request_number} hop={attempt_index}"
 
 
 def encode_reject_request(request_number: int, retry_after: float) -> str:
-    """The request is rejected; it may be sent again after so many seconds."""
+    """Encode the rejection of a request that may be retried. `retry_after`: seconds."""
     return f"TURN_AWAY job={request_number} coolDown={to_microseconds(retry_after)}"
 
 
 def encode_fail_request(request_number: int) -> str:
-    """The request has failed."""
+    """Encode the failure of a request."""
     return f"SURRENDER job={request_number}"
 
 
 def encode_watch_endpoints() -> str:
-    """The endpoint list is to be watched."""
+    """Encode the command to watch the endpoint list."""
     return "OBSERVE want=1"
 
 
 def encode_health_check(endpoint_id: str) -> str:
-    """The endpoint is to be polled for its load."""
+    """Encode the command to request a load report from an endpoint."""
     return f"HEALTH_CHECK upstream={endpoint_id}"
 
 
 def encode_gossip(body: bytes) -> str:
-    """The body is to be sent to all peers."""
+    """Encode a gossip message to all peers."""
     return f"NOTIFY recipient=* body={base64.b64encode(body).decode() or EMPTY_BODY}"
 
 
 def encode_alarm(at: int) -> str:
-    """The sidecar is to be woken at that time, in microseconds."""
+    """Encode the command to set an alarm. `at`: microseconds."""
     return f"SET_ALARM when={at} mark=wake"
 
 
 def encode_select_sidecar(name: str) -> str:
-    """The lines that follow come from this sidecar."""
+    """Encode the line that names the sidecar that sends the following lines."""
     return f"ON_BEHALF sidecar={name}"
 
 
 def encode_batch_end(turn: int) -> str:
-    """All lines of the batch are written."""
+    """Encode the line that ends the reply to a batch."""
     return f"END turn={turn}"
 
 
 def encode_defect(error: Exception) -> str:
-    """The process ends by a fault in its code."""
+    """Encode the report of an exception that ends the process."""
     return f"DIE message={type(error).__name__}: {error}".replace("\n", " ")
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -88,7 +88,7 @@
     """Fewer than two alarms a rejected request are delivered."""
     process, alarms, ticks, answered = SimulatorProcess(), [], 0, 0
     many = [f"UPSTREAM upstream=10.0.{i}.1:80 condition=2" for i in range(2000)]
-    process.batch(START[0], iter([*START[1:3], "SHEET bank=0 entries=2000", *many, START[-1], "GO"]))
+    process.process_batch(START[0], iter([*START[1:3], "SHEET bank=0 entries=2000", *many, START[-1], "GO"]))
     for turn in range(2, 2002):
         now = 5000000 + turn * 1000
         due = [at for at in alarms if at <= now]
@@ -98,7 +98,7 @@
         time_left = 3000 if turn % 10 == 0 else 500000
         query = [f"QUERY job={turn} profile=look patienceLeft={time_left}"] * (turn <= 1000)
         lines = ["CONTEXT sidecar=sidecar/0", *["TICK_DUE mark=wake"] * len(due), *query, "GO"]
-        reply = process.batch(f"SYNC simTime={now} turn={turn}", iter(lines))
+        reply = process.process_batch(f"SYNC simTime={now} turn={turn}", iter(lines))
         alarms += [int(line.split()[1].partition("=")[2]) for line in reply if line.startswith("SET_ALARM")]
         answered += sum(line.startswith(("TURN_AWAY", "SURRENDER")) for line in reply)
     assert answered == 999 and ticks < 2 * answered
