--- a/fakes/__main__.py
+++ b/fakes/__main__.py
@@ -1,4 +1,4 @@
-"""python -m fakes arbiter|upstreams --port N: a fake by itself, to try a sidecar with by hand."""
+"""Command `python -m fakes arbiter|upstreams --port N`: runs a fake on its own, to try a sidecar by hand."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from .etcd import FakeEtcd
 from .upstream import Run, Upstream
 
-LOCAL = "127.0.0.1"
-SERVICE_TIME = 0.08  # seconds, on the mean
+LOOPBACK = "127.0.0.1"
+MEAN_SERVICE_TIME = 0.08  # seconds
 PRINT_INTERVAL = 0.5  # seconds
 
 
-async def arbiter(port: int) -> None:
-    """A coordination store at the port."""
+async def run_store(port: int) -> None:
+    """Run a coordination store on the port."""
     store = FakeEtcd()
-    store.server.host = LOCAL
+    store.server.host = LOOPBACK
     store.server.port = port
     await store.start()
     print(f"arbiter at {store.server.address}", flush=True)
     await asyncio.Event().wait()
 
 
-async def upstreams(port: int) -> None:
-    """Three upstreams behind the port, and their endpoint list at it."""
+async def run_upstreams(port: int) -> None:
+    """Run an endpoint list on the port and its three upstreams on the ports after it."""
     runs: list[Run] = []
-    served = [Upstream(f"u{i}", "here", random.Random(i), SERVICE_TIME, runs) for i in range(3)]
-    for number, upstream in enumerate(served):
-        upstream.server.host, upstream.server.port = LOCAL, port + 1 + number
+    upstreams = [Upstream(f"u{i}", "here", random.Random(i), MEAN_SERVICE_TIME, runs) for i in range(3)]
+    for number, upstream in enumerate(upstreams):
+        upstream.server.host, upstream.server.port = LOOPBACK, port + 1 + number
         await upstream.server.start()
-    entries = [{"id": u.name, "addr": u.server.address, "zone": u.zone, "state": "active"} for u in served]
+    entries = [{"id": u.name, "addr": u.server.address, "zone": u.zone, "state": "active"} for u in upstreams]
     endpoint_list = EndpointListServer(lambda: entries)
-    endpoint_list.server.host, endpoint_list.server.port = LOCAL, port
+    endpoint_list.server.host, endpoint_list.server.port = LOOPBACK, port
     await endpoint_list.server.start()
     print(f"list at {endpoint_list.server.address}", flush=True)
     printed = 0
@@ -47,13 +47,13 @@
 
 
 def main() -> None:
-    """Run until interrupted."""
+    """Run the selected fake until interrupted."""
     parser = argparse.ArgumentParser(prog="python -m fakes", description=__doc__)
     parser.add_argument("what", choices=["arbiter", "upstreams"])
     parser.add_argument("--port", type=int, required=True)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run({"arbiter": arbiter, "upstreams": upstreams}[given.what](given.port))
+        asyncio.run({"arbiter": run_store, "upstreams": run_upstreams}[arguments.what](arguments.port))
 
 
 if __name__ == "__main__":
--- a/fakes/clients.py
+++ b/fakes/clients.py
@@ -10,20 +10,20 @@
 from .http1 import ConnectionBrokenError, HttpClient
 
 METHODS = {"look": "GET", "buy": "POST", "move": "POST"}
-MIN_TIME_LEFT = 0.02  # seconds before the deadline, after which nothing is sent any more
+MIN_TIME_LEFT = 0.02  # seconds; no attempt is started with less time to the deadline
 DEFAULT_RETRY_AFTER = 0.02  # seconds
-OPEN = "open"  # outcome of an attempt that has not ended
+OPEN = "open"  # the outcome of an attempt that has not ended
 
 
 @dataclass
 class ClientAttempt:
-    """One attempt of a request. `outcome`: a status, or how the connection or the wait ended."""
+    """One attempt of a request. `outcome`: the status, `late`, or how the connection broke."""
 
     started_at: float
     sidecar: str
     trace_id: str
     outcome: str = OPEN
-    ended_at: float = 0.0  # 0: it has not ended
+    ended_at: float = 0.0  # 0 while the attempt has not ended
     body: bytes = b""
 
 
@@ -36,30 +36,30 @@
     started_at: float
     deadline: float
     attempts: list[ClientAttempt] = field(default_factory=list)
-    duplicate_sidecar: str = ""  # that a second client sends the same to; empty: there is none
+    duplicate_sidecar: str = ""  # where a second client sends the request; empty: nowhere
 
     @property
     def statuses(self) -> list[str]:
-        """The statuses that came."""
+        """The statuses of the responses received."""
         return [attempt.outcome for attempt in self.attempts if attempt.outcome.isdigit()]
 
     @property
     def succeeded(self) -> bool:
-        """One of the attempts succeeded."""
+        """Whether one of the attempts succeeded."""
         return "200" in self.statuses
 
 
 class Clients:
-    """All clients of a trial. `addresses` tells where the sidecars listen."""
+    """The clients of a trial."""
 
     def __init__(self, addresses: dict[str, str], rng: random.Random, timeout: float = 2.0) -> None:
-        """`timeout`: seconds until a client gives its request up."""
+        """Create the clients. `addresses`: sidecar addresses by name. `timeout`: of each request, seconds."""
         self.http_clients = {name: HttpClient(address) for name, address in addresses.items()}
         self.sidecars, self.rng, self.timeout = list(addresses), rng, timeout
         self.requests: list[ClientRequest] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.make_body: Callable[[ClientRequest], bytes] = lambda request: request.request_id.encode()
-        self.avoided: set[str] = set()  # sidecars that no client sends to unless there is no other
+        self.avoided: set[str] = set()  # sidecars that are used only if there are no others
 
     async def send(
         self,
@@ -69,9 +69,9 @@
         keyed: bool = True,
         duplicate_rate: float = 0.0,
     ) -> None:
-        """Send `rate` requests a second, each when it is due, whatever became of those before.
+        """Send `rate` requests a second, each at its scheduled time whatever the outcome of others.
 
-        `keyed`: with idempotency keys. `duplicate_rate`: the fraction that a second client sends too.
+        `keyed`: with idempotency keys. `duplicate_rate`: the fraction that a second client sends as well.
         """
         loop = asyncio.get_running_loop()
         start = loop.time()
@@ -92,7 +92,7 @@
         keyed: bool = True,
         duplicate_sidecar: str = "",
     ) -> ClientRequest:
-        """Send one request, and the same from a second client where `duplicate_sidecar` names a sidecar."""
+        """Send one request; with `duplicate_sidecar`, a second client sends it to that sidecar too."""
         now = asyncio.get_running_loop().time()
         request = ClientRequest(
             request_id, request_class, now, now + self.timeout, duplicate_sidecar=duplicate_sidecar
@@ -114,21 +114,21 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _send_until_final(self, request: ClientRequest, sidecar: str, keyed: bool, client: int) -> None:
-        """Retry at other sidecars until a final answer: one that is neither rejected nor cut off."""
+        """Retry at other sidecars until a final response: a complete one with a status other than 503."""
         loop = asyncio.get_running_loop()
-        number = 0
+        attempt_number = 0
         while (time_left := request.deadline - loop.time()) > MIN_TIME_LEFT:
-            attempt = ClientAttempt(loop.time(), sidecar, f"{request.request_id}-{client}-{number}")
+            attempt = ClientAttempt(loop.time(), sidecar, f"{request.request_id}-{client}-{attempt_number}")
             request.attempts.append(attempt)
-            headers = self._headers(request, attempt, time_left, keyed, is_retry=number > 0)
-            wait = await self._send_attempt(request, attempt, headers, time_left)
+            headers = self._headers(request, attempt, time_left, keyed, is_retry=attempt_number > 0)
+            retry_delay = await self._send_attempt(request, attempt, headers, time_left)
             attempt.ended_at = loop.time()
             if attempt.outcome.isdigit() and attempt.outcome != "503":
                 return
-            number += 1
+            attempt_number += 1
             others = [name for name in self.sidecars if name != sidecar and name not in self.avoided]
             sidecar = self.rng.choice(others or self.sidecars)
-            await asyncio.sleep(wait)
+            await asyncio.sleep(retry_delay)
 
     def _headers(
         self,
@@ -155,28 +155,28 @@
         headers: dict[str, str],
         time_left: float,
     ) -> float:
-        """Record the outcome of the attempt; return the seconds to wait before the next one."""
+        """Make the attempt and record its outcome; return the seconds to wait before the next one."""
         method = METHODS[request.request_class]
         target = f"/{request.request_class}/{request.request_id}"
         body = b"" if method == "GET" else self.make_body(request)
-        wait = DEFAULT_RETRY_AFTER
+        retry_delay = DEFAULT_RETRY_AFTER
         try:
             async with asyncio.timeout(time_left):
                 call = self.http_clients[attempt.sidecar].call(method, target, headers, body)
                 status, received, attempt.body = await call
             attempt.outcome = str(status)
-            wait = float(received.get("Retry-After", received.get("retry-after", DEFAULT_RETRY_AFTER)))
+            retry_delay = float(received.get("Retry-After", received.get("retry-after", DEFAULT_RETRY_AFTER)))
         except TimeoutError:
             attempt.outcome = "late"
         except ConnectionBrokenError as error:
             attempt.outcome = str(error)
-        return wait
+        return retry_delay
 
-    async def finish(self, within: float) -> None:
-        """Wait at most `within` seconds for the open requests, then cancel them."""
+    async def finish(self, timeout: float) -> None:
+        """Wait at most `timeout` seconds for the open requests, then cancel them."""
         if self.tasks:
-            await asyncio.wait(list(self.tasks), timeout=within)
+            await asyncio.wait(list(self.tasks), timeout=timeout)
         for task in list(self.tasks):
             task.cancel()
-        for caller in self.http_clients.values():
-            caller.close()
+        for http_client in self.http_clients.values():
+            http_client.close()
--- a/fakes/endpoint_list.py
+++ b/fakes/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as one sidecar watches it: the whole list with each change, else empty lines."""
+"""A fake discovery service for one sidecar: a watch sends the whole list at each change."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from .http1 import Request, Response, Server
 
-KEEP_ALIVE_INTERVAL = 1.0  # seconds after which an empty line shows that the watch is alive
+KEEP_ALIVE_INTERVAL = 1.0  # seconds between the empty lines that keep a watch alive
 
 
 class EndpointListServer:
-    """Discovery for one sidecar: each change sends the whole list."""
+    """Serves the endpoint list; each change sends the whole list to all watches."""
 
     def __init__(self, entries: Callable[[], list[dict[str, Any]]]) -> None:
-        """`entries`: returns the list as it is now."""
+        """Create the server. `entries`: returns the current list."""
         self.entries = entries
         self.version = 1
         self.changed = asyncio.Event()
         self.server = Server(self._answer)
 
     def change(self) -> None:
-        """The list has changed: send it to all watches."""
+        """Send the list, which has changed, to all watches."""
         self.version += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -32,15 +32,15 @@
         if not request.target.startswith("/v1/endpoints"):
             return Response(404)
         if "watch=1" not in request.target:
-            return Response(200, self._line())
-        return Response(200, parts=self._lines())
+            return Response(200, self._encode_list())
+        return Response(200, parts=self._watch_lines())
 
-    def _line(self) -> bytes:
+    def _encode_list(self) -> bytes:
         message = {"version": self.version, "full": True, "servers": self.entries()}
         return json.dumps(message).encode() + b"\n"
 
-    async def _lines(self) -> AsyncIterator[bytes]:
-        yield self._line()
+    async def _watch_lines(self) -> AsyncIterator[bytes]:
+        yield self._encode_list()
         while True:
             version = self.version
             try:
@@ -48,4 +48,4 @@
             except TimeoutError:
                 yield b"\n"
             if self.version != version:
-                yield self._line()
+                yield self._encode_list()
--- a/fakes/etcd.py
+++ b/fakes/etcd.py
@@ -1,8 +1,8 @@
-"""A fake etcd: its v3 API as the JSON gateway publishes it, and the ways in which it fails.
+"""A fake etcd: the v3 API as published by the JSON gateway, with injectable faults.
 
 Written from the published specification: keys and values in base64, 64-bit numbers as strings, zero and false
-left out, errors as {"error", "code", "message"}. Left out: authentication, clusters, nested transactions,
-filters and progress of watches.
+omitted, errors as {"error", "code", "message"}. Not implemented: authentication, clusters, nested
+transactions, and the filters and progress notifications of watches.
 """
 
 from __future__ import annotations
@@ -24,117 +24,118 @@
     ErrorCode.INVALID_ARGUMENT: 400,
     ErrorCode.UNAVAILABLE: 503,
 }
-EXPIRY_INTERVAL = 0.02  # seconds between looks for leases whose time is over
+EXPIRY_INTERVAL = 0.02  # seconds between checks for expired leases
 COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
     "EQUAL": operator.eq,
     "NOT_EQUAL": operator.ne,
     "GREATER": operator.gt,
     "LESS": operator.lt,
 }
-# Field of an entry and field of the request for each target of a comparison.
+# The field of an entry and the field of the request, by the target of a comparison.
 COMPARED_FIELDS = {
     "VERSION": ("version", "version"),
-    "CREATE": ("create", "create_revision"),
-    "MOD": ("mod", "mod_revision"),
+    "CREATE": ("create_revision", "create_revision"),
+    "MOD": ("mod_revision", "mod_revision"),
     "LEASE": ("lease", "lease"),
 }
 
 Json = dict[str, Any]
 
 
-def decode_bytes(given: Json, name: str) -> bytes:
-    """Return a field in base64; empty if it is left out."""
-    return base64.b64decode(given.get(name) or "")
+def decode_bytes(body: Json, name: str) -> bytes:
+    """Decode a base64 field; empty if it is omitted."""
+    return base64.b64decode(body.get(name) or "")
 
 
 def encode_bytes(data: bytes) -> str:
-    """Return bytes in base64."""
+    """Encode bytes in base64."""
     return base64.b64encode(data).decode()
 
 
-def decode_number(given: Json, name: str) -> int:
-    """Return a number, which may be a string; 0 if it is left out."""
-    return int(given.get(name) or 0)
+def decode_number(body: Json, name: str) -> int:
+    """Decode a number, which may be a string; 0 if it is omitted."""
+    return int(body.get(name) or 0)
 
 
-def decode_range(given: Json) -> KeyRange:
-    """Return the keys that a request is about."""
-    return KeyRange(decode_bytes(given, "key"), decode_bytes(given, "range_end"))
+def decode_range(body: Json) -> KeyRange:
+    """Decode the range of keys of a request."""
+    return KeyRange(decode_bytes(body, "key"), decode_bytes(body, "range_end"))
 
 
-def sparse(**fields: object) -> Json:
-    """Return fields as the gateway writes them: numbers as strings, nothing that is zero, false or empty."""
+def encode_fields(**fields: object) -> Json:
+    """Encode fields as the gateway does: numbers as strings, and zero, false and empty values omitted."""
     encoded = {name: str(v) if type(v) is int else v for name, v in fields.items()}
     return {name: v for name, v in encoded.items() if v not in ("0", "", False, None, [])}
 
 
 class FakeEtcd:
-    """One etcd that listens on loopback.
+    """One etcd server on loopback.
 
     Faults: `take_down`, `reply_delay`, `lost_replies`, `canned_replies`, `freeze_reads`, `abort_watches`,
     `compact`, `expire_lease_of`.
     """
 
     def __init__(self) -> None:
-        """`start` starts it."""
+        """Create a store that is not listening yet."""
         self.server = Server(self._answer)
         self.store = EtcdStore()
         self.reply_delay = 0.0  # seconds before each answer
-        self.lost_replies: dict[str, int] = {}  # by path: so many are lost after the change was applied
-        self.canned_replies: dict[str, bytes] = {}  # by path: what is answered instead
-        self.stale_entries: dict[bytes, Entry] | None = None  # what serializable reads see
+        # By path, how many replies are lost after the change has been applied.
+        self.lost_replies: dict[str, int] = {}
+        self.canned_replies: dict[str, bytes] = {}  # by path: the body to answer with
+        self.stale_entries: dict[bytes, Entry] | None = None  # what serializable reads return, if set
         self.calls: list[tuple[float, str]] = []
-        self.watch_counts: Counter[str] = Counter()  # lines of all watches with events, and these
+        self.watch_counts: Counter[str] = Counter()  # lines and events sent on watches
         self.watches: set[asyncio.Task[Any]] = set()
         self.expiry_task: asyncio.Task[None] | None = None
 
     @property
     def entries(self) -> dict[bytes, Entry]:
-        """The entries of now by key."""
+        """The current entries by key."""
         return self.store.entries
 
     @property
     def write_history(self) -> list[tuple[float, str, bytes]]:
-        """Every value there ever was: when, key, value."""
+        """Every value written so far: time, key and value."""
         return self.store.write_history
 
     async def start(self) -> None:
-        """Listen, also again after `take_down`."""
+        """Start listening, also again after `take_down`."""
         await self.server.start()
         if self.expiry_task is None:
             self.expiry_task = asyncio.create_task(self._expire_leases())
 
     async def take_down(self) -> None:
-        """Refuse and reset connections; the data stays, and leases run on."""
+        """Refuse and reset connections; the data is kept, and leases continue to expire."""
         await self.server.stop()
 
     async def stop(self) -> None:
-        """End for good."""
+        """Stop the server and the expiry of leases."""
         if self.expiry_task is not None:
             self.expiry_task.cancel()
         await self.server.stop()
 
     def put(self, key: str, value: str) -> None:
-        """Write an entry without a call."""
+        """Write an entry directly, without an API call."""
         self.put_encoded({"key": encode_bytes(key.encode()), "value": encode_bytes(value.encode())})
 
     # Faults
 
     def abort_watches(self) -> None:
-        """End the open watches without an answer."""
+        """Abort the open watches without a message."""
         for task in list(self.watches):
             task.cancel()
 
     def compact(self) -> None:
-        """Forget all changes up to now."""
+        """Compact the history up to the current revision."""
         self.store.compact()
 
     def expire_lease_of(self, key: str) -> None:
-        """End the lease of an entry as if it had not been renewed in time."""
+        """Expire the lease of an entry, as if it had not been renewed in time."""
         self.store.revoke(self.entries[key.encode()].lease)
 
     def freeze_reads(self) -> None:
-        """Answer serializable reads from the entries of now, from now on."""
+        """Answer all later serializable reads from the current entries."""
         self.stale_entries = dict(self.entries)
 
     async def _expire_leases(self) -> None:
@@ -152,13 +153,13 @@
         if path in self.canned_replies:
             return Response(200, self.canned_replies[path])
         try:
-            given = json.loads(request.body)
+            body = json.loads(request.body)
             if path == "/v3/watch":
-                return Response(200, parts=self._watch(given["create_request"]))
+                return Response(200, parts=self._watch(body["create_request"]))
             handler = self._handlers().get(path)
             if handler is None:
                 return Response(404, b'{"code":5,"message":"Not Found"}')
-            answer = handler(given)
+            answer = handler(body)
         except EtcdApiError as error:
             return self._error(HTTP_STATUS[error.code], error.code, error)
         except (ValueError, KeyError, TypeError) as error:
@@ -184,101 +185,103 @@
         }
 
     def _header(self) -> Json:
-        return sparse(cluster_id=1, member_id=1, revision=self.store.revision, raft_term=2)
+        return encode_fields(cluster_id=1, member_id=1, revision=self.store.revision, raft_term=2)
 
     def _reply(self, **fields: object) -> Json:
-        return {"header": self._header()} | sparse(**fields)
+        return {"header": self._header()} | encode_fields(**fields)
 
-    def _pair(self, entry: Entry, keys_only: bool = False) -> Json:
-        return sparse(
+    def _encode_entry(self, entry: Entry, keys_only: bool = False) -> Json:
+        return encode_fields(
             key=encode_bytes(entry.key),
             value="" if keys_only else encode_bytes(entry.value),
-            create_revision=entry.create,
-            mod_revision=entry.mod,
+            create_revision=entry.create_revision,
+            mod_revision=entry.mod_revision,
             version=entry.version,
             lease=entry.lease,
         )
 
-    def _range(self, given: Json) -> Json:
-        keys, revision = decode_range(given), decode_number(given, "revision")
+    def _range(self, body: Json) -> Json:
+        keys, revision = decode_range(body), decode_number(body, "revision")
         entries = self.store.entries_at(revision)
-        if given.get("serializable") and self.stale_entries is not None and entries is self.entries:
+        if body.get("serializable") and self.stale_entries is not None and entries is self.entries:
             entries = self.stale_entries
         found = sorted((entry for key, entry in entries.items() if key in keys), key=lambda e: e.key)
-        limit = decode_number(given, "limit")
-        shown = found[:limit] if limit else found
-        pairs = [self._pair(entry, bool(given.get("keys_only"))) for entry in shown]
+        limit = decode_number(body, "limit")
+        returned = found[:limit] if limit else found
+        pairs = [self._encode_entry(entry, bool(body.get("keys_only"))) for entry in returned]
         return self._reply(
-            kvs=[] if given.get("count_only") else pairs,
+            kvs=[] if body.get("count_only") else pairs,
             count=len(found),
             more=bool(limit) and len(found) > limit,
         )
 
-    def put_encoded(self, given: Json) -> Json:
-        """Write an entry, whose key and value are in base64 as in a call."""
+    def put_encoded(self, body: Json) -> Json:
+        """Write an entry whose key and value are in base64, as in an API call."""
         revision = self.store.revision + 1
-        self._put_at(given, revision)
+        self._put_at(body, revision)
         self.store.commit(revision)
         return self._reply()
 
-    def _put_at(self, given: Json, revision: int) -> Json:
-        key, value = decode_bytes(given, "key"), decode_bytes(given, "value")
-        self.store.put(key, value, decode_number(given, "lease"), revision)
+    def _put_at(self, body: Json, revision: int) -> Json:
+        key, value = decode_bytes(body, "key"), decode_bytes(body, "value")
+        self.store.put(key, value, decode_number(body, "lease"), revision)
         return self._reply()
 
-    def _delete_range(self, given: Json) -> Json:
+    def _delete_range(self, body: Json) -> Json:
         revision = self.store.revision + 1
-        count = self.store.delete(decode_range(given), revision)
+        count = self.store.delete(decode_range(body), revision)
         if count:
             self.store.commit(revision)
         return self._reply(deleted=count)
 
-    def _transaction(self, given: Json) -> Json:
-        succeeded = all(self._holds(compare) for compare in given.get("compare") or [])
-        operations = given.get("success" if succeeded else "failure") or []
-        # All or nothing: what can't be applied is found first.
-        for one in operations:
-            self.store.check_lease(decode_number(one.get("request_put") or {}, "lease"))
+    def _transaction(self, body: Json) -> Json:
+        succeeded = all(self._matches(compare) for compare in body.get("compare") or [])
+        operations = body.get("success" if succeeded else "failure") or []
+        # A transaction is atomic, so errors are detected before any operation is applied.
+        for operation in operations:
+            self.store.check_lease(decode_number(operation.get("request_put") or {}, "lease"))
         revision, changes_before = self.store.revision + 1, len(self.store.changes)
-        responses = [answer for one in operations if (answer := self._operate(one, revision))]
+        responses = [
+            response for operation in operations if (response := self._apply_operation(operation, revision))
+        ]
         if len(self.store.changes) > changes_before:
             self.store.commit(revision)
         return self._reply(succeeded=succeeded, responses=responses)
 
-    def _operate(self, operation: Json, revision: int) -> Json | None:
-        """Carry out one operation of a transaction."""
+    def _apply_operation(self, operation: Json, revision: int) -> Json | None:
+        """Apply one operation of a transaction; return its response."""
         if put := operation.get("request_put"):
             return {"response_put": self._put_at(put, revision)}
         if delete := operation.get("request_delete_range"):
             count = self.store.delete(decode_range(delete), revision)
-            return {"response_delete_range": sparse(deleted=count)}
+            return {"response_delete_range": encode_fields(deleted=count)}
         if read := operation.get("request_range"):
             return {"response_range": self._range(read)}
         return None
 
-    def _holds(self, compare: Json) -> bool:
+    def _matches(self, compare: Json) -> bool:
         keys = decode_range(compare)
         target, result = compare.get("target", "VERSION"), compare.get("result", "EQUAL")
         if target == "VALUE":
-            wanted = decode_bytes(compare, "value")
-            return self.store.all_hold(
-                keys, lambda entry: entry.version > 0 and COMPARISONS[result](entry.value, wanted)
+            expected = decode_bytes(compare, "value")
+            return self.store.all_match(
+                keys, lambda entry: entry.version > 0 and COMPARISONS[result](entry.value, expected)
             )
-        field, sent = COMPARED_FIELDS[target]
-        number = decode_number(compare, sent)
-        return self.store.all_hold(keys, lambda entry: COMPARISONS[result](getattr(entry, field), number))
+        field, request_field = COMPARED_FIELDS[target]
+        number = decode_number(compare, request_field)
+        return self.store.all_match(keys, lambda entry: COMPARISONS[result](getattr(entry, field), number))
 
-    def _grant(self, given: Json) -> Json:
-        lease = self.store.grant(decode_number(given, "ID"), decode_number(given, "TTL"))
-        return self._reply(ID=lease.id, TTL=lease.seconds)
+    def _grant(self, body: Json) -> Json:
+        lease = self.store.grant(decode_number(body, "ID"), decode_number(body, "TTL"))
+        return self._reply(ID=lease.id, TTL=lease.ttl)
 
-    def _keep_alive(self, given: Json) -> Json:
-        number = decode_number(given, "ID")
+    def _keep_alive(self, body: Json) -> Json:
+        number = decode_number(body, "ID")
         lease = self.store.renew(number)
-        return {"result": self._reply(ID=number, TTL=0 if lease is None else lease.seconds)}
+        return {"result": self._reply(ID=number, TTL=0 if lease is None else lease.ttl)}
 
-    def _revoke(self, given: Json) -> Json:
-        number = decode_number(given, "ID")
+    def _revoke(self, body: Json) -> Json:
+        number = decode_number(body, "ID")
         if number not in self.store.leases:
             raise EtcdApiError(ErrorCode.NOT_FOUND, "etcdserver: requested lease not found")
         self.store.revoke(number)
@@ -286,19 +289,19 @@
 
     # Watches
 
-    async def _watch(self, given: Json) -> AsyncIterator[bytes]:
-        """The lines of a watch."""
-        keys = decode_range(given)
+    async def _watch(self, body: Json) -> AsyncIterator[bytes]:
+        """Yield the lines of a watch."""
+        keys = decode_range(body)
         task = asyncio.current_task()
         assert task is not None
         self.watches.add(task)
         try:
-            next_revision = decode_number(given, "start_revision") or self.store.revision + 1
+            next_revision = decode_number(body, "start_revision") or self.store.revision + 1
             yield self._watch_line(created=True)
             while True:
-                if next_revision <= self.store.compacted:
-                    compacted = str(self.store.compacted)
-                    yield self._watch_line(canceled=True, compact_revision=compacted)
+                if next_revision <= self.store.compacted_revision:
+                    compacted_revision = str(self.store.compacted_revision)
+                    yield self._watch_line(canceled=True, compact_revision=compacted_revision)
                     return
                 changes = self.store.changes_since(next_revision, keys)
                 next_revision = self.store.revision + 1
@@ -317,7 +320,8 @@
         self.watch_counts["lines"] += 1
         self.watch_counts["events"] += len(changes)
         events = [
-            {"kv": self._pair(change.entry)} | sparse(type="" if change.kind == "PUT" else change.kind)
+            {"kv": self._encode_entry(change.entry)}
+            | encode_fields(type="" if change.kind == "PUT" else change.kind)
             for change in changes
         ]
         return self._watch_line(events=events)
--- a/fakes/etcd_store.py
+++ b/fakes/etcd_store.py
@@ -13,7 +13,7 @@
 
 
 class ErrorCode(IntEnum):
-    """The gRPC codes that the API answers with."""
+    """The gRPC status codes in the API's error responses."""
 
     INVALID_ARGUMENT = 3
     NOT_FOUND = 5
@@ -22,39 +22,39 @@
 
 
 class EtcdApiError(Exception):
-    """A call that the API answers with an error."""
+    """An error response to an API call."""
 
     def __init__(self, code: ErrorCode, message: str) -> None:
-        """`message`: in etcd's own words."""
+        """Create the error. `message`: as etcd words it."""
         super().__init__(message)
         self.code = code
 
 
 @dataclass
 class Entry:
-    """One key's value; `create` and `mod` are the revisions that created and last changed it."""
+    """The value of one key, with the revisions that created it and last modified it."""
 
     key: bytes
     value: bytes
-    create: int
-    mod: int
+    create_revision: int
+    mod_revision: int
     version: int
     lease: int
 
 
 @dataclass
 class Lease:
-    """A lease of so many seconds, which ends at `until` on the loop's clock."""
+    """A lease. `ttl` is in seconds; `expires_at` is a time of the loop's clock."""
 
     id: int
-    seconds: int
-    until: float
+    ttl: int
+    expires_at: float
     keys: set[bytes] = field(default_factory=set)
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of an entry; `kind` is PUT or DELETE."""
+    """One change of an entry. `kind`: PUT or DELETE."""
 
     revision: int
     kind: str
@@ -63,13 +63,16 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """Keys from `first` up to `end`; an empty end: only `first`; a zero byte: all from `first` on."""
+    """The keys from `first` up to but excluding `end`.
+
+    An empty `end` means only `first`; a zero byte means all keys from `first` on.
+    """
 
     first: bytes
     end: bytes = b""
 
     def __contains__(self, key: object) -> bool:
-        """Whether a key is in the range."""
+        """Return whether a key is in the range."""
         assert isinstance(key, bytes)
         if not self.end:
             return key == self.first
@@ -82,23 +85,23 @@
 
 
 class EtcdStore:
-    """Entries, leases and revisions as etcd has them."""
+    """Entries, leases and revisions, with etcd's semantics."""
 
     def __init__(self) -> None:
-        """Start empty, at revision 1."""
+        """Create an empty store at revision 1."""
         self.entries: dict[bytes, Entry] = {}
         self.leases: dict[int, Lease] = {}
         self.changes: list[Change] = []
         self.snapshots: list[tuple[int, dict[bytes, Entry]]] = []  # entries by revision
         self.revision = 1
-        self.compacted = 0  # changes up to that revision can't be read any more
-        self.last_lease = 7_000_000_000_000
+        self.compacted_revision = 0  # changes up to that revision can no longer be read
+        self.last_lease_id = 7_000_000_000_000
         self.changed = asyncio.Event()  # set and replaced at each new revision
-        self.write_history: list[tuple[float, str, bytes]] = []  # every value there ever was, and when
+        self.write_history: list[tuple[float, str, bytes]] = []  # time, key and value
 
     def entries_at(self, revision: int) -> dict[bytes, Entry]:
-        """Return the entries as of a revision; 0: of now. Raises `EtcdApiError`."""
-        if revision and revision < self.compacted:
+        """Return the entries at a revision; 0 means the current one. Raises `EtcdApiError`."""
+        if revision and revision < self.compacted_revision:
             message = "etcdserver: mvcc: required revision has been compacted"
             raise EtcdApiError(ErrorCode.OUT_OF_RANGE, message)
         if revision > self.revision:
@@ -109,25 +112,25 @@
         return next((entries for at, entries in reversed(self.snapshots) if at <= revision), {})
 
     def changes_since(self, revision: int, keys: KeyRange) -> list[Change]:
-        """Return the changes of these keys from a revision on."""
+        """Return the changes of a range of keys since a revision, including it."""
         first = bisect_left(self.changes, revision, key=attrgetter("revision"))
         return [change for change in self.changes[first:] if change.entry.key in keys]
 
     def check_lease(self, lease: int) -> None:
-        """Raise `EtcdApiError` for a lease that does not exist; 0: none."""
+        """Raise `EtcdApiError` if the lease does not exist; 0 means no lease."""
         if lease and lease not in self.leases:
             raise EtcdApiError(ErrorCode.NOT_FOUND, "etcdserver: requested lease not found")
 
     def put(self, key: bytes, value: bytes, lease: int, revision: int) -> None:
-        """Write an entry under a revision, which `commit` then makes the present one."""
+        """Write an entry at a revision, which `commit` then makes the current one."""
         if not key:
             raise EtcdApiError(ErrorCode.INVALID_ARGUMENT, "etcdserver: key is not provided")
         self.check_lease(lease)
         before = self.entries.get(key)
         if before is not None and before.lease in self.leases:
             self.leases[before.lease].keys.discard(key)
-        create, version = (before.create, before.version + 1) if before else (revision, 1)
-        entry = Entry(key, value, create, revision, version, lease)
+        create_revision, version = (before.create_revision, before.version + 1) if before else (revision, 1)
+        entry = Entry(key, value, create_revision, revision, version, lease)
         self.entries[key] = entry
         if lease:
             self.leases[lease].keys.add(key)
@@ -135,7 +138,7 @@
         self.write_history.append((now(), key.decode(), entry.value))
 
     def delete(self, keys: KeyRange, revision: int) -> int:
-        """Delete entries under a revision, as `put`. Returns how many there were."""
+        """Delete entries at a revision, as `put` does; return the number deleted."""
         deleted = [key for key in self.entries if key in keys]
         for key in deleted:
             entry = self.entries.pop(key)
@@ -145,7 +148,7 @@
         return len(deleted)
 
     def commit(self, revision: int) -> None:
-        """Make a revision the present one, and wake the watches."""
+        """Make a revision the current one and notify the watches."""
         self.revision = revision
         self.snapshots.append((revision, dict(self.entries)))
         del self.snapshots[:-MAX_SNAPSHOTS]
@@ -153,29 +156,29 @@
         self.changed = asyncio.Event()
 
     def compact(self) -> None:
-        """Forget all changes up to now."""
-        self.compacted = self.revision
+        """Discard the history up to the current revision."""
+        self.compacted_revision = self.revision
         self.changes.clear()
 
-    def grant(self, lease: int, seconds: int) -> Lease:
-        """Return a new lease; 0: of a number that the store chooses."""
-        if seconds <= 0:
+    def grant(self, lease_id: int, ttl: int) -> Lease:
+        """Create and return a lease. `lease_id`: 0 lets the store choose. `ttl`: seconds."""
+        if ttl <= 0:
             raise EtcdApiError(ErrorCode.INVALID_ARGUMENT, "etcdserver: TTL must be positive")
-        self.last_lease += 1
-        number = lease or self.last_lease
-        self.leases[number] = Lease(number, seconds, now() + seconds)
-        return self.leases[number]
-
-    def renew(self, number: int) -> Lease | None:
-        """Renew a lease; None: there is none of that number."""
-        lease = self.leases.get(number)
+        self.last_lease_id += 1
+        lease_id = lease_id or self.last_lease_id
+        self.leases[lease_id] = Lease(lease_id, ttl, now() + ttl)
+        return self.leases[lease_id]
+
+    def renew(self, lease_id: int) -> Lease | None:
+        """Renew and return a lease, or return None if it does not exist."""
+        lease = self.leases.get(lease_id)
         if lease is not None:
-            lease.until = now() + lease.seconds
+            lease.expires_at = now() + lease.ttl
         return lease
 
-    def revoke(self, number: int) -> None:
-        """End a lease and delete its entries."""
-        lease = self.leases.pop(number)
+    def revoke(self, lease_id: int) -> None:
+        """Revoke a lease and delete its entries."""
+        lease = self.leases.pop(lease_id)
         revision = self.revision + 1
         for key in list(lease.keys):
             self.delete(KeyRange(key), revision)
@@ -183,13 +186,13 @@
             self.commit(revision)
 
     def expire(self) -> None:
-        """End the leases whose time is over."""
-        for lease in [one for one in self.leases.values() if one.until <= now()]:
+        """Revoke the leases that have expired."""
+        for lease in [lease for lease in self.leases.values() if lease.expires_at <= now()]:
             self.revoke(lease.id)
 
-    def all_hold(self, keys: KeyRange, predicate: Callable[[Entry], bool]) -> bool:
-        """Whether a condition holds for all entries; a single missing key counts as an empty entry."""
+    def all_match(self, keys: KeyRange, predicate: Callable[[Entry], bool]) -> bool:
+        """Return whether a condition holds for all entries; a single missing key counts as an empty entry."""
         found = [entry for key, entry in self.entries.items() if key in keys]
         if not found and not keys.end:
             found = [Entry(keys.first, b"", 0, 0, 0, 0)]
-        return all(predicate(entry) for entry in found)  # a range without entries holds, as published
+        return all(predicate(entry) for entry in found)  # true for a range without entries, as specified
--- a/fakes/http1.py
+++ b/fakes/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the fakes: a server and a client, h11 on asyncio's streams, and a server's ways to fail."""
+"""HTTP/1.1 server and client for the fakes, built on h11 and asyncio streams, with injectable faults."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from .loopback import loopback_host
 
-READ_SIZE = 65536  # bytes read at once
+READ_SIZE = 65536  # bytes per read
 MAX_BIND_ATTEMPTS = 50
 BIND_RETRY_INTERVAL = 0.1  # seconds
 
@@ -27,12 +27,12 @@
     target: str
     headers: dict[str, str]
     body: bytes
-    client_address: tuple[str, int]  # the address that it came from
+    client_address: tuple[str, int]  # host and port
 
 
 @dataclass
 class Response:
-    """A response; one with `parts` is sent in chunks for as long as they come."""
+    """A response. With `parts`, the body is sent in chunks until the iterator ends."""
 
     status: int = 200
     body: bytes = b""
@@ -42,21 +42,21 @@
 
 @dataclass(frozen=True)
 class Connection:
-    """An open connection and the state of HTTP on it."""
+    """An open connection and its HTTP state."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     http: h11.Connection
 
     def start_next_cycle(self) -> bool:
-        """Prepare for the next request; False where the connection can't be used again."""
+        """Prepare for the next request; return False if the connection can't be reused."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return True
 
 
-RESET = Response(status=0)  # the connection is reset instead of a response
+RESET = Response(status=0)  # reset the connection instead of responding
 Handler = Callable[[Request], Awaitable[Response]]
 
 
@@ -69,8 +69,8 @@
 
 
 @contextlib.asynccontextmanager
-async def canceled_when_closed(reader: asyncio.StreamReader) -> AsyncIterator[None]:
-    """Cancel the current task when the other side closes, which writing alone may not notice for long."""
+async def cancel_when_closed(reader: asyncio.StreamReader) -> AsyncIterator[None]:
+    """Cancel the current task when the client closes the connection, which writes may not detect for long."""
     task = asyncio.current_task()
     assert task is not None
 
@@ -88,38 +88,40 @@
 
 
 class Server:
-    """Listens on loopback; `handler` answers each request. `stop` and `start` may alternate."""
+    """A server on loopback; `handler` answers each request. It can be stopped and started again."""
 
     def __init__(self, handler: Handler, host: str = "") -> None:
-        """`host`: where to listen; empty: on a host that no other process uses."""
+        """Create the server. `host`: by default a loopback host that no other process uses."""
         self.handler, self.host, self.port = handler, host or loopback_host(), 0
         self.server: asyncio.Server | None = None
         self.connections: dict[asyncio.StreamWriter, asyncio.Task[Any]] = {}
-        # Called before a connection closes.
+        # Called before a connection is closed.
         self.on_close: Callable[[asyncio.StreamWriter], None] = lambda writer: None
 
     @property
     def address(self) -> str:
-        """Where it listens, host:port."""
+        """The listening address, host:port."""
         return f"{self.host}:{self.port}"
 
     async def start(self) -> None:
-        """Listen; at the same port as before, if it has listened before."""
+        """Start listening, on the same port as before if the server was stopped."""
         if self.server is not None:
             return
         for attempt in range(MAX_BIND_ATTEMPTS):
             try:
-                self.server = await asyncio.start_server(self._connection, self.host, self.port, backlog=512)
+                self.server = await asyncio.start_server(
+                    self._handle_connection, self.host, self.port, backlog=512
+                )
                 break
             except OSError:
-                # An outgoing connection of another process may use the port meanwhile.
+                # While the server was stopped, another process may have got the port for a connection.
                 if attempt == MAX_BIND_ATTEMPTS - 1:
                     raise
                 await asyncio.sleep(BIND_RETRY_INTERVAL)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Refuse connections from now on, and reset those that are open."""
+        """Refuse new connections and reset the open ones."""
         if self.server is None:
             return
         server, self.server = self.server, None
@@ -131,7 +133,7 @@
             task.cancel()
         await asyncio.sleep(0)
 
-    async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections[writer] = asyncio.current_task()  # type: ignore[assignment]
         try:
             await self._serve(reader, writer)
@@ -158,7 +160,7 @@
                 return
 
     async def _read_request(self, connection: Connection) -> Request | None:
-        """Return the next request, or None when the client has ended."""
+        """Return the next request, or None at the end of the connection."""
         head, body = None, b""
         while True:
             event = connection.http.next_event()
@@ -171,7 +173,7 @@
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 client_address = connection.writer.get_extra_info("peername")
                 return Request(
-                    head.method.decode(), head.target.decode(), _decoded(head), body, client_address
+                    head.method.decode(), head.target.decode(), _decode_headers(head), body, client_address
                 )
             else:
                 return None
@@ -187,7 +189,7 @@
         out = http.send(h11.Response(status_code=response.status, reason=b"x", headers=headers)) or b""
         if response.parts is not None:
             writer.write(out)
-            async with canceled_when_closed(connection.reader):
+            async with cancel_when_closed(connection.reader):
                 async for part in response.parts:
                     writer.write(http.send(h11.Data(data=part)) or b"")
                     await writer.drain()
@@ -199,14 +201,14 @@
 
 
 class ConnectionBrokenError(Exception):
-    """A connection ended without a complete response; the text says when."""
+    """A connection ended without a complete response; the message says how."""
 
 
 class HttpClient:
-    """Sends requests to one address over persistent connections."""
+    """An HTTP client of one address that reuses idle connections."""
 
     def __init__(self, address: str) -> None:
-        """`address`: host:port."""
+        """Create a client without connections. `address`: host:port."""
         host, _, port = address.rpartition(":")
         self.host, self.port = host, int(port)
         self.idle: list[Connection] = []
@@ -214,11 +216,11 @@
     async def call(
         self, method: str, target: str, headers: dict[str, str], body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """Return status, headers and body; raises `ConnectionBrokenError`.
+        """Send a request; return the status, headers and body of the response.
 
-        A cancelled call closes its connection.
+        Raises `ConnectionBrokenError`. A cancelled call closes its connection.
         """
-        connection = self._take_idle() or await self._connect()
+        connection = self._pop_idle() or await self._connect()
         reusable = False
         try:
             self._send(connection, method, target, headers, body)
@@ -226,14 +228,14 @@
             if connection.start_next_cycle():
                 self.idle.append(connection)
                 reusable = True
-            return response.status_code, _decoded(response), response_body
+            return response.status_code, _decode_headers(response), response_body
         except (OSError, h11.ProtocolError) as error:
             raise ConnectionBrokenError("reset") from error
         finally:
             if not reusable:
                 connection.writer.close()
 
-    def _take_idle(self) -> Connection | None:
+    def _pop_idle(self) -> Connection | None:
         while self.idle:
             connection = self.idle.pop()
             if not connection.reader.at_eof():
@@ -285,5 +287,5 @@
         self.idle = []
 
 
-def _decoded(message: h11.Request | h11.Response) -> dict[str, str]:
+def _decode_headers(message: h11.Request | h11.Response) -> dict[str, str]:
     return {name.decode(): value.decode("latin-1") for name, value in message.headers}
--- a/fakes/relay.py
+++ b/fakes/relay.py
@@ -1,4 +1,4 @@
-"""A relay on one link: forwards bytes, or holds, delays, resets or refuses them, per direction."""
+"""A TCP relay that can block, delay, reset or refuse traffic, separately for each direction."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 class LinkDirection:
     """One direction of a link. Times are seconds."""
 
-    blocked: bool = False  # nothing gets through and no side notices: what comes waits
+    blocked: bool = False  # data is held back and neither side is told
     delay: float = 0.0
-    loss: float = 0.0  # fraction of reads that come a retransmission later
+    loss: float = 0.0  # fraction of reads that are late by `retransmission_delay`
     retransmission_delay: float = 0.2
 
 
 class Relay:
-    """Listens for one side and connects to the other."""
+    """Accepts connections and forwards each to a connection to the target."""
 
     def __init__(
         self,
@@ -34,16 +34,16 @@
         host: str = "",
         on_connect: Callable[[Address, Address], None] | None = None,
     ) -> None:
-        """`target`: returns where to connect to, asked for each connection. `host`: where to listen.
+        """Create a relay. `target`: returns the address to connect to, called once per connection.
 
-        `on_connect`: called with our own address on each new connection to the other side, by which that
-        side knows whose it is, and with the address of who connected.
+        `host`: the host to listen on. `on_connect`: called for each new connection to the target, with the
+        relay's own address on it, by which the target can identify the client, and the client's address.
         """
         self.target, self.rng, self.host, self.on_connect = target, rng, host or loopback_host(), on_connect
         self.port = 0
-        # By the host that connects: from it, and to it.
+        # The directions from and to each client host.
         self.links: dict[str, tuple[LinkDirection, LinkDirection]] = {}
-        self.refused_hosts: set[str] = set()  # empty: all
+        self.refused_hosts: set[str] = set()  # an empty string refuses all hosts
         self.server: asyncio.Server | None = None
         self.connections: dict[tuple[asyncio.StreamWriter, asyncio.StreamWriter], str] = {}
         self.forwarded_reads = 0  # in both directions
@@ -51,19 +51,19 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, host:port."""
+        """The listening address, host:port."""
         return f"{self.host}:{self.port}"
 
     def link(self, source: str = "") -> tuple[LinkDirection, LinkDirection]:
-        """The directions from that host and to it; empty: of all that have none of their own."""
+        """Return the directions from and to a client host; empty: the default of hosts without their own."""
         return self.links.setdefault(source, (LinkDirection(), LinkDirection()))
 
     def _link_of(self, source: str) -> tuple[LinkDirection, LinkDirection]:
         return self.links.get(source) or self.link()
 
     async def start(self) -> None:
-        """Listen."""
-        self.server = await asyncio.start_server(self._connection, self.host, 0, backlog=512)
+        """Start listening."""
+        self.server = await asyncio.start_server(self._handle_connection, self.host, 0, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
@@ -77,13 +77,13 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def reset(self, source: str | None = None) -> None:
-        """Reset the connections that are open, of one host or of all."""
+        """Reset the open connections of one client host, or of all."""
         for pair, host in list(self.connections.items()):
             if source in (None, host):
                 for writer in pair:
                     abort(writer)
 
-    async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         source = writer.get_extra_info("peername")[0]
         task = asyncio.current_task()
         assert task is not None
@@ -115,8 +115,8 @@
             pass
         finally:
             self.tasks.discard(task)
-            for one in pair or (writer,):
-                abort(one)
+            for open_writer in pair or (writer,):
+                abort(open_writer)
             if pair:
                 self.connections.pop(pair, None)
 
@@ -138,7 +138,7 @@
             with contextlib.suppress(OSError, RuntimeError):
                 writer.write_eof()
         except ConnectionError:
-            # A reset on one side becomes one on the other, but not while the direction is blocked.
+            # A reset is forwarded to the other side, but only once the direction is no longer blocked.
             while self._link_of(source)[direction].blocked:
                 await asyncio.sleep(0.005)
             abort(writer)
--- a/fakes/upstream.py
+++ b/fakes/upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams that record the requests that they run, and fail as a trial sets them."""
+"""Fake upstreams that record the requests they execute and have selectable faults."""
 
 from __future__ import annotations
 
@@ -29,19 +29,23 @@
 
 
 class Upstream:
-    """One server. `mode`: ok, hang, error, refuse (rejects requests), lose (runs them, but resets)."""
+    """One server.
+
+    `mode`: ok, hang, error (responds 500), refuse (rejects requests without executing them) or lose (executes
+    requests but resets the connection instead of responding).
+    """
 
     def __init__(
         self, name: str, zone: str, rng: random.Random, mean_service_time: float, runs: list[Run]
     ) -> None:
-        """`mean_service_time`: seconds. `runs`: where each run is recorded."""
+        """Create a server. `mean_service_time`: seconds. `runs`: the list to append executions to."""
         self.name, self.zone, self.rng, self.runs = name, zone, rng, runs
         self.mean_service_time = mean_service_time
         self.mode, self.slowdown = "ok", 1.0
-        # The sidecar of a connection, by the connection's address, as the relays tell.
+        # The sidecar of each connection by its client address, recorded by the relays.
         self.sidecars: dict[tuple[str, int], str] = {}
         self.server = Server(self._answer)
-        self.process_started_at = -inf  # slow start ends some time after that
+        self.process_started_at = -inf  # start of the process, for slow start
 
     async def _answer(self, request: Request) -> Response:
         trace_id = request.headers.get("x-trace-id")
