--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -10,22 +10,22 @@
 
 from fakes.discovery import Fault
 from trials import endpoint_list
-from trials.verdict import Verdict
+from trials.verdict import TrialResult
 
 
-def run_together(*runs: Awaitable[Verdict]) -> list[Verdict]:
+def run_together(*runs: Awaitable[TrialResult]) -> list[TrialResult]:
     """Run trials concurrently and return their verdicts."""
 
-    async def run_all() -> list[Verdict]:
+    async def run_all() -> list[TrialResult]:
         return await asyncio.gather(*runs)
 
     return asyncio.run(run_all())
 
 
-def assert_kept(verdicts: Iterable[Verdict]) -> None:
+def assert_kept(verdicts: Iterable[TrialResult]) -> None:
     """Assert that no rule was broken and that there was enough traffic to show it."""
     for verdict in verdicts:
-        assert verdict.kept, (verdict.counts, verdict.broken[:10])
+        assert verdict.passed, (verdict.counts, verdict.violations[:10])
         # A trial is conclusive only if the draining endpoint had requests before.
         assert verdict.counts["attempts"] > 100 and verdict.counts["answered 200"] > 100
 
--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -20,7 +20,7 @@
     TURN_LEASES,
     ShardPlanner,
 )
-from trials.broken import CELL_VARIANTS, OneReplicaAwaited, OutdatedCells
+from trials.broken import SHARD_VARIANTS, OneReplicaAwaited, OutdatedCells
 from trials.emulated import HARSH, IDLE_LINK_TIMEOUT, FaultRates, Request, World, play
 from trials.model_replication import explore
 from trials.model_replication_events import SETTLES, Bounds, Event, EventKind
@@ -304,7 +304,7 @@
 # Broken variants must be caught.
 
 
-@pytest.mark.parametrize("kind", CELL_VARIANTS)
+@pytest.mark.parametrize("kind", SHARD_VARIANTS)
 def test_each_broken_variant_is_caught_in_emulated_time(kind):
     if kind is OneReplicaAwaited:
         plays = (
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -29,8 +29,8 @@
 from trials.emulated_policy import QUIET, play
 from trials.model_policy import explore
 from trials.model_policy_events import Bounds
-from trials.policy_scenes import SCENES
-from trials.rig import ROOT, Rig, Sidecar
+from trials.policy_scenes import SCENARIOS
+from trials.rig import ROOT, Cluster, Sidecar
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -52,16 +52,16 @@
     assert not played.broken and played.decided
 
 
-@pytest.mark.parametrize("scene", SCENES)
+@pytest.mark.parametrize("scene", SCENARIOS)
 def test_each_scenario_keeps_the_invariants(scene: str) -> None:
     """In scenarios of known races the replica keeps the invariants."""
-    assert not SCENES[scene]().broken()
+    assert not SCENARIOS[scene]().broken()
 
 
 @pytest.mark.parametrize("variant", POLICY_VARIANTS)
 def test_each_broken_variant_is_detected_by_a_scenario(variant: type[PolicyReplica]) -> None:
     """The scenarios are strict enough: each deliberately broken replica fails in one of them."""
-    assert any(scene(variant).broken() for scene in SCENES.values())
+    assert any(scene(variant).broken() for scene in SCENARIOS.values())
 
 
 @pytest.mark.parametrize(
@@ -82,16 +82,16 @@
 @pytest.mark.xdist_group("trials-1")
 def test_real_processes_follow_one_policy_under_faults() -> None:
     """Real sidecars change the policy three times under faults."""
-    verdict = asyncio.run(policy.changes(1, sidecars=6, count=3))
-    assert verdict.kept, verdict.broken
+    verdict = asyncio.run(policy.run_changes(1, sidecars=6, count=3))
+    assert verdict.passed, verdict.violations
     assert verdict.counts["changes"] == 3 and verdict.counts["answers"] > 500
 
 
 @pytest.mark.xdist_group("trials-2")
 def test_the_trial_detects_two_policies_without_a_fleet() -> None:
     """The trial is strict enough: sidecars without a fleet serve under two policies at once."""
-    verdict = asyncio.run(policy.changes(1, sidecars=3, count=1, fleet=False))
-    assert any(one.startswith("a1 ") or "after it held" in one for one in verdict.broken)
+    verdict = asyncio.run(policy.run_changes(1, sidecars=3, count=1, fleet=False))
+    assert any(one.startswith("a1 ") or "after it held" in one for one in verdict.violations)
 
 
 # Documents, records and files.
@@ -380,12 +380,12 @@
 LONG_SWITCH_DELAY = "60"  # seconds, during which no member drops the proposal as late
 
 
-def stop_without_leaving(rig: Rig, sidecar: Sidecar) -> None:
+def stop_without_leaving(cluster: Cluster, sidecar: Sidecar) -> None:
     """Stop a process but keep its entry in the store, without which the others would decide alone."""
     sidecar.signal(signal.SIGSTOP)
     prefix = f"/trial/members/{sidecar.name}.".encode()
-    (entry,) = [entry for key, entry in rig.arbiter.entries.items() if key.startswith(prefix)]
-    rig.arbiter.put(entry.key.decode(), entry.value.decode())  # without a lease
+    (entry,) = [entry for key, entry in cluster.store.entries.items() if key.startswith(prefix)]
+    cluster.store.put(entry.key.decode(), entry.value.decode())  # without a lease
 
 
 @pytest.mark.xdist_group("trials-1")
@@ -393,17 +393,17 @@
     """The command proposes, shows and drops a policy of three sidecars."""
 
     async def run_commands() -> tuple[tuple[int, str], ...]:
-        async with Rig(1, sidecars=3, upstreams=2, lease=1) as rig:
+        async with Cluster(1, sidecars=3, upstreams=2, lease=1) as cluster:
             file = tmp_path / "policy.json"
-            file.write_text(json.dumps(policy.body("a1")))
-            at = ("--at", f"{rig.sidecars[0].host}:{rig.sidecars[0].mgmt}")
+            file.write_text(json.dumps(policy.policy_body("a1")))
+            at = ("--at", f"{cluster.sidecars[0].host}:{cluster.sidecars[0].admin_port}")
             given = ("policy", "propose", str(file), "--switch", SWITCH_DELAY, *at)
             decided = await asyncio.to_thread(command, *given)
             rejected = await asyncio.to_thread(command, *given)
-            while (await rig.sidecars[0].admin_call("GET", "/_policy"))[1]["in_force"]["version"] == 0:
+            while (await cluster.sidecars[0].admin_call("GET", "/_policy"))[1]["in_force"]["version"] == 0:
                 await asyncio.sleep(0.05)
             shown = await asyncio.to_thread(command, "policy", "show", *at)
-            stop_without_leaving(rig, rig.sidecars[2])
+            stop_without_leaving(cluster, cluster.sidecars[2])
             given = ("policy", "propose", str(file), "--switch", LONG_SWITCH_DELAY, "--no-wait", *at)
             open_ = await asyncio.to_thread(command, *given)
             dropped = await asyncio.to_thread(command, "policy", "drop", "2", *at)
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -48,16 +48,16 @@
 @pytest.mark.xdist_group("trials-2")
 def test_real_processes_leave_a_zone_that_hangs_and_return() -> None:
     """Six real sidecars leave the zone while it hangs, and later give it all of its traffic."""
-    verdict = asyncio.run(zones.play(1, sidecars=6, case="hang", after=9.0))
-    assert verdict.kept, verdict.broken
+    verdict = asyncio.run(zones.run_trial(1, sidecars=6, case="hang", after=9.0))
+    assert verdict.passed, verdict.violations
     assert verdict.counts["left after ms"] is not None and verdict.counts["whole after s"] is not None
 
 
 @pytest.mark.xdist_group("trials-2")
 def test_real_processes_stay_if_leaving_does_not_help() -> None:
     """Under a partition between zones, six real sidecars leave no zone."""
-    verdict = asyncio.run(zones.play(1, sidecars=6, case="cut", after=1.0))
-    assert verdict.kept, verdict.broken
+    verdict = asyncio.run(zones.run_trial(1, sidecars=6, case="cut", after=1.0))
+    assert verdict.passed, verdict.violations
     assert verdict.counts["left after ms"] is None
 
 
--- a/trials/__main__.py
+++ b/trials/__main__.py
@@ -29,15 +29,15 @@
 from .scale.__main__ import main as scale
 
 TRIALS = {
-    "loss": loss.play,
+    "loss": loss.run_trial,
     "losses": storm.losses,
     "storm": storm.storm,
-    "cost": cost.play,
-    "added": added.play,
+    "cost": cost.run_trial,
+    "added": added.run_trial,
     **outage.CASES,
     **endpoint_list.CASES,
-    "rest": rest.play,
-    "policy": policy.changes,
+    "rest": rest.run_trial,
+    "policy": policy.run_changes,
     **hard.CASES,
     **policy.CASES,
     **zones.TRIALS_OF_ZONES,
@@ -78,14 +78,14 @@
 def _play(trial: str, seed: int, keywords: dict[str, Any]) -> bool:
     """Play one seed and print its verdict; return whether all promises were kept."""
     try:
-        verdict = asyncio.run(TRIALS[trial](seed, **keywords))
+        result = asyncio.run(TRIALS[trial](seed, **keywords))
     except RuntimeError as error:
         print(json.dumps({"trial": trial, "seed": seed, "kept": False, "void": str(error)[:300]}))
         return False
-    print(json.dumps({"trial": trial, "seed": seed, "kept": verdict.kept, **verdict.counts}))
-    for broken in verdict.broken:
+    print(json.dumps({"trial": trial, "seed": seed, "kept": result.passed, **result.counts}))
+    for broken in result.violations:
         print("  " + broken)
-    return verdict.kept
+    return result.passed
 
 
 def main() -> int:
--- a/trials/added.py
+++ b/trials/added.py
@@ -27,9 +27,9 @@
 from fakes.endpoint_list import EndpointListServer
 from fakes.loopback import free_address, loopback_host
 
-from .processes import die_with_parent, processor_time
+from .processes import cpu_time, set_parent_death_signal
 from .rig import CAPS, CATEGORIES, MEMORY_FOLDER, READY_TIMEOUT, ROOT
-from .verdict import Verdict
+from .verdict import TrialResult
 
 CLIENTS = 8
 RATES = (50.0, 100.0, 200.0, 400.0)  # pairs of calls a second
@@ -191,11 +191,11 @@
 def start_python(command: list[str], **more: Any) -> subprocess.Popen[bytes]:  # noqa: ANN401  # Popen's
     """Start Python with these arguments; it ends with this process."""
     return subprocess.Popen(
-        [sys.executable, "-B", *command], stdin=subprocess.DEVNULL, preexec_fn=die_with_parent, **more
+        [sys.executable, "-B", *command], stdin=subprocess.DEVNULL, preexec_fn=set_parent_death_signal, **more
     )
 
 
-async def ready(address: str, log: Path) -> None:
+async def wait_until_ready(address: str, log: Path) -> None:
     """Wait until the sidecar accepts requests; raises `RuntimeError` where it does not."""
     until = time.monotonic() + READY_TIMEOUT
     while time.monotonic() < until:
@@ -229,9 +229,9 @@
     for thread in threads:
         thread.start()
     await asyncio.sleep(max(0.0, now + FIRST - time.monotonic()))
-    before, counted = processor_time(sidecar.pid), len(pairs)
+    before, counted = cpu_time(sidecar.pid), len(pairs)
     await asyncio.sleep(max(0.0, now + seconds - time.monotonic()))
-    cost = (processor_time(sidecar.pid) - before) / max(1, len(pairs) - counted)
+    cost = (cpu_time(sidecar.pid) - before) / max(1, len(pairs) - counted)
     for thread in threads:
         await asyncio.to_thread(thread.join)
     return pairs, cost
@@ -249,7 +249,7 @@
     return sum(int(line[2].rpartition(":")[2], 16) in ports for line in ours)
 
 
-async def play(
+async def run_trial(
     seed: int,
     sidecars: int = 1,
     root: Path = ROOT,
@@ -259,7 +259,7 @@
     service: float = 0.0,
     seconds: float = SECONDS,
     command: Sequence[str] = ("-m", "starlingwheel"),
-) -> Verdict:
+) -> TrialResult:
     """Print a row for each rate; milliseconds, also of the sidecar's processor time for each of its calls.
 
     A broken promise: more than one pair in a hundred has no answer.
@@ -267,7 +267,7 @@
     `service`: seconds that an endpoint takes, on the mean; 0: it answers at once. `command`: another way to
     start the program, as under a profiler. One sidecar is played, whatever `sidecars` and `fleet` say.
     """
-    verdict = Verdict()
+    result = TrialResult()
     with tempfile.TemporaryDirectory(prefix="added-", dir=MEMORY_FOLDER) as name:
         folder = Path(name)
         endpoints = start_python(
@@ -288,17 +288,17 @@
             with (folder / "log").open("ab") as log:
                 environment = os.environ | {"EDGE_CONFIG": str(folder / "config.json")}
                 sidecar = start_python(list(command), cwd=root, stdout=log, stderr=log, env=environment)
-            await ready(address, folder / "log")
+            await wait_until_ready(address, folder / "log")
             print("  ".join(f"{name:>9}" for name in HEADS))
             for rate in rates:
                 pairs, cost = await measured(seed, rate, seconds, sidecar, address, direct)
-                _report(verdict, rate, pairs, cost, open_to(sidecar, direct))
+                _report(result, rate, pairs, cost, open_to(sidecar, direct))
         finally:
             for process in (sidecar, endpoints):
                 if process is not None:
                     await _end(process)
             await listing.server.stop()
-    return verdict
+    return result
 
 
 def _configuration(seed: int, address: str, discovery: str, servers: list[dict[str, Any]]) -> dict[str, Any]:
@@ -316,12 +316,12 @@
     }  # fmt: skip
 
 
-def _report(verdict: Verdict, rate: float, pairs: list[Any], cost: float, connections: int) -> None:
+def _report(result: TrialResult, rate: float, pairs: list[Any], cost: float, connections: int) -> None:
     """Print the row of a rate and add its figures to the verdict. `cost`: processor time a call, seconds."""
     complete = [(direct, through) for direct, through in pairs if direct is not None and through is not None]
     failed = len(pairs) - len(complete)
     if not complete or failed > len(pairs) / 100:
-        verdict.broken.append(f"at {rate:.0f} a second {failed} of {len(pairs)} pairs failed")
+        result.violations.append(f"at {rate:.0f} a second {failed} of {len(pairs)} pairs failed")
     alone = quantiles([direct for direct, _ in complete])
     added = quantiles([through - direct for direct, through in complete])
     row = [*alone, *added, cost * 1000]
@@ -330,8 +330,8 @@
     widths = [max(9, len(name)) for name in HEADS]
     print("  ".join(f"{text:>{w}}" for text, w in zip(figures, widths, strict=True)), flush=True)
     for name, value in zip(("50", "90", "99"), added, strict=True):
-        verdict.counts[f"{rate:.0f} a second, added {name} in 100, us"] = round(value * 1000)
-    verdict.counts[f"{rate:.0f} a second, processor time a call, us"] = round(cost * 1e6)
+        result.counts[f"{rate:.0f} a second, added {name} in 100, us"] = round(value * 1000)
+    result.counts[f"{rate:.0f} a second, processor time a call, us"] = round(cost * 1e6)
 
 
 async def _end(process: subprocess.Popen[bytes]) -> None:
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -170,7 +170,7 @@
     views_type = OthersInside
 
 
-CELL_VARIANTS = [OutdatedCells, OneReplicaAwaited, AnyCoordinatorAccepted]
+SHARD_VARIANTS = [OutdatedCells, OneReplicaAwaited, AnyCoordinatorAccepted]
 
 
 class VoteNotBinding(PolicyReplica):
--- a/trials/endpoint_list/cases.py
+++ b/trials/endpoint_list/cases.py
@@ -9,19 +9,19 @@
 from fakes.discovery import Fault
 
 from ..rig import ROOT
-from ..verdict import Verdict
+from ..verdict import TrialResult
 from .faults import Faults
 from .trial import Trial, traffic
 
 
 async def played(
     play_faults: Callable[[Trial], Awaitable[None]], seconds: float, seed: int, root: Path
-) -> Verdict:
+) -> TrialResult:
     """Play faults over three sidecars and four servers, with clients all the while."""
     async with Trial(seed, sidecars=3, servers=4, root=root) as trial:
         async with traffic(trial, rate=30, seconds=seconds):
             await play_faults(trial)
-        return await trial.verdict()
+        return await trial.result()
 
 
 async def answer_nobody(trial: Trial, seconds: float) -> None:
@@ -31,7 +31,7 @@
     trial.discovery.down = False
 
 
-async def broken_message(fault: Fault, seed: int = 1, root: Path = ROOT) -> Verdict:
+async def broken_message(fault: Fault, seed: int = 1, root: Path = ROOT) -> TrialResult:
     """A notice of a drain is written and arrives incomplete; discovery answers slowly from then on."""
 
     async def play_faults(trial: Trial) -> None:
@@ -47,7 +47,7 @@
     return await played(play_faults, 5.0, seed, root)
 
 
-async def silent_watch(seed: int = 1, root: Path = ROOT) -> Verdict:
+async def silent_watch(seed: int = 1, root: Path = ROOT) -> TrialResult:
     """All watches fall silent, servers drain, and a crowded discovery answers nobody for some seconds."""
 
     async def play_faults(trial: Trial) -> None:
@@ -61,7 +61,7 @@
     return await played(play_faults, 10.0, seed, root)
 
 
-async def ended_instead(seed: int = 1, root: Path = ROOT) -> Verdict:
+async def ended_instead(seed: int = 1, root: Path = ROOT) -> TrialResult:
     """Watches end instead of telling of a drain, and a crowded discovery answers nobody for some seconds."""
 
     async def play_faults(trial: Trial) -> None:
@@ -73,7 +73,7 @@
     return await played(play_faults, 9.0, seed, root)
 
 
-async def restarted(seed: int = 1, root: Path = ROOT) -> Verdict:
+async def restarted(seed: int = 1, root: Path = ROOT) -> TrialResult:
     """Sidecars restart with a list from before a drain, and a crowded discovery answers nobody."""
 
     async def play_faults(trial: Trial) -> None:
@@ -91,13 +91,13 @@
 
 async def soak(
     seed: int, sidecars: int = 24, seconds: float = 30.0, root: Path = ROOT, fleet: bool = True
-) -> Verdict:
+) -> TrialResult:
     """Random faults that overlap, over a few dozen real processes, judged by the invariants."""
     del fleet
     async with Trial(seed, sidecars=sidecars, servers=8, root=root) as trial:
         async with traffic(trial, rate=4, seconds=seconds, leave=0.05):
             await Faults(trial, seconds).play()
-        return await trial.verdict()
+        return await trial.result()
 
 
 CASES = {
--- a/trials/endpoint_list/process.py
+++ b/trials/endpoint_list/process.py
@@ -14,7 +14,7 @@
 from fakes.http1 import ConnectionBrokenError, HttpClient
 from fakes.loopback import free_ports, loopback_host
 
-from ..processes import die_with_parent
+from ..processes import set_parent_death_signal
 from ..rig import CAPS, CATEGORIES, READY_TIMEOUT
 
 if TYPE_CHECKING:
@@ -27,9 +27,9 @@
 class Process:
     """One sidecar: its configuration, its process, and the front of discovery that it calls."""
 
-    def __init__(self, trial: Trial, number: int, front: Frontend) -> None:
+    def __init__(self, trial: Trial, number: int, frontend: Frontend) -> None:
         """Not started yet."""
-        self.trial, self.number, self.front = trial, number, front
+        self.trial, self.number, self.frontend = trial, number, frontend
         host = loopback_host(1 + number % 250)
         self.address = f"{host}:{free_ports(host, 1)[0]}"
         self.caller = HttpClient(self.address)
@@ -41,7 +41,7 @@
     def start(self) -> None:
         """Start a process, under the name and address of the one before."""
         self.started += 1
-        self.front.record_process_start()
+        self.frontend.record_process_start()
         self.caller.close()  # its connections are those of the process before
         self.path.with_suffix(".json").write_text(json.dumps(self._configuration()))
         environment = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
@@ -50,7 +50,7 @@
                 [sys.executable, "-B", "-m", "starlingwheel"],
                 cwd=self.trial.root, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
                 env=environment | {"EDGE_CONFIG": str(self.path.with_suffix(".json"))},
-                preexec_fn=die_with_parent,
+                preexec_fn=set_parent_death_signal,
             )  # fmt: skip
 
     def _configuration(self) -> dict[str, Any]:
@@ -60,7 +60,7 @@
             "replicasOfMe": len(self.trial.discovery.frontends),
         }  # fmt: skip
         return {
-            "name": f"n{self.number}", "listen": self.address, "discovery": self.front.address,
+            "name": f"n{self.number}", "listen": self.address, "discovery": self.frontend.address,
             "seed": f"{self.trial.seed}-{self.number}-{self.started}", "settings": settings,
             "known": {"version": 1, "full": True, "servers": self.known},
         }  # fmt: skip
@@ -81,7 +81,7 @@
             self.process.kill()
             self.process.wait()
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until it accepts requests; raises `RuntimeError` where it does not."""
         until = asyncio.get_running_loop().time() + READY_TIMEOUT
         while asyncio.get_running_loop().time() < until and self.alive:
@@ -95,7 +95,7 @@
         """What its processes have logged."""
         return self.path.with_suffix(".log").read_text()
 
-    def logged(self, *events: str) -> list[dict[str, Any]]:
+    def log_lines(self, *events: str) -> list[dict[str, Any]]:
         """The log lines of these events."""
         lines = (json.loads(line) for line in self.log().splitlines() if line.startswith("{"))
         return [line for line in lines if line["event"] in events]
--- a/trials/endpoint_list/trial.py
+++ b/trials/endpoint_list/trial.py
@@ -22,7 +22,7 @@
 from fakes.http1 import ConnectionBrokenError, Handler, Request, Response, Server
 
 from ..rig import MEMORY_FOLDER, READY_TIMEOUT, ROOT
-from ..verdict import Verdict
+from ..verdict import TrialResult
 from .process import GRACE, Process
 
 SLACK = 0.15  # seconds, for the trial's own lateness, beside what the protocol allows
@@ -60,7 +60,7 @@
         self.requests: dict[str, ClientRequest] = {}
         self.runs: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.clients: set[asyncio.Task[None]] = set()
         self.hanging: set[str] = set()  # servers that take requests and answer nothing
 
@@ -77,12 +77,12 @@
             self.discovery.add_entries(self.entry(name))
         await self.discovery.start(self.sidecar_count)
         self.sidecars = [
-            Process(self, number, front) for number, front in enumerate(self.discovery.frontends)
+            Process(self, number, frontend) for number, frontend in enumerate(self.discovery.frontends)
         ]
         try:
             for sidecar in self.sidecars:
                 sidecar.start()
-            await asyncio.gather(*(sidecar.ready() for sidecar in self.sidecars))
+            await asyncio.gather(*(sidecar.wait_until_ready() for sidecar in self.sidecars))
             await self.until_all_are_notified()
         except BaseException:
             await self.__aexit__()
@@ -144,20 +144,20 @@
         sidecar = self.sidecars[request.sidecar]
         changed = self.discovery.last_changes.get(name)
         if changed is not None and self.discovery.entries[name]["state"] != "active":
-            notified = sidecar.front.notified_at(*changed)
+            notified = sidecar.frontend.notified_at(*changed)
             self.counts["attempts at servers that drain"] += 1
             if now > notified + GRACE + SLACK and request.process == sidecar.started:
                 self.counts["after the grace"] += 1
-                self.broken.append(
+                self.violations.append(
                     f"drain: n{request.sidecar} to {name} {now - notified:.2f} s after the notice"
                 )
         gone_at = request.disconnected_at
         if gone_at is not None and now > gone_at + DISCONNECT_SLACK + SLACK:
             self.counts["for clients that had left"] += 1
-            self.broken.append(f"left: {request.trace} {now - gone_at:.2f} s after its client")
+            self.violations.append(f"left: {request.trace} {now - gone_at:.2f} s after its client")
         if request.category == "buy" and self.runs[request.trace]:
             self.counts["twice"] += 1
-            self.broken.append(f"twice: {request.trace}")
+            self.violations.append(f"twice: {request.trace}")
 
     # The clients.
 
@@ -187,11 +187,11 @@
                 status, body = await self._call(sidecar, request)
             request.end = str(status)
             if status == 200 and body != trace.encode():
-                self.broken.append(f"answer: {trace} has that of another request")
+                self.violations.append(f"answer: {trace} has that of another request")
         except TimeoutError:
             request.end, request.disconnected_at = "left" if disconnects else "late", loop.time()
-        except ConnectionBrokenError as broken:
-            request.end = str(broken)
+        except ConnectionBrokenError as error:
+            request.end = str(error)
 
     async def _call(self, sidecar: Process, request: ClientRequest) -> tuple[int, bytes]:
         """Send the request; return status and body. Raises `ConnectionBrokenError`."""
@@ -212,7 +212,7 @@
             status, _, body = await sidecar.caller.call(*call)
         return status, body
 
-    async def verdict(self) -> Verdict:
+    async def result(self) -> TrialResult:
         """Wait for the clients, then judge."""
         if self.clients:
             await asyncio.wait(list(self.clients), timeout=DEADLINE + 2 * ANSWER_SLACK)
@@ -221,12 +221,12 @@
             sidecar = self.sidecars[request.sidecar]
             same_process = request.process == sidecar.started and sidecar.alive
             if request.end in ("late", "open", "reset", "closed") and same_process:
-                self.broken.append(f"lost: {request.trace} at n{request.sidecar}: {request.end}")
+                self.violations.append(f"lost: {request.trace} at n{request.sidecar}: {request.end}")
         for sidecar in self.sidecars:
-            for line in sidecar.logged("defect", "module.defect", "gate.violation"):
-                self.broken.append(f"n{sidecar.number} logged {line['event']}: {line.get('error', line)}")
+            for line in sidecar.log_lines("defect", "module.defect", "gate.violation"):
+                self.violations.append(f"n{sidecar.number} logged {line['event']}: {line.get('error', line)}")
         self.counts["requests"] = len(self.requests)
-        return Verdict(dict(self.counts), self.broken)
+        return TrialResult(dict(self.counts), self.violations)
 
 
 @contextlib.asynccontextmanager
--- a/trials/loss.py
+++ b/trials/loss.py
@@ -5,13 +5,13 @@
 import asyncio
 from pathlib import Path
 
-from .rig import ROOT, Rig
-from .verdict import Verdict
+from .rig import ROOT, Cluster
+from .verdict import TrialResult
 
 MAX_LOOKS, LOOK_INTERVAL = 20, 0.01  # for open requests; seconds
 
 
-async def play(
+async def run_trial(
     seed: int,
     sidecars: int = 5,
     root: Path = ROOT,
@@ -19,21 +19,21 @@
     rate: float = 200.0,
     seconds: float = 2.0,
     cell_size: int = 0,
-) -> Verdict:
+) -> TrialResult:
     """Non-idempotent requests to all; one sidecar is killed in the middle."""
-    async with Rig(seed, sidecars, root=root, fleet=fleet, cell_size=cell_size) as rig:
-        sending = asyncio.create_task(rig.clients.send(rate, seconds, {"buy": 1.0}))
+    async with Cluster(seed, sidecars, root=root, fleet=fleet, cell_size=cell_size) as cluster:
+        sending = asyncio.create_task(cluster.clients.send(rate, seconds, {"buy": 1.0}))
         await asyncio.sleep(seconds / 2)
         # The one with the most open requests: without any the trial would show nothing.
         for _ in range(MAX_LOOKS):
-            lost = max(rig.sidecars, key=lambda s: len(rig.open_requests(s)))
-            if len(rig.open_requests(lost)) > 1:
+            lost = max(cluster.sidecars, key=lambda s: len(cluster.open_requests(s)))
+            if len(cluster.open_requests(lost)) > 1:
                 break
             await asyncio.sleep(LOOK_INTERVAL)
-        in_hand = rig.lose(lost)
-        verdict = await rig.judged(sending)
-        verdict.counts["in hand at the loss"] = len(in_hand)
-        verdict.counts["of these finished"] = sum(w.succeeded for w in in_hand)
-        verdict.counts["of these written off"] = sum("504" in w.statuses for w in in_hand)
-        verdict.counts["of these ran twice"] = sum(len(rig.of(w.request_id)) > 1 for w in in_hand)
-        return verdict
+        in_hand = cluster.kill_sidecar(lost)
+        result = await cluster.finish_and_check(sending)
+        result.counts["in hand at the loss"] = len(in_hand)
+        result.counts["of these finished"] = sum(w.succeeded for w in in_hand)
+        result.counts["of these written off"] = sum("504" in w.statuses for w in in_hand)
+        result.counts["of these ran twice"] = sum(len(cluster.runs_of(w.request_id)) > 1 for w in in_hand)
+        return result
--- a/trials/outage.py
+++ b/trials/outage.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from .rig import ROOT, Rig
-from .verdict import Verdict
+from .rig import ROOT, Cluster
+from .verdict import TrialResult
 
 RATE = 100.0  # requests a second
 BEFORE_DURATION, FAULT_DURATION, AFTER_DURATION = 3.0, 2.0, 10.0  # seconds of each phase
@@ -24,36 +24,40 @@
     mode: str  # of all endpoints
 
 
-async def play(
+async def run_trial(
     seed: int, sidecars: int = 1, root: Path = ROOT, fleet: bool = False, mode: str = "error"
-) -> Verdict:
+) -> TrialResult:
     """Idempotent requests before, during and after the fault. `fleet` is not used: there is none."""
-    verdict = Verdict()
-    async with Rig(seed, sidecars, root=root, fleet=False) as rig:
+    result = TrialResult()
+    async with Cluster(seed, sidecars, root=root, fleet=False) as cluster:
         done = {}
         for phase in (
             Phase("before", BEFORE_DURATION, "ok"),
             Phase("failing", FAULT_DURATION, mode),
             Phase("after", AFTER_DURATION, "ok"),
         ):
-            for upstream in rig.upstreams:
+            for upstream in cluster.upstreams:
                 upstream.mode = phase.mode
-            first = len(rig.clients.requests)
-            await rig.clients.send(RATE, phase.duration, {"look": 1.0}, keyed=False)
-            done[phase.name] = rig.clients.requests[first:]
-        await asyncio.sleep(rig.clients.timeout + 0.5)  # all are answered, or given up
+            first = len(cluster.clients.requests)
+            await cluster.clients.send(RATE, phase.duration, {"look": 1.0}, keyed=False)
+            done[phase.name] = cluster.clients.requests[first:]
+        await asyncio.sleep(cluster.clients.timeout + 0.5)  # all are answered, or given up
         for phase_name, works in done.items():
             if phase_name == "after":
                 works = [
                     w for w in works if w.started_at > works[-1].started_at - (AFTER_DURATION - RECOVERY_TIME)
                 ]
-            verdict.counts[phase_name] = len(works)
-            verdict.counts[f"{phase_name}, answered"] = answered = sum(w.succeeded for w in works)
+            result.counts[phase_name] = len(works)
+            result.counts[f"{phase_name}, answered"] = answered = sum(w.succeeded for w in works)
         if answered < len(works) * MIN_ANSWERED_FRACTION:
-            verdict.broken.append(
+            result.violations.append(
                 f"{RECOVERY_TIME} s after all are well again {answered} of {len(works)} are answered"
             )
-    return verdict
+    return result
 
 
-CASES = {"outage": play, "outage-hang": partial(play, mode="hang"), "outage-lose": partial(play, mode="lose")}
+CASES = {
+    "outage": run_trial,
+    "outage-hang": partial(run_trial, mode="hang"),
+    "outage-lose": partial(run_trial, mode="lose"),
+}
--- a/trials/parts.py
+++ b/trials/parts.py
@@ -47,12 +47,12 @@
     return next((name for part, name in PLACES if part in text), "builtins and library")
 
 
-async def play(seed: int, rate: float, seconds: float) -> dict[str, Any]:
+async def run_trial(seed: int, rate: float, seconds: float) -> dict[str, Any]:
     """Return shares of processor time, per cent, without that of waiting and of the start."""
     with tempfile.TemporaryDirectory(prefix="parts-", dir=MEMORY_FOLDER) as folder:
         out = Path(folder) / "profile"
         command = ("-m", "cProfile", "-o", str(out), "-m", "starlingwheel")
-        verdict = await added.play(seed, rates=(rate,), seconds=seconds, command=command)
+        result = await added.run_trial(seed, rates=(rate,), seconds=seconds, command=command)
         stats = pstats.Stats(str(out)).stats  # type: ignore[attr-defined]
     spent: Counter[str] = Counter()
     calls: Counter[str] = Counter()
@@ -68,7 +68,7 @@
         "rate": rate,
         "shares": {name: round(100 * own / total, 1) for name, own in spent.most_common()},
         "calls": {name: calls[name] for name in spent},
-        **verdict.counts,
+        **result.counts,
     }
 
 
@@ -82,5 +82,5 @@
     if not (1 <= options.rate <= 5000 and added.FIRST < options.seconds <= 60):
         print(f"a rate from 1 to 5000, seconds from {added.FIRST} to 60", file=sys.stderr)
         return 2
-    print(json.dumps(asyncio.run(play(options.seed, options.rate, options.seconds))))
+    print(json.dumps(asyncio.run(run_trial(options.seed, options.rate, options.seconds))))
     return 0
--- a/trials/policy.py
+++ b/trials/policy.py
@@ -15,9 +15,9 @@
 from fakes.http1 import ConnectionBrokenError
 
 from .policy_faults import FaultInjector, FaultKind
-from .policy_observer import Change, PolicyObserver, judge
-from .rig import CAPS, CATEGORIES, ROOT, TIMES, Rig
-from .verdict import Verdict
+from .policy_observer import Change, PolicyObserver, find_violations
+from .rig import CAPS, CATEGORIES, ROOT, TIMES, Cluster
+from .verdict import TrialResult
 
 CLOCK_AHEAD = 0.2  # seconds that the clock of one sidecar is ahead
 SMALL_MEMORY = 24.0  # MB, of one sidecar, for which a large policy is too large
@@ -30,7 +30,7 @@
 NOW_KEY, NEXT_KEY = b"/trial/policy/now", b"/trial/policy/next"
 
 
-def body(label: str, tenants: int = 0) -> dict[str, Any]:
+def policy_body(label: str, tenants: int = 0) -> dict[str, Any]:
     """A policy with a category of that name; `tenants`: to make it large."""
     category = {"name": label, "effect": "free", "payoff": 1.0} | TIMES
     settings: dict[str, Any] = {
@@ -47,31 +47,31 @@
     return {"settings": settings, "cover": cover}
 
 
-def decision_in_store(rig: Rig) -> dict[str, Any] | None:
+def decision_in_store(cluster: Cluster) -> dict[str, Any] | None:
     """The decision, as the coordination store has it."""
-    entry = rig.arbiter.entries.get(NOW_KEY)
+    entry = cluster.store.entries.get(NOW_KEY)
     return json.loads(entry.value) if entry else None
 
 
-def outcome(rig: Rig, label: str) -> str:
+def outcome(cluster: Cluster, label: str) -> str:
     """How a change has ended, as the coordination store has it; empty: it is open, or was never proposed."""
-    decision = decision_in_store(rig)
+    decision = decision_in_store(cluster)
     if decision:
         categories = decision["policy"]["body"]["settings"]["categories"]
         if label in [category["name"] for category in categories]:
             return "decided"
-    for _, key, value in rig.arbiter.write_history:
+    for _, key, value in cluster.store.write_history:
         if key == NEXT_KEY.decode() and label.encode() in value:
-            proposal = rig.arbiter.entries.get(NEXT_KEY)
+            proposal = cluster.store.entries.get(NEXT_KEY)
             return "" if proposal and label.encode() in proposal.value else "dropped"
     return ""
 
 
-def _make_rig(seed: int, sidecars: int, root: Path, fleet: bool) -> Rig:
-    categories = body("a0")["settings"]["categories"]
-    return Rig(
-        seed, sidecars, upstreams=4, service=0.01, root=root, fleet=fleet, lease=LEASE, categories=categories,
-        ahead={1: CLOCK_AHEAD}, memory={2: SMALL_MEMORY},
+def _make_rig(seed: int, sidecars: int, root: Path, fleet: bool) -> Cluster:
+    categories = policy_body("a0")["settings"]["categories"]
+    return Cluster(
+        seed, sidecars, upstreams=4, service_time=0.01, root=root, fleet=fleet, lease=LEASE,
+        categories=categories, clock_offsets={1: CLOCK_AHEAD}, memory_limits={2: SMALL_MEMORY},
     )  # fmt: skip
 
 
@@ -79,26 +79,26 @@
     return random.Random(f"{seed}-policy")
 
 
-async def changes(
+async def run_changes(
     seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True, count: int = 7, faulty: bool = True
-) -> Verdict:
+) -> TrialResult:
     """`count` changes, one after another, each with faults in some phase of it."""
-    async with _make_rig(seed, sidecars, root, fleet) as rig:
+    async with _make_rig(seed, sidecars, root, fleet) as cluster:
         rng = _make_rng(seed)
-        observer, injector = PolicyObserver(rig), FaultInjector(rig, rng)
+        observer, injector = PolicyObserver(cluster), FaultInjector(cluster, rng)
         made: list[Change] = []
         await asyncio.sleep(0.5)
         for number in range(1, count + 1):
             made.append(Change(f"a{number}"))
             observer.follow(made[-1].label)
-            await _change_with_faults(rig, rng, made[-1], injector if faulty else None, fleet)
-            await _wait_for_followers(rig, observer, made, 15.0 if fleet else 3.0)
+            await _change_with_faults(cluster, rng, made[-1], injector if faulty else None, fleet)
+            await _wait_for_followers(cluster, observer, made, 15.0 if fleet else 3.0)
         observer.stop()
-        return _verdict(rig, observer, made)
+        return _verdict(cluster, observer, made)
 
 
 async def _change_with_faults(
-    rig: Rig, rng: random.Random, change: Change, injector: FaultInjector | None, fleet: bool
+    cluster: Cluster, rng: random.Random, change: Change, injector: FaultInjector | None, fleet: bool
 ) -> None:
     """Make the change while faults happen, and wait until it has ended."""
     faults = injector.draw() if injector is not None else []
@@ -108,19 +108,21 @@
     await asyncio.sleep(PROPOSED_AFTER)
     if fleet:
         is_too_large = any(fault.kind == FaultKind.UNFIT_POLICY for fault in faults)
-        await _propose(rig, rng, change, LARGE_POLICY_TENANTS if is_too_large else 0)
+        await _propose(cluster, rng, change, LARGE_POLICY_TENANTS if is_too_large else 0)
     else:
-        await _rewrite_files(rig, change)
+        await _rewrite_files(cluster, change)
     await asyncio.gather(*playing)
     if fleet:
         # All that failed is back by now, so the change comes to an end.
         await _wait_until(
-            lambda: not change.proposal_status or bool(outcome(rig, change.label)), ENDED_WITHIN
+            lambda: not change.proposal_status or bool(outcome(cluster, change.label)), ENDED_WITHIN
         )
-        change.outcome = outcome(rig, change.label)
+        change.outcome = outcome(cluster, change.label)
 
 
-async def _wait_for_followers(rig: Rig, observer: PolicyObserver, made: list[Change], seconds: float) -> None:
+async def _wait_for_followers(
+    cluster: Cluster, observer: PolicyObserver, made: list[Change], seconds: float
+) -> None:
     """Wait until all serve under the last policy that was decided; those that do not are noted."""
     loop = asyncio.get_running_loop()
     in_force = ([change for change in made if change.outcome == "decided"] or [Change("a0")])[-1]
@@ -128,80 +130,80 @@
     since = loop.time()
 
     def behind() -> list[str]:
-        return [s.name for s in rig.sidecars if not observer.serves(s, in_force.label, since)]
+        return [s.name for s in cluster.sidecars if not observer.serves(s, in_force.label, since)]
 
     await _wait_until(lambda: not behind(), seconds)
     if behind():
         made[-1].faults.append(f"behind {in_force.label}: {behind()}")
 
 
-async def store_outage(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> Verdict:
+async def store_outage(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> TrialResult:
     """The store is gone for twenty leases: no request is deferred for it, and a change waits."""
-    async with _make_rig(seed, sidecars, root, fleet) as rig:
+    async with _make_rig(seed, sidecars, root, fleet) as cluster:
         rng, change = _make_rng(seed), Change("a1")
-        observer, loop = PolicyObserver(rig), asyncio.get_running_loop()
-        await _change_without_faults(rig, rng, change, 1.0)
+        observer, loop = PolicyObserver(cluster), asyncio.get_running_loop()
+        await _change_without_faults(cluster, rng, change, 1.0)
         gone_at = loop.time()
-        await rig.arbiter.take_down()
+        await cluster.store.take_down()
         await asyncio.sleep(20.0 * LEASE)
         back_at = loop.time()
-        await rig.arbiter.start()
+        await cluster.store.start()
         await asyncio.sleep(3.0 * LEASE)
         observer.stop()
-        verdict = _verdict(rig, observer, [change])
+        result = _verdict(cluster, observer, [change])
         meanwhile = [a for a in observer.answers if gone_at < a.asked_at < back_at and a.label == "a1"]
         deferred = sum(answer.status != 200 for answer in meanwhile)
-        verdict.counts |= {"asked while it was gone": len(meanwhile), "not finished of these": deferred}
+        result.counts |= {"asked while it was gone": len(meanwhile), "not finished of these": deferred}
         if deferred:
-            verdict.broken.append(f"{deferred} work items were not finished while the arbiter was gone")
-        return verdict
+            result.violations.append(f"{deferred} work items were not finished while the arbiter was gone")
+        return result
 
 
 async def restart_without_store(
     seed: int, sidecars: int = 6, root: Path = ROOT, fleet: bool = True
-) -> Verdict:
+) -> TrialResult:
     """After a change all are killed while the store is gone: by what they stored they follow the new one."""
-    async with _make_rig(seed, sidecars, root, fleet) as rig:
+    async with _make_rig(seed, sidecars, root, fleet) as cluster:
         rng, change = _make_rng(seed), Change("a1")
-        observer, loop = PolicyObserver(rig), asyncio.get_running_loop()
-        await _change_without_faults(rig, rng, change, 0.5)
-        await rig.arbiter.take_down()
-        for sidecar in rig.sidecars:
+        observer, loop = PolicyObserver(cluster), asyncio.get_running_loop()
+        await _change_without_faults(cluster, rng, change, 0.5)
+        await cluster.store.take_down()
+        for sidecar in cluster.sidecars:
             sidecar.kill()
         since = loop.time()
-        for sidecar in rig.sidecars:
+        for sidecar in cluster.sidecars:
             sidecar.start()
-        await _wait_until(lambda: all(observer.serves(s, "a1", since) for s in rig.sidecars), 20.0)
-        back = [sidecar.name for sidecar in rig.sidecars if observer.serves(sidecar, "a1", since)]
+        await _wait_until(lambda: all(observer.serves(s, "a1", since) for s in cluster.sidecars), 20.0)
+        back = [sidecar.name for sidecar in cluster.sidecars if observer.serves(sidecar, "a1", since)]
         took = loop.time() - since
         observer.stop()
-        verdict = _verdict(rig, observer, [change])
-        verdict.counts |= {"back without the arbiter": len(back), "after ms": round(1000 * took)}
+        result = _verdict(cluster, observer, [change])
+        result.counts |= {"back without the arbiter": len(back), "after ms": round(1000 * took)}
         if len(back) < sidecars:
-            verdict.broken.append(f"only {back} came back")
-        return verdict
+            result.violations.append(f"only {back} came back")
+        return result
 
 
-async def rolling_restart(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> Verdict:
+async def rolling_restart(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> TrialResult:
     """Sidecars are told to stop and started anew while changes are made."""
-    async with _make_rig(seed, sidecars, root, fleet) as rig:
-        rng, observer = _make_rng(seed), PolicyObserver(rig)
+    async with _make_rig(seed, sidecars, root, fleet) as cluster:
+        rng, observer = _make_rng(seed), PolicyObserver(cluster)
         made = [Change(f"a{number}") for number in range(1, 4)]
         for change in made:
             observer.follow(change.label)
-            await _propose(rig, rng, change, 0)
-            for sidecar in rng.sample(rig.sidecars, 2):
+            await _propose(cluster, rng, change, 0)
+            for sidecar in rng.sample(cluster.sidecars, 2):
                 sidecar.signal(signal.SIGTERM)
                 assert sidecar.process is not None
                 await asyncio.to_thread(sidecar.process.wait)
                 sidecar.start()
             await _wait_until(
-                lambda c=change: not c.proposal_status or bool(outcome(rig, c.label)), ENDED_WITHIN
+                lambda c=change: not c.proposal_status or bool(outcome(cluster, c.label)), ENDED_WITHIN
             )
-            change.outcome = outcome(rig, change.label)
+            change.outcome = outcome(cluster, change.label)
             await asyncio.sleep(max(0.0, change.switch_at + 0.5 - asyncio.get_running_loop().time()))
         observer.stop()
-        return _verdict(rig, observer, made)
+        return _verdict(cluster, observer, made)
 
 
 CASES = {"quiet": store_outage, "restart": restart_without_store, "replaced": rolling_restart}
@@ -213,64 +215,64 @@
         await asyncio.sleep(POLL_INTERVAL)
 
 
-async def _change_without_faults(rig: Rig, rng: random.Random, change: Change, rest: float) -> None:
+async def _change_without_faults(cluster: Cluster, rng: random.Random, change: Change, rest: float) -> None:
     """One change without faults, until `rest` seconds past its switch time."""
-    await _propose(rig, rng, change, 0)
-    await _wait_until(lambda: bool(outcome(rig, change.label)), 5.0)
-    change.outcome = outcome(rig, change.label)
+    await _propose(cluster, rng, change, 0)
+    await _wait_until(lambda: bool(outcome(cluster, change.label)), 5.0)
+    change.outcome = outcome(cluster, change.label)
     await asyncio.sleep(max(0.0, change.switch_at + rest - asyncio.get_running_loop().time()))
 
 
-async def _propose(rig: Rig, rng: random.Random, change: Change, tenants: int) -> None:
+async def _propose(cluster: Cluster, rng: random.Random, change: Change, tenants: int) -> None:
     """Propose the change at any sidecar that takes it."""
     loop = asyncio.get_running_loop()
-    for sidecar in rng.sample(rig.sidecars, len(rig.sidecars))[:PROPOSERS]:
+    for sidecar in rng.sample(cluster.sidecars, len(cluster.sidecars))[:PROPOSERS]:
         began_at = loop.time()
         with contextlib.suppress(ConnectionBrokenError, TimeoutError, OSError):
-            call = {"policy": body(change.label, tenants)}
+            call = {"policy": policy_body(change.label, tenants)}
             change.proposal_status, _ = await sidecar.admin_call("PUT", "/_policy/propose", call)
             if change.proposal_status in (200, 503):  # 503: it may be written, as the store tells
                 break
-    proposal = rig.arbiter.entries.get(NEXT_KEY)
-    found = json.loads(proposal.value) if proposal else decision_in_store(rig)
+    proposal = cluster.store.entries.get(NEXT_KEY)
+    found = json.loads(proposal.value) if proposal else decision_in_store(cluster)
     if found is not None:
-        change.switch_at = began_at + found["at"] - rig.wall(began_at)
+        change.switch_at = began_at + found["at"] - cluster.to_wall_clock(began_at)
     if change.proposal_status == 200:
-        await _wait_until(lambda: bool(outcome(rig, change.label)), 2.0)
+        await _wait_until(lambda: bool(outcome(cluster, change.label)), 2.0)
         change.ended_after = loop.time() - began_at
 
 
-async def _rewrite_files(rig: Rig, change: Change) -> None:
+async def _rewrite_files(cluster: Cluster, change: Change) -> None:
     """Without a fleet, give each sidecar another file and the signal. One file is broken."""
-    rig.categories = body(change.label)["settings"]["categories"]
-    for sidecar in rig.sidecars:
+    cluster.categories = policy_body(change.label)["settings"]["categories"]
+    for sidecar in cluster.sidecars:
         text = json.dumps(sidecar.configuration())
-        sidecar.paths["json"].write_text(text if sidecar is not rig.sidecars[-1] else text[:-5])
+        sidecar.paths["json"].write_text(text if sidecar is not cluster.sidecars[-1] else text[:-5])
         sidecar.signal(signal.SIGHUP)
     change.switch_at, change.outcome = asyncio.get_running_loop().time(), "decided"
 
 
-def _verdict(rig: Rig, observer: PolicyObserver, made: list[Change]) -> Verdict:
-    verdict = Verdict()
-    verdict.broken = judge(observer.answers, made, rig.start)
+def _verdict(cluster: Cluster, observer: PolicyObserver, made: list[Change]) -> TrialResult:
+    result = TrialResult()
+    result.violations = find_violations(observer.answers, made, cluster.start)
     for change in made:
         behind = [fault for fault in change.faults if fault.startswith("behind")]
         if behind:
-            verdict.broken.append(f"{change.label} ({change.outcome}): {behind[0]}")
+            result.violations.append(f"{change.label} ({change.outcome}): {behind[0]}")
         if change.proposal_status == 200 and not change.outcome:
-            verdict.broken.append(f"{change.label}: neither decided nor dropped")
-    if defects := rig.defects():
-        verdict.broken.append(f"a defect: {defects[0]}")
-    if verdict.broken:
-        verdict.broken += [
-            f"{c.label}: {c.proposal_status} {c.outcome} at {c.switch_at - rig.start:.3f}: {c.faults}"
+            result.violations.append(f"{change.label}: neither decided nor dropped")
+    if defects := cluster.defects():
+        result.violations.append(f"a defect: {defects[0]}")
+    if result.violations:
+        result.violations += [
+            f"{c.label}: {c.proposal_status} {c.outcome} at {c.switch_at - cluster.start:.3f}: {c.faults}"
             for c in made
         ]
-    doubts = [line["after"] for sidecar in rig.sidecars for line in sidecar.logged("policy.sure")]
+    doubts = [line["after"] for sidecar in cluster.sidecars for line in sidecar.log_lines("policy.sure")]
     outcomes = Counter(change.outcome or "not taken" for change in made)
     times = sorted(change.ended_after for change in made if change.outcome == "decided")
     statuses = Counter(answer.status for answer in observer.answers)
-    verdict.counts = {
+    result.counts = {
         "changes": len(made),
         **outcomes,
         "answers": len(observer.answers),
@@ -279,4 +281,4 @@
         "doubt ms, worst": round(1000 * max(doubts, default=0)),
         "decided after ms, median": round(1000 * times[len(times) // 2]) if times else 0,
     }
-    return verdict
+    return result
--- a/trials/policy_faults.py
+++ b/trials/policy_faults.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from .rig import Rig, Sidecar
+from .rig import Cluster, Sidecar
 
 COUNTS = (1, 1, 2, 3)  # of faults at a time
 TIMES = (-0.6, -0.1, 0.02, 0.1, 0.4, 1.0, 2.0, 2.7, 2.95, 3.1)  # seconds from the proposal
@@ -69,9 +69,9 @@
 class FaultInjector:
     """Draws faults, and has them happen."""
 
-    def __init__(self, rig: Rig, rng: random.Random) -> None:
+    def __init__(self, cluster: Cluster, rng: random.Random) -> None:
         """`rng`: what is drawn, and which sidecars it happens to."""
-        self.rig, self.rng = rig, rng
+        self.cluster, self.rng = cluster, rng
         self.unavailable: set[str] = set()  # sidecars that are stopped or killed
 
     def draw(self) -> list[PolicyFault]:
@@ -93,20 +93,20 @@
             case FaultKind.DELAY:
                 await self._delay(sidecars[0], fault.duration)
             case FaultKind.RESET:
-                sidecars[0].to_arbiter.reset()
-                sidecars[0].front.reset()
+                sidecars[0].store_relay.reset()
+                sidecars[0].peer_relay.reset()
             case _:
                 await self._fail_store(fault, sidecars)
 
     def _victims(self, kind: FaultKind) -> list[Sidecar]:
-        free = [sidecar for sidecar in self.rig.sidecars if sidecar.name not in self.unavailable]
+        free = [sidecar for sidecar in self.cluster.sidecars if sidecar.name not in self.unavailable]
         sidecars = self.rng.sample(free, min(len(free), 2 if kind == FaultKind.KILL_TWO else 1))
         if kind in PARTITIONS:
-            sidecars = self.rng.sample(self.rig.sidecars, len(self.rig.sidecars) // 2)
+            sidecars = self.rng.sample(self.cluster.sidecars, len(self.cluster.sidecars) // 2)
         return sidecars
 
     async def _fail_store(self, fault: PolicyFault, sidecars: list[Sidecar]) -> None:
-        store = self.rig.arbiter
+        store = self.cluster.store
         match fault.kind:
             case FaultKind.STORE_OUTAGE:
                 await store.take_down()
@@ -134,23 +134,23 @@
 
     async def _cut(self, fault: PolicyFault, sidecars: list[Sidecar]) -> None:
         """Cut sidecars off from the store; in a partition also from the others."""
-        ways = [way for sidecar in sidecars for way in sidecar.to_arbiter.link()]
+        ways = [way for sidecar in sidecars for way in sidecar.store_relay.link()]
         if fault.kind in PARTITIONS:
-            others = [sidecar for sidecar in self.rig.sidecars if sidecar not in sidecars]
-            ways += [way for s in sidecars for other in others for way in self.rig.between(s, other)]
+            others = [sidecar for sidecar in self.cluster.sidecars if sidecar not in sidecars]
+            ways += [way for s in sidecars for other in others for way in self.cluster.link_between(s, other)]
         if fault.kind == FaultKind.PARTITION_AND_OUTAGE:
-            await self.rig.arbiter.take_down()
+            await self.cluster.store.take_down()
         for way in ways:
             way.blocked = True
         await asyncio.sleep(fault.duration)
         for way in ways:
             way.blocked = False
         if fault.kind == FaultKind.PARTITION_AND_OUTAGE:
-            await self.rig.arbiter.start()
+            await self.cluster.store.start()
 
     async def _delay(self, sidecar: Sidecar, duration: float) -> None:
-        for way in sidecar.to_arbiter.link():
+        for way in sidecar.store_relay.link():
             way.delay, way.loss = 0.1, 0.2
         await asyncio.sleep(duration)
-        for way in sidecar.to_arbiter.link():
+        for way in sidecar.store_relay.link():
             way.delay = way.loss = 0.0
--- a/trials/policy_observer.py
+++ b/trials/policy_observer.py
@@ -12,7 +12,7 @@
 
 from fakes.http1 import ConnectionBrokenError, HttpClient
 
-from .rig import Rig, Sidecar
+from .rig import Cluster, Sidecar
 
 SLACK = 0.25  # seconds that clocks may differ, and a request may be on its way
 ASK_INTERVAL = 0.08  # seconds between the requests to each sidecar
@@ -47,12 +47,12 @@
 class PolicyObserver:
     """Asks every sidecar all the time, under the labels that may hold."""
 
-    def __init__(self, rig: Rig) -> None:
+    def __init__(self, cluster: Cluster) -> None:
         """Begins at once."""
-        self.rig = rig
+        self.cluster = cluster
         self.answers: list[Answer] = []
         self.labels = ["a0", "a1"]
-        self.tasks = [asyncio.create_task(self._ask_all_the_time(sidecar)) for sidecar in rig.sidecars]
+        self.tasks = [asyncio.create_task(self._ask_all_the_time(sidecar)) for sidecar in cluster.sidecars]
         self.requests = 0
 
     async def _ask_all_the_time(self, sidecar: Sidecar) -> None:
@@ -94,7 +94,7 @@
         )
 
 
-def judge(answers: list[Answer], changes: list[Change], start: float) -> list[str]:
+def find_violations(answers: list[Answer], changes: list[Change], start: float) -> list[str]:
     """No request is served under a policy past the switch time of the next, or under one that was dropped."""
     broken = []
     decided = [
--- a/trials/policy_scenes.py
+++ b/trials/policy_scenes.py
@@ -92,7 +92,7 @@
     return world
 
 
-SCENES = {
+SCENARIOS = {
     scene.__name__: scene
     for scene in (
         majority_cut_off,
--- a/trials/processes.py
+++ b/trials/processes.py
@@ -10,12 +10,12 @@
 PR_SET_PDEATHSIG = 1  # of prctl
 
 
-def die_with_parent() -> None:
+def set_parent_death_signal() -> None:
     """Have this process killed when its parent ends, so that none outlives a trial that was killed."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def processor_time(pid: int) -> float:
+def cpu_time(pid: int) -> float:
     """Return the seconds of processor time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user, system = int(fields[11]), int(fields[12])
--- a/trials/rest.py
+++ b/trials/rest.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from .processes import processor_time
-from .rig import ROOT, Rig, Sidecar
-from .verdict import Verdict
+from .processes import cpu_time
+from .rig import ROOT, Cluster, Sidecar
+from .verdict import TrialResult
 
 SETTLED = 12.0  # seconds after which the start is over
 SECONDS = 20.0
@@ -19,13 +19,13 @@
 COUNTS = ("bytes_sent", "bytes_received", "segs_out", "segs_in")
 
 
-class Direct(Rig):
+class Direct(Cluster):
     """A rig whose sidecars reach each other and the coordination store without relays."""
 
-    def extra_config(self, sidecar: Sidecar) -> dict[str, Any]:
+    def extra_configuration(self, sidecar: Sidecar) -> dict[str, Any]:
         """Return the further parts of a sidecar's configuration."""
-        parts = super().extra_config(sidecar)
-        parts["fleet"] |= {"advertise": "", "arbiter": [self.arbiter.server.address]}
+        parts = super().extra_configuration(sidecar)
+        parts["fleet"] |= {"advertise": "", "arbiter": [self.store.server.address]}
         return parts
 
 
@@ -49,19 +49,19 @@
     return sums
 
 
-async def play(
+async def run_trial(
     seed: int, sidecars: int = 25, root: Path = ROOT, fleet: bool = True, cell_size: int = 0
-) -> Verdict:
+) -> TrialResult:
     """Measure for a while without requests; figures are means of a member."""
-    async with Direct(seed, sidecars, upstreams=1, root=root, lease=3, cell_size=cell_size) as rig:
+    async with Direct(seed, sidecars, upstreams=1, root=root, lease=3, cell_size=cell_size) as cluster:
         await asyncio.sleep(SETTLED)
-        processes = [s.process.pid for s in rig.sidecars if s.process is not None]
-        ports = {str(s.fleet_port) for s in rig.sidecars} | {str(rig.arbiter.server.port)}
+        processes = [s.process.pid for s in cluster.sidecars if s.process is not None]
+        ports = {str(s.fleet_port) for s in cluster.sidecars} | {str(cluster.store.server.port)}
         marks = []
         for pause in (SECONDS, 0.0):
             # In a thread: the coordination store runs on this loop.
             counted = await asyncio.to_thread(sockets, processes, ports)
-            marks.append((time.monotonic(), counted, {p: processor_time(p) for p in processes}))
+            marks.append((time.monotonic(), counted, {p: cpu_time(p) for p in processes}))
             await asyncio.sleep(pause)
     (at, before, used), (until, after, used_then) = marks
     took = until - at
@@ -71,7 +71,7 @@
     )
     with_headers = [b + HEADERS * s for b, s in zip(bytes_, segments, strict=True)]
     count = len(processes)
-    return Verdict(
+    return TrialResult(
         {
             "members": count,
             "payload a second": round(sum(bytes_) / count),
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -24,8 +24,8 @@
 from fakes.relay import LinkDirection, Relay
 from fakes.upstream import Run, Upstream
 
-from .processes import die_with_parent
-from .verdict import Verdict, judge
+from .processes import set_parent_death_signal
+from .verdict import TrialResult, check_requests
 
 LOGS = os.environ.get("TRIAL_LOGS", "")  # a folder in which the processes' logs stay, for a look
 ROOT = Path(__file__).parent.parent
@@ -52,7 +52,7 @@
 )  # the program under a clock that is ahead
 
 
-def cells_of(members: int, cell_size: int) -> int:
+def shard_count_for(members: int, cell_size: int) -> int:
     """Return the number of cells for so many members, at most `cell_size` in each on the mean; 0: one."""
     count = 1
     while cell_size and members > count * cell_size:
@@ -63,20 +63,20 @@
 class Sidecar:
     """One real process, started again under the same name and addresses."""
 
-    def __init__(self, rig: Rig, number: int) -> None:
+    def __init__(self, cluster: Cluster, number: int) -> None:
         """Not started yet."""
-        self.rig, self.number, self.name = rig, number, f"n{number}"
+        self.cluster, self.number, self.name = cluster, number, f"n{number}"
         self.host = loopback_host(1 + number)
         self.zone = ZONES[number % len(ZONES)]
-        self.port, self.mgmt, self.fleet_port = free_ports(self.host, 3)
+        self.port, self.admin_port, self.fleet_port = free_ports(self.host, 3)
         self.process: subprocess.Popen[bytes] | None = None
         self.memory_mb = 192.0
-        self.ahead = 0.0  # seconds that its clock is ahead
+        self.clock_offset = 0.0  # seconds that its clock is ahead
         self.relays: list[Relay] = []
-        self.front = Relay(lambda: (self.host, self.fleet_port), rig.rng)
-        self.to_arbiter = Relay(lambda: (rig.arbiter.server.host, rig.arbiter.server.port), rig.rng)
-        self.list = EndpointListServer(self._entries)
-        self.paths = {kind: rig.folder / f"{self.name}.{kind}" for kind in ("json", "log")}
+        self.peer_relay = Relay(lambda: (self.host, self.fleet_port), cluster.rng)
+        self.store_relay = Relay(lambda: (cluster.store.server.host, cluster.store.server.port), cluster.rng)
+        self.endpoint_list = EndpointListServer(self._entries)
+        self.paths = {kind: cluster.folder / f"{self.name}.{kind}" for kind in ("json", "log")}
 
     @property
     def address(self) -> str:
@@ -84,58 +84,61 @@
         return f"{self.host}:{self.port}"
 
     def _entries(self) -> list[dict[str, Any]]:
-        told = self.rig.listed
+        told = self.cluster.entry_overrides
         return [
             {"id": u.name, "addr": relay.address, "zone": u.zone, "state": "active"} | told.get(u.name, {})
-            for u, relay in zip(self.rig.upstreams, self.relays, strict=True)
+            for u, relay in zip(self.cluster.upstreams, self.relays, strict=True)
         ]
 
     async def prepare(self) -> None:
         """Open its relays and its endpoint list."""
-        await self.list.server.start()
-        await self.front.start()
-        await self.to_arbiter.start()
-        for upstream in self.rig.upstreams:
+        await self.endpoint_list.server.start()
+        await self.peer_relay.start()
+        await self.store_relay.start()
+        for upstream in self.cluster.upstreams:
 
             def note(far: tuple[str, int], near: tuple[str, int], u: Upstream = upstream) -> None:
                 u.sidecars[far] = self.name
 
-            relay = Relay(lambda u=upstream: (u.server.host, u.server.port), self.rig.rng, on_connect=note)
+            relay = Relay(
+                lambda u=upstream: (u.server.host, u.server.port), self.cluster.rng, on_connect=note
+            )
             await relay.start()
             self.relays.append(relay)
 
     def configuration(self) -> dict[str, Any]:
         """Return the content of its configuration file."""
         settings = {
-            "categories": self.rig.categories, "caps": CAPS, "rules": {"mustAskIn": 8_000_000},
-            "discovery": "ask", "locality": self.zone, "replicasOfMe": len(self.rig.sidecars),
+            "categories": self.cluster.categories, "caps": CAPS, "rules": {"mustAskIn": 8_000_000},
+            "discovery": "ask", "locality": self.zone, "replicasOfMe": len(self.cluster.sidecars),
             "slotNo": self.number,
         }  # fmt: skip
         return {
             "name": self.name,
             "listen": self.address,
-            "discovery": self.list.server.address,
-            "mgmt": f"{self.host}:{self.mgmt}",
+            "discovery": self.endpoint_list.server.address,
+            "mgmt": f"{self.host}:{self.admin_port}",
             "limits": {"memory_mb": self.memory_mb},
-            "seed": f"{self.rig.seed}-{self.name}",
+            "seed": f"{self.cluster.seed}-{self.name}",
             "known": {"version": 0, "full": True, "servers": self._entries()},
             "settings": settings,
-        } | self.rig.extra_config(self)
+        } | self.cluster.extra_configuration(self)
 
     def start(self) -> None:
         """Start a process, under the name and addresses of the one before."""
         self.paths["json"].write_text(json.dumps(self.configuration()))
         # Without a folder for operators' overrides: all sidecars would share it.
         environment = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
-        program = ["-c", PROGRAM_WITH_CLOCK_AHEAD.format(self.ahead)] if self.ahead else PROGRAM
+        program = ["-c", PROGRAM_WITH_CLOCK_AHEAD.format(self.clock_offset)] if self.clock_offset else PROGRAM
         with self.paths["log"].open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-B", *program],
-                cwd=self.rig.root, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                env=environment | {"EDGE_CONFIG": str(self.paths["json"])}, preexec_fn=die_with_parent,
+                cwd=self.cluster.root, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
+                env=environment | {"EDGE_CONFIG": str(self.paths["json"])},
+                preexec_fn=set_parent_death_signal,
             )  # fmt: skip
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until it accepts requests; raises `RuntimeError` where it does not."""
         caller, until = HttpClient(self.address), asyncio.get_running_loop().time() + READY_TIMEOUT
         while asyncio.get_running_loop().time() < until:
@@ -150,7 +153,7 @@
 
     async def admin_call(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
         """Make an admin call; return the status and the decoded body of its response."""
-        caller = HttpClient(f"{self.host}:{self.mgmt}")
+        caller = HttpClient(f"{self.host}:{self.admin_port}")
         data = b"" if body is None else json.dumps(body).encode()
         try:
             async with asyncio.timeout(3.0):
@@ -175,23 +178,23 @@
         """The process runs."""
         return self.process is not None and self.process.poll() is None
 
-    async def sees_cells(self, members: int, cells: int) -> bool:
+    async def has_sharded_view(self, members: int, shard_count: int) -> bool:
         """It has a view of so many members in so many cells, and links to all of its own cell."""
         with contextlib.suppress(ConnectionBrokenError, TimeoutError):
             _, report = await self.admin_call("GET", "/_fleet")
             cells_report = report["cells"]
             linked = set(cells_report["members"]) <= {*report["links"], report["member"]}
-            return (cells_report["fleet_members"], cells_report["count"]) == (members, cells) and linked
+            return (cells_report["fleet_members"], cells_report["count"]) == (members, shard_count) and linked
         return False
 
-    def sees(self, members: int) -> bool:
+    def has_view_of(self, members: int) -> bool:
         """It has a view of so many members, and links to all of them."""
-        lines = self.logged("view", "link.up", "link.down")
+        lines = self.log_lines("view", "link.up", "link.down")
         views = [line for line in lines if line["event"] == "view"]
         up = sum({"link.up": 1, "link.down": -1}.get(line["event"], 0) for line in lines)
         return bool(views) and views[-1]["members"] == members and up >= members - 1
 
-    def logged(self, *events: str) -> list[dict[str, Any]]:
+    def log_lines(self, *events: str) -> list[dict[str, Any]]:
         """Return the log lines of these events."""
         lines = []
         for line in self.paths["log"].read_text().splitlines():
@@ -200,7 +203,7 @@
         return [line for line in lines if line.get("event") in events]
 
 
-class Rig:
+class Cluster:
     """The processes, fakes and links of one trial: `async with Rig(...) as rig`."""
 
     def __init__(
@@ -208,15 +211,15 @@
         seed: int,
         sidecars: int = 5,
         upstreams: int = 12,
-        service: float = 0.08,
+        service_time: float = 0.08,
         root: Path = ROOT,
         fleet: bool = True,
         lease: int = 2,
         categories: list[dict[str, Any]] = CATEGORIES,
-        ahead: dict[int, float] | None = None,
-        memory: dict[int, float] | None = None,
+        clock_offsets: dict[int, float] | None = None,
+        memory_limits: dict[int, float] | None = None,
         cell_size: int = 0,
-        cut: bool = True,
+        presharded: bool = True,
     ) -> None:
         """`fleet`: with arbiter, links and cover; `lease`: of a member, seconds; `cell_size`: as configured.
 
@@ -226,34 +229,34 @@
         """
         self.categories = categories
         self.seed, self.root, self.fleet, self.lease = seed, root, fleet, lease
-        self.cell_size, self.cut = cell_size, cut
-        self.arbiter = FakeEtcd()
+        self.cell_size, self.presharded = cell_size, presharded
+        self.store = FakeEtcd()
         self.rng = random.Random(seed)
         self.temporary_folder = tempfile.TemporaryDirectory(prefix="trial-", dir=MEMORY_FOLDER)
         self.folder = Path(self.temporary_folder.name)
         self.runs: list[Run] = []
         self.start = 0.0  # when all were up
-        self.listed: dict[str, dict[str, Any]] = {}  # what the list says otherwise of an upstream
+        self.entry_overrides: dict[str, dict[str, Any]] = {}  # what the list says otherwise of an upstream
         self.upstreams = [
-            Upstream(f"u{i}", ZONES[i % len(ZONES)], random.Random(f"{seed}-u{i}"), service, self.runs)
+            Upstream(f"u{i}", ZONES[i % len(ZONES)], random.Random(f"{seed}-u{i}"), service_time, self.runs)
             for i in range(upstreams)
         ]
         self.sidecars = [Sidecar(self, i) for i in range(sidecars)]
-        for number, seconds in (ahead or {}).items():
-            self.sidecars[number].ahead = seconds
-        for number, megabytes in (memory or {}).items():
+        for number, seconds in (clock_offsets or {}).items():
+            self.sidecars[number].clock_offset = seconds
+        for number, megabytes in (memory_limits or {}).items():
             self.sidecars[number].memory_mb = megabytes
         self.clients = Clients({s.name: s.address for s in self.sidecars}, random.Random(f"{seed}-clients"))
 
-    def extra_config(self, sidecar: Sidecar) -> dict[str, Any]:
+    def extra_configuration(self, sidecar: Sidecar) -> dict[str, Any]:
         """Return the further parts of a sidecar's configuration."""
         if not self.fleet:
             return {}
         part = {
             "name": "trial",
             "listen": f"{sidecar.host}:{sidecar.fleet_port}",
-            "advertise": sidecar.front.address,
-            "arbiter": [sidecar.to_arbiter.address],
+            "advertise": sidecar.peer_relay.address,
+            "arbiter": [sidecar.store_relay.address],
             "lease_s": self.lease,
             "keep": str(self.folder),
             "cover": {"categories": [c["name"] for c in CATEGORIES]},
@@ -263,18 +266,18 @@
         return {"fleet": part}
 
     @property
-    def cells(self) -> int:
+    def shard_count(self) -> int:
         """The number of cells when all members are in."""
-        return cells_of(len(self.sidecars), self.cell_size)
+        return shard_count_for(len(self.sidecars), self.cell_size)
 
-    def between(self, one: Sidecar, other: Sidecar) -> tuple[LinkDirection, LinkDirection]:
+    def link_between(self, one: Sidecar, other: Sidecar) -> tuple[LinkDirection, LinkDirection]:
         """Return both ways of the link between two sidecars: from the first to the second, and back.
 
         Either may be the one that connects; the faults are the same.
         """
         ways = LinkDirection(), LinkDirection()
-        other.front.links[one.host] = ways
-        one.front.links[other.host] = ways[::-1]
+        other.peer_relay.links[one.host] = ways
+        one.peer_relay.links[other.host] = ways[::-1]
         return ways
 
     def open_requests(self, sidecar: Sidecar) -> list[ClientRequest]:
@@ -282,20 +285,20 @@
         tries = [(w, w.attempts[-1]) for w in self.clients.requests if w.attempts]
         return [w for w, last in tries if last.outcome == "open" and last.sidecar == sidecar.name]
 
-    def lose(self, sidecar: Sidecar) -> list[ClientRequest]:
+    def kill_sidecar(self, sidecar: Sidecar) -> list[ClientRequest]:
         """Kill a sidecar for good, and send new clients elsewhere; return its open requests."""
         affected = self.open_requests(sidecar)
         sidecar.kill()
         self.clients.avoided.add(sidecar.name)
         return affected
 
-    async def judged(self, sending: asyncio.Task[None]) -> Verdict:
+    async def finish_and_check(self, sending: asyncio.Task[None]) -> TrialResult:
         """Wait until all requests have ended, then judge."""
         await sending
         await self.clients.finish(self.clients.timeout + 1)
-        return judge(self.clients.requests, self.runs, self.start)
+        return check_requests(self.clients.requests, self.runs, self.start)
 
-    async def __aenter__(self) -> Rig:
+    async def __aenter__(self) -> Cluster:
         """Start all; raises `RuntimeError` where a process is not ready in time."""
         try:
             await self._begin()
@@ -312,19 +315,19 @@
         for upstream in self.upstreams:
             await upstream.server.start()
         if self.fleet:
-            await self.arbiter.start()
-        if self.cells > 1 and self.cut:
-            self.arbiter.put("/trial/cells", json.dumps({"count": self.cells}))
+            await self.store.start()
+        if self.shard_count > 1 and self.presharded:
+            self.store.put("/trial/cells", json.dumps({"count": self.shard_count}))
         for sidecar in self.sidecars:
             await sidecar.prepare()
         for sidecar in self.sidecars:
             sidecar.start()
-        await asyncio.gather(*(sidecar.ready() for sidecar in self.sidecars))
+        await asyncio.gather(*(sidecar.wait_until_ready() for sidecar in self.sidecars))
         if self.fleet:
             await self.wait_for_view(len(self.sidecars))
         self.start = asyncio.get_running_loop().time()
 
-    def log_ends(self) -> str:
+    def log_tails(self) -> str:
         """Return the ends of the processes' logs."""
         return "\n".join(f"{s.name}: {s.paths['log'].read_text()[-1500:]}" for s in self.sidecars)
 
@@ -334,13 +337,16 @@
         alive = [s for s in self.sidecars if s.alive]
         while asyncio.get_running_loop().time() < until:
             if self.cell_size:
-                seen = [await s.sees_cells(members, self.cells if self.cut else 1) for s in alive]
+                seen = [
+                    await s.has_sharded_view(members, self.shard_count if self.presharded else 1)
+                    for s in alive
+                ]
             else:
-                seen = [s.sees(members) for s in alive]
+                seen = [s.has_view_of(members) for s in alive]
             if all(seen):
                 return
             await asyncio.sleep(0.05)
-        raise RuntimeError(f"no view of {members}: " + self.log_ends())
+        raise RuntimeError(f"no view of {members}: " + self.log_tails())
 
     async def _end(self) -> None:
         await self.clients.finish(0)
@@ -348,24 +354,24 @@
             sidecar.signal(signal.SIGCONT)
             sidecar.kill()
         for sidecar in self.sidecars:
-            for relay in (*sidecar.relays, sidecar.front, sidecar.to_arbiter):
+            for relay in (*sidecar.relays, sidecar.peer_relay, sidecar.store_relay):
                 await relay.stop()
-            await sidecar.list.server.stop()
+            await sidecar.endpoint_list.server.stop()
         for upstream in self.upstreams:
             await upstream.server.stop()
-        await self.arbiter.stop()
+        await self.store.stop()
         if LOGS:
             shutil.copytree(self.folder, Path(LOGS) / f"seed-{self.seed}", dirs_exist_ok=True)
         self.temporary_folder.cleanup()
 
     def defects(self) -> list[dict[str, Any]]:
         """Return the log lines that tell of faults in the code."""
-        return [line for s in self.sidecars for line in s.logged("defect", "module.defect")]
+        return [line for s in self.sidecars for line in s.log_lines("defect", "module.defect")]
 
-    def wall(self, at: float) -> float:
+    def to_wall_clock(self, at: float) -> float:
         """Convert a time of the loop's clock to wall clock time."""
         return at + time.time() - asyncio.get_running_loop().time()
 
-    def of(self, name: str) -> list[Run]:
+    def runs_of(self, name: str) -> list[Run]:
         """Return the runs of a request."""
         return [run for run in self.runs if run.request_id == name]
--- a/trials/scale/fleet.py
+++ b/trials/scale/fleet.py
@@ -16,7 +16,7 @@
 
 from starlingwheel.fleet.records import Sharding
 
-from ..rig import CAPS, CATEGORIES, ZONES, cells_of
+from ..rig import CAPS, CATEGORIES, ZONES, shard_count_for
 from . import counts
 from .control import Process
 from .limits import MEMORY_FRACTION
@@ -115,7 +115,7 @@
         if options.cell_size:
             part["cell_size"] = options.cell_size
             # As the store has it of a fleet that has grown to this size: it would double step by step.
-            sharding = Sharding(cells_of(self.plan.size, options.cell_size))
+            sharding = Sharding(shard_count_for(self.plan.size, options.cell_size))
             value = msgspec.json.encode(sharding).decode()
             await self.store.ask("put", key="/scale/cells", value=value)
         return part
--- a/trials/scale/phases.py
+++ b/trials/scale/phases.py
@@ -9,7 +9,7 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Any
 
-from ..policy import body
+from ..policy import policy_body
 from .fleet import POLL_INTERVAL, ScaleFleet
 
 SETTLE_TIME = 3.0  # seconds of quiet before a phase is measured: a request keeps a link active for two
@@ -81,7 +81,7 @@
         assert self.fleet.real is not None
         sidecar = self.fleet.real.sidecars[0]
         async with self.measure("policy") as added:
-            proposal = {"policy": body(f"s{self.options.seed}")}
+            proposal = {"policy": policy_body(f"s{self.options.seed}")}
             status, answer = await sidecar.admin_call("PUT", "/_policy/propose", proposal)
             began = time.monotonic()
             in_force = status == 200 and await self._policy_in_force(str(answer.get("version")), began)
--- a/trials/scale/real.py
+++ b/trials/scale/real.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ..rig import ROOT, Rig, Sidecar
+from ..rig import ROOT, Cluster, Sidecar
 from .counts import Sample, process_sample
 
 UPSTREAMS = 3
@@ -15,7 +15,7 @@
 MIN_SOCKETS = 1024  # that a sidecar may have, where the fleet does not need more
 
 
-class RealSidecars(Rig):
+class RealSidecars(Cluster):
     """The rig of a fleet whose other members and store are other processes of the run."""
 
     def __init__(
@@ -28,11 +28,11 @@
         root: Path = ROOT,
     ) -> None:
         """`part`: the configuration's `fleet` part; `size`: members in all; `address`: of the store."""
-        super().__init__(seed, count, UPSTREAMS, service=0.005, root=root, lease=part["lease_s"])
+        super().__init__(seed, count, UPSTREAMS, service_time=0.005, root=root, lease=part["lease_s"])
         self.part, self.size, self.address = part, size, address
-        self.arbiter = ExternalStore(*address)  # type: ignore[assignment]
+        self.store = ExternalStore(*address)  # type: ignore[assignment]
 
-    def extra_config(self, sidecar: Sidecar) -> dict[str, Any]:
+    def extra_configuration(self, sidecar: Sidecar) -> dict[str, Any]:
         """Return the configuration's fleet part and limits."""
         listen = f"{sidecar.host}:{sidecar.fleet_port}"
         limits = {"memory_mb": sidecar.memory_mb, "sockets": max(MIN_SOCKETS, 3 * self.size)}
@@ -46,7 +46,7 @@
         samples = {}
         for sidecar in self.sidecars:
             if sidecar.alive and sidecar.process is not None:
-                not_ports = {sidecar.port, sidecar.mgmt}
+                not_ports = {sidecar.port, sidecar.admin_port}
                 samples[sidecar.name] = process_sample(
                     sidecar.process.pid, sidecar.host, not_ports, self.address
                 )
--- a/trials/storm.py
+++ b/trials/storm.py
@@ -8,7 +8,7 @@
 
 from fakes.clients import ClientRequest
 
-from .rig import ROOT, Rig
+from .rig import ROOT, Cluster
 from .timetable import (
     LINK_FAULTS,
     PROCESS_FAULTS,
@@ -18,7 +18,7 @@
     ProcessLoss,
     draw_faults,
 )
-from .verdict import Verdict
+from .verdict import TrialResult
 
 REQUEST_MIX = {"look": 1.0, "buy": 1.0, "move": 1.0}
 ONE_AT_A_TIME = FaultProfile(PROCESS_FAULTS, interval=0.9, max_duration=0.6)
@@ -34,7 +34,7 @@
     rate: float = 120.0,
     count: int = 30,
     cell_size: int = 0,
-) -> Verdict:
+) -> TrialResult:
     """Kill and stop processes, one at a time; each is back before the next."""
     return await _play(seed, sidecars, root, fleet, rate, count, ONE_AT_A_TIME, cell_size)
 
@@ -47,7 +47,7 @@
     rate: float = 120.0,
     count: int = 40,
     cell_size: int = 0,
-) -> Verdict:
+) -> TrialResult:
     """All kinds of faults, several at once."""
     return await _play(seed, sidecars, root, fleet, rate, count, SEVERAL_AT_ONCE, cell_size)
 
@@ -61,31 +61,31 @@
     count: int,
     profile: FaultProfile,
     cell_size: int,
-) -> Verdict:
-    async with Rig(seed, sidecars, root=root, fleet=fleet, cell_size=cell_size) as rig:
-        (rig.folder / "start").write_text(f"{time.time()}\n")
-        player = FaultPlayer(rig)
+) -> TrialResult:
+    async with Cluster(seed, sidecars, root=root, fleet=fleet, cell_size=cell_size) as cluster:
+        (cluster.folder / "start").write_text(f"{time.time()}\n")
+        player = FaultPlayer(cluster)
         sending = asyncio.create_task(
-            rig.clients.send(rate, count * profile.interval, REQUEST_MIX, duplicate_rate=0.05)
+            cluster.clients.send(rate, count * profile.interval, REQUEST_MIX, duplicate_rate=0.05)
         )
         faults = draw_faults(seed, count, profile, sidecars)
-        (rig.folder / "faults").write_text("\n".join(map(str, faults)))
+        (cluster.folder / "faults").write_text("\n".join(map(str, faults)))
         await player.play(faults)
-        verdict = await rig.judged(sending)
-        _count_losses(verdict, rig, player.losses)
-        defects = rig.defects()
-        verdict.counts["defects"] = len(defects)
+        result = await cluster.finish_and_check(sending)
+        _count_losses(result, cluster, player.losses)
+        defects = cluster.defects()
+        result.counts["defects"] = len(defects)
         if defects:
-            verdict.broken.append(f"a defect: {defects[0]}")
-        return verdict
+            result.violations.append(f"a defect: {defects[0]}")
+        return result
 
 
-def _count_losses(verdict: Verdict, rig: Rig, losses: list[ProcessLoss]) -> None:
+def _count_losses(result: TrialResult, cluster: Cluster, losses: list[ProcessLoss]) -> None:
     """Count what became of the requests that were open where a process was killed."""
     affected: list[ClientRequest] = []
     takeover_times = []
     for loss in losses:
-        for work in rig.clients.requests:
+        for work in cluster.clients.requests:
             cut_off = any(
                 t.sidecar == loss.name and t.started_at < loss.at <= (t.ended_at or 1e18)
                 for t in work.attempts
@@ -95,13 +95,13 @@
             affected.append(work)
             later = [
                 r.started_at - loss.at
-                for r in rig.of(work.request_id)
+                for r in cluster.runs_of(work.request_id)
                 if r.started_at > loss.at and r.sidecar != loss.name
             ]
             if work.request_class != "buy" and later:
                 takeover_times.append(min(later))
     retryable = [w for w in affected if w.request_class != "buy"]
-    verdict.counts |= {
+    result.counts |= {
         "losses": len(losses),
         "in hand at a loss": len(affected),
         "free or ticketed of these": len(retryable),
@@ -109,5 +109,5 @@
     }
     if takeover_times:
         takeover_times.sort()
-        verdict.counts["taken over after ms, median"] = round(takeover_times[len(takeover_times) // 2] * 1000)
-        verdict.counts["taken over after ms, worst"] = round(takeover_times[-1] * 1000)
+        result.counts["taken over after ms, median"] = round(takeover_times[len(takeover_times) // 2] * 1000)
+        result.counts["taken over after ms, worst"] = round(takeover_times[-1] * 1000)
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from .rig import Rig, Sidecar
+from .rig import Cluster, Sidecar
 
 # Kinds of faults with their weights: losses of processes, faults of links and of the coordination store.
 PROCESS_FAULTS = {"loss": 3.0, "stop": 1.0}
@@ -68,9 +68,9 @@
 class FaultPlayer:
     """Plays a timetable on a rig; all faults have ended once `play` has."""
 
-    def __init__(self, rig: Rig) -> None:
+    def __init__(self, cluster: Cluster) -> None:
         """Nothing is played yet."""
-        self.rig = rig
+        self.cluster = cluster
         self.losses: list[ProcessLoss] = []
         self.unavailable: set[str] = set()  # sidecars that are killed or stopped now
 
@@ -85,7 +85,7 @@
 
     async def play_fault(self, fault: Fault) -> None:
         """Play one fault to its end."""
-        one, other = (self.rig.sidecars[i] for i in fault.sidecars)
+        one, other = (self.cluster.sidecars[i] for i in fault.sidecars)
         actions: dict[str, Callable[[Sidecar, Sidecar, float], Awaitable[None]]] = {
             "loss": self._kill,
             "stop": self._pause,
@@ -105,11 +105,11 @@
         self.unavailable.add(one.name)
         self.losses.append(ProcessLoss(one.name, asyncio.get_running_loop().time()))
         one.kill()
-        self.rig.clients.avoided.add(one.name)
+        self.cluster.clients.avoided.add(one.name)
         await asyncio.sleep(duration / 2)
         one.start()
-        await one.ready()
-        self.rig.clients.avoided.discard(one.name)
+        await one.wait_until_ready()
+        self.cluster.clients.avoided.discard(one.name)
         self.unavailable.discard(one.name)
 
     async def _pause(self, one: Sidecar, other: Sidecar, duration: float) -> None:
@@ -122,7 +122,7 @@
         self.unavailable.discard(one.name)
 
     async def _partition(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        ways = self.rig.between(one, other)
+        ways = self.cluster.link_between(one, other)
         for way in ways:
             way.blocked = True
         await asyncio.sleep(duration)
@@ -130,13 +130,13 @@
             way.blocked = False
 
     async def _partition_one_way(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        way, _ = self.rig.between(one, other)
+        way, _ = self.cluster.link_between(one, other)
         way.blocked = True
         await asyncio.sleep(duration)
         way.blocked = False
 
     async def _delay_links(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        ways = self.rig.between(one, other)
+        ways = self.cluster.link_between(one, other)
         for way in ways:
             way.delay, way.loss = LINK_DELAY, LINK_LOSS
         await asyncio.sleep(duration)
@@ -144,25 +144,25 @@
             way.delay = way.loss = 0.0
 
     async def _reset_links(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        one.front.reset(other.host)
-        other.front.reset(one.host)
+        one.peer_relay.reset(other.host)
+        other.peer_relay.reset(one.host)
 
     async def _play_store_fault(self, kind: str, one: Sidecar, duration: float) -> None:
-        arbiter = self.rig.arbiter
+        store = self.cluster.store
         if kind == "arbiter_down":
-            await arbiter.take_down()
+            await store.take_down()
             await asyncio.sleep(duration)
-            await arbiter.start()
+            await store.start()
         elif kind == "arbiter_slow":
-            arbiter.reply_delay = SLOW_STORE_DELAY
+            store.reply_delay = SLOW_STORE_DELAY
             await asyncio.sleep(duration)
-            arbiter.reply_delay = 0.0
+            store.reply_delay = 0.0
         elif kind == "reply_lost":
             for path in STORE_PATHS:
-                arbiter.lost_replies[path] = 1
+                store.lost_replies[path] = 1
         elif kind == "watch_cut":
-            arbiter.compact()
-            arbiter.abort_watches()
+            store.compact()
+            store.abort_watches()
         elif kind == "lease_ended":
-            for key in [k for k in arbiter.entries if f"/{one.name}.".encode() in k]:
-                arbiter.expire_lease_of(key.decode())
+            for key in [k for k in store.entries if f"/{one.name}.".encode() in k]:
+                store.expire_lease_of(key.decode())
--- a/trials/verdict.py
+++ b/trials/verdict.py
@@ -14,16 +14,16 @@
 
 
 @dataclass
-class Verdict:
+class TrialResult:
     """Counts of one trial, and each promise that was broken, with the history of its request."""
 
     counts: dict[str, int] = field(default_factory=dict)
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """No promise was broken."""
-        return not self.broken
+        return not self.violations
 
 
 def history(work: ClientRequest, runs: list[Run], start: float) -> str:
@@ -38,9 +38,9 @@
     return "; ".join(f"{at - start:.3f} {step}" for at, step in sorted(steps))
 
 
-def judge(works: list[ClientRequest], runs: list[Run], start: float = 0.0) -> Verdict:
+def check_requests(works: list[ClientRequest], runs: list[Run], start: float = 0.0) -> TrialResult:
     """Check the promise that each request runs once, over all processes."""
-    verdict = Verdict()
+    result = TrialResult()
     runs_by_request: dict[str, list[Run]] = {}
     for run in runs:
         runs_by_request.setdefault(run.request_id, []).append(run)
@@ -48,11 +48,11 @@
     for work in works:
         its_runs = runs_by_request.get(work.request_id, [])
         _count_end(ends, work, its_runs)
-        verdict.broken += [
+        result.violations += [
             f"{broken}: {history(work, its_runs, start)}" for broken in _broken_promises(work, its_runs)
         ]
-    verdict.counts = {"work": len(works), "runs": len(runs), **dict(sorted(ends.items()))}
-    return verdict
+    result.counts = {"work": len(works), "runs": len(runs), **dict(sorted(ends.items()))}
+    return result
 
 
 def _count_end(ends: Counter[str], work: ClientRequest, runs: list[Run]) -> None:
