--- a/trials/capacity/__init__.py
+++ b/trials/capacity/__init__.py
@@ -1,31 +1,31 @@
-"""What a fleet of some size costs, role by role: the arithmetic behind docs/CAPACITY.md.
+"""Capacity planning: what a fleet of a given size costs each sidecar and each shared service, by role.
 
-`command.py` has the command line; the names below are what it is made of.
+The results are the tables of docs/CAPACITY.md. `command.py` has the command line.
 """
 
 from .command import main
 from .figures import Figures
-from .fit import line, power
+from .fit import fit_line, growth_exponent
 from .measure import measure
-from .page import MARKS, written
-from .roles import Row, reached, rows
-from .scale_run import burst, scaled
-from .size import Size
-from .tables import missing
+from .page import PAGE_MARKS, replace_between
+from .roles import Row, expected_members_reached, sidecar_rows
+from .scale_run import message_cost, scale_run_table
+from .size import FleetLoad
+from .tables import over_budget
 
 __all__ = [
-    "MARKS",
+    "PAGE_MARKS",
     "Figures",
+    "FleetLoad",
     "Row",
-    "Size",
-    "burst",
-    "line",
+    "expected_members_reached",
+    "fit_line",
+    "growth_exponent",
     "main",
     "measure",
-    "missing",
-    "power",
-    "reached",
-    "rows",
-    "scaled",
-    "written",
+    "message_cost",
+    "over_budget",
+    "replace_between",
+    "scale_run_table",
+    "sidecar_rows",
 ]
--- a/trials/capacity/__main__.py
+++ b/trials/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""python -m trials.capacity: the same as `python -m trials capacity`."""
+"""Entry point of `python -m trials.capacity`, the same command as `python -m trials capacity`."""
 
 import sys
 
--- a/trials/capacity/command.py
+++ b/trials/capacity/command.py
@@ -1,11 +1,11 @@
-"""What a fleet of some size costs, role by role: the arithmetic behind docs/CAPACITY.md.
+"""Capacity planning: what a fleet of a given size costs, role by role, as in docs/CAPACITY.md.
 
 `python -m trials capacity --measure` times the program's own code in this process, at several sizes, and
 prints a line of JSON for each figure. `python -m trials capacity` reads those lines and prints the tables in
-markdown. Each figure says what it is: measured, extrapolated (a fit past its last size), read (worked out
-from the code's constants and the sizes of its messages, never run at that size), published, or paper.
+Markdown. Each figure states its source: measured, extrapolated (a fit beyond the largest measured size), read
+(computed from the code's constants and message sizes, never run at that size), published, or paper.
 
-The constants come from the code itself: what is changed there is changed here.
+The constants are imported from the program, so a change there changes the results.
 """
 
 from __future__ import annotations
@@ -19,27 +19,37 @@
 from .. import call_tree
 from .figures import Figures, read_lines
 from .measure import SIZES, measure
-from .page import MARKS, report, written
-from .scale_run import burst
-from .size import BURST, Size
+from .page import PAGE_MARKS, replace_between, report
+from .scale_run import message_cost
+from .size import MESSAGE_COST_FIGURE, FleetLoad
 
 ROOT = Path(__file__).parent.parent.parent
-MICRO = ROOT / "journal" / "capacity" / "micro.jsonl"
-TREE = ROOT / "journal" / "capacity" / "call-tree.jsonl"
-SCALE = ROOT / "journal" / "scale"
-WRONG_USE = 2  # exit code
+MEASURED_FIGURES = ROOT / "journal" / "capacity" / "micro.jsonl"
+CALL_TREE_RESULTS = ROOT / "journal" / "capacity" / "call-tree.jsonl"
+SCALE_RUN_FOLDER = ROOT / "journal" / "scale"
+USAGE_ERROR = 2  # exit code
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m trials capacity", description=__doc__)
-    parser.add_argument("--measure", action="store_true", help="time the program's code; lines of JSON")
-    parser.add_argument("--sizes", default=",".join(map(str, SIZES)), help="for --measure")
-    parser.add_argument("--figures", type=Path, default=MICRO, help="lines of a former --measure")
-    parser.add_argument("--sidecars", type=int, default=Size.sidecars)
-    parser.add_argument("--cells", type=int, default=64, help="how many, beside one (default: 64)")
-    parser.add_argument("--write", type=Path, help="put the tables into a page, between its marks")
-    parser.add_argument("--scale", type=Path, default=SCALE, help="a folder of lines of `trials.scale`")
-    parser.add_argument("--tree", type=Path, default=TREE, help="lines of `call-tree`, for the page")
+    parser.add_argument(
+        "--measure", action="store_true", help="time the program's code and print lines of JSON"
+    )
+    parser.add_argument("--sizes", default=",".join(map(str, SIZES)), help="fleet sizes for --measure")
+    parser.add_argument(
+        "--figures", type=Path, default=MEASURED_FIGURES, help="output of an earlier --measure"
+    )
+    parser.add_argument("--sidecars", type=int, default=FleetLoad.sidecars)
+    parser.add_argument(
+        "--cells", type=int, default=64, help="number of cells that is compared with one cell (default: 64)"
+    )
+    parser.add_argument("--write", type=Path, help="write the tables into this page, between its marks")
+    parser.add_argument(
+        "--scale", type=Path, default=SCALE_RUN_FOLDER, help="a folder with output of `trials.scale`"
+    )
+    parser.add_argument(
+        "--tree", type=Path, default=CALL_TREE_RESULTS, help="output of `call-tree`, for the page"
+    )
     return parser
 
 
@@ -48,19 +58,24 @@
     options = _parser().parse_args(arguments)
     sizes = [int(one) for one in options.sizes.split(",") if one.isdigit()]
     if not sizes or min(sizes) < 2 or max(sizes) > 10_000 or options.sidecars < 2 or options.cells < 1:
-        print("sizes are whole numbers from 2 to 10000; sidecars from 2, cells from 1", file=sys.stderr)
-        return WRONG_USE
+        print(
+            "sizes must be whole numbers from 2 to 10000, sidecars at least 2, cells at least 1",
+            file=sys.stderr,
+        )
+        return USAGE_ERROR
     if options.measure:
         for figure in measure(sizes):
             print(json.dumps(figure), flush=True)
         return 0
     lines = read_lines(options.figures)
     if not lines:
-        print(f"{options.figures}: no figures there; --measure prints them", file=sys.stderr)
-        return WRONG_USE
-    scale = _read_scale_runs(options.scale)
-    figures = Figures([*lines, {"figure": BURST, "size": 0, "us": round(burst(scale), 1)}])
-    text = "\n".join(report(Size(sidecars=options.sidecars), figures, options.cells, scale))
+        print(f"{options.figures}: contains no figures; --measure prints them", file=sys.stderr)
+        return USAGE_ERROR
+    scale_lines = _read_scale_runs(options.scale)
+    figures = Figures(
+        [*lines, {"figure": MESSAGE_COST_FIGURE, "size": 0, "us": round(message_cost(scale_lines), 1)}]
+    )
+    text = "\n".join(report(FleetLoad(sidecars=options.sidecars), figures, options.cells, scale_lines))
     if options.write is None:
         print(text)
         return 0
@@ -77,10 +92,10 @@
 
 def _write_page(path: Path, text: str, tree_lines: list[dict[str, Any]]) -> int:
     try:
-        page = written(path.read_text(), *MARKS["capacity"], text)
+        page = replace_between(path.read_text(), *PAGE_MARKS["capacity"], text)
         tree = call_tree.table(tree_lines)
-        path.write_text(written(page, *MARKS["call-tree"], tree))
+        path.write_text(replace_between(page, *PAGE_MARKS["call-tree"], tree))
     except (OSError, ValueError) as error:
         print(f"{path}: {error}", file=sys.stderr)
-        return WRONG_USE
+        return USAGE_ERROR
     return 0
--- a/trials/capacity/figures.py
+++ b/trials/capacity/figures.py
@@ -1,4 +1,4 @@
-"""Figures that were measured, by name and size."""
+"""Measured figures, by name and size."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Figures:
-    """What was measured, by name; a figure past its last size is extrapolated by the line of its last two."""
+    """Measured figures by name, interpolated between sizes and extrapolated by the line of the last two."""
 
     def __init__(self, lines: Iterable[dict[str, Any]]) -> None:
         """`lines`: as `measure` yields them."""
@@ -23,7 +23,7 @@
                 self.points.setdefault(one["figure"], {})[one["size"]] = float(value)
 
     def at(self, name: str, size: float = 0) -> float:
-        """Return a figure at a size, between and past its sizes by a line; NaN where it was not measured."""
+        """Return a figure at a size, by linear interpolation or extrapolation; NaN if it was not measured."""
         points = self.points.get(name)
         if not points:
             return nan
@@ -36,8 +36,8 @@
         (x0, y0), (x1, y1) = known[max(0, above - 1)], known[max(1, above)]
         return y0 + (y1 - y0) * (size - x0) / (x1 - x0)
 
-    def kind(self, name: str, size: float) -> str:
-        """Return how the figure at that size is come by."""
+    def source(self, name: str, size: float) -> str:
+        """Return where the figure at that size comes from: "measured", "extrapolated" or "not measured"."""
         points = self.points.get(name, {})
         if not points:
             return "not measured"
@@ -45,7 +45,7 @@
 
 
 def read_lines(path: Path) -> list[dict[str, Any]]:
-    """Read the lines of JSON of a file; none where there is no file."""
+    """Return the JSON objects of a file, one a line; none if the file does not exist."""
     if not path.exists():
         return []
     return [json.loads(text) for text in path.read_text().splitlines() if text.startswith("{")]
--- a/trials/capacity/page.py
+++ b/trials/capacity/page.py
@@ -1,4 +1,4 @@
-"""The page: all tables together, put between its marks."""
+"""The page: all tables together, written between its marks."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from typing import Any
 
 from .figures import Figures
-from .roles import rows
-from .scale_run import scaled
-from .size import DAY, Size
-from .tables import micro, number, order, plain, side_by_side, table
-from .totals import arbiter_rows, discovery_rows, losses, operator_rows, view_stays
+from .roles import sidecar_rows
+from .scale_run import scale_run_table
+from .size import DAY, FleetLoad
+from .tables import measurement_tables, number, over_budget_table, side_by_side, table, totals_table
+from .totals import arbiter_rows, discovery_rows, losses, operator_rows, unchanged_view_probability
 
-MARKS = {
+PAGE_MARKS = {
     name: (f"<!-- {name}: tables by `python -m trials capacity --write` -->", f"<!-- {name}: end -->")
     for name in ("capacity", "call-tree")
 }
 
 
-def report(size: Size, figures: Figures, cells: int, scale: list[dict[str, Any]]) -> Iterator[str]:
-    """Yield all tables, with their headings. `scale`: the lines of scale runs."""
-    yield f"### A sidecar's part at {size.sidecars} members\n"
-    yield side_by_side(size, figures, cells)
+def report(load: FleetLoad, figures: Figures, cells: int, scale_lines: list[dict[str, Any]]) -> Iterator[str]:
+    """Yield all tables with their headings. `scale_lines`: the output of scale runs."""
+    yield f"### A sidecar's part at {load.sidecars} members\n"
+    yield side_by_side(load, figures, cells)
     yield "\nOver the budget with one cell, the most first:\n"
-    yield order(rows(size, figures))
+    yield over_budget_table(sidecar_rows(load, figures))
     yield f"\nWith {cells} cells:\n"
-    yield order(rows(size, figures, cells))
-    if scale:
+    yield over_budget_table(sidecar_rows(load, figures, cells))
+    if scale_lines:
         yield "\n### Measured by the scale run, a member, by the number of members\n"
-        yield scaled(scale)
+        yield scale_run_table(scale_lines)
     yield "\n### What the code takes, in this process\n"
-    yield from micro(figures)
+    yield from measurement_tables(figures)
     yield "\n### The arbiter's machines, all together\n"
-    yield plain(arbiter_rows(size, figures))
+    yield totals_table(arbiter_rows(load, figures))
     yield "\n### Discovery\n"
-    yield plain(discovery_rows(size))
+    yield totals_table(discovery_rows(load))
     yield "\n### Operators\n"
-    yield plain(operator_rows(size, figures))
+    yield totals_table(operator_rows(load, figures))
     yield "\n### Losses, and the return\n"
     yield table(
         ["event", "what", "formula, one cell", "one cell", f"{cells} cells"],
@@ -49,19 +49,20 @@
                 f"{number(one.value)} {one.unit}",
                 f"{number(many.value)} {many.unit}",
             ]
-            for one, many in zip(losses(size, figures), losses(size, figures, cells), strict=True)
+            for one, many in zip(losses(load, figures), losses(load, figures, cells), strict=True)
         ),
     )
-    another = 1 - exp(-size.changes / DAY * size.force)
+    overlap_probability = 1 - exp(-load.changes_per_day / DAY * load.policy_deadline)
     yield (
         "\nOn paper, for changes and restarts that come by chance: the view does not change for"
-        f" {size.force:.0f} s with {view_stays(size, size.force):.1%}; a change meets another one open with"
-        f" {another:.1%}."
+        f" {load.policy_deadline:.0f} s with {unchanged_view_probability(load, load.policy_deadline):.1%};"
+        " a change meets another one open with"
+        f" {overlap_probability:.1%}."
     )
 
 
-def written(page: str, begin: str, end: str, text: str) -> str:
-    """Return a page with the text between two marks replaced; raises `ValueError` where there are none."""
+def replace_between(page: str, begin: str, end: str, text: str) -> str:
+    """Return the page with the text between two marks replaced. Raises `ValueError` if a mark is missing."""
     before, found, rest = page.partition(begin)
     _, closed, after = rest.partition(end)
     if not found or not closed:
--- a/trials/capacity/roles.py
+++ b/trials/capacity/roles.py
@@ -1,6 +1,6 @@
-"""What one sidecar's part of the common work costs, role by role.
+"""The cost of one sidecar's part in the fleet's common work, by role.
 
-The constants come from the program's code: what is changed there is changed here.
+The constants are imported from the program, so a change there changes the results.
 """
 
 from __future__ import annotations
@@ -17,15 +17,29 @@
 from starlingwheel.net.fleet.etcd.state_watcher import MAX_ENTRIES
 from starlingwheel.net.fleet.links import timing
 
-from .bench import SEES
+from .bench import ZONES_PER_REPORT
 from .figures import Figures
-from .fit import line
-from .size import BURST, BYTES, CORE, DAY, HEADERS, IDLE_FLEET, LEASE, LINK_SOCKETS, Size
+from .fit import fit_line
+from .size import (
+    BYTES_BUDGET,
+    CORE_BUDGET,
+    DAY,
+    HEADER_SIZE,
+    IDLE_FLEET,
+    LEASE,
+    LINK_SOCKET_BUDGET,
+    MESSAGE_COST_FIGURE,
+    FleetLoad,
+)
 
 
 @dataclass(frozen=True)
 class Row:
-    """`unit`: of the value and the budget. `kind`: how the figure was come by. `carries`: what bounds it."""
+    """One cost of a sidecar.
+
+    `unit`: of the value and of the budget. `budget`: NaN if there is none. `source`: where the figure comes
+    from (measured, extrapolated, read or paper). `bounded_by`: what keeps the cost from growing.
+    """
 
     role: str
     what: str
@@ -33,67 +47,77 @@
     value: float
     unit: str
     budget: float
-    kind: str
-    carries: str
+    source: str
+    bounded_by: str
 
     @property
-    def over(self) -> float:
-        """Times the budget."""
+    def budget_ratio(self) -> float:
+        """The value as a multiple of the budget."""
         return self.value / self.budget
 
 
-def idle_words(peers: float) -> float:
-    """Messages a second that a member sends at rest, over all its links."""
+def idle_messages(peers: float) -> float:
+    """Return the heartbeats a second that an idle member sends over all its links."""
     return min(peers / timing.MIN_IDLE_HEARTBEAT_INTERVAL, float(timing.IDLE_HEARTBEATS_PER_SECOND))
 
 
-def wire(words: float, size: float) -> float:
-    """Bytes sent a second, of so many messages each way: each is a segment, and acknowledged by another."""
-    return words * (size + 2 * HEADERS)
+def wire_bytes(messages: float, size: float) -> float:
+    """Return the bytes sent a second for `messages` messages a second each way.
+
+    Each message is one segment and is acknowledged by another.
+    """
+    return messages * (size + 2 * HEADER_SIZE)
 
 
-def reached(fleet: float, rate: float, linger: float) -> float:
-    """Members of so many that are reached at least once while a link stays. `rate`: messages a second."""
-    return fleet * (1 - exp(-rate * linger / fleet))
+def expected_members_reached(fleet: float, rate: float, link_lifetime: float) -> float:
+    """Return the expected number of distinct members to which on-demand links are open.
 
+    `fleet`: members that a request may need. `rate`: requests a second. `link_lifetime`: seconds that a link
+    stays open after a request.
+    """
+    return fleet * (1 - exp(-rate * link_lifetime / fleet))
 
-def rows(size: Size, figures: Figures, cells: int = 1) -> list[Row]:
-    """One sidecar's part for what is common, on an ordinary day, by role. `cells`: how many there are."""
+
+def sidecar_rows(load: FleetLoad, figures: Figures, cells: int = 1) -> list[Row]:
+    """Return the costs of one sidecar on an ordinary day, by role. `cells`: how many cells the fleet has."""
     return [
-        *_link_rows(size, figures, cells),
-        *_request_rows(size, figures, cells),
-        *_membership_rows(size, figures),
-        *_policy_rows(size, figures),
-        *_zone_rows(size, figures),
-        *_other_rows(size),
+        *_link_rows(load, figures, cells),
+        *_request_rows(load, figures, cells),
+        *_membership_rows(load, figures),
+        *_policy_rows(load, figures),
+        *_zone_rows(load, figures),
+        *_other_rows(load),
     ]
 
 
-def _link_rows(size: Size, figures: Figures, cells: int) -> list[Row]:
-    peers = size.sidecars / cells - 1
-    views = size.views / cells  # that change our own cell
+def _link_rows(load: FleetLoad, figures: Figures, cells: int) -> list[Row]:
+    peers = load.sidecars / cells - 1
+    views = load.view_changes_per_second / cells  # a second, those that change the sidecar's own cell
     beat, synced = figures.at("frame beat"), figures.at("frame told")
     active_for = timing.ACTIVE_PERIOD + timing.MISSED_HEARTBEATS * timing.HEARTBEAT_INTERVAL
-    quick = active_for / timing.HEARTBEAT_INTERVAL  # messages on a link after one of a request
-    word_core = figures.at(BURST) / 1e4  # per cent of a core for one a second
+    active_beats = active_for / timing.HEARTBEAT_INTERVAL  # heartbeats on a link that has become active
+    core_percent = figures.at(MESSAGE_COST_FIGURE) / 1e4  # percent of a core for one message a second
     mesh = "cells" if cells > 1 else "a limit of words a second, none of sockets"
     role = "words to members"
     return [
-        Row(role, "links at rest", "members of a cell - 1", peers, "sockets", LINK_SOCKETS, "read", mesh),
         Row(
-            role, "beats at rest", f"{idle_words(peers):.0f}/s x (beat {beat:.0f} B + 2 x 52)",
-            wire(idle_words(peers), beat), "B/s", BYTES, "read", "a limit of words a second",
+            role, "links at rest", "members of a cell - 1", peers, "sockets", LINK_SOCKET_BUDGET, "read",
+            mesh,
+        ),
+        Row(
+            role, "beats at rest", f"{idle_messages(peers):.0f}/s x (beat {beat:.0f} B + 2 x 52)",
+            wire_bytes(idle_messages(peers), beat), "B/s", BYTES_BUDGET, "read", "a limit of words a second",
         ),
         Row(
             role, "`Told` and what it quickens, mean of a day",
-            f"{views * DAY:.0f} a day x {peers:.0f} links x (1 + {quick:.0f} words)",
-            wire(views * peers, synced) + wire(views * peers * quick, beat), "B/s", BYTES, "read",
-            _bounded_by(cells),
+            f"{views * DAY:.0f} a day x {peers:.0f} links x (1 + {active_beats:.0f} words)",
+            wire_bytes(views * peers, synced) + wire_bytes(views * peers * active_beats, beat), "B/s",
+            BYTES_BUDGET, "read", _bounded_by(cells),
         ),
         Row(
             role, "processor time in the 2.3 s after a change of the view",
-            f"{peers:.0f} links x 10/s x {word_core * 1e4:.0f} us",
-            peers / timing.HEARTBEAT_INTERVAL * word_core, "% core", CORE,
+            f"{peers:.0f} links x 10/s x {core_percent * 1e4:.0f} us",
+            peers / timing.HEARTBEAT_INTERVAL * core_percent, "% core", CORE_BUDGET,
             "extrapolated" if peers > IDLE_FLEET[-1].members else "measured", _bounded_by(cells),
         ),
     ]  # fmt: skip
@@ -103,31 +127,32 @@
     return "cells" if cells > 1 else "none yet"
 
 
-def _request_rows(size: Size, figures: Figures, cells: int) -> list[Row]:
-    n, at, named = size.sidecars, figures.at, size.named_rate
+def _request_rows(load: FleetLoad, figures: Figures, cells: int) -> list[Row]:
+    n, at, named = load.sidecars, figures.at, load.named_calls_per_sidecar
     per_cell = n / cells
-    linger = size.in_hand + timing.IDLE_LINK_TIMEOUT
-    # Those that we call and those that call us, alike: each named call has a coordinator and a replica.
-    outside = 2 * reached(n - (per_cell - 1), 2 * named, linger) if cells > 1 else 0.0
-    replicated = sum(at(f"frame {name}") for name in ("cover", "intend", "answered")) + 3 * 2 * HEADERS
+    link_lifetime = load.named_call_duration + timing.IDLE_LINK_TIMEOUT
+    # Counted for incoming and outgoing calls alike. Each named call has a coordinator and a replica.
+    outside = 2 * expected_members_reached(n - (per_cell - 1), 2 * named, link_lifetime) if cells > 1 else 0.0
+    replicated = sum(at(f"frame {name}") for name in ("cover", "intend", "answered")) + 3 * 2 * HEADER_SIZE
     replicated += 3 * at("frame kept")
     placement = at("home", per_cell) + at("keepers", per_cell)  # microseconds
     role = "work in hand"
     return [
         Row(
             role, "links outside the cell while named work is in hand",
-            f"2 x {named:.0f} named calls/s x 2 members, each for {linger:.2f} s, beyond the cell",
-            outside, "sockets", LINK_SOCKETS, "paper",
+            f"2 x {named:.0f} named calls/s x 2 members, each for {link_lifetime:.2f} s, beyond the cell",
+            outside, "sockets", LINK_SOCKET_BUDGET, "paper",
             "none yet" if cells > 1 else "the mesh has them already",
         ),
         Row(
             role, "links outside the cell that are opened", "those / how long they stay",
-            outside / linger, "a second", nan, "paper", "none yet" if cells > 1 else "",
+            outside / link_lifetime, "a second", nan, "paper", "none yet" if cells > 1 else "",
         ),
         Row(
             role, "a name's home and keepers",
             f"{named:.0f}/s x ({at('home', per_cell):.0f} + {at('keepers', per_cell):.0f} us)",
-            named * placement / 1e4, "% core", CORE, figures.kind("home", per_cell), _bounded_by(cells),
+            named * placement / 1e4, "% core", CORE_BUDGET, figures.source("home", per_cell),
+            _bounded_by(cells),
         ),
         Row(
             role, "frames of a named call",
@@ -137,23 +162,23 @@
     ]  # fmt: skip
 
 
-def _membership_rows(size: Size, figures: Figures) -> list[Row]:
-    n, at = size.sidecars, figures.at
-    at_no_members, _, _ = line(
-        (one.members, one.bytes_sent + HEADERS * one.segments_sent) for one in IDLE_FLEET
+def _membership_rows(load: FleetLoad, figures: Figures) -> list[Row]:
+    n, at = load.sidecars, figures.at
+    idle_bytes, _, _ = fit_line(
+        (one.members, one.bytes_sent + HEADER_SIZE * one.segments_sent) for one in IDLE_FLEET
     )
     role = "membership"
     return [
         Row(
             role, "keepalive, watch at rest",
-            "what the line through the measured fleet is at no members", at_no_members, "B/s", BYTES,
+            "what the line through the measured fleet is at no members", idle_bytes, "B/s", BYTES_BUDGET,
             "extrapolated", "one connection each, every third of a lease",
         ),
         Row(
             role, "a change of the view",
-            f"{size.views * DAY:.0f} a day x {at('member event', n):.0f} us",
-            size.views * at("member event", n) / 1e4, "% core", CORE, figures.kind("member event", n),
-            "few a day",
+            f"{load.view_changes_per_second * DAY:.0f} a day x {at('member event', n):.0f} us",
+            load.view_changes_per_second * at("member event", n) / 1e4, "% core", CORE_BUDGET,
+            figures.source("member event", n), "few a day",
         ),
         Row(
             role, "entries that a start reads", f"3 x {n} of {MAX_ENTRIES} that are believed",
@@ -161,34 +186,37 @@
         ),
         Row(
             role, "bytes that a start reads", "members, names, evidence of zones",
-            at("whole range", n), "B", MAX_REPLY_SIZE, figures.kind("whole range", n), "none yet",
+            at("whole range", n), "B", MAX_REPLY_SIZE, figures.source("whole range", n), "none yet",
         ),
     ]  # fmt: skip
 
 
-def _policy_rows(size: Size, figures: Figures) -> list[Row]:
-    n, at = size.sidecars, figures.at
-    vote_rate = n * size.changes / DAY
-    texts = 3 * size.policy * 4 / 3 * size.changes / DAY
+def _policy_rows(load: FleetLoad, figures: Figures) -> list[Row]:
+    n, at = load.sidecars, figures.at
+    vote_rate = n * load.changes_per_day / DAY
+    policy_bytes_per_second = 3 * load.policy_bytes * 4 / 3 * load.changes_per_day / DAY
     role = "policy"
     return [
         Row(
             role, "votes that are heard",
-            f"{n} x {size.changes:.0f} a day x {at('vote line', n):.0f} B",
-            vote_rate * (at("vote line", n) + HEADERS), "B/s", BYTES, "read", "none yet",
+            f"{n} x {load.changes_per_day:.0f} a day x {at('vote line', n):.0f} B",
+            vote_rate * (at("vote line", n) + HEADER_SIZE), "B/s", BYTES_BUDGET, "read", "none yet",
         ),
         Row(
             role, "votes, processor time", f"{vote_rate:.0f}/s x {at('vote event', n):.0f} us",
-            vote_rate * at("vote event", n) / 1e4, "% core", CORE, figures.kind("vote event", n), "none yet",
+            vote_rate * at("vote event", n) / 1e4, "% core", CORE_BUDGET,
+            figures.source("vote event", n), "none yet",
         ),
         Row(
             role, "texts that are heard",
-            f"{size.changes:.0f} a day x 3 x {size.policy} B (proposal, decision, the one before), base64",
-            texts, "B/s", BYTES, "paper", "48 KiB at most each; none yet for that size",
+            f"{load.changes_per_day:.0f} a day x 3 x {load.policy_bytes} B"
+            " (proposal, decision, the one before), base64",
+            policy_bytes_per_second, "B/s", BYTES_BUDGET, "paper",
+            "48 KiB at most each; none yet for that size",
         ),
         Row(
             role, "proposal to switch, unless told", f"{DEFAULT_SWITCH_DELAY:.0f} leases of {LEASE:.0f} s",
-            DEFAULT_SWITCH_DELAY * LEASE, "s", size.force, "read", "a shorter lease, or `--switch`",
+            DEFAULT_SWITCH_DELAY * LEASE, "s", load.policy_deadline, "read", "a shorter lease, or `--switch`",
         ),
         Row(
             role, "members that a decision compares", f"of {MAX_COMPARED_MEMBERS}", float(n), "members",
@@ -197,43 +225,45 @@
     ]  # fmt: skip
 
 
-def _zone_rows(size: Size, figures: Figures) -> list[Row]:
-    n, at = size.sidecars, figures.at
+def _zone_rows(load: FleetLoad, figures: Figures) -> list[Row]:
+    n, at = load.sidecars, figures.at
     reports = n / (MAX_REPORT_INTERVAL_LEASES * LEASE)  # a second
-    weighed = 16 / (WINDOW_OBJECTIVES * size.due)  # times a second
+    evaluations = 16 / (WINDOW_OBJECTIVES * load.latency_objective)  # times a second
     role = "zones"
     return [
         Row(
             role, "evidence that is heard",
-            f"{reports:.0f}/s x {at('evidence line', n):.0f} B, of {SEES} zones each",
-            reports * (at("evidence line", n) + HEADERS), "B/s", BYTES, "read", "none yet",
+            f"{reports:.0f}/s x {at('evidence line', n):.0f} B, of {ZONES_PER_REPORT} zones each",
+            reports * (at("evidence line", n) + HEADER_SIZE), "B/s", BYTES_BUDGET, "read", "none yet",
         ),
         Row(
             role, "evidence, processor time", f"{reports:.0f}/s x {at('evidence event', n):.0f} us",
-            reports * at("evidence event", n) / 1e4, "% core", CORE, figures.kind("evidence event", n),
-            "none yet",
+            reports * at("evidence event", n) / 1e4, "% core", CORE_BUDGET,
+            figures.source("evidence event", n), "none yet",
         ),
         Row(
-            role, "evidence that is weighed", f"{weighed:.0f}/s x {at('evidence weighed', n):.0f} us",
-            weighed * at("evidence weighed", n) / 1e4, "% core", CORE, figures.kind("evidence weighed", n),
-            "none yet",
+            role, "evidence that is weighed", f"{evaluations:.0f}/s x {at('evidence weighed', n):.0f} us",
+            evaluations * at("evidence weighed", n) / 1e4, "% core", CORE_BUDGET,
+            figures.source("evidence weighed", n), "none yet",
         ),
     ]  # fmt: skip
 
 
-def _other_rows(size: Size) -> list[Row]:
-    replicas = size.sidecars / size.services
+def _other_rows(load: FleetLoad) -> list[Row]:
+    replicas = load.sidecars / load.services
     return [
         Row(
             "its list", "changes of the whole fleet's list",
-            f"3 x {size.restarts:.0f} a day x 120 B", 3 * size.restarts / DAY * (120 + HEADERS), "B/s", BYTES,
-            "paper", "a watch of one list; several lists: none yet",
+            f"3 x {load.restarts_per_day:.0f} a day x 120 B",
+            3 * load.restarts_per_day / DAY * (120 + HEADER_SIZE), "B/s", BYTES_BUDGET, "paper",
+            "a watch of one list; several lists: none yet",
         ),
         Row(
             "words to peers", "messages heard, where `caps.peers` is on",
-            f"at most {MESSAGES_PER_OBJECTIVE:.0f} in the shortest due time, {size.due:.0f} s",
-            min(MESSAGES_PER_OBJECTIVE / size.due, 2 * size.rate * (replicas - 1)) * (28 + 9),
-            "B/s", BYTES, "read",
+            f"at most {MESSAGES_PER_OBJECTIVE:.0f} in the shortest due time, {load.latency_objective:.0f} s",
+            min(MESSAGES_PER_OBJECTIVE / load.latency_objective, 2 * load.calls_per_sidecar * (replicas - 1))
+            * (28 + 9),
+            "B/s", BYTES_BUDGET, "read",
             "MESSAGES_PER_OBJECTIVE, HTTP unaffected; of one service's replicas only",
         ),
     ]  # fmt: skip
--- a/trials/capacity/scale_run.py
+++ b/trials/capacity/scale_run.py
@@ -1,18 +1,19 @@
-"""What the scale run measured of a member."""
+"""The costs of a member that scale runs measured."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-from .fit import line, power
+from .fit import fit_line, growth_exponent
 from .size import IDLE_FLEET
 from .tables import number, table
 
 
-def burst(lines: list[dict[str, Any]]) -> float:
-    """Microseconds of processor time of a message sent and one received, by the scale run's restarts.
+def message_cost(lines: list[dict[str, Any]]) -> float:
+    """Return the microseconds of processor time of sending one message and receiving one.
 
-    Without such lines: by the line through the fleet at rest, where each wakes its process by itself.
+    The result is the median of the scale runs' restart phases. Without such lines it is the slope of the line
+    through the measured idle fleets, where each message wakes its process on its own.
     """
     costs = sorted(
         1e6 * one["core"] / one["messages_out"]
@@ -21,10 +22,10 @@
     )
     if costs:
         return costs[len(costs) // 2]
-    return 1e4 * line((one.members, one.core_percent) for one in IDLE_FLEET)[1]
+    return 1e4 * fit_line((one.members, one.core_percent) for one in IDLE_FLEET)[1]
 
 
-SCALED = {
+TABLE_FIGURES = {
     "wire_out": "sent with headers, B/s",
     "core": "% core",
     "sockets": "sockets",
@@ -33,18 +34,19 @@
 
 
 class Series(NamedTuple):
-    """What one row of the table is of."""
+    """The key of one row of the table."""
 
     phase: str
     run: str
     figure: str
 
 
-def scaled(lines: list[dict[str, Any]], role: str = "alone") -> str:
-    """What the scale run measured of a member, by phase and figure; the last size predicted from the others.
+def scale_run_table(lines: list[dict[str, Any]], role: str = "alone") -> str:
+    """Format the measured costs of a member, and predict those of the largest size from the smaller ones.
 
-    The mean of the seeds of a size. `role`: members with a loop of their own, as processes have. `run` in a
-    line: before or after what was built, by the name of its file.
+    Each value is the mean over the seeds of a size. `role`: by default, members with an event loop of their
+    own, like that of a real process. `run` in a line: measured before or after a change, by the name of the
+    line's file.
     """
     points = _points(lines, role)
     sizes = sorted({size for values in points.values() for size in values})
@@ -58,32 +60,32 @@
 
 
 def _points(lines: list[dict[str, Any]], role: str) -> dict[Series, dict[int, list[float]]]:
-    """The values of all seeds, by series and size."""
+    """Return the values of all seeds, by series and size."""
     points: dict[Series, dict[int, list[float]]] = {}
-    for line_ in lines:
-        if line_.get("role") != role or line_.get("phase") not in PHASES:
+    for line in lines:
+        if line.get("role") != role or line.get("phase") not in PHASES:
             continue
-        run = f"{line_.get('run', '')}, " if line_.get("run") else ""
-        run += f"cells of {line_['cell_size']}" if line_["cell_size"] else "one cell"
-        for figure, title in SCALED.items():
-            if figure in line_:
-                value = float(line_[figure]) * (100 if figure == "core" else 1)
-                by_size = points.setdefault(Series(line_["phase"], run, title), {})
-                by_size.setdefault(line_["size"], []).append(value)
+        run = f"{line.get('run', '')}, " if line.get("run") else ""
+        run += f"cells of {line['cell_size']}" if line["cell_size"] else "one cell"
+        for figure, title in TABLE_FIGURES.items():
+            if figure in line:
+                value = float(line[figure]) * (100 if figure == "core" else 1)
+                by_size = points.setdefault(Series(line["phase"], run, title), {})
+                by_size.setdefault(line["size"], []).append(value)
     return points
 
 
 def _growth(means: dict[int, float]) -> str:
     if len(means) > 1 and min(means.values()) > 0:
-        return f"{power(means.items()):.2f}"
+        return f"{growth_exponent(means.items()):.2f}"
     return ""
 
 
 def _predicted(means: dict[int, float]) -> str:
-    """The largest size by the line through the others, and how far that is off."""
+    """Format the value that the line through the smaller sizes predicts for the largest, and its error."""
     if len(means) <= 2:
         return ""
     *smaller, (largest, value) = means.items()
-    at_none, slope, _ = line(smaller)
-    predicted = at_none + slope * largest
+    intercept, slope, _ = fit_line(smaller)
+    predicted = intercept + slope * largest
     return f"{number(predicted)} ({predicted / value - 1:+.0%})"
--- a/trials/capacity/size.py
+++ b/trials/capacity/size.py
@@ -1,4 +1,4 @@
-"""The fleet that is planned for, the budgets of a member, and what was measured of a fleet at rest."""
+"""The planned fleet, the budgets of a member, and the measured cost of an idle fleet."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 from typing import NamedTuple
 
 DAY = 86400.0  # seconds
-HEADERS = 52  # bytes: IPv4, TCP with its timestamps
-FRAMING = 350  # bytes of an HTTP/1.1 call of the coordination store and its answer beside their bodies, about
-LEASE = 3.0  # seconds, of a member
-FLEET = "fleet"
-BURST = "word to a member, of many"  # the name of a figure
+HEADER_SIZE = 52  # bytes of a segment's IPv4 and TCP headers with timestamps
+# Approximate bytes of an HTTP/1.1 request to the coordination store and its response, without their bodies.
+HTTP_FRAMING_SIZE = 350
+LEASE = 3.0  # seconds, the lease of a member
+FLEET_NAME = "fleet"
+MESSAGE_COST_FIGURE = "word to a member, of many"  # name of the figure that `message_cost` computes
 
 # Budgets of a member.
-BYTES = 3000.0  # a second
-CORE = 1.3  # per cent of a core
-LINK_SOCKETS = 64
+BYTES_BUDGET = 3000.0  # bytes a second
+CORE_BUDGET = 1.3  # percent of a core
+LINK_SOCKET_BUDGET = 64
 
 
 class IdleFigures(NamedTuple):
-    """What one member of a fleet of real processes costs at rest."""
+    """The cost of one member of an idle fleet of real processes."""
 
-    members: int  # of the fleet
-    bytes_sent: float  # a second, payload by the kernel's own counts
+    members: int  # of the whole fleet
+    bytes_sent: float  # payload a second, by the kernel's counters
     segments_sent: float  # a second
     core_percent: float
     sockets: float
@@ -39,47 +40,47 @@
 
 
 @dataclass(frozen=True)
-class Size:
-    """The load that is planned for, by the operators' table."""
+class FleetLoad:
+    """The planned size and load of a fleet. Values that the operators did not state are marked as assumed."""
 
     sidecars: int = 1600
     services: int = 310
-    calls: float = 550_000.0  # a second
-    depth: int = 7
+    calls_per_second: float = 550_000.0
+    depth: int = 7  # levels of the call tree
     regions: int = 3
     zones: int = 11
-    changes: float = 2700.0  # of configuration, a day
-    force: float = 9.0  # seconds within which one is in force
-    restarts: float = 260.0  # a day
-    machines_lost: float = 3.0  # a day
-    rack: int = 40  # sidecars of a rack: assumed
-    named: float = 0.25  # part of the calls that have a name: assumed
-    policy: int = 4096  # bytes of a policy as text: assumed
-    in_hand: float = 0.25  # seconds that a named call is in hand: assumed
-    due: float = 1.0  # shortest latency objective, seconds: assumed
-    endpoint_list_max_age: float = 8.0  # seconds within which the list must be asked for again: assumed
+    changes_per_day: float = 2700.0  # of the policy
+    policy_deadline: float = 9.0  # seconds within which a policy change is in force
+    restarts_per_day: float = 260.0
+    machines_lost_per_day: float = 3.0
+    rack_size: int = 40  # sidecars of a rack: assumed
+    named_fraction: float = 0.25  # of the calls, that have an idempotency key: assumed
+    policy_bytes: int = 4096  # of a policy as text: assumed
+    named_call_duration: float = 0.25  # seconds that a call with an idempotency key is open: assumed
+    latency_objective: float = 1.0  # seconds, the shortest of all request classes: assumed
+    endpoint_list_max_age: float = 8.0  # seconds after which the list must have been read again: assumed
 
     @property
-    def rate(self) -> float:
+    def calls_per_sidecar(self) -> float:
         """Calls a second of one sidecar."""
-        return self.calls / self.sidecars
+        return self.calls_per_second / self.sidecars
 
     @property
-    def named_rate(self) -> float:
-        """Calls a second of one sidecar that have a name."""
-        return self.rate * self.named
+    def named_calls_per_sidecar(self) -> float:
+        """Calls a second of one sidecar that have an idempotency key."""
+        return self.calls_per_sidecar * self.named_fraction
 
     @property
-    def views(self) -> float:
-        """Changes of the membership view, a second: each restart is a loss and an entry."""
-        return 2 * self.restarts / DAY
+    def view_changes_per_second(self) -> float:
+        """Changes of the membership view a second. A restart removes a member and adds one."""
+        return 2 * self.restarts_per_day / DAY
 
     @property
-    def zone(self) -> int:
-        """Sidecars of a zone."""
+    def sidecars_per_zone(self) -> int:
+        """Sidecars in one zone."""
         return round(self.sidecars / self.zones)
 
     @property
-    def region(self) -> int:
-        """Sidecars of a region."""
+    def sidecars_per_region(self) -> int:
+        """Sidecars in one region."""
         return round(self.sidecars / self.regions)
--- a/trials/capacity/tables.py
+++ b/trials/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The tables in markdown."""
+"""The tables in Markdown."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from math import isnan, nan
 
 from .figures import Figures
-from .fit import power
-from .roles import Row, rows
-from .size import Size
+from .fit import growth_exponent
+from .roles import Row, sidecar_rows
+from .size import FleetLoad
 from .totals import Total
 
 
 def number(value: float) -> str:
-    """Format a value by its size."""
+    """Format a value, with fewer digits the larger it is."""
     if isnan(value):
         return "not measured"
     if abs(value) >= 1e8:
@@ -26,47 +26,51 @@
 
 
 def table(head: list[str], lines: Iterable[Iterable[str]]) -> str:
-    """Format a table."""
+    """Format a Markdown table."""
     all_lines: list[Iterable[str]] = [head, ["---"] * len(head), *lines]
     return "\n".join("| " + " | ".join(line) + " |" for line in all_lines)
 
 
-def times(row: Row) -> str:
-    """Format how many times its budget a row is; empty where it has none."""
-    if isnan(row.over):
+def budget_multiple(row: Row) -> str:
+    """Format the value of a row as a multiple of its budget; empty if it has no budget."""
+    if isnan(row.budget_ratio):
         return ""
-    return f"{row.over:,.0f}" if row.over >= 10 else f"{row.over:.2f}"
+    return f"{row.budget_ratio:,.0f}" if row.budget_ratio >= 10 else f"{row.budget_ratio:.2f}"
 
 
-def side_by_side(size: Size, figures: Figures, cells: int) -> str:
-    """All rows with one cell, and with many, beside each other."""
+def side_by_side(load: FleetLoad, figures: Figures, cells: int) -> str:
+    """Format all costs of a sidecar in a fleet of one cell next to those in a fleet of `cells` cells."""
     head = ["role", "what", "formula, one cell", "one cell", f"{cells} cells", "budget"]
     head += ["times the budget, one cell", f"{cells} cells", "figure", f"what carries it, {cells} cells"]
     lines = []
-    for one, many in zip(rows(size, figures), rows(size, figures, cells), strict=True):
+    for one, many in zip(sidecar_rows(load, figures), sidecar_rows(load, figures, cells), strict=True):
         budget = f"{number(one.budget)} {one.unit}" if not isnan(one.budget) else "none told"
         lines.append(
             [one.role, one.what, one.formula, f"{number(one.value)} {one.unit}",
-             f"{number(many.value)} {many.unit}", budget, times(one), times(many), one.kind, many.carries]
+             f"{number(many.value)} {many.unit}", budget, budget_multiple(one), budget_multiple(many),
+             one.source, many.bounded_by]
         )  # fmt: skip
     return table(head, lines)
 
 
-def missing(rows: list[Row]) -> list[Row]:
-    """Return the rows over their budget, the most first."""
-    return sorted((r for r in rows if r.over > 1), key=lambda r: -r.over)
+def over_budget(rows: list[Row]) -> list[Row]:
+    """Return the rows that exceed their budget, the largest multiple first."""
+    return sorted((r for r in rows if r.budget_ratio > 1), key=lambda r: -r.budget_ratio)
 
 
-def order(rows: list[Row]) -> str:
-    """The rows over their budget, the most first."""
+def over_budget_table(rows: list[Row]) -> str:
+    """Format the rows that exceed their budget, the largest multiple first."""
     return table(
         ["times its budget", "role", "what", "at this size", "figure", "what carries it"],
-        ([times(r), r.role, r.what, f"{number(r.value)} {r.unit}", r.kind, r.carries] for r in missing(rows)),
+        (
+            [budget_multiple(r), r.role, r.what, f"{number(r.value)} {r.unit}", r.source, r.bounded_by]
+            for r in over_budget(rows)
+        ),
     )
 
 
-def micro(figures: Figures) -> Iterator[str]:
-    """Yield what was measured in one process: a table by size, and the figures that have no size."""
+def measurement_tables(figures: Figures) -> Iterator[str]:
+    """Yield the figures measured in one process: a table by fleet size, and those that have no size."""
     names = [n for n, points in figures.points.items() if len(points) > 1]
     sizes = sorted({s for name in names for s in figures.points[name]})
     units = {n: "B" if figures.is_bytes.get(n) else "us" for n in names}
@@ -74,7 +78,7 @@
         ["figure", "unit", *map(str, sizes), "grows by the power of"],
         (
             [name, units[name], *(number(figures.points[name].get(s, nan)) for s in sizes),
-             f"{power(figures.points[name].items()):.2f}"]
+             f"{growth_exponent(figures.points[name].items()):.2f}"]
             for name in names
         ),
     )  # fmt: skip
@@ -83,7 +87,7 @@
     yield "\n" + ", ".join(texts) + "."
 
 
-def plain(totals: list[Total]) -> str:
-    """A table of totals."""
+def totals_table(totals: list[Total]) -> str:
+    """Format a table of totals."""
     lines = ([t.what, t.formula, f"{number(t.value)} {t.unit}"] for t in totals)
     return table(["what", "formula", "at this size"], lines)
