--- a/trials/call_tree/__init__.py
+++ b/trials/call_tree/__init__.py
@@ -1,9 +1,9 @@
-"""Calls down a tree of services in emulated time; see `command.py`, which has the command line."""
+"""Simulation of calls through a tree of services, in emulated time. `command.py` has the command line."""
 
 from .command import main
 from .plan import Plan
-from .retry_budget import Budget
+from .retry_budget import RetryBudget
 from .tables import table
-from .tree import Tree, play
+from .tree import Tree, simulate
 
-__all__ = ["Budget", "Plan", "Tree", "main", "play", "table"]
+__all__ = ["RetryBudget", "Plan", "Tree", "main", "simulate", "table"]
--- a/trials/call_tree/__main__.py
+++ b/trials/call_tree/__main__.py
@@ -1,4 +1,4 @@
-"""python -m trials.call_tree: the same as `python -m trials call-tree`."""
+"""Entry point of `python -m trials.call_tree`, the same command as `python -m trials call-tree`."""
 
 import sys
 
--- a/trials/call_tree/caller.py
+++ b/trials/call_tree/caller.py
@@ -1,4 +1,4 @@
-"""The sidecars of the tree: each hosts the decisions of the program for one service that it calls."""
+"""The sidecars of the tree: each runs the program's decisions for one service that it calls."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 from starlingwheel.decisions.model import Attempt, AttemptOutcome, Endpoint, EndpointState, Request
 from starlingwheel.decisions.scheduler import DecisionScheduler
 
-from .retry_budget import Budget, BudgetedRetryPolicy
+from .retry_budget import BudgetedRetryPolicy, RetryBudget
 
 if TYPE_CHECKING:
     from .server import Server
     from .tree import Tree
 
 MILLISECONDS = 1000
-ROUNDING = 0.001  # seconds by which a time left may grow: it is sent in whole milliseconds
+# Seconds by which the time left may increase from one level to the next: it is sent in whole milliseconds.
+ROUNDING = 0.001
 
 
 class Answer(enum.StrEnum):
-    """How a call ended for the application that made it, as results have it."""
+    """How a call ended for the application that made it. Results have these values."""
 
     FINISHED = "finished"
     REJECTED = "deferred"
@@ -34,8 +35,8 @@
 
 
 @dataclass(frozen=True)
-class Root:
-    """A call at the root: whether it counts, and which service at each level it is for."""
+class RootCall:
+    """A call at the root. `measured`: it is counted. `path`: the number of the service at each level."""
 
     measured: bool
     path: tuple[int, ...]
@@ -43,44 +44,44 @@
 
 @dataclass(eq=False)
 class Call:
-    """One attempt at its server. `until`: by when its caller waits, as the server was told."""
+    """One attempt at its server. `deadline`: until when its caller waits, as sent to the server."""
 
     attempt: Attempt | None
     caller: Caller
     server: Server
-    until: float
-    root: Root
-    abandoned: bool = False  # answered, or its caller waits no more
-    next_caller: Caller | None = None  # the sidecar by which its application calls the next level
+    deadline: float
+    root: RootCall
+    abandoned: bool = False  # the call is answered, or its caller no longer waits
+    next_caller: Caller | None = None  # the sidecar through which the application calls the next level
     next_request: Request | None = None
     queued: bool = True
-    counted: bool = False  # among the requests that its server holds
+    counted_in_flight: bool = False  # the call is included in its server's `in_flight`
 
 
 @dataclass(eq=False)
 class PendingCall:
-    """What one request of a caller is for. `sends`: its attempts so far."""
+    """The state of one request of a caller. `attempts`: the number of its attempts so far."""
 
-    done: Callable[[Answer], None]
+    on_answer: Callable[[Answer], None]
     started_at: float
     time_left: float
-    root: Root
-    sends: int = 0
+    root: RootCall
+    attempts: int = 0
     calls: dict[Attempt, Call] = field(default_factory=dict)
     answered: bool = False
 
 
 class Caller:
-    """One sidecar: the `DecisionHost` for the service that it calls."""
+    """One sidecar for one service that it calls: the `DecisionHost` of its decisions."""
 
     def __init__(self, tree: Tree, level: int, servers: list[Server], number: int) -> None:
-        """`level`: of the servers. `number`: of the sidecar."""
+        """Start the decisions. `level`: of the servers. `number`: of the sidecar."""
         self.tree, self.level, self.servers = tree, level, {server.name: server for server in servers}
         plan = tree.plan
         config = _balancer_config(tree, number)
         rng = random.Random(f"{plan.seed} {number} {servers[0].name}")
         self.scheduler = DecisionScheduler(config, rng, self, tree.now)
-        self.budget = Budget(plan.budget) if plan.budget is not None else None
+        self.budget = RetryBudget(plan.budget) if plan.budget is not None else None
         if self.budget is not None:
             balancer = Balancer(config, rng, tree.now, retry_policy=BudgetedRetryPolicy)
             balancer.retry_policy.budget = self.budget
@@ -90,34 +91,36 @@
         self.scheduler.endpoints_changed(WatchEvent.SNAPSHOT, endpoints)
         self.scheduler.start()
 
-    def call(self, time_left: float, root: Root, done: Callable[[Answer], None]) -> Request:
-        """Call the next level; `done` is called with how that ended."""
+    def call(self, time_left: float, root: RootCall, on_answer: Callable[[Answer], None]) -> Request:
+        """Call the next level. `on_answer` is called with the result."""
         self.scheduler.set_time(self.tree.now)
         request_class = self.tree.request_class
         request = Request(request_class, self.tree.now, min(time_left, request_class.timeout))
-        self.pending[request] = PendingCall(done, self.tree.now, request.time_left, root)
+        self.pending[request] = PendingCall(on_answer, self.tree.now, request.time_left, root)
         if self.budget is not None:
-            self.budget.first()
+            self.budget.record_first_attempt()
         self.scheduler.accept_request(request)
         return request
 
     def abandon(self, request: Request) -> None:
-        """The application that called waits no more."""
+        """Abandon a request whose application no longer waits for the answer."""
         pending = self.pending.get(request)
         if pending is not None and not pending.answered:
             pending.answered = True
             self.scheduler.set_time(self.tree.now)
             self.scheduler.client_disconnected(request)
 
-    def ended(self, call: Call, outcome: AttemptOutcome, load_report: dict[str, float] | None = None) -> None:
-        """An attempt has ended, as this caller sees it."""
+    def attempt_finished(
+        self, call: Call, outcome: AttemptOutcome, load_report: dict[str, float] | None = None
+    ) -> None:
+        """Handle the end of an attempt as this caller sees it."""
         attempt = call.attempt
         if attempt is None or not attempt.pending:
             return
         pending = self.pending[attempt.request]
         del pending.calls[attempt]
-        first = outcome is AttemptOutcome.SUCCESS and not pending.answered
-        if first:
+        finished = outcome is AttemptOutcome.SUCCESS and not pending.answered
+        if finished:
             pending.answered = True
             self.tree.count_answer(Answer.FINISHED, self.level, pending)
         self.scheduler.set_time(self.tree.now)
@@ -125,12 +128,12 @@
         self.scheduler.attempt_ended(
             AttemptEnded(attempt, outcome, duration, pending.answered, load_report or {})
         )
-        if first:
-            pending.done(Answer.FINISHED)
+        if finished:
+            pending.on_answer(Answer.FINISHED)
         self._forget(attempt.request)
 
     def tick(self) -> None:
-        """An alarm of the decisions is due."""
+        """Run the decisions when their alarm is due."""
         self.scheduler.set_time(self.tree.now)
         self.scheduler.tick()
 
@@ -141,71 +144,71 @@
 
     def _end_if_pending(self, call: Call, outcome: AttemptOutcome) -> None:
         if call.attempt is not None and call.attempt.pending:
-            self.ended(call, outcome)
-            self.tree.after(self.tree.network_delay(), call.server.abandoner(call))
+            self.attempt_finished(call, outcome)
+            self.tree.schedule_after(self.tree.network_delay(), call.server.make_abandon_action(call))
 
     def _answer(self, request: Request, answer: Answer) -> None:
         pending = self.pending[request]
         pending.answered = True
         self.tree.count_answer(answer, self.level, pending)
-        # Not in this turn: the decisions are in the middle of theirs.
-        self.tree.after(0.0, lambda: pending.done(answer))
-        self.tree.after(0.0, lambda: self._forget(request))
+        # Not called directly, since the decisions are still handling the event that led here.
+        self.tree.schedule_after(0.0, lambda: pending.on_answer(answer))
+        self.tree.schedule_after(0.0, lambda: self._forget(request))
 
-    # Commands: the methods of `DecisionHost`.
+    # The methods of `DecisionHost`.
 
     def start_attempt(self, attempt: Attempt, timeout: float) -> None:
         """Send the request to the attempt's server, with a timeout of `timeout` seconds."""
         pending = self.pending[attempt.request]
-        kind = "first" if not pending.sends else "copy" if pending.calls else "retry"
-        pending.sends += 1
+        kind = "first" if not pending.attempts else "copy" if pending.calls else "retry"
+        pending.attempts += 1
         if self.budget is not None and kind != "first":
-            self.budget.second()
+            self.budget.record_further_attempt()
         tree, server = self.tree, self.servers[attempt.endpoint.endpoint_id]
-        tree.count_send(self.level, kind, pending.root.measured)
+        tree.count_attempt(self.level, kind, pending.root.measured)
         time_left = self._sent_time_left(timeout)
         call = pending.calls[attempt] = Call(attempt, self, server, tree.now + time_left, pending.root)
         if pending.root.measured:
             tree.time_left[self.level].append(time_left)
-            tree.time_left_grown += time_left > pending.time_left + ROUNDING
-        tree.after(tree.network_delay(), lambda: server.take(call))
-        tree.after(timeout, lambda: self._end_if_pending(call, AttemptOutcome.TIMED_OUT))
+            tree.time_left_increases += time_left > pending.time_left + ROUNDING
+        tree.schedule_after(tree.network_delay(), lambda: server.receive(call))
+        tree.schedule_after(timeout, lambda: self._end_if_pending(call, AttemptOutcome.TIMED_OUT))
 
-    def _sent_time_left(self, limit: float) -> float:
-        """The time left as the program sends it to a server: whole milliseconds, one at least."""
+    def _sent_time_left(self, timeout: float) -> float:
+        """Return the time left in seconds as the program sends it: whole milliseconds, at least one."""
         if not self.tree.plan.hands_down:
             return self.tree.request_class.timeout
-        return max(1, int(limit * MILLISECONDS)) / MILLISECONDS
+        return max(1, int(timeout * MILLISECONDS)) / MILLISECONDS
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
+        """Cancel an attempt."""
         call = self.pending[attempt.request].calls[attempt]
-        self.tree.after(0.0, lambda: self._end_if_pending(call, AttemptOutcome.CANCELLED))
+        self.tree.schedule_after(0.0, lambda: self._end_if_pending(call, AttemptOutcome.CANCELLED))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Final answer: not executed."""
+        """Answer the request: it was not executed."""
         self._answer(request, Answer.REJECTED)
 
     def fail_request(self, request: Request) -> None:
-        """Final answer: failed."""
+        """Answer the request: it failed."""
         self._answer(request, Answer.FAILED)
 
     def set_alarm(self, at: float) -> None:
-        """Call `tick` at that time."""
-        self.tree.at(at, self.tick)
+        """Schedule a call of `tick` at that time."""
+        self.tree.schedule_at(at, self.tick)
 
     def watch_endpoints(self) -> None:
-        """Nothing to do: the endpoints do not change."""
+        """Do nothing, since the endpoints do not change."""
 
     def start_health_check(self, endpoint: EndpointStats) -> None:
-        """Health checks are not allowed here."""
-        raise AssertionError("nobody may ask here")
+        """Raise `AssertionError`, since the configuration allows no health checks."""
+        raise AssertionError("health checks are not allowed in the call tree")
 
     def send_gossip(self, body: bytes) -> None:
-        """Nothing to do: the sidecars have no peers."""
+        """Do nothing, since the sidecars have no peers."""
 
     def report_defect(self, request: Request | None, error: Exception) -> None:
-        """Raise the error: a fault in the decisions ends the run."""
+        """Raise the error, since a defect in the decisions ends the run."""
         raise error
 
 
--- a/trials/call_tree/plan.py
+++ b/trials/call_tree/plan.py
@@ -1,4 +1,4 @@
-"""The options of a run. Their names are those of the command line and of the lines in the journal."""
+"""The options of a run, named as on the command line and in the JSON lines of the results."""
 
 from __future__ import annotations
 
@@ -8,19 +8,23 @@
 
 SCENES = ("calm", "slow", "errors", "hangs")
 
-
-EXPIRY = 2.0  # times the latency objective
+TIMEOUT_OBJECTIVES = 2.0  # timeout of a call as a multiple of the latency objective
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What is played.
+    """The options of one run.
 
-    `rate`: calls a second of each sidecar. `use`: part of the servers' capacity that first sends take.
-    `budget`: second sends that a sidecar may make for each first send; None: as the program is, no bound.
-    `tells`: an application whose caller is gone abandons its own call too. `hands_down`: it sends the time
-    left. `passes_on`: what-if: an application whose own call was rejected rejects its caller's, as never run.
-    `reports`: each response has a load report.
+    `rate`: calls a second of each sidecar. `use`: fraction of the servers' capacity that first attempts take.
+    `room`: calls that wait in the queue of a server; it rejects further ones. `due`: the latency objective in
+    seconds. `effect`: the retry safety of the calls. `copies`: hedging is allowed. `budget`: hedges and
+    retries that a sidecar may make for each first attempt; None: no bound, as in the program. `tells`: an
+    application whose caller is gone abandons its own call too. `hands_down`: it sends the time left.
+    `passes_on`: what-if: an application whose own call was rejected rejects its caller's, as never run.
+    `reports`: each response has a load report. `part`: fraction of the calls at the leaf that the fault hits.
+    `learn`: seconds without a fault before counting begins. `lasts`: seconds of the fault. `last`: seconds
+    that are counted, from the beginning of the fault. `most`: events after which a run is void, since its
+    load has grown beyond what is worth simulating.
     """
 
     seed: int = 1
@@ -31,7 +35,7 @@
     rate: float = 344.0
     use: float = 0.4
     cores: int = 2
-    room: int = 256  # calls that wait at a server, before it rejects the next
+    room: int = 256
     due: float = 1.0
     effect: str = "rerunnable"
     max_attempts: int = 3
@@ -41,15 +45,17 @@
     tells: bool = True
     hands_down: bool = True
     reports: bool = True
-    part: float = 1.0  # of the calls at the leaf that fails
-    learn: float = 2.0  # seconds of calm before the scene
-    lasts: float = 2.0  # seconds of the fault
-    last: float = 3.0  # seconds that are counted, from its begin
-    most: int = 6_000_000  # events after which a run is void: it has grown past what is worth playing
+    part: float = 1.0
+    learn: float = 2.0
+    lasts: float = 2.0
+    last: float = 3.0
+    most: int = 6_000_000
 
-    def faults(self) -> list[str]:
-        """Return all that is wrong with it, each in a line."""
-        wrong = [f"scene: {self.scene!r} is none of {', '.join(SCENES)}"] if self.scene not in SCENES else []
+    def validation_errors(self) -> list[str]:
+        """Return a message for each invalid option."""
+        errors = (
+            [f"scene: {self.scene!r} is not one of {', '.join(SCENES)}"] if self.scene not in SCENES else []
+        )
         for name, least, most in (
             ("depth", 1, 12), ("services", 1, 64), ("instances", 1, 256), ("rate", 0.1, 1e5),
             ("use", 0.001, 0.95), ("part", 0.0, 1.0), ("lasts", 0.0, 600.0), ("cores", 1, 256),
@@ -57,14 +63,14 @@
         ):  # fmt: skip
             value = getattr(self, name)
             if not least <= value <= most:
-                wrong.append(f"{name}: {value} is not from {least} to {most}")
+                errors.append(f"{name}: {value} is not from {least} to {most}")
         if self.budget is not None and not 0 <= self.budget <= 10:
-            wrong.append(f"budget: {self.budget} is not from 0 to 10")
+            errors.append(f"budget: {self.budget} is not from 0 to 10")
         if self.effect not in [effect.value for effect in RetrySafety]:
-            wrong.append(f"effect: {self.effect!r} is unknown")
+            errors.append(f"effect: {self.effect!r} is unknown")
         calls = self.rate * self.services * self.instances * self.depth * (self.learn + self.last)
-        if not wrong and 8 * calls > self.most:
-            wrong.append(
-                f"{calls:.0f} calls are more than {self.most} events allow; ask for fewer or less long"
+        if not errors and 8 * calls > self.most:
+            errors.append(
+                f"{calls:.0f} calls need more than {self.most} events; reduce the rate or the duration"
             )
-        return wrong
+        return errors
--- a/trials/call_tree/retry_budget.py
+++ b/trials/call_tree/retry_budget.py
@@ -1,4 +1,4 @@
-"""What-if, not in the program: a budget for retries and hedged requests."""
+"""A budget for retries and hedges: a what-if that the program does not have."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from starlingwheel.decisions.retry_policy import RetryPolicy
 
 
-class Budget:
-    """So many second sends of a sidecar for each first send, and a few saved up."""
+class RetryBudget:
+    """Limits a sidecar's hedges and retries to a ratio of its first attempts, with some saved up."""
 
-    SAVED = 10.0  # first sends that it may save for
+    MAX_SAVED_ATTEMPTS = 10.0  # first attempts whose unused budget is kept
 
     def __init__(self, ratio: float) -> None:
-        """`ratio`: second sends for each first one."""
-        self.ratio, self.remaining = ratio, self.SAVED * ratio
+        """Start with the saved budget. `ratio`: hedges and retries for each first attempt."""
+        self.ratio, self.remaining = ratio, self.MAX_SAVED_ATTEMPTS * ratio
 
-    def first(self) -> None:
-        """A first send was made."""
-        self.remaining = min(self.SAVED, self.remaining + self.ratio)
+    def record_first_attempt(self) -> None:
+        """Add to the budget for a first attempt."""
+        self.remaining = min(self.MAX_SAVED_ATTEMPTS, self.remaining + self.ratio)
 
-    def second(self) -> None:
-        """A second send was made."""
+    def record_further_attempt(self) -> None:
+        """Take a hedge or a retry from the budget."""
         self.remaining -= 1
 
 
 class BudgetedRetryPolicy(RetryPolicy):
-    """The program's retry policy, and further attempts only within a budget: not in the program."""
+    """The program's retry policy with hedges and retries limited by a budget."""
 
-    budget: Budget
+    budget: RetryBudget
 
     def may_send(self, request: Request, attempts: Sequence[Attempt]) -> bool:
         """Return whether another attempt may be made."""
--- a/trials/call_tree/server.py
+++ b/trials/call_tree/server.py
@@ -1,4 +1,4 @@
-"""The endpoints of the tree: cores, a queue, and the application behind, which calls the next level."""
+"""The endpoints of the tree: cores, a queue, and an application that calls the next level."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
 
 class Server:
-    """One endpoint: some cores, a queue before them, and the sidecars by which its application calls."""
+    """One endpoint: its cores, its queue, and the sidecars through which its application calls."""
 
     def __init__(self, tree: Tree, level: int, name: str, next_callers: list[Caller]) -> None:
-        """`next_callers`: one for each service of the next level; none at the leaf."""
+        """Start idle. `next_callers`: one for each service of the next level; none at the leaf."""
         self.tree, self.level, self.name, self.next_callers = tree, level, name, next_callers
         self.queue: deque[Call] = deque()
         self.busy_cores = self.in_flight = 0
         self.slowdown = 1.0
-        self.error_rate = self.hang_rate = 0.0  # parts of the calls
+        self.error_rate = self.hang_rate = 0.0  # fractions of the calls
 
-    def take(self, call: Call) -> None:
-        """Receive a call."""
+    def receive(self, call: Call) -> None:
+        """Queue or reject a call."""
         if call.abandoned:
-            return  # its caller has gone while it was on its way
-        self.in_flight, call.counted = self.in_flight + 1, True
+            return  # the caller gave up while the call was on its way
+        self.in_flight, call.counted_in_flight = self.in_flight + 1, True
         if len(self.queue) >= self.tree.plan.room:
             self._answer(call, AttemptOutcome.REJECTED)
         elif not self._draw(self.hang_rate):
             self.queue.append(call)
             self._run_next()
 
-    def abandoner(self, call: Call) -> Callable[[], None]:
-        """Return what is to be done when the server notices that a caller waits no more."""
+    def make_abandon_action(self, call: Call) -> Callable[[], None]:
+        """Return the action for when the server notices that the caller no longer waits."""
 
         def abandon() -> None:
             if call.abandoned:
                 return
-            self.in_flight -= call.counted
+            self.in_flight -= call.counted_in_flight
             call.abandoned = True
             if call.queued and call in self.queue:
                 self.queue.remove(call)
@@ -63,8 +63,8 @@
             service_time = self.tree.service_time() * self.slowdown
             if call.root.measured:
                 self.tree.runs[self.level] += 1
-                self.tree.late_runs[self.level] += self.tree.now + service_time > call.until
-            self.tree.after(service_time, lambda c=call: self._end_run(c))
+                self.tree.late_runs[self.level] += self.tree.now + service_time > call.deadline
+            self.tree.schedule_after(service_time, lambda c=call: self._end_run(c))
 
     def _end_run(self, call: Call) -> None:
         self.busy_cores -= 1
@@ -73,14 +73,14 @@
         self._run_next()
 
     def _continue(self, call: Call) -> None:
-        """The application has done its own work: it answers, or calls the next level."""
+        """Answer, or call the next level, after the application has done its own work."""
         if self._draw(self.error_rate):
             self._answer(call, AttemptOutcome.ERROR)
             return
         if not self.next_callers:
             self._answer(call, AttemptOutcome.SUCCESS)
             return
-        time_left = call.until - self.tree.now
+        time_left = call.deadline - self.tree.now
         if time_left <= 0:
             self._answer(call, AttemptOutcome.ERROR)
             return
@@ -90,9 +90,9 @@
         )
 
     def _next_level_answered(self, call: Call, answer: Answer) -> None:
-        passed_on = answer is Answer.REJECTED and self.tree.plan.passes_on
-        failed = AttemptOutcome.REJECTED if passed_on else AttemptOutcome.ERROR
-        self._answer(call, AttemptOutcome.SUCCESS if answer is Answer.FINISHED else failed)
+        passes_rejection_on = answer is Answer.REJECTED and self.tree.plan.passes_on
+        failure = AttemptOutcome.REJECTED if passes_rejection_on else AttemptOutcome.ERROR
+        self._answer(call, AttemptOutcome.SUCCESS if answer is Answer.FINISHED else failure)
 
     def _answer(self, call: Call, outcome: AttemptOutcome) -> None:
         load_report = None
@@ -101,4 +101,6 @@
         if self.tree.plan.reports:
             busy = self.busy_cores / self.tree.plan.cores
             load_report = {"held": float(self.in_flight), "busy": busy}
-        self.tree.after(self.tree.network_delay(), lambda: call.caller.ended(call, outcome, load_report))
+        self.tree.schedule_after(
+            self.tree.network_delay(), lambda: call.caller.attempt_finished(call, outcome, load_report)
+        )
--- a/trials/call_tree/tables.py
+++ b/trials/call_tree/tables.py
@@ -1,4 +1,4 @@
-"""Results in markdown."""
+"""Results in Markdown."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def table(results: list[dict[str, Any]]) -> str:
-    """Format results beside each other: a row for each kind of run, ranges over its seeds."""
+    """Format a table with a row for each kind of run, with ranges over its seeds."""
     kinds: dict[tuple[str, str], list[dict[str, Any]]] = {}
     for result in results:
         if "void" not in result:
@@ -42,7 +42,8 @@
 
 def _what_if(result: dict[str, Any]) -> str:
     parts = [f"a budget of {result['budget']:.0%}"] if result["budget"] is not None else []
-    if "regains" in result:  # a line from before requests that find no endpoint earned their part of a trial
+    # Lines with `regains` date from before requests without an endpoint added to the budget for trials.
+    if "regains" in result:
         parts += ["with the mend, as a what-if"] if result["regains"] else ["before the mend"]
     parts += ["a deferral below is one above"] if result.get("passes_on") else []
     parts += ["no load reports"] if not result["reports"] else []
