--- a/tests/characterisation/__init__.py
+++ b/tests/characterisation/__init__.py
@@ -1,1 +1,1 @@
-"""What the program did at one commit, kept as digests and fixtures: a change of names must not change it."""
+"""Tests against output recorded at commit b81049c: refactoring must not change the program's behaviour."""
--- a/tests/source_names.py
+++ b/tests/source_names.py
@@ -1,4 +1,4 @@
-"""The names that stand in a module's source, for tests of the source itself."""
+"""Collection of the identifiers in a module's source, for tests of the source code."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def identifiers(tree: ast.AST) -> set[str]:
-    """Names of variables, attributes, parameters, functions and classes."""
+    """Return the names of variables, attributes, parameters, functions and classes."""
     names: set[str] = set()
     for node in ast.walk(tree):
         match node:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Names of code that the pages for readers quote exist: modules, classes, functions, constants and tests."""
+"""Names of code quoted in the documentation exist: modules, classes, functions, constants and tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).parents[1]
 CODE = ("starlingwheel", "fakes", "trials", "tests")
-# Pages on the present code; results, incidents and assumptions tell of earlier versions.
+# Pages about the current code; results, incidents and assumptions refer to earlier versions.
 PAGES = ["README.md"] + [
     f"docs/{name}.md"
     for name in (
@@ -34,7 +34,7 @@
 
 
 def names_of(tree: ast.AST) -> set[str]:
-    """Every identifier of a module, its keywords and short strings: settings, log events, header names."""
+    """Return a module's identifiers, keywords, and words of short strings: settings, log events, headers."""
     names = identifiers(tree)
     for node in ast.walk(tree):
         match node:
@@ -47,13 +47,13 @@
 
 @cache
 def modules() -> list[Path]:
-    """All files of the code."""
+    """Return all source files."""
     return [path for folder in CODE for path in (ROOT / folder).rglob("*.py")]
 
 
 @cache
 def known_names() -> frozenset[str]:
-    """Names in the code, and of its modules."""
+    """Return the names in the source files, and the names of files and folders."""
     names = set(TOOLS)
     for path in modules():
         if path != Path(__file__):
@@ -62,14 +62,14 @@
 
 
 def exists(path: str) -> bool:
-    """Whether a quoted path is there, from the root, below the program or as the name of a module."""
+    """Return whether a path exists below the root or a source folder, or is the name of a module."""
     if any((ROOT / folder / path).exists() for folder in ("", *CODE)):
         return True
     return any(path == module.name for module in modules())
 
 
-def unknown(quoted: str) -> bool:
-    """Whether a quoted text names something that does not exist; what is no name is not checked."""
+def is_unknown(quoted: str) -> bool:
+    """Return whether a quoted name does not exist; text that is not a name is not checked."""
     if quoted.startswith("test_") and quoted.endswith("..."):
         return not any(name.startswith(quoted.removesuffix("...")) for name in known_names())
     if paths := PATH.findall(quoted):
@@ -83,14 +83,14 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_names_that_a_page_quotes_exist(page: str) -> None:
-    """Of a quoted name each part has to stand in the code."""
+    """Each part of a dotted name must occur in the source."""
     quoted = QUOTED.findall((ROOT / page).read_text())
-    assert quoted and not sorted({text for text in quoted if unknown(text)})
+    assert quoted and not sorted({text for text in quoted if is_unknown(text)})
 
 
 @pytest.mark.parametrize(
     "gone", ["DiscoveryClient.no_such_method", "net/no_such_module.py", "test_no_such_..."]
 )
-def test_a_name_that_does_not_exist_is_found(gone: str) -> None:
-    """The check itself works."""
-    assert unknown(gone)
+def test_a_name_that_does_not_exist_is_reported(gone: str) -> None:
+    """The check itself detects missing names."""
+    assert is_unknown(gone)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Which modules may import which, and which names may not come back."""
+"""Import rules between modules, and identifiers that may not be reintroduced."""
 
 import ast
 import sys
@@ -14,7 +14,7 @@
 MODULES = sorted(path for path in DECISIONS.glob("*.py") if path.name != "__init__.py")
 ALLOWED = {"msgspec"}
 NO_IO = {"asyncio", "io", "logging", "os", "select", "selectors", "socket", "subprocess", "threading", "time"}
-# Identifiers of the withdrawn house style and field names of the wire (naming.md).
+# Identifiers that were replaced by standard terms, and field names that belong to the wire formats only.
 WITHDRAWN = {
     "wi", "ho", "errand", "fate", "listing", "news", "due_time", "payoff", "patience", "expiry",
     "stretch", "hand_off", "handed", "stake", "trickle", "hushed", "untold", "crowded", "door",
@@ -29,7 +29,7 @@
 
 
 def runtime_imports(path: Path) -> Iterator[tuple[int, str]]:
-    """(level, module) of each import that is not for type checking alone."""
+    """Yield (level, module) of each import that is not for type checking only."""
     tree = ast.parse(path.read_text())
     typing_only = [node for node in tree.body if isinstance(node, ast.If)]
     skipped = {id(child) for node in typing_only for child in ast.walk(node)}
@@ -43,7 +43,8 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_a_module_of_the_decisions_imports_its_siblings_and_no_io(path: Path) -> None:
+def test_a_decision_module_imports_only_its_siblings_and_no_io(path: Path) -> None:
+    """The decisions must be deterministic: no I/O, no clock and no third-party packages but msgspec."""
     for level, module in runtime_imports(path):
         if level:
             assert level == 1 and (DECISIONS / f"{module}.py").exists(), module
@@ -53,7 +54,8 @@
         assert root not in NO_IO, module
 
 
-def test_imports_of_the_decisions_have_no_circle() -> None:
+def test_imports_between_decision_modules_have_no_cycle() -> None:
+    """Sorting the modules topologically raises `CycleError` at a cycle."""
     graph = {path.stem: {module for level, module in runtime_imports(path) if level} for path in MODULES}
     assert len(list(TopologicalSorter(graph).static_order())) == len(MODULES)
 
@@ -61,14 +63,15 @@
 @pytest.mark.parametrize(
     "path", sorted(PROGRAM.rglob("*.py")), ids=lambda path: str(path.relative_to(PROGRAM))
 )
-def test_no_withdrawn_name_stands_in_the_program(path: Path) -> None:
+def test_the_program_contains_no_withdrawn_identifier(path: Path) -> None:
+    """Names that were replaced must not be reintroduced."""
     assert not identifiers(ast.parse(path.read_text())) & WITHDRAWN
 
 
 def all_imports(path: Path, at_start_only: bool = False) -> Iterator[str]:
-    """Modules of the program that a file imports, as paths below it.
+    """Yield the modules of the program that a file imports, as paths relative to the package.
 
-    `at_start_only`: without those for type checking, and those that functions make when they run.
+    `at_start_only`: omit imports for type checking and imports inside functions.
     """
     package = path.relative_to(PROGRAM).parent.parts
     tree = ast.parse(path.read_text())
@@ -94,8 +97,8 @@
 }
 
 
-def test_imports_of_the_program_have_no_circle() -> None:
-    """Only modules of one folder may name each other for type checking."""
+def test_imports_of_the_program_have_no_cycle() -> None:
+    """Only modules of the same folder may import each other for type checking."""
     graph = {}
     for path in sorted(PROGRAM.rglob("*.py")):
         name = "/".join(path.relative_to(PROGRAM).with_suffix("").parts)
@@ -121,15 +124,18 @@
     ],
 )
 def test_a_layer_imports_nothing_above_it(layer: str, forbidden: tuple[str, ...]) -> None:
+    """Dependencies point from the outer layers to the inner ones only."""
     imported = {module for name, modules in IMPORTS.items() if name.startswith(layer) for module in modules}
     assert imported and not {module for module in imported if module.startswith(forbidden)}
 
 
-def test_only_the_start_of_the_program_imports_the_composition_root() -> None:
+def test_only_the_entry_point_imports_the_composition_root() -> None:
+    """Everything else receives the objects it needs and does not depend on how they are created."""
     importers = {name for name, modules in IMPORTS.items() if "net/lifecycle/sidecar" in modules}
     assert importers == {"__main__"}
 
 
-def test_only_the_composition_root_imports_the_actors_that_stand_by_themselves() -> None:
+def test_only_the_composition_root_imports_the_independent_actors() -> None:
+    """No other module depends on the admin listener, signal handling or shutdown."""
     for actor in ("net/admin/listener", "net/lifecycle/signals", "net/lifecycle/shutdown"):
         assert {name for name, modules in IMPORTS.items() if actor in modules} == {"net/lifecycle/sidecar"}
