--- a/tests/characterisation/real_process.py
+++ b/tests/characterisation/real_process.py
@@ -1,7 +1,7 @@
-"""A real sidecar among a scripted client, upstreams, discovery and administrator; what it writes is kept.
+"""A real sidecar with a scripted client, upstreams, discovery and admin client; its output is recorded.
 
-Everything goes one step after another, so that the order of what is written is the same in every run. What
-differs from run to run (ports, times left, dates) is masked.
+All steps run one after another, so the output has the same order in every run. Values that differ between
+runs (ports, remaining times, dates) are masked.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 import h11
 
 ROOT = Path(__file__).parents[2]
-PATIENCE = 20.0  # seconds that one step may take on a busy machine
-CATEGORIES = [
+STEP_TIMEOUT = 20.0  # seconds; enough for a busy machine
+REQUEST_CLASSES = [
     {"name": "look", "effect": "free", "dueTime": 2_000_000, "expiry": 8_000_000},
     {"name": "buy", "effect": "single_shot", "dueTime": 2_000_000, "expiry": 8_000_000},
     {"name": "move", "effect": "guarded", "window": 8_000_000, "dueTime": 2_000_000, "expiry": 8_000_000},
 ]
 SETTINGS = {
-    "categories": CATEGORIES,
+    "categories": REQUEST_CLASSES,
     "caps": {
         "mostHandOffs": 3, "cancel": True, "mayDuplicate": True, "connectTimeout": 400_000,
         "keepalive": 8_000_000, "retryAfter": True, "maxRetryAfter": 1_000_000,
@@ -44,31 +44,34 @@
 ]
 
 
-# A loopback host of this process's own: no other test takes a port between a look and its use.
+# A loopback host of this process only: no other test can take a port between finding it free and using it.
 HOST = f"127.{64 + os.getpid() % 64}.{os.getpid() // 64 % 256}.7"
 
 
-def listener() -> socket.socket:
+def open_listener() -> socket.socket:
+    """Open a listening socket on a free port."""
     sock = socket.create_server((HOST, 0))
-    sock.settimeout(PATIENCE)
+    sock.settimeout(STEP_TIMEOUT)
     return sock
 
 
 def address(sock: socket.socket) -> str:
+    """Return the local address of a socket, host:port."""
     return "{}:{}".format(*sock.getsockname())
 
 
-class Play:
-    """The process and its surroundings; `transcript` takes what the process writes, masked."""
+class Session:
+    """The process and its peers; `transcript` contains the masked output of the process."""
 
     def __init__(self, folder: Path) -> None:
+        """Start the process. `folder`: for its configuration and stored files."""
         self.folder = folder
         self.transcript: list[str] = []
-        self.upstreams = [listener(), listener()]
-        self.discovery = listener()
+        self.upstreams = [open_listener(), open_listener()]
+        self.discovery = open_listener()
         self.ports = [self._free_port(), self._free_port()]
         self.open: list[socket.socket] = [*self.upstreams, self.discovery]
-        self.idle: list[socket.socket] = []  # connections to the first endpoint that may be reused
+        self.idle: list[socket.socket] = []  # connections to the first endpoint that can be reused
         self.file = folder / "config.json"
         self.configuration = {
             "name": "one",
@@ -94,12 +97,15 @@
             return sock.getsockname()[1]
 
     def write_configuration(self, **changed: object) -> None:
+        """Write the configuration file, with changed values."""
         self.file.write_text(json.dumps(self.configuration | changed))
 
     def entry(self, number: int, **changed: object) -> dict[str, object]:
+        """Return the endpoint list's entry of an upstream, with changed values."""
         return {"id": f"s{number}", "addr": address(self.upstreams[number]), "state": "active"} | changed
 
     def close(self) -> None:
+        """Kill the process if it still runs, and close all sockets."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
@@ -107,18 +113,20 @@
         for sock in self.open:
             sock.close()
 
-    def note(self, where: str, data: bytes) -> None:
+    def record(self, source: str, data: bytes) -> None:
+        """Append masked data to the transcript."""
         for pattern, mask in MASKS:
             data = pattern.sub(mask, data)
-        self.transcript.append(f"{where} {data!r}")
+        self.transcript.append(f"{source} {data!r}")
 
-    # What it writes, read as a message at a time.
+    # Output of the process, read one message at a time.
 
     def connect(self, port: int) -> socket.socket:
-        end = time.monotonic() + PATIENCE
+        """Connect to the process, and wait until it listens if necessary."""
+        end = time.monotonic() + STEP_TIMEOUT
         while True:
             try:
-                sock = socket.create_connection((HOST, port), timeout=PATIENCE)
+                sock = socket.create_connection((HOST, port), timeout=STEP_TIMEOUT)
             except ConnectionRefusedError:
                 if time.monotonic() > end:
                     raise
@@ -128,28 +136,29 @@
             return sock
 
     def accept(self, sock: socket.socket) -> socket.socket:
+        """Accept a connection of the process."""
         connection, _ = sock.accept()
-        connection.settimeout(PATIENCE)
+        connection.settimeout(STEP_TIMEOUT)
         self.open.append(connection)
         return connection
 
-    def next_request(self) -> socket.socket:
-        """The connection that the next request to the first endpoint comes on.
+    def accept_request(self) -> socket.socket:
+        """Return the connection on which the next request to the first endpoint arrives.
 
         It is a new one, unless more than 1/48 of the latency objective has passed since the last response.
         """
         while True:
-            ready, _, _ = select.select([self.upstreams[0], *self.idle], [], [], PATIENCE)
+            ready, _, _ = select.select([self.upstreams[0], *self.idle], [], [], STEP_TIMEOUT)
             if not ready:
-                raise TimeoutError("no request has come")
+                raise TimeoutError("no request has arrived")
             if self.upstreams[0] in ready:
                 return self.accept(self.upstreams[0])
             self.idle.remove(ready[0])
             if ready[0].recv(1, socket.MSG_PEEK):
                 return ready[0]
 
-    def message(self, sock: socket.socket, where: str, role: type) -> None:
-        """Note the bytes of the next whole message on a connection."""
+    def record_message(self, sock: socket.socket, source: str, role: type) -> None:
+        """Record the bytes of the next complete message on a connection."""
         http = h11.Connection(role)
         if role is h11.CLIENT:
             http.send(h11.Request(method="GET", target="/", headers=[("host", "a")]))
@@ -164,24 +173,30 @@
                     continue
                 event = http.next_event()
             if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                self.note(where, raw)
+                self.record(source, raw)
                 return
 
-    def end_of(self, sock: socket.socket, where: str) -> None:
+    def record_until_end(self, sock: socket.socket, source: str) -> None:
+        """Record the data up to the end of a connection."""
         with contextlib.suppress(ConnectionResetError):
-            self.note(f"{where} until its end", sock.recv(65536))
+            self.record(f"{source} until its end", sock.recv(65536))
 
-    # Steps of the play.
+    # Steps of the session.
 
-    def call(self, line: str, body: bytes = b"") -> None:
-        """An administrator's call and its answer."""
+    def call_admin(self, line: str, body: bytes = b"") -> None:
+        """Make an admin call and record its response."""
         sock = self.connect(self.ports[1])
         length = f"Content-Length: {len(body)}\r\n" if body else ""
         sock.sendall(f"{line} HTTP/1.1\r\nHost: a\r\n{length}\r\n".encode() + body)
-        self.message(sock, f"answer to {line}", h11.CLIENT)
+        self.record_message(sock, f"answer to {line}", h11.CLIENT)
 
-    def send(self, name: str, trace: str, body: bytes = b"", sock: socket.socket | None = None, **more: str):
-        """A client's request; its connection."""
+    def send_request(
+        self, name: str, trace: str, body: bytes = b"", sock: socket.socket | None = None, **more: str
+    ) -> socket.socket:
+        """Send a request from a client; return its connection.
+
+        `name`: of the request class. `sock`: a connection to reuse. `more`: additional headers.
+        """
         sock = sock or self.connect(self.ports[0])
         method = "GET" if name == "look" else "POST"
         headers = {"Host": "a", "X-Trace-Id": trace, "X-QoS": name, "X-Expires-In-Ms": "7000"}
@@ -197,119 +212,125 @@
     def reply(
         self, sock: socket.socket, status: str = "200 OK", body: bytes = b"fine", extra: str = ""
     ) -> None:
+        """Respond to a request from the process. `extra`: additional header lines."""
         sock.sendall(f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body)
 
-    def say(self, sock: socket.socket, version: int, *entries: dict[str, object], full: bool = False) -> None:
-        """One line of the watch."""
+    def send_list(
+        self, sock: socket.socket, version: int, *entries: dict[str, object], full: bool = False
+    ) -> None:
+        """Send one line of the watch."""
         text = json.dumps({"version": version, "full": full, "servers": list(entries)}).encode() + b"\n"
         sock.sendall(b"%x\r\n%s\r\n" % (len(text), text))
 
-    def watch(self) -> socket.socket:
+    def accept_watch(self) -> socket.socket:
+        """Accept the watch of the endpoint list; return its connection."""
         sock = self.accept(self.discovery)
-        self.message(sock, "discovery", h11.SERVER)
+        self.record_message(sock, "discovery", h11.SERVER)
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return sock
 
-    def logged(self, event: str) -> None:
+    def wait_for_log(self, event: str) -> None:
         """Wait until the process has logged an event."""
         for line in self.process.stdout:
             if json.loads(line)["event"] == event:
                 return
-        raise AssertionError(f"ended without {event}")
-
-    def play(self) -> list[str]:
-        watch = self._begin()
-        self._ordinary_requests()
-        self._attempts_that_fail()
-        self._rejected_requests()
-        self._administration(watch)
+        raise AssertionError(f"the process exited without logging {event}")
+
+    def run(self) -> list[str]:
+        """Run all steps; return the transcript."""
+        watch = self._start()
+        self._send_successful_requests()
+        self._send_failing_requests()
+        self._send_invalid_requests()
+        self._make_admin_calls(watch)
         self._reload_and_stop()
         return self.transcript
 
-    def _begin(self) -> socket.socket:
-        watch = self.watch()
-        self.say(watch, 4, self.entry(0), full=True)
-        self.logged("list.news")
-        self.call("GET /_ready")
+    def _start(self) -> socket.socket:
+        watch = self.accept_watch()
+        self.send_list(watch, 4, self.entry(0), full=True)
+        self.wait_for_log("list.news")
+        self.call_admin("GET /_ready")
         return watch
 
-    def _ordinary_requests(self) -> None:
-        client = self.send("look", "t1", X_Customer="inn", Accept="*/*")
-        upstream = self.next_request()
-        self.message(upstream, "request", h11.SERVER)
+    def _send_successful_requests(self) -> None:
+        client = self.send_request("look", "t1", X_Customer="inn", Accept="*/*")
+        upstream = self.accept_request()
+        self.record_message(upstream, "request", h11.SERVER)
         self.reply(upstream, extra="Content-Type: text/plain\r\nX-Other: 1\r\n")
         self.idle.append(upstream)
-        self.message(client, "response", h11.CLIENT)
+        self.record_message(client, "response", h11.CLIENT)
         for name, trace, body in (("move", "t2", b"m" * 10), ("buy", "t3", b"b" * 70_000)):
-            self.send(name, trace, body, client)
-            connection = self.next_request()
-            self.message(connection, "request", h11.SERVER)
+            self.send_request(name, trace, body, client)
+            connection = self.accept_request()
+            self.record_message(connection, "request", h11.SERVER)
             self.reply(connection, body=name.encode() * 3, extra="Connection: close\r\n")
-            self.message(client, "response", h11.CLIENT)
+            self.record_message(client, "response", h11.CLIENT)
 
-    def _attempts_that_fail(self) -> None:
-        client = self.send("buy", "t4", b"x")
-        upstream = self.next_request()
-        self.message(upstream, "request", h11.SERVER)
+    def _send_failing_requests(self) -> None:
+        client = self.send_request("buy", "t4", b"x")
+        upstream = self.accept_request()
+        self.record_message(upstream, "request", h11.SERVER)
         self.reply(upstream, "500 Error", extra="Connection: close\r\n")
-        self.message(client, "response to an error", h11.CLIENT)
-        client = self.send("buy", "t5", b"x")
-        upstream = self.next_request()
-        self.message(upstream, "request", h11.SERVER)
+        self.record_message(client, "response to an error", h11.CLIENT)
+        client = self.send_request("buy", "t5", b"x")
+        upstream = self.accept_request()
+        self.record_message(upstream, "request", h11.SERVER)
         upstream.close()
-        self.message(client, "response to a broken attempt", h11.CLIENT)
+        self.record_message(client, "response to a broken attempt", h11.CLIENT)
 
-    def _rejected_requests(self) -> None:
-        for name, more in (
+    def _send_invalid_requests(self) -> None:
+        for name, headers in (
             ("look", {"X_Trace_Id": ""}),
             ("other", {}),
             ("look", {"X_Expires_In_Ms": "soon"}),
             ("look", {"X_Expires_In_Ms": "0"}),
         ):
-            client = self.send(name, "t6", **more)
-            self.message(client, f"response to {name} {sorted(more)}", h11.CLIENT)
-            self.end_of(client, "rejected client")
+            client = self.send_request(name, "t6", **headers)
+            self.record_message(client, f"response to {name} {sorted(headers)}", h11.CLIENT)
+            self.record_until_end(client, "rejected client")
         client = self.connect(self.ports[0])
         client.sendall(b"mumble\r\n\r\n")
-        self.end_of(client, "malformed client")
-
-    def _administration(self, watch: socket.socket) -> None:
-        self.say(watch, 5, self.entry(1))
-        self.logged("list.news")
-        self.call("PUT /_upstreams/detach", b'{"id": "s0"}')
-        self.call("PUT /_upstreams/detach", b'{"id": "s9"}')
-        self.call("PUT /_upstreams/detach", b"{")
-        self.call("POST /_ready")
-        self.call("GET /unknown")
-        client = self.send("look", "t7")
+        self.record_until_end(client, "malformed client")
+
+    def _make_admin_calls(self, watch: socket.socket) -> None:
+        self.send_list(watch, 5, self.entry(1))
+        self.wait_for_log("list.news")
+        self.call_admin("PUT /_upstreams/detach", b'{"id": "s0"}')
+        self.call_admin("PUT /_upstreams/detach", b'{"id": "s9"}')
+        self.call_admin("PUT /_upstreams/detach", b"{")
+        self.call_admin("POST /_ready")
+        self.call_admin("GET /unknown")
+        client = self.send_request("look", "t7")
         upstream = self.accept(self.upstreams[1])
-        self.message(upstream, "request to the other endpoint", h11.SERVER)
+        self.record_message(upstream, "request to the other endpoint", h11.SERVER)
         self.reply(upstream, extra="Connection: close\r\n")
-        self.message(client, "response", h11.CLIENT)
-        self.call("PUT /_upstreams/attach", b'{"id": "s0"}')
-        self.call("PUT /_lameduck/on")
-        self.call("PUT /_lameduck/off")
+        self.record_message(client, "response", h11.CLIENT)
+        self.call_admin("PUT /_upstreams/attach", b'{"id": "s0"}')
+        self.call_admin("PUT /_lameduck/on")
+        self.call_admin("PUT /_lameduck/off")
         stored = json.loads((self.folder / "starlingwheel-operators.json").read_bytes())
         stored["back"] = {name: before for name, (before, _) in stored["back"].items()}
-        self.note("operators' file", json.dumps(stored).encode())
+        self.record("operators' file", json.dumps(stored).encode())
 
     def _reload_and_stop(self) -> None:
-        self.discovery = listener()
+        self.discovery = open_listener()
         self.open.append(self.discovery)
         self.write_configuration(discovery=address(self.discovery))
         self.process.send_signal(signal.SIGHUP)
-        watch = self.watch()
-        self.say(watch, 6, self.entry(0), self.entry(1), full=True)
-        self.logged("config.read")
+        watch = self.accept_watch()
+        self.send_list(watch, 6, self.entry(0), self.entry(1), full=True)
+        self.wait_for_log("config.read")
         self.process.send_signal(signal.SIGTERM)
-        self.logged("end")
-        self.note("exit status", str(self.process.wait(PATIENCE)).encode())
+        self.wait_for_log("end")
+        self.record("exit status", str(self.process.wait(STEP_TIMEOUT)).encode())
 
 
 def transcript() -> list[str]:
+    """Run a session; return its transcript."""
     with tempfile.TemporaryDirectory() as folder:
-        play = Play(Path(folder))
+        session = Session(Path(folder))
         try:
-            return play.play()
+            return session.run()
         finally:
-            play.close()
+            session.close()
