--- a/fakes/relay.py
+++ b/fakes/relay.py
@@ -18,7 +18,7 @@
 class LinkDirection:
     """One direction of a link. Times are seconds."""
 
-    blocked: bool = False  # data is held back and neither side is told
+    blocked: bool = False  # data is held back, without either side noticing
     delay: float = 0.0
     loss: float = 0.0  # fraction of reads that are late by `retransmission_delay`
     retransmission_delay: float = 0.2
--- a/tests/characterisation/simulated_day.py
+++ b/tests/characterisation/simulated_day.py
@@ -247,10 +247,7 @@
             if endpoint.mode == "healthy":
                 endpoint.mode = kind
         elif kind == "recover":
-            for candidate in self.endpoints:
-                if candidate.mode in ("slow", "hang", "refuse", "error"):
-                    candidate.mode = "healthy"
-                    break
+            self._recover_endpoint()
         elif kind == "resend":
             self._publish(self.random.sample(self.endpoints, 3))
         elif kind == "break" and self.watching:
@@ -260,6 +257,12 @@
         elif kind == "kill" and self.random.random() < 0.3:
             self._restart_sidecar(self.random.randrange(self.scenario.sidecars))
 
+    def _recover_endpoint(self) -> None:
+        for endpoint in self.endpoints:
+            if endpoint.mode in ("slow", "hang", "refuse", "error"):
+                endpoint.mode = "healthy"
+                break
+
     def _remove_endpoint(self, endpoint: Endpoint) -> None:
         if endpoint.condition == 1:
             endpoint.condition = 0
