--- a/trials/__init__.py
+++ b/trials/__init__.py
@@ -1,4 +1,4 @@
-"""Trials: several real processes of the program, faults between them, counts at both ends.
+"""Trials: several real processes of the program under faults, checked by counts at clients and endpoints.
 
-`python -m trials NAME --seed N` plays one and tells which promises were kept.
+`python -m trials NAME --seed N` runs one and prints which guarantees were violated, if any.
 """
--- a/trials/__main__.py
+++ b/trials/__main__.py
@@ -1,4 +1,4 @@
-"""python -m trials NAME --seed N: play a trial; exit code 0: all promises kept, 1: one was broken."""
+"""python -m trials NAME --seed N: run a trial; exit code 0: all guarantees held, 1: one was violated."""
 
 from __future__ import annotations
 
@@ -40,29 +40,38 @@
     "policy": policy.run_changes,
     **hard.CASES,
     **policy.CASES,
-    **zones.TRIALS_OF_ZONES,
+    **zones.ZONE_TRIALS,
 }
 # Trials with a command line of their own.
-OWN = {"call-tree": call_tree.main, "capacity": capacity.main, "parts": parts.main, "scale": scale}
+TRIALS_WITH_OWN_OPTIONS = {
+    "call-tree": call_tree.main,
+    "capacity": capacity.main,
+    "parts": parts.main,
+    "scale": scale,
+}
 
 
 def _parser() -> argparse.ArgumentParser:
-    own = f"With a command line of their own: {', '.join(OWN)}."
-    parser = argparse.ArgumentParser(prog="python -m trials", description=__doc__, epilog=own)
+    epilog_text = f"Trials with a command line of their own: {', '.join(TRIALS_WITH_OWN_OPTIONS)}."
+    parser = argparse.ArgumentParser(prog="python -m trials", description=__doc__, epilog=epilog_text)
     parser.add_argument("trial", choices=TRIALS)
-    parser.add_argument("--seed", type=int, default=1, help="names the timetable of faults (default: 1)")
-    parser.add_argument("--seeds", type=int, default=1, help="so many seeds in a row (default: 1)")
-    parser.add_argument("--root", type=Path, default=ROOT, help="another checkout whose program is played")
-    parser.add_argument("--alone", action="store_true", help="without a fleet: each sidecar by itself")
-    parser.add_argument("--sidecars", type=int, help="processes of the program")
-    parser.add_argument("--rates", help="of `added` and `cost`: calls a second, separated by commas")
-    parser.add_argument("--service", type=float, help="of `added`: an upstream's time, seconds (default: 0)")
-    parser.add_argument("--cell-size", type=int, help="members of a cell, as fleet.cell_size")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the timetable of faults (default: 1)")
+    parser.add_argument(
+        "--seeds", type=int, default=1, help="number of consecutive seeds to run (default: 1)"
+    )
+    parser.add_argument("--root", type=Path, default=ROOT, help="another checkout whose program is run")
+    parser.add_argument("--alone", action="store_true", help="without a fleet: each sidecar on its own")
+    parser.add_argument("--sidecars", type=int, help="number of sidecar processes")
+    parser.add_argument("--rates", help="for `added` and `cost`: calls a second, separated by commas")
+    parser.add_argument(
+        "--service", type=float, help="for `added`: mean service time of an upstream, seconds (default: 0)"
+    )
+    parser.add_argument("--cell-size", type=int, help="mean number of members of a shard, as fleet.cell_size")
     return parser
 
 
 def _keywords(options: argparse.Namespace) -> dict[str, Any]:
-    """The options that are passed on to the trial where they are given."""
+    """Return the options to pass to the trial; those not given are left to its defaults."""
     keywords: dict[str, Any] = {"root": options.root, "fleet": not options.alone}
     if options.sidecars:
         keywords["sidecars"] = options.sidecars
@@ -75,32 +84,32 @@
     return keywords
 
 
-def _play(trial: str, seed: int, keywords: dict[str, Any]) -> bool:
-    """Play one seed and print its verdict; return whether all promises were kept."""
+def _run_seed(trial: str, seed: int, keywords: dict[str, Any]) -> bool:
+    """Run one seed, print its result and return whether all guarantees held."""
     try:
         result = asyncio.run(TRIALS[trial](seed, **keywords))
     except RuntimeError as error:
         print(json.dumps({"trial": trial, "seed": seed, "kept": False, "void": str(error)[:300]}))
         return False
     print(json.dumps({"trial": trial, "seed": seed, "kept": result.passed, **result.counts}))
-    for broken in result.violations:
-        print("  " + broken)
+    for violation in result.violations:
+        print("  " + violation)
     return result.passed
 
 
 def main() -> int:
-    """Run the command; return its exit code."""
-    if sys.argv[1:] and sys.argv[1] in OWN:
-        return OWN[sys.argv[1]](sys.argv[2:])
+    """Run the command and return its exit code."""
+    if sys.argv[1:] and sys.argv[1] in TRIALS_WITH_OWN_OPTIONS:
+        return TRIALS_WITH_OWN_OPTIONS[sys.argv[1]](sys.argv[2:])
     parser = _parser()
     options = parser.parse_args()
     if options.cell_size and "cell_size" not in inspect.signature(TRIALS[options.trial]).parameters:
-        parser.error(f"{options.trial} is not played with cells")
+        parser.error(f"{options.trial} does not support --cell-size")
     keywords = _keywords(options)
-    kept = [
-        _play(options.trial, seed, keywords) for seed in range(options.seed, options.seed + options.seeds)
+    passed = [
+        _run_seed(options.trial, seed, keywords) for seed in range(options.seed, options.seed + options.seeds)
     ]
-    return 0 if all(kept) else 1
+    return 0 if all(passed) else 1
 
 
 if __name__ == "__main__":
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -1,4 +1,4 @@
-"""Variants that break a promise on purpose: a check that catches none of them checks nothing."""
+"""Deliberately broken variants, with which tests show that the checks of the trials detect violations."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class UnrecordedAttempts(RequestPlacement):
-    """Releases each attempt at once."""
+    """Releases each attempt immediately."""
 
     def release_attempts(self, request: ReplicatedRequest) -> None:
-        """Release attempts whose intents nobody has acknowledged."""
+        """Release attempts whose intents no replica has acknowledged."""
         if request.state is RequestState.OWNING:
             for number in list(request.held_attempts):
                 del request.held_attempts[number]
@@ -32,16 +32,16 @@
 
 
 class AttemptsNotRecorded(RequestReplicator):
-    """Attempts are released before their intents have been recorded."""
+    """Variant that releases attempts before their intents have been recorded."""
 
     placement_type = UnrecordedAttempts
 
 
 class EpochIgnored(ReplicaRole):
-    """Acknowledges the intents of any owner."""
+    """Acknowledges the intents of any owner, whatever its epoch."""
 
     def on_intent(self, member: str, frame: AttemptIntentFrame) -> None:
-        """Record and acknowledge an intent without a look at the epoch."""
+        """Record and acknowledge an intent without comparing epochs."""
         request = self.table.get(frame.key)
         if request is not None and request.state is RequestState.REPLICA:
             request.intents[frame.number :] = [frame.intent]
@@ -51,59 +51,59 @@
 
 
 class EpochNotChecked(RequestReplicator):
-    """A replica goes on acknowledging intents of an owner that it has taken over from."""
+    """Variant in which a replica acknowledges intents of an owner whose request it has taken over."""
 
     replica_type = EpochIgnored
 
 
 class AlwaysMayGrant(ViewTracker):
-    """Needs no synchronised view."""
+    """Grants keys without a synchronised view."""
 
     def may_grant(self, key: bytes) -> bool:
-        """Any key may be granted."""
+        """Allow any key to be granted."""
         return True
 
 
 class GrantsBeforeSync(RequestReplicator):
-    """A new coordinator grants keys before it has been told what is in flight."""
+    """Variant in which a new coordinator grants keys before it knows which requests are in flight."""
 
     views_type = AlwaysMayGrant
 
 
 class AlwaysMayDecide(ViewTracker):
-    """Trusts its lease for ever."""
+    """Relies on its lease without an end."""
 
     def may_decide(self) -> bool:
-        """This member decides whatever its lease and heartbeats say."""
+        """Allow decisions whatever the state of the lease and the heartbeats."""
         return True
 
 
 class HastyTakeover(RequestTakeover):
-    """Takes over by what this member knows."""
+    """Takes over requests by what this member knows, without a synchronised view."""
 
     def take_over(self, request: ReplicatedRequest) -> None:
-        """Take over as if the view was synchronised."""
+        """Take over as if the view were synchronised."""
         request.is_stale = False
         self.views.mark_synced()
         super().take_over(request)
 
 
 class LeaseNeverExpires(RequestReplicator):
-    """A member takes over by what it knows, however long it was paused or cut off."""
+    """Variant in which a member takes over however long it was paused or partitioned."""
 
     views_type = AlwaysMayDecide
     takeover_type = HastyTakeover
 
 
 class SilentCompletion(RequestCompletion):
-    """Keeps responses to itself."""
+    """Does not report responses to coordinators."""
 
     def inform_coordinator(self, request: ReplicatedRequest, coordinator: str) -> None:
-        """Send nothing."""
+        """Do not inform the coordinator."""
 
 
 class ResponsesNotPassedOn(RequestReplicator):
-    """A new coordinator is not told what was answered before."""
+    """Variant in which a new coordinator does not learn of earlier responses."""
 
     completion_type = SilentCompletion
 
@@ -112,37 +112,37 @@
 
 
 class OutdatedView(MembershipView):
-    """It names coordinators as before the cells changed."""
+    """View that names coordinators as before the number of shards changed."""
 
-    def __init__(self, view: MembershipView, cells: int) -> None:
-        """`cells`: their count before."""
+    def __init__(self, view: MembershipView, shard_count: int) -> None:
+        """Copy the view; `shard_count`: the one before the change."""
         super().__init__(view.members.values(), view.shard_count, view.resharded_at)
-        self.old = MembershipView(view.members.values(), cells)
+        self.previous_view = MembershipView(view.members.values(), shard_count)
 
     def ranked_members(self, key: bytes) -> list[Member]:
-        """The members that are responsible for a key, as before."""
-        return self.old.ranked_members(key)
+        """Return the members responsible for a key before the change."""
+        return self.previous_view.ranked_members(key)
 
 
 class OutdatedCells(RequestReplicator):
-    """Half of the members take a key's coordinator from the cells that were."""
+    """Variant in which half of the members choose coordinators by the previous shards."""
 
     def view_changed(self, view: MembershipView, gap: bool) -> None:
-        """Another view holds; some members see the old coordinators in it."""
-        known = self.views.view
-        lags = (
-            known.members
-            and view.shard_count != known.shard_count
+        """Apply the view, with outdated coordinators at half of the members."""
+        previous = self.views.view
+        is_outdated = (
+            previous.members
+            and view.shard_count != previous.shard_count
             and member_position(self.context.member_id) >> 8 & 1
         )
-        super().view_changed(OutdatedView(view, known.shard_count) if lags else view, gap)
+        super().view_changed(OutdatedView(view, previous.shard_count) if is_outdated else view, gap)
 
 
 class CoordinatorSuffices(RequestPlacement):
-    """Waits for one replica."""
+    """Waits for one replica's acknowledgement only."""
 
     def release_attempts(self, request: ReplicatedRequest) -> None:
-        """Release attempts that the coordinator has acknowledged, where it is of another cell."""
+        """Release attempts that the coordinator has acknowledged, if this member is in another shard."""
         replicas, coordinator = request.replicas, self.views.coordinator_of(request)
         if self.views.is_in_other_shard(self.context.member_id, request) and coordinator in replicas:
             request.replicas = {coordinator: replicas[coordinator]}
@@ -151,30 +151,30 @@
 
 
 class OneReplicaAwaited(RequestReplicator):
-    """An owner of another cell waits for the coordinator, not for the replica that would follow it."""
+    """Variant in which an owner in another shard waits for the coordinator but not for its successor."""
 
     placement_type = CoordinatorSuffices
 
 
-class OthersInside(ViewTracker):
-    """Takes all other members for members of the request's cell."""
+class OthersInSameShard(ViewTracker):
+    """Treats all other members as members of the request's shard."""
 
     def is_in_other_shard(self, member: str, request: ReplicatedRequest) -> bool:
-        """Only this member can be of another cell."""
+        """Return whether the member is in another shard, which only this member can be."""
         return member == self.context.member_id and super().is_in_other_shard(member, request)
 
 
 class AnyCoordinatorAccepted(RequestReplicator):
-    """A replica acknowledges an owner of another cell whatever coordinator that one names."""
+    """Variant in which a replica acknowledges owners in other shards whatever coordinator they name."""
 
-    views_type = OthersInside
+    views_type = OthersInSameShard
 
 
 SHARD_VARIANTS = [OutdatedCells, OneReplicaAwaited, AnyCoordinatorAccepted]
 
 
 class VoteNotBinding(PolicyReplica):
-    """A yes binds until the switch time only: then it is taken for dropped."""
+    """Variant in which a yes vote expires at the switch time, after which the proposal counts as dropped."""
 
     def _find_unavailable_reason(self) -> str:
         if self.promise is not None and self.now >= self.promise.at:
@@ -183,14 +183,14 @@
 
 
 class MinorityDecides(PolicyReplica):
-    """Those in the view decide, however few they are."""
+    """Variant in which the members in the view decide, however few they are."""
 
     def _is_majority(self, votes: Iterable[str]) -> bool:
         return True
 
 
 class ServesUndecided(PolicyReplica):
-    """Who does not know whether a change was decided goes on at its switch time."""
+    """Variant in which a member serves past the switch time of a change that may have been decided."""
 
     def _find_unavailable_reason(self) -> str:
         promise, self.promise = self.promise, None
@@ -201,14 +201,14 @@
 
 
 class TrustsLease(PolicyReplica):
-    """A lease once held is taken to hold, across a pause and a cut."""
+    """Variant in which a lease once held counts as held, across pauses and partitions."""
 
     def _lease_valid_until(self) -> float:
         return inf if self.entry_revision else -inf
 
 
 class StatusesNeverExpire(PolicyReplica):
-    """The statuses of others count however old they are."""
+    """Variant in which the statuses of other members count however old they are."""
 
     def _count_agreed_until(self) -> float:
         is_agreed = super()._count_agreed_until() > -inf
@@ -216,15 +216,19 @@
 
 
 class DecisionIgnoresMembers(PolicyReplica):
-    """A decision that is not made void by members that have come since."""
+    """Variant in which members that joined after the votes do not invalidate a decision."""
 
     def due(self) -> Transaction | float:
-        """The transaction to carry out now, without the compares of members; or when to ask again."""
-        due = super().due()
-        if isinstance(due, Transaction) and due.kind == "decide":
-            same = [one for one in due.conditions if not one.prefix and not one.key.startswith("members/")]
-            return Transaction(due.kind, same, due.put, due.delete)
-        return due
+        """Return the transaction due now without its conditions on members, or the time to ask again."""
+        transaction = super().due()
+        if isinstance(transaction, Transaction) and transaction.kind == "decide":
+            conditions = [
+                condition
+                for condition in transaction.conditions
+                if not condition.prefix and not condition.key.startswith("members/")
+            ]
+            return Transaction(transaction.kind, conditions, transaction.put, transaction.delete)
+        return transaction
 
 
 POLICY_VARIANTS = [
@@ -238,24 +242,26 @@
 
 
 class MinorityLeaves(ZonePlanner):
-    """A zone is left when anybody says that it fails."""
+    """Variant that leaves a zone when any member reports that it fails."""
 
     def _is_failing(self, zone: str) -> bool:
-        return any(zone in said.zones and said.zones[zone].failing for said in self.reports.values())
+        return any(zone in report.zones and report.zones[zone].failing for report in self.reports.values())
 
 
 class CapacityIgnored(ZonePlanner):
-    """A zone that fails in part is left whole, whatever the others bear."""
+    """Variant that leaves a partly failing zone entirely, whatever capacity the other zones have."""
 
     def _moved_fraction(self, name: str, failing: list[str], known: dict[str, tuple[float, float]]) -> float:
         return 1.0
 
 
 class RampNotShared(ZonePlanner):
-    """Each begins to return by itself as soon as it knows that the others do: with all it has."""
+    """Variant in which each member returns with all of its traffic as soon as the fleet returns."""
 
     def _apply_shares(self, returning: Iterable[str]) -> None:
-        shares = {n: 1.0 if z.state == "returning" else z.share for n, z in self.plan.zones.items()}
+        shares = {
+            name: 1.0 if zone.state == "returning" else zone.share for name, zone in self.plan.zones.items()
+        }
         self.host.set_zone_shares(shares, returning)
 
 
--- a/trials/cost.py
+++ b/trials/cost.py
@@ -1,4 +1,4 @@
-"""What replication costs: the time that a client waits, and processor time of the owner and the others."""
+"""The cost of replication: latency at clients, and CPU time of the owner and the other sidecars."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from .verdict import TrialResult
 
 RATE = 150.0  # requests a second
-SECONDS = 6.0  # at each rate
-SERVICE = 0.005  # seconds
+DURATION = 6.0  # at each rate
+SERVICE_TIME = 0.005  # seconds
 
 
-def used(sidecar: Sidecar) -> float:
-    """Seconds of processor time of a sidecar so far."""
+def sidecar_cpu_time(sidecar: Sidecar) -> float:
+    """Return the seconds of CPU time that a sidecar has used so far."""
     assert sidecar.process is not None
     return cpu_time(sidecar.process.pid)
 
@@ -28,28 +28,34 @@
     fleet: bool = True,
     rates: Sequence[float] = (RATE,),
 ) -> TrialResult:
-    """The same requests through one sidecar, without names and then with; microseconds a request.
+    """Send the same requests through one sidecar without and with idempotency keys, twice.
 
-    `rates`: requests a second, one after another.
+    The counts are microseconds per request. `rates`: requests a second, one after another.
     """
     result = TrialResult()
-    async with Cluster(seed, sidecars, service_time=SERVICE, root=root, fleet=fleet) as cluster:
+    async with Cluster(seed, sidecars, service_time=SERVICE_TIME, root=root, fleet=fleet) as cluster:
         owner, *others = cluster.sidecars
-        cluster.clients.avoided |= {s.name for s in others}
-        for rate, named in ((rate, named) for rate in rates for named in (False, True, False, True)):
-            before = used(owner), sum(map(used, others))
-            first = len(cluster.clients.requests)
-            await cluster.clients.send(rate, SECONDS, {"look": 1.0, "buy": 1.0}, keyed=named)
+        cluster.clients.avoided |= {other.name for other in others}
+        for rate, keyed in ((rate, keyed) for rate in rates for keyed in (False, True, False, True)):
+            before = sidecar_cpu_time(owner), sum(map(sidecar_cpu_time, others))
+            first_index = len(cluster.clients.requests)
+            await cluster.clients.send(rate, DURATION, {"look": 1.0, "buy": 1.0}, keyed=keyed)
             await asyncio.sleep(0.3)
-            works = cluster.clients.requests[first:]
-            waits = sorted(w.attempts[0].ended_at - w.attempts[0].started_at for w in works if w.succeeded)
-            what = ("named" if named else "unnamed") + (f" at {rate:.0f}" if len(rates) > 1 else "")
-            count = result.counts.get(f"{what}, median", 0)
+            requests = cluster.clients.requests[first_index:]
+            latencies = sorted(
+                request.attempts[0].ended_at - request.attempts[0].started_at
+                for request in requests
+                if request.succeeded
+            )
+            label = ("named" if keyed else "unnamed") + (f" at {rate:.0f}" if len(rates) > 1 else "")
+            count = result.counts.get(f"{label}, median", 0)
             figures = {
-                "median": waits[len(waits) // 2], "p99": waits[len(waits) * 99 // 100],
-                "owner": (used(owner) - before[0]) / len(works),
-                "others": (sum(map(used, others)) - before[1]) / len(works),
+                "median": latencies[len(latencies) // 2], "p99": latencies[len(latencies) * 99 // 100],
+                "owner": (sidecar_cpu_time(owner) - before[0]) / len(requests),
+                "others": (sum(map(sidecar_cpu_time, others)) - before[1]) / len(requests),
             }  # fmt: skip
-            turn = "again, " if count else ""
-            result.counts |= {f"{turn}{what}, {name}": round(v * 1e6) for name, v in figures.items()}
+            prefix = "again, " if count else ""
+            result.counts |= {
+                f"{prefix}{label}, {name}": round(value * 1e6) for name, value in figures.items()
+            }
     return result
--- a/trials/endpoint_list/__init__.py
+++ b/trials/endpoint_list/__init__.py
@@ -1,4 +1,4 @@
-"""Trials of the endpoint list: real sidecars, one discovery that fails in many ways, servers that drain."""
+"""Trials of the endpoint list: real sidecars, a discovery with faults, and servers that drain."""
 
 from .cases import CASES, broken_message, ended_instead, restarted, silent_watch, soak
 
--- a/trials/endpoint_list/cases.py
+++ b/trials/endpoint_list/cases.py
@@ -1,4 +1,4 @@
-"""The cases: each plays faults over a trial with clients, and returns its verdict."""
+"""Test cases: each injects faults into a trial with client traffic and returns its result."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 from ..rig import ROOT
 from ..verdict import TrialResult
-from .faults import Faults
+from .faults import RandomFaults
 from .trial import Trial, traffic
 
 
-async def played(
-    play_faults: Callable[[Trial], Awaitable[None]], seconds: float, seed: int, root: Path
+async def run_with_traffic(
+    inject_faults: Callable[[Trial], Awaitable[None]], seconds: float, seed: int, root: Path
 ) -> TrialResult:
-    """Play faults over three sidecars and four servers, with clients all the while."""
+    """Inject faults into three sidecars and four servers under client traffic."""
     async with Trial(seed, sidecars=3, servers=4, root=root) as trial:
         async with traffic(trial, rate=30, seconds=seconds):
-            await play_faults(trial)
-        return await trial.result()
+            await inject_faults(trial)
+        return await trial.finish_and_check()
 
 
-async def answer_nobody(trial: Trial, seconds: float) -> None:
-    """Have discovery accept calls and answer none in time, which is not the same as being down."""
+async def stop_answering(trial: Trial, seconds: float) -> None:
+    """Have discovery accept calls and answer none in time, unlike an outage, which refuses connections."""
     trial.discovery.down = True
     await asyncio.sleep(seconds)
     trial.discovery.down = False
 
 
 async def broken_message(fault: Fault, seed: int = 1, root: Path = ROOT) -> TrialResult:
-    """A notice of a drain is written and arrives incomplete; discovery answers slowly from then on."""
+    """Break off the message about a drain after it is written; discovery answers slowly from then on."""
 
-    async def play_faults(trial: Trial) -> None:
+    async def inject_faults(trial: Trial) -> None:
         await asyncio.sleep(0.7)
         trial.discovery.push_fault = fault
         trial.discovery.max_wait = 10.0
@@ -42,41 +42,41 @@
         trial.discovery.calls_per_second = 1 / 1.2
         await asyncio.sleep(trial.discovery.push_delay + 0.01)
         trial.discovery.push_fault = Fault.NONE
-        await answer_nobody(trial, 2.5)
+        await stop_answering(trial, 2.5)
 
-    return await played(play_faults, 5.0, seed, root)
+    return await run_with_traffic(inject_faults, 5.0, seed, root)
 
 
 async def silent_watch(seed: int = 1, root: Path = ROOT) -> TrialResult:
-    """All watches fall silent, servers drain, and a crowded discovery answers nobody for some seconds."""
+    """Stall all watches, drain a server, and have an overloaded discovery answer no call for some seconds."""
 
-    async def play_faults(trial: Trial) -> None:
+    async def inject_faults(trial: Trial) -> None:
         await asyncio.sleep(0.5)
         trial.discovery.stall_watches()
         trial.discovery.down = True
         await asyncio.sleep(1.0)
         trial.drain("s0")
-        await answer_nobody(trial, 7.5)
+        await stop_answering(trial, 7.5)
 
-    return await played(play_faults, 10.0, seed, root)
+    return await run_with_traffic(inject_faults, 10.0, seed, root)
 
 
 async def ended_instead(seed: int = 1, root: Path = ROOT) -> TrialResult:
-    """Watches end instead of telling of a drain, and a crowded discovery answers nobody for some seconds."""
+    """Close the watches instead of announcing a drain, and answer no call for some seconds."""
 
-    async def play_faults(trial: Trial) -> None:
+    async def inject_faults(trial: Trial) -> None:
         await asyncio.sleep(0.5)
         trial.discovery.push_fault = Fault.CLOSED_BEFORE
         trial.drain("s0")
-        await answer_nobody(trial, 7.5)
+        await stop_answering(trial, 7.5)
 
-    return await played(play_faults, 9.0, seed, root)
+    return await run_with_traffic(inject_faults, 9.0, seed, root)
 
 
 async def restarted(seed: int = 1, root: Path = ROOT) -> TrialResult:
-    """Sidecars restart with a list from before a drain, and a crowded discovery answers nobody."""
+    """Restart sidecars with a list from before a drain, while discovery answers no call."""
 
-    async def play_faults(trial: Trial) -> None:
+    async def inject_faults(trial: Trial) -> None:
         await asyncio.sleep(0.3)
         for sidecar in trial.sidecars:
             sidecar.kill()
@@ -84,20 +84,20 @@
         trial.drain("s0")
         for sidecar in trial.sidecars:
             sidecar.start()
-        await answer_nobody(trial, 7.5)
+        await stop_answering(trial, 7.5)
 
-    return await played(play_faults, 9.0, seed, root)
+    return await run_with_traffic(inject_faults, 9.0, seed, root)
 
 
 async def soak(
     seed: int, sidecars: int = 24, seconds: float = 30.0, root: Path = ROOT, fleet: bool = True
 ) -> TrialResult:
-    """Random faults that overlap, over a few dozen real processes, judged by the invariants."""
+    """Inject overlapping random faults into a few dozen real processes; `fleet` is ignored."""
     del fleet
     async with Trial(seed, sidecars=sidecars, servers=8, root=root) as trial:
-        async with traffic(trial, rate=4, seconds=seconds, leave=0.05):
-            await Faults(trial, seconds).play()
-        return await trial.result()
+        async with traffic(trial, rate=4, seconds=seconds, disconnect_rate=0.05):
+            await RandomFaults(trial, seconds).inject()
+        return await trial.finish_and_check()
 
 
 CASES = {
--- a/trials/endpoint_list/faults.py
+++ b/trials/endpoint_list/faults.py
@@ -1,4 +1,4 @@
-"""Random faults of discovery, servers and processes that overlap."""
+"""Overlapping random faults of discovery, servers and processes."""
 
 from __future__ import annotations
 
@@ -10,19 +10,23 @@
 
 from .trial import DEADLINE, Trial
 
-STOP_TIME = 0.7  # seconds beyond the longest deadline in which a shutdown has ended
+SHUTDOWN_TIME = 0.7  # seconds after the longest deadline by which a shutdown has ended
 CONCURRENT_FAULTS = 4
-MIN_TIME_LEFT = 4.0  # seconds before the end, after which no fault begins
+MIN_TIME_LEFT = 4.0  # seconds before the end from which on no fault begins
 
 
-class Faults:
-    """Random faults of discovery, servers and processes that overlap; a seed names the timetable."""
+class RandomFaults:
+    """Overlapping random faults, drawn from the seed of the trial.
+
+    The names of the methods are printed in the counts of the result.
+    """
 
     def __init__(self, trial: Trial, seconds: float) -> None:
-        """Faults begin until shortly before `seconds` from now."""
+        """Prepare faults that begin until MIN_TIME_LEFT before `seconds` from now."""
         self.trial, self.rng = trial, trial.rng
-        self.until = asyncio.get_running_loop().time() + seconds
-        self.standby = list(trial.servers)[: len(trial.servers) // 4]  # servers that come and go
+        self.end = asyncio.get_running_loop().time() + seconds
+        # The servers that `replace_server` may drain.
+        self.replaceable = list(trial.servers)[: len(trial.servers) // 4]
         self.kinds = (
             self.crowd,
             self.outage,
@@ -37,20 +41,20 @@
             self.pause,
         )
 
-    async def play(self) -> None:
-        """Play several at a time, each after a random pause."""
-        await asyncio.gather(*(self._one_after_another() for _ in range(CONCURRENT_FAULTS)))
+    async def inject(self) -> None:
+        """Inject CONCURRENT_FAULTS at a time, each after a random pause."""
+        await asyncio.gather(*(self._inject_one_after_another() for _ in range(CONCURRENT_FAULTS)))
 
-    async def _one_after_another(self) -> None:
+    async def _inject_one_after_another(self) -> None:
         loop = asyncio.get_running_loop()
-        while (time_left := self.until - loop.time()) > MIN_TIME_LEFT:
+        while (time_left := self.end - loop.time()) > MIN_TIME_LEFT:
             await asyncio.sleep(self.rng.random() * 1.5)
             fault = self.rng.choice(self.kinds)
             self.trial.counts[f"fault {fault.__name__}"] += 1
             await fault(min(time_left, 0.5 + self.rng.random() * 7.0))
 
     async def crowd(self, seconds: float) -> None:
-        """Discovery answers few calls a second, and makes the others wait."""
+        """Overload discovery: it answers few calls a second and lets the others wait."""
         discovery = self.trial.discovery
         discovery.calls_per_second = len(discovery.frontends) / (1.0 + 4.0 * self.rng.random())
         discovery.max_wait = self.rng.choice((1.0, 2.0, 3.0))
@@ -58,67 +62,67 @@
         discovery.calls_per_second = inf
 
     async def outage(self, seconds: float) -> None:
-        """Discovery is down."""
+        """Stop discovery for that time."""
         self.trial.discovery.take_down()
         await asyncio.sleep(seconds)
         self.trial.discovery.bring_up()
 
     async def silence(self, seconds: float) -> None:
-        """All watches fall silent."""
+        """Stall all watches."""
         self.trial.discovery.stall_watches()
         await asyncio.sleep(seconds / 4)
 
     async def reset(self, seconds: float) -> None:
-        """All watches are reset."""
+        """Reset all watches."""
         self.trial.discovery.reset_watches()
         await asyncio.sleep(seconds / 4)
 
     async def break_messages(self, seconds: float) -> None:
-        """Messages to watches do not arrive complete."""
+        """Break messages to watches in a random way."""
         self.trial.discovery.push_fault = self.rng.choice(list(Fault))
         await asyncio.sleep(seconds)
         self.trial.discovery.push_fault = Fault.NONE
 
     async def replace_server(self, seconds: float) -> None:
-        """A server drains, goes and comes back, and answers requests all the while."""
-        if not self.standby:
+        """Drain a server, remove it and add it again; it answers requests all the time."""
+        if not self.replaceable:
             return
-        name = self.standby.pop()
+        name = self.replaceable.pop()
         self.trial.drain(name)
         await asyncio.sleep(seconds)
         self.trial.drain(name, state="left")
         await asyncio.sleep(0.5)
         self.trial.discovery.change(self.trial.entry(name))
-        self.standby.append(name)
+        self.replaceable.append(name)
 
     async def hang_server(self, seconds: float) -> None:
-        """A server takes requests and answers none."""
+        """Have a server accept requests without answering them."""
         name = self.rng.choice([*self.trial.servers])
         self.trial.hanging.add(name)
         await asyncio.sleep(seconds / 2)
         self.trial.hanging.discard(name)
 
     async def kill(self, seconds: float) -> None:
-        """A sidecar is killed and started again."""
+        """Kill a sidecar and restart it."""
         sidecar = self.rng.choice(self.trial.sidecars)
         sidecar.kill()
         await asyncio.sleep(0.2)
         sidecar.start()
 
     async def stop(self, seconds: float) -> None:
-        """A sidecar is shut down, and started again once it has ended."""
+        """Shut a sidecar down by SIGTERM and restart it once it has ended, or by force after its deadline."""
         sidecar = self.rng.choice(self.trial.sidecars)
         process = sidecar.process
         sidecar.signal(signal.SIGTERM)
-        until = asyncio.get_running_loop().time() + DEADLINE + STOP_TIME
-        while sidecar.alive and asyncio.get_running_loop().time() < until:
+        end = asyncio.get_running_loop().time() + DEADLINE + SHUTDOWN_TIME
+        while sidecar.alive and asyncio.get_running_loop().time() < end:
             await asyncio.sleep(0.05)
         if sidecar.process is process:
             sidecar.kill()
             sidecar.start()
 
     async def pause(self, seconds: float) -> None:
-        """A sidecar is held up for a little less than the 0.15 s that the rules allow for."""
+        """Pause a sidecar for 0.12 s, a little less than the 0.15 s that the checks allow for."""
         sidecar = self.rng.choice(self.trial.sidecars)
         sidecar.signal(signal.SIGSTOP)
         await asyncio.sleep(0.12)
--- a/trials/hard.py
+++ b/trials/hard.py
@@ -1,4 +1,4 @@
-"""Hard cases one by one, each with several real processes: a timetable would meet them only by chance."""
+"""Hard cases with several real processes, each of which a random timetable would rarely produce."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from .verdict import TrialResult
 
 
-async def half(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> TrialResult:
-    """Half of the fleet is killed at once, more than there are replicas; the others go on."""
+async def kill_half(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> TrialResult:
+    """Kill half of the fleet at once, more members than a request has replicas; the others continue."""
     async with Cluster(seed, sidecars, root=root, fleet=fleet) as cluster:
         sending = asyncio.create_task(cluster.clients.send(120.0, 4.5, REQUEST_MIX))
         await asyncio.sleep(1.0)
@@ -20,57 +20,75 @@
             cluster.kill_sidecar(sidecar)
         killed_at = asyncio.get_running_loop().time()
         result = await cluster.finish_and_check(sending)
-        later = [w for w in cluster.clients.requests if w.started_at > killed_at + cluster.lease]
-        # Requests from before the next view are outside the promise: counted, but not held against it.
-        early = [w.request_id for w in cluster.clients.requests if w.started_at <= killed_at + cluster.lease]
+        later = [
+            request for request in cluster.clients.requests if request.started_at > killed_at + cluster.lease
+        ]
+        # The guarantee does not cover requests from before the next view: they are counted only.
+        early_ids = [
+            request.request_id
+            for request in cluster.clients.requests
+            if request.started_at <= killed_at + cluster.lease
+        ]
         result.violations = [
-            b for b in result.violations if not any(f" {name} " in f"{b} " for name in early)
+            violation
+            for violation in result.violations
+            if not any(f" {request_id} " in f"{violation} " for request_id in early_ids)
         ]
         result.counts["after the next view"] = len(later)
-        result.counts["of these finished"] = sum(w.succeeded for w in later)
-        if any(not w.succeeded for w in later):
-            result.violations.append("work that came after the next view was not finished")
+        result.counts["of these finished"] = sum(request.succeeded for request in later)
+        if any(not request.succeeded for request in later):
+            result.violations.append("requests that were sent after the next view did not succeed")
         return result
 
 
-async def bodies(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> TrialResult:
-    """A loss while requests with bodies of 60 KiB are open."""
+async def kill_with_large_bodies(
+    seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True
+) -> TrialResult:
+    """Kill a sidecar while requests with bodies of 60 KiB are open."""
     async with Cluster(seed, sidecars, root=root, fleet=fleet) as cluster:
-        cluster.clients.make_body = lambda work: work.request_id.encode().ljust(60 * 1024, b".")
+        cluster.clients.make_body = lambda request: request.request_id.encode().ljust(60 * 1024, b".")
         sending = asyncio.create_task(cluster.clients.send(60.0, 2.0, {"buy": 1.0, "move": 1.0}))
         await asyncio.sleep(1.0)
-        lost = cluster.rng.choice(cluster.sidecars)
-        affected = cluster.kill_sidecar(lost)
+        killed = cluster.rng.choice(cluster.sidecars)
+        affected = cluster.kill_sidecar(killed)
         result = await cluster.finish_and_check(sending)
         result.counts["in hand at the loss"] = len(affected)
-        result.counts["ticketed of these"] = sum(w.request_class == "move" for w in affected)
-        result.counts["of those finished"] = sum(w.request_class == "move" and w.succeeded for w in affected)
-        if any(w.request_class == "move" and not w.succeeded for w in affected):
-            result.violations.append("ticketed work was lost with its sidecar")
+        result.counts["ticketed of these"] = sum(request.request_class == "move" for request in affected)
+        result.counts["of those finished"] = sum(
+            request.request_class == "move" and request.succeeded for request in affected
+        )
+        if any(request.request_class == "move" and not request.succeeded for request in affected):
+            result.violations.append("requests with a key were lost with their sidecar")
         return result
 
 
-async def keeper(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> TrialResult:
-    """A replica that hangs holds up no request without a name."""
+async def pause_replica(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> TrialResult:
+    """Pause a replica: it must not delay requests without an idempotency key."""
     async with Cluster(seed, sidecars, root=root, fleet=fleet) as cluster:
-        slow = cluster.rng.choice(cluster.sidecars)
-        cluster.clients.avoided.add(slow.name)
-        slow.signal(signal.SIGSTOP)
+        paused = cluster.rng.choice(cluster.sidecars)
+        cluster.clients.avoided.add(paused.name)
+        paused.signal(signal.SIGSTOP)
         await cluster.clients.send(100.0, 1.5, {"look": 1.0, "buy": 1.0}, keyed=False)
-        slow.signal(signal.SIGCONT)
+        paused.signal(signal.SIGCONT)
         await cluster.clients.finish(cluster.clients.timeout + 1)
-        works = cluster.clients.requests
-        again = [w for w in works if len(w.attempts) > 1 or not w.succeeded]
+        requests = cluster.clients.requests
+        delayed = [request for request in requests if len(request.attempts) > 1 or not request.succeeded]
         result = TrialResult(
-            {"work": len(works), "finished": sum(w.succeeded for w in works), "held up": len(again)}
+            {
+                "work": len(requests),
+                "finished": sum(request.succeeded for request in requests),
+                "held up": len(delayed),
+            }
         )
-        if again:
-            result.violations.append(f"work without a name was held up: {[w.request_id for w in again][:5]}")
+        if delayed:
+            result.violations.append(
+                f"requests without a key were delayed: {[request.request_id for request in delayed][:5]}"
+            )
         return result
 
 
-async def woken(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> TrialResult:
-    """A coordinator is stopped for a second with open requests, whose clients retry, and then woken."""
+async def pause_owner(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> TrialResult:
+    """Pause an owner with open requests for a second while their clients retry elsewhere, then resume it."""
     async with Cluster(seed, sidecars, root=root, fleet=fleet) as cluster:
         cluster.clients.timeout = 3.0
         sending = asyncio.create_task(cluster.clients.send(150.0, 2.0, REQUEST_MIX))
@@ -79,10 +97,10 @@
         affected = cluster.open_requests(owner)
         owner.signal(signal.SIGSTOP)
         cluster.clients.avoided.add(owner.name)
-        for work in affected:
-            # Another client of that name does not wait until it wakes.
-            others = [s.name for s in cluster.sidecars if s is not owner]
-            cluster.clients.send_duplicate(work, cluster.rng.choice(others))
+        for request in affected:
+            # A second client with the same idempotency key does not wait until the owner resumes.
+            others = [sidecar.name for sidecar in cluster.sidecars if sidecar is not owner]
+            cluster.clients.send_duplicate(request, cluster.rng.choice(others))
         await asyncio.sleep(1.0)
         owner.signal(signal.SIGCONT)
         result = await cluster.finish_and_check(sending)
@@ -90,8 +108,10 @@
         return result
 
 
-async def stopped(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> TrialResult:
-    """SIGTERM to one after another under load, each started again: nothing is lost or done twice."""
+async def restart_one_by_one(
+    seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True
+) -> TrialResult:
+    """Stop sidecars by SIGTERM one by one under load and restart them: nothing is lost or runs twice."""
     async with Cluster(seed, sidecars, root=root, fleet=fleet) as cluster:
         sending = asyncio.create_task(cluster.clients.send(120.0, 6.0, REQUEST_MIX))
         for sidecar in cluster.sidecars[:3]:
@@ -104,72 +124,84 @@
             await sidecar.wait_until_ready()
             cluster.clients.avoided.discard(sidecar.name)
         result = await cluster.finish_and_check(sending)
-        if any(not w.succeeded for w in cluster.clients.requests):
-            lost = [w.request_id for w in cluster.clients.requests if not w.succeeded]
-            result.violations.append(f"work was lost at a planned stop: {lost[:5]}")
+        if any(not request.succeeded for request in cluster.clients.requests):
+            lost = [request.request_id for request in cluster.clients.requests if not request.succeeded]
+            result.violations.append(f"requests were lost at a planned stop: {lost[:5]}")
         return result
 
 
-async def cut(
+async def split_shards(
     seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True, cell_size: int = 3
 ) -> TrialResult:
-    """The fleet is cut in two, and again, under load; sidecars are lost right after, and cells are joined."""
+    """Split the shards twice under load and kill sidecars after each split, so that shards merge again."""
     async with Cluster(
         seed, sidecars, root=root, fleet=fleet, lease=1, cell_size=cell_size, presharded=False
     ) as cluster:
         sending = asyncio.create_task(cluster.clients.send(80.0, 34.0, REQUEST_MIX, duplicate_rate=0.05))
-        counts, lost = [1], 0
+        counts, loss_count = [1], 0
         until = asyncio.get_running_loop().time() + 33.0
         while asyncio.get_running_loop().time() < until:
-            there = next(s for s in cluster.sidecars if s.alive)
-            count = (await there.admin_call("GET", "/_fleet"))[1]["cells"]["count"]
+            running_sidecar = next(sidecar for sidecar in cluster.sidecars if sidecar.alive)
+            count = (await running_sidecar.admin_call("GET", "/_fleet"))[1]["cells"]["count"]
             if count != counts[-1]:
                 counts.append(count)
-                # At each cut one is killed for good; at the last one all but two.
-                away = [s for s in cluster.sidecars if s.alive and count > counts[-2]][1:]
-                if not away:
+                # One sidecar is killed for good after each split; after the last one, all but two are.
+                candidates = [
+                    sidecar for sidecar in cluster.sidecars if sidecar.alive and count > counts[-2]
+                ][1:]
+                if not candidates:
                     continue
-                for sidecar in cluster.rng.sample(away, 1 if count < cluster.shard_count else len(away) - 1):
+                for sidecar in cluster.rng.sample(
+                    candidates, 1 if count < cluster.shard_count else len(candidates) - 1
+                ):
                     cluster.kill_sidecar(sidecar)
-                    lost += 1
+                    loss_count += 1
                     await asyncio.sleep(cluster.lease)
             await asyncio.sleep(0.02)
         result = await cluster.finish_and_check(sending)
-        result.counts |= {"changes of the cells": len(counts) - 1, "losses": lost}
+        result.counts |= {"changes of the cells": len(counts) - 1, "losses": loss_count}
         if counts != [1, 2, 4, 2]:
-            result.violations.append(f"the cells were not cut and joined as their size says: {counts}")
+            result.violations.append(f"the shards were not split and merged as cell_size requires: {counts}")
         return result
 
 
-async def gone(
+async def stop_store(
     seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True, cell_size: int = 3
 ) -> TrialResult:
-    """The arbiter is gone for many leases: each goes on by the words of more than half, of all cells."""
+    """Stop the store for many leases: members continue on the statuses of most members of all shards."""
     async with Cluster(seed, sidecars, root=root, fleet=fleet, lease=1, cell_size=cell_size) as cluster:
         sending = asyncio.create_task(cluster.clients.send(80.0, 10.0, REQUEST_MIX))
         await asyncio.sleep(1.0)
         await cluster.store.take_down()
         await asyncio.sleep(8.0)
-        reports = [(await s.admin_call("GET", "/_fleet"))[1] for s in cluster.sidecars]
+        reports = [(await sidecar.admin_call("GET", "/_fleet"))[1] for sidecar in cluster.sidecars]
         result = await cluster.finish_and_check(sending)
         doubts = sum(
-            line["reason"] == "alone" for s in cluster.sidecars for line in s.log_lines("policy.doubt")
+            line["reason"] == "alone"
+            for sidecar in cluster.sidecars
+            for line in sidecar.log_lines("policy.doubt")
+        )
+        uncovered = sum(
+            len(sidecar.log_lines("cover.none", "cover.given_up")) for sidecar in cluster.sidecars
         )
-        uncovered = sum(len(s.log_lines("cover.none", "cover.given_up")) for s in cluster.sidecars)
-        held_up = [w.request_id for w in cluster.clients.requests if not w.succeeded or len(w.attempts) > 1]
-        result.counts |= {"doubts": doubts, "uncovered or given up": uncovered, "held up": len(held_up)}
+        delayed = [
+            request.request_id
+            for request in cluster.clients.requests
+            if not request.succeeded or len(request.attempts) > 1
+        ]
+        result.counts |= {"doubts": doubts, "uncovered or given up": uncovered, "held up": len(delayed)}
         result.counts["with a lease still"] = sum(report["lease_s"] > 0 for report in reports)
-        if doubts or uncovered or held_up:
-            result.violations.append(f"the arbiter's loss was seen, by {held_up[:5]}")
+        if doubts or uncovered or delayed:
+            result.violations.append(f"the store's outage affected requests: {delayed[:5]}")
         return result
 
 
 CASES = {
-    "half": half,
-    "bodies": bodies,
-    "keeper": keeper,
-    "woken": woken,
-    "stopped": stopped,
-    "cut": cut,
-    "gone": gone,
+    "half": kill_half,
+    "bodies": kill_with_large_bodies,
+    "keeper": pause_replica,
+    "woken": pause_owner,
+    "stopped": restart_one_by_one,
+    "cut": split_shards,
+    "gone": stop_store,
 }
--- a/trials/parts.py
+++ b/trials/parts.py
@@ -1,6 +1,6 @@
-"""Which part of the program takes a sidecar's processor time for a call: the trial `added` under a profiler.
+"""Shares of a sidecar's CPU time by part of the program, from the trial `added` under a profiler.
 
-A profiler slows what it watches, small functions most: the shares say where time goes, not how much it is.
+A profiler slows down what it measures, small functions most: the shares say where time goes, not how much.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from . import added
 from .rig import MEMORY_FOLDER
 
-PLACES = (
-    # A part of a path or of a builtin's name, and the part of the program; the first that fits counts.
+PARTS_BY_PLACE = (
+    # A substring of a path or of a builtin's name, and the part of the program; the first match counts.
     ("method 'poll' of 'select", "waiting for sockets"),
     ("/h11/", "h11"),
     ("socket", "sockets: connect, accept, read, write, close"),
@@ -36,51 +36,53 @@
     ("fleet/", "cover"),
     ("net/", "the rest of net"),
 )
-START_MARKS = ("importlib", "<frozen", "marshal", "{built-in method builtins.exec}", "posix.stat")
+START_PATTERNS = ("importlib", "<frozen", "marshal", "{built-in method builtins.exec}", "posix.stat")
 
 
-def whose(place: tuple[str, int, str]) -> str:
-    """Return the part of the program that a function of the profile belongs to."""
+def part_of(place: tuple[str, int, str]) -> str:
+    """Return the part of the program to which a function of the profile belongs."""
     text = f"{place[0]} {place[2]}"
-    if any(mark in text for mark in START_MARKS):
+    if any(pattern in text for pattern in START_PATTERNS):
         return "start"
-    return next((name for part, name in PLACES if part in text), "builtins and library")
+    return next((name for pattern, name in PARTS_BY_PLACE if pattern in text), "builtins and library")
 
 
 async def run_trial(seed: int, rate: float, seconds: float) -> dict[str, Any]:
-    """Return shares of processor time, per cent, without that of waiting and of the start."""
+    """Return shares of CPU time in percent, without the time spent waiting and starting."""
     with tempfile.TemporaryDirectory(prefix="parts-", dir=MEMORY_FOLDER) as folder:
         out = Path(folder) / "profile"
         command = ("-m", "cProfile", "-o", str(out), "-m", "starlingwheel")
         result = await added.run_trial(seed, rates=(rate,), seconds=seconds, command=command)
         stats = pstats.Stats(str(out)).stats  # type: ignore[attr-defined]
-    spent: Counter[str] = Counter()
+    cpu_times: Counter[str] = Counter()
     calls: Counter[str] = Counter()
-    for place, (_, count, own, _, _) in stats.items():
-        spent[whose(place)] += own
-        calls[whose(place)] += count
+    for place, (_, count, own_time, _, _) in stats.items():
+        cpu_times[part_of(place)] += own_time
+        calls[part_of(place)] += count
     for name in ("waiting for sockets", "start"):
-        spent.pop(name, None)
-    total = sum(spent.values())
+        cpu_times.pop(name, None)
+    total = sum(cpu_times.values())
     return {
         "trial": "parts",
         "seed": seed,
         "rate": rate,
-        "shares": {name: round(100 * own / total, 1) for name, own in spent.most_common()},
-        "calls": {name: calls[name] for name in spent},
+        "shares": {name: round(100 * own_time / total, 1) for name, own_time in cpu_times.most_common()},
+        "calls": {name: calls[name] for name in cpu_times},
         **result.counts,
     }
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the command; return its exit code."""
+    """Run the command and return its exit code."""
     parser = argparse.ArgumentParser(prog="python -m trials parts", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="(default: 1)")
     parser.add_argument("--rate", type=float, default=344.0, help="calls a second (default: 344)")
     parser.add_argument("--seconds", type=float, default=8.0, help="(default: 8)")
     options = parser.parse_args(arguments)
-    if not (1 <= options.rate <= 5000 and added.FIRST < options.seconds <= 60):
-        print(f"a rate from 1 to 5000, seconds from {added.FIRST} to 60", file=sys.stderr)
+    if not (1 <= options.rate <= 5000 and added.WARM_UP < options.seconds <= 60):
+        print(
+            f"--rate must be from 1 to 5000, --seconds above {added.WARM_UP} and at most 60", file=sys.stderr
+        )
         return 2
     print(json.dumps(asyncio.run(run_trial(options.seed, options.rate, options.seconds))))
     return 0
--- a/trials/policy.py
+++ b/trials/policy.py
@@ -1,4 +1,4 @@
-"""Changes of the fleet's policy, with faults in every phase: everywhere or nowhere, seen from outside."""
+"""Changes of the fleet's policy under faults: each applies at all sidecars or at none, as clients see it."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 from fakes.http1 import ConnectionBrokenError
 
-from .policy_faults import FaultInjector, FaultKind
+from .policy_faults import FaultKind, PolicyFaultInjector
 from .policy_observer import Change, PolicyObserver, find_violations
-from .rig import CAPS, CATEGORIES, ROOT, TIMES, Cluster
+from .rig import CAPS, CATEGORIES, CATEGORY_TIMES, ROOT, Cluster
 from .verdict import TrialResult
 
-CLOCK_AHEAD = 0.2  # seconds that the clock of one sidecar is ahead
-SMALL_MEMORY = 24.0  # MB, of one sidecar, for which a large policy is too large
+CLOCK_AHEAD = 0.2  # seconds by which the clock of one sidecar is ahead
+SMALL_MEMORY_LIMIT = 24.0  # MB, of one sidecar, which cannot apply a large policy
 LARGE_POLICY_TENANTS = 140
 LEASE = 1  # seconds
 POLL_INTERVAL = 0.05  # seconds
-PROPOSED_AFTER = 0.7  # seconds from the first fault that may happen
-ENDED_WITHIN = 12.0  # seconds from the last fault of a change
-PROPOSERS = 4  # sidecars that a proposal is tried at
+PROPOSAL_DELAY = 0.7  # seconds from the earliest possible fault to the proposal
+END_TIMEOUT = 12.0  # seconds from the last fault of a change to its end
+MAX_PROPOSERS = 4  # sidecars at which a proposal is tried
 NOW_KEY, NEXT_KEY = b"/trial/policy/now", b"/trial/policy/next"
 
 
 def policy_body(label: str, tenants: int = 0) -> dict[str, Any]:
-    """A policy with a category of that name; `tenants`: to make it large."""
-    category = {"name": label, "effect": "free", "payoff": 1.0} | TIMES
+    """Return a policy with a category named `label`, and with that many tenants to make it large."""
+    category = {"name": label, "effect": "free", "payoff": 1.0} | CATEGORY_TIMES
     settings: dict[str, Any] = {
         "categories": [*CATEGORIES, category],
         "caps": CAPS,
@@ -48,13 +48,13 @@
 
 
 def decision_in_store(cluster: Cluster) -> dict[str, Any] | None:
-    """The decision, as the coordination store has it."""
+    """Return the latest decision in the coordination store."""
     entry = cluster.store.entries.get(NOW_KEY)
     return json.loads(entry.value) if entry else None
 
 
 def outcome(cluster: Cluster, label: str) -> str:
-    """How a change has ended, as the coordination store has it; empty: it is open, or was never proposed."""
+    """Return 'decided' or 'dropped' by the coordination store; empty while open or if never proposed."""
     decision = decision_in_store(cluster)
     if decision:
         categories = decision["policy"]["body"]["settings"]["categories"]
@@ -67,11 +67,11 @@
     return ""
 
 
-def _make_rig(seed: int, sidecars: int, root: Path, fleet: bool) -> Cluster:
+def _make_cluster(seed: int, sidecars: int, root: Path, fleet: bool) -> Cluster:
     categories = policy_body("a0")["settings"]["categories"]
     return Cluster(
         seed, sidecars, upstreams=4, service_time=0.01, root=root, fleet=fleet, lease=LEASE,
-        categories=categories, clock_offsets={1: CLOCK_AHEAD}, memory_limits={2: SMALL_MEMORY},
+        categories=categories, clock_offsets={1: CLOCK_AHEAD}, memory_limits={2: SMALL_MEMORY_LIMIT},
     )  # fmt: skip
 
 
@@ -82,88 +82,90 @@
 async def run_changes(
     seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True, count: int = 7, faulty: bool = True
 ) -> TrialResult:
-    """`count` changes, one after another, each with faults in some phase of it."""
-    async with _make_rig(seed, sidecars, root, fleet) as cluster:
+    """Make `count` changes one after another, each with faults in some phase unless `faulty` is False."""
+    async with _make_cluster(seed, sidecars, root, fleet) as cluster:
         rng = _make_rng(seed)
-        observer, injector = PolicyObserver(cluster), FaultInjector(cluster, rng)
-        made: list[Change] = []
+        observer, injector = PolicyObserver(cluster), PolicyFaultInjector(cluster, rng)
+        changes: list[Change] = []
         await asyncio.sleep(0.5)
         for number in range(1, count + 1):
-            made.append(Change(f"a{number}"))
-            observer.follow(made[-1].label)
-            await _change_with_faults(cluster, rng, made[-1], injector if faulty else None, fleet)
-            await _wait_for_followers(cluster, observer, made, 15.0 if fleet else 3.0)
+            changes.append(Change(f"a{number}"))
+            observer.add_label(changes[-1].label)
+            await _change_with_faults(cluster, rng, changes[-1], injector if faulty else None, fleet)
+            await _wait_for_followers(cluster, observer, changes, 15.0 if fleet else 3.0)
         observer.stop()
-        return _verdict(cluster, observer, made)
+        return _make_result(cluster, observer, changes)
 
 
 async def _change_with_faults(
-    cluster: Cluster, rng: random.Random, change: Change, injector: FaultInjector | None, fleet: bool
+    cluster: Cluster, rng: random.Random, change: Change, injector: PolicyFaultInjector | None, fleet: bool
 ) -> None:
-    """Make the change while faults happen, and wait until it has ended."""
+    """Make the change under faults and wait until it has ended."""
     faults = injector.draw() if injector is not None else []
     change.faults = [str(fault) for fault in faults]
-    begin = asyncio.get_running_loop().time() + PROPOSED_AFTER
-    playing = [asyncio.create_task(injector.play(fault, begin)) for fault in faults if injector is not None]
-    await asyncio.sleep(PROPOSED_AFTER)
+    begin = asyncio.get_running_loop().time() + PROPOSAL_DELAY
+    injections = [
+        asyncio.create_task(injector.inject(fault, begin)) for fault in faults if injector is not None
+    ]
+    await asyncio.sleep(PROPOSAL_DELAY)
     if fleet:
-        is_too_large = any(fault.kind == FaultKind.UNFIT_POLICY for fault in faults)
-        await _propose(cluster, rng, change, LARGE_POLICY_TENANTS if is_too_large else 0)
+        is_unfit = any(fault.kind == FaultKind.UNFIT_POLICY for fault in faults)
+        await _propose(cluster, rng, change, LARGE_POLICY_TENANTS if is_unfit else 0)
     else:
         await _rewrite_files(cluster, change)
-    await asyncio.gather(*playing)
+    await asyncio.gather(*injections)
     if fleet:
-        # All that failed is back by now, so the change comes to an end.
+        # All faults have ended by now, so the change comes to an end.
         await _wait_until(
-            lambda: not change.proposal_status or bool(outcome(cluster, change.label)), ENDED_WITHIN
+            lambda: not change.proposal_status or bool(outcome(cluster, change.label)), END_TIMEOUT
         )
         change.outcome = outcome(cluster, change.label)
 
 
 async def _wait_for_followers(
-    cluster: Cluster, observer: PolicyObserver, made: list[Change], seconds: float
+    cluster: Cluster, observer: PolicyObserver, changes: list[Change], seconds: float
 ) -> None:
-    """Wait until all serve under the last policy that was decided; those that do not are noted."""
+    """Wait until all sidecars serve under the last decided policy, and record those that do not."""
     loop = asyncio.get_running_loop()
-    in_force = ([change for change in made if change.outcome == "decided"] or [Change("a0")])[-1]
+    in_force = ([change for change in changes if change.outcome == "decided"] or [Change("a0")])[-1]
     await asyncio.sleep(max(0.0, in_force.switch_at - loop.time()))
     since = loop.time()
 
-    def behind() -> list[str]:
+    def lagging() -> list[str]:
         return [s.name for s in cluster.sidecars if not observer.serves(s, in_force.label, since)]
 
-    await _wait_until(lambda: not behind(), seconds)
-    if behind():
-        made[-1].faults.append(f"behind {in_force.label}: {behind()}")
+    await _wait_until(lambda: not lagging(), seconds)
+    if lagging():
+        changes[-1].faults.append(f"lagging behind {in_force.label}: {lagging()}")
 
 
 async def store_outage(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> TrialResult:
-    """The store is gone for twenty leases: no request is deferred for it, and a change waits."""
-    async with _make_rig(seed, sidecars, root, fleet) as cluster:
+    """Stop the store for twenty lease times: no request is deferred because of that."""
+    async with _make_cluster(seed, sidecars, root, fleet) as cluster:
         rng, change = _make_rng(seed), Change("a1")
         observer, loop = PolicyObserver(cluster), asyncio.get_running_loop()
         await _change_without_faults(cluster, rng, change, 1.0)
-        gone_at = loop.time()
+        down_at = loop.time()
         await cluster.store.take_down()
         await asyncio.sleep(20.0 * LEASE)
-        back_at = loop.time()
+        up_at = loop.time()
         await cluster.store.start()
         await asyncio.sleep(3.0 * LEASE)
         observer.stop()
-        result = _verdict(cluster, observer, [change])
-        meanwhile = [a for a in observer.answers if gone_at < a.asked_at < back_at and a.label == "a1"]
-        deferred = sum(answer.status != 200 for answer in meanwhile)
-        result.counts |= {"asked while it was gone": len(meanwhile), "not finished of these": deferred}
+        result = _make_result(cluster, observer, [change])
+        answers_during = [a for a in observer.answers if down_at < a.sent_at < up_at and a.label == "a1"]
+        deferred = sum(answer.status != 200 for answer in answers_during)
+        result.counts |= {"asked while it was gone": len(answers_during), "not finished of these": deferred}
         if deferred:
-            result.violations.append(f"{deferred} work items were not finished while the arbiter was gone")
+            result.violations.append(f"{deferred} requests did not succeed while the store was down")
         return result
 
 
 async def restart_without_store(
     seed: int, sidecars: int = 6, root: Path = ROOT, fleet: bool = True
 ) -> TrialResult:
-    """After a change all are killed while the store is gone: by what they stored they follow the new one."""
-    async with _make_rig(seed, sidecars, root, fleet) as cluster:
+    """Restart all sidecars after a change without the store: they follow the new policy by stored data."""
+    async with _make_cluster(seed, sidecars, root, fleet) as cluster:
         rng, change = _make_rng(seed), Change("a1")
         observer, loop = PolicyObserver(cluster), asyncio.get_running_loop()
         await _change_without_faults(cluster, rng, change, 0.5)
@@ -174,23 +176,23 @@
         for sidecar in cluster.sidecars:
             sidecar.start()
         await _wait_until(lambda: all(observer.serves(s, "a1", since) for s in cluster.sidecars), 20.0)
-        back = [sidecar.name for sidecar in cluster.sidecars if observer.serves(sidecar, "a1", since)]
-        took = loop.time() - since
+        restored = [sidecar.name for sidecar in cluster.sidecars if observer.serves(sidecar, "a1", since)]
+        duration = loop.time() - since
         observer.stop()
-        result = _verdict(cluster, observer, [change])
-        result.counts |= {"back without the arbiter": len(back), "after ms": round(1000 * took)}
-        if len(back) < sidecars:
-            result.violations.append(f"only {back} came back")
+        result = _make_result(cluster, observer, [change])
+        result.counts |= {"back without the arbiter": len(restored), "after ms": round(1000 * duration)}
+        if len(restored) < sidecars:
+            result.violations.append(f"only {restored} serve the policy after the restart")
         return result
 
 
 async def rolling_restart(seed: int, sidecars: int = 5, root: Path = ROOT, fleet: bool = True) -> TrialResult:
-    """Sidecars are told to stop and started anew while changes are made."""
-    async with _make_rig(seed, sidecars, root, fleet) as cluster:
+    """Stop sidecars by SIGTERM and restart them while changes are made."""
+    async with _make_cluster(seed, sidecars, root, fleet) as cluster:
         rng, observer = _make_rng(seed), PolicyObserver(cluster)
-        made = [Change(f"a{number}") for number in range(1, 4)]
-        for change in made:
-            observer.follow(change.label)
+        changes = [Change(f"a{number}") for number in range(1, 4)]
+        for change in changes:
+            observer.add_label(change.label)
             await _propose(cluster, rng, change, 0)
             for sidecar in rng.sample(cluster.sidecars, 2):
                 sidecar.signal(signal.SIGTERM)
@@ -198,52 +200,52 @@
                 await asyncio.to_thread(sidecar.process.wait)
                 sidecar.start()
             await _wait_until(
-                lambda c=change: not c.proposal_status or bool(outcome(cluster, c.label)), ENDED_WITHIN
+                lambda c=change: not c.proposal_status or bool(outcome(cluster, c.label)), END_TIMEOUT
             )
             change.outcome = outcome(cluster, change.label)
             await asyncio.sleep(max(0.0, change.switch_at + 0.5 - asyncio.get_running_loop().time()))
         observer.stop()
-        return _verdict(cluster, observer, made)
+        return _make_result(cluster, observer, changes)
 
 
 CASES = {"quiet": store_outage, "restart": restart_without_store, "replaced": rolling_restart}
 
 
-async def _wait_until(holds: Callable[[], bool], seconds: float) -> None:
+async def _wait_until(condition: Callable[[], bool], seconds: float) -> None:
     until = asyncio.get_running_loop().time() + seconds
-    while not holds() and asyncio.get_running_loop().time() < until:
+    while not condition() and asyncio.get_running_loop().time() < until:
         await asyncio.sleep(POLL_INTERVAL)
 
 
-async def _change_without_faults(cluster: Cluster, rng: random.Random, change: Change, rest: float) -> None:
-    """One change without faults, until `rest` seconds past its switch time."""
+async def _change_without_faults(cluster: Cluster, rng: random.Random, change: Change, delay: float) -> None:
+    """Make a change without faults and wait until `delay` seconds past its switch time."""
     await _propose(cluster, rng, change, 0)
     await _wait_until(lambda: bool(outcome(cluster, change.label)), 5.0)
     change.outcome = outcome(cluster, change.label)
-    await asyncio.sleep(max(0.0, change.switch_at + rest - asyncio.get_running_loop().time()))
+    await asyncio.sleep(max(0.0, change.switch_at + delay - asyncio.get_running_loop().time()))
 
 
 async def _propose(cluster: Cluster, rng: random.Random, change: Change, tenants: int) -> None:
-    """Propose the change at any sidecar that takes it."""
+    """Propose the change at random sidecars until one accepts it, at most MAX_PROPOSERS."""
     loop = asyncio.get_running_loop()
-    for sidecar in rng.sample(cluster.sidecars, len(cluster.sidecars))[:PROPOSERS]:
+    for sidecar in rng.sample(cluster.sidecars, len(cluster.sidecars))[:MAX_PROPOSERS]:
         began_at = loop.time()
         with contextlib.suppress(ConnectionBrokenError, TimeoutError, OSError):
             call = {"policy": policy_body(change.label, tenants)}
             change.proposal_status, _ = await sidecar.admin_call("PUT", "/_policy/propose", call)
-            if change.proposal_status in (200, 503):  # 503: it may be written, as the store tells
+            if change.proposal_status in (200, 503):  # 503: it may have been written, which the store shows
                 break
     proposal = cluster.store.entries.get(NEXT_KEY)
-    found = json.loads(proposal.value) if proposal else decision_in_store(cluster)
-    if found is not None:
-        change.switch_at = began_at + found["at"] - cluster.to_wall_clock(began_at)
+    entry_value = json.loads(proposal.value) if proposal else decision_in_store(cluster)
+    if entry_value is not None:
+        change.switch_at = began_at + entry_value["at"] - cluster.to_wall_clock(began_at)
     if change.proposal_status == 200:
         await _wait_until(lambda: bool(outcome(cluster, change.label)), 2.0)
         change.ended_after = loop.time() - began_at
 
 
 async def _rewrite_files(cluster: Cluster, change: Change) -> None:
-    """Without a fleet, give each sidecar another file and the signal. One file is broken."""
+    """Without a fleet, rewrite each sidecar's file and send SIGHUP; one of the files is cut short."""
     cluster.categories = policy_body(change.label)["settings"]["categories"]
     for sidecar in cluster.sidecars:
         text = json.dumps(sidecar.configuration())
@@ -252,33 +254,35 @@
     change.switch_at, change.outcome = asyncio.get_running_loop().time(), "decided"
 
 
-def _verdict(cluster: Cluster, observer: PolicyObserver, made: list[Change]) -> TrialResult:
+def _make_result(cluster: Cluster, observer: PolicyObserver, changes: list[Change]) -> TrialResult:
     result = TrialResult()
-    result.violations = find_violations(observer.answers, made, cluster.start)
-    for change in made:
-        behind = [fault for fault in change.faults if fault.startswith("behind")]
-        if behind:
-            result.violations.append(f"{change.label} ({change.outcome}): {behind[0]}")
+    result.violations = find_violations(observer.answers, changes, cluster.start)
+    for change in changes:
+        lagging = [fault for fault in change.faults if fault.startswith("lagging")]
+        if lagging:
+            result.violations.append(f"{change.label} ({change.outcome}): {lagging[0]}")
         if change.proposal_status == 200 and not change.outcome:
             result.violations.append(f"{change.label}: neither decided nor dropped")
     if defects := cluster.defects():
-        result.violations.append(f"a defect: {defects[0]}")
+        result.violations.append(f"an error in the program was logged: {defects[0]}")
     if result.violations:
         result.violations += [
             f"{c.label}: {c.proposal_status} {c.outcome} at {c.switch_at - cluster.start:.3f}: {c.faults}"
-            for c in made
+            for c in changes
         ]
-    doubts = [line["after"] for sidecar in cluster.sidecars for line in sidecar.log_lines("policy.sure")]
-    outcomes = Counter(change.outcome or "not taken" for change in made)
-    times = sorted(change.ended_after for change in made if change.outcome == "decided")
+    uncertain_times = [
+        line["after"] for sidecar in cluster.sidecars for line in sidecar.log_lines("policy.sure")
+    ]
+    outcomes = Counter(change.outcome or "not taken" for change in changes)
+    times = sorted(change.ended_after for change in changes if change.outcome == "decided")
     statuses = Counter(answer.status for answer in observer.answers)
     result.counts = {
-        "changes": len(made),
+        "changes": len(changes),
         **outcomes,
         "answers": len(observer.answers),
         "deferred": statuses[503],
-        "doubts": len(doubts),
-        "doubt ms, worst": round(1000 * max(doubts, default=0)),
+        "doubts": len(uncertain_times),
+        "doubt ms, worst": round(1000 * max(uncertain_times, default=0)),
         "decided after ms, median": round(1000 * times[len(times) // 2]) if times else 0,
     }
     return result
--- a/trials/policy_observer.py
+++ b/trials/policy_observer.py
@@ -1,7 +1,7 @@
-"""Which policy each sidecar follows, seen from outside.
+"""Observes which policy each sidecar applies, by requests as clients send them.
 
-Each proposed policy has a category of its own, its label, which no other one has. A sidecar that serves the
-category follows that policy; one that follows another answers 404.
+Each proposed policy has a category that no other policy has, its label. A sidecar serves requests of that
+category while it applies the policy, and answers 404 under any other.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 from .rig import Cluster, Sidecar
 
-SLACK = 0.25  # seconds that clocks may differ, and a request may be on its way
-ASK_INTERVAL = 0.08  # seconds between the requests to each sidecar
+TIME_TOLERANCE = 0.25  # seconds for differences of clocks and the time that a request is on its way
+POLL_INTERVAL = 0.08  # seconds between two polls of a sidecar
 REQUEST_TIMEOUT = 4.0  # seconds
-LABELS_ASKED = 3  # the latest ones
-BEFORE_ALL, AFTER_ALL = -1e18, 1e18  # times
+POLLED_LABELS = 3  # the number of latest labels that are polled
+BEFORE_ALL, AFTER_ALL = -1e18, 1e18  # times before and after all others
 
 
 @dataclass
 class Answer:
-    """One answer, and the label that was asked for. Times are seconds on the loop's clock."""
+    """One response, and the label of its request. Times are seconds on the loop's clock."""
 
     label: str
-    asked_at: float
+    sent_at: float
     answered_at: float
     sidecar: str
     status: int
@@ -34,87 +34,87 @@
 
 @dataclass
 class Change:
-    """One change of the policy, and what became of it."""
+    """One change of the policy and its outcome."""
 
     label: str
     switch_at: float = 0.0  # on the loop's clock
-    proposal_status: int = 0  # of the answer to the proposal; 0: none came
-    outcome: str = ""  # decided, dropped; empty: still open or never proposed
+    proposal_status: int = 0  # of the response to the proposal; 0: none was received
+    outcome: str = ""  # decided or dropped; empty: still open, or never proposed
     ended_after: float = 0.0  # seconds from the proposal to its end
     faults: list[str] = field(default_factory=list)
 
 
 class PolicyObserver:
-    """Asks every sidecar all the time, under the labels that may hold."""
+    """Polls every sidecar with the labels of the policies that may be in force."""
 
     def __init__(self, cluster: Cluster) -> None:
-        """Begins at once."""
+        """Start polling."""
         self.cluster = cluster
         self.answers: list[Answer] = []
         self.labels = ["a0", "a1"]
-        self.tasks = [asyncio.create_task(self._ask_all_the_time(sidecar)) for sidecar in cluster.sidecars]
+        self.tasks = [asyncio.create_task(self._poll(sidecar)) for sidecar in cluster.sidecars]
         self.requests = 0
 
-    async def _ask_all_the_time(self, sidecar: Sidecar) -> None:
-        caller = HttpClient(sidecar.address)
+    async def _poll(self, sidecar: Sidecar) -> None:
+        client = HttpClient(sidecar.address)
         pending: set[asyncio.Task[None]] = set()
         while True:
-            for label in self.labels[-LABELS_ASKED:]:
-                task = asyncio.create_task(self._ask(caller, sidecar, label))
+            for label in self.labels[-POLLED_LABELS:]:
+                task = asyncio.create_task(self._send_request(client, sidecar, label))
                 pending.add(task)
                 task.add_done_callback(pending.discard)
-            await asyncio.sleep(ASK_INTERVAL)
+            await asyncio.sleep(POLL_INTERVAL)
 
-    async def _ask(self, caller: HttpClient, sidecar: Sidecar, label: str) -> None:
+    async def _send_request(self, client: HttpClient, sidecar: Sidecar, label: str) -> None:
         loop = asyncio.get_running_loop()
         self.requests += 1
         headers = {"X-Trace-Id": f"q{self.requests}", "X-Qos": label, "X-Expires-In-Ms": "1900"}
-        asked_at = loop.time()
+        sent_at = loop.time()
         with contextlib.suppress(ConnectionBrokenError, TimeoutError):
             async with asyncio.timeout(REQUEST_TIMEOUT):
-                status, _, _ = await caller.call("GET", f"/{label}/x", headers)
-                self.answers.append(Answer(label, asked_at, loop.time(), sidecar.name, status))
+                status, _, _ = await client.call("GET", f"/{label}/x", headers)
+                self.answers.append(Answer(label, sent_at, loop.time(), sidecar.name, status))
 
-    def follow(self, label: str) -> None:
-        """Ask under that label from now on."""
+    def add_label(self, label: str) -> None:
+        """Poll with that label from now on."""
         if label not in self.labels:
             self.labels.append(label)
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop polling."""
         for task in self.tasks:
             task.cancel()
 
     def serves(self, sidecar: Sidecar, label: str, since: float) -> bool:
-        """Whether the sidecar has served the label in answer to a request sent after `since`."""
+        """Return whether the sidecar has served a request with that label that was sent after `since`."""
         return any(
             answer.status == 200 and answer.label == label
             for answer in self.answers
-            if answer.sidecar == sidecar.name and answer.asked_at > since
+            if answer.sidecar == sidecar.name and answer.sent_at > since
         )
 
 
 def find_violations(answers: list[Answer], changes: list[Change], start: float) -> list[str]:
-    """No request is served under a policy past the switch time of the next, or under one that was dropped."""
-    broken = []
+    """Return the requests served under a policy that was dropped, or outside the time of a decided one."""
+    violations = []
     decided = [
         Change("a0", switch_at=BEFORE_ALL, outcome="decided"),
         *(c for c in changes if c.outcome == "decided"),
     ]
-    ends = {
-        change.label: following.switch_at for change, following in zip(decided, decided[1:], strict=False)
+    end_times = {
+        change.label: next_change.switch_at for change, next_change in zip(decided, decided[1:], strict=False)
     }
-    begins = {change.label: change.switch_at for change in decided}
+    begin_times = {change.label: change.switch_at for change in decided}
     for answer in answers:
         if answer.status != 200:
             continue
         label = answer.label
-        asked, answered = answer.asked_at - start, answer.answered_at - start
-        where = f"{label} at {answer.sidecar}, asked {asked:.3f}, said {answered:.3f}"
-        if label not in begins:
-            broken.append(f"one that was not decided: {where}")
-        elif answer.answered_at < begins[label] - SLACK:
-            broken.append(f"before it held ({begins[label] - start:.3f}): {where}")
-        elif answer.asked_at > ends.get(label, AFTER_ALL) + SLACK:
-            broken.append(f"after it held ({ends[label] - start:.3f}): {where}")
-    return broken
+        sent, answered = answer.sent_at - start, answer.answered_at - start
+        details = f"{label} at {answer.sidecar}, sent at {sent:.3f}, answered at {answered:.3f}"
+        if label not in begin_times:
+            violations.append(f"served under a policy that was not decided: {details}")
+        elif answer.answered_at < begin_times[label] - TIME_TOLERANCE:
+            violations.append(f"served before it held ({begin_times[label] - start:.3f}): {details}")
+        elif answer.sent_at > end_times.get(label, AFTER_ALL) + TIME_TOLERANCE:
+            violations.append(f"served after it held ({end_times[label] - start:.3f}): {details}")
+    return violations
--- a/trials/policy_scenes.py
+++ b/trials/policy_scenes.py
@@ -1,4 +1,4 @@
-"""Scenes of a policy change in emulated time: one fault each, which a timetable would meet only by chance."""
+"""Scenarios of a policy change in emulated time, each with a fault that random ones would rarely produce."""
 
 from __future__ import annotations
 
@@ -7,47 +7,47 @@
 from .emulated_policy import BEGIN, LEASE, EmulatedMember, ReplicaType, World
 
 SWITCH_DELAY = DEFAULT_SWITCH_DELAY * LEASE  # seconds
-TICK = 0.001  # seconds, where a scene waits for something
+TICK = 0.001  # seconds between two checks of a condition that a scenario waits for
 VOTES_PREFIX = "policy/votes"
 
 
-def _begun(members: int, replica_type: ReplicaType, trace: bool) -> tuple[World, list[EmulatedMember]]:
+def _start_world(members: int, replica_type: ReplicaType, trace: bool) -> tuple[World, list[EmulatedMember]]:
     world = World(7, members, replica_type, trace)
     world.run_until(BEGIN)
     return world, list(world.members.values())
 
 
-def _proposed(world: World, author: EmulatedMember, unfit: str = "n99") -> float:
-    """A change by that member, which the `unfit` one can't follow; its switch time."""
-    author.policy_replica.now = author.clock()
+def _propose(world: World, proposer: EmulatedMember, unfit: str = "n99") -> float:
+    """Propose a change at a member and return its switch time; the member named `unfit` cannot apply it."""
+    proposer.policy_replica.now = proposer.clock()
     body = {"settings": {"number": 1, "not": [unfit]}, "cover": {}}
-    assert world.store.write(author.policy_replica.propose(body, SWITCH_DELAY)[0])
+    assert world.store.write(proposer.policy_replica.propose(body, SWITCH_DELAY)[0])
     return world.now + SWITCH_DELAY
 
 
-def _isolate(world: World, some: list[EmulatedMember], until: float, lease_renewed: bool = False) -> None:
-    """Cut these off from the others and from the store; `lease_renewed`: their leases hold."""
-    for member in some:
+def _isolate(world: World, isolated: list[EmulatedMember], until: float, lease_renewed: bool = False) -> None:
+    """Cut members off from the others and the store until then; `lease_renewed`: they keep their leases."""
+    for member in isolated:
         (world.watch_stalled_until if lease_renewed else world.store_cut_until)[member.name] = until
         for other in world.members.values():
-            if other not in some:
+            if other not in isolated:
                 world.link_cut_until[member.name, other.name] = until
                 world.link_cut_until[other.name, member.name] = until
 
 
 def majority_cut_off(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
-    """Most are cut off and go on; the few others have the store."""
-    world, members = _begun(8, replica_type, trace)
+    """Cut most members off from the store and the others; the few others reach the store and propose."""
+    world, members = _start_world(8, replica_type, trace)
     _isolate(world, members[:5], 20.0)
     world.run_until(6.0)
-    world.run_until(_proposed(world, members[7]) + 4.0)
+    world.run_until(_propose(world, members[7]) + 4.0)
     return world
 
 
 def watch_stalled_after_vote(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
-    """One votes yes and sees no more of the proposal, though its lease is renewed."""
-    world, members = _begun(5, replica_type, trace)
-    switch_at = _proposed(world, members[0])
+    """Stall a member's watch after its yes vote, while its lease is still renewed."""
+    world, members = _start_world(5, replica_type, trace)
+    switch_at = _propose(world, members[0])
     voter = members[3]
     while not any(key.endswith(voter.id) for key in world.store.entries if key.startswith(VOTES_PREFIX)):
         world.run_until(world.now + TICK)
@@ -57,28 +57,28 @@
 
 
 def paused_before_vote(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
-    """One is paused before its vote, until after the switch time."""
-    world, members = _begun(5, replica_type, trace)
+    """Pause a member before its vote until after the switch time."""
+    world, members = _start_world(5, replica_type, trace)
     members[3].paused_until = BEGIN + SWITCH_DELAY + 1.0
-    world.run_until(_proposed(world, members[0]) + 3.0)
+    world.run_until(_propose(world, members[0]) + 3.0)
     return world
 
 
 def cut_off_after_lease(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
-    """One has enough statuses of the others once its lease is over, then none."""
-    world, members = _begun(5, replica_type, trace)
+    """Cut a member off from the store until its lease expires, then also from the others' statuses."""
+    world, members = _start_world(5, replica_type, trace)
     world.store_cut_until[members[3].name] = 40.0
     world.run_until(6.0)
     _isolate(world, members[3:4], 40.0)
-    world.run_until(_proposed(world, members[0]) + 3.0)
+    world.run_until(_propose(world, members[0]) + 3.0)
     return world
 
 
 def decision_delayed(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
-    """A decision is on its way while a member enters that can't follow it and is cut off."""
-    world, members = _begun(5, replica_type, trace)
+    """Delay a decision while a member joins that cannot apply it, and cut that member off."""
+    world, members = _start_world(5, replica_type, trace)
     world.write_delays["decide"] = 0.4
-    switch_at = _proposed(world, members[0], "n9")
+    switch_at = _propose(world, members[0], "n9")
     while sum(key.startswith(VOTES_PREFIX) for key in world.store.entries) < 5:
         world.run_until(world.now + TICK)
     world.run_until(world.now + 0.15)
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -1,4 +1,4 @@
-"""The rig: real processes of the program, fakes around them, and faults in between."""
+"""A cluster of real sidecar processes with fake upstreams, clients, endpoint lists and coordination store."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 from .processes import set_parent_death_signal
 from .verdict import TrialResult, check_requests
 
-LOGS = os.environ.get("TRIAL_LOGS", "")  # a folder in which the processes' logs stay, for a look
+LOG_FOLDER = os.environ.get("TRIAL_LOGS", "")  # where the logs of the processes are copied to; empty: nowhere
 ROOT = Path(__file__).parent.parent
-# The files of many processes may be too much for a slow disk.
+# The files of many processes may be more than a slow disk can write in time.
 MEMORY_FOLDER = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
-READY_TIMEOUT = 20.0  # seconds, however busy the machine is
+READY_TIMEOUT = 20.0  # seconds, enough on a busy machine
 ZONES = ("north", "east", "south")
-TIMES = {"dueTime": 1_000_000, "expiry": 2_000_000}
+CATEGORY_TIMES = {"dueTime": 1_000_000, "expiry": 2_000_000}
 CATEGORIES = [
-    {"name": "look", "effect": "free", "payoff": 1.0} | TIMES,
-    {"name": "buy", "effect": "single_shot", "payoff": 8.0} | TIMES,
-    {"name": "move", "effect": "guarded", "window": 2_000_000, "payoff": 4.0} | TIMES,
+    {"name": "look", "effect": "free", "payoff": 1.0} | CATEGORY_TIMES,
+    {"name": "buy", "effect": "single_shot", "payoff": 8.0} | CATEGORY_TIMES,
+    {"name": "move", "effect": "guarded", "window": 2_000_000, "payoff": 4.0} | CATEGORY_TIMES,
 ]
 CAPS = {
     "mostHandOffs": 3, "cancel": True, "peers": False, "probing": False, "mayDuplicate": True,
@@ -49,11 +49,11 @@
 PROGRAM_WITH_CLOCK_AHEAD = (
     "import sys, time; real = time.time; time.time = lambda: real() + {};"
     "from starlingwheel.net.lifecycle.sidecar import main; sys.exit(main())"
-)  # the program under a clock that is ahead
+)  # runs the program with a wall clock that is ahead by the formatted number of seconds
 
 
 def shard_count_for(members: int, cell_size: int) -> int:
-    """Return the number of cells for so many members, at most `cell_size` in each on the mean; 0: one."""
+    """Return the number of shards with at most `cell_size` members each on average; one if that is 0."""
     count = 1
     while cell_size and members > count * cell_size:
         count *= 2
@@ -61,17 +61,17 @@
 
 
 class Sidecar:
-    """One real process, started again under the same name and addresses."""
+    """A sidecar process that can be restarted under the same name and addresses."""
 
     def __init__(self, cluster: Cluster, number: int) -> None:
-        """Not started yet."""
+        """Create the sidecar without starting a process; its number determines its name, host and zone."""
         self.cluster, self.number, self.name = cluster, number, f"n{number}"
         self.host = loopback_host(1 + number)
         self.zone = ZONES[number % len(ZONES)]
         self.port, self.admin_port, self.fleet_port = free_ports(self.host, 3)
         self.process: subprocess.Popen[bytes] | None = None
         self.memory_mb = 192.0
-        self.clock_offset = 0.0  # seconds that its clock is ahead
+        self.clock_offset = 0.0  # seconds by which its wall clock is ahead
         self.relays: list[Relay] = []
         self.peer_relay = Relay(lambda: (self.host, self.fleet_port), cluster.rng)
         self.store_relay = Relay(lambda: (cluster.store.server.host, cluster.store.server.port), cluster.rng)
@@ -80,34 +80,40 @@
 
     @property
     def address(self) -> str:
-        """Where it listens for clients, host:port."""
+        """The address on which it listens for clients, host:port."""
         return f"{self.host}:{self.port}"
 
     def _entries(self) -> list[dict[str, Any]]:
-        told = self.cluster.entry_overrides
+        """Return the endpoint list, in which each upstream has the address of its relay."""
+        overrides = self.cluster.entry_overrides
         return [
-            {"id": u.name, "addr": relay.address, "zone": u.zone, "state": "active"} | told.get(u.name, {})
-            for u, relay in zip(self.cluster.upstreams, self.relays, strict=True)
+            {"id": upstream.name, "addr": relay.address, "zone": upstream.zone, "state": "active"}
+            | overrides.get(upstream.name, {})
+            for upstream, relay in zip(self.cluster.upstreams, self.relays, strict=True)
         ]
 
     async def prepare(self) -> None:
-        """Open its relays and its endpoint list."""
+        """Start its relays and its endpoint list server."""
         await self.endpoint_list.server.start()
         await self.peer_relay.start()
         await self.store_relay.start()
         for upstream in self.cluster.upstreams:
 
-            def note(far: tuple[str, int], near: tuple[str, int], u: Upstream = upstream) -> None:
-                u.sidecars[far] = self.name
+            def record_source(
+                source: tuple[str, int], client_address: tuple[str, int], upstream: Upstream = upstream
+            ) -> None:
+                upstream.sidecars[source] = self.name
 
             relay = Relay(
-                lambda u=upstream: (u.server.host, u.server.port), self.cluster.rng, on_connect=note
+                lambda upstream=upstream: (upstream.server.host, upstream.server.port),
+                self.cluster.rng,
+                on_connect=record_source,
             )
             await relay.start()
             self.relays.append(relay)
 
     def configuration(self) -> dict[str, Any]:
-        """Return the content of its configuration file."""
+        """Return the content of the sidecar's configuration file."""
         settings = {
             "categories": self.cluster.categories, "caps": CAPS, "rules": {"mustAskIn": 8_000_000},
             "discovery": "ask", "locality": self.zone, "replicasOfMe": len(self.cluster.sidecars),
@@ -125,9 +131,9 @@
         } | self.cluster.extra_configuration(self)
 
     def start(self) -> None:
-        """Start a process, under the name and addresses of the one before."""
+        """Start a process under the name and addresses of the previous one."""
         self.paths["json"].write_text(json.dumps(self.configuration()))
-        # Without a folder for operators' overrides: all sidecars would share it.
+        # TMPDIR is removed, because all sidecars would share the operators' overrides stored there.
         environment = {name: value for name, value in os.environ.items() if name != "TMPDIR"}
         program = ["-c", PROGRAM_WITH_CLOCK_AHEAD.format(self.clock_offset)] if self.clock_offset else PROGRAM
         with self.paths["log"].open("ab") as log:
@@ -139,12 +145,15 @@
             )  # fmt: skip
 
     async def wait_until_ready(self) -> None:
-        """Wait until it accepts requests; raises `RuntimeError` where it does not."""
-        caller, until = HttpClient(self.address), asyncio.get_running_loop().time() + READY_TIMEOUT
+        """Wait until the sidecar accepts requests.
+
+        Raises `RuntimeError` if the process ends or READY_TIMEOUT passes first.
+        """
+        client, until = HttpClient(self.address), asyncio.get_running_loop().time() + READY_TIMEOUT
         while asyncio.get_running_loop().time() < until:
             with contextlib.suppress(ConnectionBrokenError):
-                if (await caller.call("GET", "/ready", {}))[0] == 200:
-                    caller.close()
+                if (await client.call("GET", "/ready", {}))[0] == 200:
+                    client.close()
                     return
             if not self.alive:
                 break
@@ -152,34 +161,34 @@
         raise RuntimeError(f"{self.name} is not ready: {self.paths['log'].read_text()[-2000:]}")
 
     async def admin_call(self, method: str, path: str, body: object = None) -> tuple[int, Any]:
-        """Make an admin call; return the status and the decoded body of its response."""
-        caller = HttpClient(f"{self.host}:{self.admin_port}")
+        """Make an admin call and return the status and the decoded body of its response."""
+        client = HttpClient(f"{self.host}:{self.admin_port}")
         data = b"" if body is None else json.dumps(body).encode()
         try:
             async with asyncio.timeout(3.0):
-                status, _, text = await caller.call(method, path, {}, data)
+                status, _, text = await client.call(method, path, {}, data)
         finally:
-            caller.close()
+            client.close()
         return status, json.loads(text) if text else None
 
     def signal(self, number: int) -> None:
-        """Send a signal, if the process runs."""
+        """Send a signal to the process if it is running."""
         if self.alive:
             os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has ended."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
     @property
     def alive(self) -> bool:
-        """The process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     async def has_sharded_view(self, members: int, shard_count: int) -> bool:
-        """It has a view of so many members in so many cells, and links to all of its own cell."""
+        """Return whether it has a view of that many members and shards, and links to its whole own shard."""
         with contextlib.suppress(ConnectionBrokenError, TimeoutError):
             _, report = await self.admin_call("GET", "/_fleet")
             cells_report = report["cells"]
@@ -188,23 +197,23 @@
         return False
 
     def has_view_of(self, members: int) -> bool:
-        """It has a view of so many members, and links to all of them."""
-        lines = self.log_lines("view", "link.up", "link.down")
-        views = [line for line in lines if line["event"] == "view"]
-        up = sum({"link.up": 1, "link.down": -1}.get(line["event"], 0) for line in lines)
-        return bool(views) and views[-1]["members"] == members and up >= members - 1
+        """Return whether the sidecar has a view of that many members and links to all others of them."""
+        records = self.log_lines("view", "link.up", "link.down")
+        views = [line for line in records if line["event"] == "view"]
+        link_count = sum({"link.up": 1, "link.down": -1}.get(line["event"], 0) for line in records)
+        return bool(views) and views[-1]["members"] == members and link_count >= members - 1
 
     def log_lines(self, *events: str) -> list[dict[str, Any]]:
-        """Return the log lines of these events."""
-        lines = []
+        """Return the decoded log lines of these events."""
+        records = []
         for line in self.paths["log"].read_text().splitlines():
             with contextlib.suppress(json.JSONDecodeError):
-                lines.append(json.loads(line))
-        return [line for line in lines if line.get("event") in events]
+                records.append(json.loads(line))
+        return [line for line in records if line.get("event") in events]
 
 
 class Cluster:
-    """The processes, fakes and links of one trial: `async with Rig(...) as rig`."""
+    """The sidecars, fakes and links of one trial, used by `async with Cluster(...) as cluster`."""
 
     def __init__(
         self,
@@ -221,11 +230,13 @@
         cell_size: int = 0,
         presharded: bool = True,
     ) -> None:
-        """`fleet`: with arbiter, links and cover; `lease`: of a member, seconds; `cell_size`: as configured.
+        """Create the cluster; nothing is started yet.
 
-        `cut`: begin with as many cells as that makes in the end, not with one.
-
-        `ahead`: by sidecar, how much its clock is; `memory`: by sidecar, its limit where it is smaller, MB.
+        `sidecars`, `upstreams`: how many. `service_time`: mean of the upstreams, seconds. `root`: the
+        checkout whose program is run. `fleet`: with a coordination store, links and replication. `lease`: of
+        a member, seconds. `cell_size`: the setting `fleet.cell_size`. `presharded`: start with the final
+        number of shards instead of one. By sidecar number, `clock_offsets`: seconds by which its clock is
+        ahead; `memory_limits`: MB, where its limit is smaller than the others'.
         """
         self.categories = categories
         self.seed, self.root, self.fleet, self.lease = seed, root, fleet, lease
@@ -235,8 +246,10 @@
         self.temporary_folder = tempfile.TemporaryDirectory(prefix="trial-", dir=MEMORY_FOLDER)
         self.folder = Path(self.temporary_folder.name)
         self.runs: list[Run] = []
-        self.start = 0.0  # when all were up
-        self.entry_overrides: dict[str, dict[str, Any]] = {}  # what the list says otherwise of an upstream
+        self.start = 0.0  # when all sidecars were ready, on the loop's clock
+        self.entry_overrides: dict[
+            str, dict[str, Any]
+        ] = {}  # fields of list entries that differ, by upstream
         self.upstreams = [
             Upstream(f"u{i}", ZONES[i % len(ZONES)], random.Random(f"{seed}-u{i}"), service_time, self.runs)
             for i in range(upstreams)
@@ -249,10 +262,10 @@
         self.clients = Clients({s.name: s.address for s in self.sidecars}, random.Random(f"{seed}-clients"))
 
     def extra_configuration(self, sidecar: Sidecar) -> dict[str, Any]:
-        """Return the further parts of a sidecar's configuration."""
+        """Return the parts of a sidecar's configuration that depend on the kind of cluster."""
         if not self.fleet:
             return {}
-        part = {
+        fleet_settings = {
             "name": "trial",
             "listen": f"{sidecar.host}:{sidecar.fleet_port}",
             "advertise": sidecar.peer_relay.address,
@@ -262,56 +275,62 @@
             "cover": {"categories": [c["name"] for c in CATEGORIES]},
         }
         if self.cell_size:
-            part["cell_size"] = self.cell_size
-        return {"fleet": part}
+            fleet_settings["cell_size"] = self.cell_size
+        return {"fleet": fleet_settings}
 
     @property
     def shard_count(self) -> int:
-        """The number of cells when all members are in."""
+        """The number of shards once all sidecars are members."""
         return shard_count_for(len(self.sidecars), self.cell_size)
 
-    def link_between(self, one: Sidecar, other: Sidecar) -> tuple[LinkDirection, LinkDirection]:
-        """Return both ways of the link between two sidecars: from the first to the second, and back.
+    def link_between(self, first: Sidecar, second: Sidecar) -> tuple[LinkDirection, LinkDirection]:
+        """Return both directions of the link between two sidecars: first to second, then back.
 
-        Either may be the one that connects; the faults are the same.
+        The faults set on them apply whichever of the two opens the connection.
         """
-        ways = LinkDirection(), LinkDirection()
-        other.peer_relay.links[one.host] = ways
-        one.peer_relay.links[other.host] = ways[::-1]
-        return ways
+        directions = LinkDirection(), LinkDirection()
+        second.peer_relay.links[first.host] = directions
+        first.peer_relay.links[second.host] = directions[::-1]
+        return directions
 
     def open_requests(self, sidecar: Sidecar) -> list[ClientRequest]:
-        """Return the requests whose clients wait for an answer of that sidecar."""
-        tries = [(w, w.attempts[-1]) for w in self.clients.requests if w.attempts]
-        return [w for w, last in tries if last.outcome == "open" and last.sidecar == sidecar.name]
+        """Return the requests whose clients are waiting for a response of that sidecar."""
+        last_attempts = [
+            (request, request.attempts[-1]) for request in self.clients.requests if request.attempts
+        ]
+        return [
+            request
+            for request, attempt in last_attempts
+            if attempt.outcome == "open" and attempt.sidecar == sidecar.name
+        ]
 
     def kill_sidecar(self, sidecar: Sidecar) -> list[ClientRequest]:
-        """Kill a sidecar for good, and send new clients elsewhere; return its open requests."""
+        """Kill a sidecar without a restart, keep new requests away from it, and return its open requests."""
         affected = self.open_requests(sidecar)
         sidecar.kill()
         self.clients.avoided.add(sidecar.name)
         return affected
 
     async def finish_and_check(self, sending: asyncio.Task[None]) -> TrialResult:
-        """Wait until all requests have ended, then judge."""
+        """Wait until all requests have ended, and check them."""
         await sending
         await self.clients.finish(self.clients.timeout + 1)
         return check_requests(self.clients.requests, self.runs, self.start)
 
     async def __aenter__(self) -> Cluster:
-        """Start all; raises `RuntimeError` where a process is not ready in time."""
+        """Start everything; raises `RuntimeError` if a process is not ready in time."""
         try:
-            await self._begin()
+            await self._start_all()
         except BaseException:
-            await self._end()
+            await self._stop_all()
             raise
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """End all."""
-        await self._end()
+        """Stop everything."""
+        await self._stop_all()
 
-    async def _begin(self) -> None:
+    async def _start_all(self) -> None:
         for upstream in self.upstreams:
             await upstream.server.start()
         if self.fleet:
@@ -328,27 +347,30 @@
         self.start = asyncio.get_running_loop().time()
 
     def log_tails(self) -> str:
-        """Return the ends of the processes' logs."""
+        """Return the last 1500 characters of each sidecar's log."""
         return "\n".join(f"{s.name}: {s.paths['log'].read_text()[-1500:]}" for s in self.sidecars)
 
     async def wait_for_view(self, members: int) -> None:
-        """Wait until each that is alive has a view of so many members and a link to each of its cell."""
+        """Wait until each running sidecar has a view of that many members and links to its whole shard.
+
+        Raises `RuntimeError` after READY_TIMEOUT.
+        """
         until = asyncio.get_running_loop().time() + READY_TIMEOUT
         alive = [s for s in self.sidecars if s.alive]
         while asyncio.get_running_loop().time() < until:
             if self.cell_size:
-                seen = [
+                have_view = [
                     await s.has_sharded_view(members, self.shard_count if self.presharded else 1)
                     for s in alive
                 ]
             else:
-                seen = [s.has_view_of(members) for s in alive]
-            if all(seen):
+                have_view = [s.has_view_of(members) for s in alive]
+            if all(have_view):
                 return
             await asyncio.sleep(0.05)
         raise RuntimeError(f"no view of {members}: " + self.log_tails())
 
-    async def _end(self) -> None:
+    async def _stop_all(self) -> None:
         await self.clients.finish(0)
         for sidecar in self.sidecars:
             sidecar.signal(signal.SIGCONT)
@@ -360,18 +382,18 @@
         for upstream in self.upstreams:
             await upstream.server.stop()
         await self.store.stop()
-        if LOGS:
-            shutil.copytree(self.folder, Path(LOGS) / f"seed-{self.seed}", dirs_exist_ok=True)
+        if LOG_FOLDER:
+            shutil.copytree(self.folder, Path(LOG_FOLDER) / f"seed-{self.seed}", dirs_exist_ok=True)
         self.temporary_folder.cleanup()
 
     def defects(self) -> list[dict[str, Any]]:
-        """Return the log lines that tell of faults in the code."""
+        """Return the log lines of all sidecars that report errors in the program itself."""
         return [line for s in self.sidecars for line in s.log_lines("defect", "module.defect")]
 
     def to_wall_clock(self, at: float) -> float:
-        """Convert a time of the loop's clock to wall clock time."""
+        """Convert a time on the loop's clock to wall clock time."""
         return at + time.time() - asyncio.get_running_loop().time()
 
     def runs_of(self, name: str) -> list[Run]:
-        """Return the runs of a request."""
+        """Return the runs of a request at the upstreams."""
         return [run for run in self.runs if run.request_id == name]
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -1,4 +1,4 @@
-"""Timetables of faults, drawn from a seed, and played on a rig."""
+"""Timetables of faults, drawn from a seed and injected into a cluster."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from .rig import Cluster, Sidecar
 
-# Kinds of faults with their weights: losses of processes, faults of links and of the coordination store.
+# The kinds of faults with the weights by which they are drawn.
 PROCESS_FAULTS = {"loss": 3.0, "stop": 1.0}
 LINK_FAULTS = {"cut": 1.0, "one_way": 1.0, "delay": 1.0, "reset": 1.0}
 STORE_FAULTS = {
@@ -28,9 +28,9 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault. `sidecars`: the numbers of those it is about; `duration`: seconds."""
+    """One fault. `sidecars`: the numbers of the two that it may affect; `duration`: seconds."""
 
-    at: float  # seconds from the start of the work
+    at: float  # seconds from the start of the timetable
     kind: str
     sidecars: tuple[int, ...]
     duration: float
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class ProcessLoss:
-    """A process that was killed, and when, on the loop's clock."""
+    """A killed process and the time on the loop's clock."""
 
     name: str
     at: float
@@ -46,15 +46,15 @@
 
 @dataclass(frozen=True)
 class FaultProfile:
-    """Which faults are drawn, and how often. Times are seconds."""
+    """The faults that are drawn, and how often. Times are seconds."""
 
     weights: dict[str, float]  # by kind
-    interval: float  # between two faults, on the mean
+    interval: float  # mean, between two faults
     max_duration: float
 
 
 def draw_faults(seed: int, count: int, profile: FaultProfile, sidecars: int) -> list[Fault]:
-    """Draw so many faults of a profile, for so many sidecars."""
+    """Draw `count` faults of a profile for a cluster with that many sidecars."""
     rng = random.Random(f"{seed}-timetable")
     faults = []
     for number in range(count):
@@ -65,27 +65,27 @@
     return faults
 
 
-class FaultPlayer:
-    """Plays a timetable on a rig; all faults have ended once `play` has."""
+class FaultInjector:
+    """Injects the faults of a timetable; all of them have ended when `inject` returns."""
 
     def __init__(self, cluster: Cluster) -> None:
-        """Nothing is played yet."""
+        """Create an injector for that cluster."""
         self.cluster = cluster
         self.losses: list[ProcessLoss] = []
-        self.unavailable: set[str] = set()  # sidecars that are killed or stopped now
+        self.unavailable: set[str] = set()  # names of sidecars that are killed or paused at present
 
-    async def play(self, faults: list[Fault]) -> None:
-        """Begin each fault at its time, and wait until all have ended."""
+    async def inject(self, faults: list[Fault]) -> None:
+        """Start each fault at its time and wait until all have ended."""
         start = asyncio.get_running_loop().time()
         tasks = []
         for fault in faults:
             await asyncio.sleep(max(0.0, start + fault.at - asyncio.get_running_loop().time()))
-            tasks.append(asyncio.create_task(self.play_fault(fault)))
+            tasks.append(asyncio.create_task(self.inject_one(fault)))
         await asyncio.gather(*tasks)
 
-    async def play_fault(self, fault: Fault) -> None:
-        """Play one fault to its end."""
-        one, other = (self.cluster.sidecars[i] for i in fault.sidecars)
+    async def inject_one(self, fault: Fault) -> None:
+        """Inject one fault and wait until it has ended."""
+        sidecar, peer = (self.cluster.sidecars[i] for i in fault.sidecars)
         actions: dict[str, Callable[[Sidecar, Sidecar, float], Awaitable[None]]] = {
             "loss": self._kill,
             "stop": self._pause,
@@ -95,59 +95,59 @@
             "reset": self._reset_links,
         }
         if fault.kind in actions:
-            await actions[fault.kind](one, other, fault.duration)
+            await actions[fault.kind](sidecar, peer, fault.duration)
         else:
-            await self._play_store_fault(fault.kind, one, fault.duration)
+            await self._inject_store_fault(fault.kind, sidecar, fault.duration)
 
-    async def _kill(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        if one.name in self.unavailable:
+    async def _kill(self, sidecar: Sidecar, peer: Sidecar, duration: float) -> None:
+        if sidecar.name in self.unavailable:
             return
-        self.unavailable.add(one.name)
-        self.losses.append(ProcessLoss(one.name, asyncio.get_running_loop().time()))
-        one.kill()
-        self.cluster.clients.avoided.add(one.name)
+        self.unavailable.add(sidecar.name)
+        self.losses.append(ProcessLoss(sidecar.name, asyncio.get_running_loop().time()))
+        sidecar.kill()
+        self.cluster.clients.avoided.add(sidecar.name)
         await asyncio.sleep(duration / 2)
-        one.start()
-        await one.wait_until_ready()
-        self.cluster.clients.avoided.discard(one.name)
-        self.unavailable.discard(one.name)
+        sidecar.start()
+        await sidecar.wait_until_ready()
+        self.cluster.clients.avoided.discard(sidecar.name)
+        self.unavailable.discard(sidecar.name)
 
-    async def _pause(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        if one.name in self.unavailable:
+    async def _pause(self, sidecar: Sidecar, peer: Sidecar, duration: float) -> None:
+        if sidecar.name in self.unavailable:
             return
-        self.unavailable.add(one.name)
-        one.signal(signal.SIGSTOP)
+        self.unavailable.add(sidecar.name)
+        sidecar.signal(signal.SIGSTOP)
         await asyncio.sleep(duration)
-        one.signal(signal.SIGCONT)
-        self.unavailable.discard(one.name)
+        sidecar.signal(signal.SIGCONT)
+        self.unavailable.discard(sidecar.name)
 
-    async def _partition(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        ways = self.cluster.link_between(one, other)
-        for way in ways:
-            way.blocked = True
+    async def _partition(self, sidecar: Sidecar, peer: Sidecar, duration: float) -> None:
+        directions = self.cluster.link_between(sidecar, peer)
+        for direction in directions:
+            direction.blocked = True
         await asyncio.sleep(duration)
-        for way in ways:
-            way.blocked = False
+        for direction in directions:
+            direction.blocked = False
 
-    async def _partition_one_way(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        way, _ = self.cluster.link_between(one, other)
-        way.blocked = True
+    async def _partition_one_way(self, sidecar: Sidecar, peer: Sidecar, duration: float) -> None:
+        direction, _ = self.cluster.link_between(sidecar, peer)
+        direction.blocked = True
         await asyncio.sleep(duration)
-        way.blocked = False
+        direction.blocked = False
 
-    async def _delay_links(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        ways = self.cluster.link_between(one, other)
-        for way in ways:
-            way.delay, way.loss = LINK_DELAY, LINK_LOSS
+    async def _delay_links(self, sidecar: Sidecar, peer: Sidecar, duration: float) -> None:
+        directions = self.cluster.link_between(sidecar, peer)
+        for direction in directions:
+            direction.delay, direction.loss = LINK_DELAY, LINK_LOSS
         await asyncio.sleep(duration)
-        for way in ways:
-            way.delay = way.loss = 0.0
+        for direction in directions:
+            direction.delay = direction.loss = 0.0
 
-    async def _reset_links(self, one: Sidecar, other: Sidecar, duration: float) -> None:
-        one.peer_relay.reset(other.host)
-        other.peer_relay.reset(one.host)
+    async def _reset_links(self, sidecar: Sidecar, peer: Sidecar, duration: float) -> None:
+        sidecar.peer_relay.reset(peer.host)
+        peer.peer_relay.reset(sidecar.host)
 
-    async def _play_store_fault(self, kind: str, one: Sidecar, duration: float) -> None:
+    async def _inject_store_fault(self, kind: str, sidecar: Sidecar, duration: float) -> None:
         store = self.cluster.store
         if kind == "arbiter_down":
             await store.take_down()
@@ -164,5 +164,5 @@
             store.compact()
             store.abort_watches()
         elif kind == "lease_ended":
-            for key in [k for k in store.entries if f"/{one.name}.".encode() in k]:
+            for key in [k for k in store.entries if f"/{sidecar.name}.".encode() in k]:
                 store.expire_lease_of(key.decode())
--- a/trials/verdict.py
+++ b/trials/verdict.py
@@ -1,4 +1,4 @@
-"""Verdicts: promises checked by what endpoints and clients recorded, never by what a sidecar says."""
+"""Results of trials: guarantees checked by the records of endpoints and clients, not by sidecars' reports."""
 
 from __future__ import annotations
 
@@ -10,82 +10,91 @@
 from fakes.upstream import Run
 
 NON_IDEMPOTENT, WITH_KEY = {"buy"}, {"move"}  # categories
-DEDUPLICATION_WINDOW = 2.0  # seconds in which endpoints drop repeats of requests with a key
+DEDUPLICATION_WINDOW = 2.0  # seconds in which endpoints drop repeats of a request with a key
 
 
 @dataclass
 class TrialResult:
-    """Counts of one trial, and each promise that was broken, with the history of its request."""
+    """The counts of one trial, and each violation of a guarantee with the history of its request."""
 
     counts: dict[str, int] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
 
     @property
     def passed(self) -> bool:
-        """No promise was broken."""
+        """Whether no guarantee was violated."""
         return not self.violations
 
 
-def history(work: ClientRequest, runs: list[Run], start: float) -> str:
-    """Return what became of a request at all processes, in the order of time."""
-    steps = [(t.started_at, f"client asks {t.sidecar} ({t.trace_id})") for t in work.attempts]
+def history(request: ClientRequest, runs: list[Run], start: float) -> str:
+    """Return the attempts, responses and runs of a request at all processes, in order of time."""
+    steps = [
+        (attempt.started_at, f"client sends to {attempt.sidecar} ({attempt.trace_id})")
+        for attempt in request.attempts
+    ]
+    steps += [
+        (attempt.ended_at, f"{attempt.sidecar} answers {attempt.outcome} ({attempt.trace_id})")
+        for attempt in request.attempts
+        if attempt.outcome != "open"
+    ]
     steps += [
-        (t.ended_at, f"{t.sidecar} answers {t.outcome} ({t.trace_id})")
-        for t in work.attempts
-        if t.outcome != "open"
+        (run.started_at, f"runs at {run.upstream}, from {run.sidecar} ({run.trace_id})") for run in runs
     ]
-    steps += [(r.started_at, f"runs at {r.upstream}, from {r.sidecar} ({r.trace_id})") for r in runs]
     return "; ".join(f"{at - start:.3f} {step}" for at, step in sorted(steps))
 
 
-def check_requests(works: list[ClientRequest], runs: list[Run], start: float = 0.0) -> TrialResult:
-    """Check the promise that each request runs once, over all processes."""
+def check_requests(requests: list[ClientRequest], runs: list[Run], start: float = 0.0) -> TrialResult:
+    """Check over all processes that requests run at most once, or within the deduplication window.
+
+    Also checks that each response belongs to its request and to a run of it.
+    """
     result = TrialResult()
     runs_by_request: dict[str, list[Run]] = {}
     for run in runs:
         runs_by_request.setdefault(run.request_id, []).append(run)
-    ends: Counter[str] = Counter()
-    for work in works:
-        its_runs = runs_by_request.get(work.request_id, [])
-        _count_end(ends, work, its_runs)
+    outcomes: Counter[str] = Counter()
+    for request in requests:
+        request_runs = runs_by_request.get(request.request_id, [])
+        _count_outcome(outcomes, request, request_runs)
         result.violations += [
-            f"{broken}: {history(work, its_runs, start)}" for broken in _broken_promises(work, its_runs)
+            f"{violation}: {history(request, request_runs, start)}"
+            for violation in _find_violations(request, request_runs)
         ]
-    result.counts = {"work": len(works), "runs": len(runs), **dict(sorted(ends.items()))}
+    result.counts = {"work": len(requests), "runs": len(runs), **dict(sorted(outcomes.items()))}
     return result
 
 
-def _count_end(ends: Counter[str], work: ClientRequest, runs: list[Run]) -> None:
-    answers = work.statuses
-    if work.succeeded:
-        ends["finished"] += 1
-    elif answers:
-        ends["written off" if answers[-1] == "504" else f"ended {answers[-1]}"] += 1
+def _count_outcome(outcomes: Counter[str], request: ClientRequest, runs: list[Run]) -> None:
+    statuses = request.statuses
+    if request.succeeded:
+        outcomes["finished"] += 1
+    elif statuses:
+        outcomes["written off" if statuses[-1] == "504" else f"ended {statuses[-1]}"] += 1
     else:
-        ends["no answer"] += 1
-    retried = len(work.attempts) > 1 + bool(work.duplicate_sidecar)
-    ends["came again"] += retried
-    ends["finished after coming again"] += retried and work.succeeded
-    if work.request_class in NON_IDEMPOTENT and len(runs) > 1:
-        ends["ran twice"] += 1
-    if work.succeeded and not runs:
-        ends["finished, never ran"] += 1
-
-
-def _broken_promises(work: ClientRequest, runs: list[Run]) -> Iterator[str]:
-    if work.request_class in NON_IDEMPOTENT and len(runs) > 1:
-        yield f"once: {work.request_id} ran {len(runs)} times"
-    last_answer = work.statuses[-1:] if not work.duplicate_sidecar else []
-    if work.succeeded and last_answer == ["503"]:
-        yield f"contradicted: {work.request_id}"
+        outcomes["no answer"] += 1
+    retried = len(request.attempts) > 1 + bool(request.duplicate_sidecar)
+    outcomes["came again"] += retried
+    outcomes["finished after coming again"] += retried and request.succeeded
+    if request.request_class in NON_IDEMPOTENT and len(runs) > 1:
+        outcomes["ran twice"] += 1
+    if request.succeeded and not runs:
+        outcomes["finished, never ran"] += 1
+
+
+def _find_violations(request: ClientRequest, runs: list[Run]) -> Iterator[str]:
+    if request.request_class in NON_IDEMPOTENT and len(runs) > 1:
+        yield f"not idempotent: {request.request_id} ran {len(runs)} times"
+    last_status = request.statuses[-1:] if not request.duplicate_sidecar else []
+    if request.succeeded and last_status == ["503"]:
+        yield f"success followed by 503: {request.request_id}"
     if (
-        work.request_class in WITH_KEY
+        request.request_class in WITH_KEY
         and runs
         and runs[-1].started_at > runs[0].started_at + DEDUPLICATION_WINDOW
     ):
-        yield f"ticketed: {work.request_id} ran too late"
-    for one in work.attempts:
-        if one.outcome == "200" and not one.body.startswith(f"{work.request_id} by ".encode()):
-            yield f"another's answer: {work.request_id}: {one.body!r}"
-    if work.succeeded and not runs:
-        yield f"no such answer: {work.request_id}"
+        yield f"with a key: {request.request_id} ran again after the deduplication window"
+    for attempt in request.attempts:
+        if attempt.outcome == "200" and not attempt.body.startswith(f"{request.request_id} by ".encode()):
+            yield f"response to another request: {request.request_id}: {attempt.body!r}"
+    if request.succeeded and not runs:
+        yield f"success without a run: {request.request_id}"
