--- a/trials/scale/__init__.py
+++ b/trials/scale/__init__.py
@@ -1,6 +1,7 @@
-"""The scale run: many hollow members of a fleet beside real processes, counted at the socket.
+"""The scale run: the cost of each member of a large fleet, most of whose members are hollow.
 
-A hollow member is the program's `FleetMember` with a `FleetHost` of its own: the program's own links,
-replication, policy and client of the store on real sockets, many on one loop, without clients, upstreams and
-a request coordinator.
+A hollow member is the program's `FleetMember` with a `FleetHost` of its own. It has the program's own links,
+replication, policy and store client on real sockets, but no client connections, upstreams or request
+coordinator, so that many of them run on one event loop. They run beside real processes for comparison. All
+traffic is counted at the sockets.
 """
--- a/trials/scale/counts.py
+++ b/trials/scale/counts.py
@@ -1,4 +1,4 @@
-"""What the kernel counts for a socket (TCP_INFO), a process (/proc) and the machine (sockstat)."""
+"""The kernel's counters of a socket (TCP_INFO), a process (/proc) and the machine (sockstat)."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 import msgspec
 
-TCP_INFO = 11  # socket option
+TCP_INFO = 11  # number of the socket option
 TCP_INFO_SIZE = 256  # bytes
 # Bytes of a segment's IPv4 and TCP headers with timestamps, as loopback and most networks send them.
 HEADER_SIZE = 52
-PIDFD_GETFD = 438  # system call
+PIDFD_GETFD = 438  # number of the system call
 PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")  # bytes
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 KIBIBYTE = 1024  # bytes
@@ -25,7 +25,7 @@
 
 
 class Traffic(msgspec.Struct):
-    """Since a socket's first segment, or summed up over sockets. Messages: segments that carry data."""
+    """Counts of a socket since its first segment, or their sum. Messages are segments that carry data."""
 
     bytes_out: int = 0
     bytes_in: int = 0
@@ -45,21 +45,21 @@
 
 
 class SocketKind(StrEnum):
-    """What a socket is connected to: the field of a `Sample` that counts it."""
+    """What a socket is connected to. The value is the field of a `Sample` that counts it."""
 
     LINK = "links"
     STORE = "store"
 
 
 class Sample(msgspec.Struct):
-    """One member, or one process, at one moment. Traffic of links and of calls of the store apart."""
+    """The counts of one member or process at one moment, separately for links and calls of the store."""
 
     links: Traffic = msgspec.field(default_factory=Traffic)
     store: Traffic = msgspec.field(default_factory=Traffic)
     sockets: int = 0
     cpu_s: float = 0.0
     memory: int = 0  # bytes resident
-    # By the socket's inode, where one that has ended is not seen.
+    # Traffic by inode of the open sockets, of processes whose closed sockets cannot be counted.
     by_socket: dict[str, tuple[SocketKind, Traffic]] = {}
 
 
@@ -68,7 +68,7 @@
 
 
 def socket_traffic(fd: int) -> Traffic | None:
-    """Return the counts of a socket; None: that is no TCP socket, or is closed."""
+    """Return the counts of a socket, or None if it is closed or not a TCP socket."""
     _length.value = TCP_INFO_SIZE
     if libc.getsockopt(fd, socket.IPPROTO_TCP, TCP_INFO, _buffer, ctypes.byref(_length)):
         return None
@@ -92,7 +92,7 @@
 
 
 def difference_of(before: Sample, after: Sample) -> Sample:
-    """Return the difference of two samples, of sockets that are still open."""
+    """Return the difference of two samples. Sockets that were closed since are not counted."""
     difference = Sample(sockets=after.sockets, cpu_s=after.cpu_s - before.cpu_s, memory=after.memory)
     for kind in SocketKind:
         total = getattr(difference, kind)
@@ -105,10 +105,11 @@
     return difference
 
 
-def process_sample(pid: int, host: str, not_ports: set[int], store: tuple[str, int]) -> Sample:
-    """Return a sample of another process of ours.
+def process_sample(pid: int, host: str, excluded_ports: set[int], store: tuple[str, int]) -> Sample:
+    """Return a sample of another process of the same user.
 
-    Its links are the sockets of `host` but for `not_ports`. Sockets that have ended are not counted.
+    Its links are the sockets bound to `host` on ports other than `excluded_ports`. Closed sockets are not
+    counted.
     """
     sample = Sample(cpu_s=cpu_seconds(pid), memory=resident_memory(pid))
     pidfd = os.pidfd_open(pid)
@@ -118,18 +119,23 @@
                 inode = os.readlink(f"/proc/{pid}/fd/{name}")
                 if not inode.startswith("socket:"):
                     continue
-                copy = libc.syscall(PIDFD_GETFD, pidfd, int(name), 0)
-                if copy < 0:
+                duplicate = libc.syscall(PIDFD_GETFD, pidfd, int(name), 0)
+                if duplicate < 0:
                     continue
-                with socket.socket(fileno=copy) as sock:
-                    _count_socket(sample, inode, sock, host, not_ports, store)
+                with socket.socket(fileno=duplicate) as sock:
+                    _count_socket(sample, inode, sock, host, excluded_ports, store)
     finally:
         os.close(pidfd)
     return sample
 
 
 def _count_socket(
-    sample: Sample, inode: str, sock: socket.socket, host: str, not_ports: set[int], store: tuple[str, int]
+    sample: Sample,
+    inode: str,
+    sock: socket.socket,
+    host: str,
+    excluded_ports: set[int],
+    store: tuple[str, int],
 ) -> None:
     if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM:
         return
@@ -137,20 +143,20 @@
     try:
         peer: Any = sock.getpeername()
     except OSError:
-        peer = None  # it listens
+        peer = None  # a listening socket
     counted = socket_traffic(sock.fileno())
     if counted is None:
         return
     if peer == store:
         sample.by_socket[inode] = SocketKind.STORE, counted
         sample.sockets += 1
-    elif local[0] == host and local[1] not in not_ports:
+    elif local[0] == host and local[1] not in excluded_ports:
         sample.by_socket[inode] = SocketKind.LINK, counted
         sample.sockets += 1
 
 
 def kernel_memory() -> int:
-    """Return the bytes that the kernel holds for TCP buffers, of the whole machine."""
+    """Return the bytes that the kernel uses for TCP buffers on the whole machine."""
     for line in Path("/proc/net/sockstat").read_text().splitlines():
         if line.startswith("TCP:"):
             fields = line.split()
@@ -159,7 +165,7 @@
 
 
 def machine_memory() -> tuple[int, int]:
-    """Return the machine's memory in bytes, and what of it is available."""
+    """Return the machine's total and available memory in bytes."""
     fields = dict(line.split(":") for line in Path("/proc/meminfo").read_text().splitlines())
     total, available = (int(fields[name].split()[0]) for name in ("MemTotal", "MemAvailable"))
     return total * KIBIBYTE, available * KIBIBYTE
--- a/trials/scale/etcd_process.py
+++ b/trials/scale/etcd_process.py
@@ -1,6 +1,6 @@
-"""The fake etcd as a process of its own, so that its cost is not the run's.
+"""The fake etcd in a process of its own, so that its cost is not counted as the run's.
 
-Commands come by standard input, a JSON object a line.
+It reads commands from standard input, one JSON object a line.
 """
 
 from __future__ import annotations
@@ -18,26 +18,27 @@
 
 from .counts import Sample, Traffic, resident_memory, socket_traffic
 
-COUNT_INTERVAL = 0.2  # seconds between counts of all sockets: of one that has ended the last count is taken
+# Seconds between counts of all sockets. For a socket that has closed since, the last count is used.
+COUNT_INTERVAL = 0.2
 Json = dict[str, Any]
 
 
 class TrafficCounter:
-    """What the sockets of the fake etcd carry, also those that have ended."""
+    """The traffic of the fake etcd's sockets, including closed ones."""
 
     def __init__(self, etcd: FakeEtcd) -> None:
-        """Count from now on."""
+        """Start counting."""
         self.etcd = etcd
         self.ended = Traffic()
         self.last: dict[asyncio.StreamWriter, Traffic] = {}
-        etcd.server.on_close = self._connection_ends
+        etcd.server.on_close = self._connection_closed
 
     def _count(self, writer: asyncio.StreamWriter) -> None:
         sock = writer.get_extra_info("socket")
         if sock is not None and sock.fileno() >= 0 and (now := socket_traffic(sock.fileno())) is not None:
             self.last[writer] = now
 
-    def _connection_ends(self, writer: asyncio.StreamWriter) -> None:
+    def _connection_closed(self, writer: asyncio.StreamWriter) -> None:
         self._count(writer)
         if (last := self.last.pop(writer, None)) is not None:
             self.ended.add(last)
@@ -48,13 +49,13 @@
             self._count(writer)
 
     async def run(self) -> None:
-        """Count the open sockets for ever."""
+        """Count the open sockets at regular intervals, without end."""
         while True:
             await asyncio.sleep(COUNT_INTERVAL)
             self.count_all()
 
     def sample(self) -> Sample:
-        """Return the counts of this process as of now."""
+        """Return the current counts of this process."""
         self.count_all()
         sample = Sample(cpu_s=time.process_time(), memory=resident_memory(), sockets=len(self.last))
         sample.store.add(self.ended)
@@ -64,7 +65,7 @@
 
 
 async def execute(command: Json, etcd: FakeEtcd, counter: TrafficCounter) -> Json:
-    """Carry out one command, and return its answer."""
+    """Execute one command, and return its answer."""
     match command["do"]:
         case "begin" | "up":
             await etcd.start()
@@ -87,17 +88,17 @@
 
 
 async def serve() -> None:
-    """Carry out the commands of standard input until its end."""
+    """Execute the commands of standard input until its end."""
     etcd = FakeEtcd()
     counter = TrafficCounter(etcd)
     loop = asyncio.get_running_loop()
-    counting = loop.create_task(counter.run())
+    counter_task = loop.create_task(counter.run())
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         answer = await execute(json.loads(line), etcd, counter)
         print(json.dumps(answer), flush=True)
-    counting.cancel()
+    counter_task.cancel()
     await etcd.stop()
 
 
--- a/trials/scale/figures.py
+++ b/trials/scale/figures.py
@@ -1,4 +1,4 @@
-"""The lines of output: figures of each role between two samples."""
+"""The lines of output: the figures of each role between two samples."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .control import Process
 from .counts import HEADER_SIZE, Sample
 
-MAX_TRACES = 3  # of defects in a line
+MAX_TRACES = 3  # tracebacks of defects in a line
 MEBIBYTE = 2**20  # bytes
 Json = dict[str, Any]
 
 
 class RoleTotals:
-    """Members of one role: sums, and the mean of each member."""
+    """Sums over the members of one role, and the mean of a member."""
 
     def __init__(self) -> None:
         """Start without a member."""
@@ -31,7 +31,7 @@
         self.cpu = 0.0  # seconds of the whole processes
 
     def add(self, before: Sample, after: Sample) -> None:
-        """Add a member by its samples before and after."""
+        """Add a member, given its samples before and after."""
         difference = counts.difference_of(before, after)
         self.members += 1
         self.sockets += difference.sockets
@@ -46,36 +46,36 @@
         self.memory += after.memory
 
     def figures(self, seconds: float) -> Json:
-        """Return the mean of a member: bytes, messages and segments a second, parts of a core, MB."""
+        """Return the mean of a member: bytes, messages and segments a second, fractions of a core, and MB."""
         if not self.members:
             return {"members": 0}
-        each = 1 / (self.members * seconds)
+        scale = 1 / (self.members * seconds)
         total = counts.Traffic()
         total.add(self.traffic)
         total.add(self.store_traffic)
         figures: Json = {"members": self.members, "sockets": round(self.sockets / self.members, 2)}
-        for way in ("out", "in"):
-            figures |= self._traffic_figures(total, way, each)
+        for direction in ("out", "in"):
+            figures |= self._traffic_figures(total, direction, scale)
         return figures | {
-            "core": round(self.cpu * each, 6),
-            "own_core": round(self.own_cpu * each, 6),
+            "core": round(self.cpu * scale, 6),
+            "own_core": round(self.own_cpu * scale, 6),
             "mb": round(self.memory / self.members / MEBIBYTE, 3),
         }
 
-    def _traffic_figures(self, total: counts.Traffic, way: str, each: float) -> Json:
-        """Return the figures of one direction. `wire`: with headers."""
-        payload, segments = getattr(total, f"bytes_{way}"), getattr(total, f"segments_{way}")
+    def _traffic_figures(self, total: counts.Traffic, direction: str, scale: float) -> Json:
+        """Return the figures of one direction. Those named `wire` include headers."""
+        payload, segments = getattr(total, f"bytes_{direction}"), getattr(total, f"segments_{direction}")
         return {
-            f"bytes_{way}": round(payload * each, 1),
-            f"wire_{way}": round((payload + HEADER_SIZE * segments) * each, 1),
-            f"messages_{way}": round(getattr(total, f"messages_{way}") * each, 2),
-            f"segments_{way}": round(segments * each, 2),
-            f"arbiter_bytes_{way}": round(getattr(self.store_traffic, f"bytes_{way}") * each, 1),
+            f"bytes_{direction}": round(payload * scale, 1),
+            f"wire_{direction}": round((payload + HEADER_SIZE * segments) * scale, 1),
+            f"messages_{direction}": round(getattr(total, f"messages_{direction}") * scale, 2),
+            f"segments_{direction}": round(segments * scale, 2),
+            f"arbiter_bytes_{direction}": round(getattr(self.store_traffic, f"bytes_{direction}") * scale, 1),
         }
 
 
 class WorkerFigures:
-    """The figures of all hollow members, from the samples of their processes."""
+    """The figures of all hollow members, from the samples of their worker processes."""
 
     def __init__(self) -> None:
         """Start without a worker."""
@@ -88,10 +88,10 @@
         }
         self.ready_seconds: list[float] = []
         self.defects: list[str] = []
-        self.latest = 0.0  # seconds that a timer was late
+        self.max_timer_delay = 0.0  # seconds
 
     def add(self, before: Json, after: Json, alone: Container[str], base_memory: int) -> None:
-        """Add a worker by its samples. `base_memory`: bytes before its members were there."""
+        """Add a worker, given its samples. `base_memory`: its bytes before its members were created."""
         names = list(after["members"])
         group = self.alone if names[0] in alone else self.shared
         group.cpu += after["cpu_s"] - before["cpu_s"]
@@ -103,16 +103,16 @@
             total.subtract(before[kind])
         self.ready_seconds += [seconds for seconds in after["ready_s"].values() if seconds]
         self.defects += after["defects"]
-        self.latest = max(self.latest, after["latest_s"])
+        self.max_timer_delay = max(self.max_timer_delay, after["latest_s"])
 
     def details(self) -> Json:
-        """Return what is told of all hollow members together."""
+        """Return the counts of all hollow members together."""
         details: Json = {
             "counts": _non_zero(self.totals["counts"]),
             "frames_in": _non_zero(self.totals["frames"]),
             "reasons": _non_zero(self.totals["reasons"]),
             "defects": self.defects[:MAX_TRACES],
-            "latest_s": round(self.latest, 3),
+            "latest_s": round(self.max_timer_delay, 3),
         }
         ready = sorted(self.ready_seconds)
         if ready:
@@ -124,7 +124,7 @@
 def role_lines(
     before: Json, after: Json, workers: list[Process], alone: Container[str], base: dict[Process, int]
 ) -> list[Json]:
-    """Return a line for each role, with the figures between two samples of a fleet."""
+    """Return a line for each role, with its figures between two samples of a fleet."""
     seconds = after["at"] - before["at"]
     hollow = WorkerFigures()
     for worker, old, new in zip(workers, before["workers"], after["workers"], strict=True):
@@ -141,7 +141,7 @@
     totals = RoleTotals()
     for member, new in after.items():
         old = before.get(member)
-        if old is not None and new.cpu_s >= old.cpu_s:  # not one that was restarted between
+        if old is not None and new.cpu_s >= old.cpu_s:  # excludes a process that was restarted in between
             totals.add_process(old, new)
     return totals
 
--- a/trials/scale/fleet.py
+++ b/trials/scale/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of a size: its processes, how it is started, and what state it is in."""
+"""A fleet of one size: its processes, its start, and its state."""
 
 from __future__ import annotations
 
@@ -23,42 +23,42 @@
 from .options import RunOptions
 from .real import RealSidecars
 
-PORT = 7950  # of every hollow member, each on an address of its own
-NETWORKS = range(64, 250)  # 127.x: the addresses of one run
+PORT = 7950  # of every hollow member; each has an address of its own
+NETWORKS = range(64, 250)  # second byte of the loopback addresses of one run
 HOSTS_PER_NETWORK = 250  # in the last byte of an address
 POLL_INTERVAL = 0.1  # seconds
-READY_TIMEOUT = 45.0  # seconds within which all are ready
-READY_TIMEOUT_PER_PAIR = 0.0005  # seconds more for each pair of members
+READY_TIMEOUT = 45.0  # seconds within which all members must be ready
+READY_TIMEOUT_PER_PAIR = 0.0005  # additional seconds for each pair of members
 Json = dict[str, Any]
 
 
 class FleetStuckError(Exception):
-    """The fleet did not get into a state in time: the run's result for that size."""
+    """The fleet did not reach a state in time, which ends the run for that size."""
 
 
 class ScaleFleet:
     """Hollow members in worker processes, real members, and the fake etcd."""
 
     def __init__(self, options: RunOptions) -> None:
-        """`start` starts the processes."""
+        """Prepare the processes, which `start` starts."""
         self.options = options
-        self.plan = options.plan
+        self.layout = options.layout
         self.store = Process("trials.scale.etcd_process")
-        count = len(self.plan.shared) + self.plan.alone
+        count = len(self.layout.shared_process_sizes) + self.layout.alone
         self.workers = [Process("trials.scale.worker") for _ in range(count)]
-        self.worker_of: dict[str, Process] = {}  # by the name of a hollow member
+        self.worker_by_member: dict[str, Process] = {}  # by the name of a hollow member
         self.alone: set[str] = set()  # hollow members with a process of their own
-        self.base_memory: dict[Process, int] = {}  # bytes of a process before its members were there
+        self.base_memory: dict[Process, int] = {}  # bytes of a process before its members were created
         self.real: RealSidecars | None = None
         self.address_lock: socket.socket | None = None
         self.start_figures: Json = {}
         self.shard_count = 1
-        self.last_state: dict[str, int] = {}  # of the hollow members, for the report of a failure
+        self.last_state: dict[str, int] = {}  # of the hollow members, for the message of a failure
 
     @property
     def shared_names(self) -> list[str]:
         """The hollow members that share a process, in order."""
-        return sorted(set(self.worker_of) - self.alone)
+        return sorted(set(self.worker_by_member) - self.alone)
 
     # Start and end
 
@@ -66,32 +66,34 @@
         """Start all processes, and wait until all members are linked. Raises `FleetStuckError`."""
         network, self.address_lock = reserve_network()
         address = await self.store.begin()
-        part = await self._fleet_part(address)
-        await self._begin_workers(network, part)
+        fleet_config = await self._make_fleet_config(address)
+        await self._begin_workers(network, fleet_config)
         began = time.monotonic()
-        await self.ask_all("enter")
-        await self.wait_for(lambda: self.registered(self.plan.hollow), "not all have entered")
-        entered = self._report("all have entered", began)
+        await self.command_all("enter")
+        await self.wait_for(lambda: self.registered(self.layout.hollow), "not all have entered")
+        registered_at = self._report("all hollow members are registered", began)
         store_address = (address["host"], address["port"])
-        self.real = RealSidecars(self.options.seed, self.plan.real, part, self.plan.size, store_address)
+        self.real = RealSidecars(
+            self.options.seed, self.layout.real, fleet_config, self.layout.size, store_address
+        )
         await self.real.__aenter__()
-        await self.wait_for(lambda: self.registered(self.plan.size), "not all real ones have entered")
-        joined = self._report("real ones have entered", began)
-        await self.ask_all("join")
-        await self.wait_for(self._in_one_view, "not all have the same view")
-        linking = self._report("all are in one view", began)
-        await self._link()
-        await self.wait_for(lambda: self.ready(self.plan.size), "hollow members are not ready")
+        await self.wait_for(lambda: self.registered(self.layout.size), "not all real ones have entered")
+        real_registered_at = self._report("real members are registered", began)
+        await self.command_all("join")
+        await self.wait_for(self._have_same_view, "not all have the same view")
+        same_view_at = self._report("all members have the same view", began)
+        await self._open_links()
+        await self.wait_for(lambda: self.ready(self.layout.size), "hollow members are not ready")
         if not await self.real.all_ready(self.ready_timeout):
             raise FleetStuckError("real members are not ready")
-        linked = self._report("all are linked", began)
-        await self.ask_all("rest")
+        linked_at = self._report("all members are linked", began)
+        await self.command_all("rest")
         self.start_figures = {
-            "enter_s": round(entered - began, 3),
-            "real_s": round(joined - entered, 3),
-            "view_s": round(linking - joined, 3),
+            "enter_s": round(registered_at - began, 3),
+            "real_s": round(real_registered_at - registered_at, 3),
+            "view_s": round(same_view_at - real_registered_at, 3),
             "cells": self.shard_count,
-            "link_s": round(linked - linking, 3),
+            "link_s": round(linked_at - same_view_at, 3),
         }
 
     async def end(self) -> None:
@@ -103,27 +105,27 @@
         if self.address_lock is not None:
             self.address_lock.close()
 
-    async def _fleet_part(self, address: Json) -> Json:
-        """Return the fleet's part of the configuration, and write the shards to the store."""
+    async def _make_fleet_config(self, address: Json) -> Json:
+        """Return the `fleet` section of the configuration, and write the number of shards to the store."""
         options = self.options
-        part: Json = {
+        fleet_config: Json = {
             "name": "scale",
             "arbiter": ["{host}:{port}".format(**address)],
             "lease_s": options.lease,
             "cover": {"categories": [category["name"] for category in CATEGORIES]},
         }
         if options.cell_size:
-            part["cell_size"] = options.cell_size
-            # As the store has it of a fleet that has grown to this size: it would double step by step.
-            sharding = Sharding(cells_of(self.plan.size, options.cell_size))
+            fleet_config["cell_size"] = options.cell_size
+            # The number that a fleet of this size has grown to. Otherwise it would double step by step.
+            sharding = Sharding(cells_of(self.layout.size, options.cell_size))
             value = msgspec.json.encode(sharding).decode()
-            await self.store.ask("put", key="/scale/cells", value=value)
-        return part
+            await self.store.send_command("put", key="/scale/cells", value=value)
+        return fleet_config
 
-    async def _begin_workers(self, network: int, part: Json) -> None:
+    async def _begin_workers(self, network: int, fleet_config: Json) -> None:
         number = 0
-        memory_limit = int(counts.machine_memory()[0] * MEMORY_FRACTION / self.plan.processes)
-        member_counts = [*self.plan.shared, *[1] * self.plan.alone]
+        memory_limit = int(counts.machine_memory()[0] * MEMORY_FRACTION / self.layout.processes)
+        member_counts = [*self.layout.shared_process_sizes, *[1] * self.layout.alone]
         for index, (worker, count) in enumerate(zip(self.workers, member_counts, strict=True)):
             members = []
             for _ in range(count):
@@ -131,14 +133,14 @@
                 name = f"h{number:04}"
                 host = f"127.{network}.{number // HOSTS_PER_NETWORK}.{number % HOSTS_PER_NETWORK + 2}"
                 members.append((name, host))
-                self.worker_of[name] = worker
-                if index >= len(self.plan.shared):
+                self.worker_by_member[name] = worker
+                if index >= len(self.layout.shared_process_sizes):
                     self.alone.add(name)
             answer = await worker.begin(
                 members=members,
                 port=PORT,
                 settings=self._settings(number),
-                fleet=part,
+                fleet=fleet_config,
                 seed=self.options.seed,
                 memory_limit=memory_limit,
             )
@@ -151,53 +153,57 @@
             "rules": {"mustAskIn": 8_000_000},
             "discovery": "ask",
             "locality": ZONES[number % len(ZONES)],
-            "replicasOfMe": self.plan.size,
+            "replicasOfMe": self.layout.size,
             "slotNo": number,
         }
 
-    async def _link(self) -> None:
-        """Begin the links of one member after another, at a pace, and of the highest id first.
+    async def _open_links(self) -> None:
+        """Open the links of one member after another, highest id first, at the rate of the options.
 
-        Each dials those of higher ids, which listen by then. All at once would be a storm that is no part of
-        the fleet at rest: a new link has ten heartbeats a second for two seconds, and so many are more than
-        one machine carries.
+        Each member dials those with higher ids, which already listen. If all members began at once, the load
+        would exceed one machine and say nothing about the idle fleet, since a new link has ten heartbeats a
+        second for two seconds.
         """
         cell_size = self.options.cell_size
-        links_per_member = self.plan.size if not cell_size else 2 * cell_size
-        due = time.monotonic()
-        for number, name in enumerate(sorted(self.worker_of, reverse=True)):
-            await self.ask_members([name], "link")
-            due += min(number + self.plan.real, links_per_member) / self.options.links_per_second
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
+        links_per_member = self.layout.size if not cell_size else 2 * cell_size
+        next_at = time.monotonic()
+        for number, name in enumerate(sorted(self.worker_by_member, reverse=True)):
+            await self.command_members([name], "link")
+            next_at += min(number + self.layout.real, links_per_member) / self.options.links_per_second
+            await asyncio.sleep(max(0.0, next_at - time.monotonic()))
 
     def _report(self, what: str, began: float) -> float:
-        """Print the progress, and return the time."""
+        """Print the progress to standard error, and return the time."""
         now = time.monotonic()
-        print(f"  {self.plan.size}: {what} after {now - began:.1f} s", file=sys.stderr, flush=True)
+        print(f"  {self.layout.size}: {what} after {now - began:.1f} s", file=sys.stderr, flush=True)
         return now
 
-    # Calls of the workers
+    # Commands to the workers
 
-    async def ask_all(self, do: str, **arguments: object) -> list[Json]:
-        """Call all workers, and return their answers."""
-        return list(await asyncio.gather(*(worker.ask(do, **arguments) for worker in self.workers)))
+    async def command_all(self, command: str, **arguments: object) -> list[Json]:
+        """Send a command to all workers, and return their answers."""
+        return list(
+            await asyncio.gather(*(worker.send_command(command, **arguments) for worker in self.workers))
+        )
 
-    async def ask_members(self, names: list[str], do: str) -> None:
-        """Call the workers of these hollow members for them."""
+    async def command_members(self, names: list[str], command: str) -> None:
+        """Send a command for these hollow members to their workers."""
         by_worker: dict[Process, list[str]] = {}
         for name in names:
-            by_worker.setdefault(self.worker_of[name], []).append(name)
-        await asyncio.gather(*(worker.ask(do, members=members) for worker, members in by_worker.items()))
+            by_worker.setdefault(self.worker_by_member[name], []).append(name)
+        await asyncio.gather(
+            *(worker.send_command(command, members=members) for worker, members in by_worker.items())
+        )
 
     # The fleet's state
 
     @property
     def ready_timeout(self) -> float:
-        """Seconds within which the fleet gets into a state."""
-        return READY_TIMEOUT + READY_TIMEOUT_PER_PAIR * self.plan.size**2
+        """Seconds within which the fleet must reach a state."""
+        return READY_TIMEOUT + READY_TIMEOUT_PER_PAIR * self.layout.size**2
 
     async def wait_for(self, condition: Callable[[], Awaitable[bool]], failure: str) -> float:
-        """Wait for a condition; return the seconds that it took. Raises `FleetStuckError`."""
+        """Wait for a condition and return the seconds that it took. Raises `FleetStuckError`."""
         began = time.monotonic()
         while not await condition():
             if time.monotonic() > began + self.ready_timeout:
@@ -206,26 +212,26 @@
         return time.monotonic() - began
 
     async def registered(self, members: int) -> bool:
-        """Whether so many members are registered in the store."""
-        return (await self.store.ask("members"))["members"] == members
+        """Return whether exactly `members` members are registered in the store."""
+        return (await self.store.send_command("members"))["members"] == members
 
-    async def _in_one_view(self) -> bool:
-        states = await self.ask_all("state")
+    async def _have_same_view(self) -> bool:
+        states = await self.command_all("state")
         shard_counts = {count for state in states for count in state["cells"]}
         self.shard_count = max(shard_counts, default=1)
         views = {view for state in states for view in state["views"]}
         self.last_state = {"views": len(views), "cells": self.shard_count}
-        # Links begin in the shards as they will be: none is opened for nothing.
+        # Waits for the final number of shards, so that no link is opened that a later view would close.
         cell_size = self.options.cell_size
-        sharded = not cell_size or min(shard_counts) * cell_size >= self.plan.size
-        return sharded and {size for state in states for size in state["sizes"]} == {str(self.plan.size)}
+        sharded = not cell_size or min(shard_counts) * cell_size >= self.layout.size
+        return sharded and {size for state in states for size in state["sizes"]} == {str(self.layout.size)}
 
     async def ready(self, members: int, hollow: int | None = None) -> bool:
-        """Whether all hollow members that run are ready, under one view of so many members.
+        """Return whether all running hollow members are ready, with one view of `members` members.
 
-        `hollow`: how many run; None: all.
+        `hollow`: how many hollow members run; None: all.
         """
-        states = await self.ask_all("state")
+        states = await self.command_all("state")
         views: Counter[str] = Counter()
         for state in states:
             views.update(state["views"])
@@ -233,18 +239,18 @@
         ready = sum(state["ready"] for state in states)
         links = sum(state["links"] for state in states)
         self.last_state = {"members": running, "ready": ready, "views": len(views), "links": links}
-        if running != (self.plan.hollow if hollow is None else hollow):
+        if running != (self.layout.hollow if hollow is None else hollow):
             return False
         return await self.registered(members) and len(views) == 1 and ready == running
 
     async def link_changes(self) -> int:
-        """Return how many links of hollow members have come up or ended so far."""
-        return sum(state["changes"] for state in await self.ask_all("state"))
+        """Return how often links of hollow members have come up or ended so far."""
+        return sum(state["changes"] for state in await self.command_all("state"))
 
     async def sample(self) -> Json:
-        """Return the counts of all processes as of now."""
-        workers = await self.ask_all("sample")
-        store = await self.store.ask("sample")
+        """Return the current counts of all processes."""
+        workers = await self.command_all("sample")
+        store = await self.store.send_command("sample")
         real = self.real.samples() if self.real is not None else {}
         return {
             "at": time.monotonic(),
@@ -257,7 +263,7 @@
 
 
 def reserve_network() -> tuple[int, socket.socket]:
-    """Return a part of the loopback's addresses that no other run has, and the socket that reserves it."""
+    """Reserve a range of loopback addresses for this run; return it and the socket that holds it."""
     for network in random.SystemRandom().sample(list(NETWORKS), len(NETWORKS)):
         sock = socket.socket()
         try:
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -1,4 +1,4 @@
-"""The deciding part of a hollow member: one attempt a request, answered after a fixed time."""
+"""The host of a hollow member, which answers each request with one attempt after a fixed time."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 from .metered import MeteredLoop
 
-SERVICE_TIME = 0.005  # seconds of an attempt
-REPLICA_MEMORY = 24 << 20  # bytes of others' requests: an eighth of a sidecar's usual limit
+SERVICE_TIME = 0.005  # seconds that an attempt takes
+REPLICA_MEMORY = 24 << 20  # bytes of other members' requests: an eighth of a sidecar's usual limit
 
 
 @dataclass(slots=True, eq=False)
 class HollowAttempt:
-    """One attempt of a request, which is sent nowhere."""
+    """One attempt of a request. It is not sent to an endpoint."""
 
     request: ReplicatedRequest
     started_at: float
@@ -47,20 +47,20 @@
 
 @dataclass(slots=True, eq=False)
 class RequestArrived:
-    """To the host: a client sends a request with that name."""
+    """Message to the host: a client sends a request with that idempotency key."""
 
     name: bytes
 
 
 @dataclass(slots=True, eq=False)
 class AttemptDropped:
-    """To the host: that attempt is not to be made."""
+    """Message to the host: the attempt must not be made."""
 
     attempt: HollowAttempt
 
 
 class HollowHost(FleetHost, Actor):
-    """Hosts the replication of one hollow member."""
+    """Hosts the replication and the policy of one hollow member."""
 
     daemon = True
     messages_per_turn = 64
@@ -69,27 +69,27 @@
         self,
         loop: MeteredLoop,
         member_id: str,
-        part: FleetConfig,
+        fleet_config: FleetConfig,
         on_entry_lost: Callable[[EntryLost], None],
         policy_controller: PolicyController,
         config: BalancerConfig,
         log: Callable[..., None],
     ) -> None:
-        """`part`: the configuration's `fleet` part."""
+        """`fleet_config`: the `fleet` section of the configuration."""
         self.counts: Counter[str] = Counter()
         self.frames: Counter[str] = Counter()
-        replicated_class = part.replication.request_classes[-1]
+        replicated_class = fleet_config.replication.request_classes[-1]
         self.request_class = next(c for c in config.request_classes if c.name == replicated_class)
         shortest = min(c.latency_objective for c in config.request_classes)
         longest = max(c.timeout for c in config.request_classes)
-        self.in_service: list[tuple[float, int, HollowAttempt]] = []  # a heap, by the end of the service
+        self.in_service: list[tuple[float, int, HollowAttempt]] = []  # a heap, by end time
         self.attempt_number = 0
         self.alarm_at = inf
-        self.replication_seconds = 0.0  # from attempts' begin to their release, all together
+        self.replication_seconds = 0.0  # from the start of an attempt to its release, summed up
         self.set_up(
             loop,
             member_id,
-            part,
+            fleet_config,
             policy_controller,
             on_entry_lost,
             lambda: self,
@@ -100,10 +100,10 @@
         Actor.__init__(self, loop)
 
     def run(self) -> Coroutine[None]:
-        """Handle messages and the ends of attempts."""
+        """Handle messages, and finish attempts when they are due."""
         while True:
-            next_answer_at = self.in_service[0][0] if self.in_service else inf
-            message = yield min(next_answer_at, self.alarm_at)
+            next_attempt_end = self.in_service[0][0] if self.in_service else inf
+            message = yield min(next_attempt_end, self.alarm_at)
             now = self.loop.now()
             if message is None:
                 self._handle_time(now)
@@ -165,24 +165,24 @@
             self._record_answer(attempt.request, RecordedResponse(REJECTED))
 
     def _record_answer(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
-        given = self.replicator.finish_request(request, response)
-        self.counts["later" if given is None else f"answered_{given.status}"] += 1
+        recorded = self.replicator.finish_request(request, response)
+        self.counts["later" if recorded is None else f"answered_{recorded.status}"] += 1
 
-    # What `FleetHost` asks of the deciding part
+    # The abstract methods of `FleetHost`
 
     def dispatch(self, request: ReplicatedRequest) -> None:
-        """Take over a request: attempt it, or fail it if it may have run and may not run twice."""
+        """Attempt a request, or fail it if it may have run and is not idempotent."""
         if not request.is_idempotent and request.may_have_run:
             self._record_answer(request, RecordedResponse(FAILED))
         else:
             self._start_attempt(request, self.loop.now())
 
     def respond(self, request: ReplicatedRequest, client: object, response: RecordedResponse) -> None:
-        """Count what a client would be answered."""
+        """Count the response that a client would get."""
         self.counts[f"told_{response.status}"] += 1
 
     def release_held_attempt(self, exchange: HollowAttempt) -> None:
-        """Begin the service of an attempt whose intent is replicated."""
+        """Start an attempt whose intent has been replicated."""
         now = self.loop.now()
         self.replication_seconds += now - exchange.started_at
         self.counts["released"] += 1
@@ -190,16 +190,16 @@
         heapq.heappush(self.in_service, (now + SERVICE_TIME, self.attempt_number, exchange))
 
     def cancel_held_attempt(self, exchange: HollowAttempt) -> None:
-        """Drop an attempt in a turn of its own."""
+        """Drop an attempt in a later turn of the actor."""
         self.post(AttemptDropped(exchange))
 
-    def replication_config_changed(self, part: ReplicationConfig) -> None:
-        """Replicate as a policy says."""
-        self.replicator.replica_count = part.replicas
+    def replication_config_changed(self, config: ReplicationConfig) -> None:
+        """Apply the number of replicas of a new policy."""
+        self.replicator.replica_count = config.replicas
 
     def balancer_config_changed(self, config: BalancerConfig) -> None:
-        """Count a reload of the configuration."""
+        """Count an applied configuration."""
         self.counts["retuned"] += 1
 
     def set_zone_shares(self, shares: object, returning: object) -> None:
-        """Ignore a plan for zones: there is nothing here that it concerns."""
+        """Ignore a zone plan, since no requests are sent to endpoints."""
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -1,4 +1,4 @@
-"""The program's loop, with a meter for each member: processor time of its turns, traffic of its sockets."""
+"""The program's event loop with a meter for each member: processor time of its turns and socket traffic."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 class Meter:
     """Counts of one member.
 
-    `own_ns`: processor time inside its actors' turns, system calls of theirs included. The rest is the
-    loop's: waiting for sockets, queues, timers. It is shared by all on the loop.
+    `turn_ns`: processor time of its actors' turns, including their system calls. The loop's own time (polling
+    sockets, queues, timers) is not included, since all members on the loop share it.
     """
 
     def __init__(self) -> None:
         """Start at zero."""
-        self.own_ns = 0
+        self.turn_ns = 0
         self.sockets: dict[int, bool] = {}  # descriptors, and whether each is connected to the store
         self.ended_links = Traffic()
         self.ended_store_calls = Traffic()
 
     def sample(self) -> Sample:
-        """Return the counts as of now."""
-        sample = Sample(sockets=len(self.sockets), cpu_s=self.own_ns / NANOSECONDS)
+        """Return the current counts."""
+        sample = Sample(sockets=len(self.sockets), cpu_s=self.turn_ns / NANOSECONDS)
         sample.links.add(self.ended_links)
         sample.store.add(self.ended_store_calls)
         for descriptor, to_store in self.sockets.items():
-            if (now := socket_traffic(descriptor)) is not None:
-                (sample.store if to_store else sample.links).add(now)
+            if (traffic := socket_traffic(descriptor)) is not None:
+                (sample.store if to_store else sample.links).add(traffic)
         return sample
 
 
 class MeteredLoop(Loop):
-    """A loop that counts for each actor's meter."""
+    """An event loop that counts turns and sockets in the meters of their actors."""
 
     def __init__(self, on_defect: Callable[[Actor, Exception], None]) -> None:
         """`on_defect`: as for `Loop`."""
         super().__init__(on_defect)
         self.shared_meter = Meter()  # of actors that belong to no member
-        self.nested_ns = 0  # time of turns inside the present one
+        self.nested_ns = 0  # time of turns that ran inside the current one
 
     def meter_of(self, actor: Actor) -> Meter:
-        """Return an actor's meter: a link has that of its manager."""
+        """Return the meter of an actor. A link has the meter of its manager."""
         meter = actor.__dict__.get("meter")
         if meter is None:
             manager = getattr(actor, "manager", None)
@@ -59,12 +59,12 @@
         return meter
 
     def register(self, fd: int, actor: Actor, mask: int) -> None:
-        """Watch a socket, and count it."""
+        """Watch a socket, and count its traffic."""
         super().register(fd, actor, mask)
         self.meter_of(actor).sockets[fd] = isinstance(actor, EtcdSession)
 
     def unregister(self, fd: int) -> None:
-        """Watch a socket no longer, and take its last count."""
+        """Stop watching a socket, and add its final counts."""
         if (actor := self.actors_by_descriptor.get(fd)) is not None:
             meter = self.meter_of(actor)
             to_store = meter.sockets.pop(fd, False)
@@ -79,6 +79,6 @@
             super()._resume(actor, message)
         finally:
             took = time.thread_time_ns() - began
-            # One actor may begin another in its turn, whose part is its own.
-            self.meter_of(actor).own_ns += took - self.nested_ns
+            # An actor may begin another one in its turn. The time of that turn counts for the other actor.
+            self.meter_of(actor).turn_ns += took - self.nested_ns
             self.nested_ns = before + took
--- a/trials/scale/plot.py
+++ b/trials/scale/plot.py
@@ -1,4 +1,4 @@
-"""A plot of measured lines, figures by size. `python -m trials.scale.plot FILE... --output a.png`."""
+"""Plot measured figures by size: `python -m trials.scale.plot FILE... --output a.png`."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 }
 
 
-def drawn(lines: list[dict[str, Any]], phase: str) -> Figure:
-    """Return a plot with a panel for each figure, and in it a line for each cell size and role."""
+def plot_figures(lines: list[dict[str, Any]], phase: str) -> Figure:
+    """Return a plot with a panel for each figure and a line for each cell size and role."""
     figure, panels = plt.subplots(2, 2, figsize=(10, 7))
     cells = sorted({line["cell_size"] for line in lines})
     for panel, (name, label) in zip(panels.flat, FIGURES.items(), strict=True):
         for cell_size in cells:
             for role in ("arbiter",) if name == "watch_events_s" else ("hollow", "real", "alone"):
-                found = mean_by_size(lines, role, phase, name, cell_size)
-                if found:
+                by_size = mean_by_size(lines, role, phase, name, cell_size)
+                if by_size:
                     what = f"{role}, " + (f"cells of {cell_size}" if cell_size else "one cell")
-                    panel.plot(list(found), list(found.values()), marker="o", label=what)
+                    panel.plot(list(by_size), list(by_size.values()), marker="o", label=what)
         panel.set_xlabel("members")
         panel.set_ylabel(label)
         panel.set_ylim(bottom=0)
@@ -51,10 +51,10 @@
     parser.add_argument("files", nargs="+", type=Path)
     parser.add_argument("--phase", default="rest")
     parser.add_argument("--output", type=Path, required=True)
-    given = parser.parse_args(arguments)
+    args = parser.parse_args(arguments)
     try:
-        lines = read_lines(given.files)
-        drawn(lines, given.phase).savefig(given.output, dpi=100)
+        lines = read_lines(args.files)
+        plot_figures(lines, args.phase).savefig(args.output, dpi=100)
     except (OSError, ValueError) as error:
         print(f"trials.scale.plot: {error}", file=sys.stderr)
         return 2
--- a/trials/scale/real.py
+++ b/trials/scale/real.py
@@ -1,4 +1,4 @@
-"""Real processes of the program among the hollow members: the rig's, without relays on their links."""
+"""Real processes of the program among the hollow members, started by the rig without relays."""
 
 from __future__ import annotations
 
@@ -11,49 +11,52 @@
 from .counts import Sample, process_sample
 
 UPSTREAMS = 3
-POLL_INTERVAL = 0.1  # seconds between looks at whether all are ready
-MIN_SOCKETS = 1024  # that a sidecar may have, where the fleet does not need more
+POLL_INTERVAL = 0.1  # seconds between checks whether all are ready
+MIN_SOCKETS = 1024  # least socket limit of a sidecar; larger fleets need more
 
 
 class RealSidecars(Rig):
-    """The rig of a fleet whose other members and store are other processes of the run."""
+    """A rig whose fleet has further members, and whose store is another process of the run."""
 
     def __init__(
         self,
         seed: int,
         count: int,
-        part: dict[str, Any],
+        fleet_config: dict[str, Any],
         size: int,
         address: tuple[str, int],
         root: Path = ROOT,
     ) -> None:
-        """`part`: the configuration's `fleet` part; `size`: members in all; `address`: of the store."""
-        super().__init__(seed, count, UPSTREAMS, service=0.005, root=root, lease=part["lease_s"])
-        self.part, self.size, self.address = part, size, address
+        """`fleet_config`: the `fleet` section of the configuration. `size`: of the fleet.
+
+        `address`: of the store.
+        """
+        super().__init__(seed, count, UPSTREAMS, service=0.005, root=root, lease=fleet_config["lease_s"])
+        self.fleet_config, self.size, self.address = fleet_config, size, address
         self.arbiter = ExternalStore(*address)  # type: ignore[assignment]
 
     def extra_config(self, sidecar: Sidecar) -> dict[str, Any]:
-        """Return the configuration's fleet part and limits."""
+        """Return the `fleet` section and the limits of the configuration."""
         listen = f"{sidecar.host}:{sidecar.fleet_port}"
         limits = {"memory_mb": sidecar.memory_mb, "sockets": max(MIN_SOCKETS, 3 * self.size)}
-        return {"fleet": self.part | {"listen": listen}, "limits": limits}
+        return {"fleet": self.fleet_config | {"listen": listen}, "limits": limits}
 
     async def wait_for_view(self, members: int) -> None:
-        """Return at once: the run itself waits, since it knows how many members there are."""
+        """Return at once, since the run itself waits for the view of the whole fleet."""
 
     def samples(self) -> dict[str, Sample]:
-        """Return a sample of each process that runs."""
+        """Return a sample of each running process."""
         samples = {}
         for sidecar in self.sidecars:
             if sidecar.alive and sidecar.process is not None:
-                not_ports = {sidecar.port, sidecar.mgmt}
+                excluded_ports = {sidecar.port, sidecar.mgmt}
                 samples[sidecar.name] = process_sample(
-                    sidecar.process.pid, sidecar.host, not_ports, self.address
+                    sidecar.process.pid, sidecar.host, excluded_ports, self.address
                 )
         return samples
 
     async def all_ready(self, within: float) -> bool:
-        """Whether all are in the view and settled within so many seconds."""
+        """Return whether all are in the view and settled within `within` seconds."""
         until = asyncio.get_running_loop().time() + within
         while asyncio.get_running_loop().time() < until:
             reports = [(await sidecar.admin_call("GET", "/_fleet"))[1] for sidecar in self.sidecars]
@@ -65,14 +68,14 @@
 
 
 class ExternalStore:
-    """Takes the place of the rig's fake etcd, which is a process of the run."""
+    """Replaces the rig's fake etcd by the address of the one that the run has started."""
 
     def __init__(self, host: str, port: int) -> None:
         """`host`, `port`: where the process listens."""
         self.server = SimpleNamespace(host=host, port=port)
 
-    async def begin(self) -> None:
-        """Do nothing: the run starts the process."""
+    async def start(self) -> None:
+        """Do nothing, since the run starts the process."""
 
     async def stop(self) -> None:
-        """Do nothing: the run ends the process."""
+        """Do nothing, since the run ends the process."""
--- a/trials/scale/run.py
+++ b/trials/scale/run.py
@@ -1,4 +1,4 @@
-"""One run: a fleet of a size is started, and measured through the phases."""
+"""One run: starts a fleet of one size, and measures it in each phase."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Run:
-    """One fleet and its phases. `output` is given each line."""
+    """One fleet and its phases. `output` is called with each line."""
 
     def __init__(self, options: RunOptions, output: Callable[[Json], None]) -> None:
-        """`begin` starts the fleet."""
+        """Prepare the fleet, which `begin` starts."""
         self.options = options
         self.output = output
         self.fleet = ScaleFleet(options)
-        self.rng = random.Random(f"scale {options.seed} {options.plan.size}")
+        self.rng = random.Random(f"scale {options.seed} {options.layout.size}")
         self.commit = checked_out_commit()
 
     async def begin(self) -> None:
@@ -38,36 +38,36 @@
         """End all processes."""
         await self.fleet.end()
 
-    async def play(self) -> None:
-        """Play all phases, each after a while of quiet. Raises `FleetStuckError`."""
+    async def run_phases(self) -> None:
+        """Run all phases, each after a time without link changes. Raises `FleetStuckError`."""
         phases = Phases(self.fleet, self.rng, self._measure)
         for name in self.options.phases:
-            await self._wait_until_quiet()
+            await self._wait_for_stable_links()
             await PHASES[name](phases)
 
     @asynccontextmanager
     async def _measure(self, name: str) -> AsyncIterator[Json]:
-        """Give out the figures between begin and end, with what is put into the dict meanwhile."""
-        added: Json = {}
+        """Output the figures of the context's duration, with what was put into the dict that it yields."""
+        details: Json = {}
         before = await self.fleet.sample()
         stuck: FleetStuckError | None = None
         try:
-            yield added
+            yield details
         except FleetStuckError as error:
             stuck = error
-            added["stuck"] = str(error)
+            details["stuck"] = str(error)
         after = await self.fleet.sample()
-        head = self._head(name, before, after)
+        head = self._line_head(name, before, after)
         fleet = self.fleet
         for line in role_lines(before, after, fleet.workers, fleet.alone, fleet.base_memory):
-            self.output(head | line | added)
+            self.output(head | line | details)
         if stuck is not None:
             raise stuck
 
-    def _head(self, phase: str, before: Json, after: Json) -> Json:
-        """Return what all lines of a phase begin with."""
+    def _line_head(self, phase: str, before: Json, after: Json) -> Json:
+        """Return the keys that all lines of a phase begin with."""
         return {
-            "size": self.options.plan.size,
+            "size": self.options.layout.size,
             "seed": self.options.seed,
             "cell_size": self.options.cell_size,
             "phase": phase,
@@ -76,14 +76,14 @@
             "commit": self.commit,
         }
 
-    async def _wait_until_quiet(self) -> None:
-        """Wait until no link has come up or ended for a while: a new one has more heartbeats."""
-        changes, since, deadline = -1, 0.0, time.monotonic() + self.fleet.ready_timeout
+    async def _wait_for_stable_links(self) -> None:
+        """Wait until no link has changed for a while, since new links have more heartbeats."""
+        changes, stable_since, deadline = -1, 0.0, time.monotonic() + self.fleet.ready_timeout
         while time.monotonic() < deadline:
-            now = await self.fleet.link_changes()
-            if now != changes:
-                changes, since = now, time.monotonic()
-            if time.monotonic() >= since + SETTLE_TIME:
+            latest = await self.fleet.link_changes()
+            if latest != changes:
+                changes, stable_since = latest, time.monotonic()
+            if time.monotonic() >= stable_since + SETTLE_TIME:
                 return
             await asyncio.sleep(POLL_INTERVAL)
         timeout = self.fleet.ready_timeout
@@ -91,6 +91,6 @@
 
 
 def checked_out_commit() -> str:
-    """Return which program is run; with a plus where files differ from that commit."""
+    """Return the commit of the program, with a plus if files differ from it."""
     command = ["git", "describe", "--always", "--dirty=+", "--exclude=*"]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True).stdout.strip()
--- a/trials/scale/slopes.py
+++ b/trials/scale/slopes.py
@@ -1,7 +1,7 @@
-"""Slopes: constant, linear and square parts of a figure by size, from measured lines.
+"""Fits of the measured figures as constant, linear or square functions of the fleet's size.
 
-`python -m trials.scale.slopes FILE...` fits each figure from the sizes measured, tells what remains, and
-checks the form that it would choose by predicting the largest size from the smaller ones alone.
+`python -m trials.scale.slopes FILE...` fits each figure over the measured sizes, and prints the coefficients
+and the residual. It tests the chosen form by predicting the largest size from the smaller ones.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 from starlingwheel.net.fleet.links.timing import IDLE_HEARTBEATS_PER_SECOND, MAX_IDLE_HEARTBEAT_INTERVAL
 
-# Links beyond which each has one heartbeat in the longest interval: another form holds from there on.
+# Number of links from which on each has the longest heartbeat interval, so that costs grow differently.
 KNEE = int(IDLE_HEARTBEATS_PER_SECOND * MAX_IDLE_HEARTBEAT_INTERVAL)
 FORMS = {"constant": 1, "linear": 2, "square": 3}
-MIN_SIZES = {"constant": 1, "linear": 2, "square": 4}  # for each form
-MIN_GAIN = 1 / 2  # of what remains, that a further part has to explain: less would fit the noise
+MIN_SIZES = {"constant": 1, "linear": 2, "square": 4}  # measured sizes that each form needs
+MIN_GAIN = 1 / 2  # of the residual, that a further term must explain; terms that explain less fit noise
 MIN_SIZES_PER_ROW = 3  # of the table
-NEGLIGIBLE = 0.02  # of the largest value, that may remain
+NEGLIGIBLE = 0.02  # residual that needs no further term, as a fraction of the largest value
 FIGURES = (
     "sockets", "wire_out", "wire_in", "messages_out", "segments_out", "core", "own_core", "mb", "calls_s",
     "watch_lines_s", "watch_events_s",
@@ -34,11 +34,14 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """`coefficients`: constant, a member, a pair of members (n squared); 0: the form leaves it out."""
+    """A fitted function of the size n.
+
+    `coefficients`: the constant, and those of n and of n squared. Those that the form does not have are 0.
+    """
 
     form: str
     coefficients: tuple[float, float, float]
-    residual: float  # root of the mean square of what remains, in the figure's own unit
+    residual: float  # root mean square, in the unit of the figure
     sizes: tuple[int, ...]
 
     def at(self, size: float) -> float:
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True)
 class CheckedFit:
-    """A fit of all sizes, and the prediction of the largest one from the others; None: too few sizes."""
+    """A fit over all sizes, and the largest size predicted from the others; None if those are too few."""
 
     fit: Fit
     largest: int
@@ -58,32 +61,33 @@
 
     @property
     def error(self) -> float | None:
-        """Of the prediction, as a part of what was measured."""
+        """The error of the prediction as a fraction of the measured value."""
         if self.predicted is None or not self.measured:
             return None
         return (self.predicted - self.measured) / self.measured
 
 
 def fit_form(points: Mapping[int, float], form: str) -> Fit:
-    """Return the least squares of that form. Raises `ValueError` for fewer sizes than parts."""
+    """Fit that form by least squares. Raises `ValueError` if there are fewer sizes than terms."""
     count = FORMS[form]
     if len(points) < count:
-        raise ValueError(f"{len(points)} sizes for {count} parts")
+        raise ValueError(f"{len(points)} sizes for {count} terms")
     sizes = np.array(sorted(points), dtype=float)
     values = np.array([points[int(n)] for n in sizes])
-    # Scaled, since the square of hundreds next to a constant loses precision.
+    # Scaled, since the squares of large sizes next to a constant would lose precision.
     scale = sizes.max()
     columns = np.vander(sizes / scale, count, increasing=True)
-    solved = np.linalg.lstsq(columns, values, rcond=None)[0]
-    residual = float(np.sqrt(np.mean((columns @ solved - values) ** 2)))
-    parts = [float(p) / scale**i for i, p in enumerate(solved)] + [0.0] * (3 - count)
-    return Fit(form, (parts[0], parts[1], parts[2]), residual, tuple(int(n) for n in sizes))
+    solution = np.linalg.lstsq(columns, values, rcond=None)[0]
+    residual = float(np.sqrt(np.mean((columns @ solution - values) ** 2)))
+    terms = [float(p) / scale**i for i, p in enumerate(solution)] + [0.0] * (3 - count)
+    return Fit(form, (terms[0], terms[1], terms[2]), residual, tuple(int(n) for n in sizes))
 
 
 def choose_fit(points: Mapping[int, float]) -> Fit:
-    """The simplest form beyond which no part is worth it. A square needs a size more than it has parts.
+    """Return the fit of the simplest form that further terms do not improve enough.
 
-    Two sizes leave nothing of a linear form: only the prediction of a third one tells whether it holds.
+    The square form needs one size more than it has terms. A linear form through two sizes has no residual, so
+    only the prediction of a third size can test it.
     """
     largest = max(abs(value) for value in points.values()) or 1.0
     forms = [form for form, least in MIN_SIZES.items() if len(points) >= least]
@@ -91,14 +95,14 @@
     for form in forms[1:]:
         if best.residual <= NEGLIGIBLE * largest:
             break
-        further = fit_form(points, form)
-        if further.residual < (1 - MIN_GAIN) * best.residual:
-            best = further
+        candidate = fit_form(points, form)
+        if candidate.residual < (1 - MIN_GAIN) * best.residual:
+            best = candidate
     return best
 
 
 def check_fit(points: Mapping[int, float]) -> CheckedFit:
-    """Return the fit of all sizes, with the prediction of the largest one."""
+    """Return the fit over all sizes, and predict the largest size from the others."""
     largest = max(points)
     smaller = {size: value for size, value in points.items() if size != largest}
     predicted = choose_fit(smaller).at(largest) if len(smaller) > 1 else None
@@ -106,7 +110,7 @@
 
 
 def read_lines(paths: Iterable[Path]) -> list[dict[str, Any]]:
-    """Return the measured lines of files."""
+    """Return the measured lines of the files."""
     lines = [json.loads(line) for path in paths for line in path.read_text().splitlines() if line.strip()]
     return [line for line in lines if "phase" in line]
 
@@ -114,24 +118,24 @@
 def mean_by_size(
     lines: Iterable[Mapping[str, Any]], role: str, phase: str, figure: str, cell_size: int
 ) -> dict[int, float]:
-    """Return the mean of all seeds by size."""
-    found: dict[int, list[float]] = defaultdict(list)
+    """Return the mean of a figure over all seeds, by size."""
+    values_by_size: dict[int, list[float]] = defaultdict(list)
     for line in lines:
         if (line["role"], line["phase"], line["cell_size"]) == (role, phase, cell_size) and figure in line:
-            found[line["size"]].append(line[figure])
-    return {size: sum(values) / len(values) for size, values in sorted(found.items())}
+            values_by_size[line["size"]].append(line[figure])
+    return {size: sum(values) / len(values) for size, values in sorted(values_by_size.items())}
 
 
-def ranges(
+def fit_ranges(
     by_size: Mapping[int, float], role: str, phase: str, knee: int
 ) -> Iterable[tuple[str, dict[int, float]]]:
-    """What is fitted by itself: at rest other forms hold below and above the knee."""
+    """Yield the ranges of sizes that are fitted separately. At rest these are below and above the knee."""
     if phase == "rest" and role != "arbiter":
         below = {n: v for n, v in by_size.items() if n <= knee}
         above = {n: v for n, v in by_size.items() if n > knee}
-        for some in (below, above):
-            if len(some) > 1:
-                yield f"{min(some)} to {max(some)}", some
+        for points in (below, above):
+            if len(points) > 1:
+                yield f"{min(points)} to {max(points)}", points
     elif len(by_size) > 1:
         yield f"{min(by_size)} to {max(by_size)}", dict(by_size)
 
@@ -139,7 +143,7 @@
 def predict(
     lines: list[dict[str, Any]], size: int, cell_size: int, phases: Iterable[str]
 ) -> list[dict[str, Any]]:
-    """Return what smaller sizes predict for that one: a line for each phase and role."""
+    """Return the figures that smaller sizes predict for a size, a line for each phase and role."""
     predictions = []
     for phase in phases:
         for role in ("hollow", "alone", "real", "arbiter"):
@@ -159,7 +163,10 @@
 
 
 def table(lines: list[dict[str, Any]], size: int, knee: int = KNEE) -> str:
-    """Markdown. `size`: what the fit says of that one; beyond the largest measured it is extrapolated."""
+    """Format the fits as a Markdown table, with their values at `size`.
+
+    The value is marked as extrapolated if `size` is larger than the largest measured size.
+    """
     rows = [
         f"| cells of | phase | role | figure | measured at | constant | a member | a pair | remains "
         f"| largest: measured, predicted, error | at {size:,} |",
@@ -169,50 +176,50 @@
     for cell_size, phase, role in kinds:
         for figure in FIGURES:
             by_size = mean_by_size(lines, role, phase, figure, cell_size)
-            for span, some in ranges(by_size, role, phase, knee):
-                if any(some.values()) and len(some) >= MIN_SIZES_PER_ROW:
+            for span, points in fit_ranges(by_size, role, phase, knee):
+                if any(points.values()) and len(points) >= MIN_SIZES_PER_ROW:
                     rows.append(
-                        _row(str(cell_size or "all"), phase, role, figure, span, check_fit(some), size)
+                        _row(str(cell_size or "all"), phase, role, figure, span, check_fit(points), size)
                     )
     return "\n".join(rows)
 
 
-def _row(cells: str, phase: str, role: str, figure: str, span: str, check: CheckedFit, size: int) -> str:
-    fit = check.fit
+def _row(cells: str, phase: str, role: str, figure: str, span: str, checked: CheckedFit, size: int) -> str:
+    fit = checked.fit
     constant, linear, square = (f"{part:.4g}" if part else "-" for part in fit.coefficients)
-    comparison = f"{check.largest}: {check.measured:.4g}, no prediction: too few sizes"
-    if check.predicted is not None:
-        error = "-" if check.error is None else f"{check.error:+.1%}"
-        comparison = f"{check.largest}: {check.measured:.4g}, {check.predicted:.4g}, {error}"
-    word = "extrapolated " if size > check.largest else ""
+    comparison = f"{checked.largest}: {checked.measured:.4g}, no prediction: too few sizes"
+    if checked.predicted is not None:
+        error = "-" if checked.error is None else f"{checked.error:+.1%}"
+        comparison = f"{checked.largest}: {checked.measured:.4g}, {checked.predicted:.4g}, {error}"
+    prefix = "extrapolated " if size > checked.largest else ""
     return (
         f"| {cells} | {phase} | {role} | {figure} | {span} | {constant} | {linear} | {square} "
-        f"| {fit.residual:.3g} | {comparison} | {word}{fit.at(size):.4g} |"
+        f"| {fit.residual:.3g} | {comparison} | {prefix}{fit.at(size):.4g} |"
     )
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Run the command line, and return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m trials.scale.slopes", description=__doc__)
-    parser.add_argument("files", nargs="+", type=Path, help="lines of trials.scale")
-    parser.add_argument("--size", type=int, default=1600, help="what the fits say of it (1600)")
+    parser.add_argument("files", nargs="+", type=Path, help="output of trials.scale")
+    parser.add_argument("--size", type=int, default=1600, help="size for which the fits are evaluated (1600)")
     parser.add_argument(
-        "--knee", type=int, default=KNEE, help=f"size from which on another form holds at rest ({KNEE})"
+        "--knee", type=int, default=KNEE, help=f"size at which the form changes at rest ({KNEE})"
     )
-    parser.add_argument("--phase", help="only this one")
-    parser.add_argument("--role", help="only this one")
-    given = parser.parse_args(arguments)
+    parser.add_argument("--phase", help="only this phase")
+    parser.add_argument("--role", help="only this role")
+    args = parser.parse_args(arguments)
     try:
-        lines = read_lines(given.files)
+        lines = read_lines(args.files)
     except (OSError, ValueError) as error:
         print(f"trials.scale.slopes: {error}", file=sys.stderr)
         return 2
-    lines = [one for one in lines if given.phase in (None, one["phase"])]
-    lines = [one for one in lines if given.role in (None, one["role"])]
+    lines = [line for line in lines if args.phase in (None, line["phase"])]
+    lines = [line for line in lines if args.role in (None, line["role"])]
     if not lines:
-        print("trials.scale.slopes: no line has a figure", file=sys.stderr)
+        print("trials.scale.slopes: no measured line matches", file=sys.stderr)
         return 2
-    print(table(lines, given.size, given.knee))
+    print(table(lines, args.size, args.knee))
     return 0
 
 
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -1,4 +1,7 @@
-"""One process of hollow members, on one loop. Commands come by standard input, a JSON object a line."""
+"""One process of hollow members on one event loop.
+
+It reads commands from standard input, one JSON object a line.
+"""
 
 from __future__ import annotations
 
@@ -20,22 +23,22 @@
 from starlingwheel.net.state.buffers import BufferPool
 
 from .counts import resident_memory
-from .member import HollowFleet, HollowMember
+from .member import HollowFleetMember, HollowMember
 from .metered import MeteredLoop
 
-MAX_DEFECTS = 20  # whose traces are kept
-MAX_TRACE_SIZE = 600  # characters
-MAX_FAULT_SIZE = 800  # characters of the trace of a command that failed
-BUFFERS = 64  # a hollow member has no bodies
+MAX_DEFECTS = 20  # whose tracebacks are kept
+MAX_TRACE_SIZE = 600  # characters of the traceback of a defect
+MAX_FAULT_SIZE = 800  # characters of the traceback of a failed command
+BUFFER_COUNT = 64  # few, since hollow members have no bodies
 READ_SIZE = 1 << 20  # bytes
-READY_POLL_INTERVAL = 0.02  # seconds between looks whether a member is ready
+READY_POLL_INTERVAL = 0.02  # seconds between checks whether members are ready
 MICROSECONDS = 1e6  # of a second
 STANDARD_INPUT = 0  # descriptor
 Json = dict[str, Any]
 
 
 class MemberCounts:
-    """What members have counted: events, frames received, reasons of ends."""
+    """Sums of the members' counts: events, received frames, and reasons why links ended."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -49,8 +52,8 @@
         self.frames.update(other.frames)
         self.reasons.update(other.reasons)
 
-    def add_member(self, fleet: HollowFleet) -> None:
-        """Add the counts of a member that runs."""
+    def add_member(self, fleet: HollowFleetMember) -> None:
+        """Add the counts of a running member."""
         host = fleet.host
         self.counts.update(host.counts)
         self.counts.update({f"cover.{name}": count for name, count in host.replicator.counts.items()})
@@ -60,12 +63,15 @@
 
 
 class Worker:
-    """The members of this process. Its public methods are the commands; each returns its answer."""
+    """The members of this process.
+
+    The public methods are the commands of the run. Each takes the command and returns its answer.
+    """
 
     def __init__(self) -> None:
-        """Start without a member."""
+        """Start without members."""
         self.loop = MeteredLoop(self._record_defect)
-        self.pool = BufferPool(BUFFERS)
+        self.pool = BufferPool(BUFFER_COUNT)
         self.members: dict[str, HollowMember] = {}
         self.defects: list[str] = []
         self.ended_members = MemberCounts()
@@ -74,17 +80,17 @@
         if len(self.defects) < MAX_DEFECTS:
             self.defects.append("".join(traceback.format_exception(error))[-MAX_TRACE_SIZE:])
 
-    def _addressed(self, command: Json) -> list[HollowMember]:
-        """Return the members that a command is for: all unless it names them."""
+    def _selected_members(self, command: Json) -> list[HollowMember]:
+        """Return the members that a command names, or all."""
         names = command.get("members")
         return [member for name, member in self.members.items() if names is None or name in names]
 
-    def _running(self) -> list[tuple[HollowMember, HollowFleet]]:
+    def _running(self) -> list[tuple[HollowMember, HollowFleetMember]]:
         return [(member, member.fleet) for member in self.members.values() if member.fleet is not None]
 
     def begin(self, command: Json) -> Json:
-        """Make the members."""
-        # A fleet that grows without end must not take the machine's memory from other processes.
+        """Create the members, and limit the memory of the process."""
+        # If the members leak memory, they must not take it from other processes of the machine.
         hard_limit = resource.getrlimit(resource.RLIMIT_AS)[1]
         resource.setrlimit(resource.RLIMIT_AS, (command["memory_limit"], hard_limit))
         for name, host in command["members"]:
@@ -94,32 +100,32 @@
 
     def enter(self, command: Json) -> Json:
         """Register members in the store."""
-        for member in self._addressed(command):
-            member.enter()
+        for member in self._selected_members(command):
+            member.register()
         return {}
 
     def join(self, command: Json) -> Json:
-        """Have members follow the store."""
-        for member in self._addressed(command):
-            member.join()
+        """Have members watch the store."""
+        for member in self._selected_members(command):
+            member.watch_store()
         return {}
 
     def link(self, command: Json) -> Json:
         """Have members accept and dial links."""
-        for member in self._addressed(command):
-            member.link()
+        for member in self._selected_members(command):
+            member.open_links()
         return {}
 
     def start(self, command: Json) -> Json:
-        """Start members as processes start."""
-        for member in self._addressed(command):
+        """Start members completely, as a process does."""
+        for member in self._selected_members(command):
             member.start()
         return {}
 
     def kill(self, command: Json) -> Json:
-        """Kill members that run."""
+        """Kill those members that are running."""
         killed = 0
-        for member in self._addressed(command):
+        for member in self._selected_members(command):
             if member.fleet is not None:
                 self.ended_members.add_member(member.fleet)
                 member.kill()
@@ -127,25 +133,25 @@
         return {"killed": killed}
 
     def rest(self, command: Json) -> Json:
-        """Freeze the objects that there are, as a sidecar does after its start."""
+        """Exclude all present objects from garbage collection, as a sidecar does after its start."""
         gc.collect()
         gc.freeze()
         return {}
 
     def work(self, command: Json) -> Json:
-        """Have clients send requests to members, at a rate."""
-        for member in self._addressed(command):
-            member.set_work(command["rate"])
+        """Have clients send requests to members at a rate."""
+        for member in self._selected_members(command):
+            member.set_request_rate(command["rate"])
         return {}
 
     def cut(self, command: Json) -> Json:
-        """Cut the network between two sides."""
-        for member in self._addressed(command):
-            member.cut(command["side"])
+        """Partition the network between the given sides."""
+        for member in self._selected_members(command):
+            member.partition(command["side"])
         return {}
 
     def state(self, command: Json) -> Json:
-        """Return what the run waits for."""
+        """Return the state of the members, by which the run waits."""
         running = self._running()
         hosts = [fleet.host for _, fleet in running]
         views = [host.replicator.view for host in hosts]
@@ -163,12 +169,12 @@
         }
 
     def sample(self, command: Json) -> Json:
-        """Return all counts as of now."""
+        """Return all current counts."""
         totals = MemberCounts()
         totals.add_counts(self.ended_members)
         for _, fleet in self._running():
             totals.add_member(fleet)
-        latest, self.loop.max_timer_delay = self.loop.max_timer_delay, 0.0
+        max_timer_delay, self.loop.max_timer_delay = self.loop.max_timer_delay, 0.0
         meters = {name: member.meter.sample() for name, member in self.members.items()}
         return {
             "at": time.monotonic(),
@@ -180,13 +186,13 @@
             "counts": totals.counts,
             "frames": totals.frames,
             "reasons": totals.reasons,
-            "latest_s": latest,
+            "latest_s": max_timer_delay,
             "defects": self.defects,
         }
 
 
 class CommandReader(Actor):
-    """Carries out the commands of standard input; its end ends the process."""
+    """Executes the commands of standard input. The end of the input ends the process."""
 
     daemon = True
 
@@ -223,7 +229,7 @@
 
 
 class ReadinessWatcher(Actor):
-    """Records when each member becomes ready."""
+    """Records how long each member took to become ready."""
 
     daemon = True
 
@@ -233,7 +239,7 @@
         super().__init__(worker.loop)
 
     def run(self) -> Coroutine[None]:
-        """Look at all members, over and over."""
+        """Check all members at regular intervals."""
         while True:
             yield self.loop.now() + READY_POLL_INTERVAL
             for member in self.worker.members.values():
