--- a/trials/scale/fleet.py
+++ b/trials/scale/fleet.py
@@ -16,7 +16,7 @@
 
 from starlingwheel.fleet.records import Sharding
 
-from ..rig import CAPS, CATEGORIES, ZONES, cells_of
+from ..rig import CAPS, CATEGORIES, ZONES, shard_count_for
 from . import counts
 from .control import Process
 from .limits import MEMORY_FRACTION
@@ -117,7 +117,7 @@
         if options.cell_size:
             fleet_config["cell_size"] = options.cell_size
             # The number that a fleet of this size has grown to. Otherwise it would double step by step.
-            sharding = Sharding(cells_of(self.layout.size, options.cell_size))
+            sharding = Sharding(shard_count_for(self.layout.size, options.cell_size))
             value = msgspec.json.encode(sharding).decode()
             await self.store.send_command("put", key="/scale/cells", value=value)
         return fleet_config
--- a/trials/scale/real.py
+++ b/trials/scale/real.py
@@ -1,4 +1,4 @@
-"""Real processes of the program among the hollow members, started by the rig without relays."""
+"""Real processes of the program among the hollow members: a `Cluster` without relays on its links."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ..rig import ROOT, Rig, Sidecar
+from ..rig import ROOT, Cluster, Sidecar
 from .counts import Sample, process_sample
 
 UPSTREAMS = 3
@@ -15,8 +15,8 @@
 MIN_SOCKETS = 1024  # least socket limit of a sidecar; larger fleets need more
 
 
-class RealSidecars(Rig):
-    """A rig whose fleet has further members, and whose store is another process of the run."""
+class RealSidecars(Cluster):
+    """A cluster whose fleet has further members, and whose store is another process of the run."""
 
     def __init__(
         self,
@@ -27,15 +27,12 @@
         address: tuple[str, int],
         root: Path = ROOT,
     ) -> None:
-        """`fleet_config`: the `fleet` section of the configuration. `size`: of the fleet.
-
-        `address`: of the store.
-        """
-        super().__init__(seed, count, UPSTREAMS, service=0.005, root=root, lease=fleet_config["lease_s"])
+        """`fleet_config`: the `fleet` section; `size`: of the fleet; `address`: of the store."""
+        super().__init__(seed, count, UPSTREAMS, service_time=0.005, root=root, lease=fleet_config["lease_s"])
         self.fleet_config, self.size, self.address = fleet_config, size, address
-        self.arbiter = ExternalStore(*address)  # type: ignore[assignment]
+        self.store = ExternalStore(*address)  # type: ignore[assignment]
 
-    def extra_config(self, sidecar: Sidecar) -> dict[str, Any]:
+    def extra_configuration(self, sidecar: Sidecar) -> dict[str, Any]:
         """Return the `fleet` section and the limits of the configuration."""
         listen = f"{sidecar.host}:{sidecar.fleet_port}"
         limits = {"memory_mb": sidecar.memory_mb, "sockets": max(MIN_SOCKETS, 3 * self.size)}
@@ -49,7 +46,7 @@
         samples = {}
         for sidecar in self.sidecars:
             if sidecar.alive and sidecar.process is not None:
-                excluded_ports = {sidecar.port, sidecar.mgmt}
+                excluded_ports = {sidecar.port, sidecar.admin_port}
                 samples[sidecar.name] = process_sample(
                     sidecar.process.pid, sidecar.host, excluded_ports, self.address
                 )
@@ -68,7 +65,7 @@
 
 
 class ExternalStore:
-    """Replaces the rig's fake etcd by the address of the one that the run has started."""
+    """Replaces the cluster's fake etcd by the address of the one that the run has started."""
 
     def __init__(self, host: str, port: int) -> None:
         """`host`, `port`: where the process listens."""
