--- a/trials/scale/real.py
+++ b/trials/scale/real.py
@@ -1,4 +1,4 @@
-"""Real processes of the program among the hollow members, started by the rig without relays."""
+"""Real processes of the program among the hollow members: a `Cluster` without relays on its links."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RealSidecars(Cluster):
-    """A rig whose fleet has further members, and whose store is another process of the run."""
+    """A cluster whose fleet has further members, and whose store is another process of the run."""
 
     def __init__(
         self,
@@ -27,10 +27,7 @@
         address: tuple[str, int],
         root: Path = ROOT,
     ) -> None:
-        """`fleet_config`: the `fleet` section of the configuration. `size`: of the fleet.
-
-        `address`: of the store.
-        """
+        """`fleet_config`: the `fleet` section; `size`: of the fleet; `address`: of the store."""
         super().__init__(seed, count, UPSTREAMS, service_time=0.005, root=root, lease=fleet_config["lease_s"])
         self.fleet_config, self.size, self.address = fleet_config, size, address
         self.store = ExternalStore(*address)  # type: ignore[assignment]
@@ -68,7 +65,7 @@
 
 
 class ExternalStore:
-    """Replaces the rig's fake etcd by the address of the one that the run has started."""
+    """Replaces the cluster's fake etcd by the address of the one that the run has started."""
 
     def __init__(self, host: str, port: int) -> None:
         """`host`, `port`: where the process listens."""
