--- a/tests/test_fleet_trials.py
+++ b/tests/test_fleet_trials.py
@@ -16,7 +16,7 @@
 @pytest.mark.xdist_group("trials-1")
 @pytest.mark.parametrize("seed", [1, 2])
 def test_open_requests_run_once_when_their_sidecar_is_killed(seed: int) -> None:
-    """Replication prevents requests with a client's retry from running twice when their sidecar is killed."""
+    """Clients retry at other sidecars after a kill; replication prevents the requests from running twice."""
     result = asyncio.run(loss.run_trial(seed, rate=100))
     counts = result.counts
     assert result.passed, result.violations
