--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -30,9 +30,9 @@
     return list(capacity.measure(SMALL_SIZES, min_seconds=0.003))
 
 
-def row_of(rows: list[Row], what: str) -> Row:
+def row_of(rows: list[Row], title: str) -> Row:
     """Return the row with that title."""
-    return next(row for row in rows if row.what == what)
+    return next(row for row in rows if row.title == title)
 
 
 def test_fitted_line_and_growth_exponent_recover_their_parameters() -> None:
@@ -61,18 +61,20 @@
     assert figures.at("frame told") < figures.at("frame beat") < figures.at("frame cover")
 
 
-def test_the_cost_within_a_cell_does_not_grow_with_the_fleet(lines: list[dict[str, Any]]) -> None:
-    """With one cell, the same costs grow with the fleet."""
-    figures, cell = Figures(lines), 25
-    for what in ("links at rest", "beats at rest", "`Told` and what it quickens, mean of a day"):
+def test_the_cost_within_a_shard_does_not_grow_with_the_fleet(lines: list[dict[str, Any]]) -> None:
+    """With one shard for the whole fleet, the same costs grow with it."""
+    figures, shard_size = Figures(lines), 25
+    for title in ("links at rest", "beats at rest", "`Told` and what it quickens, mean of a day"):
         # Each member restarts equally often in both fleets.
         fleets = [FleetLoad(sidecars=n, restarts_per_day=n / 6) for n in (400, 1600)]
-        in_cells = [row_of(sidecar_rows(load, figures, load.sidecars // cell), what).value for load in fleets]
-        assert in_cells[0] == pytest.approx(in_cells[1]), what
-        mesh = [row_of(sidecar_rows(load, figures), what).value for load in fleets]
-        assert mesh[1] >= mesh[0] and mesh[1] >= in_cells[1], what
-        if what != "beats at rest":
-            assert mesh[1] > 3 * mesh[0], what
+        sharded = [
+            row_of(sidecar_rows(load, figures, load.sidecars // shard_size), title).value for load in fleets
+        ]
+        assert sharded[0] == pytest.approx(sharded[1]), title
+        one_shard = [row_of(sidecar_rows(load, figures), title).value for load in fleets]
+        assert one_shard[1] >= one_shard[0] and one_shard[1] >= sharded[1], title
+        if title != "beats at rest":
+            assert one_shard[1] > 3 * one_shard[0], title
 
 
 def test_with_many_open_requests_links_on_demand_reach_all_members() -> None:
@@ -107,7 +109,7 @@
     """A row without a budget is never over it."""
     rows = [Row("", str(n), "", value, "B/s", 10.0, "", "") for n, value in enumerate((5.0, 20.0, 90.0))]
     rows.append(Row("", "none", "", 1e9, "B/s", float("nan"), "", ""))
-    assert [row.what for row in over_budget(rows)] == ["2", "1"]
+    assert [row.title for row in over_budget(rows)] == ["2", "1"]
 
 
 def test_the_tables_are_put_between_the_marks_of_a_page(
--- a/trials/call_tree/server.py
+++ b/trials/call_tree/server.py
@@ -26,7 +26,7 @@
         self.error_rate = self.hang_rate = 0.0  # fractions of the calls
 
     def receive(self, call: Call) -> None:
-        """Queue or reject a call."""
+        """Queue a call, reject it if the queue is full, or leave it unanswered."""
         if call.abandoned:
             return  # the caller gave up while the call was on its way
         self.in_flight, call.counted_in_flight = self.in_flight + 1, True
--- a/trials/capacity/command.py
+++ b/trials/capacity/command.py
@@ -41,7 +41,7 @@
     )
     parser.add_argument("--sidecars", type=int, default=FleetLoad.sidecars)
     parser.add_argument(
-        "--cells", type=int, default=64, help="number of cells that is compared with one cell (default: 64)"
+        "--cells", type=int, default=64, help="number of shards that is compared with one shard (default: 64)"
     )
     parser.add_argument("--write", type=Path, help="write the tables into this page, between its marks")
     parser.add_argument(
--- a/trials/capacity/measure.py
+++ b/trials/capacity/measure.py
@@ -30,7 +30,7 @@
 )
 
 SIZES = (25, 50, 200, 400, 800, 1600)
-MAX_CELL_SIZE = 32  # members, in the figures that are timed with cells
+MAX_SHARD_SIZE = 32  # members, in the figures that are timed with shards
 KEY_SIZE = 32  # bytes of a request's idempotency key
 MIN_TIMED_SECONDS = 0.15  # seconds of processor time that each figure is timed for
 REPEATS = 3  # timings of each figure; the fastest is reported
@@ -79,18 +79,18 @@
         yield {"figure": f"{name}, as told to operators", "size": 0, "bytes": len(msgspec.json.encode(part))}
 
 
-def _cell_count(members: int) -> int:
-    cells = 1
-    while members > cells * MAX_CELL_SIZE:
-        cells *= 2
-    return cells
+def _shard_count(members: int) -> int:
+    shard_count = 1
+    while members > shard_count * MAX_SHARD_SIZE:
+        shard_count *= 2
+    return shard_count
 
 
 def _actions(bench: Bench, rng: random.Random, full_range: bytes) -> list[tuple[str, Callable[[], object]]]:
     """Return the timed operations of a fleet, by the name of their figure."""
     members, count = bench.members, bench.count
-    ids, cells = {m.id for m in members}, _cell_count(count)
-    view, view_in_cells = MembershipView(members), MembershipView(members, cells)
+    ids, shard_count = {m.id for m in members}, _shard_count(count)
+    view, sharded_view = MembershipView(members), MembershipView(members, shard_count)
     balancer = make_balancer(count)
 
     def change_endpoint() -> None:
@@ -101,12 +101,12 @@
     return [
         ("home", lambda: view.coordinator(rng.randbytes(KEY_SIZE))),
         (
-            f"home, in cells of {MAX_CELL_SIZE} at most",
-            lambda: view_in_cells.coordinator(rng.randbytes(KEY_SIZE)),
+            f"home, in cells of {MAX_SHARD_SIZE} at most",
+            lambda: sharded_view.coordinator(rng.randbytes(KEY_SIZE)),
         ),
         ("keepers", lambda: view.replicas(rng.randbytes(KEY_SIZE), members[0].id, 1, ids)),
         ("view", lambda: MembershipView(members)),
-        (f"view, in cells of {MAX_CELL_SIZE} at most", lambda: MembershipView(members, cells)),
+        (f"view, in cells of {MAX_SHARD_SIZE} at most", lambda: MembershipView(members, shard_count)),
         ("list change, decided", change_endpoint),
         ("vote event", bench.receive_vote),
         ("evidence event", bench.receive_zone_report),
--- a/trials/capacity/page.py
+++ b/trials/capacity/page.py
@@ -19,14 +19,16 @@
 }
 
 
-def report(load: FleetLoad, figures: Figures, cells: int, scale_lines: list[dict[str, Any]]) -> Iterator[str]:
+def report(
+    load: FleetLoad, figures: Figures, shard_count: int, scale_lines: list[dict[str, Any]]
+) -> Iterator[str]:
     """Yield all tables with their headings. `scale_lines`: the output of scale runs."""
     yield f"### A sidecar's part at {load.sidecars} members\n"
-    yield side_by_side(load, figures, cells)
+    yield side_by_side(load, figures, shard_count)
     yield "\nOver the budget with one cell, the most first:\n"
     yield over_budget_table(sidecar_rows(load, figures))
-    yield f"\nWith {cells} cells:\n"
-    yield over_budget_table(sidecar_rows(load, figures, cells))
+    yield f"\nWith {shard_count} cells:\n"
+    yield over_budget_table(sidecar_rows(load, figures, shard_count))
     if scale_lines:
         yield "\n### Measured by the scale run, a member, by the number of members\n"
         yield scale_run_table(scale_lines)
@@ -40,16 +42,16 @@
     yield totals_table(operator_rows(load, figures))
     yield "\n### Losses, and the return\n"
     yield table(
-        ["event", "what", "formula, one cell", "one cell", f"{cells} cells"],
+        ["event", "what", "formula, one cell", "one cell", f"{shard_count} cells"],
         (
             [
                 one.group,
-                one.what,
+                one.title,
                 one.formula,
                 f"{number(one.value)} {one.unit}",
                 f"{number(many.value)} {many.unit}",
             ]
-            for one, many in zip(losses(load, figures), losses(load, figures, cells), strict=True)
+            for one, many in zip(losses(load, figures), losses(load, figures, shard_count), strict=True)
         ),
     )
     overlap_probability = 1 - exp(-load.changes_per_day / DAY * load.policy_deadline)
--- a/trials/capacity/roles.py
+++ b/trials/capacity/roles.py
@@ -1,6 +1,7 @@
 """The cost of one sidecar's part in the fleet's common work, by role.
 
-The constants are imported from the program, so a change there changes the results.
+The constants are imported from the program, so a change there changes the results. The tables call the shards
+of the fleet cells.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
     """
 
     role: str
-    what: str
+    title: str
     formula: str
     value: float
     unit: str
@@ -78,11 +79,11 @@
     return fleet * (1 - exp(-rate * link_lifetime / fleet))
 
 
-def sidecar_rows(load: FleetLoad, figures: Figures, cells: int = 1) -> list[Row]:
-    """Return the costs of one sidecar on an ordinary day, by role. `cells`: how many cells the fleet has."""
+def sidecar_rows(load: FleetLoad, figures: Figures, shard_count: int = 1) -> list[Row]:
+    """Return the costs of one sidecar on an ordinary day, by role. `shard_count`: of the fleet."""
     return [
-        *_link_rows(load, figures, cells),
-        *_request_rows(load, figures, cells),
+        *_link_rows(load, figures, shard_count),
+        *_request_rows(load, figures, shard_count),
         *_membership_rows(load, figures),
         *_policy_rows(load, figures),
         *_zone_rows(load, figures),
@@ -90,19 +91,19 @@
     ]
 
 
-def _link_rows(load: FleetLoad, figures: Figures, cells: int) -> list[Row]:
-    peers = load.sidecars / cells - 1
-    views = load.view_changes_per_second / cells  # a second, those that change the sidecar's own cell
+def _link_rows(load: FleetLoad, figures: Figures, shard_count: int) -> list[Row]:
+    peers = load.sidecars / shard_count - 1
+    views = load.view_changes_per_second / shard_count  # a second, those that change the sidecar's own shard
     beat, synced = figures.at("frame beat"), figures.at("frame told")
     active_for = timing.ACTIVE_PERIOD + timing.MISSED_HEARTBEATS * timing.HEARTBEAT_INTERVAL
     active_beats = active_for / timing.HEARTBEAT_INTERVAL  # heartbeats on a link that has become active
     core_percent = figures.at(MESSAGE_COST_FIGURE) / 1e4  # percent of a core for one message a second
-    mesh = "cells" if cells > 1 else "a limit of words a second, none of sockets"
+    links_bounded_by = "cells" if shard_count > 1 else "a limit of words a second, none of sockets"
     role = "words to members"
     return [
         Row(
             role, "links at rest", "members of a cell - 1", peers, "sockets", LINK_SOCKET_BUDGET, "read",
-            mesh,
+            links_bounded_by,
         ),
         Row(
             role, "beats at rest", f"{idle_messages(peers):.0f}/s x (beat {beat:.0f} B + 2 x 52)",
@@ -112,47 +113,51 @@
             role, "`Told` and what it quickens, mean of a day",
             f"{views * DAY:.0f} a day x {peers:.0f} links x (1 + {active_beats:.0f} words)",
             wire_bytes(views * peers, synced) + wire_bytes(views * peers * active_beats, beat), "B/s",
-            BYTES_BUDGET, "read", _bounded_by(cells),
+            BYTES_BUDGET, "read", _bounded_by(shard_count),
         ),
         Row(
             role, "processor time in the 2.3 s after a change of the view",
             f"{peers:.0f} links x 10/s x {core_percent * 1e4:.0f} us",
             peers / timing.HEARTBEAT_INTERVAL * core_percent, "% core", CORE_BUDGET,
-            "extrapolated" if peers > IDLE_FLEET[-1].members else "measured", _bounded_by(cells),
+            "extrapolated" if peers > IDLE_FLEET[-1].members else "measured", _bounded_by(shard_count),
         ),
     ]  # fmt: skip
 
 
-def _bounded_by(cells: int) -> str:
-    return "cells" if cells > 1 else "none yet"
+def _bounded_by(shard_count: int) -> str:
+    return "cells" if shard_count > 1 else "none yet"
 
 
-def _request_rows(load: FleetLoad, figures: Figures, cells: int) -> list[Row]:
+def _request_rows(load: FleetLoad, figures: Figures, shard_count: int) -> list[Row]:
     n, at, named = load.sidecars, figures.at, load.named_calls_per_sidecar
-    per_cell = n / cells
+    shard_size = n / shard_count
     link_lifetime = load.named_call_duration + timing.IDLE_LINK_TIMEOUT
     # Counted for incoming and outgoing calls alike. Each named call has a coordinator and a replica.
-    outside = 2 * expected_members_reached(n - (per_cell - 1), 2 * named, link_lifetime) if cells > 1 else 0.0
+    outside = (
+        2 * expected_members_reached(n - (shard_size - 1), 2 * named, link_lifetime)
+        if shard_count > 1
+        else 0.0
+    )
     replicated = sum(at(f"frame {name}") for name in ("cover", "intend", "answered")) + 3 * 2 * HEADER_SIZE
     replicated += 3 * at("frame kept")
-    placement = at("home", per_cell) + at("keepers", per_cell)  # microseconds
+    placement = at("home", shard_size) + at("keepers", shard_size)  # microseconds
     role = "work in hand"
     return [
         Row(
             role, "links outside the cell while named work is in hand",
             f"2 x {named:.0f} named calls/s x 2 members, each for {link_lifetime:.2f} s, beyond the cell",
             outside, "sockets", LINK_SOCKET_BUDGET, "paper",
-            "none yet" if cells > 1 else "the mesh has them already",
+            "none yet" if shard_count > 1 else "the mesh has them already",
         ),
         Row(
             role, "links outside the cell that are opened", "those / how long they stay",
-            outside / link_lifetime, "a second", nan, "paper", "none yet" if cells > 1 else "",
+            outside / link_lifetime, "a second", nan, "paper", "none yet" if shard_count > 1 else "",
         ),
         Row(
             role, "a name's home and keepers",
-            f"{named:.0f}/s x ({at('home', per_cell):.0f} + {at('keepers', per_cell):.0f} us)",
-            named * placement / 1e4, "% core", CORE_BUDGET, figures.source("home", per_cell),
-            _bounded_by(cells),
+            f"{named:.0f}/s x ({at('home', shard_size):.0f} + {at('keepers', shard_size):.0f} us)",
+            named * placement / 1e4, "% core", CORE_BUDGET, figures.source("home", shard_size),
+            _bounded_by(shard_count),
         ),
         Row(
             role, "frames of a named call",
--- a/trials/capacity/scale_run.py
+++ b/trials/capacity/scale_run.py
@@ -53,8 +53,8 @@
     rows = []
     for series, by_size in sorted(points.items(), key=lambda item: PHASES.index(item[0].phase)):
         means = {size: sum(values) / len(values) for size, values in sorted(by_size.items())}
-        cells = [number(means[size]) if size in means else "" for size in sizes]
-        rows.append([*series, *cells, _growth(means), _predicted(means)])
+        columns = [number(means[size]) if size in means else "" for size in sizes]
+        rows.append([*series, *columns, _growth(means), _predicted(means)])
     head = ["phase", "run", "figure", *map(str, sizes), "grows by the power of"]
     return table([*head, "the largest, predicted from the smaller by a line"], rows)
 
--- a/trials/capacity/tables.py
+++ b/trials/capacity/tables.py
@@ -38,15 +38,18 @@
     return f"{row.budget_ratio:,.0f}" if row.budget_ratio >= 10 else f"{row.budget_ratio:.2f}"
 
 
-def side_by_side(load: FleetLoad, figures: Figures, cells: int) -> str:
-    """Format all costs of a sidecar in a fleet of one cell next to those in a fleet of `cells` cells."""
-    head = ["role", "what", "formula, one cell", "one cell", f"{cells} cells", "budget"]
-    head += ["times the budget, one cell", f"{cells} cells", "figure", f"what carries it, {cells} cells"]
+def side_by_side(load: FleetLoad, figures: Figures, shard_count: int) -> str:
+    """Format all costs of a sidecar with one shard next to those with `shard_count` shards."""
+    head = ["role", "what", "formula, one cell", "one cell", f"{shard_count} cells", "budget"]
+    head += [
+        "times the budget, one cell", f"{shard_count} cells", "figure",
+        f"what carries it, {shard_count} cells",
+    ]  # fmt: skip
     lines = []
-    for one, many in zip(sidecar_rows(load, figures), sidecar_rows(load, figures, cells), strict=True):
+    for one, many in zip(sidecar_rows(load, figures), sidecar_rows(load, figures, shard_count), strict=True):
         budget = f"{number(one.budget)} {one.unit}" if not isnan(one.budget) else "none told"
         lines.append(
-            [one.role, one.what, one.formula, f"{number(one.value)} {one.unit}",
+            [one.role, one.title, one.formula, f"{number(one.value)} {one.unit}",
              f"{number(many.value)} {many.unit}", budget, budget_multiple(one), budget_multiple(many),
              one.source, many.bounded_by]
         )  # fmt: skip
@@ -63,7 +66,7 @@
     return table(
         ["times its budget", "role", "what", "at this size", "figure", "what carries it"],
         (
-            [budget_multiple(r), r.role, r.what, f"{number(r.value)} {r.unit}", r.source, r.bounded_by]
+            [budget_multiple(r), r.role, r.title, f"{number(r.value)} {r.unit}", r.source, r.bounded_by]
             for r in over_budget(rows)
         ),
     )
@@ -89,5 +92,5 @@
 
 def totals_table(totals: list[Total]) -> str:
     """Format a table of totals."""
-    lines = ([t.what, t.formula, f"{number(t.value)} {t.unit}"] for t in totals)
+    lines = ([t.title, t.formula, f"{number(t.value)} {t.unit}"] for t in totals)
     return table(["what", "formula", "at this size"], lines)
--- a/trials/capacity/totals.py
+++ b/trials/capacity/totals.py
@@ -15,7 +15,7 @@
 class Total(NamedTuple):
     """One cost of a shared service."""
 
-    what: str
+    title: str
     formula: str
     value: float
     unit: str
@@ -25,7 +25,7 @@
     """One cost of the loss of a group of sidecars."""
 
     group: str
-    what: str
+    title: str
     formula: str
     value: float
     unit: str
@@ -105,20 +105,20 @@
     ]  # fmt: skip
 
 
-def losses(load: FleetLoad, figures: Figures, cells: int = 1) -> list[Loss]:
+def losses(load: FleetLoad, figures: Figures, shard_count: int = 1) -> list[Loss]:
     """Return what the loss of a rack, a zone and a region costs each remaining member."""
     groups = (
         ("rack", load.rack_size),
         ("zone", load.sidecars_per_zone),
         ("region", load.sidecars_per_region),
     )
-    return [loss for name, lost in groups for loss in _loss(name, lost, load, figures, cells)]
+    return [loss for name, lost in groups for loss in _loss(name, lost, load, figures, shard_count)]
 
 
-def _loss(name: str, lost: int, load: FleetLoad, figures: Figures, cells: int) -> list[Loss]:
+def _loss(name: str, lost: int, load: FleetLoad, figures: Figures, shard_count: int) -> list[Loss]:
     n, at = load.sidecars, figures.at
     remaining = n - lost
-    peers = n / cells - 1
+    peers = n / shard_count - 1
     return [
         Loss(name, "sidecars gone", f"of {n}", float(lost), "sidecars"),
         Loss(name, "changes of the view, if each lease ends by itself", "one each", float(lost), "views"),
--- a/trials/scale/fleet.py
+++ b/trials/scale/fleet.py
@@ -172,10 +172,10 @@
             next_at += min(number + self.layout.real, links_per_member) / self.options.links_per_second
             await asyncio.sleep(max(0.0, next_at - time.monotonic()))
 
-    def _report(self, what: str, began: float) -> float:
+    def _report(self, state: str, began: float) -> float:
         """Print the progress to standard error, and return the time."""
         now = time.monotonic()
-        print(f"  {self.layout.size}: {what} after {now - began:.1f} s", file=sys.stderr, flush=True)
+        print(f"  {self.layout.size}: {state} after {now - began:.1f} s", file=sys.stderr, flush=True)
         return now
 
     # Commands to the workers
--- a/trials/scale/plot.py
+++ b/trials/scale/plot.py
@@ -33,8 +33,8 @@
             for role in ("arbiter",) if name == "watch_events_s" else ("hollow", "real", "alone"):
                 by_size = mean_by_size(lines, role, phase, name, cell_size)
                 if by_size:
-                    what = f"{role}, " + (f"cells of {cell_size}" if cell_size else "one cell")
-                    panel.plot(list(by_size), list(by_size.values()), marker="o", label=what)
+                    series_label = f"{role}, " + (f"cells of {cell_size}" if cell_size else "one cell")
+                    panel.plot(list(by_size), list(by_size.values()), marker="o", label=series_label)
         panel.set_xlabel("members")
         panel.set_ylabel(label)
         panel.set_ylim(bottom=0)
--- a/trials/scale/real.py
+++ b/trials/scale/real.py
@@ -52,10 +52,10 @@
                 )
         return samples
 
-    async def all_ready(self, within: float) -> bool:
-        """Return whether all are in the view and settled within `within` seconds."""
-        until = asyncio.get_running_loop().time() + within
-        while asyncio.get_running_loop().time() < until:
+    async def all_ready(self, timeout: float) -> bool:
+        """Return whether all are in the view and settled within `timeout` seconds."""
+        deadline = asyncio.get_running_loop().time() + timeout
+        while asyncio.get_running_loop().time() < deadline:
             reports = [(await sidecar.admin_call("GET", "/_fleet"))[1] for sidecar in self.sidecars]
             sizes = {report["cells"]["fleet_members"] for report in reports}
             if all(report["in_view"] and report["settled"] for report in reports) and sizes == {self.size}:
