--- a/trials/scale/figures.py
+++ b/trials/scale/figures.py
@@ -167,5 +167,5 @@
     return {name: count for name, count in counter.items() if count}
 
 
-def _sample(given: Json) -> Sample:
-    return msgspec.convert(given, Sample)
+def _sample(data: Json) -> Sample:
+    return msgspec.convert(data, Sample)
--- a/trials/scale/fleet.py
+++ b/trials/scale/fleet.py
@@ -68,28 +68,28 @@
         address = await self.store.begin()
         fleet_config = await self._make_fleet_config(address)
         await self._begin_workers(network, fleet_config)
-        began = time.monotonic()
+        started_at = time.monotonic()
         await self.command_all("enter")
         await self.wait_for(lambda: self.registered(self.layout.hollow), "not all have entered")
-        registered_at = self._report("all hollow members are registered", began)
+        registered_at = self._report("all hollow members are registered", started_at)
         store_address = (address["host"], address["port"])
         self.real = RealSidecars(
             self.options.seed, self.layout.real, fleet_config, self.layout.size, store_address
         )
         await self.real.__aenter__()
         await self.wait_for(lambda: self.registered(self.layout.size), "not all real ones have entered")
-        real_registered_at = self._report("real members are registered", began)
+        real_registered_at = self._report("real members are registered", started_at)
         await self.command_all("join")
         await self.wait_for(self._have_same_view, "not all have the same view")
-        same_view_at = self._report("all members have the same view", began)
+        same_view_at = self._report("all members have the same view", started_at)
         await self._open_links()
         await self.wait_for(lambda: self.ready(self.layout.size), "hollow members are not ready")
         if not await self.real.all_ready(self.ready_timeout):
             raise FleetStuckError("real members are not ready")
-        linked_at = self._report("all members are linked", began)
+        linked_at = self._report("all members are linked", started_at)
         await self.command_all("rest")
         self.start_figures = {
-            "enter_s": round(registered_at - began, 3),
+            "enter_s": round(registered_at - started_at, 3),
             "real_s": round(real_registered_at - registered_at, 3),
             "view_s": round(same_view_at - real_registered_at, 3),
             "cells": self.shard_count,
@@ -172,10 +172,10 @@
             next_at += min(number + self.layout.real, links_per_member) / self.options.links_per_second
             await asyncio.sleep(max(0.0, next_at - time.monotonic()))
 
-    def _report(self, state: str, began: float) -> float:
+    def _report(self, state: str, started_at: float) -> float:
         """Print the progress to standard error, and return the time."""
         now = time.monotonic()
-        print(f"  {self.layout.size}: {state} after {now - began:.1f} s", file=sys.stderr, flush=True)
+        print(f"  {self.layout.size}: {state} after {now - started_at:.1f} s", file=sys.stderr, flush=True)
         return now
 
     # Commands to the workers
@@ -204,12 +204,12 @@
 
     async def wait_for(self, condition: Callable[[], Awaitable[bool]], failure: str) -> float:
         """Wait for a condition and return the seconds that it took. Raises `FleetStuckError`."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         while not await condition():
-            if time.monotonic() > began + self.ready_timeout:
+            if time.monotonic() > started_at + self.ready_timeout:
                 raise FleetStuckError(f"{failure} after {self.ready_timeout:.0f} s: {self.last_state}")
             await asyncio.sleep(POLL_INTERVAL)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     async def registered(self, members: int) -> bool:
         """Return whether exactly `members` members are registered in the store."""
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -159,9 +159,9 @@
                 self._record_answer(attempt.request, RecordedResponse(FINISHED))
 
     def _drop(self, attempt: HollowAttempt) -> None:
-        gate = self.forget_hold(attempt)
-        if gate is not None:
-            self.replicator.attempt_not_run(gate.request, gate.number, NEVER_RELEASED)
+        hold = self.forget_hold(attempt)
+        if hold is not None:
+            self.replicator.attempt_not_run(hold.request, hold.number, NEVER_RELEASED)
             self._record_answer(attempt.request, RecordedResponse(REJECTED))
 
     def _record_answer(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
--- a/trials/scale/limits.py
+++ b/trials/scale/limits.py
@@ -52,11 +52,11 @@
     """Return the layout of a fleet of that size, or None and the reason why it is not possible."""
     if real < 1:
         return None, f"{real} real processes: at least one is needed for comparison"
-    least = real + alone + 1
-    if not least <= size <= MAX_MEMBERS:
+    min_size = real + alone + 1
+    if not min_size <= size <= MAX_MEMBERS:
         return (
             None,
-            f"size {size}: must be from {least} (--real and --alone, and one more) to {MAX_MEMBERS} members",
+            f"size {size}: must be from {min_size} (--real, --alone and one more) to {MAX_MEMBERS} members",
         )
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     descriptors = min(soft, MAX_DESCRIPTORS) if soft != resource.RLIM_INFINITY else MAX_DESCRIPTORS
@@ -66,12 +66,12 @@
     member_descriptors = links + MEMBER_DESCRIPTORS
     members_per_process = int(DESCRIPTOR_FRACTION * (descriptors - PROCESS_DESCRIPTORS)) // member_descriptors
     if members_per_process < 1:
-        why = f"a process needs {member_descriptors + PROCESS_DESCRIPTORS} descriptors"
-        return None, f"size {size}: {why}, {descriptors} are allowed"
+        reason = f"a process needs {member_descriptors + PROCESS_DESCRIPTORS} descriptors"
+        return None, f"size {size}: {reason}, {descriptors} are allowed"
     store_descriptors = MEMBER_DESCRIPTORS * size
     if store_descriptors + PROCESS_DESCRIPTORS > descriptors:
-        why = f"the fake etcd needs {store_descriptors} descriptors, {descriptors} are allowed"
-        return None, f"size {size}: {why}"
+        reason = f"the fake etcd needs {store_descriptors} descriptors, {descriptors} are allowed"
+        return None, f"size {size}: {reason}"
     shared_members = size - real - alone
     count = min(shared_members, max(ceil(shared_members / members_per_process), cores - 2, 1))
     process_sizes = [shared_members // count + (i < shared_members % count) for i in range(count)]
@@ -86,6 +86,6 @@
     total, free = machine_memory()
     allowed = min(int(total * MEMORY_FRACTION), free)
     if needed > allowed:
-        why = f"size {size}: {needed >> 20} MB are needed, {allowed >> 20} MB are allowed"
-        return None, why
+        reason = f"size {size}: {needed >> 20} MB are needed, {allowed >> 20} MB are allowed"
+        return None, reason
     return layout, ""
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -74,11 +74,11 @@
 
     def _resume(self, actor: Actor, message: object) -> None:
         before, self.nested_ns = self.nested_ns, 0
-        began = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         try:
             super()._resume(actor, message)
         finally:
-            took = time.thread_time_ns() - began
+            took = time.thread_time_ns() - started_at
             # An actor may begin another one in its turn. The time of that turn counts for the other actor.
             self.meter_of(actor).turn_ns += took - self.nested_ns
             self.nested_ns = before + took
--- a/trials/scale/phases.py
+++ b/trials/scale/phases.py
@@ -83,20 +83,20 @@
         async with self.measure("policy") as details:
             proposal = {"policy": policy_body(f"s{self.options.seed}")}
             status, answer = await sidecar.admin_call("PUT", "/_policy/propose", proposal)
-            began = time.monotonic()
-            in_force = status == 200 and await self._policy_in_force(str(answer.get("version")), began)
+            proposed_at = time.monotonic()
+            in_force = status == 200 and await self._policy_in_force(str(answer.get("version")), proposed_at)
             how = "in force" if in_force else "not in force"
-            details |= {"status": status, "how": how, "took_s": round(time.monotonic() - began, 3)}
+            details |= {"status": status, "how": how, "took_s": round(time.monotonic() - proposed_at, 3)}
             if status == 200:
                 past = (await sidecar.admin_call("GET", "/_policy"))[1]["past"]
                 details["past"] = [{key: one[key] for key in ("how", "why", "version")} for one in past[-1:]]
             else:
                 details["past"] = answer
-            await asyncio.sleep(max(0.0, began + self.options.seconds - time.monotonic()))
+            await asyncio.sleep(max(0.0, proposed_at + self.options.seconds - time.monotonic()))
 
-    async def _policy_in_force(self, version: str, began: float) -> bool:
+    async def _policy_in_force(self, version: str, proposed_at: float) -> bool:
         """Wait until that version is active on all hollow members; return False after some leases."""
-        deadline = began + POLICY_TIMEOUT_LEASES * self.options.lease
+        deadline = proposed_at + POLICY_TIMEOUT_LEASES * self.options.lease
         while time.monotonic() < deadline:
             states = await self.fleet.command_all("state")
             if all(set(state["versions"]) == {version} for state in states):
