--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -24,7 +24,7 @@
     ShardPlanner,
 )
 from trials.broken import SHARD_VARIANTS, OneReplicaAwaited, OutdatedCells
-from trials.emulated import HARSH, IDLE_LINK_TIMEOUT, FaultRates, Request, World, play
+from trials.emulated import HARSH_FAULTS, IDLE_LINK_TIMEOUT, FaultRates, Request, World, simulate
 from trials.emulated.member import EmulatedMember
 from trials.model_replication import explore
 from trials.model_replication_events import SETTLES, Bounds, Event, EventKind
@@ -233,8 +233,8 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_no_replicated_request_runs_twice_while_shards_change_and_members_fail(seed: int) -> None:
     """A change of the shards moves keys to coordinators that must learn of their requests first."""
-    outcome = play(seed, 16, 3.0, shard_count=4, divisions=(2, 4, 8), duplicate_rate=0.4)
-    assert not outcome.broken
+    outcome = simulate(seed, 16, 3.0, shard_count=4, reshard_to=(2, 4, 8), duplicate_fraction=0.4)
+    assert not outcome.violations
     assert outcome.counts["cover.taken_over"] and outcome.counts["finished"] > 0.9 * outcome.counts["work"]
 
 
@@ -243,21 +243,27 @@
     seed: int, count: int, shards: int
 ) -> None:
     """Faults are frequent here, while the number of shards changes."""
-    assert not play(
-        seed, count, 3.0, faults=HARSH, shard_count=shards, divisions=(4, 2), duplicate_rate=0.4
-    ).broken
+    assert not simulate(
+        seed,
+        count,
+        3.0,
+        faults=HARSH_FAULTS,
+        shard_count=shards,
+        reshard_to=(4, 2),
+        duplicate_fraction=0.4,
+    ).violations
 
 
 def test_no_replicated_request_runs_twice_where_links_between_owner_and_replicas_are_cut() -> None:
     """A replica in another shard that takes a request over must know all attempts that may have run."""
-    assert not play(14, 12, 4.0, 300, PARTITIONED, shard_count=2, duplicate_rate=1.0).broken
+    assert not simulate(14, 12, 4.0, 300, PARTITIONED, shard_count=2, duplicate_fraction=1.0).violations
 
 
 def test_without_faults_all_requests_finish_over_few_links() -> None:
     """Members keep links to their own shard only, and dial others for single requests."""
-    outcome = play(1, 100, 3.0, 100, NO_FAULTS, shard_count=4, divisions=(8,), duplicate_rate=0.4)
+    outcome = simulate(1, 100, 3.0, 100, NO_FAULTS, shard_count=4, reshard_to=(8,), duplicate_fraction=0.4)
     counts = outcome.counts
-    assert not outcome.broken and counts["finished"] == counts["work"] and "late" not in counts
+    assert not outcome.violations and counts["finished"] == counts["work"] and "late" not in counts
     assert counts["links, most"] < 64
     assert counts["frames"] - counts["told"] < 20 * counts["work"]
 
@@ -266,11 +272,11 @@
     """A shard that waited for members of other shards would stop granting at each of their changes."""
     world = World(1, 80, shard_count=8)
     world.run_until(1.0)
-    one = world.alive()[0]
+    one = world.live_members()[0]
     view = one.replicator.view
     other = next(
         member
-        for member in world.alive()
+        for member in world.live_members()
         if view.shard_of_member(member.id) not in (view.shard_of_member(one.id), 0)
     )
     before = one.replicator.views.changed_at
@@ -285,7 +291,7 @@
 
 def send_request_across_shards(world: World) -> tuple[EmulatedMember, EmulatedMember, bytes, Request]:
     """Send a request to a member outside its shard; return owner, coordinator, key and request."""
-    owner = world.alive()[0]
+    owner = world.live_members()[0]
     view = owner.replicator.view
     keys = (b"x%d" % i for i in range(99))
     key = next(key for key in keys if view.shard_of_key(key) != view.shard_of_member(owner.id))
@@ -309,8 +315,8 @@
         and coordinator.replicator.needs_link(owner.id)
     )
     world.run_until(1.6 + IDLE_LINK_TIMEOUT)
-    assert request.end == "200" and coordinator.id not in owner.links
-    assert not any(member.replicator.counts["taken_over"] for member in world.alive())
+    assert request.outcome == "200" and coordinator.id not in owner.links
+    assert not any(member.replicator.counts["taken_over"] for member in world.live_members())
     assert coordinator.replicator.requests[key].response.status == 200
 
 
@@ -323,7 +329,7 @@
     world.crash(coordinator, 9.0)
     world.run_until(1.9)
     successor = world.members[owner.replicator.view.coordinator(key)]
-    assert successor is not coordinator and request.end == "200" and len(world.runs[key]) == 1
+    assert successor is not coordinator and request.outcome == "200" and len(world.runs[key]) == 1
     assert not successor.replicator.counts["taken_over"] and key in successor.replicator.requests
 
 
@@ -346,16 +352,26 @@
     """The emulation must find the double run that each variant allows."""
     if kind is OneReplicaAwaited:
         plays = (
-            play(seed, 12, 4.0, 300, PARTITIONED, kind, duplicate_rate=1.0, shard_count=2)
+            simulate(seed, 12, 4.0, 300, PARTITIONED, kind, duplicate_fraction=1.0, shard_count=2)
             for seed in range(16)
         )
     else:
-        divisions = (2, 4, 8, 4)
+        reshard_to = (2, 4, 8, 4)
         plays = (
-            play(s, 16, 4.0, 200, HARSH, kind, duplicate_rate=1.0, shard_count=4, divisions=divisions)
+            simulate(
+                s,
+                16,
+                4.0,
+                200,
+                HARSH_FAULTS,
+                kind,
+                duplicate_fraction=1.0,
+                shard_count=4,
+                reshard_to=reshard_to,
+            )
             for s in range(16)
         )
-    assert any(outcome.broken for outcome in plays)
+    assert any(outcome.violations for outcome in plays)
 
 
 CLIENT_SENDS = Event(EventKind.CLIENT_SENDS, "g")
@@ -372,8 +388,8 @@
 
 # The coordinator is lost after the owner, in another shard, was granted the request.
 COORDINATOR_LOST = Bounds(
-    members=("g", "h", "a", "c"), shards=2, retries=0, duplicates=1, is_linked=True, may_crash=("a",),
-    earlier_events=(
+    members=("g", "h", "a", "c"), shards=2, retries=0, duplicates=1, all_linked=True, crash_candidates=("a",),
+    initial_events=(
         *GRANTED, Event(EventKind.CRASHES, "a"), *view_changes("c", "h"),
         Event(EventKind.FRAME_ARRIVES, "h", "c"),
     ),
@@ -381,8 +397,8 @@
 MODEL_MEMBERS = ("g", "a", "c", "i", "b")
 # The shards change before the request, and another client sends it again after that.
 SHARDS_CHANGED = Bounds(
-    members=MODEL_MEMBERS, crashes=0, retries=0, duplicates=1, is_linked=True, shard_changes=1,
-    earlier_events=(
+    members=MODEL_MEMBERS, crashes=0, retries=0, duplicates=1, all_linked=True, shard_changes=1,
+    initial_events=(
         SHARDS_CHANGE, *view_changes(*MODEL_MEMBERS), SETTLES, CLIENT_SENDS, SETTLES,
         Event(EventKind.DUPLICATE_SENT, "b"),
     ),
@@ -396,9 +412,9 @@
     kind: type[RequestReplicator], bounds: Bounds
 ) -> None:
     """The exploration is complete, so the same bounds prove the replicator and catch the variant."""
-    assert explore("exclusive", bounds, kind).broken
+    assert explore("exclusive", bounds, kind).violations
     explored = explore("exclusive", bounds)
-    assert explored.complete and not explored.broken
+    assert explored.complete and not explored.violations
 
 
 @pytest.mark.parametrize("shards", [1, 2])
@@ -406,6 +422,6 @@
     """One shard is split, or two are merged, while a request is in flight."""
     bounds = Bounds(
         members=("g", "a", "b"), shards=shards, crashes=0, retries=0, duplicates=1, shard_changes=1,
-        is_linked=True, max_states=4000, earlier_events=(CLIENT_SENDS, SHARDS_CHANGE),
+        all_linked=True, max_states=4000, initial_events=(CLIENT_SENDS, SHARDS_CHANGE),
     )  # fmt: skip
-    assert not explore("exclusive", bounds).broken
+    assert not explore("exclusive", bounds).violations
--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -9,7 +9,7 @@
 from starlingwheel.fleet.replication.replicator import RequestReplicator
 from starlingwheel.fleet.replication.request import BeginResult
 from trials.broken import VARIANTS, AttemptsNotRecorded
-from trials.emulated import HARSH, Request, World, play
+from trials.emulated import HARSH_FAULTS, Request, World, simulate
 from trials.emulated.member import EmulatedMember
 from trials.model_replication import explore
 from trials.model_replication_events import Bounds
@@ -18,22 +18,24 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_no_replicated_request_runs_twice_under_faults(seed: int) -> None:
     """Requests are taken over when members fail, and nearly all of them finish."""
-    outcome = play(seed, seconds=4.0)
-    assert not outcome.broken
+    outcome = simulate(seed, seconds=4.0)
+    assert not outcome.violations
     assert outcome.counts["cover.taken_over"] and outcome.counts["finished"] > 0.9 * outcome.counts["work"]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_replicated_request_runs_twice_under_harsh_faults(seed: int) -> None:
     """Faults are so frequent that several often happen to one request."""
-    assert not play(seed, seconds=3.0, faults=HARSH, duplicate_rate=0.4).broken
+    assert not simulate(seed, seconds=3.0, faults=HARSH_FAULTS, duplicate_fraction=0.4).violations
 
 
 @pytest.mark.parametrize("kind", VARIANTS)
 def test_each_broken_variant_is_caught(kind: type[RequestReplicator]) -> None:
     """The emulation must find the double run that each variant allows."""
     assert any(
-        play(seed, seconds=4.0, faults=HARSH, duplicate_rate=0.4, replicator_type=kind).broken
+        simulate(
+            seed, seconds=4.0, faults=HARSH_FAULTS, duplicate_fraction=0.4, replicator_type=kind
+        ).violations
         for seed in range(16)
     )
 
@@ -41,12 +43,12 @@
 def test_no_order_of_one_crash_lets_a_request_run_twice() -> None:
     """The orders of all events around one crash are explored completely."""
     explored = explore("exclusive", Bounds())
-    assert explored.complete and not explored.broken and explored.states > 1000
+    assert explored.complete and not explored.violations and explored.states > 1000
 
 
 def test_the_model_finds_the_order_that_breaks_a_variant() -> None:
     """The exploration catches a variant that does not record attempts."""
-    assert explore("exclusive", Bounds(duplicates=1, max_states=5000), AttemptsNotRecorded).broken
+    assert explore("exclusive", Bounds(duplicates=1, max_states=5000), AttemptsNotRecorded).violations
 
 
 def synced_world(members: int) -> World:
@@ -68,7 +70,7 @@
 def test_a_first_attempt_that_is_rejected_at_once_is_not_dispatched() -> None:
     """A second response would be taken for that of the next request on the client's connection."""
     world = synced_world(2)
-    one, other = world.alive()
+    one, other = world.live_members()
     world.network.partitioned_until[one.name, other.name] = world.network.partitioned_until[
         other.name, one.name
     ] = 100.0
@@ -81,21 +83,21 @@
     )
     request = Request(key, "exclusive", world.now, False, 0)
     result, _ = one.replicator.begin(frame, request, world.now + 1)
-    assert result is BeginResult.WAIT and request.end == "503"
+    assert result is BeginResult.WAIT and request.outcome == "503"
 
 
 def test_clients_with_the_same_key_get_one_response_from_one_run() -> None:
     """Three clients send the same request to three members at the same time."""
     world = synced_world(3)
-    requests = [send_request(world, member, b"w") for member in world.alive()]
+    requests = [send_request(world, member, b"w") for member in world.live_members()]
     world.run_until(2.0)
-    assert [request.end for request in requests] == ["200"] * 3 and len(world.runs[b"w"]) == 1
+    assert [request.outcome for request in requests] == ["200"] * 3 and len(world.runs[b"w"]) == 1
 
 
 def test_a_key_reused_for_a_different_request_is_rejected() -> None:
     """The client would otherwise get the response of the request that used the key first."""
     world = synced_world(3)
-    one, _, _ = world.alive()
+    one, _, _ = world.live_members()
     send_request(world, one, b"w")
     world.run_until(1.01)
     frame = one.replicator.requests[b"w"].to_frame(requests_grant=False)
@@ -107,29 +109,29 @@
 def test_a_retry_of_a_finished_request_gets_its_response_without_a_run() -> None:
     """The retry arrives at another member than the owner."""
     world = synced_world(3)
-    one, other, _ = world.alive()
+    one, other, _ = world.live_members()
     send_request(world, one, b"w")
     world.run_until(1.5)
     request = send_request(world, other, b"w", is_retry=True)
     world.run_until(1.8)
-    assert request.end == "200" and len(world.runs[b"w"]) == 1
+    assert request.outcome == "200" and len(world.runs[b"w"]) == 1
 
 
 def test_a_single_member_serves() -> None:
     """Without another member that could record them, requests are served unreplicated."""
     world = synced_world(1)
-    request = send_request(world, world.alive()[0], b"w")
+    request = send_request(world, world.live_members()[0], b"w")
     world.run_until(1.5)
-    assert request.end == "200"
+    assert request.outcome == "200"
 
 
 def test_requests_are_forgotten_after_their_retention() -> None:
     """Requests that were never forgotten would fill the memory of all members."""
     world = synced_world(3)
     for number in range(50):
-        send_request(world, world.alive()[number % 3], b"w%d" % number)
+        send_request(world, world.live_members()[number % 3], b"w%d" % number)
     world.run_until(8.0)
-    replicators = [member.replicator for member in world.alive()]
+    replicators = [member.replicator for member in world.live_members()]
     assert all(
         isinstance(replicator, RequestReplicator) and not replicator.requests and replicator.used_bytes == 0
         for replicator in replicators
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -26,7 +26,7 @@
 from starlingwheel.net.fleet.policy import VoteStore
 from trials import policy
 from trials.broken import POLICY_VARIANTS, ServesUndecided, TrustsLease, VoteNotBinding
-from trials.emulated_policy import QUIET, play
+from trials.emulated_policy import NO_FAULTS, simulate
 from trials.model_policy import explore
 from trials.model_policy_events import Bounds
 from trials.policy_scenes import SCENARIOS
@@ -36,32 +36,32 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_under_all_faults_the_fleet_follows_one_policy(seed: int) -> None:
     """Under faults of every kind no two members serve under different policies."""
-    played = play(seed)
-    assert not played.broken and played.requests_taken > 10_000 and not played.is_proposal_open
+    played = simulate(seed)
+    assert not played.violations and played.requests_accepted > 10_000 and not played.is_proposal_open
 
 
 def test_without_faults_each_change_is_decided_unless_a_member_votes_no() -> None:
     """Without faults, proposals do not fail for any other reason than a no vote."""
-    plays = [play(seed, faults=QUIET) for seed in range(4)]
+    plays = [simulate(seed, faults=NO_FAULTS) for seed in range(4)]
     assert sum(one.proposed for one in plays) == 24 and sum(one.decided for one in plays) > 15
 
 
 def test_fifty_members_follow_one_policy() -> None:
     """The protocol also works with fifty members."""
-    played = play(3, members=50, changes=2)
-    assert not played.broken and played.decided
+    played = simulate(3, members=50, changes=2)
+    assert not played.violations and played.decided
 
 
 @pytest.mark.parametrize("scene", SCENARIOS)
 def test_each_scenario_keeps_the_invariants(scene: str) -> None:
     """In scenarios of known races the replica keeps the invariants."""
-    assert not SCENARIOS[scene]().broken()
+    assert not SCENARIOS[scene]().violations()
 
 
 @pytest.mark.parametrize("variant", POLICY_VARIANTS)
 def test_each_broken_variant_is_detected_by_a_scenario(variant: type[PolicyReplica]) -> None:
     """The scenarios are strict enough: each deliberately broken replica fails in one of them."""
-    assert any(scene(variant).broken() for scene in SCENARIOS.values())
+    assert any(scene(variant).violations() for scene in SCENARIOS.values())
 
 
 @pytest.mark.parametrize(
@@ -70,13 +70,13 @@
 def test_every_order_of_events_in_one_change_keeps_the_invariants(bounds: Bounds) -> None:
     """The model explores all orders of events in one change, of which some decide it and some drop it."""
     exploration = explore(bounds)
-    assert exploration.complete and not exploration.broken and exploration.decided and exploration.dropped
+    assert exploration.complete and not exploration.violations and exploration.decided and exploration.dropped
 
 
 @pytest.mark.parametrize("variant", [VoteNotBinding, ServesUndecided, TrustsLease])
 def test_the_model_finds_the_order_of_events_that_breaks_a_variant(variant: type[PolicyReplica]) -> None:
     """The exploration is strict enough: it detects deliberately broken replicas."""
-    assert explore(Bounds(cuts=0, statuses=0, pauses=1), variant).broken
+    assert explore(Bounds(cuts=0, statuses=0, pauses=1), variant).violations
 
 
 @pytest.mark.xdist_group("trials-1")
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -171,7 +171,7 @@
     rng = random.Random(3)
     world = World(1, 3)
     world.run_until(1.0)
-    one, other, third = world.alive()
+    one, other, third = world.live_members()
     keys = [b"a", b"b", b"c"]
     request = frames.RecordedRequest(b"POST", b"/x", [], b"", b"")
     for _ in range(4000):
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -16,14 +16,14 @@
 from starlingwheel.net.fleet.zones import ZoneController
 from trials import zones
 from trials.broken import ZONE_VARIANTS
-from trials.emulated_zones import CASES, Strategy, play
+from trials.emulated_zones import CASES, Strategy, simulate
 
 
 @pytest.mark.parametrize("case", CASES)
 def test_a_zone_is_left_only_if_that_helps_and_returns_in_steps(case: str) -> None:
     """Emulated fleets with one kind of fault each, in some of which a plan would not help."""
-    outcome = play(2, 24, case)
-    assert not outcome.broken
+    outcome = simulate(2, 24, case)
+    assert not outcome.violations
     if (
         case != "third"
     ):  # a third of few attempts is hard to distinguish from chance, so either result is allowed
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("case", ["hang", "two", "flap"])
 def test_fewer_attempts_are_lost_than_without_a_plan(case: str) -> None:
     """The plan loses less than members that act alone, and the zone has all of its traffic soon after."""
-    planned, alone = play(2, 30, case).counts, play(2, 30, case, Strategy.ALONE).counts
+    planned, alone = simulate(2, 30, case).counts, simulate(2, 30, case, Strategy.UNCOORDINATED).counts
     assert planned["lost to the zone"] < 0.85 * alone["lost to the zone"]
     assert planned["whole after"] < 12
 
@@ -42,7 +42,7 @@
 def test_each_broken_variant_is_detected(variant: type[ZonePlanner]) -> None:
     """The checks are strict enough: each deliberately broken planner fails in one case."""
     case = ZONE_VARIANTS[variant]
-    assert play(2, 30, case, planner_type=variant).broken and not play(2, 30, case).broken
+    assert simulate(2, 30, case, planner_type=variant).violations and not simulate(2, 30, case).violations
 
 
 @pytest.mark.xdist_group("trials-2")
--- a/trials/emulated/__init__.py
+++ b/trials/emulated/__init__.py
@@ -1,8 +1,8 @@
 """The replication of a whole fleet in emulated time; `world` is where to begin reading."""
 
-from .faults import HARSH, FaultRates
+from .faults import HARSH_FAULTS, FaultRates
 from .member import Request
 from .network import IDLE_LINK_TIMEOUT
-from .world import Outcome, World, play
+from .world import Outcome, World, simulate
 
-__all__ = ["HARSH", "IDLE_LINK_TIMEOUT", "FaultRates", "Outcome", "Request", "World", "play"]
+__all__ = ["HARSH_FAULTS", "IDLE_LINK_TIMEOUT", "FaultRates", "Outcome", "Request", "World", "simulate"]
--- a/trials/emulated/faults.py
+++ b/trials/emulated/faults.py
@@ -29,7 +29,7 @@
     max_duration: float = 1.5
 
 
-HARSH = FaultRates(
+HARSH_FAULTS = FaultRates(
     crash=2.0, pause=1.5, partition=1.0, one_way_partition=1.0, reset=2.0, store_outage=0.1, max_duration=3.0
 )
 
@@ -57,18 +57,18 @@
         self.world.events.at(at, lambda: fault(duration))
 
     def _pair(self) -> list[EmulatedMember]:
-        alive = self.world.alive()
+        alive = self.world.live_members()
         return self.world.rng.sample(alive, 2) if len(alive) > MIN_MEMBERS else []
 
     def crash(self, duration: float) -> None:
         """A process ends and is started again."""
-        alive = self.world.alive()
+        alive = self.world.live_members()
         if len(alive) > MIN_MEMBERS:
             self.world.crash(self.world.rng.choice(alive), restart_after=duration)
 
     def pause(self, duration: float) -> None:
         """A process is stopped and resumed."""
-        if alive := self.world.alive():
+        if alive := self.world.live_members():
             member = self.world.rng.choice(alive)
             member.paused_until = self.world.now + duration
             self.world.events.at(member.paused_until, member.resume)
@@ -86,7 +86,7 @@
 
     def reset(self, duration: float) -> None:
         """A link ends."""
-        members = [member for member in self.world.alive() if member.links and not member.is_paused]
+        members = [member for member in self.world.live_members() if member.links and not member.is_paused]
         if members:
             member = self.world.rng.choice(members)
             self.world.network.close(self.world.rng.choice(list(member.links.values())), member)
--- a/trials/emulated/member.py
+++ b/trials/emulated/member.py
@@ -49,7 +49,7 @@
     is_retry: bool
     number: int  # of the requests of all clients
     member: EmulatedMember | None = None
-    end: str = ""  # status of its response, or how it ended without one; empty: open
+    outcome: str = ""  # status of its response, or how it ended without one; empty: open
 
 
 class EmulatedMember:
@@ -139,7 +139,7 @@
     def _respond(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
         """Give a response to the client for which the request was dispatched."""
         client = request.dispatched_client
-        if client is not None and not client.end:
+        if client is not None and not client.outcome:
             self.world.respond(client, response)
         request.waiting_clients.pop(client, None)
 
@@ -160,7 +160,7 @@
         until = request.waiting_clients.pop(client, 0.0)
         response = self.replicator.finish_request(request, RecordedResponse(503, RETRY_AFTER))
         if response is not None:
-            if client is not None and not client.end:
+            if client is not None and not client.outcome:
                 self.world.respond(client, response)
         elif client is not None:
             self.replicator.wait_on(request, client, until)
@@ -193,7 +193,7 @@
 
     def respond(self, request: ReplicatedRequest, client: Request, response: RecordedResponse) -> None:
         """Give the final response to a client that waits here."""
-        if not client.end:
+        if not client.outcome:
             self.world.respond(client, response)
 
     def log_event(self, event: str, **fields: object) -> None:
--- a/trials/emulated/network.py
+++ b/trials/emulated/network.py
@@ -101,7 +101,7 @@
 
     def watch(self) -> None:
         """Exchange heartbeats, end silent and idle links, open missing ones, and tick the replicators."""
-        alive = self.world.alive()
+        alive = self.world.live_members()
         self._exchange_heartbeats(alive)
         running = [member for member in alive if not member.is_paused]
         self._open_missing(running)
--- a/trials/emulated/store.py
+++ b/trials/emulated/store.py
@@ -52,7 +52,7 @@
         now = self.world.now
         if now < self.down_until:
             return
-        for member in self.world.alive():
+        for member in self.world.live_members():
             if not member.is_paused:
                 self._renew(member)
         for member_id in [member_id for member_id, lease in self.leases.items() if lease.until <= now]:
@@ -62,7 +62,7 @@
         )
         if view.digest != self._last_digest:
             self._last_digest = view.digest
-            for member in self.world.alive():
+            for member in self.world.live_members():
                 self._send_view(member, view)
 
     def _renew(self, member: EmulatedMember) -> None:
--- a/trials/emulated/world.py
+++ b/trials/emulated/world.py
@@ -32,7 +32,7 @@
 )
 START_TIME = 1.0  # seconds before the first request
 CLIENT_RETRY_DELAY = 0.02  # seconds
-DEFAULT_DUPLICATE_RATE = 0.05  # part of the requests that two clients send
+DEFAULT_DUPLICATE_FRACTION = 0.05  # part of the requests that two clients send
 SUCCESS, REJECTED = 200, 503  # statuses
 REPLICATOR_COUNTS = ("given_up", "stood_in", "uncovered", "waited_out", "not_sure", "superseded", "held")
 
@@ -126,7 +126,7 @@
         self.members[member.id] = member
         self.store.enter(member)
 
-    def alive(self) -> list[EmulatedMember]:
+    def live_members(self) -> list[EmulatedMember]:
         """The members whose processes run or are paused."""
         return [member for member in self.members.values() if member.alive]
 
@@ -136,7 +136,7 @@
         for link in list(member.links.values()):
             self.network.close(link, member)
         for request in self.requests:
-            if request.member is member and not request.end and request.number in self.open_requests:
+            if request.member is member and not request.outcome and request.number in self.open_requests:
                 self._retry(request, "reset")
         self.events.at(self.now + restart_after, lambda: self.start(member.name))
         self.events.at(self.now + self.rng.uniform(0.02, 0.08), lambda: self.store.evict(member.id))
@@ -166,7 +166,7 @@
 
     def send_request(self, name: bytes, retry_safety: str, deadline: float, is_retry: bool = False) -> None:
         """A client sends a request to some member, to be answered by `deadline`, seconds."""
-        alive = self.alive()
+        alive = self.live_members()
         if not alive:
             return
         in_view = [member for member in alive if member.id in member.replicator.view]
@@ -182,17 +182,17 @@
         self.events.at(deadline, lambda: self._time_out(request))
 
     def _time_out(self, request: Request) -> None:
-        if not request.end:
-            request.end = "late"
+        if not request.outcome:
+            request.outcome = "late"
             self.open_requests.discard(request.number)
 
     def respond(self, request: Request, response: RecordedResponse) -> None:
         """A client gets a response."""
-        if request.end:
-            if request.end.isdigit():
+        if request.outcome:
+            if request.outcome.isdigit():
                 self.answered_twice.append(request)
             return
-        request.end = str(response.status)
+        request.outcome = str(response.status)
         self.open_requests.discard(request.number)
         if self.is_traced(request.name):
             self.print_trace(f"answer {response.status} for try {request.number}")
@@ -202,7 +202,7 @@
 
     def _retry(self, request: Request, end: str, delay: float = CLIENT_RETRY_DELAY) -> None:
         """A client sends its request again, if there is time left."""
-        request.end = request.end or end
+        request.outcome = request.outcome or end
         self.open_requests.discard(request.number)
         if self.now + delay < request.deadline - CLIENT_RETRY_DELAY:
             self.events.at(
@@ -214,38 +214,38 @@
 
     # Playing.
 
-    def play(
+    def simulate(
         self,
         seconds: float,
         rate: float,
         faults: FaultRates,
-        duplicate_rate: float = DEFAULT_DUPLICATE_RATE,
-        divisions: Iterable[int] = (),
+        duplicate_fraction: float = DEFAULT_DUPLICATE_FRACTION,
+        reshard_to: Iterable[int] = (),
     ) -> None:
         """So many requests a second for so long, with faults; then what is open comes to its end.
 
-        `duplicate_rate`: part of the requests that another client sends too. `divisions`: into how many
+        `duplicate_fraction`: part of the requests that another client sends too. `reshard_to`: into how many
         shards the fleet is divided, one after another, in equal parts of that time.
         """
         start = self.now + START_TIME
         self.run_until(start)
         for number in range(int(rate * seconds)):
-            self._schedule_request(number, start + number / rate, duplicate_rate)
+            self._schedule_request(number, start + number / rate, duplicate_fraction)
         self.faults.schedule(faults, start, seconds)
-        divisions = list(divisions)
-        for number, shard_count in enumerate(divisions):
-            at = start + (number + self.rng.random()) * seconds / len(divisions)
+        reshard_to = list(reshard_to)
+        for number, shard_count in enumerate(reshard_to):
+            at = start + (number + self.rng.random()) * seconds / len(reshard_to)
             self._schedule_division(at, shard_count)
         self.run_until(start + seconds + 2 * TIMEOUT)
 
-    def _schedule_request(self, number: int, at: float, duplicate_rate: float) -> None:
+    def _schedule_request(self, number: int, at: float, duplicate_fraction: float) -> None:
         name, retry_safety = f"w{number}".encode(), SAFETIES[number % len(SAFETIES)]
 
         def send() -> None:
             self.send_request(name, retry_safety, at + TIMEOUT)
 
         self.events.at(at, send)
-        if self.rng.random() < duplicate_rate:
+        if self.rng.random() < duplicate_fraction:
             # Another client with that key, at the same moment or later.
             self.events.at(at + self.rng.choice((0.0, self.rng.uniform(0, TIMEOUT / 2))), send)
 
@@ -254,25 +254,25 @@
 
     # Verdicts.
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Promises that were not kept, from what endpoints and clients saw."""
-        broken = [f"answered twice: {r.name!r} try {r.number}" for r in self.answered_twice]
+        violations = [f"answered twice: {r.name!r} try {r.number}" for r in self.answered_twice]
         for name, runs in self.runs.items():
             retry_safety = self.retry_safeties[name]
             if name in self.unreplicated or name in self.all_lost:
                 continue
             if retry_safety == RetrySafety.NON_IDEMPOTENT.value and len(runs) > 1:
-                broken.append(f"once: {name!r} ran {len(runs)} times: {runs}")
+                violations.append(f"once: {name!r} ran {len(runs)} times: {runs}")
             span = runs[-1].at - runs[0].at
             if (
                 retry_safety == RetrySafety.IDEMPOTENT_WITH_KEY.value
                 and runs[-1].at > runs[0].at + DEDUPLICATION_WINDOW
             ):
-                broken.append(f"ticketed: {name!r} ran again after {span:.3f} s")
+                violations.append(f"ticketed: {name!r} ran again after {span:.3f} s")
         for name, responses in self.responses.items():
             if any(response.status == SUCCESS for response in responses) and name not in self.runs:
-                broken.append(f"no such answer: {name!r}: {responses}")
-        return broken
+                violations.append(f"no such answer: {name!r}: {responses}")
+        return violations
 
     def success_count(self, names: Iterable[bytes]) -> int:
         """How many of those requests were answered with success."""
@@ -280,7 +280,7 @@
 
     def counts(self) -> dict[str, int]:
         """What happened, by kind."""
-        ends = Counter(request.end or "open" for request in self.requests)
+        ends = Counter(request.outcome or "open" for request in self.requests)
         names = list(self.retry_safeties)
         counts = {"work": len(names), "finished": self.success_count(names), **dict(sorted(ends.items()))}
         exclusive = RetrySafety.NON_IDEMPOTENT.value
@@ -295,7 +295,7 @@
     def shard_counts(self) -> dict[str, int]:
         """What happened in a fleet of several shards."""
         counts = {"links, most": self.network.max_links, "told": self.network.frames["ViewSyncedFrame"]}
-        replicators = [member.replicator for member in self.alive()]
+        replicators = [member.replicator for member in self.live_members()]
         for name in REPLICATOR_COUNTS:
             counts[name] = sum(replicator.counts[name] for replicator in replicators)
         return counts
@@ -307,10 +307,10 @@
 
     seed: int
     counts: dict[str, int] = field(default_factory=dict)
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
-def play(
+def simulate(
     seed: int,
     member_count: int = 8,
     seconds: float = 6.0,
@@ -318,14 +318,14 @@
     faults: FaultRates | None = None,
     replicator_type: Callable[..., Any] = RequestReplicator,
     traced_key: bytes | None = None,
-    duplicate_rate: float = DEFAULT_DUPLICATE_RATE,
+    duplicate_fraction: float = DEFAULT_DUPLICATE_FRACTION,
     shard_count: int = 1,
-    divisions: Iterable[int] = (),
+    reshard_to: Iterable[int] = (),
 ) -> Outcome:
     """Play one seed; `replicator_type` may be a broken variant that the checks must catch."""
     world = World(seed, member_count, replicator_type, traced_key, shard_count)
-    world.play(seconds, rate, faults or FaultRates(), duplicate_rate, divisions)
+    world.simulate(seconds, rate, faults or FaultRates(), duplicate_fraction, reshard_to)
     counts = world.counts()
-    if shard_count > 1 or divisions:
+    if shard_count > 1 or reshard_to:
         counts |= world.shard_counts()
-    return Outcome(seed, counts, world.broken())
+    return Outcome(seed, counts, world.violations())
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -25,7 +25,7 @@
 from .emulated_store import EmulatedStore
 
 EXPIRY_INTERVAL = 0.05  # seconds between two looks at which leases have expired
-BEGIN = 3.0  # seconds until the first change
+FIRST_CHANGE_AT = 3.0  # seconds until the first change
 
 ReplicaType = Callable[..., PolicyReplica]
 
@@ -46,21 +46,21 @@
     max_duration: float = 10.0  # seconds, of a fault
 
 
-QUIET = FaultRates(*[0.0] * (len(fields(FaultRates)) - 1))
+NO_FAULTS = FaultRates(*[0.0] * (len(fields(FaultRates)) - 1))
 
 
 @dataclass(frozen=True)
-class PolicyPlay:
+class PolicyOutcome:
     """What a play has counted, and the promises that were broken."""
 
     decided: int
     proposed: int
-    requests_taken: int
+    requests_accepted: int
     unavailable: int  # how often members could not know which policy held
     statuses_sent: int
     store_calls: int
     is_proposal_open: bool
-    broken: list[str]
+    violations: list[str]
 
 
 class ScheduledAction(NamedTuple):
@@ -108,7 +108,7 @@
         self.members: dict[str, EmulatedMember] = {}
         self.log_counts: Counter[str] = Counter()
         self.observed: dict[PolicyKey, ServedSpan] = {}
-        self.requests_taken = 0
+        self.requests_accepted = 0
         for number in range(members):
             self.start(f"n{number}")
         self.schedule(0.0, self._expire)
@@ -143,7 +143,7 @@
 
     def observe(self, member: EmulatedMember, policy: Policy) -> None:
         """The member takes requests under that policy now."""
-        self.requests_taken += 1
+        self.requests_accepted += 1
         key = PolicyKey(member.id, policy.version, policy.digest)
         before = self.observed.get(key)
         self.observed[key] = ServedSpan(self.now if before is None else before.first, self.now)
@@ -236,17 +236,17 @@
         if self.store.write(transaction):
             self.log_counts["proposed"] += 1
 
-    def play(self, changes: int, faults: FaultRates, rest: float = 20.0) -> None:
+    def simulate(self, changes: int, faults: FaultRates, rest: float = 20.0) -> None:
         """`changes` one after another under faults, then `rest` seconds without."""
-        self.run_until(BEGIN)
+        self.run_until(FIRST_CHANGE_AT)
         interval = DEFAULT_SWITCH_DELAY * LEASE * 1.4
         for number in range(changes):
-            begin = BEGIN + number * interval
+            begin = FIRST_CHANGE_AT + number * interval
             self.schedule(begin + self.rng.uniform(0, 0.5), lambda n=number: self.propose(n))
             for kind, rate in vars(faults).items():
                 if kind != "max_duration":
                     self._schedule_faults(kind, rate, begin, interval, faults.max_duration)
-        self.run_until(BEGIN + changes * interval + faults.max_duration + rest)
+        self.run_until(FIRST_CHANGE_AT + changes * interval + faults.max_duration + rest)
 
     def _schedule_faults(
         self, kind: str, rate: float, begin: float, interval: float, max_duration: float
@@ -260,25 +260,25 @@
 
     # Verdicts.
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Promises that were broken, by the requests that were taken."""
-        broken, slack = [], 2 * MAX_SKEW
+        violations, slack = [], 2 * MAX_SKEW
         decided = {(d.policy.version, d.policy.digest): d for d in self.store.decided}
         ends = {d.policy.version - 1: d.at for d in self.store.decided}
         for (member, version, digest), (first, last) in self.observed.items():
             if version and (version, digest) not in decided:
-                broken.append(f"{member} took work under {version} {digest}, which was never decided")
+                violations.append(f"{member} took work under {version} {digest}, which was never decided")
                 continue
             if version and first < decided[version, digest].at - slack:
-                broken.append(f"{member} took work under {version} at {first:.3f}, before it held")
+                violations.append(f"{member} took work under {version} at {first:.3f}, before it held")
             if last > ends.get(version, inf) + slack:
-                broken.append(
+                violations.append(
                     f"{member} took work under {version} at {last:.3f}, {ends[version]:.3f} was its end"
                 )
         versions = [d.policy.version for d in self.store.decided]
         if versions != list(range(1, len(versions) + 1)):
-            broken.append(f"versions decided: {versions}")
-        return broken
+            violations.append(f"versions decided: {versions}")
+        return violations
 
     def behind(self) -> list[str]:
         """Members that do not serve under the last policy, once all is quiet."""
@@ -292,27 +292,27 @@
         ]
 
 
-def play(
+def simulate(
     seed: int,
     members: int = 8,
     changes: int = 6,
     faults: FaultRates | None = None,
     replica_type: ReplicaType = PolicyReplica,
     trace: bool = False,
-) -> PolicyPlay:
+) -> PolicyOutcome:
     """Play changes under faults, and judge them."""
     world = World(seed, members, replica_type, trace)
-    world.play(changes, faults if faults is not None else FaultRates())
-    broken = world.broken()
+    world.simulate(changes, faults if faults is not None else FaultRates())
+    violations = world.violations()
     if behind := world.behind():
-        broken.append(f"behind at the end: {behind[:4]}")
-    return PolicyPlay(
+        violations.append(f"behind at the end: {behind[:4]}")
+    return PolicyOutcome(
         decided=len(world.store.decided),
         proposed=world.log_counts["proposed"],
-        requests_taken=world.requests_taken,
+        requests_accepted=world.requests_accepted,
         unavailable=world.log_counts["policy.doubt"],
         statuses_sent=world.statuses_sent,
         store_calls=world.store.calls,
         is_proposal_open=PROPOSAL_KEY in world.store.entries,
-        broken=broken,
+        violations=violations,
     )
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -50,8 +50,8 @@
     """How members leave a zone."""
 
     PLAN = "plan"
-    ALONE = "alone"
-    KNOWN = "known"  # with full knowledge of what fails
+    UNCOORDINATED = "alone"
+    OMNISCIENT = "known"  # with full knowledge of what fails
 
 
 class WrittenPlan(NamedTuple):
@@ -193,7 +193,7 @@
 
     def _avoid_failing(self, zone: str, member: EmulatedMember) -> str:
         """The zone itself, or a healthy one where it is known to fail."""
-        knows = self.strategy == Strategy.KNOWN and self.case.leaving_helps
+        knows = self.strategy == Strategy.OMNISCIENT and self.case.leaving_helps
         if knows and zone in self.case.failing_zones and self.fails(zone, member):
             return next((healthy for healthy in ZONES if healthy not in self.case.failing_zones), zone)
         return zone
@@ -254,7 +254,7 @@
         else:
             member.next_write_at = min(due, self.now + OBJECTIVE / 8)
 
-    def play(self, after: float = PLAYED_AFTER) -> None:
+    def simulate(self, after: float = PLAYED_AFTER) -> None:
         """Play until so many seconds after the zones have recovered."""
         for member in self.members:
             self.events.at(self.rng.expovariate(RATE), lambda member=member: self.arrive(member))
@@ -293,12 +293,12 @@
     def _rate(self, zone: str, at: float) -> int:
         return sum(at <= arrived < at + 1 for arrived in self.arrivals[zone])
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Promises that were broken."""
-        broken = [*self._left_in_vain()]
+        violations = [*self._left_in_vain()]
         if self.overloads:
-            broken.append(f"pushed over {self.overloads} times")
-        return [*broken, *self._moved_too_much(), *self._returned_too_fast()]
+            violations.append(f"pushed over {self.overloads} times")
+        return [*violations, *self._moved_too_much(), *self._returned_too_fast()]
 
     def _left_in_vain(self) -> Iterable[str]:
         for at, plan in self.plans:
@@ -344,10 +344,10 @@
     """What a play has counted, and the promises that it has broken."""
 
     counts: dict[str, Any]
-    broken: list[str]
+    violations: list[str]
 
 
-def play(
+def simulate(
     seed: int,
     members: int = 30,
     case: str = "hang",
@@ -356,5 +356,5 @@
 ) -> Outcome:
     """Play one case from a seed."""
     world = World(seed, members, CASES[case], strategy, planner_type)
-    world.play()
-    return Outcome(world.counts(), world.broken())
+    world.simulate()
+    return Outcome(world.counts(), world.violations())
--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -314,7 +314,7 @@
         )
         return repr((replicas, sorted(files), entries, world))
 
-    def broken(self) -> str:
+    def violation(self) -> str:
         """The promise that was broken on the way to this state; empty: none."""
         decided = bool(self.store.decided)
         if self.served_old_after_switch and decided:
@@ -343,4 +343,6 @@
         counts["dropped"] += not model.store.decided and PROPOSAL_KEY not in model.store.entries
 
     found = search(Model(replica_type).begin(bounds), Model.copy, bounds.max_states, count_end)
-    return PolicyExploration(found.states, found.complete, found.broken, counts["decided"], counts["dropped"])
+    return PolicyExploration(
+        found.states, found.complete, found.violations, counts["decided"], counts["dropped"]
+    )
--- a/trials/model_replication_events.py
+++ b/trials/model_replication_events.py
@@ -63,6 +63,6 @@
     shard_changes: int = 0  # one shard into two, or two into one
     failed_dials: int = 0  # a link that is dialled does not come up, though its member lives
     idle_closes: int = 0  # a link between shards that neither side needs ends
-    is_linked: bool = False  # there are links between shards too, as if left by earlier requests
-    may_crash: tuple[str, ...] = ()  # empty: anybody
-    earlier_events: tuple[Event, ...] = ()  # what has happened before
+    all_linked: bool = False  # there are links between shards too, as if left by earlier requests
+    crash_candidates: tuple[str, ...] = ()  # empty: anybody
+    initial_events: tuple[Event, ...] = ()  # what has happened before
--- a/trials/model_replication_state.py
+++ b/trials/model_replication_state.py
@@ -41,7 +41,7 @@
     seen_view: dict[str, int] = field(default_factory=dict)  # by member: the view that it has seen last
     dialling: set[tuple[str, str]] = field(default_factory=set)
     duplicate_at: str = ""  # the member that another client sends to
-    may_crash: tuple[str, ...] = ()  # empty: anybody
+    crash_candidates: tuple[str, ...] = ()  # empty: anybody
 
     @property
     def view(self) -> MembershipView:
@@ -53,7 +53,7 @@
         members = [Member(name, name, "", name) for name in bounds.members]
         self.views = [MembershipView(members, bounds.shards)]
         self.duplicate_at = bounds.members[-1]
-        self.may_crash = bounds.may_crash
+        self.crash_candidates = bounds.crash_candidates
         self.remaining = {name: getattr(bounds, name) for name in LIMITED}
         for name in bounds.members:
             host = ModelHost(self, name)
@@ -64,13 +64,13 @@
             for other in bounds.members:
                 if one != other:
                     self.queues[one, other] = deque()
-                    if bounds.is_linked or self._are_peers(one, other):
+                    if bounds.all_linked or self._are_peers(one, other):
                         self.links.add((one, other))
         for name in bounds.members:
             self.replicators[name].view_changed(self.view, True)
         for one, other in sorted(self.links):
             self.replicators[one].link_up(other)
-        for event in (SETTLES, *bounds.earlier_events):
+        for event in (SETTLES, *bounds.initial_events):
             self.apply(event)
         return self
 
@@ -115,7 +115,7 @@
             if self.seen_view[name] < len(self.views) - 1:
                 yield Event(EventKind.VIEW_CHANGES, name)
             may_crash = self.remaining["crashes"] and len(self.replicators) > 2
-            if may_crash and name in (self.may_crash or self.replicators):
+            if may_crash and name in (self.crash_candidates or self.replicators):
                 yield Event(EventKind.CRASHES, name)
         if self.remaining["cuts"]:
             for one, other in sorted(self.links):
@@ -337,7 +337,7 @@
 
     # Verdict, and comparison of states.
 
-    def broken(self) -> str:
+    def violation(self) -> str:
         """The promise that was not kept; empty: none."""
         if self.effect == RetrySafety.NON_IDEMPOTENT.value and self.runs > 1:
             return f"ran {self.runs} times"
--- a/trials/model_search.py
+++ b/trials/model_search.py
@@ -19,7 +19,7 @@
     def apply(self, event: EventT) -> None:
         """Have the event happen, with all that follows from it."""
 
-    def broken(self) -> str:
+    def violation(self) -> str:
         """The promise that was broken on the way to this state; empty: none."""
 
     def key(self) -> str:
@@ -42,7 +42,7 @@
 
     states: int
     complete: bool  # all states within the bounds were seen
-    broken: list[Violation[EventT]] = field(default_factory=list)
+    violations: list[Violation[EventT]] = field(default_factory=list)
 
 
 def search(
@@ -63,8 +63,8 @@
         for event in list(state.events()):
             following = copy(state)
             following.apply(event)
-            if promise := following.broken():
-                return Exploration(len(seen), False, [Violation(promise, [*history, event])])
+            if violated := following.violation():
+                return Exploration(len(seen), False, [Violation(violated, [*history, event])])
             key = following.key()
             if key in seen:
                 continue
--- a/trials/policy_scenes.py
+++ b/trials/policy_scenes.py
@@ -4,7 +4,7 @@
 
 from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY, PolicyReplica
 
-from .emulated_policy import BEGIN, LEASE, EmulatedMember, ReplicaType, World
+from .emulated_policy import FIRST_CHANGE_AT, LEASE, EmulatedMember, ReplicaType, World
 
 SWITCH_DELAY = DEFAULT_SWITCH_DELAY * LEASE  # seconds
 TICK = 0.001  # seconds, where a scene waits for something
@@ -13,7 +13,7 @@
 
 def _begun(members: int, replica_type: ReplicaType, trace: bool) -> tuple[World, list[EmulatedMember]]:
     world = World(7, members, replica_type, trace)
-    world.run_until(BEGIN)
+    world.run_until(FIRST_CHANGE_AT)
     return world, list(world.members.values())
 
 
@@ -59,7 +59,7 @@
 def paused_before_vote(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
     """One is paused before its vote, until after the switch time."""
     world, members = _begun(5, replica_type, trace)
-    members[3].paused_until = BEGIN + SWITCH_DELAY + 1.0
+    members[3].paused_until = FIRST_CHANGE_AT + SWITCH_DELAY + 1.0
     world.run_until(_proposed(world, members[0]) + 3.0)
     return world
 
