--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -20,10 +20,13 @@
         "design",
         "endings",
         "fleet",
+        "glossary",
+        "migration",
         "oncall",
         "operations",
         "operators",
         "policy",
+        "scale",
         "zones",
     )
 ]
