--- a/fakes/etcd.py
+++ b/fakes/etcd.py
@@ -290,7 +290,7 @@
     # Watches
 
     async def _watch(self, body: Json) -> AsyncIterator[bytes]:
-        """Yield the lines of a watch."""
+        """Yield the lines of a watch: its creation, its events, and its end if the revision was compacted."""
         keys = decode_range(body)
         task = asyncio.current_task()
         assert task is not None
--- a/fakes/http1.py
+++ b/fakes/http1.py
@@ -70,7 +70,7 @@
 
 @contextlib.asynccontextmanager
 async def cancel_when_closed(reader: asyncio.StreamReader) -> AsyncIterator[None]:
-    """Cancel the current task when the client closes the connection, which writes may not detect for long."""
+    """Cancel the current task when the client closes the connection; writes may succeed long after that."""
     task = asyncio.current_task()
     assert task is not None
 
--- a/tests/characterisation/real_process.py
+++ b/tests/characterisation/real_process.py
@@ -44,7 +44,7 @@
 ]
 
 
-# A loopback host of this process only: no other test can take a port between finding it free and using it.
+# A loopback host that only this process uses: no other test can bind a port of it that was found to be free.
 HOST = f"127.{64 + os.getpid() % 64}.{os.getpid() // 64 % 256}.7"
 
 
@@ -145,7 +145,8 @@
     def accept_request(self) -> socket.socket:
         """Return the connection on which the next request to the first endpoint arrives.
 
-        It is a new one, unless more than 1/48 of the latency objective has passed since the last response.
+        The process reuses a connection only once 1/48 of the shortest latency objective has passed since the
+        last response on it; until then it opens a new one.
         """
         while True:
             ready, _, _ = select.select([self.upstreams[0], *self.idle], [], [], STEP_TIMEOUT)
@@ -191,16 +192,21 @@
         self.record_message(sock, f"answer to {line}", h11.CLIENT)
 
     def send_request(
-        self, name: str, trace: str, body: bytes = b"", sock: socket.socket | None = None, **more: str
+        self,
+        name: str,
+        trace: str,
+        body: bytes = b"",
+        sock: socket.socket | None = None,
+        **changed: str,
     ) -> socket.socket:
         """Send a request from a client; return its connection.
 
-        `name`: of the request class. `sock`: a connection to reuse. `more`: additional headers.
+        `name`: of the request class. `sock`: a connection to reuse. `changed`: headers to add or replace.
         """
         sock = sock or self.connect(self.ports[0])
         method = "GET" if name == "look" else "POST"
         headers = {"Host": "a", "X-Trace-Id": trace, "X-QoS": name, "X-Expires-In-Ms": "7000"}
-        headers |= {key.replace("_", "-"): value for key, value in more.items()}
+        headers |= {key.replace("_", "-"): value for key, value in changed.items()}
         if name == "move":
             headers["Idempotency-Key"] = f"key-{trace}"
         if body:
--- a/tests/decision_host.py
+++ b/tests/decision_host.py
@@ -89,9 +89,9 @@
         entries = [Endpoint(name, zone, cell, 1.0, started, state) for name in endpoint_ids]
         self.scheduler.endpoints_changed(event, entries)
 
-    def submit(self, request_class: RequestClass = LOOK, time_left: float = 2.0, **more: object) -> Request:
-        """Submit a request of a client and return it; `more`: fields of `Request`."""
-        request = Request(request_class, self.scheduler.now, time_left, **more)
+    def submit(self, request_class: RequestClass = LOOK, time_left: float = 2.0, **fields: object) -> Request:
+        """Submit a request of a client and return it; `fields`: of `Request`."""
+        request = Request(request_class, self.scheduler.now, time_left, **fields)
         self.scheduler.accept_request(request)
         return request
 
@@ -199,11 +199,11 @@
 MakeHost = Callable[..., FakeHost]
 
 
-def host_with_cells(make_host: MakeHost, cells: int = 4, each: int = 3, **changed: object) -> FakeHost:
-    """Return a host with `cells` cells of `each` endpoints in its own zone."""
-    host = make_host(cells * each, key_affinity=True, **changed)
+def host_with_cells(make_host: MakeHost, cells: int = 4, cell_size: int = 3, **changed: object) -> FakeHost:
+    """Return a host with `cells` cells of `cell_size` endpoints in its own zone."""
+    host = make_host(cells * cell_size, key_affinity=True, **changed)
     for i, name in enumerate(host.endpoint_ids):
-        host.list_endpoints(WatchEvent.DELTA, name, cell=i // each)
+        host.list_endpoints(WatchEvent.DELTA, name, cell=i // cell_size)
     return host
 
 
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -26,7 +26,7 @@
 
 
 def test_a_request_is_given_up_at_its_objective(host: FakeHost) -> None:
-    """It is rejected if a retry is harmless, failed otherwise, and its attempts are cancelled."""
+    """The request is rejected if a retry is harmless, failed otherwise, and its attempts are cancelled."""
     look, buy = host.submit(), host.submit(BUY)
     host.advance(1.0)
     assert host.answers_to(look) == [AnswerKind.REJECTED] and host.answers_to(buy) == [AnswerKind.FAILED]
@@ -34,7 +34,7 @@
 
 
 def test_no_final_answer_after_the_client_has_disconnected(host: FakeHost) -> None:
-    """Its attempt is cancelled, and an answer would reach no client."""
+    """The attempt of the request is cancelled, and an answer would reach no client."""
     request = host.submit()
     host.scheduler.client_disconnected(request)
     host.advance(5.0)
--- a/tests/decisions/test_endpoint_set.py
+++ b/tests/decisions/test_endpoint_set.py
@@ -29,9 +29,9 @@
 
 def test_all_sidecars_prefer_the_same_cell_for_a_key_and_spread_the_keys(make_host: MakeHost) -> None:
     """Otherwise the cells would not benefit from related requests, or one would get too many."""
-    one, other = host_with_cells(make_host, seed=1), host_with_cells(make_host, seed=2)
-    picked = [cell_of(one, key) for key in KEYS]
-    assert sum(a == cell_of(other, key) for a, key in zip(picked, KEYS, strict=True)) > 0.9 * len(KEYS)
+    first, second = host_with_cells(make_host, seed=1), host_with_cells(make_host, seed=2)
+    picked = [cell_of(first, key) for key in KEYS]
+    assert sum(a == cell_of(second, key) for a, key in zip(picked, KEYS, strict=True)) > 0.9 * len(KEYS)
     assert all(0.15 < n / len(KEYS) < 0.35 for n in Counter(picked).values()) and len(set(picked)) == 4
 
 
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -38,8 +38,8 @@
         host.receive_gossip(1, balancer.endpoints.by_id[name], count)
 
 
-def test_a_failing_endpoint_is_reported_to_peers_at_any_request_rate(make_host: MakeHost) -> None:
-    """At a high request rate, the test of whether failures are rare must still see them as such."""
+def test_a_failing_endpoint_is_suspected_or_ejected_at_a_high_request_rate(make_host: MakeHost) -> None:
+    """A single failure among many requests may be chance, but several in a row at one endpoint are not."""
     host = make_host(gossip_allowed=True)
     sick = host.scheduler.balancer.endpoints.by_id["u0"]
     for i in range(800):
@@ -56,7 +56,7 @@
 def test_a_failure_reported_by_a_peer_keeps_non_idempotent_requests_away_for_a_while(
     make_host: MakeHost,
 ) -> None:
-    """They cannot be retried after a failure; idempotent requests still go there."""
+    """Non-idempotent requests cannot be retried after a failure; idempotent ones still go to the endpoint."""
     host = make_host(sidecars=3, gossip_allowed=True)
     bad = host.scheduler.balancer.endpoints.by_id["u0"]
     host.receive_gossip(1, bad, 255)
@@ -168,7 +168,7 @@
 
 
 def test_an_unresponsive_endpoint_returns_with_the_first_response_to_a_peer(make_host: MakeHost) -> None:
-    """Otherwise each sidecar would have to find out by itself that it has recovered."""
+    """Otherwise each sidecar would have to detect the recovery of the endpoint by itself."""
     host = make_host(**GOSSIP_SETTINGS)
     host.advance(2.0)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
@@ -239,7 +239,7 @@
 
 
 def test_counts_from_peers_show_a_slow_endpoint(make_host: MakeHost) -> None:
-    """It then gets few requests, although this sidecar has not measured it."""
+    """The endpoint then gets few requests, although this sidecar has not measured its latency."""
     host = make_host(endpoints=6, **GOSSIP_SETTINGS)
     receive_counts(host, {"u0": 0.5} | {f"u{i}": 0.1 for i in range(1, 6)})
     slow = host.scheduler.balancer.endpoints.by_id["u0"]
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -45,7 +45,7 @@
 
 
 def test_an_expensive_request_gets_no_hedge(make_host: MakeHost) -> None:
-    """Later requests have finished at its endpoint, so the request itself takes the time."""
+    """Later requests have finished at the same endpoint, so the request itself is what takes long."""
     host = make_host(endpoints=2)
     host.serve(110)
     heavy = host.submit()
--- a/tests/decisions/test_latency.py
+++ b/tests/decisions/test_latency.py
@@ -7,7 +7,7 @@
 
 
 def test_a_slow_endpoint_gets_fewer_requests(host: FakeHost) -> None:
-    """Without learned response times it would get a quarter of them."""
+    """Without learned response times the endpoint would get a quarter of the requests."""
     slow = host.scheduler.balancer.endpoints.by_id["u0"]
     for _ in range(120):
         attempt = host.attempts_of(host.submit())[0]
--- a/tests/decisions/test_load.py
+++ b/tests/decisions/test_load.py
@@ -57,11 +57,11 @@
 
 def test_the_concurrency_is_learned_from_responses_and_reports(make_host: MakeHost) -> None:
     """Reports give the requests held but not the busy fraction, so queueing delays show it."""
-    one, four = make_host(), make_host()
-    load_endpoints(one, concurrency=1)
-    load_endpoints(four, concurrency=4)
-    assert one.scheduler.balancer.load.concurrency < 1.4
-    assert 2.5 < four.scheduler.balancer.load.concurrency < 6
+    serial, parallel = make_host(), make_host()
+    load_endpoints(serial, concurrency=1)
+    load_endpoints(parallel, concurrency=4)
+    assert serial.scheduler.balancer.load.concurrency < 1.4
+    assert 2.5 < parallel.scheduler.balancer.load.concurrency < 6
 
 
 def test_the_concurrency_stays_within_bounds_for_implausible_reports(make_host: MakeHost) -> None:
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("cores", [1, 3])
 def test_the_concurrency_is_learned_from_busy_reports(make_host: MakeHost, cores: int) -> None:
-    """The busy fraction shows it directly."""
+    """The busy fraction and the number of requests held give the concurrency directly."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     for i in range(400):
         held = i % (2 * cores + 1)
--- a/tests/decisions/test_load_polling.py
+++ b/tests/decisions/test_load_polling.py
@@ -41,7 +41,7 @@
 def test_gossip_is_used_where_responses_carry_reports_and_its_price_is_below_the_gain(
     make_host: MakeHost,
 ) -> None:
-    """Its price grows with the number of sidecars; without reports polling is cheaper."""
+    """The price of gossip grows with the number of sidecars; without reports, polling is cheaper."""
     prices = {
         "health_checks_allowed": True,
         "health_check_price": 0.001,
@@ -57,7 +57,7 @@
 
 
 def test_the_least_loaded_of_the_polled_endpoints_gets_the_request(make_host: MakeHost) -> None:
-    """None of the three is free."""
+    """When none of the three polled endpoints is free, their reported loads decide."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     request = host.submit(BUY)
     for held in (3.0, 1.0, 2.0):
@@ -100,8 +100,8 @@
     assert not host.attempts and not host.final_answers
 
 
-def test_a_request_with_little_time_is_answered_even_if_no_poll_was(make_host: MakeHost) -> None:
-    """Unanswered health checks must not hold the request beyond its time."""
+def test_a_request_with_little_time_is_rejected_when_no_poll_is_answered(make_host: MakeHost) -> None:
+    """Unanswered health checks must not hold the request beyond its time left."""
     host = make_host(**LARGE_FLEET_POLLING_SETTINGS)
     request = host.submit(BUY, time_left=0.1)
     host.advance(0.1)
@@ -109,7 +109,7 @@
 
 
 def test_an_endpoint_that_was_recently_free_is_not_polled_again(make_host: MakeHost) -> None:
-    """Its last report is recent enough."""
+    """The last report of the endpoint is recent enough."""
     host = make_host(endpoints=1, **LARGE_FLEET_POLLING_SETTINGS)
     first = host.submit(BUY)
     host.scheduler.health_check_ended("u0", AttemptOutcome.SUCCESS, 0.01, {"held": 0.0})
@@ -125,7 +125,7 @@
 
 
 def test_gossip_is_used_where_it_costs_less_than_polling(make_host: MakeHost) -> None:
-    """Its price grows with the number of sidecars."""
+    """The price of gossip grows with the number of sidecars."""
     prices = {
         "gossip_allowed": True,
         "health_checks_allowed": True,
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -47,7 +47,7 @@
 def test_an_ejected_endpoint_returns_through_a_probation_without_non_idempotent_requests(
     host: FakeHost,
 ) -> None:
-    """They could not be retried if the endpoint still fails."""
+    """Non-idempotent requests could not be retried if the endpoint still fails."""
     endpoint = fail(host, "u0")
     host.advance(1.5)
     host.serve(40, duration=0.01, request_class=BUY)
@@ -72,7 +72,7 @@
 
 
 def test_a_sidecar_that_has_seen_only_full_endpoints_tries_again(host: FakeHost) -> None:
-    """If it rejected everything it would get no new load report."""
+    """A sidecar that rejected everything would get no new load report."""
     for _ in range(8):
         for attempt in host.attempts_of(host.submit()):
             host.advance(0.1)
@@ -92,12 +92,12 @@
 
 
 def test_an_endpoint_that_refuses_connections_still_serves_over_open_ones(make_host: MakeHost) -> None:
-    """It accepts a request while an idle connection is left, and none beyond that."""
+    """The endpoint gets a request while an idle connection to it is left, and none beyond that."""
     host = make_host(endpoints=1, idle_timeout=5.0)
     host.serve(20)
     served, refused, refused_again = [host.submit(BUY) for _ in range(3)]
-    for one in (refused, refused_again):  # at this failure rate a single one may be chance
-        host.end_attempt(host.attempts_of(one)[0], AttemptOutcome.CONNECT_FAILED)
+    for request in (refused, refused_again):  # at this failure rate a single one may be chance
+        host.end_attempt(host.attempts_of(request)[0], AttemptOutcome.CONNECT_FAILED)
     host.end_attempt(host.attempts_of(served)[0])
     after = host.submit(BUY)
     assert host.answers_to(refused) == [AnswerKind.REJECTED] and host.attempts_of(after)
@@ -120,8 +120,8 @@
             host.attempts_of(request)[0],
             AttemptOutcome.RESET if i % 16 == 0 or i % 80 == 1 else AttemptOutcome.SUCCESS,
         )
-        for again in host.attempts_of(request)[1:]:
-            host.end_attempt(again)
+        for retry in host.attempts_of(request)[1:]:
+            host.end_attempt(retry)
         if i > 1400:  # the failure rate has been learned by then
             known = list(balancer.endpoints.by_id.values())
             max_avoided = max(
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -19,7 +19,7 @@
 def test_a_request_known_not_to_have_run_goes_to_another_endpoint(
     host: FakeHost, request_class: RequestClass
 ) -> None:
-    """That is safe for every class."""
+    """A retry of such a request is safe for every class."""
     request = host.submit(request_class)
     host.end_attempt(host.attempts_of(request)[0], AttemptOutcome.REJECTED)
     first, second = host.attempts_of(request)
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -32,7 +32,7 @@
 
 
 def test_where_new_connections_have_a_price_open_ones_are_used_first(make_host: MakeHost) -> None:
-    """Few endpoints are used then, and all of them if connections are free."""
+    """With a price for new connections few endpoints are used, without one all of them."""
     used = {}
     for price in (0.0, 0.1):
         host = make_host(endpoints=12, cross_zone_price=0.01, connection_setup_price=price, idle_timeout=5.0)
@@ -44,7 +44,7 @@
 def test_an_open_connection_to_a_busy_endpoint_does_not_keep_requests_from_others(
     make_host: MakeHost,
 ) -> None:
-    """The preference ends at the time that a new connection is worth."""
+    """Above some expected response time, a new connection is worth its setup price."""
     host = make_host(endpoints=4, connection_setup_price=0.1, idle_timeout=5.0)
     host.serve(20, duration=0.1, request_class=BUY)
     requests = [host.submit(BUY) for _ in range(4)]
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -25,7 +25,7 @@
         host = make_host(endpoints=1, seed=seed, sidecars=100)
         host.advance(50.0)
         host.list_endpoints(WatchEvent.DELTA, "u0", started=50.0)
-        for _ in range(10):  # far more requests than the endpoint could serve, from all of them in step
+        for _ in range(10):  # more requests than the endpoint could serve, from all sidecars in step
             for attempt in host.attempts_of(host.submit()):
                 host.end_attempt(attempt)
             host.advance(0.2)
@@ -37,7 +37,7 @@
 
 
 def test_no_requests_queue_at_an_endpoint_that_is_warming_up(make_host: MakeHost) -> None:
-    """Its budget allows one request here, so the others are not sent."""
+    """The slow-start budget allows one request here, so the others are not sent."""
     host = make_host(endpoints=1)
     host.serve(40, duration=0.12, request_class=BUY)
     host.list_endpoints(WatchEvent.DELTA, "u0", started=host.scheduler.now)
@@ -54,7 +54,7 @@
         host = make_host(endpoints=30, seed=number, sidecar_index=number, **SUBSET_SETTINGS)
         host.advance(50.0)
         host.list_endpoints(WatchEvent.DELTA, restarted, started=50.0)
-        for _ in range(75):  # far more requests than the endpoint could serve, from all of them in step
+        for _ in range(75):  # more requests than the endpoint could serve, from all sidecars in step
             for attempt in host.attempts_of(host.submit()):
                 host.end_attempt(attempt)
             host.advance(0.1)
--- a/tests/link_network.py
+++ b/tests/link_network.py
@@ -35,7 +35,7 @@
     """A member with its links on an event loop of its own, which records the messages to its host."""
 
     def __init__(self, clock: Clock, name: str, hello: frames.HelloFrame | None = None) -> None:
-        """`hello`: the hello that it sends; None: the correct one."""
+        """Start the member. `hello`: the hello frame that the member sends; None: the correct one."""
         self.id = f"{name}.00"
         self.errors: list[Exception] = []
         self.messages: list[object] = []
@@ -92,7 +92,7 @@
     """Members whose event loops run in a random order."""
 
     def __init__(self, seed: int = 1) -> None:
-        """`seed`: of the order in which the loops run."""
+        """Create a network without members. `seed`: of the order in which the loops run."""
         self.members: list[LinkedMember] = []
         self.rng = random.Random(seed)
         self.clock = Clock()
@@ -105,14 +105,14 @@
 
     def set_view(self, shards: int, *receivers: LinkedMember) -> None:
         """Send a view of all members in that number of shards to `receivers`, by default to all."""
-        all_members = [one.member for one in self.members]
-        for one in receivers or self.members:
-            one.links.post(ViewChanged(MembershipView(all_members, shards), False))
+        all_members = [member.member for member in self.members]
+        for member in receivers or self.members:
+            member.links.post(ViewChanged(MembershipView(all_members, shards), False))
 
     def step(self) -> None:
         """Run the loops of a random selection of members once, and advance the clock."""
-        for one in self.rng.sample(self.members, self.rng.randint(1, len(self.members))):
-            one.loop.run_once(0)
+        for member in self.rng.sample(self.members, self.rng.randint(1, len(self.members))):
+            member.loop.run_once(0)
         self.clock.time += self.step_seconds
 
     def wait_until(self, condition: Callable[[], T], within: float = WAIT_TIMEOUT) -> T:
@@ -132,10 +132,10 @@
 
     def close(self) -> None:
         """Close all sockets, and check that no actor has raised an exception."""
-        for one in self.members:
-            one.loop.close()
-            one.sock.close()
-            assert not one.errors
+        for member in self.members:
+            member.loop.close()
+            member.sock.close()
+            assert not member.errors
 
 
 def names_in_shards(count: int, *shards: int) -> list[str]:
@@ -149,9 +149,9 @@
     return names
 
 
-def connected(one: LinkedMember, other: LinkedMember) -> bool:
+def connected(first: LinkedMember, second: LinkedMember) -> bool:
     """Return whether both members have a link to each other over the same connection."""
-    mine, theirs = one.links.links.get(other.id), other.links.links.get(one.id)
-    if mine is None or theirs is None or mine.end_reported or theirs.end_reported:
+    first_link, second_link = first.links.links.get(second.id), second.links.links.get(first.id)
+    if first_link is None or second_link is None or first_link.end_reported or second_link.end_reported:
         return False
-    return mine.connection.sock.getsockname() == theirs.connection.sock.getpeername()
+    return first_link.connection.sock.getsockname() == second_link.connection.sock.getpeername()
--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -46,12 +46,12 @@
     """The median time left does not increase from one level to the next."""
     result = small(scene="hangs", part=0.3, due=0.2)
     assert result["told longer than it had"] == 0
-    worst = [level["left ms"][1] for level in result["levels"]]
-    assert worst == sorted(worst, reverse=True)
+    medians = [level["left ms"][1] for level in result["levels"]]
+    assert medians == sorted(medians, reverse=True)
 
 
 def test_an_application_that_does_not_pass_its_time_left_on_is_counted() -> None:
-    """It sends the whole timeout of the request class."""
+    """Such an application sends the whole timeout of the request class with each call."""
     result = small(hands_down=False)
     assert result["told longer than it had"] > 0
 
@@ -71,7 +71,7 @@
 
 
 def test_non_idempotent_requests_are_never_retried_once_they_may_have_run() -> None:
-    """Half of the calls at the leaf fail."""
+    """Half of the calls at the leaf fail, and no level makes a hedge or a retry."""
     result = small(scene="errors", part=0.5, effect="exclusive")
     assert all(level["copy"] == level["retry"] == 0 for level in result["levels"])
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -36,7 +36,7 @@
 
 
 def test_fitted_line_and_growth_exponent_recover_their_parameters() -> None:
-    """The points lie exactly on a line, and on a parabola."""
+    """The points lie exactly on the line, and on the parabola, that are to be recovered."""
     intercept, slope, residual = fit_line((x, 7 + 3 * x) for x in (1, 2, 5, 9))
     assert (round(intercept, 9), round(slope, 9), round(residual, 9)) == (7, 3, 0)
     assert growth_exponent((x, 5 * x**2) for x in (2, 4, 8)) == pytest.approx(2)
@@ -86,8 +86,8 @@
 def test_the_largest_size_of_a_scale_run_is_predicted_from_the_smaller_ones() -> None:
     """The table shows the prediction and its error. Lines of other roles are ignored."""
     lines = [
-        {"role": "alone", "phase": "rest", "cell_size": 0, "size": size, "wire_out": 100.0 + 3 * size + more}
-        for size, more in ((25, 0), (50, 0), (100, 80))
+        {"role": "alone", "phase": "rest", "cell_size": 0, "size": size, "wire_out": 100.0 + 3 * size + kink}
+        for size, kink in ((25, 0), (50, 0), (100, 80))
     ]
     lines.append({"role": "arbiter", "phase": "rest", "cell_size": 0, "size": 25, "wire_out": 1e9})
     table = capacity.scale_run_table(lines).splitlines()
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("key", ["settings", "limits", "peers", "name"])
-def test_a_file_without_a_key_that_was_there_is_rejected(
+def test_a_file_that_lacks_a_key_of_the_former_file_is_rejected(
     make_harness: Callable[..., SidecarHarness], key: str
 ) -> None:
     """A missing key that has a default is rejected too, and the log names it."""
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -232,12 +232,12 @@
         """Run the simulation up to the time `until`."""
         while True:
             self.settle()
-            ahead = [self.due[0][0]] if self.due else []
-            ahead += [self.loop.timers[0][0]] if self.loop.timers else []
-            if not ahead or min(ahead) > until:
+            next_times = [self.due[0][0]] if self.due else []
+            next_times += [self.loop.timers[0][0]] if self.loop.timers else []
+            if not next_times or min(next_times) > until:
                 self.now = until
                 return
-            self.now = max(self.now, min(ahead))
+            self.now = max(self.now, min(next_times))
             while self.due and self.due[0][0] <= self.now:
                 heapq.heappop(self.due)[2]()
 
@@ -276,8 +276,8 @@
         return simulations[-1]
 
     yield make
-    for one in simulations:
-        one.close()
+    for simulation in simulations:
+        simulation.close()
 
 
 def reachable_after(simulation: Simulation, seconds: float, *first: float | str) -> Behaviour:
@@ -408,7 +408,7 @@
 def test_a_call_that_waits_its_turn_is_not_replaced_by_a_second_one(
     make_simulation: MakeSimulation, fleet: str
 ) -> None:
-    """Discovery takes nearly three seconds for an answer."""
+    """Discovery answers each call only after nearly three seconds."""
     for seed in range(8):
         simulation = make_simulation()
         discovery, context = sidecar_with_watch(simulation, fleet, seed)
@@ -455,7 +455,7 @@
 def test_of_many_sidecars_each_calls_once_and_once_more_where_its_call_hangs(
     make_simulation: MakeSimulation, first: list[float | str], second_calls: int
 ) -> None:
-    """All watches of one discovery have fallen silent at the same time."""
+    """All watches of one discovery fall silent at the same time."""
     simulation = make_simulation()
     discovery = simulation.discovery("a:1", lambda _: 0.0)
     contexts = [simulation.sidecar(seed=str(seed), **LARGE) for seed in range(40)]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -41,7 +41,7 @@
 
 
 def disconnect(harness: SidecarHarness, client: socket.socket, how: str = "closes") -> None:
-    """End a client's connection in one of the ways of `LEAVE`."""
+    """End a client's connection in one of the ways of `DISCONNECT_METHODS`."""
     match how:
         case "closes":
             client.close()
@@ -173,8 +173,8 @@
     harness.context.resets_expected_until = float("inf")
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
-    got = harness.wait_until(lambda: harness.read(upstream))
-    assert got.endswith(b"on")
+    received = harness.wait_until(lambda: harness.read(upstream))
+    assert received.endswith(b"on")
     with events_delayed(harness, pending_client_connection(harness), HANGUP):
         client.close()
         assert_nothing_arrives(harness, upstream, 0.3)
@@ -186,13 +186,13 @@
     client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size * 2)
     client.settimeout(0)
-    rest = memoryview(harness.request_bytes("buy", content_length=str(size)) + b"x" * size)
+    unsent = memoryview(harness.request_bytes("buy", content_length=str(size)) + b"x" * size)
     upstream = None
     for listener in harness.listeners:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    while rest:
+    while unsent:
         with contextlib.suppress(BlockingIOError):
-            rest = rest[client.send(rest) :]
+            unsent = unsent[client.send(unsent) :]
         harness.context.loop.run_once(0)
     upstream = harness.accept()
     body_stream = harness.wait_until(
@@ -202,12 +202,12 @@
     client.close()
     assert harness.wait_until(lambda: harness.log_lines("client.end"))[0]["reason"] == "client-left"
     assert not body_stream.ended
-    got = 0
+    received_bytes = 0
     while data := harness.wait_until(lambda: harness.read(upstream)):
         if data == b"end":
             break
-        got += len(data)
-    assert got < size
+        received_bytes += len(data)
+    assert received_bytes < size
 
 
 def test_over_http_2_a_stream_is_not_begun_for_a_client_that_has_left(
@@ -266,11 +266,11 @@
 def test_a_request_does_not_wait_for_a_connection_that_has_just_answered(just_answered: AnsweredOnce) -> None:
     """New connections are opened as long as none is quiescent."""
     harness, client, first = just_answered
-    for more in (2, 3):
-        client.sendall(harness.request_bytes(x_trace_id=f"t{more}"))
+    for number in (2, 3):
+        client.sendall(harness.request_bytes(x_trace_id=f"t{number}"))
         harness.serve()
         assert harness.read_status(client) == 200
-        harness.wait_until(lambda: len(harness.context.connections.idle_endpoint_connections) == more)  # noqa: B023
+        harness.wait_until(lambda: len(harness.context.connections.idle_endpoint_connections) == number)  # noqa: B023
     assert_nothing_arrives(harness, first)
 
 
@@ -373,14 +373,14 @@
     if unsolicited_expected:
         harness.context.unsolicited_responses_until = float("inf")
     client = harness.send_request("buy", b"one")
-    checked = harness.accept()
-    assert harness.read_request(checked)[0].target == b"/health"
-    harness.send_response(checked)
-    carries = harness.accept() if unsolicited_expected else checked
-    assert harness.read_request(carries)[1] == b"one"
-    harness.send_response(carries)
+    checked_connection = harness.accept()
+    assert harness.read_request(checked_connection)[0].target == b"/health"
+    harness.send_response(checked_connection)
+    request_connection = harness.accept() if unsolicited_expected else checked_connection
+    assert harness.read_request(request_connection)[1] == b"one"
+    harness.send_response(request_connection)
     assert harness.read_status(client) == 200
-    assert_nothing_arrives(harness, checked)
+    assert_nothing_arrives(harness, checked_connection)
 
 
 @pytest.mark.parametrize("arrival", ["at rest", "behind its answer", "as it is to be used"])
@@ -655,8 +655,10 @@
     assert harness.read_status(late) == 200
 
 
-def test_a_request_whose_rest_is_unread_is_not_closed_to_make_room(harness: SidecarHarness) -> None:
-    """The request is complete once its unread rest has been read."""
+def test_a_request_whose_rest_is_unread_is_not_closed_to_make_room(
+    harness: SidecarHarness,
+) -> None:
+    """The rest of the request has arrived, so the request is served once that rest has been read."""
     client = harness.connect_client()
     text = harness.request_bytes()
     client.sendall(text[:40])
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -14,7 +14,7 @@
 
 
 def run_together(*runs: Awaitable[TrialResult]) -> list[TrialResult]:
-    """Run trials concurrently and return their verdicts."""
+    """Run trials concurrently and return their results."""
 
     async def run_all() -> list[TrialResult]:
         return await asyncio.gather(*runs)
@@ -22,24 +22,24 @@
     return asyncio.run(run_all())
 
 
-def assert_kept(verdicts: Iterable[TrialResult]) -> None:
-    """Assert that no rule was broken and that there was enough traffic to show it."""
-    for verdict in verdicts:
-        assert verdict.passed, (verdict.counts, verdict.violations[:10])
-        # A trial is conclusive only if the draining endpoint had requests before.
-        assert verdict.counts["attempts"] > 100 and verdict.counts["answered 200"] > 100
+def assert_passed(results: Iterable[TrialResult]) -> None:
+    """Assert that no rule was broken and that the traffic was enough to show a violation."""
+    for result in results:
+        assert result.passed, (result.counts, result.violations[:10])
+        # With little traffic, a trial would pass because hardly any attempt could break a rule.
+        assert result.counts["attempts"] > 100 and result.counts["answered 200"] > 100
 
 
 @pytest.mark.xdist_group("endpoint-list-1")
 def test_no_attempt_follows_a_notice_that_arrived_incomplete() -> None:
     """The watch ends, is reset or stalls in the middle of the message about a drain."""
     faults = (Fault.ENDED, Fault.RESET, Fault.STALLED)
-    assert_kept(run_together(*(endpoint_list.broken_message(fault) for fault in faults)))
+    assert_passed(run_together(*(endpoint_list.broken_message(fault) for fault in faults)))
 
 
 @pytest.mark.xdist_group("endpoint-list-2")
 def test_no_attempt_follows_a_notice_that_was_missed() -> None:
-    """Watches fall silent or end instead of delivering it, or sidecars restart with a list from before it."""
-    assert_kept(
+    """Watches fall silent or end instead of delivering the notice, or sidecars restart with an older list."""
+    assert_passed(
         run_together(endpoint_list.silent_watch(), endpoint_list.ended_instead(), endpoint_list.restarted())
     )
--- a/tests/test_policy_over_links.py
+++ b/tests/test_policy_over_links.py
@@ -30,7 +30,7 @@
     """The host of a `PolicyReplica` that accepts every policy and records log lines."""
 
     def __init__(self, log_lines: list[LogLine]) -> None:
-        """`log_lines`: the list that the lines are appended to."""
+        """Create a host. `log_lines`: the list that the lines are appended to."""
         self.log_lines = log_lines
 
     def check(self, body: object) -> str:
@@ -59,7 +59,7 @@
     """A member with a policy replica, which sends statuses over links and answers policy queries."""
 
     def __init__(self, clock: Clock, name: str) -> None:
-        """`name`: the registered name of the member."""
+        """Start the member. `name`: its registered name."""
         super().__init__(clock, name)
         self.policy_log: list[LogLine] = []
         host = RecordingPolicyHost(self.policy_log)
@@ -115,23 +115,27 @@
     members: list[PolicyMember]
 
     def __init__(self, seed: int) -> None:
-        """`seed`: of the order in which the loops run."""
+        """Register all members, each with a valid lease. `seed`: of the order in which the loops run."""
         super().__init__(seed)
         self.members = [PolicyMember(self.clock, f"n{number:03d}") for number in range(MEMBERS)]
         records = StoreRecords()
         records.revision = 1
-        records.members = {one.id: one.member for one in self.members}
-        records.registered_names = {one.member.name: 1 for one in self.members}
-        for one in self.members:
-            one.policy_replica.now = one.loop.now()
-            one.policy_replica.update_records(records.copy(), True)
-            one.policy_replica.lease_renewed(one.loop.now() + LEASE, 1)
-            assert not one.unavailable_reason()
+        records.members = {member.id: member.member for member in self.members}
+        records.registered_names = {member.member.name: 1 for member in self.members}
+        for member in self.members:
+            member.policy_replica.now = member.loop.now()
+            member.policy_replica.update_records(records.copy(), True)
+            member.policy_replica.lease_renewed(member.loop.now() + LEASE, 1)
+            assert not member.unavailable_reason()
         self.set_view(SHARDS)
 
     def members_once_unavailable(self) -> list[str]:
         """Return the members that could not accept requests at any time so far."""
-        return [one.id for one in self.members if any(event == "policy.doubt" for event, _ in one.policy_log)]
+        return [
+            member.id
+            for member in self.members
+            if any(event == "policy.doubt" for event, _ in member.policy_log)
+        ]
 
 
 MakePolicyNetwork = Callable[[int], PolicyNetwork]
@@ -158,7 +162,7 @@
     network = make_policy_network(1)
     network.advance(6 * LEASE)
     assert not network.members_once_unavailable()
-    assert max(len(one.links.links) for one in network.members) < 12
+    assert max(len(member.links.links) for member in network.members) < 12
 
 
 def all_unavailable_after_losing_a_majority(network: PolicyNetwork) -> bool:
@@ -170,10 +174,12 @@
     unavailable: set[str] = set()
     while len(unavailable) < len(network.members) and network.clock() < until:
         network.step()
-        unavailable |= {one.id for one in network.members if one.unavailable_reason()}
+        unavailable |= {member.id for member in network.members if member.unavailable_reason()}
     all_unavailable = len(unavailable) == len(network.members)
     network.advance(LEASE)
-    all_unavailable = all_unavailable and all(one.unavailable_reason() == "alone" for one in network.members)
+    all_unavailable = all_unavailable and all(
+        member.unavailable_reason() == "alone" for member in network.members
+    )
     network.members += hung
     return all_unavailable
 
@@ -211,11 +217,11 @@
     network = make_policy_network(3)
     isolated = network.members[0]
     for _ in range(8):
-        for one in network.members[1:]:
-            one.policy_replica.lease_renewed(one.loop.now() + LEASE, 1)
+        for member in network.members[1:]:
+            member.policy_replica.lease_renewed(member.loop.now() + LEASE, 1)
         network.advance(LEASE / 2)
     assert not network.members_once_unavailable() and isolated.policy_replica.needs_statuses
-    assert all(not one.policy_replica.needs_statuses for one in network.members[1:])
+    assert all(not member.policy_replica.needs_statuses for member in network.members[1:])
 
 
 def test_a_decision_that_a_single_member_knows_reaches_all(make_policy_network: MakePolicyNetwork) -> None:
@@ -227,10 +233,10 @@
     network.members[5].policy_replica.receive_decision(
         PolicyDecision(policy, network.clock() + 60.0, 7, Policy())
     )
-    unlinked = [one for one in network.members if network.members[5].id not in one.links.links]
+    unlinked = [member for member in network.members if network.members[5].id not in member.links.links]
     assert len(unlinked) > 12
     network.wait_until(
-        lambda: all(one.policy_replica.decided_version == 1 for one in unlinked), within=1.25 * LEASE
+        lambda: all(member.policy_replica.decided_version == 1 for member in unlinked), within=1.25 * LEASE
     )
 
 
@@ -260,20 +266,20 @@
     records = StoreRecords()
     records.revision, records.members = 1, members
     records.registered_names = dict.fromkeys(("n0", "n1", "n2"), 1)
-    one, other = (
+    first, second = (
         PolicyReplica(f"n{i}.00", f"n{i}", LEASE, RecordingPolicyHost([]), 0.0, StoredPolicy("f"))
         for i in range(2)
     )
-    for each in (one, other):
-        each.update_records(records, True)
-    third = PolicyStatus("n2.00", "n2", 10.0, 0, "", 1e9, 0, 0, True)
-    other.now = 10.4
-    other.receive_status(third)
-    one.now = 10.8
-    for status in other.recent_statuses(members, 8):
-        one.receive_status(status)
-    assert not one.unavailable_reason()
-    one.now = 10.0 + LEASE
-    assert one.unavailable_reason() == "alone"
-    other.now = one.now
-    assert other.recent_statuses(members, 8) == []
+    for replica in (first, second):
+        replica.update_records(records, True)
+    third_status = PolicyStatus("n2.00", "n2", 10.0, 0, "", 1e9, 0, 0, True)
+    second.now = 10.4
+    second.receive_status(third_status)
+    first.now = 10.8
+    for status in second.recent_statuses(members, 8):
+        first.receive_status(status)
+    assert not first.unavailable_reason()
+    first.now = 10.0 + LEASE
+    assert first.unavailable_reason() == "alone"
+    second.now = first.now
+    assert second.recent_statuses(members, 8) == []
