--- a/starlingwheel/decisions/balancer.py
+++ b/starlingwheel/decisions/balancer.py
@@ -1,7 +1,9 @@
 """The balancer of one sidecar: builds the decision components and routes the host's events to them.
 
-A host uses a `Balancer` through a `DecisionScheduler`, which sets `now` before each event. The cost of one
-event depends neither on the number of endpoints nor on the number of sidecars.
+A host uses a `Balancer` through a `DecisionScheduler`, which sets `now` before each event. The cost of a
+request does not grow with the number of sidecars. It grows with the number of endpoints only for the first
+request after a change of the endpoint list, and where zone shares, a deduplication scope or a preferred cell
+select among all endpoints.
 """
 
 from __future__ import annotations
@@ -44,8 +46,8 @@
     ) -> None:
         """Build the components and apply the configuration.
 
-        `lease`: how long the endpoint list may be used. Without it the list does not expire, and the host is
-        responsible for that.
+        `lease`: how long the endpoint list may be used. Without a lease the list does not expire, and the
+        host is responsible for not using an outdated list.
         """
         pushed = not config.must_watch_endpoints
         self.rng, self.clock = rng, Clock(now)
--- a/starlingwheel/decisions/dispatch.py
+++ b/starlingwheel/decisions/dispatch.py
@@ -1,8 +1,9 @@
 """Dispatch of one request: an attempt, a hedge after a delay, retries, one final answer.
 
-The first attempt goes to an endpoint chosen by a weighted draw. For a request that may be executed twice, a
-hedge goes to another endpoint once a high percentile of this balancer's own response times has passed; the
-first success wins, and the other attempt is cancelled.
+The first attempt goes to an endpoint chosen by a weighted draw or, where endpoints are polled, by the load
+that they report. For a request that may be executed twice, a hedge goes to another endpoint once a high
+percentile of this balancer's own response times has passed; the first success wins, and the other attempt is
+cancelled.
 """
 
 from __future__ import annotations
@@ -136,7 +137,7 @@
         yield from self._answer()
 
     def _first_step(self) -> NextStep:
-        """Return ATTEMPT, unless the attempts of a lost sidecar rule out another one."""
+        """Return ATTEMPT, unless the attempts of a lost sidecar rule out a further attempt."""
         return NextStep.ATTEMPT if not self.attempts or self._may_retry() else NextStep.ANSWER
 
     def _handle_timeout(self, hedge_at: float) -> NextStep:
--- a/starlingwheel/decisions/endpoint_set.py
+++ b/starlingwheel/decisions/endpoint_set.py
@@ -12,12 +12,11 @@
 from .events import WatchEvent
 from .model import Endpoint, EndpointState
 
-# Number of local, and of remote, endpoints to choose from. It applies where open connections have a price and
-# each of them carries many requests.
+# Number of local, and of remote, endpoints to choose from, where open connections have a price and each
+# connection carries many requests.
 SUBSET_SIZE = 2
-SUBSET_SPARE_FACTOR = (
-    3  # multiple of the subset size from which the subset is filled while some are not usable
-)
+# A subset is filled from this many times its size of endpoints, in the sidecar's order, past unusable ones.
+SUBSET_SPARE_FACTOR = 3
 MIN_WEIGHT = 1e-9  # lower bound of the capacity weights
 INDEX_MULTIPLIER = 2654435761  # spreads sidecar indices over 32 bits
 CELL_HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads a 32-bit hash over 64 bits
@@ -76,7 +75,8 @@
         if not self.stale:
             return
         self.stale = False
-        # A subset limits the number of connections to each endpoint to what it accepts.
+        # The order differs between sidecars, so that their subsets keep the number of connections to each
+        # endpoint within what the endpoint accepts.
         ordered = sorted(self.by_id.values(), key=self._order)
         ready = [stats for stats in ordered if stats.entry.state is EndpointState.READY]
         self.by_tag = {stats.gossip_tag: stats for stats in self.by_id.values()}
@@ -123,8 +123,8 @@
     def preferred_cell(self, key: str) -> int | None:
         """Return the cell that all sidecars choose for a key, by rendezvous hashing; None: no preference.
 
-        Requests with the same key go to one cell, which has less work with them. When a cell disappears, only
-        its keys move.
+        Requests with the same key go to one cell, which does less work for a key that it knows.
+        When a cell disappears, only its keys move.
         """
         self.refresh()
         if not (key and self.config.key_affinity and self.cell_weights):
--- a/starlingwheel/decisions/endpoint_watch.py
+++ b/starlingwheel/decisions/endpoint_watch.py
@@ -20,10 +20,10 @@
     outage.
     """
     max_age = config.endpoint_list_max_age
-    shortest = max(max_age / 32, clock.shortest_objective / 4)
+    shortest_backoff = max(max_age / 32, clock.shortest_objective / 4)
     spread = min(
-        shortest * max(1.0, config.sidecars / SIDECARS_PER_INTERVAL),
-        max(shortest, max_age / 2),
+        shortest_backoff * max(1.0, config.sidecars / SIDECARS_PER_INTERVAL),
+        max(shortest_backoff, max_age / 2),
     )
     backoff = spread
     until = clock.now + rng.random() * spread
@@ -34,4 +34,4 @@
         while (yield Wait(None)) is not WatchEvent.FAILED:
             backoff = spread
         until = clock.now + backoff * (0.5 + rng.random())
-        backoff = min(2 * backoff, max(MAX_BACKOFF * shortest, spread))
+        backoff = min(2 * backoff, max(MAX_BACKOFF * shortest_backoff, spread))
--- a/starlingwheel/decisions/estimators.py
+++ b/starlingwheel/decisions/estimators.py
@@ -23,10 +23,10 @@
 
     def add(self, value: float) -> None:
         """Count a value."""
-        i, edge = 0, self.base
-        while value > edge and i < len(self.bins) - 1:
-            i, edge = i + 1, edge * self.growth
-        self.bins[i] += 1
+        index, edge = 0, self.base
+        while value > edge and index < len(self.bins) - 1:
+            index, edge = index + 1, edge * self.growth
+        self.bins[index] += 1
         self.total += 1
         self.sum += edge / self.growth**0.5
         if self.total > self.max_total:
@@ -42,10 +42,10 @@
 
         Return the histogram itself.
         """
-        times = int((now - self.halved_at) / interval)
-        self.halved_at += times * interval
-        while times and self.total > min_total:
-            times -= 1
+        halvings = int((now - self.halved_at) / interval)
+        self.halved_at += halvings * interval
+        while halvings and self.total > min_total:
+            halvings -= 1
             self.halve()
         return self
 
@@ -55,11 +55,11 @@
 
     def percentile(self, share: float) -> float:
         """Return the value that a fraction `share` of all values does not exceed, interpolated in its bin."""
-        left, edge = share * self.total, self.base
-        for n in self.bins:
-            if n >= left > 0:
-                return edge / self.growth ** (1 - left / n)
-            left -= n
+        remaining, edge = share * self.total, self.base
+        for count in self.bins:
+            if count >= remaining > 0:
+                return edge / self.growth ** (1 - remaining / count)
+            remaining -= count
             edge *= self.growth
         return edge
 
@@ -89,7 +89,10 @@
 
 
 class InFlightEstimator:
-    """Decaying sums of in-flight requests over time and of responses; their quotient is a response time."""
+    """Decaying sums of in-flight requests over time and of responses.
+
+    Their quotient is the mean response time.
+    """
 
     __slots__ = ("in_flight_time", "responses", "elapsed", "updated_at")
 
--- a/starlingwheel/decisions/gossip.py
+++ b/starlingwheel/decisions/gossip.py
@@ -137,7 +137,7 @@
     def _receive_code(self, code: int, stats: EndpointStats, observer: FailureObserver) -> None:
         if code == FAILURE:
             observer.suspect(stats)
-        # A slow or full endpoint still answers some sidecar: after a recent response it is not unresponsive.
+        # A slow or full endpoint still answers some sidecars, so one with a recent response is not ejected.
         recently = self.clock.now - self.clock.shortest_objective / 2
         if code == UNANSWERED and stats.last_response_at < recently:
             observer.eject(stats, unresponsive=True)
@@ -185,11 +185,15 @@
         if not self.is_current() or self._in_flight.responses < PRIOR_RESPONSES:
             return 1.0
         self._note_in_flight(stats)
-        own, overall = stats.gossip_in_flight, self._in_flight
+        single, overall = stats.gossip_in_flight, self._in_flight
         mean = overall.in_flight_time / overall.responses
-        time = (own.in_flight_time + PRIOR_RESPONSES * mean) / (own.responses + PRIOR_RESPONSES)
-        queue = own.in_flight_time / (own.elapsed or 1.0)
+        response_time = (single.in_flight_time + PRIOR_RESPONSES * mean) / (
+            single.responses + PRIOR_RESPONSES
+        )
+        queue = single.in_flight_time / (single.elapsed or 1.0)
         mean_queue = overall.in_flight_time / overall.elapsed / max(1, self.endpoints.ready_count())
-        unloaded = time / mean * (1 + QUEUED_REQUEST_COST * mean_queue) / (1 + QUEUED_REQUEST_COST * queue)
+        unloaded = (
+            response_time / mean * (1 + QUEUED_REQUEST_COST * mean_queue) / (1 + QUEUED_REQUEST_COST * queue)
+        )
         warm_fraction = stats.slow_start_fraction(self.config, self.clock.now)
         return unloaded * warm_fraction / self.endpoints.relative_cost(stats)
--- a/starlingwheel/decisions/hedging.py
+++ b/starlingwheel/decisions/hedging.py
@@ -12,8 +12,9 @@
 from .retry_policy import RetryPolicy
 
 HEDGE_DELAY_PERCENTILE = 0.98  # of the relative response times seen by this balancer
-MIN_SAMPLES = 50  # responses before that percentile is used
-INITIAL_DELAY = 4.0  # in latency objectives, until then; too late for a hedge to be sent
+MIN_SAMPLES = 50  # responses from which on the percentile gives the delay
+# Delay in latency objectives while there are fewer responses: too late for a hedge to be sent.
+INITIAL_DELAY = 4.0
 MAX_HEDGES = 1  # hedges of one request
 
 
@@ -50,8 +51,8 @@
     def should_hedge(self, request: Request, attempts: Sequence[Attempt]) -> bool:
         """Return whether a hedge that is due is sent.
 
-        An expensive request is not hedged. It is recognised by later requests that have already finished on
-        the same endpoint.
+        An expensive request is not hedged. A request counts as expensive if a later one has already finished
+        on the same endpoint.
         """
         last = attempts[-1]
         worthwhile = last.endpoint.latest_finished_start < last.started_at and not self.load.is_overloaded()
--- a/starlingwheel/decisions/latency.py
+++ b/starlingwheel/decisions/latency.py
@@ -14,7 +14,7 @@
 # Numbers of samples that are kept however old they are.
 MIN_SAMPLES_PER_CLASS = 32
 MIN_SAMPLES_PER_ENDPOINT = 6
-KEY_AFFINITY_GAIN = 0.6  # assumed fraction of the work that remains where a key is known, until it is learned
+PRIOR_KEY_FACTOR = 0.6  # assumed fraction of the response time that remains where a key is known
 # Numbers of samples that the priors count as.
 PRIOR_CLASS_SAMPLES = 4
 PRIOR_ENDPOINT_SAMPLES = 2
@@ -87,7 +87,7 @@
     def _key_factor(self, stats: EndpointStats, request: Request) -> float:
         """Return the fraction of the response time that remains where the request's key is known.
 
-        It is learned by comparing the preferred cell with the other cells.
+        The fraction is learned by comparing the preferred cell with the other cells.
         """
         if stats.entry.cell != request.preferred_cell:
             return 1.0
@@ -100,7 +100,7 @@
         unknown = self._without_key.age(now, halving_interval, MIN_SAMPLES_PER_CLASS)
         return min(
             1.0,
-            known.mean(prior=KEY_AFFINITY_GAIN, prior_weight=prior_weight)
+            known.mean(prior=PRIOR_KEY_FACTOR, prior_weight=prior_weight)
             / unknown.mean(prior=1.0, prior_weight=prior_weight),
         )
 
@@ -117,8 +117,9 @@
         unloaded_time = duration / (load_factor * self.endpoints.relative_cost(stats) * key_factor)
         if stats.service_time:
             self.load.note_response_time(attempt.load, unloaded_time * load_factor / zone_factor / typical)
-        # Only the quick responses of a slow endpoint, or of a path that loses responses, are ever seen. So an
-        # unfinished attempt counts as well where it shows that the endpoint is slower than it seemed.
+        # Only the quick responses of a slow endpoint, or of a path that loses responses, are ever seen. An
+        # unfinished attempt therefore counts too if it shows that the endpoint is slower than estimated. With
+        # gossip it does not count.
         if unfinished and (self.gossip.enabled or unloaded_time / typical <= self.slowness(stats)):
             return
         if self.endpoints.local and stats.entry.zone != self.config.zone:
--- a/starlingwheel/decisions/lease.py
+++ b/starlingwheel/decisions/lease.py
@@ -4,8 +4,8 @@
 notified after a delay, whether or not the notice arrives. Once that delay and the drain grace have passed, an
 attempt by the old list may reach an endpoint that is draining or gone. The list is therefore held under a
 lease, which its source renews: attempts may start until the lease expires, and none after that, whatever
-other reason there is to start one. Every place that starts an attempt calls `EndpointLease.allows`; nothing
-else decides it.
+other reason there is to start one. Every place that starts an attempt calls `EndpointLease.allows`;
+nothing else decides whether the lease permits it.
 
 Times are in seconds on the loop's clock.
 """
@@ -90,8 +90,8 @@
 
         A reset may mean that discovery itself has ended; an orderly end seldom does.
         """
-        gone = reset or self.pushed
-        until = now + (self._silence_allowance if gone else WATCH_ENDED_NOTICE_DELAY + self.allowance)
+        may_be_down = reset or self.pushed
+        until = now + (self._silence_allowance if may_be_down else WATCH_ENDED_NOTICE_DELAY + self.allowance)
         self.in_doubt_at = min(self.in_doubt_at, now)
         self.expires_at = min(self.expires_at, until)
 
--- a/starlingwheel/decisions/load.py
+++ b/starlingwheel/decisions/load.py
@@ -14,7 +14,7 @@
 from .model import Attempt
 
 QUEUE_LIMIT = 2.5  # load below which an endpoint of mean weight is used
-LIVE_WEIGHT_QUEUE_FACTOR = 2.0  # multiple of that limit if only the endpoint list reports load
+LIVE_WEIGHT_QUEUE_FACTOR = 2.0  # multiple of `QUEUE_LIMIT` if only the endpoint list reports load
 LIVE_WEIGHT_DAMPING = 0.1  # fraction of a live weight's deviation from the mean load that is used
 HEALTH_CHECK_GAIN = 0.1  # gain of knowing an endpoint's load, as a fraction of the mean priority weight
 MIN_BUSY_REPORTED = 4.0  # sum of reported busy fractions above which the concurrency is derived
@@ -30,9 +30,8 @@
         self.clock, self.endpoints, self.gossip = clock, endpoints, gossip
         self.in_flight = 0
         self.concurrency = 1.0  # requests that an endpoint serves at a time
-        self.queueing = (
-            LinearEstimator()
-        )  # relative response time as a function of the requests at an endpoint
+        # The relative response time as a function of the number of requests at an endpoint.
+        self.queueing = LinearEstimator()
         self._reported_load, self._report_count, self._reported_at = 0.0, 0.0, clock.now
         self._held_sum, self._busy_sum = 0.0, 0.0
 
@@ -71,14 +70,14 @@
         )
 
     def is_overloaded(self) -> bool:
-        """Return whether all endpoints are slow or full, so that there is no spare capacity for hedges."""
+        """Return whether the mean load leaves no spare capacity for hedges and requests without priority."""
         ready = self.endpoints.ready_count()
-        elsewhere = self.gossip.total if self.gossip.is_current() else self.mean_reported_load() * ready
+        others = self.gossip.total if self.gossip.is_current() else self.mean_reported_load() * ready
         # The threshold is a mean load of two thirds of the queue limit.
-        return elsewhere + self.in_flight > self.queue_limit * 2 / 3 * ready
+        return others + self.in_flight > self.queue_limit * 2 / 3 * ready
 
     def affordable_health_checks(self, request_class: RequestClass, congestion: float = 0.0) -> int:
-        """Return how many health checks a request of that class may cost.
+        """Return how many health checks are worth their price before a request of that class.
 
         The number grows with the weight of the class and with `congestion`, the mean load of the fleet.
         """
--- a/starlingwheel/decisions/load_polling.py
+++ b/starlingwheel/decisions/load_polling.py
@@ -20,7 +20,7 @@
 from .slow_start import SlowStart
 
 MAX_CHECKS = 3  # health checks before one request
-MAX_CHECKS_IN_SUBSET = 1  # the same, where endpoints are taken from a subset
+MAX_CHECKS_IN_SUBSET = 1  # health checks before one request where endpoints are taken from a subset
 CHECKS_REPLACED_BY_GOSSIP = 2  # health checks per request that gossip has to be cheaper than
 # Time without an answer after which another endpoint is checked, as a fraction of the shortest objective.
 CHECK_INTERVAL_FRACTION = 1 / 32
@@ -28,22 +28,22 @@
 
 
 def gossip_is_cheaper(config: BalancerConfig, load: LoadTracker) -> bool:
-    """Return whether peers exchange in-flight counts.
+    """Return whether sidecars exchange in-flight counts, because gossip costs less than health checks.
 
-    Otherwise endpoints are polled, where that is allowed.
+    Where endpoints are not polled, gossip has to cost less than the gain of knowing their load.
     """
     classes = config.request_classes
-    received = 2 * BILLED_MESSAGE_SIZE * (config.sidecars - 1) / MAX_MESSAGE_SIZE * config.gossip_price
-    checks = sum(
+    gossip_cost = 2 * BILLED_MESSAGE_SIZE * (config.sidecars - 1) / MAX_MESSAGE_SIZE * config.gossip_price
+    checks_per_request = sum(
         min(CHECKS_REPLACED_BY_GOSSIP, load.affordable_health_checks(request_class))
         for request_class in classes
     ) / len(classes)
-    polled = config.health_check_price * checks
-    polling = config.health_checks_allowed and not config.load_reported_in_responses
+    polling_cost = config.health_check_price * checks_per_request
+    polls = config.health_checks_allowed and not config.load_reported_in_responses
     return (
         config.gossip_allowed
         and config.sidecars > 1
-        and received <= (polled if polling else HEALTH_CHECK_GAIN)
+        and gossip_cost <= (polling_cost if polls else HEALTH_CHECK_GAIN)
     )
 
 
@@ -88,11 +88,11 @@
         """Return the maximum number of endpoints to check before a request of that class."""
         # Where responses carry reports, checks add information only about endpoints that serve one request
         # at a time.
-        learned = self.load.concurrency < 2 and self.load.concurrency_is_learned()
-        if not self.enabled or not (learned or not self.config.load_reported_in_responses):
+        serves_singly = self.load.concurrency < 2 and self.load.concurrency_is_learned()
+        if not self.enabled or not (serves_singly or not self.config.load_reported_in_responses):
             return 0
-        most = MAX_CHECKS_IN_SUBSET if self.endpoints.subset_size else MAX_CHECKS
-        return min(most, self.load.affordable_health_checks(request_class, self.load.mean_reported_load()))
+        limit = MAX_CHECKS_IN_SUBSET if self.endpoints.subset_size else MAX_CHECKS
+        return min(limit, self.load.affordable_health_checks(request_class, self.load.mean_reported_load()))
 
     def select_endpoint(
         self, request: Request, objective: float, priority: float, max_checks: int, until: float
--- a/starlingwheel/decisions/outcomes.py
+++ b/starlingwheel/decisions/outcomes.py
@@ -46,7 +46,7 @@
             self.load.note_queue_full(stats)
         self._note_connection(stats, outcome)
         self.load.note_report(stats, event.load_report)
-        # The report lets a sidecar with little traffic learn of failures that other sidecars have seen.
+        # The load report lets a sidecar with little traffic learn of failures that other sidecars have seen.
         failing = event.load_report.get("failing", 0.0)
         reports_failures = failing > FAILING_FRACTION * event.load_report.get("served", 0.0)
         unresponsive = outcome in UNFINISHED and self.outliers.unresponsive_time(attempt) > 0
@@ -62,11 +62,11 @@
                 self.outliers.note_outcome(stats, failed=True, unresponsive=True)
 
     def _note_connection(self, stats: EndpointStats, outcome: AttemptOutcome) -> None:
-        single = self.config.streams_per_connection == 1
+        single_stream = self.config.streams_per_connection == 1
         if outcome in RESPONDED:
             # A connection that carries many requests stays available: one timestamp is kept for it.
-            stats.idle_connections = [*(stats.idle_connections if single else ()), self.clock.now]
-        elif not single and outcome in CONNECTION_LOST:
+            stats.idle_connections = [*(stats.idle_connections if single_stream else ()), self.clock.now]
+        elif not single_stream and outcome in CONNECTION_LOST:
             stats.idle_connections = []
         success = outcome is AttemptOutcome.SUCCESS
         failed = outcome is AttemptOutcome.CONNECT_FAILED
--- a/starlingwheel/decisions/outlier_detection.py
+++ b/starlingwheel/decisions/outlier_detection.py
@@ -13,12 +13,13 @@
 from .latency import LatencyModel
 from .model import Attempt, Request
 
-# A run of failures ejects an endpoint if its probability, at the failure rate of all endpoints, is at most
-# this.
+# An endpoint is ejected after a run of failures whose probability, at the failure rate of all endpoints, is
+# at most this value.
 CHANCE_THRESHOLD = 0.01
 PROBATION_END = 4  # limit of concurrent attempts at which a success ends the probation
 PROBATION_FRACTION = 1 / 8  # fraction of all attempts that may fail at endpoints on probation
-SIDECARS_PER_PROBATION = 16  # sidecars that this fraction is meant for, where gossip shares the outcomes
+# With gossip, up to this number of sidecars use the whole fraction each; of n times as many, each uses 1/n.
+SIDECARS_PER_PROBATION = 16
 UNRESPONSIVE_FACTOR = 3.0  # multiple of the expected response time after which an endpoint is unresponsive
 
 
@@ -65,8 +66,8 @@
             return False
         if stats.probation_limit < inf:
             # The budget applies until the first attempt on probation has succeeded.
-            spent = stats.probation_limit == 1 and self._probation_budget < 0
-            return not spent and len(stats.in_flight) < stats.probation_limit and not non_idempotent
+            budget_spent = stats.probation_limit == 1 and self._probation_budget < 0
+            return not budget_spent and len(stats.in_flight) < stats.probation_limit and not non_idempotent
         return True
 
     def _has_idle_connection(self, stats: EndpointStats) -> bool:
@@ -99,8 +100,8 @@
     def earn_probation_budget(self) -> None:
         """Add a request's share to the budget of attempts on probation.
 
-        A request that finds no endpoint adds its share too. Otherwise nothing would refill the budget while
-        all endpoints are ejected.
+        A request that finds no endpoint adds its share too, since otherwise nothing would refill the budget
+        while all endpoints are ejected.
         """
         self._probation_budget = min(1.0, self._probation_budget + self._probation_rate)
 
@@ -120,7 +121,7 @@
         return self.clock.now < stats.suspected_at + HALF_LIFE * self.clock.shortest_objective
 
     def announce_failure(self, stats: EndpointStats, connect_failed: bool) -> None:
-        """Suspect an endpoint and tell the peers, unless failures are common or this one is known."""
+        """Suspect an endpoint and tell the peers, unless failures are common or this one is known already."""
         # Faults that all endpoints share must not keep non-idempotent requests away from half of them.
         failure_rate = max(0.0, self._failures - stats.consecutive_failures) / self._outcomes
         ready = self.endpoints.ready_count()
@@ -184,7 +185,7 @@
     def note_response_elsewhere(self, stats: EndpointStats) -> None:
         """Record that a peer has received a response from an endpoint.
 
-        It ends the ejection of an unresponsive endpoint, so that not every sidecar has to probe it.
+        The response ends the ejection of an unresponsive endpoint, so that not every sidecar has to probe it.
         """
         stats.last_response_at = self.clock.now
         if stats.unresponsive and not stats.connect_failing:
--- a/starlingwheel/decisions/scheduler.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -93,9 +93,8 @@
         self.now = now
         self.balancer = Balancer(config, rng, now, lease)
         self._by_request: dict[Request, ScheduledCoroutine] = {}
-        self._alarms: list[
-            tuple[float, int, ScheduledCoroutine, int]
-        ] = []  # time, order, coroutine, its resumptions
+        # A heap of: time, order of setting, coroutine, its number of resumptions at the time of setting.
+        self._alarms: list[tuple[float, int, ScheduledCoroutine, int]] = []
         self._alarm_count = 0
         self._alarm_set_for: float | None = None
         self._runnable: deque[tuple[ScheduledCoroutine, Any]] = deque()
@@ -233,7 +232,8 @@
                 self._close(scheduled)
                 return
             except Exception as error:
-                # A failure in one request must not end all others, so the host answers this one.
+                # An exception in one coroutine must not end the others: the host reports it and answers the
+                # request.
                 scheduled.ended = True
                 if scheduled.request is not None:
                     self._by_request.pop(scheduled.request, None)
@@ -279,7 +279,10 @@
         self, scheduled: ScheduledCoroutine, request: Request, command: StartAttempt
     ) -> Attempt:
         if scheduled.answered:
-            raise RuntimeError("attempt started for a request that already has its final answer")
+            raise RuntimeError(
+                f"attempt at {command.endpoint.endpoint_id!r} started for a request that already has its "
+                "final answer"
+            )
         attempt = Attempt(request, command.endpoint, self.now, command.load)
         self.host.start_attempt(attempt, command.timeout)
         return attempt
@@ -295,7 +298,10 @@
             return
         del self._by_request[scheduled.request]
         if not scheduled.answered:
-            raise RuntimeError("coroutine of a request ended without a final answer")
+            raise RuntimeError(
+                f"coroutine of a request of class {scheduled.request.request_class.name!r} ended without a "
+                "final answer"
+            )
 
     def _update_alarm(self) -> None:
         if self._alarms and (self._alarm_set_for is None or self._alarms[0][0] < self._alarm_set_for):
--- a/starlingwheel/decisions/selection.py
+++ b/starlingwheel/decisions/selection.py
@@ -23,7 +23,7 @@
 
 # Fraction of the objective that the expected response time may take, at full priority.
 ACCEPTABLE_LATENCY_FRACTION = 0.42
-LIVE_WEIGHT_LATENCY_FACTOR = 2.0  # multiple of that fraction if only the endpoint list reports load
+LIVE_WEIGHT_LATENCY_FACTOR = 2.0  # multiple of the fraction above if only the endpoint list reports load
 MAX_CANDIDATES = 12  # size of the sample taken in the local zone, and of that in the other zones
 IDLE_TIMEOUT_FRACTION = 0.75  # fraction of the idle timeout in which an idle connection counts as open
 
@@ -140,7 +140,7 @@
         )
         self.endpoints.refresh()
         if self.endpoints.local and self.endpoints.remote:
-            # Another zone is no gain if its responses are not expected earlier.
+            # Other zones are considered only if their responses are expected earlier than local ones.
             nearest = min(map(self.latency.zone_factor, self.endpoints.remote_zones))
             search.cross_zone_threshold = max(search.cross_zone_threshold, search.typical * nearest)
         self.gossip.forget_old_counts()
@@ -170,7 +170,10 @@
         return candidates
 
     def _candidates_of(self, group: list[EndpointStats], search: Search) -> list[Candidate]:
-        """Return the candidates among the local or the remote endpoints, weighted for those left out."""
+        """Return the candidates among the local or the remote endpoints.
+
+        Their weights are scaled up to stand for the endpoints that a sample or a subset leaves out.
+        """
         pool = self._pool(group, search)
         subset_size = self.endpoints.subset_size
         sampled = self._sample(pool, search)
@@ -219,8 +222,8 @@
     def _evaluate(self, stats: EndpointStats, search: Search) -> Candidate | None:
         """Return an endpoint as a candidate with its weight; None if it is too slow or too full."""
         load = self.load.of(stats)
-        # A sidecar that rejects everything gets no new information. So the limits do not apply while none of
-        # its own attempts is in flight, unless the endpoint list itself reports load.
+        # A sidecar that rejects all requests gets no new information. The limits therefore do not apply while
+        # none of its own attempts is in flight, unless the endpoint list itself reports load.
         informed = self.load.in_flight or self.config.weights_are_live
         strict = load >= 1 and informed and search.require_fit
         relative_cost = self.endpoints.relative_cost(stats)
@@ -230,8 +233,8 @@
         fits = fits and expected <= search.max_expected
         if strict and not fits:
             return None
-        # An endpoint that is slow, or loses the responses to this sidecar alone, is tried now and then while
-        # others fit.
+        # An endpoint that is slow, or that loses only the responses to this sidecar, still gets a small part
+        # of the attempts while other endpoints fit.
         trial_factor = 1 if fits else PROBATION_FRACTION
         warm_fraction = stats.slow_start_fraction(self.config, self.clock.now)
         weight = warm_fraction / ((1 + load * self.load.concurrency) * factor) * trial_factor
@@ -240,8 +243,8 @@
     def _prefer_cell(self, candidates: list[Candidate], search: Search) -> list[Candidate]:
         """Return the candidates in the key's cell, unless a popular key fills it and others are faster."""
         cell = search.request.preferred_cell
-        known = [candidate for candidate in candidates if candidate.endpoint.entry.cell == cell]
-        if not known:
+        in_cell = [candidate for candidate in candidates if candidate.endpoint.entry.cell == cell]
+        if not in_cell:
             return candidates
         others = [candidate for candidate in candidates if candidate.endpoint.entry.cell != cell]
         near = [
@@ -252,7 +255,7 @@
         ]
         others = near or others
         mean_of_others = sum(candidate.expected for candidate in others) / len(others) if others else inf
-        return [candidate for candidate in known if candidate.expected <= mean_of_others] or others
+        return [candidate for candidate in in_cell if candidate.expected <= mean_of_others] or others
 
     def _prefer_open_connections(self, candidates: list[Candidate], search: Search) -> list[Candidate]:
         if not self.config.connection_setup_price or self.endpoints.subset_size:
