--- a/tests/test_fleet_cover.py
+++ b/tests/test_fleet_cover.py
@@ -70,19 +70,21 @@
 def test_a_first_attempt_that_is_rejected_at_once_is_not_dispatched() -> None:
     """A second response would be taken for that of the next request on the client's connection."""
     world = synced_world(2)
-    one, other = world.live_members()
-    world.network.partitioned_until[one.name, other.name] = world.network.partitioned_until[
-        other.name, one.name
+    owner, coordinator_member = world.live_members()
+    world.network.partitioned_until[owner.name, coordinator_member.name] = world.network.partitioned_until[
+        coordinator_member.name, owner.name
     ] = 100.0
     world.run_until(1.6)
-    coordinator = one.replicator.view.coordinator
-    key = next(key for key in (f"x{i}".encode() for i in range(99)) if coordinator(key) == other.id)
+    coordinator = owner.replicator.view.coordinator
+    key = next(
+        key for key in (f"x{i}".encode() for i in range(99)) if coordinator(key) == coordinator_member.id
+    )
     content = RecordedRequest(b"POST", b"/x", [], b"", b"")
     frame = ReplicateFrame(
-        key, one.id, 0, False, b"", "c", "exclusive", world.now, world.now + 1, False, content, []
+        key, owner.id, 0, False, b"", "c", "exclusive", world.now, world.now + 1, False, content, []
     )
     request = Request(key, "exclusive", world.now, False, 0)
-    result, _ = one.replicator.begin(frame, request, world.now + 1)
+    result, _ = owner.replicator.begin(frame, request, world.now + 1)
     assert result is BeginResult.WAIT and request.outcome == "503"
 
 
@@ -97,28 +99,28 @@
 def test_a_key_reused_for_a_different_request_is_rejected() -> None:
     """The client would otherwise get the response of the request that used the key first."""
     world = synced_world(3)
-    one, _, _ = world.live_members()
-    send_request(world, one, b"w")
+    member, _, _ = world.live_members()
+    send_request(world, member, b"w")
     world.run_until(1.01)
-    frame = one.replicator.requests[b"w"].to_frame(requests_grant=False)
+    frame = member.replicator.requests[b"w"].to_frame(requests_grant=False)
     other_frame = msgspec.structs.replace(frame, fingerprint=b"else")
-    result, _ = one.replicator.begin(other_frame, object(), 2.0)
+    result, _ = member.replicator.begin(other_frame, object(), 2.0)
     assert result.value == "other"
 
 
 def test_a_retry_of_a_finished_request_gets_its_response_without_a_run() -> None:
     """The retry arrives at another member than the owner."""
     world = synced_world(3)
-    one, other, _ = world.live_members()
-    send_request(world, one, b"w")
+    first, second, _ = world.live_members()
+    send_request(world, first, b"w")
     world.run_until(1.5)
-    request = send_request(world, other, b"w", is_retry=True)
+    request = send_request(world, second, b"w", is_retry=True)
     world.run_until(1.8)
     assert request.outcome == "200" and len(world.runs[b"w"]) == 1
 
 
 def test_a_single_member_serves() -> None:
-    """Without another member that could record them, requests are served unreplicated."""
+    """Without another member that could record requests, they are served unreplicated."""
     world = synced_world(1)
     request = send_request(world, world.live_members()[0], b"w")
     world.run_until(1.5)
--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -36,20 +36,23 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_under_all_faults_the_fleet_follows_one_policy(seed: int) -> None:
     """Under faults of every kind no two members serve under different policies."""
-    played = simulate(seed)
-    assert not played.violations and played.requests_accepted > 10_000 and not played.is_proposal_open
+    outcome = simulate(seed)
+    assert not outcome.violations and outcome.requests_accepted > 10_000 and not outcome.is_proposal_open
 
 
 def test_without_faults_each_change_is_decided_unless_a_member_votes_no() -> None:
-    """Without faults, proposals do not fail for any other reason than a no vote."""
-    plays = [simulate(seed, faults=NO_FAULTS) for seed in range(4)]
-    assert sum(one.proposed for one in plays) == 24 and sum(one.decided for one in plays) > 15
+    """Without faults, a no vote is the only reason for which a proposal fails."""
+    outcomes = [simulate(seed, faults=NO_FAULTS) for seed in range(4)]
+    assert (
+        sum(outcome.proposed for outcome in outcomes) == 24
+        and sum(outcome.decided for outcome in outcomes) > 15
+    )
 
 
 def test_fifty_members_follow_one_policy() -> None:
-    """The protocol also works with fifty members."""
-    played = simulate(3, members=50, changes=2)
-    assert not played.violations and played.decided
+    """With fifty members there are no violations, and a change is decided."""
+    outcome = simulate(3, members=50, changes=2)
+    assert not outcome.violations and outcome.decided
 
 
 @pytest.mark.parametrize("scene", SCENARIOS)
@@ -91,7 +94,9 @@
 def test_the_trial_detects_two_policies_without_a_fleet() -> None:
     """The trial is strict enough: sidecars without a fleet serve under two policies at once."""
     verdict = asyncio.run(policy.run_changes(1, sidecars=3, count=1, fleet=False))
-    assert any(one.startswith("a1 ") or "after it held" in one for one in verdict.violations)
+    assert any(
+        violation.startswith("a1 ") or "after it held" in violation for violation in verdict.violations
+    )
 
 
 # Documents, records and files.
@@ -105,8 +110,8 @@
 
 def test_all_errors_of_a_policy_are_reported_at_once_with_their_keys() -> None:
     """An operator sees every error in one attempt."""
-    twice = [{"name": "look", "effect": "free", "dueTime": 1, "expiry": 0}] * 2
-    wrong = body(categories=twice, locality="here", capz={}, caps={"mostHandOff": 1}) | {"spare": 1}
+    duplicates = [{"name": "look", "effect": "free", "dueTime": 1, "expiry": 0}] * 2
+    wrong = body(categories=duplicates, locality="here", capz={}, caps={"mostHandOff": 1}) | {"spare": 1}
     errors = "; ".join(document.validation_errors(wrong, {}, 192))
     for part in (
         "spare: unknown", "settings.locality: specific to each sidecar",
@@ -138,7 +143,7 @@
 
 
 def test_only_edits_of_a_file_conflict_with_the_policy_in_force() -> None:
-    """A file that is merely older than the policy can still be reloaded."""
+    """A file that is merely older than the policy in force can still be reloaded."""
     old, active_policy = body(), body(rules={"mustAskIn": 5})
     assert document.conflicting_edits(old, old, active_policy) == []
     (conflict,) = document.conflicting_edits(old, body(rules={"mustAskIn": 7}), active_policy)
@@ -191,11 +196,11 @@
 
 
 @pytest.fixture
-def served() -> Iterator[StoreThread]:
+def store() -> Iterator[StoreThread]:
     """Provide a fake coordination store."""
-    store = StoreThread()
-    yield store
-    store.close()
+    started = StoreThread()
+    yield started
+    started.close()
 
 
 MakeHarness = Callable[..., SidecarHarness]
@@ -205,11 +210,11 @@
     """A sidecar of a fleet, and a client of its admin address."""
 
     def __init__(
-        self, make_harness: MakeHarness, served: StoreThread, tmp_path: Path, **more: object
+        self, make_harness: MakeHarness, store: StoreThread, tmp_path: Path, **fleet_settings: object
     ) -> None:
-        """Start the sidecar and wait until it has joined. `more`: fields of its `fleet` configuration."""
-        part = fleet_config(served) | {"keep": str(tmp_path)} | more
-        self.harness = make_harness(name="n0", fleet=part, settings=SETTINGS, mgmt=free_address())
+        """Start the sidecar and wait until it has joined. `fleet_settings`: fields of the key `fleet`."""
+        config = fleet_config(store) | {"keep": str(tmp_path)} | fleet_settings
+        self.harness = make_harness(name="n0", fleet=config, settings=SETTINGS, mgmt=free_address())
         self.harness.wait_until(lambda: joined(self.harness))
 
     def call(self, request: str, content: object = None) -> tuple[int, Any]:
@@ -231,9 +236,9 @@
 
 
 @pytest.fixture
-def admin(make_harness: MakeHarness, served: StoreThread, tmp_path: Path) -> AdminClient:
+def admin(make_harness: MakeHarness, store: StoreThread, tmp_path: Path) -> AdminClient:
     """Provide a sidecar of a fleet with one member."""
-    return AdminClient(make_harness, served, tmp_path)
+    return AdminClient(make_harness, store, tmp_path)
 
 
 def policy_with_timeout(seconds: int = 3) -> PolicyBody:
@@ -266,18 +271,18 @@
         ({"polic": 1}, 400), ({"policy": policy_with_timeout(), "base": 7}, 409),
         ({"policy": body(caps={"peers": False})}, 400),
     ):  # fmt: skip
-        got, answer = admin.call("PUT /_policy/propose", wrong)
-        assert got == status and answer["error"]
+        answered_status, answer = admin.call("PUT /_policy/propose", wrong)
+        assert answered_status == status and answer["error"]
     assert admin.policy_replica.decided_version == 0 and admin.policy_replica.records.proposal is None
 
 
 def test_a_second_proposal_is_rejected_and_the_first_can_be_dropped(
-    admin: AdminClient, served: StoreThread
+    admin: AdminClient, store: StoreThread
 ) -> None:
     """A member that never votes keeps the first proposal open."""
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
     put = {"key": encode_text("/f/members/n9.ff"), "value": encode_text(json.dumps(other))}
-    served.call(served.etcd.put_encoded, put)
+    store.call(store.etcd.put_encoded, put)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 60})[0] == 200
     admin.harness.wait_until(lambda: admin.policy_replica.records.proposal)
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(4)})[0] == 409
@@ -294,21 +299,21 @@
 
 
 def test_requests_are_rejected_while_it_is_not_known_whether_a_change_was_decided(
-    admin: AdminClient, served: StoreThread
+    admin: AdminClient, store: StoreThread
 ) -> None:
     """The store fails after the vote, so the voter cannot learn how the proposal ended."""
     other = {"id": "n9.ff", "name": "n9", "address": "127.0.0.1:1"}
-    served.call(
-        served.etcd.put_encoded,
+    store.call(
+        store.etcd.put_encoded,
         {"key": encode_text("/f/members/n9.ff"), "value": encode_text(json.dumps(other))},
     )
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.7})[0] == 200
     harness = admin.harness
     harness.wait_until(lambda: admin.policy_replica.promise and admin.policy_replica.records.votes)
-    served.run(served.etcd.take_down())
+    store.run(store.etcd.take_down())
     harness.wait_until(lambda: admin.policy_replica.unavailable_reason() == "undecided")
     assert harness.read_status(harness.send_request("buy", b"one")) == 503
-    served.run(served.etcd.start())
+    store.run(store.etcd.start())
     harness.wait_until(lambda: admin.policy_replica.promise is None)
     client = harness.send_request("buy", b"one", x_trace_id="t2")
     harness.serve()
@@ -326,13 +331,13 @@
 
 
 def test_a_process_that_was_down_starts_under_the_policy_in_force(
-    admin: AdminClient, make_harness: MakeHarness, served: StoreThread, tmp_path: Path
+    admin: AdminClient, make_harness: MakeHarness, store: StoreThread, tmp_path: Path
 ) -> None:
-    """Its configuration file still has the policy from before the change."""
+    """The configuration file of the process still has the policy from before the change."""
     assert admin.call("PUT /_policy/propose", {"policy": policy_with_timeout(), "switch_s": 1.6})[0] == 200
     admin.harness.wait_until(lambda: admin.policy_replica.active_policy.version == 1)
-    part = fleet_config(served) | {"keep": str(tmp_path / "other")}
-    late = make_harness(name="n1", fleet=part, settings=SETTINGS)
+    config = fleet_config(store) | {"keep": str(tmp_path / "other")}
+    late = make_harness(name="n1", fleet=config, settings=SETTINGS)
     late.wait_until(lambda: joined(late))
     assert late.context.longest_timeout == 3 and late.log_lines("policy.file_differs")
 
@@ -340,13 +345,13 @@
 # The command.
 
 
-def command(*given: str) -> tuple[int, str]:
+def command(*arguments: str) -> tuple[int, str]:
     """Run the command, and return its exit code and output."""
-    done = subprocess.run(
-        [sys.executable, "-m", "starlingwheel.cli", *given], cwd=ROOT, capture_output=True, text=True
+    completed = subprocess.run(
+        [sys.executable, "-m", "starlingwheel.cli", *arguments], cwd=ROOT, capture_output=True, text=True
     )
-    assert "Traceback" not in done.stderr
-    return done.returncode, done.stdout + done.stderr
+    assert "Traceback" not in completed.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 def test_the_command_extracts_a_policy_from_a_configuration_and_checks_it(tmp_path: Path) -> None:
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -171,7 +171,7 @@
     rng = random.Random(3)
     world = World(1, 3)
     world.run_until(1.0)
-    one, other, third = world.live_members()
+    first, second, third = world.live_members()
     keys = [b"a", b"b", b"c"]
     request = frames.RecordedRequest(b"POST", b"/x", [], b"", b"")
     for _ in range(4000):
@@ -180,7 +180,7 @@
             rng.choice((-1, 0, 1, 9)),
             rng.choice((-5, 0, 1, 1 << 60)),
         )
-        named_member = rng.choice((one.id, other.id, third.id, "stranger.00"))
+        named_member = rng.choice((first.id, second.id, third.id, "stranger.00"))
         at = rng.choice((float("nan"), float("inf"), -1e300, world.now))
         intents = [frames.AttemptIntent("u", "", 0, at)] * rng.randrange(3)
         reply = frames.RecordedResponse(rng.choice((200, 503, 504, 0)))
@@ -215,12 +215,12 @@
                 frames.HeartbeatFrame(number, False),
             ]
         )
-        one.replicator.now = world.now
-        one.replicator.frame_received(rng.choice((other.id, third.id)), frame)
+        first.replicator.now = world.now
+        first.replicator.frame_received(rng.choice((second.id, third.id)), frame)
         if rng.random() < 0.05:
             world.run_until(world.now + 0.05)
     world.run_until(world.now + 8.0)
-    assert not one.replicator.requests and not one.replicator.records.held
+    assert not first.replicator.requests and not first.replicator.records.held
 
 
 def test_the_loss_of_a_member_moves_only_the_keys_that_it_coordinates() -> None:
@@ -286,11 +286,11 @@
         """Run a coroutine in the store's thread and return its result."""
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(10)
 
-    def call(self, function: Callable[..., T], *given: object) -> T:
+    def call(self, function: Callable[..., T], *arguments: object) -> T:
         """Call a function in the store's thread and return its result."""
 
         async def inside() -> T:
-            return function(*given)
+            return function(*arguments)
 
         return self.run(inside())
 
@@ -336,7 +336,7 @@
     return harness.context.fleet.joined
 
 
-def test_a_member_enters_and_is_ready_then(member: SidecarHarness) -> None:
+def test_a_member_is_ready_only_once_it_has_joined_its_fleet(member: SidecarHarness) -> None:
     """A sidecar that was ready before other members see it would serve unreplicated requests."""
     assert not member.context.ready
     member.wait_until(lambda: joined(member))
@@ -353,7 +353,7 @@
 
 
 def test_a_member_whose_lease_ends_early_enters_again(member: SidecarHarness, store: StoreThread) -> None:
-    """The store may lose a lease that the member believes to hold."""
+    """The store may lose a lease that is still valid by the clock of the member."""
     member.wait_until(lambda: joined(member))
     term = member.context.coordinator.replicator.view.members[member.context.fleet.member_id].term
     (key,) = member_keys(store)
@@ -397,8 +397,10 @@
     member.wait_until(lambda: len(replicator.view.members) == 1)
 
 
-def test_an_unreadable_entry_hides_no_other(member: SidecarHarness, store: StoreThread) -> None:
-    """The entry is logged, and the other entries are read."""
+def test_an_unreadable_entry_does_not_hide_the_other_entries(
+    member: SidecarHarness, store: StoreThread
+) -> None:
+    """The unreadable entry is logged, and the other entries are read."""
     member.wait_until(lambda: joined(member))
     store.call(store.etcd.put_encoded, {"key": encode_base64("/f/members/x"), "value": encode_base64("{")})
     member.wait_until(lambda: member.log_lines("arbiter.entry"))
@@ -442,7 +444,7 @@
 
 
 def test_a_request_without_a_key_is_not_replicated(member: SidecarHarness) -> None:
-    """It is served and counted."""
+    """The request is served, and counted as one without a key."""
     member.wait_until(lambda: joined(member))
     client = member.send_request("buy", b"one")
     member.serve()
@@ -481,7 +483,7 @@
 def test_a_member_that_stops_leaves_the_view_before_its_process_ends(
     member: SidecarHarness, store: StoreThread
 ) -> None:
-    """Other members would otherwise wait for its lease to expire."""
+    """Otherwise the other members would wait for the lease of that member to expire."""
     member.wait_until(lambda: joined(member))
     member.context.shutdown.post(STOP)
     member.wait_until(lambda: not member.context.loop.running and not member_keys(store))
@@ -531,7 +533,7 @@
 
 
 def test_a_request_without_a_key_makes_no_record(member: SidecarHarness) -> None:
-    """Only the lookup of its key is done for it, and nothing of the replicator is called."""
+    """Such a request costs only the lookup of its key; no function that records requests is called."""
     member.wait_until(lambda: joined(member))
     counts = calls_of_the_fleet(member)
     assert counts["_idempotency_key_of"] == 1
@@ -589,7 +591,7 @@
 
 
 def test_a_client_that_waits_gets_the_dispatched_request_in_place_of_its_own(member: SidecarHarness) -> None:
-    """Its disconnect would otherwise concern a request that is no longer handled."""
+    """Otherwise the disconnect of the client would concern a request that is no longer handled."""
     member.wait_until(lambda: joined(member))
     member.send_request("buy", b"one", x_work_name="w1")
     member.accept()
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("variant", ZONE_VARIANTS)
 def test_each_broken_variant_is_detected(variant: type[ZonePlanner]) -> None:
-    """The checks are strict enough: each deliberately broken planner fails in one case."""
+    """Each deliberately broken planner violates a rule in its case; the correct planner does not."""
     case = ZONE_VARIANTS[variant]
     assert simulate(2, 30, case, planner_type=variant).violations and not simulate(2, 30, case).violations
 
@@ -65,7 +65,7 @@
 
 
 def health_of(zone_health: ZoneHealthTracker, zone: str) -> ZoneHealth:
-    """Return what is reported of a zone."""
+    """Return the health that the tracker reports of a zone."""
     return zone_health.report()[zone]
 
 
@@ -160,17 +160,17 @@
 
 
 @pytest.fixture
-def served() -> Iterator[StoreThread]:
+def store() -> Iterator[StoreThread]:
     """Provide a fake coordination store."""
-    store = StoreThread()
-    yield store
-    store.close()
+    started = StoreThread()
+    yield started
+    started.close()
 
 
 @pytest.fixture
-def admin(make_harness: MakeHarness, served: StoreThread, tmp_path: Path) -> AdminClient:
+def admin(make_harness: MakeHarness, store: StoreThread, tmp_path: Path) -> AdminClient:
     """Provide a sidecar with a zones part, in a fleet of one member."""
-    return AdminClient(make_harness, served, tmp_path, zones={})
+    return AdminClient(make_harness, store, tmp_path, zones={})
 
 
 def zone_shares_of(admin: AdminClient) -> dict[str, float]:
@@ -195,7 +195,7 @@
     admin.harness.wait_until(lambda: zone_shares_of(admin).get(zone, 0.0) > 0)
 
 
-def test_the_report_of_a_member_that_has_left_is_not_shown(admin: AdminClient, served: StoreThread) -> None:
+def test_the_report_of_a_member_that_has_left_is_not_shown(admin: AdminClient, store: StoreThread) -> None:
     """The planner keeps a report until its next evaluation, even if the member has left since."""
     zone_planner = admin.harness.context.fleet.host.zone_controller.zone_planner
     member_id = admin.harness.context.fleet.member_id
@@ -204,9 +204,9 @@
     assert status == 200 and set(answer["said"]) == {"n0"}
 
 
-def test_an_unreadable_plan_counts_as_none(admin: AdminClient, served: StoreThread) -> None:
+def test_an_unreadable_plan_counts_as_none(admin: AdminClient, store: StoreThread) -> None:
     """Without a readable plan no share is reduced."""
     put = {"key": encode_text("/f/zones/plan"), "value": "e30x"}
-    served.call(served.etcd.put_encoded, put)
+    store.call(store.etcd.put_encoded, put)
     admin.harness.wait_until(lambda: admin.harness.log_lines("arbiter.entry"))
     assert zone_shares_of(admin) == {}
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -27,45 +27,45 @@
 
 def read_all(harness: SidecarHarness, sock: socket.socket, size: int, at_most: int | None = None) -> bytes:
     """Read `size` bytes from a connection, at most `at_most` per turn of the loop."""
-    got = bytearray()
+    received = bytearray()
 
-    def more() -> bool:
+    def receive_some() -> bool:
         sock.settimeout(0)
         try:
-            data = sock.recv(min(size - len(got), at_most or MB))
+            data = sock.recv(min(size - len(received), at_most or MB))
         except BlockingIOError:
             return False
-        got.extend(data)
-        return len(got) >= size or not data
+        received.extend(data)
+        return len(received) >= size or not data
 
-    harness.wait_until(more, 20.0)
-    return bytes(got)
+    harness.wait_until(receive_some, 20.0)
+    return bytes(received)
 
 
 def write_all(harness: SidecarHarness, sock: socket.socket, data: bytes, within: float = 20.0) -> None:
     """Send all of the data while the loop runs."""
-    rest = memoryview(data)
+    unsent = memoryview(data)
 
-    def more() -> bool:
-        nonlocal rest
+    def send_some() -> bool:
+        nonlocal unsent
         sock.settimeout(0)
         try:
-            rest = rest[sock.send(rest) :]
+            unsent = unsent[sock.send(unsent) :]
         except BlockingIOError:
             return False
-        return not rest
+        return not unsent
 
-    harness.wait_until(more, within)
+    harness.wait_until(send_some, within)
 
 
 def read_head(harness: SidecarHarness, sock: socket.socket) -> tuple[bytes, bytes]:
     """Return the head of a response and the body bytes that arrived with it."""
-    got = b""
-    while b"\r\n\r\n" not in got:
-        got += harness.wait_until(lambda: harness.read(sock))
-        assert not got.endswith(b"end")
-    head, _, rest = got.partition(b"\r\n\r\n")
-    return head, rest
+    received = b""
+    while b"\r\n\r\n" not in received:
+        received += harness.wait_until(lambda: harness.read(sock))
+        assert not received.endswith(b"end")
+    head, _, body_start = received.partition(b"\r\n\r\n")
+    return head, body_start
 
 
 def assert_nothing_left(harness: SidecarHarness) -> None:
@@ -79,18 +79,18 @@
 # Responses.
 
 
-def test_a_long_response_is_relayed_while_it_comes(harness: SidecarHarness) -> None:
+def test_a_long_response_is_relayed_while_it_arrives(harness: SidecarHarness) -> None:
     """The attempt ends with the first bytes of the body, and the connection is reused after the last."""
     client, body = harness.send_request(), random_bytes(MAX_BUFFERED_BODY + 1000)
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body[:1000])
-    head, got = read_head(harness, client)
+    head, received = read_head(harness, client)
     assert b"200" in head and b"%d" % len(body) in head
     # The request has ended, so that the response takes no capacity of its endpoint and has no deadline.
     harness.wait_until(lambda: not harness.context.coordinator.pending_requests)
     upstream.sendall(body[1000:])
-    assert got + read_all(harness, client, len(body) - len(got)) == body
+    assert received + read_all(harness, client, len(body) - len(received)) == body
     # The connection is reused.
     harness.wait_for_idle_connections()
     client.sendall(harness.request_bytes())
@@ -103,18 +103,18 @@
 def test_a_relayed_response_may_outlast_the_latency_objective(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The response began in time."""
+    """The latency objective limits only when a relayed response begins."""
     harness = make_harness(settings={"categories": request_class_settings(150000)})
     client, body = harness.send_request(), random_bytes(3 * MAX_BUFFERED_BODY)
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body))
-    got = b""
+    received = b""
     for start in range(0, len(body), MAX_BUFFERED_BODY // 2):
         upstream.sendall(body[start : start + MAX_BUFFERED_BODY // 2])
         harness.run_for(0.1)
-    head, got = read_head(harness, client)
-    assert got + read_all(harness, client, len(body) - len(got)) == body
+    head, received = read_head(harness, client)
+    assert received + read_all(harness, client, len(body) - len(received)) == body
 
 
 def test_a_response_of_unknown_length_that_began_in_time_is_relayed(
@@ -130,8 +130,8 @@
         upstream.sendall(b"%x\r\n%s\r\n" % (10000, body[start : start + 10000]))
         harness.run_for(0.08)
     upstream.sendall(b"0\r\n\r\n")
-    head, got = harness.read_message(client)
-    assert head.status_code == 200 and got == body
+    head, received = harness.read_message(client)
+    assert head.status_code == 200 and received == body
     assert_nothing_left(harness)
 
 
@@ -153,8 +153,8 @@
     else:
         write_all(harness, upstream, HEAD + b"Connection: close\r\n\r\n" + body)
         upstream.close()
-    head, got = harness.read_message(client)
-    assert head.status_code == 200 and got == body
+    head, received = harness.read_message(client)
+    assert head.status_code == 200 and received == body
     assert_nothing_left(harness)
 
 
@@ -182,7 +182,7 @@
         harness.wait_until(lambda: not harness.context.coordinator.pending_requests)
         clients.append(client)
         upstreams.append(upstream)
-    left, got = [memoryview(b)[100:] for b in bodies], [bytearray() for _ in bodies]
+    unsent, received = [memoryview(b)[100:] for b in bodies], [bytearray() for _ in bodies]
     peak_buffers = 0
 
     def transfer_some() -> bool:
@@ -191,15 +191,15 @@
             client.settimeout(0)
             upstream.settimeout(0)
             with contextlib.suppress(BlockingIOError):
-                left[i] = left[i][upstream.send(left[i][:MB]) :] if left[i] else left[i]
+                unsent[i] = unsent[i][upstream.send(unsent[i][:MB]) :] if unsent[i] else unsent[i]
             with contextlib.suppress(BlockingIOError):
-                got[i] += client.recv(30000)
+                received[i] += client.recv(30000)
         peak_buffers = max(peak_buffers, harness.context.buffer_pool.in_use)
-        return all(one.endswith(b[-100:]) for one, b in zip(got, bodies, strict=True))
+        return all(response.endswith(b[-100:]) for response, b in zip(received, bodies, strict=True))
 
     harness.wait_until(transfer_some, 60.0)
-    for body, one in zip(bodies, got, strict=True):
-        assert bytes(one).partition(b"\r\n\r\n")[2] == body
+    for body, response in zip(bodies, received, strict=True):
+        assert bytes(response).partition(b"\r\n\r\n")[2] == body
     # Buffered between source and sink is at most a window and what is being written, not a whole response.
     assert peak_buffers * BUFFER_SIZE <= len(bodies) * 3 * (STREAM_WINDOW + MAX_BUFFERED_BODY)
     assert_nothing_left(harness)
@@ -211,21 +211,23 @@
     upstream = harness.accept()
     harness.read_request(upstream)
     upstream.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body))
-    left, got = memoryview(body), bytearray()
+    unsent, received = memoryview(body), bytearray()
 
     def transfer_some() -> bool:
-        nonlocal left
+        nonlocal unsent
         upstream.settimeout(0)
         client.settimeout(0)
         for _ in range(4):
             with contextlib.suppress(BlockingIOError):
-                left = left[upstream.send(left[:MB]) :] if left else left
+                unsent = unsent[upstream.send(unsent[:MB]) :] if unsent else unsent
             with contextlib.suppress(BlockingIOError):
-                got.extend(client.recv(MB))
-        return len(got) > len(body)
+                received.extend(client.recv(MB))
+        return len(received) > len(body)
 
     harness.wait_until(transfer_some, 60.0)
-    assert got.endswith(body[-1000:]) and len(got.partition(b"\r\n\r\n")[2]) == MAX_STREAMED_BODY == len(body)
+    assert received.endswith(body[-1000:]) and len(
+        received.partition(b"\r\n\r\n")[2]
+    ) == MAX_STREAMED_BODY == len(body)
     assert_nothing_left(harness)
     harness.wait_for_idle_connections()
     other = harness.send_request(x_trace_id="t2")
@@ -273,18 +275,18 @@
 def test_of_two_long_responses_the_first_is_relayed_and_the_other_cancelled(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The responses are those to a request and its hedge."""
+    """The request and its hedge are both in flight, and the hedge responds first."""
     harness = make_harness(upstreams=2)
     client = harness.send_request()
     harness.context.coordinator.scheduler.balancer.hedging.delay = lambda request: 0.01
-    i, one = harness.wait_until(harness.accept_any)
-    harness.read_request(one)
-    other = harness.accept(1 - i)
-    harness.read_request(other)
+    i, silent = harness.wait_until(harness.accept_any)
+    harness.read_request(silent)
+    responding = harness.accept(1 - i)
+    harness.read_request(responding)
     body = random_bytes(2 * MAX_BUFFERED_BODY)
-    other.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+    responding.sendall(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
     assert harness.read_message(client)[1] == body
-    assert harness.wait_until(lambda: harness.read(one)) == b"end"
+    assert harness.wait_until(lambda: harness.read(silent)) == b"end"
     assert_nothing_left(harness)
 
 
@@ -302,7 +304,7 @@
 
 
 @pytest.mark.parametrize("length", [True, False])
-def test_a_long_request_body_is_relayed_while_it_comes(
+def test_a_long_request_body_is_relayed_while_it_arrives(
     make_harness: Callable[..., SidecarHarness], length: bool
 ) -> None:
     """The body takes few buffers, and the timeout counts from its last byte."""
@@ -323,20 +325,20 @@
     assert harness.wait_until(lambda: harness.read(upstream)).startswith(b"POST /buy/1?q=2")
     [request] = [pending.request for pending in harness.context.coordinator.pending_requests.values()]
     assert request.arrived_at > harness.context.loop.now() + 1e6 and request.max_attempts == 1
-    got, left = bytearray(), memoryview(text)[MB:]
+    received, unsent = bytearray(), memoryview(text)[MB:]
 
     def transfer_some() -> bool:
-        nonlocal left
+        nonlocal unsent
         client.settimeout(0)
         with contextlib.suppress(BlockingIOError):
-            left = left[client.send(left[:100000]) :] if left else left
-        got.extend(harness.read(upstream) or b"")
+            unsent = unsent[client.send(unsent[:100000]) :] if unsent else unsent
+        received.extend(harness.read(upstream) or b"")
         assert harness.context.buffer_pool.in_use * BUFFER_SIZE < 24 * MB / 3
-        return len(got) >= len(body) - 65536 * 2 and not left
+        return len(received) >= len(body) - 65536 * 2 and not unsent
 
     harness.wait_until(transfer_some, 30.0)
     harness.run_for(0.1)
-    got.extend(harness.read(upstream) or b"")
+    received.extend(harness.read(upstream) or b"")
     harness.wait_until(lambda: request.arrived_at < harness.context.loop.now() + 1)
     harness.send_response(upstream)
     assert harness.read_status(client) == 200
@@ -344,13 +346,13 @@
 
 
 def begin_long_request(
-    make_harness: Callable[..., SidecarHarness], upstreams: int = 2, **given: object
+    make_harness: Callable[..., SidecarHarness], upstreams: int = 2, **options: object
 ) -> tuple[SidecarHarness, socket.socket, int, socket.socket]:
     """Send 700,000 bytes of a request of 3 MiB.
 
     Return the harness, the client, and the index and the connection of the endpoint that receives it.
     """
-    harness = make_harness(upstreams=upstreams, limits={"memory_mb": 24}, **given)
+    harness = make_harness(upstreams=upstreams, limits={"memory_mb": 24}, **options)
     client = begin_upload(harness, b"x" * 3 * MB)
     client.sendall(b"x" * 700000)
     i, upstream = harness.wait_until(harness.accept_any)
@@ -374,15 +376,15 @@
 ) -> None:
     """The client gets 504, and the request is not sent again."""
     harness, client, i, upstream = begin_long_request(make_harness)
-    left = 3 * MB - 700000
+    unsent = 3 * MB - 700000
 
     def transfer_some() -> bool:
-        nonlocal left
+        nonlocal unsent
         client.settimeout(0)
         with contextlib.suppress(BlockingIOError):
-            left -= client.send(b"x" * min(left, 100000)) if left else 0
+            unsent -= client.send(b"x" * min(unsent, 100000)) if unsent else 0
         harness.read(upstream)
-        return not left and all(
+        return not unsent and all(
             e.written for pending in pending_requests.values() for e in pending.exchanges.values()
         )
 
@@ -418,7 +420,7 @@
 def test_a_long_request_that_could_not_be_sent_goes_to_another_endpoint(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The body can still be sent, as nothing of it has been taken."""
+    """The whole body can still be sent, because no attempt has read any of it yet."""
     harness = make_harness(upstreams=2, limits={"memory_mb": 24})
     harness.listeners[0].close()
     body = random_bytes(2 * MB)
@@ -426,8 +428,8 @@
         client = begin_upload(harness, body, x_trace_id=f"t{number}")
         write_all(harness, client, body[:MB])
         upstream = harness.accept(1)
-        got = read_all(harness, upstream, MB // 2)
-        assert got.startswith(b"POST /buy")
+        received = read_all(harness, upstream, MB // 2)
+        assert received.startswith(b"POST /buy")
         client.close()
         assert_nothing_left(harness)
 
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -35,10 +35,10 @@
 def make_burst(make_harness: Callable[..., SidecarHarness]) -> Callable[..., ClientBurst]:
     """Make bursts of clients, each of a new sidecar."""
 
-    def make(cancel: bool = True, settings: dict[str, Any] | None = None, **given: object) -> ClientBurst:
+    def make(cancel: bool = True, settings: dict[str, Any] | None = None, **options: object) -> ClientBurst:
         caps = SETTINGS["caps"] | {"cancel": cancel, "connectTimeout": 5000000}
         settings = {"caps": caps, "categories": request_class_settings(LATENCY_OBJECTIVE)} | (settings or {})
-        return ClientBurst(make_harness(limits={"sockets": 4096}, settings=settings, **given))
+        return ClientBurst(make_harness(limits={"sockets": 4096}, settings=settings, **options))
 
     return make
 
@@ -53,7 +53,7 @@
             listener.listen(2 * BURST_SIZE)
         balancer = self.context.coordinator.scheduler.balancer
         balancer.selector.latency_fraction = balancer.load.queue_limit = (
-            1e9  # as many upstreams would take as many
+            1e9  # no limit, so that the endpoints take the whole burst
         )
 
     def send_requests(
@@ -114,12 +114,12 @@
         """Run the loop until exactly `count` attempts have begun, before any of them is late."""
         begun = 0
 
-        def enough() -> bool:
+        def have_begun() -> bool:
             nonlocal begun
             begun += self.count_new_attempts()
             return begun >= count
 
-        self.harness.wait_until(enough, timeout=LATENCY_OBJECTIVE / 1e6)
+        self.harness.wait_until(have_begun, timeout=LATENCY_OBJECTIVE / 1e6)
         assert begun == count
 
     def count_later_attempts(self) -> int:
@@ -344,6 +344,6 @@
         upstream.wait_until(lambda: len(upstream.complete_streams) > 1)
         harness.run_for(0.05)
     upstream.read()
-    assert [requests["x-trace-id"] for requests in upstream.requests.values()] == ["t1", "stays"]
+    assert [request["x-trace-id"] for request in upstream.requests.values()] == ["t1", "stays"]
     upstream.respond(upstream.complete_streams[-1])
     assert harness.read_status(staying) == 200
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -74,7 +74,7 @@
 
 
 def test_an_attempt_at_an_endpoint_removed_since_can_still_be_cancelled(harness: SidecarHarness) -> None:
-    """Its connection is closed when the client disconnects."""
+    """The connection of the attempt is closed when the client disconnects."""
     watch, _ = harness.accept_watch(b"")
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
@@ -86,7 +86,7 @@
 
 
 def test_a_snapshot_removes_endpoints_that_it_does_not_name(make_harness: MakeHarness) -> None:
-    """They are removed from the coordinator and from the decisions."""
+    """The endpoints are removed from the coordinator and from the decisions."""
     harness = make_harness(upstreams=2)
     harness.accept_watch({"version": 9, "full": True, "servers": [harness.endpoint_entry(1)]})
     harness.wait_until(lambda: list(harness.context.coordinator.pools) == ["s1"])
@@ -202,8 +202,8 @@
         harness.send_watch_line(watch, {"version": version, "servers": gone + new})
         harness.wait_until(lambda: context.discovery.version == version)  # noqa: B023
         harness.wait_until(lambda: not context.coordinator.mailbox)
-        for u in list(balancer.endpoints.by_id.values())[:5]:
-            context.coordinator.scheduler.gossip_received(1, u.gossip_tag.to_bytes(2, "big") + b"\x03")
+        for stats in list(balancer.endpoints.by_id.values())[:5]:
+            context.coordinator.scheduler.gossip_received(1, stats.gossip_tag.to_bytes(2, "big") + b"\x03")
         client = harness.send_request("buy", b"one", x_trace_id=f"t{version}", connection="close")
         harness.serve(status=500 if version % 2 else 200)  # all endpoints have the same address
         assert harness.read_status(client) in (200, 504)
@@ -312,7 +312,7 @@
         lambda peer, body: received.append((peer, body)),
     )
     assert list(harness.context.gossip_socket.peers) == [harness.peer.getsockname()]  # not itself
-    to = harness.context.gossip_socket.sock.getsockname()
+    gossip_address = harness.context.gossip_socket.sock.getsockname()
     unknown = harness.close_at_end(bound_socket(socket.SOCK_DGRAM))
     for sender, body in [
         (unknown, b"no"),
@@ -320,18 +320,18 @@
         (harness.peer, b""),
         (harness.peer, b"yes"),
     ]:
-        sender.sendto(body, to)
+        sender.sendto(body, gossip_address)
     harness.wait_until(lambda: received)
     assert received == [(1, b"yes")]
 
 
 def test_a_flood_of_datagrams_does_not_pile_up(harness: SidecarHarness) -> None:
     """Datagrams that can't be handled in time are left to the kernel to drop."""
-    to = harness.context.gossip_socket.sock.getsockname()
+    gossip_address = harness.context.gossip_socket.sock.getsockname()
     longest = 0
     for _ in range(50):
         for _ in range(200):
-            harness.peer.sendto(b"abc", to)
+            harness.peer.sendto(b"abc", gossip_address)
         harness.context.loop.run_once(0.01)
         longest = max(longest, len(harness.context.coordinator.mailbox))
     assert longest <= 128
@@ -344,8 +344,8 @@
     upstream = harness.accept()
     harness.read_request(upstream)
     body = harness.wait_until(lambda: harness.read(harness.peer))
-    known = harness.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
-    assert body == known.gossip_tag.to_bytes(2, "big") + b"\x01"
+    endpoint = harness.context.coordinator.scheduler.balancer.endpoints.by_id["s0"]
+    assert body == endpoint.gossip_tag.to_bytes(2, "big") + b"\x01"
 
 
 # Start.
@@ -367,7 +367,7 @@
 def test_the_error_of_an_unusable_configuration_names_the_key(
     tmp_path: Path, text: bytes, named: str
 ) -> None:
-    """It is one line, and names the file if that can't be read."""
+    """The error is one line, and names the file if that can't be read."""
     path = tmp_path / "config.json"
     path.write_bytes(text)
     with pytest.raises(ConfigError) as refused:
@@ -376,7 +376,7 @@
 
 
 def test_a_sidecar_without_an_endpoint_list_is_not_ready(make_harness: MakeHarness) -> None:
-    """It answers 503 to requests until the first message of the watch."""
+    """Such a sidecar answers 503 to requests until the first message of the watch."""
     harness = make_harness(known=None)
     assert harness.read_status(harness.send_request(request_line="GET /ready HTTP/1.1")) == 503
     assert harness.read_status(harness.send_request("buy", b"one")) == 503
@@ -431,7 +431,7 @@
 
 
 def test_after_a_kill_the_program_starts_again_at_its_address(program: Program) -> None:
-    """An open connection of a client to the former process does not prevent it."""
+    """A client's open connection to the former process does not prevent the start."""
     process, listen = program()
     with socket.create_connection(listen):
         process.kill()
@@ -495,8 +495,8 @@
         log.flush()
     log.flush()
     os.close(writer)
-    rest = os.read(reader, 65536)
-    assert b"log.lost" in rest
+    remaining = os.read(reader, 65536)
+    assert b"log.lost" in remaining
     os.close(reader)
 
 
@@ -540,16 +540,16 @@
 
     class Waiting(Actor):
         def run(self) -> Coroutine[None]:
-            got.append((yield self.loop.now()))
+            received.append((yield self.loop.now()))
 
-    got: list[object] = []
+    received: list[object] = []
     loop = Loop(lambda actor, error: pytest.fail(repr(error)))
     actors = [PastDeadline(loop), Waiting(loop)]
     for actor in actors:
         actor.begin()
     for _ in range(3):
         loop.run_once()
-    assert got == [None]
+    assert received == [None]
     loop.close()
 
 
@@ -561,9 +561,9 @@
 
         def run(self) -> Coroutine[None]:
             while True:
-                got.append(1 / (yield None))
+                results.append(1 / (yield None))
 
-    got: list[float] = []
+    results: list[float] = []
     defects: list[Exception] = []
     loop = Loop(lambda actor, error: defects.append(error))
     actor = Failing(loop)
@@ -572,4 +572,4 @@
         actor.post(n)
     while actor.mailbox:
         loop.run_once()
-    assert got == [0.5] and len(defects) == 1
+    assert results == [0.5] and len(defects) == 1
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -28,8 +28,8 @@
     assert headers[b"x-trace-id"] == b"t1" and headers[b"idempotency-key"] == b"k1"
     assert 0 < int(headers[b"x-expires-in-ms"]) <= 1900
     harness.send_response(upstream, body=body[::-1], extra="Content-Type: x/y\r\n")
-    answer, got = harness.read_message(client)
-    assert answer.status_code == 200 and got == body[::-1]
+    answer, received = harness.read_message(client)
+    assert answer.status_code == 200 and received == body[::-1]
     assert dict(answer.headers)[b"content-type"] == b"x/y"
     assert harness.wait_until(
         lambda: harness.context.buffer_pool.in_use == 0 and not harness.context.coordinator.pending_requests
@@ -111,7 +111,7 @@
 def test_a_client_that_does_not_read_its_response_is_disconnected(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Its buffers are released."""
+    """The buffers of the unread response are released."""
     harness = make_harness(settings={"categories": request_class_settings(100000)})
     client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -233,8 +233,10 @@
     harness = make_harness(upstreams=2)
     client = harness.send_request("buy", b"x" * MAX_REQUEST_BODY)
     i, upstream = harness.wait_until(harness.accept_any)
-    carrying = harness.wait_until(lambda: next(iter(harness.context.connections.endpoint_connections), None))
-    carrying.stream.unwritten.append(b"more" * 4000000)  # more than the kernel buffers
+    connection = harness.wait_until(
+        lambda: next(iter(harness.context.connections.endpoint_connections), None)
+    )
+    connection.stream.unwritten.append(b"more" * 4000000)  # more than the kernel buffers
     harness.send_response(upstream)
     assert harness.wait_until(lambda: harness.log_lines("upstream.end"))[0]["reason"] == "early-answer"
     harness.serve(1 - i, body=b"fine")
@@ -242,7 +244,7 @@
 
 
 def test_after_a_reset_of_a_written_request_more_resets_are_expected(harness: SidecarHarness) -> None:
-    """The caution lasts for a while after the reset."""
+    """For a while after the reset, further resets are expected."""
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -349,7 +351,7 @@
 def test_a_connection_that_does_not_come_up_leaves_time_for_another_endpoint(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The time is left even if the configured connect timeout is long."""
+    """A long configured connect timeout does not use up the time for another endpoint."""
     harness = make_harness(upstreams=2, settings={"caps": SETTINGS["caps"] | {"connectTimeout": 5000000}})
     make_unresponsive(harness)
     while "never-came-up" not in [line["reason"] for line in harness.log_lines("upstream.end")]:
@@ -403,7 +405,7 @@
 def test_a_response_for_a_client_that_has_just_left_releases_its_buffers(
     harness: SidecarHarness, client_first: bool
 ) -> None:
-    """They are released whether the close or the response comes first."""
+    """The buffers are released whether the close or the response comes first."""
     for _ in range(20):
         client = harness.send_request("buy", b"one")
         upstream = harness.accept()
@@ -477,7 +479,7 @@
 def test_an_invalid_request_is_answered_and_not_forwarded(
     harness: SidecarHarness, asked: dict[str, str], status: int, reason: str
 ) -> None:
-    """Each gets its status and a reason in the log, and the connection ends."""
+    """The answer has the right status, the log has the reason, and the connection ends."""
     client = harness.send_request(**asked)
     assert harness.read_status(client) == status
     line = harness.log_lines("request.unfit")[0]
@@ -502,7 +504,7 @@
 
 
 def test_a_trace_id_in_use_is_rejected(harness: SidecarHarness) -> None:
-    """The second request with it gets 409; the id is free again once the first has ended."""
+    """A second request with the id gets 409; the id is free again once the first request has ended."""
     client = harness.send_request("buy", b"one")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -551,8 +553,10 @@
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
     """The timeout of the class limits that of the client."""
-    patient = [one | {"overduePayoff": 0.5} for one in request_class_settings(200000)]
-    harness = make_harness(settings={"categories": patient})
+    request_classes = [
+        request_class | {"overduePayoff": 0.5} for request_class in request_class_settings(200000)
+    ]
+    harness = make_harness(settings={"categories": request_classes})
     client = harness.send_request("buy", b"one", x_expires_in_ms="999999999999")
     upstream = harness.accept()
     harness.read_request(upstream)
@@ -560,24 +564,24 @@
 
 
 def test_a_request_of_an_unknown_tenant_is_served(harness: SidecarHarness) -> None:
-    """It is served like a request without a tenant."""
+    """The request is served like one without a tenant."""
     client = harness.send_request(x_customer="nobody")
     harness.serve()
     assert harness.read_status(client) == 200
 
 
 def test_clients_beyond_the_limit_are_answered_503(make_harness: Callable[..., SidecarHarness]) -> None:
-    """Clients for which there is no descriptor even for that wait; requests in flight continue."""
+    """Clients beyond the descriptors reserved for such answers wait; requests in flight continue."""
     harness = make_harness(limits={"sockets": 120})
     tracker = harness.context.connections
     tracker.client_limit = tracker.max_requests = 2
     busy = [harness.send_request(x_trace_id=f"busy{n}") for n in range(tracker.max_requests)]
     harness.wait_until(lambda: len(harness.context.coordinator.pending_requests) == len(busy))
     # More clients than can be answered at a time.
-    more = [harness.send_request(x_trace_id=f"more{n}") for n in range(64)]
-    assert {harness.read_status(one) for one in more[:8]} == {503}
+    excess = [harness.send_request(x_trace_id=f"more{n}") for n in range(64)]
+    assert {harness.read_status(rejected) for rejected in excess[:8]} == {503}
     assert len(tracker.clients) <= tracker.client_limit + tracker.reserve
-    for client in more:
+    for client in excess:
         client.close()
     harness.serve()
     assert harness.wait_until(lambda: harness.context.coordinator.counts["finished"]) == 1
@@ -697,7 +701,7 @@
 def test_an_error_in_handling_an_outcome_still_answers_the_client(
     harness: SidecarHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The request is removed as usual."""
+    """The request is answered and no longer pending, although handling its outcome has failed."""
     monkeypatch.setattr("starlingwheel.decisions.balancer.Balancer.attempt_ended", lambda *_: 1 / 0)
     client = harness.send_request("buy", b"one")
     harness.serve(status=500)
@@ -762,6 +766,6 @@
     ],
 )
 def test_an_unreadable_load_report_is_dropped(text: str) -> None:
-    """It is dropped as a whole, while unknown figures in a readable one are ignored."""
+    """Such a report is dropped as a whole; in a readable report, only unknown figures are ignored."""
     assert parse_load_report(text) == {}
     assert parse_load_report("TEXT inflight=7, queue=2, other=3") == {"held": 7.0, "waiting": 2.0}
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -121,8 +121,8 @@
     harness = make_admin_harness(limits={"sockets": 256})
     address = harness.context.admin_listener.sock.getsockname()
     silent = [harness.close_at_end(socket.create_connection(address)) for _ in range(20)]
-    for one in silent[::2]:
-        one.sendall(b"PUT /_upstreams/detach HTTP/1.1\r\nHost:")
+    for caller in silent[::2]:
+        caller.sendall(b"PUT /_upstreams/detach HTTP/1.1\r\nHost:")
     harness.run_for(0.05)
     assert len(harness.context.admin_listener.calls) <= harness.context.connections.admin_call_limit
     assert detach(harness) == 200
@@ -139,7 +139,7 @@
         for _ in range(harness.context.connections.admin_call_limit)
     ]
     harness.run_for(0.1)
-    assert [harness.read(one) for one in silent] == [None] * len(silent)
+    assert [harness.read(caller) for caller in silent] == [None] * len(silent)
 
 
 def test_an_admin_address_in_use_ends_the_start_with_one_line(
@@ -163,7 +163,7 @@
 def test_a_detached_endpoint_gets_no_requests_whatever_the_list_says(
     make_admin_harness: MakeAdminHarness,
 ) -> None:
-    """It stays detached after its restart, its removal and a new snapshot."""
+    """The endpoint stays detached after its restart, its removal and a new snapshot."""
     harness = make_admin_harness(upstreams=2)
     watch, _ = harness.accept_watch(b"")
     assert detach(harness) == 200 and detach(harness) == 200
@@ -212,7 +212,7 @@
 
 
 def test_idle_connections_to_a_detached_endpoint_are_closed(make_admin_harness: MakeAdminHarness) -> None:
-    """They are closed at once instead of after the idle timeout."""
+    """The connections are closed at once instead of after the idle timeout."""
     harness = make_admin_harness()
     client = harness.send_request()
     upstream = harness.serve()
@@ -225,19 +225,19 @@
     make_admin_harness: MakeAdminHarness,
 ) -> None:
     """Two processes run side by side, and a third one starts later."""
-    one, other = make_admin_harness(), make_admin_harness()
-    assert detach(one) == 200
-    other.wait_until(lambda: entry_in_decisions(other, "s0").state is EndpointState.DRAINING)
-    assert other.call_admin("PUT /_lameduck/on") == 200
-    one.wait_until(lambda: one.context.draining)
-    assert attach(other) == 200
-    one.wait_until(lambda: entry_in_decisions(one, "s0").state is EndpointState.READY)
-    assert detach(other) == 200
-    after = make_admin_harness(known={"version": 7, "full": True, "servers": []})
-    assert after.context.overrides.stored.drained and after.context.draining
-    assert after.call_admin("PUT /_lameduck/off") == 200
+    first, second = make_admin_harness(), make_admin_harness()
+    assert detach(first) == 200
+    second.wait_until(lambda: entry_in_decisions(second, "s0").state is EndpointState.DRAINING)
+    assert second.call_admin("PUT /_lameduck/on") == 200
+    first.wait_until(lambda: first.context.draining)
+    assert attach(second) == 200
+    first.wait_until(lambda: entry_in_decisions(first, "s0").state is EndpointState.READY)
+    assert detach(second) == 200
+    third = make_admin_harness(known={"version": 7, "full": True, "servers": []})
+    assert third.context.overrides.stored.drained and third.context.draining
+    assert third.call_admin("PUT /_lameduck/off") == 200
     # Discovery has not listed the endpoint to this process.
-    assert attach(after) == 200 and detach(after, "s9") == 404
+    assert attach(third) == 200 and detach(third, "s9") == 404
 
 
 @pytest.mark.parametrize("text", [b"", b"{", b'{"out":7}', b"\xff\x00"])
@@ -334,7 +334,7 @@
 
 
 def test_a_sibling_process_is_detected_while_it_runs(tmp_path: Path) -> None:
-    """It is detected by its lock, which the kernel releases when the process ends."""
+    """A sibling is detected by its lock, which the kernel releases when the process ends."""
     text = f"""if True:
         from starlingwheel.net.state.siblings import SiblingProcesses
         siblings = SiblingProcesses({str(tmp_path)!r})
@@ -482,19 +482,19 @@
         clients = [
             threading.Thread(target=client, args=(f"c{i}", random.Random(rng.random()))) for i in range(8)
         ]
-        for one in clients:
-            one.start()
+        for thread in clients:
+            thread.start()
         while len(answered) < 100:
             time.sleep(0.01)
         second = start(1)
         first.send_signal(signal.SIGTERM)
         assert first.wait(10) == 0
-        so_far = len(answered)
-        while len(answered) < so_far + 100:
+        answered_before = len(answered)
+        while len(answered) < answered_before + 100:
             time.sleep(0.01)
         ended.set()
-        for one in clients:
-            one.join()
+        for thread in clients:
+            thread.join()
         assert second.poll() is None
         assert not lost and max(endpoint.ran.values()) == 1  # some may be rejected on a busy machine
         assert {trace.encode() for trace in answered} == set(endpoint.ran)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -44,9 +44,9 @@
     assert done.stdout.strip() == "[]"
 
 
-def run_small_fleet(size: int, *more: str) -> dict[str, dict[str, Any]]:
+def run_small_fleet(size: int, *options: str) -> dict[str, dict[str, Any]]:
     """Return the lines of a small run, by role."""
-    args = parse_arguments(["--sizes", str(size), "--phases", "rest", "--seconds", "3", *more])
+    args = parse_arguments(["--sizes", str(size), "--phases", "rest", "--seconds", "3", *options])
     layout, error = limits.make_layout(size, args.real, args.alone, args.cell_size, os.cpu_count() or 1)
     assert layout is not None, error
     lines: list[dict[str, Any]] = []
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -52,8 +52,8 @@
     def config_of(settings: Settings, **changed: object) -> BalancerConfig:
         settings = changed_settings(settings, **changed)
         path = tmp_path / "config.json"
-        given = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings}
-        path.write_bytes(msgspec.json.encode(given))
+        config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings}
+        path.write_bytes(msgspec.json.encode(config))
         return load_config({"EDGE_CONFIG": str(path)})[1]
 
     return config_of
@@ -72,7 +72,7 @@
 
 
 def test_a_pushed_deployment_follows_from_its_settings_alone(config_of: MakeConfig) -> None:
-    """Its list is not watched, and a connection carries several requests."""
+    """The list is not watched, and a connection carries several requests."""
     config = config_of(PUSHED)
     assert (
         not config.must_watch_endpoints and config.streams_per_connection == 100 and config.weights_are_live
@@ -106,7 +106,7 @@
 def test_a_sidecar_starts_with_the_settings_of_two_deployments(
     config_of: MakeConfig, make_harness: MakeHarness, settings: Settings
 ) -> None:
-    """It starts with each of them, and serves a request."""
+    """The sidecar starts with the settings of either deployment, and serves a request."""
     config = config_of(settings)
     assert (
         config.key_affinity
@@ -189,7 +189,7 @@
     changed: Settings,
     named: list[str],
 ) -> None:
-    """They do not prevent the start, which would be worse than a price for something that is not allowed."""
+    """A sidecar that refused to start would do more harm than, say, an unused price in its settings."""
     harness = make_harness(settings=changed_settings(settings, **changed))
     assert [line["key"] for line in harness.log_lines("settings.mixed")] == named
     if harness.context.discovery.list_is_pushed:
@@ -226,8 +226,8 @@
 
     def without_nulls(value: Any) -> Any:  # noqa: ANN401
         if isinstance(value, dict):
-            return {key: without_nulls(one) for key, one in value.items() if one is not None}
-        return [without_nulls(one) for one in value] if isinstance(value, list) else value
+            return {key: without_nulls(item) for key, item in value.items() if item is not None}
+        return [without_nulls(item) for item in value] if isinstance(value, list) else value
 
     with_nulls, without = config_of(NULLS), config_of(without_nulls(NULLS))
     assert msgspec.to_builtins(with_nulls) == msgspec.to_builtins(without)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -232,9 +232,9 @@
 
     def restart(host: FakeHost) -> None:
         fleet.notified.pop(host, None)
-        other = fleet.new_process(experienced=False)
-        fleet.notify(other)
-        steady(fleet, other, 20 / fleet.service_time / len(fleet.hosts))
+        replacement = fleet.new_process(experienced=False)
+        fleet.notify(replacement)
+        steady(fleet, replacement, 20 / fleet.service_time / len(fleet.hosts))
 
     for i, host in enumerate(fleet.hosts):
         fleet.schedule(RESTART + 3 + 2 * i / len(fleet.hosts), restart, host)
@@ -245,12 +245,12 @@
 
     def replace(host: FakeHost) -> None:
         fleet.advance(host)
-        two = msgspec.structs.replace(host.scheduler.balancer.config, process_count=2)
-        other = fleet.new_process()
-        for process in (host, other):
-            process.scheduler.reload(two)
-        fleet.notify(other)
-        steady(fleet, other, 20 / fleet.service_time / len(fleet.hosts))
+        shared_config = msgspec.structs.replace(host.scheduler.balancer.config, process_count=2)
+        second = fleet.new_process()
+        for process in (host, second):
+            process.scheduler.reload(shared_config)
+        fleet.notify(second)
+        steady(fleet, second, 20 / fleet.service_time / len(fleet.hosts))
 
     for host in fleet.hosts:
         fleet.schedule(RESTART + 3 + fleet.rng.random() / 10, replace, host)
@@ -322,14 +322,14 @@
 def test_hundreds_of_sidecars_that_send_at_once_do_not_overload_an_endpoint_that_is_warming_up(
     make_host: MakeHost,
 ) -> None:
-    """They send after a quiet time, and none of them knows what the others send."""
+    """The sidecars send after a quiet time, and none of them knows what the others send."""
     assert 0 < peak_load(make_host, 200, 0.15, bursts, ramp=LONG_RAMP, seeds=1) <= 1
 
 
 def test_requests_that_wait_for_a_load_poll_do_not_all_go_to_the_endpoint_that_answered(
     make_host: MakeHost,
 ) -> None:
-    """The endpoint is polled for all of them; the budget, which allows some, is checked again afterwards."""
+    """The endpoint is polled for each request; the budget, which allows only some, is checked again then."""
     ramp = SHORT_RAMP | {
         "slow_start_initial_fraction": 0.1,
         "slow_start_duration": 80.0,
--- a/tests/test_state_watcher.py
+++ b/tests/test_state_watcher.py
@@ -44,7 +44,7 @@
 
 
 @pytest.fixture
-def watched() -> Iterator[WatcherHarness]:
+def watcher_harness() -> Iterator[WatcherHarness]:
     """Provide a state watcher whose loop is closed after the test."""
     harness = WatcherHarness()
     yield harness
@@ -58,10 +58,10 @@
     return Event(pair, type_)
 
 
-def test_views_come_in_the_order_of_changes_of_members_and_of_shards(watched: WatcherHarness) -> None:
+def test_views_come_in_the_order_of_changes_of_members_and_of_shards(watcher_harness: WatcherHarness) -> None:
     """Each change is published by itself, because other members may use the view in between."""
     a, b, c = (Member(f"n{i}.00", f"n{i}", "") for i in range(3))
-    watched.receive(
+    watcher_harness.receive(
         event("members/n0.00", a, 2),
         event("cells", {"count": 2}, 3),
         event("members/n1.00", b, 4),
@@ -71,17 +71,17 @@
         event("cells", {"count": 4}, 5),
         event("cells", None, 6, "DELETE"),
     )
-    views = [(len(view.members), view.shard_count) for view in watched.views]
+    views = [(len(view.members), view.shard_count) for view in watcher_harness.views]
     assert views == [(1, 1), (1, 2), (2, 2), (3, 4), (3, 1)]
-    assert len({view.digest for view in watched.views}) == 5
+    assert len({view.digest for view in watcher_harness.views}) == 5
 
 
 @pytest.mark.parametrize("value", [None, 3, {}, {"count": 3}, {"count": 0}, {"count": 1 << 20}])
 def test_an_invalid_shard_count_does_not_replace_the_previous_one(
-    watched: WatcherHarness, value: object
+    watcher_harness: WatcherHarness, value: object
 ) -> None:
     """A value that is not a power of two within bounds is ignored."""
     member = Member("n0.00", "n0", "")
-    watched.receive(event("members/n0.00", member, 2), event("cells", {"count": 4}, 3))
-    watched.receive(event("cells", value, 4))
-    assert watched.views[-1].shard_count == 4
+    watcher_harness.receive(event("members/n0.00", member, 2), event("cells", {"count": 4}, 3))
+    watcher_harness.receive(event("cells", value, 4))
+    assert watcher_harness.views[-1].shard_count == 4
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -90,10 +90,10 @@
     harness = make_http2_harness()
     first, second = harness.send_request(x_trace_id="a"), harness.send_request(x_trace_id="b")
     upstream = Http2Upstream(harness)
-    one, two = upstream.wait_for_requests(2)
-    upstream.respond(two, b"two")
+    first_stream, second_stream = upstream.wait_for_requests(2)
+    upstream.respond(second_stream, b"two")
     assert harness.read_message(second)[1] == b"two"
-    upstream.respond(one, b"one")
+    upstream.respond(first_stream, b"one")
     assert harness.read_message(first)[1] == b"one"
     harness.assert_no_connection()
 
@@ -161,13 +161,13 @@
     harness = make_http2_harness()
     leaving, staying = harness.send_request(x_trace_id="a"), harness.send_request(x_trace_id="b")
     upstream = Http2Upstream(harness)
-    one, two = upstream.wait_for_requests(2)
+    first_stream, second_stream = upstream.wait_for_requests(2)
     leaving.close()
     upstream.wait_until(lambda: upstream.resets)
-    assert upstream.resets == {one: h2.errors.ErrorCodes.CANCEL} or upstream.resets == {
-        two: h2.errors.ErrorCodes.CANCEL
+    assert upstream.resets == {first_stream: h2.errors.ErrorCodes.CANCEL} or upstream.resets == {
+        second_stream: h2.errors.ErrorCodes.CANCEL
     }
-    (remaining,) = {one, two} - set(upstream.resets)
+    (remaining,) = {first_stream, second_stream} - set(upstream.resets)
     upstream.respond(remaining)
     assert harness.read_status(staying) == 200
 
