--- a/tests/test_fleet_cells.py
+++ b/tests/test_fleet_cells.py
@@ -37,7 +37,7 @@
 
 
 def members(count: int) -> list[Member]:
-    """Return so many members of three zones."""
+    """Return `count` members, spread over three zones."""
     return [Member(f"n{i}.{i:04x}", f"n{i}", "", "abc"[i % 3], term=i + 1) for i in range(count)]
 
 
@@ -77,10 +77,10 @@
 
 def test_a_member_that_joins_or_leaves_moves_no_other_and_a_restart_keeps_its_shard() -> None:
     """A change of one member changes the digest of its own shard only."""
-    view, less = MembershipView(members(60), 4), MembershipView(members(60)[1:], 4)
-    assert all(view.shard_of_member(m) == less.shard_of_member(m) for m in less.members)
+    view, smaller = MembershipView(members(60), 4), MembershipView(members(60)[1:], 4)
+    assert all(view.shard_of_member(m) == smaller.shard_of_member(m) for m in smaller.members)
     assert view.shard_of_member("n0.0000") == view.shard_of_member("n0.ffff")
-    changed = [shard for shard in range(4) if view.shard_digest(shard) != less.shard_digest(shard)]
+    changed = [shard for shard in range(4) if view.shard_digest(shard) != smaller.shard_digest(shard)]
     assert changed == [view.shard_of_member("n0.0000")]
 
 
@@ -91,8 +91,8 @@
         order = view.ranked_members(key)
         assert order and (len(order) > 1 or len(view.members_by_shard) == 1)
         if len(view.members_of_shard(view.shard_of_key(key))) == 1:
-            left = MembershipView([m for m in view.members.values() if m.id != order[0].id], 8)
-            assert left.coordinator(key) == order[1].id
+            remaining = MembershipView([m for m in view.members.values() if m.id != order[0].id], 8)
+            assert remaining.coordinator(key) == order[1].id
 
 
 def test_members_that_may_know_a_key_by_an_older_view_are_its_holders() -> None:
@@ -117,16 +117,24 @@
 
 def test_an_unreadable_entry_leaves_the_known_number_of_shards_or_an_empty_view() -> None:
     """A member that guessed the number of shards would see other coordinators than the other members."""
-    for bad in (b"", b"{}", b'{"count":3}', b'{"count":0}', b'{"count":8192}', b'{"count":"4"}', b"\xff"):
+    for unreadable in (
+        b"",
+        b"{}",
+        b'{"count":3}',
+        b'{"count":0}',
+        b'{"count":8192}',
+        b'{"count":"4"}',
+        b"\xff",
+    ):
         known = StoreRecords()
         known.put(SHARDS_KEY, StoreEntry(b'{"count":4}', 5, 5))
         known.revision = 5
-        assert known.put(SHARDS_KEY, StoreEntry(bad, 5, 6)) == "unreadable"
+        assert known.put(SHARDS_KEY, StoreEntry(unreadable, 5, 6)) == "unreadable"
         assert (known.shard_count, known.is_shard_count_unreadable, known.shards_revision) == (4, True, 6)
         first_read, read_again = StoreRecords(), StoreRecords(known.shard_count)
         for records, shard_count in ((first_read, 0), (read_again, 4)):
             records.put(MEMBERS_PREFIX + "a", StoreEntry(msgspec.json.encode(Member("a", "a", "")), 3, 3))
-            assert records.put(SHARDS_KEY, StoreEntry(bad, 5, 6)) == "unreadable"
+            assert records.put(SHARDS_KEY, StoreEntry(unreadable, 5, 6)) == "unreadable"
             assert records.shard_count == shard_count
             assert len(records.view().members) == bool(shard_count)
 
@@ -144,7 +152,7 @@
     """Applies transactions whose first condition holds, and publishes its records to all members."""
 
     def __init__(self, count: int, size: int) -> None:
-        """Start so many members, whose shards are to have `size` members on the mean."""
+        """Start `count` members, whose shards are to have `size` members on average."""
         self.records = StoreRecords()
         self.records.revision = 1
         self.shard_planners: dict[str, ShardPlanner] = {}
@@ -162,7 +170,7 @@
             shard_planner.update_records(self.records.copy())
 
     def step(self, seconds: float) -> None:
-        """Let time pass, in which members write what is due."""
+        """Advance the time; at each turn the members write the changes that are due."""
         until = self.now + seconds
         while self.now < until:
             self.now += LEASE * TURN_LEASES
@@ -196,8 +204,8 @@
     store = FakeStore(60, 8)
     store.records.put(SHARDS_KEY, StoreEntry(msgspec.json.encode(Sharding(8)), 1, 1))
     for count, shards in ((17, 8), (15, 4), (9, 4), (7, 2)):
-        left = list(store.records.members)[count:]
-        for member in left:
+        departed = list(store.records.members)[count:]
+        for member in departed:
             del store.records.members[member], store.shard_planners[member]
         store.publish()
         store.step(2 * CHANGE_INTERVAL_LEASES * LEASE)
@@ -210,10 +218,10 @@
     store.now += CHANGE_INTERVAL_LEASES * LEASE
     store.publish()
     store.step(STABLE_LEASES * LEASE / 2)
-    last = store.records.members.popitem()
+    absent = store.records.members.popitem()
     store.publish()
     store.step(STABLE_LEASES * LEASE)
-    store.records.members[last[0]] = last[1]
+    store.records.members[absent[0]] = absent[1]
     store.publish()
     store.step(STABLE_LEASES * LEASE / 2)
     assert not store.written
@@ -242,7 +250,7 @@
 def test_no_replicated_request_runs_twice_in_shards_under_harsh_faults(
     seed: int, count: int, shards: int
 ) -> None:
-    """Faults are frequent here, while the number of shards changes."""
+    """Faults are frequent, and the number of shards changes at the same time."""
     assert not simulate(
         seed,
         count,
@@ -269,23 +277,23 @@
 
 
 def test_a_change_in_another_shard_leaves_this_one_synchronised() -> None:
-    """A shard that waited for members of other shards would stop granting at each of their changes."""
+    """If a shard waited for members of others, it would stop granting requests whenever those change."""
     world = World(1, 80, shard_count=8)
     world.run_until(1.0)
-    one = world.live_members()[0]
-    view = one.replicator.view
-    other = next(
+    observer = world.live_members()[0]
+    view = observer.replicator.view
+    crashed = next(
         member
         for member in world.live_members()
-        if view.shard_of_member(member.id) not in (view.shard_of_member(one.id), 0)
+        if view.shard_of_member(member.id) not in (view.shard_of_member(observer.id), 0)
     )
-    before = one.replicator.views.changed_at
-    world.crash(other, 0.5)
+    before = observer.replicator.views.changed_at
+    world.crash(crashed, 0.5)
     world.run_until(3.0)
     assert (
-        one.replicator.view is not view
-        and one.replicator.views.changed_at == before
-        and one.replicator.is_synced
+        observer.replicator.view is not view
+        and observer.replicator.views.changed_at == before
+        and observer.replicator.is_synced
     )
 
 
@@ -351,15 +359,15 @@
 def test_each_broken_variant_is_caught_in_emulated_time(kind: type[RequestReplicator]) -> None:
     """The emulation must find the double run that each variant allows."""
     if kind is OneReplicaAwaited:
-        plays = (
+        outcomes = (
             simulate(seed, 12, 4.0, 300, PARTITIONED, kind, duplicate_fraction=1.0, shard_count=2)
             for seed in range(16)
         )
     else:
         reshard_to = (2, 4, 8, 4)
-        plays = (
+        outcomes = (
             simulate(
-                s,
+                seed,
                 16,
                 4.0,
                 200,
@@ -369,9 +377,9 @@
                 shard_count=4,
                 reshard_to=reshard_to,
             )
-            for s in range(16)
+            for seed in range(16)
         )
-    assert any(outcome.violations for outcome in plays)
+    assert any(outcome.violations for outcome in outcomes)
 
 
 CLIENT_SENDS = Event(EventKind.CLIENT_SENDS, "g")
