--- a/starlingwheel/settings.py
+++ b/starlingwheel/settings.py
@@ -65,26 +65,27 @@
 def validate(settings: dict[str, Any]) -> None:
     """Check types and enumerated values; raises `msgspec.ValidationError`, which names the key.
 
-    Only a real sidecar does this: the simulator's settings are used without these checks.
+    Only a real sidecar runs these checks; the simulator's settings are used unchecked.
     """
     for key, allowed in ENUMERATED_KEYS.items():
         value = _value(settings, key)
         if value is not None and value not in allowed:
             raise msgspec.ValidationError(f"{key}: {value!r} is not one of {', '.join(allowed)}")
     for key in BOOLEAN_KEYS:
-        if not isinstance(_value(settings, key), bool | None):
-            raise msgspec.ValidationError(f"{key}: neither true nor false")
+        value = _value(settings, key)
+        if not isinstance(value, bool | None):
+            raise msgspec.ValidationError(f"{key}: neither true nor false: {value!r}")
     for key in PRICE_KEYS:
         value = _value(settings, key)
         if value is not None and (not _is_number(value) or value < 0):
-            raise msgspec.ValidationError(f"{key}: not a number of 0 or more")
+            raise msgspec.ValidationError(f"{key}: not a number of 0 or more: {value!r}")
     for key, minimum in INTEGER_KEYS.items():
         value = _value(settings, key)
         if value is not None and (type(value) is not int or value < minimum):
-            raise msgspec.ValidationError(f"{key}: not an integer, or less than {minimum}")
+            raise msgspec.ValidationError(f"{key}: not an integer, or less than {minimum}: {value!r}")
     columns = _value(settings, "loadReport.columns")
     if columns is not None and not (isinstance(columns, list) and all(isinstance(c, str) for c in columns)):
-        raise msgspec.ValidationError("loadReport.columns: not a list of strings")
+        raise msgspec.ValidationError(f"loadReport.columns: not a list of strings: {columns!r}")
 
 
 def contradictions(settings: dict[str, Any]) -> Iterator[Contradiction]:
@@ -220,7 +221,7 @@
 def _table(settings: dict[str, Any], name: str) -> dict[str, Any]:
     table = settings.get(name) or {}
     if not isinstance(table, dict):
-        raise msgspec.ValidationError(f"{name} is not an object")
+        raise msgspec.ValidationError(f"{name} is not an object: {table!r}")
     return _without_nulls(table)
 
 
@@ -232,5 +233,5 @@
 def _seconds(table: dict[str, Any], name: str) -> float:
     value = table.get(name, 0)
     if not _is_number(value):
-        raise msgspec.ValidationError(f"{name} is not a number")
+        raise msgspec.ValidationError(f"{name} is not a number: {value!r}")
     return value / MICROSECONDS_PER_SECOND
