--- a/starlingwheel/net/actor.py
+++ b/starlingwheel/net/actor.py
@@ -33,8 +33,8 @@
     def run(self) -> Coroutine[None]:
         """Handle messages, as the actor's coroutine.
 
-        It yields the time until which it waits, or None to wait for a message alone. It is resumed with a
-        message, or with None once that time has come.
+        The coroutine yields the time until which it waits, or None to wait for a message alone. It is resumed
+        with a message, or with None once that time has come.
         """
         raise NotImplementedError
 
@@ -63,4 +63,7 @@
             self.undelivered(message)
 
     def undelivered(self, message: object) -> None:
-        """Release what a message holds that arrived after the actor had ended, or that it left unread."""
+        """Release what a message holds that the actor has not read before its end.
+
+        The message may have arrived before or after the end. The base class ignores it.
+        """
--- a/starlingwheel/net/admin/call.py
+++ b/starlingwheel/net/admin/call.py
@@ -24,7 +24,7 @@
 RESPONSE_TIMEOUT = 1.0  # seconds within which the response must be written
 HANDLER_TIMEOUT = 0.9 * RESPONSE_TIMEOUT  # leaves time to write the response
 LOCK_RETRY_INTERVAL = RESPONSE_TIMEOUT / 100
-CLOSE_TIMEOUT = READ_TIMEOUT / 4  # seconds that the other side has to close
+CLOSE_TIMEOUT = READ_TIMEOUT / 4  # seconds that the client has to close after the response
 MAX_DISCARDED = 4096  # bytes read and discarded after the response
 
 
@@ -137,7 +137,7 @@
                 result = route.handler(self.context, body)
                 return result if isinstance(result, tuple) else (yield from result)
             except OverridesLockedError:
-                # The wait yields to the loop, which must keep running.
+                # The wait is a `yield`, so that the loop keeps running meanwhile.
                 if self.loop.now() >= until:
                     reason = "another process holds the overrides file"
                     raise CallRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, reason) from None
--- a/starlingwheel/net/admin/listener.py
+++ b/starlingwheel/net/admin/listener.py
@@ -45,7 +45,8 @@
             self.context.check_siblings()
 
     def _accept(self) -> None:
-        # A call closed to make room releases its descriptor in the next turn; until then both are open.
+        # A call closed to make room releases its descriptor only in the next turn; until then the new call is
+        # open too. A turn therefore accepts no more calls than may be open at a time.
         for _ in range(min(MAX_ACCEPTS_PER_TURN, self.context.connections.admin_call_limit)):
             try:
                 sock, _ = self.sock.accept()
--- a/starlingwheel/net/admin/routes.py
+++ b/starlingwheel/net/admin/routes.py
@@ -1,7 +1,7 @@
 """The routes of the admin interface: each path with its method and its handler.
 
 This is the only module that knows the paths and the JSON of the calls of one sidecar; `net/fleet/admin.py`
-adds those of a fleet.
+adds the calls of a fleet.
 """
 
 from __future__ import annotations
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -33,7 +33,7 @@
 
 SERVICE_UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-HEALTH_CHECK_TIMEOUT = 1 / 2  # as a part of the shortest latency objective
+HEALTH_CHECK_TIMEOUT_FRACTION = 1 / 2  # of the shortest latency objective
 
 
 def _request_of(message: object) -> PendingRequest | None:
@@ -50,7 +50,8 @@
     """Hosts the `DecisionScheduler` of one sidecar (`decisions.scheduler.DecisionHost`)."""
 
     daemon = True
-    # Each peer's actor handles one message per turn: at that rate gossip of many peers would accumulate here.
+    # Each peer's actor may post one message per turn, so the messages of many peers would accumulate here if
+    # the coordinator also handled only one.
     messages_per_turn = 64
 
     def __init__(self, context: SidecarContext) -> None:
@@ -66,7 +67,7 @@
         self.tasks_started = False  # whether the background tasks of the decisions have been started
         self.has_endpoints = False  # whether an endpoint list has been received
         self.counts = {"finished": 0, "deferred": 0, "written_off": 0, "left": 0}  # by their names in the log
-        self.slowest_turn = 0.0  # seconds that the slowest message duration since the last report
+        self.slowest_turn = 0.0  # seconds that the slowest message took since the last report
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
@@ -217,7 +218,7 @@
         self._forget_if_finished(pending)
 
     def fail_request(self, request: Request) -> None:
-        """Answer 504 to a request that may have run, or whose deadline has passed."""
+        """Answer 504 to a request that may have run, so that it can't be rejected as safe to retry."""
         pending = self.pending_requests[request]
         self._send_final_response(pending, FinalResponse(GATEWAY_TIMEOUT), "written_off")
         self._forget_if_finished(pending)
@@ -230,22 +231,23 @@
         """Start a health check of an endpoint."""
         now = self.loop.now()
         pool = self.pools.get(endpoint.endpoint_id)
-        deadline = now + self.context.shortest_objective * HEALTH_CHECK_TIMEOUT
+        deadline = now + self.context.shortest_objective * HEALTH_CHECK_TIMEOUT_FRACTION
         self._start_exchange(Exchange(endpoint, pool, now, deadline))
 
     def send_gossip(self, body: bytes) -> None:
         """Send gossip to all peers."""
         context = self.context
-        # Of two processes of one sidecar only the later sends; otherwise peers would count its load twice.
+        # Of two processes of one sidecar only the later one sends; otherwise peers would count the sidecar's
+        # load twice.
         if context.gossip_socket is not None and not (context.stopping and context.passed_socket):
             context.gossip_socket.send(body)
 
     def set_alarm(self, at: float) -> None:
-        """Run the decisions at that time at the latest."""
+        """Call `DecisionScheduler.tick` at the time `at` at the latest."""
         self.alarm_at = min(self.alarm_at, at)
 
     def report_defect(self, request: Request | None, error: Exception) -> None:
-        """Log an error in the decisions and end its request; None means an error in a background task."""
+        """Log an error in the decisions and end its request; None: the error was in a background task."""
         self.context.log.exception("module.defect", error)
         if request is None:
             # Without a restart of the background tasks the endpoint list would never be watched again.
--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -1,7 +1,7 @@
 """Keeps the endpoint list of a sidecar current by one watch, which is reopened when it ends.
 
-Owns the calls to discovery and their schedule; `watch.py` reads the messages of one call. Times are seconds
-on the loop's clock; constants given in intervals are multiples of `KEEPALIVE_INTERVAL`.
+`DiscoveryClient` owns the calls to discovery and their schedule; `watch.py` reads the messages of one call.
+Times are seconds on the loop's clock; constants given in intervals are multiples of `KEEPALIVE_INTERVAL`.
 """
 
 from __future__ import annotations
@@ -38,7 +38,8 @@
 # Changes at discovery count as notified 3 intervals after they are made, whatever calls fail or hang.
 SECOND_CALL_WITHIN = 11 / 4  # intervals within which two calls begin while none is answered, as one may hang
 HANG_THRESHOLD = 5 / 8  # intervals before which an unanswered call does not count as hanging
-FIRST_CALL_WITHIN = SECOND_CALL_WITHIN - HANG_THRESHOLD  # leaves time for one more call
+# Intervals within which the call after the latest one begins: one more call still fits in before the limit.
+FIRST_CALL_WITHIN = SECOND_CALL_WITHIN - HANG_THRESHOLD
 JITTER = 1 / 4  # intervals by which calls begin earlier at random, so that not all sidecars call at once
 
 
@@ -143,9 +144,11 @@
 
     def _begin_call(self) -> None:
         now = self.loop.now()
-        before, self.last_call_at = min(self.last_call_at, now), now
+        previous_call_at, self.last_call_at = min(self.last_call_at, now), now
         self.next_call_at = inf
-        second_call_at = max(before + self._with_jitter(SECOND_CALL_WITHIN), now + self.hang_threshold)
+        second_call_at = max(
+            previous_call_at + self._with_jitter(SECOND_CALL_WITHIN), now + self.hang_threshold
+        )
         self.latest_call_at = min(second_call_at, now + self._with_jitter(FIRST_CALL_WITHIN))
         watch = self._new_watch()
         self.context.log("list.call", address=self.address, version=watch.version)
@@ -197,7 +200,7 @@
     def _adapt_hang_threshold(self, watch: DiscoveryWatch) -> None:
         """Raise the hang threshold after a slow answer.
 
-        A call that waits its turn at a busy discovery does not hang, and no second one is made beside it.
+        A call that waits its turn at a busy discovery does not hang, and no second call is made beside it.
         """
         waited = self.loop.now() - watch.opened_at
         self.hang_threshold = min(
@@ -279,9 +282,10 @@
             self.backoff = min(2 * self.backoff or INITIAL_BACKOFF * KEEPALIVE_INTERVAL, self.max_backoff)
             self.next_call_at = now + self.backoff * (0.5 + self.context.rng.random())
         elif watch.answered:
-            # The decisions would spread their calls over the fleet's interval, and changes missed until then
-            # would count as notified. Silent watches are detected at random times anyway; one that ended
-            # may have ended instead of delivering a change.
+            # The next call is not left to the decisions: they would spread the calls over the fleet's
+            # interval, and changes missed until then would count as notified. A watch that ended is reopened
+            # sooner than a silent one, as it may have ended instead of delivering a change. Silent watches
+            # are detected at random times anyway.
             silent = watch.reason is WatchEndReason.SILENT
             within = REOPEN_WITHIN if silent else REOPEN_ENDED_WITHIN
             self.next_call_at = now + within * KEEPALIVE_INTERVAL * self.context.rng.random()
--- a/starlingwheel/net/discovery/decoder.py
+++ b/starlingwheel/net/discovery/decoder.py
@@ -20,7 +20,7 @@
 
 
 class UnreadableMessageError(Exception):
-    """Input that is not a message; the text says why."""
+    """Input that is not a message; the text of the exception says why."""
 
 
 class MessageDecoder:
@@ -30,7 +30,7 @@
         """Start with no input."""
         self._line = b""  # the last line, which has not ended yet
         self._object = b""  # the lines of an object that has not ended yet
-        self._open_brackets = 0  # of that object
+        self._open_brackets = 0  # number of brackets that are open in `_object`
 
     @property
     def within_object(self) -> bool:
@@ -66,7 +66,7 @@
             try:
                 message = msgspec.json.decode(text, type=DiscoveryMessage)
             except (msgspec.DecodeError, UnicodeDecodeError):
-                pass  # part of an indented object, or unreadable, which is determined below
+                pass  # `_continue_object` determines whether this is part of an indented object or unreadable
             else:
                 if self._object:
                     raise UnreadableMessageError("an object within another")
--- a/starlingwheel/net/discovery/watch.py
+++ b/starlingwheel/net/discovery/watch.py
@@ -1,6 +1,7 @@
 """One call to discovery: opens a watch, reads its messages and passes them to the discovery client.
 
-Owns the connection of the call. Renews the lease of the endpoint list while this is the watch in use.
+`DiscoveryWatch` owns the connection of the call, and renews the lease of the endpoint list while it is the
+watch in use.
 """
 
 from __future__ import annotations
@@ -62,8 +63,8 @@
         self.context, self.address, self.version = context, address, version
         self.answer_timeout, self.silence_timeout = answer_timeout, silence_timeout
         self.stream: Stream | None = None
-        self.reason: CloseReason | WatchEndReason = CloseReason.DEFECT  # why it ended
-        self.error_status = 0  # of the error response that ended it; 0: there was none
+        self.reason: CloseReason | WatchEndReason = CloseReason.DEFECT  # why the watch ended
+        self.error_status = 0  # status of the error response that ended the watch; 0: there was none
         self.answered = False  # the response head has arrived
         self.incomplete_since = 0.0  # when the first bytes of an incomplete message arrived; 0: there is none
         self.complete_message_at = 0.0  # when the first bytes of the last complete message arrived
@@ -195,7 +196,7 @@
         """Record the end of a line; unless it lies within an object, all changes up to now are known."""
         if self.decoder.within_object:
             return
-        # Input after it in the same read belongs to another message, which may be incomplete.
+        # Input after the line in the same read belongs to another message, which may be incomplete.
         self.complete_message_at, self.incomplete_since = self.incomplete_since or self.read_at, 0.0
         if self is self.context.discovery.current_watch:
             self.renew_lease()
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -1,9 +1,9 @@
 """The last check before an attempt is sent: whether it may still begin. Refused attempts are counted.
 
 Time passes between a decision and the first byte: a connection has to be established, a queue to drain, a
-replica to answer. So every attempt, whether first, retry or hedge, every health check and every request on
-a reused connection is checked here right before its first byte, over HTTP/1.1 and HTTP/2 alike. Times are
-seconds on the loop's clock.
+replica to answer. Every attempt, whether first, retry or hedge, every health check and every request on a
+reused connection is therefore checked here right before its first byte, over HTTP/1.1 and HTTP/2 alike.
+Times are seconds on the loop's clock.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
         self.now = now
         self.log = log
         self.refused: Counter[Refusal] = Counter()
-        self.late_writes = 0  # first bytes written later after the check than the lease allows for
+        self.late_writes = 0  # first bytes written more than `PROCESS_DELAY_MARGIN` after the check
         self.stale_rejections = 0  # requests rejected while the lease had expired
         self.violations = 0  # commands of the decisions that break the rules for non-idempotent requests
         self.last_lease_state = LeaseState.FRESH
@@ -77,7 +77,7 @@
     def _repeat_refusal(self, exchange: Exchange) -> Refusal | None:
         """Refuse a retry that was decided on within its deduplication window and would begin after it.
 
-        That happens if a connection is established late, or if the process was suspended.
+        Such a retry occurs if a connection is established late, or if the process was suspended.
         """
         pending = exchange.pending
         if pending is None:
@@ -99,7 +99,8 @@
         """Return why nothing more may be sent for an exchange on account of its request, or None.
 
         In a late turn of the loop a connection may become ready before the client's disconnect, the final
-        response or a timeout has been handled. This also applies to exchanges that may not be cancelled.
+        response or a timeout has been handled. The check also covers exchanges that the settings do not allow
+        to be cancelled.
         """
         if exchange.pending is None:
             return None
--- a/starlingwheel/net/gossip/socket.py
+++ b/starlingwheel/net/gossip/socket.py
@@ -19,9 +19,9 @@
 
     daemon = True
 
-    def __init__(self, context: SidecarContext, number: int) -> None:
-        """Create the actor; `number` is the peer's index among the sidecars."""
-        self.context, self.number = context, number
+    def __init__(self, context: SidecarContext, index: int) -> None:
+        """Create the actor; `index` is the peer's index among the sidecars."""
+        self.context, self.index = context, index
         super().__init__(context.loop)
 
     def run(self) -> Coroutine[None]:
@@ -29,7 +29,7 @@
         while True:
             body = yield None
             if 0 < len(body) <= MAX_DATAGRAM_SIZE:
-                self.context.coordinator.post(GossipReceived(self.number, body))
+                self.context.coordinator.post(GossipReceived(self.index, body))
 
 
 class GossipSocket(Actor):
@@ -41,9 +41,9 @@
         """Create the actor and its peers' actors; `sock` is bound already."""
         self.context, self.sock = context, sock
         self.peers: dict[tuple[str, int], GossipPeer] = {}
-        for number, address in enumerate(context.config.peers):
-            if number != context.balancer_config.sidecar_index:
-                self.peers[split_host_port(address)] = GossipPeer(context, number)
+        for index, address in enumerate(context.config.peers):
+            if index != context.balancer_config.sidecar_index:
+                self.peers[split_host_port(address)] = GossipPeer(context, index)
         self.broadcast_address = (
             split_host_port(context.config.peers_all) if context.config.peers_all else None
         )
--- a/starlingwheel/net/http/client_connection.py
+++ b/starlingwheel/net/http/client_connection.py
@@ -39,7 +39,7 @@
 # Multiple of the idle timeout within which a request without a body has to be complete. The time counts from
 # the connect for the first request on a connection, and from the first byte for each later one.
 REQUEST_TIMEOUT_FACTOR = 1.35
-MIN_UPLOAD_RATE = 48_000  # bytes per second: body bytes received extend that time at this rate
+MIN_UPLOAD_RATE = 48_000  # bytes per second: body bytes received extend the time for the request at this rate
 LINGERING_CLOSE_TIMEOUT = IDLE_TIMEOUT / 4  # seconds that a client has to close after its last response
 # Bytes read from a client that keeps sending after its last response.
 MAX_DISCARDED_INPUT = 4 * MAX_BUFFERED_BODY
@@ -123,7 +123,8 @@
         finally:
             self._release_body(accepted)
             self.context.connections.record_request_complete(self)
-        # A client whose request was invalid has to reconnect: it must not repeat them at full speed.
+        # A client whose request was invalid has to reconnect, so that it can't send invalid requests at full
+        # speed.
         yield from self._respond(status, final, close=final is None and status != 200)
         self.response_count += 1
 
@@ -221,7 +222,7 @@
     def _read_timed_out(self) -> None:
         """End a connection that is idle at its read deadline.
 
-        Raises `InvalidRequestError` for a request that is incomplete then.
+        Raises `InvalidRequestError` for a request that is still incomplete.
         """
         if self.request_started_at is not None:
             raise InvalidRequestError(408, InvalidRequestReason.INCOMPLETE)
@@ -369,7 +370,11 @@
     # Responding and closing.
 
     def _respond(self, status: int, final: FinalResponse | None, close: bool) -> Coroutine[None]:
-        """Write a response; `close` ends the connection after it, which may also end for other reasons."""
+        """Write a response, and prepare for the next request or end the connection.
+
+        The connection ends if `close` is set, if part of the request is unread, during a stop or a drain, and
+        if descriptors are short.
+        """
         http, context = self.stream.http, self.context
         unread = http.their_state is not h11.DONE
         ending = context.stopping or context.draining or self.reason_when_idle is not None
@@ -397,7 +402,7 @@
 
 
 def _stream_error_reason(error: Exception) -> InvalidRequestReason:
-    """Return what is wrong with a request whose body was already being forwarded."""
+    """Return the reason for the error in a request whose body was already being forwarded."""
     match error:
         case ConnectionLostError():
             return InvalidRequestReason(error.reason.value)
--- a/starlingwheel/net/http/endpoint_connection.py
+++ b/starlingwheel/net/http/endpoint_connection.py
@@ -28,7 +28,7 @@
         self.endpoint = pool.endpoint  # as it was when this connection was opened
         self.has_stream = False
         self.exchange_count = 0
-        self.idle_since = 0.0  # 0: it has never been idle
+        self.idle_since = 0.0  # 0: the connection has never been idle
         context.connections.endpoint_connections[self] = None
         context.connections.update_peak()
         super().__init__(context.loop)
--- a/starlingwheel/net/http/http1.py
+++ b/starlingwheel/net/http/http1.py
@@ -31,7 +31,8 @@
     from .pool import ConnectionPool
 
 QUIESCENCE_FRACTION = 1 / 48  # of the shortest latency objective: how late an unsolicited response may arrive
-# Reasons that, before a request was written in full, are no fault of the endpoint: the attempt was not sent.
+# Reasons that are no fault of the endpoint. An attempt that ends for one of them before its request has been
+# written in full counts as not sent.
 NOT_SENT_REASONS = {
     CloseReason.NO_BUFFERS,
     CloseReason.NOT_RELEASED,
@@ -98,7 +99,7 @@
     def undelivered(self, message: object) -> None:
         """Report an exchange as not sent that was assigned while the connection ended.
 
-        That says nothing about the endpoint.
+        The end of the connection says nothing about the endpoint.
         """
         if isinstance(message, StartExchange):
             self.context.coordinator.post(ExchangeEnded(message.exchange, AttemptOutcome.NOT_SENT))
@@ -174,8 +175,8 @@
     def _await_quiescence(self, exchange: Exchange) -> Coroutine[None]:
         """Wait, so that a late second response to the last request is not taken for the response to this one.
 
-        Wait only while such responses are expected. A connection that is not quiescent is used only where
-        there is no room for another.
+        The wait lasts only while such responses are expected. A connection that is not quiescent is used only
+        where there is no room for another.
         """
         quiescent_at = self.idle_since + QUIESCENCE_FRACTION * self.context.shortest_objective
         until = min(quiescent_at, self.context.unsolicited_responses_until)
--- a/starlingwheel/net/http/http2.py
+++ b/starlingwheel/net/http/http2.py
@@ -5,7 +5,7 @@
 
 A request has provably not run if its connection was never established, if its stream was not begun, or if the
 endpoint says so by REFUSED_STREAM or by a GOAWAY that names an earlier stream as the last. From its first
-frame on, it may have run.
+frame on, any other request may have run.
 """
 
 from __future__ import annotations
@@ -52,8 +52,8 @@
     exchange: Exchange
     stream_id: int
     body: BufferedBody  # of the response
-    unsent: list[bytes] = field(default_factory=list)  # of the request's body
-    status: int = 0  # of the response; 0: it has not begun
+    unsent: list[bytes] = field(default_factory=list)  # parts of the request's body
+    status: int = 0  # of the response; 0: the response has not begun
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
 
 
@@ -62,7 +62,8 @@
 
     def __init__(self, context: SidecarContext, pool: ConnectionPool, exchange: Exchange) -> None:
         """Prepare a connection of `pool` for its first exchange; `begin` starts it."""
-        self.waiting: dict[Exchange, None] = {exchange: None}  # for the connection to be writable
+        # Exchanges that wait for the connection to be writable.
+        self.waiting: dict[Exchange, None] = {exchange: None}
         self.streams: dict[int, StreamExchange] = {}
         self.connected = self.closing = False
         self.http = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
@@ -120,7 +121,7 @@
 
     def _run_once(self) -> Coroutine[None]:
         """Write pending data, then handle one socket event or one message."""
-        # No stream is begun while the socket is not writable, as the client may disconnect until it is.
+        # No stream is begun while the socket is not writable: the client may disconnect before it is again.
         while (written := self._flush()) and self.waiting:
             exchange = next(iter(self.waiting))
             del self.waiting[exchange]
@@ -153,7 +154,7 @@
     # Deadlines.
 
     def _next_deadline(self) -> float:
-        exchanges = [*self.waiting, *(one.exchange for one in self.streams.values())]
+        exchanges = [*self.waiting, *(stream_exchange.exchange for stream_exchange in self.streams.values())]
         return min((exchange.deadline for exchange in exchanges), default=inf)
 
     def _end_expired(self) -> None:
@@ -268,7 +269,7 @@
     def _check_first_frame(self, data: bytes) -> None:
         """Raise `ConnectionLostError` for input that is not HTTP/2.
 
-        h2 would take its beginning for the length of a frame, and wait for the rest of that.
+        h2 would take the beginning of such input for the length of a frame, and wait for the rest of it.
         """
         if len(self.first_bytes) <= FRAME_TYPE_OFFSET:
             self.first_bytes += data[: FRAME_TYPE_OFFSET + 1]
--- a/starlingwheel/net/http/listener.py
+++ b/starlingwheel/net/http/listener.py
@@ -37,7 +37,7 @@
             if self._accept_waiting():
                 message = yield None
             else:
-                # Waits instead of spinning while descriptors are used up, until a connection has ended.
+                # While descriptors are used up, waiting avoids a busy loop until a connection has ended.
                 self.loop.unregister(self.sock.fileno())
                 message = yield self._retry_at()
                 self.loop.register(self.sock.fileno(), self, READ)
@@ -60,7 +60,7 @@
         self.more_waiting = False
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self.context.connections.is_exhausted:
-                # Otherwise idle connections would keep new clients waiting until they time out.
+                # Otherwise new clients would have to wait until idle connections time out.
                 self._make_room()
                 return False
             try:
--- a/starlingwheel/net/http/load_report.py
+++ b/starlingwheel/net/http/load_report.py
@@ -15,7 +15,7 @@
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Return the figures that the decisions use, by the names used there.
+    """Return the figures that the decisions use, by the decisions' names for them.
 
     A report that can't be parsed is ignored as a whole: the result is an empty dict.
     """
--- a/starlingwheel/net/http/pool.py
+++ b/starlingwheel/net/http/pool.py
@@ -37,7 +37,7 @@
         self.context, self.endpoint = context, endpoint
         self.idle: list[Http1Connection] = []
         self.multiplexed: list[Http2Connection] = []  # used where the settings allow many exchanges at once
-        # The start and the trace id of the last attempt begun here; 0: there was none.
+        # The start and the trace id of the last exchange begun at this endpoint; 0: there was none.
         self.last_started_at, self.last_trace_id = 0.0, b""
         super().__init__(context.loop)
 
@@ -64,7 +64,7 @@
                     self._update_endpoint(endpoint)
 
     def note_started(self, exchange: Exchange, now: float) -> None:
-        """Record that the first byte of an attempt is about to be written."""
+        """Record that the first byte of an exchange is about to be written."""
         self.last_started_at = now
         self.last_trace_id = exchange.pending.trace_id if exchange.pending is not None else b""
 
@@ -75,8 +75,8 @@
     def remove_idle(self, connection: EndpointConnection) -> None:
         """Remove an idle or shared connection, so that it is assigned no further exchange."""
         self.context.connections.idle_endpoint_connections.pop(connection, None)
-        both: tuple[list[Any], list[Any]] = (self.idle, self.multiplexed)
-        for connections in both:
+        groups: tuple[list[Any], list[Any]] = (self.idle, self.multiplexed)
+        for connections in groups:
             if connection in connections:
                 connections.remove(connection)
 
@@ -144,7 +144,7 @@
         self.endpoint = endpoint or before
 
     def _log_endpoint_change(self, endpoint: DiscoveredEndpoint | None) -> None:
-        """Log the last attempt that was begun, which shows whether any was begun after the notification."""
+        """Log the last exchange that was begun; it shows whether any was begun after discovery's notice."""
         self.context.log(
             "upstream.moved",
             upstream=self.endpoint.id,
--- a/starlingwheel/net/http/request_parser.py
+++ b/starlingwheel/net/http/request_parser.py
@@ -53,8 +53,8 @@
 ) -> PendingRequest:
     """Return the pending request of a client. Raises `InvalidRequestError`.
 
-    `received_at` is the time at which its last byte was read; it is ignored while the body is
-    incomplete.
+    `received_at` is the time at which the last byte of the request was read. While the body is incomplete,
+    that time is ignored.
     """
     headers = _headers_by_name(request)
     trace_id = headers.get(b"x-trace-id", b"")
@@ -114,7 +114,7 @@
 
 
 def _implied_retry_safety(method: bytes, headers: dict[bytes, bytes]) -> RetrySafety:
-    """Return the retry safety that a request implies, by which one of several classes of a name is chosen."""
+    """Return the retry safety that a request implies; it selects among the classes of one name."""
     if method == b"GET":
         return RetrySafety.IDEMPOTENT
     return RetrySafety.IDEMPOTENT_WITH_KEY if headers.get(b"idempotency-key") else RetrySafety.NON_IDEMPOTENT
--- a/starlingwheel/net/http/request_writer.py
+++ b/starlingwheel/net/http/request_writer.py
@@ -131,7 +131,7 @@
             raise ConnectionLostError(CloseReason.CANCELLED)
 
     def _check_not_rejected(self, exchange: Exchange, ready: SocketReady) -> None:
-        """Raise `ConnectionLostError` if a response has already arrived, as the rest is then useless."""
+        """Raise `ConnectionLostError` if a response has arrived: the rest of the request is useless."""
         if ready.mask & INPUT and not exchange.written:
             raise ConnectionLostError(CloseReason.RESET if ready.hung_up else CloseReason.REJECTED_EARLY)
 
--- a/starlingwheel/net/http/stream.py
+++ b/starlingwheel/net/http/stream.py
@@ -26,7 +26,7 @@
 
 
 def has_conflicting_lengths(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Return whether a message has both framings, which would allow request smuggling."""
+    """Return whether a message has both Content-Length and Transfer-Encoding, as in request smuggling."""
     names = {name for name, _ in headers}
     return b"transfer-encoding" in names and b"content-length" in names
 
@@ -182,14 +182,14 @@
         self.pause()
         self.unwritten = []
         self.sock.close()
-        del self.actor  # breaks a reference cycle, which would last until a garbage collection
+        del self.actor  # breaks a reference cycle, which would keep both until a garbage collection
 
 
 def connect(address: str, source: str = "") -> socket.socket:
     """Return a socket that is connecting to `address`.
 
-    Once the socket is writable, `Stream.check_connected` tells whether that succeeded. `source` is the local
-    address to connect from, if it matters. Raises `ConnectionLostError`.
+    Once the socket is writable, `Stream.check_connected` tells whether the connection is established.
+    `source` is the local address to connect from, if it matters. Raises `ConnectionLostError`.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/starlingwheel/net/http/timing.py
+++ b/starlingwheel/net/http/timing.py
@@ -7,12 +7,11 @@
 if TYPE_CHECKING:
     from ..context import SidecarContext
 
-# Fraction of the time after which an endpoint closes an idle connection: the sidecar closes it before that.
+# Fraction of the endpoints' idle timeout after which the sidecar closes an idle connection, before they do.
 IDLE_TIMEOUT_FRACTION = 0.8
 CONNECT_TIMEOUT_FRACTION = 1 / 4  # of the shortest latency objective
-FAULT_RECURRENCE_TIMEOUTS = (
-    8.0  # longest request timeouts: for so long a fault of a connection may happen again
-)
+# Time for which a fault of a connection may recur, as a multiple of the longest request timeout.
+FAULT_RECURRENCE_TIMEOUTS = 8.0
 
 
 def connect_deadline(context: SidecarContext, now: float) -> float:
--- a/starlingwheel/net/http/upstream_response.py
+++ b/starlingwheel/net/http/upstream_response.py
@@ -41,8 +41,8 @@
     """Return the length of the body that a response declares, or None if it declares none.
 
     Raises `ConnectionLostError` for a body whose end can't be determined, or that is too long to be
-    forwarded. A body that ends with its connection has to announce that: otherwise its head may have been
-    corrupted.
+    forwarded. A response whose body ends with the connection has to announce the end of the connection:
+    otherwise its head may have been corrupted.
     """
     lengths = [value for name, value in response.headers if name == b"content-length"]
     chunked = any(name == b"transfer-encoding" for name, _ in response.headers)
@@ -97,7 +97,7 @@
 
 
 class ResponseReader:
-    """Reads one response; owns its body until that is passed to the client."""
+    """Reads one response; owns the body until it is passed to the client."""
 
     __slots__ = ("context", "stream", "exchange", "on_relay", "head", "headers", "length", "body", "relay")
 
@@ -114,7 +114,7 @@
         self.headers: dict[bytes, bytes] = {}
         self.length: int | None = None
         self.body = BufferedBody(context.buffer_pool)
-        self.relay: BodyStream | None = None  # replaces `body` if that is too long to buffer
+        self.relay: BodyStream | None = None  # replaces `body` once the body is passed on while it arrives
 
     def read(self) -> Coroutine[h11.Response]:
         """Read the response and return its head; the body is then in `body` or has been relayed.
@@ -162,7 +162,8 @@
     def _begin_relay(self) -> None:
         """Pass the body to the client while it arrives.
 
-        Its first bytes are the final response, so from now on only the endpoint or the client can end it.
+        With its first bytes this is the final response, which from now on only the endpoint or the client can
+        end.
         """
         exchange, head = self.exchange, self.head
         if head is None or exchange.pending is None:
@@ -194,7 +195,7 @@
     def _check_prefix(self) -> None:
         """Raise `ConnectionLostError` for input that is not HTTP.
 
-        Without a line end in it, h11 would wait for more indefinitely.
+        h11 would wait indefinitely for the end of the line.
         """
         received = self.stream.http.trailing_data[0]
         if not received.startswith(VERSION_PREFIX[: len(received)]):
@@ -216,7 +217,7 @@
             self.stream.read()
 
     def _relay_deadline(self) -> float:
-        """Return the time at which relaying a response of unknown length begins, as it may be a long one.
+        """Return the time at which relaying a response of unknown length begins, as the response may be long.
 
         A response whose first bytes arrive in time is then not given up as late.
         """
--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -69,8 +69,8 @@
 ) -> tuple[SidecarConfig, BalancerConfig]:
     """Read the configuration that is to replace `before`; raises `ConfigError`.
 
-    The file may be half written or half edited. So it must have every key that it had before; otherwise a
-    missing key would silently reset its value to the default.
+    The file may be half written or half edited. It must therefore have every key that it had before;
+    otherwise a missing key would silently reset its value to the default.
     """
     config, path = _read(environment), environment["EDGE_CONFIG"]
     try:
@@ -163,22 +163,22 @@
     return isfinite(value) and value > 0
 
 
-def _missing_keys(before: dict[str, Any], now: dict[str, Any]) -> Iterator[str]:
+def _missing_keys(before: dict[str, Any], after: dict[str, Any]) -> Iterator[str]:
     for key, value in before.items():
-        new_value = now.get(key)
+        new_value = after.get(key)
         if new_value is None and value is not None:
             yield key
         elif isinstance(value, dict):
             inner_keys = _missing_keys(value, new_value if isinstance(new_value, dict) else {})
             yield from (f"{key}.{inner}" for inner in inner_keys)
-        elif value and isinstance(value, list) and all(isinstance(one, dict) for one in value):
+        elif value and isinstance(value, list) and all(isinstance(entry, dict) for entry in value):
             yield from _missing_in_list(key, value, new_value if isinstance(new_value, list) else [])
 
 
-def _missing_in_list(key: str, before: list[dict[str, Any]], now: list[object]) -> Iterator[str]:
-    """Yield the keys that all entries of a list had and an entry lacks now, such as a class's `expiry`."""
+def _missing_in_list(key: str, before: list[dict[str, Any]], after: list[object]) -> Iterator[str]:
+    """Yield the keys that all entries of a list had and an entry lacks, such as a class's `expiry`."""
     common = set.intersection(*(set(entry) for entry in before))
-    for index, entry in enumerate(now):
+    for index, entry in enumerate(after):
         present = {k for k, v in entry.items() if v is not None} if isinstance(entry, dict) else set()
         for inner in sorted(common - present):
             yield f"{key}[{index}].{inner}"
--- a/starlingwheel/net/lifecycle/log.py
+++ b/starlingwheel/net/lifecycle/log.py
@@ -1,6 +1,6 @@
 """The log: one JSON line per event on standard output.
 
-If the reader is slow or has closed the pipe, lines are lost; the sidecar is never blocked or ended by it.
+If the reader is slow or has closed the pipe, lines are lost; its log never blocks or ends the sidecar.
 """
 
 from __future__ import annotations
--- a/starlingwheel/net/lifecycle/shutdown.py
+++ b/starlingwheel/net/lifecycle/shutdown.py
@@ -9,8 +9,8 @@
 from ..context import SidecarContext
 from ..messages import STOP
 
-LINGER = 0.6  # seconds for which clients are still served after a stop, because they notice it late
-# How often per latency objective idle clients are disconnected during a stop and during a drain.
+LINGER = 0.6  # seconds for which clients are still served after a stop, because they notice the stop late
+# How many times per shortest latency objective idle clients are disconnected, in a stop and in a drain.
 STOP_POLLS_PER_OBJECTIVE = 64
 DRAIN_POLLS_PER_OBJECTIVE = 16
 
--- a/starlingwheel/net/lifecycle/sidecar.py
+++ b/starlingwheel/net/lifecycle/sidecar.py
@@ -75,7 +75,7 @@
         context = self.context
         if not context.config.peer_listen or not context.balancer_config.gossip_allowed:
             return None
-        # While a process is replaced both are bound to the address, and the later one receives.
+        # While one process replaces another, both are bound to the address, and the later one receives.
         reuse_address = bool(context.passed_socket)
         sock = bind_socket(socket.SOCK_DGRAM, context.config.peer_listen, reuse_address)
         return GossipSocket(context, sock)
--- a/starlingwheel/net/lifecycle/signals.py
+++ b/starlingwheel/net/lifecycle/signals.py
@@ -34,7 +34,8 @@
 
     def begin(self) -> None:
         """Handle signals from now on, starting with those that __main__.py blocked during the start."""
-        # Without a handler a signal would end the process. The interpreter writes its number to the socket.
+        # Without a handler a signal would end the process. The interpreter writes the signal's number to the
+        # socket.
         for number in HANDLED_SIGNALS:
             signal.signal(number, lambda *_: None)
         signal.set_wakeup_fd(self.sender.fileno(), warn_on_full_buffer=False)
--- a/starlingwheel/net/loop.py
+++ b/starlingwheel/net/loop.py
@@ -34,8 +34,8 @@
     mailbox: deque[Any]
     queued: bool
     ended: bool
-    wake_at: float  # when to resume it without a message
-    timer_at: float  # when its earliest timer in the heap is due
+    wake_at: float  # when the actor is resumed without a message
+    timer_at: float  # when the actor's earliest timer in the heap is due
     ref: ref[Any]
 
     def post(self, message: object) -> None:
@@ -78,7 +78,7 @@
         self.timers: list[tuple[float, int, ref[Schedulable]]] = []
         self.timer_count = 0
         self.running = False
-        self.max_timer_delay = 0.0  # seconds by which a timer ran late, at most, since the last report
+        self.max_timer_delay = 0.0  # the longest delay of a timer since the last report, in seconds
         self.after_turn: Callable[[], None] = lambda: None
 
     def now(self) -> float:
@@ -194,7 +194,7 @@
             heapq.heappush(self.timers, (actor.wake_at, self.timer_count, actor.ref))
 
     def queue(self, actor: Schedulable) -> None:
-        """Run the actor in the next turn."""
+        """Queue the actor, so that its messages are delivered in this turn or the next one."""
         if not actor.queued and not actor.ended:
             actor.queued = True
             (self.priority_queue if actor.priority else self.run_queue).append(actor)
--- a/starlingwheel/net/messages.py
+++ b/starlingwheel/net/messages.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestBodyComplete:
-    """To the coordinator: the last byte has arrived of a request that was received while incomplete."""
+    """To the coordinator: the body is complete of a request that was passed on while it still arrived."""
 
     pending: PendingRequest
 
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, eq=False)
 class GossipReceived:
-    """To the coordinator: a datagram of the peer with that index."""
+    """To the coordinator: a gossip datagram of the peer with the index `peer`."""
 
     peer: int
     body: bytes
@@ -138,7 +138,7 @@
 
 @dataclass(slots=True, eq=False)
 class WatchAnswered:
-    """To the discovery client: the response to a call has begun, so the call is not stuck."""
+    """To the discovery client: the response to a call has begun, so the call does not hang."""
 
     watch: Any
 
@@ -159,7 +159,10 @@
 
 
 class Close:
-    """To an idle connection or an admin call: close, to free the descriptor or because it can't be reused."""
+    """To a connection, a link, an admin call or a watch: close, since its descriptor is needed or it is not.
+
+    No exchange is broken off, nor a request that has been received completely.
+    """
 
 
 WATCH_ENDPOINTS = WatchEndpoints()
--- a/starlingwheel/net/state/body_stream.py
+++ b/starlingwheel/net/state/body_stream.py
@@ -11,7 +11,7 @@
 
 
 class BodyStreamChanged:
-    """To either end of a stream: there are bytes to take, or there is room for more, or it has ended."""
+    """To either end of a stream: bytes can be taken or added again, or the stream has ended."""
 
 
 BODY_STREAM_CHANGED = BodyStreamChanged()
@@ -57,7 +57,7 @@
         self.total = received.length  # bytes that have arrived
         self.taken = 0  # bytes that the sink has taken
         self.ended = False  # the source has added the last byte
-        self.aborted = False  # the source has aborted it
+        self.aborted = False  # the source has aborted the stream
         self.cancelled = False  # the sink wants no more bytes
         self.sink_notified = False  # the sink has a `BodyStreamChanged` that it has not handled
 
--- a/starlingwheel/net/state/buffers.py
+++ b/starlingwheel/net/state/buffers.py
@@ -70,23 +70,23 @@
 
     def add(self, data: bytes | bytearray) -> None:
         """Append a copy of the bytes; raises `BuffersExhaustedError` after appending only a part of them."""
-        rest = memoryview(data)
-        while rest:
+        remaining = memoryview(data)
+        while remaining:
             start = self.length % BUFFER_SIZE
             if start == 0:
                 self.buffers.append(self.pool.acquire())
-            part = rest[: BUFFER_SIZE - start]
+            part = remaining[: BUFFER_SIZE - start]
             self.buffers[-1][start : start + len(part)] = part
             self.length += len(part)
-            rest = rest[len(part) :]
+            remaining = remaining[len(part) :]
 
     def views(self) -> list[memoryview]:
         """Return the body as views of its buffers, valid until `release`."""
-        rest = self.length
+        remaining = self.length
         views = []
         for buffer in self.buffers:
-            views.append(memoryview(buffer)[: min(rest, BUFFER_SIZE)])
-            rest -= BUFFER_SIZE
+            views.append(memoryview(buffer)[: min(remaining, BUFFER_SIZE)])
+            remaining -= BUFFER_SIZE
         return views
 
     def release(self) -> None:
--- a/starlingwheel/net/state/connections.py
+++ b/starlingwheel/net/state/connections.py
@@ -35,8 +35,8 @@
     def set_limit(self, max_descriptors: int, processes: int = 1) -> None:
         """Change the limit to `max_descriptors` for `processes` processes of one sidecar together.
 
-        Clients need no more descriptors with two processes than with one, and move to the new process all at
-        once. So only the endpoints' part is divided among the processes.
+        Only the endpoints' part is divided among the processes: clients need no more descriptors with two
+        processes than with one, and move to the new process all at once.
         """
         self.reserve = max(MIN_RESERVE, int(max_descriptors * RESERVE_SHARE))
         self.admin_call_limit = 0
@@ -76,7 +76,8 @@
         """Return a client to close, so that silent clients do not shut out others, or None if there is room.
 
         A client that has connected since `connected_before` is likely to send its request soon, so it is
-        chosen last. A slow request that has begun is not closed in favour of one that may never begin.
+        chosen last. Clients that have been silent for longer are chosen before those whose first request is
+        incomplete: a slow request is not closed in favour of one that may never begin.
         """
         if len(self.clients) < self.client_limit:
             return None
--- a/starlingwheel/net/state/overrides.py
+++ b/starlingwheel/net/state/overrides.py
@@ -27,9 +27,10 @@
 class StoredOverrides(msgspec.Struct):
     """The content of the file; the names given to the fields are the keys of its JSON."""
 
-    # Drained endpoints by id, each with the start time that discovery listed then.
+    # Drained endpoints by id, each with the start time that discovery listed when it was drained.
     drained: dict[str, float | None] = msgspec.field(default_factory=dict, name="out")
-    # Restored endpoints by id: that start time, and the time of the restoring, in milliseconds.
+    # Restored endpoints by id: the start time listed when it was drained, and the time of the restoring, in
+    # milliseconds.
     restored: dict[str, tuple[float | None, float]] = msgspec.field(default_factory=dict, name="back")
     known_ids: list[str] = msgspec.field(default_factory=list, name="known")  # ever listed
     sidecar_draining: bool = msgspec.field(default=False, name="lameduck")
@@ -145,7 +146,7 @@
         if entry.id in self.stored.restored:
             start_when_drained, restored_at = self.stored.restored[entry.id]
             if entry.started_ms == start_when_drained:
-                # It may have restarted without discovery knowing, so it goes through slow start.
+                # The endpoint may have restarted without discovery knowing, so it goes through slow start.
                 return msgspec.structs.replace(entry, started_ms=restored_at)
         return entry
 
@@ -154,13 +155,16 @@
             self.known_ids[endpoint_id] = None
         if len(self.known_ids) <= MAX_KNOWN_IDS:
             return
-        in_use = {one for one in self.known_ids if one in self.discovered or one in self.stored.drained}
-        others = [one for one in self.known_ids if one not in in_use]
-        kept = [one for one in self.known_ids if one in in_use]
+        in_use = {
+            known for known in self.known_ids if known in self.discovered or known in self.stored.drained
+        }
+        others = [known for known in self.known_ids if known not in in_use]
+        kept = [known for known in self.known_ids if known in in_use]
         self.known_ids = dict.fromkeys([*others[-MAX_KNOWN_IDS // 2 :], *kept])
 
     # Operators' commands. Each returns the endpoints that it changed, or None for an id that was never
-    # listed. It raises `OverridesLockedError`, or OSError if the file can't be written; nothing changes then.
+    # listed. Each raises `OverridesLockedError`, or OSError if the file can't be written, and then changes
+    # nothing.
 
     def drain_endpoint(self, endpoint_id: str) -> list[DiscoveredEndpoint] | None:
         """Drain an endpoint."""
@@ -202,14 +206,14 @@
         with self.file.lock():
             overrides = msgspec.convert(msgspec.to_builtins(self.file.read(self.stored)), StoredOverrides)
             change(overrides)
-            # After this time a restored endpoint has finished slow start; it need not be remembered longer.
+            # After `RESTORED_RETENTION` a restored endpoint has finished slow start; it is then forgotten.
             oldest = (self.now() - RESTORED_RETENTION) * 1000
             overrides.restored = {
                 endpoint_id: (start, restored_at)
                 for endpoint_id, (start, restored_at) in overrides.restored.items()
                 if restored_at > oldest
             }
-            self._remember_ids(one for one in overrides.known_ids if one not in self.known_ids)
+            self._remember_ids(known for known in overrides.known_ids if known not in self.known_ids)
             overrides.known_ids = list(self.known_ids)
             self.file.write(overrides)
             self.has_unstored_ids = False
@@ -218,7 +222,7 @@
     def _adopt(self, overrides: StoredOverrides) -> list[DiscoveredEndpoint]:
         before = {endpoint_id: self.effective(entry) for endpoint_id, entry in self.discovered.items()}
         self.stored = overrides
-        self._remember_ids(one for one in overrides.known_ids if one not in self.known_ids)
+        self._remember_ids(known for known in overrides.known_ids if known not in self.known_ids)
         after = {endpoint_id: self.effective(entry) for endpoint_id, entry in self.discovered.items()}
         return [entry for endpoint_id, entry in after.items() if entry != before[endpoint_id]]
 
--- a/starlingwheel/net/state/requests.py
+++ b/starlingwheel/net/state/requests.py
@@ -43,7 +43,7 @@
     trace_id: bytes
     awaits_response: bool = True  # its client is still waiting for the final response
     may_have_run: bool = False  # an attempt that has ended may have had an effect
-    first_may_have_run_at: float = inf  # when the first such attempt was sent
+    first_may_have_run_at: float = inf  # when the first such attempt was started
     exchanges: dict[Attempt, Exchange] = field(default_factory=dict)
 
     @property
@@ -63,7 +63,9 @@
     attempt: Attempt | None = None
     pending: PendingRequest | None = None
     connection: Mailbox | None = None  # the connection that the pool has assigned to it
-    written: bool = False  # its first bytes have been written
+    # Whether the endpoint may have run the request: from its last byte on over HTTP/1.1, from its first frame
+    # on over HTTP/2.
+    written: bool = False
     admitted_at: float = 0.0  # when the gate admitted it; 0: not yet, or its first byte has been written
 
     @property
@@ -78,7 +80,7 @@
         if self.attempt is None or self.pending is None:
             return
         self.started_at = self.attempt.started_at = now
-        # The decisions time it out; if they may not cancel it, this deadline ends it.
+        # The decisions time the attempt out; if they may not cancel it, this deadline ends the exchange.
         self.deadline = min(self.deadline, now + self.pending.request.time_left)
 
     @property
--- a/starlingwheel/simulator/process.py
+++ b/starlingwheel/simulator/process.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         """Start without any sidecars."""
         self.sidecars: dict[str, SimulatedSidecar | None] = {}  # None: killed
-        self.lists: dict[int, list[Endpoint]] = {}
+        self.endpoint_lists: dict[int, list[Endpoint]] = {}
         self.now = 0.0  # seconds
         self.line_number = 0
 
@@ -78,7 +78,7 @@
                     f"line {self.line_number}: SHEET: expected UPSTREAM, got {entry.name!r}"
                 )
             endpoints.append(entry.endpoint())
-        self.lists[number] = endpoints
+        self.endpoint_lists[number] = endpoints
 
     def _handle(self, name: str, line: SimulatorLine, addressed: dict[str, SimulatedSidecar]) -> None:
         if line.name == LineName.SIDECAR_KILLED:
@@ -94,7 +94,7 @@
             addressed[name] = sidecar
             sidecar.scheduler.set_time(self.now)
         if line.name != LineName.SIDECAR_STARTED:
-            sidecar.handle(line, self.lists)
+            sidecar.handle(line, self.endpoint_lists)
 
     def _started_sidecar(self, name: str, line: SimulatorLine) -> SimulatedSidecar:
         sidecar = self.sidecars.get(name)
--- a/starlingwheel/simulator/sidecar.py
+++ b/starlingwheel/simulator/sidecar.py
@@ -43,22 +43,22 @@
 
     # Events.
 
-    def handle(self, line: SimulatorLine, lists: Mapping[int, list[Endpoint]]) -> None:
+    def handle(self, line: SimulatorLine, endpoint_lists: Mapping[int, list[Endpoint]]) -> None:
         """Pass one event to the decisions. Raises `MalformedMessageError`.
 
-        `lists`: the endpoint lists by the number that events use to refer to them.
+        `endpoint_lists`: the lists by the number that events use to refer to them.
         """
         if line.name == LineName.ENDPOINTS_CHANGED:
-            self._endpoints_changed(line, lists)
+            self._endpoints_changed(line, endpoint_lists)
             return
         handler = self._HANDLERS.get(line.name)
         if handler is None:
             raise line.error("unknown event")
         handler(self, line)
 
-    def _endpoints_changed(self, line: SimulatorLine, lists: Mapping[int, list[Endpoint]]) -> None:
+    def _endpoints_changed(self, line: SimulatorLine, endpoint_lists: Mapping[int, list[Endpoint]]) -> None:
         event = line.watch_event
-        endpoints = [] if event is WatchEvent.FAILED else line.endpoint_list(lists)
+        endpoints = [] if event is WatchEvent.FAILED else line.endpoint_list(endpoint_lists)
         self.scheduler.endpoints_changed(event, endpoints)
         if not self._started:
             self._started = True
--- a/starlingwheel/simulator/wire.py
+++ b/starlingwheel/simulator/wire.py
@@ -1,7 +1,8 @@
 """The simulator's wire format: lines of `NAME field=value ...`, times in microseconds.
 
-The only module that contains the names used on this wire. `SimulatorLine` decodes an input line; its
-properties have the names and units of the decisions (seconds). The `encode_...` functions encode the reply.
+This is the only module that contains the names used in the format. `SimulatorLine` decodes an input line;
+its properties have the names and units of the decisions (seconds). The `encode_...` functions encode the
+reply.
 """
 
 from __future__ import annotations
@@ -164,9 +165,9 @@
         """The kind of endpoint change."""
         return self._read("scope", WATCH_EVENTS.__getitem__)
 
-    def endpoint_list(self, lists: Mapping[int, list[Endpoint]]) -> list[Endpoint]:
+    def endpoint_list(self, endpoint_lists: Mapping[int, list[Endpoint]]) -> list[Endpoint]:
         """Return the list that the line refers to."""
-        return self._read("bank", lambda number: lists[int(number)])
+        return self._read("bank", lambda number: endpoint_lists[int(number)])
 
     @property
     def endpoint_id(self) -> str:
@@ -218,7 +219,7 @@
 
     @property
     def affinity_key(self) -> str:
-        """The key of a request that determines its preferred endpoint; empty if there is none."""
+        """The key of a request that determines its preferred cell; empty if there is none."""
         return self.fields.get("affinity", "")
 
     @property
