--- a/starlingwheel/decisions/endpoint_set.py
+++ b/starlingwheel/decisions/endpoint_set.py
@@ -77,7 +77,7 @@
         self.stale = False
         # The order differs between sidecars, so that their subsets keep the number of connections to each
         # endpoint within what the endpoint accepts.
-        ordered = sorted(self.by_id.values(), key=self._order)
+        ordered = sorted(self.by_id.values(), key=self._sort_key)
         ready = [stats for stats in ordered if stats.entry.state is EndpointState.READY]
         self.by_tag = {stats.gossip_tag: stats for stats in self.by_id.values()}
         self.on_refresh()
@@ -88,16 +88,16 @@
             cell = stats.entry.cell
             self.cell_weights[cell] = self.cell_weights.get(cell, 0.0) + stats.capacity_weight
         for group in (self.local, self.remote) if self.subset_size else ():
-            self._rank(group)
+            self._set_ranks(group)
         self.remote_zones = list({stats.entry.zone: stats for stats in self.remote}.values())
         weights = sum(stats.capacity_weight for stats in ordered)
         self.mean_weight = weights / len(ordered) if ordered else 1.0
 
-    def _order(self, stats: EndpointStats) -> tuple[int, str]:
+    def _sort_key(self, stats: EndpointStats) -> tuple[int, str]:
         endpoint_id = stats.endpoint_id
         return zlib.crc32(endpoint_id.encode(), self.subset_salt) if self.subset_size else 0, endpoint_id
 
-    def _rank(self, group: list[EndpointStats]) -> None:
+    def _set_ranks(self, group: list[EndpointStats]) -> None:
         """Set the rank of each endpoint of a group and how many sidecars may send to it."""
         # How many sidecars may send to one endpoint of the group: the mean plus three standard deviations.
         sharing = self.config.sidecars * min(1.0, self.subset_width / max(1, len(group)))
--- a/starlingwheel/decisions/endpoint_stats.py
+++ b/starlingwheel/decisions/endpoint_stats.py
@@ -56,7 +56,8 @@
         self.relative_times: Histogram | None = None
         # gossip
         self.gossip_in_flight = InFlightEstimator(now)
-        # slow_start
+        # slow_start: the phase is the time since this sidecar's turn to send began, negative before the turn,
+        # in units of the time between the sidecar's requests; each attempt subtracts the cycle from the phase
         self.slow_start_sends: list[float] = []
         self.slow_start_updated_at: float = now
         self.slow_start_phase = self.slow_start_cycle = 0.0
--- a/starlingwheel/decisions/selection.py
+++ b/starlingwheel/decisions/selection.py
@@ -174,9 +174,9 @@
 
         Their weights are scaled up to stand for the endpoints that a sample or a subset leaves out.
         """
-        pool = self._pool(group, search)
+        allowed = self._allowed_endpoints(group, search)
         subset_size = self.endpoints.subset_size
-        sampled = self._sample(pool, search)
+        sampled = self._sample(allowed, search)
         candidates: list[Candidate] = []
         considered = 0
         for stats in sampled:
@@ -191,7 +191,7 @@
                 candidates.append(candidate)
         if not candidates:
             return candidates
-        scale = len(pool) / (len(candidates) if subset_size else len(sampled))
+        scale = len(allowed) / (len(candidates) if subset_size else len(sampled))
         if scale == 1:
             return candidates
         return [
@@ -199,7 +199,7 @@
             for candidate in candidates
         ]
 
-    def _pool(self, group: list[EndpointStats], search: Search) -> list[EndpointStats]:
+    def _allowed_endpoints(self, group: list[EndpointStats], search: Search) -> list[EndpointStats]:
         """Return the endpoints of a group that zone shares and the deduplication scope allow."""
         if search.excluded_zones:
             group = [stats for stats in group if stats.entry.zone not in search.excluded_zones]
@@ -209,15 +209,15 @@
         wanted = getattr(search.scope_endpoint, scope)
         return [stats for stats in group if getattr(stats.entry, scope) == wanted]
 
-    def _sample(self, pool: list[EndpointStats], search: Search) -> list[EndpointStats]:
-        """Return a sample of a pool, which includes all endpoints of the preferred cell."""
-        if self.endpoints.subset_size or len(pool) <= MAX_CANDIDATES:
-            return pool
-        sample = self.rng.sample(pool, MAX_CANDIDATES)
+    def _sample(self, allowed: list[EndpointStats], search: Search) -> list[EndpointStats]:
+        """Return a sample of the allowed endpoints, which includes all those of the preferred cell."""
+        if self.endpoints.subset_size or len(allowed) <= MAX_CANDIDATES:
+            return allowed
+        sample = self.rng.sample(allowed, MAX_CANDIDATES)
         cell = search.request.preferred_cell
         if cell is None:
             return sample
-        return list(dict.fromkeys([stats for stats in pool if stats.entry.cell == cell] + sample))
+        return list(dict.fromkeys([stats for stats in allowed if stats.entry.cell == cell] + sample))
 
     def _evaluate(self, stats: EndpointStats, search: Search) -> Candidate | None:
         """Return an endpoint as a candidate with its weight; None if it is too slow or too full."""
--- a/starlingwheel/net/admin/call.py
+++ b/starlingwheel/net/admin/call.py
@@ -55,13 +55,13 @@
             endpoint_id, reason, body = "", "", b""
             status: int = HTTPStatus.OK
             try:
-                request, request_body = yield from self._read(opened_at + READ_TIMEOUT)
+                request, request_body = yield from self._read_request(opened_at + READ_TIMEOUT)
                 target = f"{request.method.decode()} {request.target.decode('latin-1')}"
-                endpoint_id, body = yield from self._handle(request, request_body)
+                endpoint_id, body = yield from self._run_handler(request, request_body)
             except CallRejectedError as rejected:
                 status, reason, body = rejected.status, rejected.reason, rejected.body
             self._log(target, endpoint_id, status, reason, opened_at)
-            yield from self._write(status, body)
+            yield from self._write_response(status, body)
         except ConnectionLostError as lost:
             self.context.log("operator.left", call=target, reason=lost.reason)
         except GeneratorExit:
@@ -82,7 +82,7 @@
 
     # The request.
 
-    def _read(self, until: float) -> Coroutine[tuple[h11.Request, bytes]]:
+    def _read_request(self, until: float) -> Coroutine[tuple[h11.Request, bytes]]:
         request, body = None, b""
         self.stream.wait_for(READ)
         while True:
@@ -101,7 +101,7 @@
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionLostError(CloseReason.ADMIN_CLIENT_LEFT)
             else:
-                yield from self._receive(until, begun=request is not None)
+                yield from self._receive_more(until, begun=request is not None)
 
     def _next_event(self) -> object:
         try:
@@ -114,7 +114,7 @@
         if len(body) > (route.max_body_size if route else MAX_BODY_SIZE):
             raise CallRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too long")
 
-    def _receive(self, until: float, begun: bool) -> Coroutine[None]:
+    def _receive_more(self, until: float, begun: bool) -> Coroutine[None]:
         """Wait for more of the request, at the latest until `until`."""
         self.stream.send_continue()
         message = yield until
@@ -128,7 +128,7 @@
 
     # The response.
 
-    def _handle(self, request: h11.Request, body: bytes) -> Coroutine[AdminResult]:
+    def _run_handler(self, request: h11.Request, body: bytes) -> Coroutine[AdminResult]:
         """Run the handler; retry it while another process holds the lock of the overrides file."""
         until = self.loop.now() + HANDLER_TIMEOUT
         route = self._route(request)
@@ -154,7 +154,7 @@
             raise CallRejectedError(HTTPStatus.METHOD_NOT_ALLOWED, "wrong method")
         return route
 
-    def _write(self, status: int, body: bytes) -> Coroutine[None]:
+    def _write_response(self, status: int, body: bytes) -> Coroutine[None]:
         if self.stream.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return  # the input was not HTTP at all, and h11 can't answer it
         headers = [(b"Content-Length", str(len(body)).encode()), (b"Connection", b"close")]
--- a/starlingwheel/net/context.py
+++ b/starlingwheel/net/context.py
@@ -199,7 +199,11 @@
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether requests are accepted: an endpoint list is known, and the process is not stopping."""
+        """Whether requests are accepted.
+
+        An endpoint list has to be known, and a member has to have joined its fleet. A process that is
+        stopping accepts no requests.
+        """
         return self.coordinator.has_endpoints and not self.stopping and self._fleet_joined
 
     @property
--- a/starlingwheel/net/discovery/client.py
+++ b/starlingwheel/net/discovery/client.py
@@ -229,7 +229,7 @@
         now = self.loop.now()
         self._update_lease(watch, now)
         if watch in (self.second_watch, self._pending_watch):
-            self._schedule_after(watch, now)
+            self._limit_next_call(watch, now)
         if watch is self.second_watch:
             self.second_watch = None
         elif watch is not self._pending_watch:
@@ -240,9 +240,9 @@
             self.second_watch = None
         else:
             self._pending_watch = None
-            self._reopen(watch)
+            self._schedule_reopening(watch)
 
-    def _schedule_after(self, watch: DiscoveryWatch, now: float) -> None:
+    def _limit_next_call(self, watch: DiscoveryWatch, now: float) -> None:
         """Set the latest time at which the next call begins."""
         if watch.answered or watch.reason is CloseReason.CONNECT_REFUSED:
             # All changes until then are known, or discovery could not be reached until then.
@@ -264,7 +264,7 @@
                 lease.note_watch_ended(now, reset=watch.reason is CloseReason.RESET)
         self.context.gate.update_lease_state()
 
-    def _reopen(self, watch: DiscoveryWatch) -> None:
+    def _schedule_reopening(self, watch: DiscoveryWatch) -> None:
         """Schedule the next call after the last one has ended."""
         now = self.loop.now()
         if self.switching:
--- a/starlingwheel/net/http/upstream_request.py
+++ b/starlingwheel/net/http/upstream_request.py
@@ -14,6 +14,7 @@
 
 DEFAULT_HOST = (b"Host", b"backend.local")
 UPLOAD_TIME = 30.0  # seconds added to the timeout sent to the endpoint while the request body is incomplete
+# Headers that concern one connection only, and those that are set anew for each attempt.
 NOT_FORWARDED = {
     b"connection", b"keep-alive", b"te", b"trailer", b"transfer-encoding", b"upgrade", b"expect",
     b"proxy-authorization", b"proxy-authenticate", b"content-length", b"host", b"x-expires-in-ms",
--- a/starlingwheel/net/lifecycle/config.py
+++ b/starlingwheel/net/lifecycle/config.py
@@ -60,7 +60,7 @@
 
 def load_config(environment: Mapping[str, str]) -> tuple[SidecarConfig, BalancerConfig]:
     """Read the configuration at the start; raises `ConfigError`."""
-    config = _read(environment)
+    config = _read_file(environment)
     return _decode_parts(config, environment["EDGE_CONFIG"])
 
 
@@ -72,7 +72,7 @@
     The file may be half written or half edited. It must therefore have every key that it had before;
     otherwise a missing key would silently reset its value to the default.
     """
-    config, path = _read(environment), environment["EDGE_CONFIG"]
+    config, path = _read_file(environment), environment["EDGE_CONFIG"]
     try:
         _check_complete(before, config, path)
     except (TypeError, AttributeError) as error:
@@ -108,7 +108,7 @@
     return msgspec.structs.replace(balancer_config, **fixed), changed
 
 
-def _read(environment: Mapping[str, str]) -> SidecarConfig:
+def _read_file(environment: Mapping[str, str]) -> SidecarConfig:
     path = environment.get("EDGE_CONFIG", "")
     if not path:
         raise ConfigError("EDGE_CONFIG is not set or empty")
--- a/starlingwheel/net/loop.py
+++ b/starlingwheel/net/loop.py
@@ -163,7 +163,7 @@
                 self.max_timer_delay = max(self.max_timer_delay, now - actor.wake_at)
                 self._resume(actor, None)
             else:
-                self._arm(actor)
+                self._set_timer(actor)
 
     def _deliver(self, actor: Schedulable) -> None:
         actor.queued = False
@@ -185,9 +185,9 @@
             actor.end()
             return
         actor.wake_at = inf if wake_at is None else wake_at
-        self._arm(actor)
+        self._set_timer(actor)
 
-    def _arm(self, actor: Schedulable) -> None:
+    def _set_timer(self, actor: Schedulable) -> None:
         if not actor.ended and actor.wake_at < actor.timer_at:
             actor.timer_at = actor.wake_at
             self.timer_count += 1
--- a/starlingwheel/simulator/process.py
+++ b/starlingwheel/simulator/process.py
@@ -31,7 +31,7 @@
         `first` is the first line of the batch, and `more` iterates over the lines that follow it.
         Raises `MalformedMessageError`.
         """
-        header = self._read(first)
+        header = self._read_line(first)
         if header.name != LineName.BATCH_BEGIN:
             raise header.error("a batch must start with SYNC")
         self.now = header.time
@@ -46,7 +46,7 @@
         reply.append(encode_batch_end(turn))
         return reply
 
-    def _read(self, text: str) -> SimulatorLine:
+    def _read_line(self, text: str) -> SimulatorLine:
         self.line_number += 1
         return SimulatorLine(self.line_number, text)
 
@@ -55,7 +55,7 @@
         addressed: dict[str, SimulatedSidecar] = {}
         current: str | None = None
         for text in more:
-            line = self._read(text.rstrip("\r\n"))
+            line = self._read_line(text.rstrip("\r\n"))
             if line.name == LineName.BATCH_END:
                 return addressed
             if line.name == LineName.ENDPOINT_LIST:
@@ -65,14 +65,14 @@
             elif current is None:
                 raise line.error("event before the first CONTEXT")
             else:
-                self._handle(current, line, addressed)
+                self._handle_event(current, line, addressed)
         raise MalformedMessageError(f"line {self.line_number}: end of input within a batch")
 
     def _read_list(self, line: SimulatorLine, more: Iterator[str]) -> None:
         number, size = line.list_number, line.list_size
         endpoints = []
         for _ in range(size):
-            entry = self._read(next(more, "").rstrip("\r\n"))
+            entry = self._read_line(next(more, "").rstrip("\r\n"))
             if entry.name != LineName.ENDPOINT:
                 raise MalformedMessageError(
                     f"line {self.line_number}: SHEET: expected UPSTREAM, got {entry.name!r}"
@@ -80,7 +80,7 @@
             endpoints.append(entry.endpoint())
         self.endpoint_lists[number] = endpoints
 
-    def _handle(self, name: str, line: SimulatorLine, addressed: dict[str, SimulatedSidecar]) -> None:
+    def _handle_event(self, name: str, line: SimulatorLine, addressed: dict[str, SimulatedSidecar]) -> None:
         if line.name == LineName.SIDECAR_KILLED:
             self.sidecars[name] = None
             addressed.pop(name, None)
--- a/starlingwheel/simulator/wire.py
+++ b/starlingwheel/simulator/wire.py
@@ -107,7 +107,7 @@
         except KeyError:
             raise self.error(f"field {field} is missing") from None
 
-    def _read(self, field: str, decode_value: Callable[[str], T], default: T | None = None) -> T:
+    def _decode_field(self, field: str, decode_value: Callable[[str], T], default: T | None = None) -> T:
         if default is not None and field not in self.fields:
             return default
         value = self._text(field)
@@ -119,7 +119,7 @@
             raise self.error(f"field {field} has an invalid value: {shown!r}{detail}") from None
 
     def _seconds(self, field: str, default: float | None = None) -> float:
-        return self._read(field, _to_seconds, default)
+        return self._decode_field(field, _to_seconds, default)
 
     # A batch and its sidecars.
 
@@ -131,7 +131,7 @@
     @property
     def turn(self) -> int:
         """The number of a batch."""
-        return self._read("turn", int)
+        return self._decode_field("turn", int)
 
     @property
     def sidecar(self) -> str:
@@ -141,33 +141,33 @@
     @property
     def balancer_config(self) -> BalancerConfig:
         """The settings of a sidecar."""
-        return self._read("facts", decode)
+        return self._decode_field("facts", decode)
 
     @property
     def random_seed(self) -> int:
         """The seed of a sidecar's random numbers."""
-        return self._read("entropy", int)
+        return self._decode_field("entropy", int)
 
     # Endpoints.
 
     @property
     def list_number(self) -> int:
         """The number of an endpoint list, which later lines use to refer to it."""
-        return self._read("bank", int)
+        return self._decode_field("bank", int)
 
     @property
     def list_size(self) -> int:
         """The number of endpoint lines that follow."""
-        return self._read("entries", int)
+        return self._decode_field("entries", int)
 
     @property
     def watch_event(self) -> WatchEvent:
         """The kind of endpoint change."""
-        return self._read("scope", WATCH_EVENTS.__getitem__)
+        return self._decode_field("scope", WATCH_EVENTS.__getitem__)
 
     def endpoint_list(self, endpoint_lists: Mapping[int, list[Endpoint]]) -> list[Endpoint]:
         """Return the list that the line refers to."""
-        return self._read("bank", lambda number: endpoint_lists[int(number)])
+        return self._decode_field("bank", lambda number: endpoint_lists[int(number)])
 
     @property
     def endpoint_id(self) -> str:
@@ -176,14 +176,14 @@
 
     def endpoint(self) -> Endpoint:
         """Decode an endpoint line."""
-        started_at = self._read("upSince", int, 0)
+        started_at = self._decode_field("upSince", int, 0)
         return Endpoint(
             endpoint_id=self.endpoint_id,
             zone=self.fields.get("area", ""),
-            cell=self._read("bay", int, 0),
-            capacity_weight=self._read("nominal", float, 1.0),
+            cell=self._decode_field("bay", int, 0),
+            capacity_weight=self._decode_field("nominal", float, 1.0),
             started_at=started_at / MICROSECONDS_PER_SECOND if started_at else None,
-            state=self._read("condition", ENDPOINT_STATES.__getitem__),
+            state=self._decode_field("condition", ENDPOINT_STATES.__getitem__),
         )
 
     # Requests and attempts.
@@ -191,11 +191,11 @@
     @property
     def request_number(self) -> int:
         """The number of the request that the line refers to."""
-        return self._read("job", int)
+        return self._decode_field("job", int)
 
     def request_class(self, classes: Mapping[str, RequestClass]) -> RequestClass:
         """Return the class of a request."""
-        return self._read("profile", classes.__getitem__)
+        return self._decode_field("profile", classes.__getitem__)
 
     @property
     def time_left(self) -> float:
@@ -210,7 +210,7 @@
     @property
     def is_retry(self) -> bool:
         """Whether the client has sent the request before."""
-        return self._read("isRetry", _to_bool, False)
+        return self._decode_field("isRetry", _to_bool, False)
 
     @property
     def cost(self) -> float:
@@ -225,7 +225,7 @@
     @property
     def attempt_index(self) -> int:
         """The index of the attempt within its request, from 0."""
-        return self._read("hop", int)
+        return self._decode_field("hop", int)
 
     def unknown_attempt_error(self) -> MalformedMessageError:
         """Return the error for an attempt that was never started."""
@@ -234,7 +234,7 @@
     @property
     def outcome(self) -> AttemptOutcome:
         """How an attempt or a health check ended."""
-        return self._read("code", ATTEMPT_OUTCOMES.__getitem__)
+        return self._decode_field("code", ATTEMPT_OUTCOMES.__getitem__)
 
     @property
     def duration(self) -> float:
@@ -244,23 +244,23 @@
     @property
     def answered_client(self) -> bool:
         """Whether the attempt's response was delivered to the client."""
-        return self._read("doneFlag", _to_bool, False)
+        return self._decode_field("doneFlag", _to_bool, False)
 
     def load_report(self) -> dict[str, float]:
         """Decode the load report; figures that the decisions do not use are skipped."""
-        return self._read("feedback", _decode_load_report, {}) if "feedback" in self.fields else {}
+        return self._decode_field("feedback", _decode_load_report, {}) if "feedback" in self.fields else {}
 
     # Peers and alarms.
 
     @property
     def peer(self) -> int:
         """The peer that sent the gossip."""
-        return self._read("src", int)
+        return self._decode_field("src", int)
 
     @property
     def gossip(self) -> bytes:
         """The body of a gossip message."""
-        return self._read("body", _decode_body)
+        return self._decode_field("body", _decode_body)
 
     @property
     def alarm_mark(self) -> str:
