--- a/starlingwheel/decisions/commands.py
+++ b/starlingwheel/decisions/commands.py
@@ -43,7 +43,7 @@
 
 
 class RejectRequest(msgspec.Struct, frozen=True):
-    """Give the final answer: not executed, a retry is harmless after `retry_after` seconds."""
+    """Give the final answer: rejected; a retry is harmless, and useful after `retry_after` seconds."""
 
     retry_after: float = 0.0
 
--- a/starlingwheel/decisions/lease.py
+++ b/starlingwheel/decisions/lease.py
@@ -66,7 +66,7 @@
     # Events of the source.
 
     def start(self, now: float) -> None:
-        """Start the lease of a list that the process has from before."""
+        """Start the lease of the list that the process starts with, which may be outdated."""
         self.in_doubt_at = now
         self.expires_at = now + self._silence_allowance
 
--- a/starlingwheel/decisions/retry_policy.py
+++ b/starlingwheel/decisions/retry_policy.py
@@ -1,4 +1,4 @@
-"""Rule 2, no request takes effect twice: what may be sent again, and what may be rejected as not executed."""
+"""Rule 2, no request takes effect twice: what may be retried, and what may be rejected as safe to retry."""
 
 from __future__ import annotations
 
--- a/starlingwheel/decisions/scheduler.py
+++ b/starlingwheel/decisions/scheduler.py
@@ -42,7 +42,7 @@
         """Stop waiting for an attempt, whose end is still reported."""
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Give the final answer: not executed, a retry is harmless after `retry_after` seconds."""
+        """Give the final answer: rejected; a retry is harmless, and useful after `retry_after` seconds."""
 
     def fail_request(self, request: Request) -> None:
         """Give the final answer: failed, possibly after taking effect."""
--- a/starlingwheel/net/coordinator.py
+++ b/starlingwheel/net/coordinator.py
@@ -207,7 +207,7 @@
             exchange.pool.post(CancelExchange(exchange))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Reject a request that has not run: the client may send it again after `retry_after` seconds."""
+        """Reject a request that is safe to retry; the client may do so after `retry_after` seconds."""
         pending = self.pending_requests[request]
         if not self.context.gate.may_reject(pending):
             self.fail_request(request)
--- a/starlingwheel/net/gate.py
+++ b/starlingwheel/net/gate.py
@@ -139,7 +139,7 @@
         return self._none_may_have_run(pending, "second attempt for a request that may have run")
 
     def may_reject(self, pending: PendingRequest) -> bool:
-        """Return whether the request may be rejected with the promise that it has not run."""
+        """Return whether the request may be rejected as safe to retry."""
         return self._none_may_have_run(pending, "rejected as safe to retry, though it may have run")
 
     def _none_may_have_run(self, pending: PendingRequest, violation: str) -> bool:
--- a/starlingwheel/simulator/sidecar.py
+++ b/starlingwheel/simulator/sidecar.py
@@ -155,7 +155,7 @@
         self.output.append(wire.encode_cancel_attempt(tracked.number, tracked.attempts.index(attempt)))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Answer that the request was not executed and may be retried. `retry_after`: seconds."""
+        """Answer that the request is rejected and may be retried. `retry_after`: seconds."""
         self._answer(request, wire.encode_reject_request(self._by_request[request].number, retry_after))
 
     def fail_request(self, request: Request) -> None:
