--- a/starlingwheel/fleet/config.py
+++ b/starlingwheel/fleet/config.py
@@ -102,27 +102,27 @@
     if not isinstance(given, dict):
         yield "fleet: not an object"
         return
-    yield from _unknown_keys(given, "", "fleet.")
+    yield from _unknown_key_errors(given, "", "fleet.")
     name = given.get("name")
     if not isinstance(name, str) or not NAME.fullmatch(name) or len(name) > MAX_NAME_LENGTH:
         yield (
             f"fleet.name: {name!r} is not a name of 1 to {MAX_NAME_LENGTH} letters, digits, dots, dashes and"
             " underscores that begins with a letter or digit"
         )
-    yield from _address(given.get("listen"), "fleet.listen")
+    yield from _address_errors(given.get("listen"), "fleet.listen")
     if given.get("advertise"):
-        yield from _address(given["advertise"], "fleet.advertise")
-    yield from _addresses(given.get("arbiter"), "fleet.arbiter")
-    yield from _integer(given.get("lease_s", 3), "fleet.lease_s", LEASE_BOUNDS)
-    yield from _integer(given.get("cell_size", 0), "fleet.cell_size", SHARD_SIZE_BOUNDS)
+        yield from _address_errors(given["advertise"], "fleet.advertise")
+    yield from _address_list_errors(given.get("arbiter"), "fleet.arbiter")
+    yield from _integer_errors(given.get("lease_s", 3), "fleet.lease_s", LEASE_BOUNDS)
+    yield from _integer_errors(given.get("cell_size", 0), "fleet.cell_size", SHARD_SIZE_BOUNDS)
     directory = given.get("keep", "")
     if not isinstance(directory, str):
         yield f"fleet.keep: {directory!r} is not a directory path"
-    yield from replication_faults(given.get("cover"), class_names, streams_per_connection, "fleet.cover")
-    yield from zones_faults(given.get("zones"), "fleet.zones")
+    yield from replication_errors(given.get("cover"), class_names, streams_per_connection, "fleet.cover")
+    yield from zones_errors(given.get("zones"), "fleet.zones")
 
 
-def replication_faults(
+def replication_errors(
     given: object, class_names: list[str], streams_per_connection: int, key: str
 ) -> Iterator[str]:
     """Yield the errors of the replication configuration, which a policy contains too.
@@ -132,7 +132,7 @@
     if not isinstance(given, dict):
         yield f"{key}: not an object"
         return
-    yield from _unknown_keys(given, "cover", f"{key}.")
+    yield from _unknown_key_errors(given, "cover", f"{key}.")
     replicated = given.get("categories")
     if not isinstance(replicated, list) or not replicated:
         yield f"{key}.categories: not a non-empty list of categories"
@@ -143,12 +143,12 @@
     header = given.get("name_header", DEFAULT_IDEMPOTENCY_KEY_HEADER)
     if not isinstance(header, str) or not HEADER.fullmatch(header):
         yield f"{key}.name_header: {header!r} is not a header name in lower case"
-    yield from _integer(given.get("keepers", 1), f"{key}.keepers", REPLICA_BOUNDS)
+    yield from _integer_errors(given.get("keepers", 1), f"{key}.keepers", REPLICA_BOUNDS)
     if streams_per_connection > 1:
         yield f"{key}: replication requires settings.caps.streamsPerConn to be 1"
 
 
-def zones_faults(given: object, key: str) -> Iterator[str]:
+def zones_errors(given: object, key: str) -> Iterator[str]:
     """Yield the errors of the zones configuration, which may be missing.
 
     `key`: the key that the configuration has, for the messages.
@@ -158,7 +158,7 @@
     if not isinstance(given, dict):
         yield f"{key}: not an object"
         return
-    yield from _unknown_keys(given, "zones", f"{key}.")
+    yield from _unknown_key_errors(given, "zones", f"{key}.")
     regions, capacities = given.get("regions", {}), given.get("bears", {})
     if not isinstance(regions, dict) or not all(
         isinstance(region, str) and region for region in regions.values()
@@ -172,25 +172,25 @@
             yield f"{key}.bears.{zone}: {rate!r} is not a positive number below {MAX_RATE:g}"
 
 
-def _unknown_keys(given: dict[str, Any], table: str, key: str) -> Iterator[str]:
+def _unknown_key_errors(given: dict[str, Any], table: str, key: str) -> Iterator[str]:
     for name in sorted(set(given) - KNOWN_KEYS[table]):
         yield f"{key}{name}: unknown key; the known ones are {', '.join(sorted(KNOWN_KEYS[table]))}"
 
 
-def _addresses(given: object, key: str) -> Iterator[str]:
+def _address_list_errors(given: object, key: str) -> Iterator[str]:
     if not isinstance(given, list) or not given:
         yield f"{key}: not a non-empty list of addresses"
         return
     for index, address in enumerate(given):
-        yield from _address(address, f"{key}[{index}]")
+        yield from _address_errors(address, f"{key}[{index}]")
 
 
-def _address(given: object, key: str) -> Iterator[str]:
+def _address_errors(given: object, key: str) -> Iterator[str]:
     host, _, port = given.rpartition(":") if isinstance(given, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         yield f"{key}: {given!r} is not an address of the form host:port"
 
 
-def _integer(given: object, key: str, bounds: tuple[int, int]) -> Iterator[str]:
+def _integer_errors(given: object, key: str, bounds: tuple[int, int]) -> Iterator[str]:
     if type(given) is not int or not bounds[0] <= given <= bounds[1]:
         yield f"{key}: {given!r} is not an integer from {bounds[0]} to {bounds[1]}"
--- a/starlingwheel/fleet/policy/document.py
+++ b/starlingwheel/fleet/policy/document.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..config import ReplicationConfig, ZonesConfig, replication_faults, zones_faults
+from ..config import ReplicationConfig, ZonesConfig, replication_errors, zones_errors
 
 MEMBER_KEYS = ("locality", "slotNo", "replicasOfMe")  # settings that are specific to one sidecar
 KNOWN_KEYS = {  # by table of the settings; "" is the top level
@@ -97,10 +97,10 @@
     yield from _find_category_errors(categories)
     caps = settings.get("caps")
     streams = caps.get("streamsPerConn") if isinstance(caps, dict) else 1
-    yield from replication_faults(
+    yield from replication_errors(
         body.get("cover"), _category_names(categories), streams if type(streams) is int else 1, "cover"
     )
-    yield from zones_faults(body.get("zones"), "zones")
+    yield from zones_errors(body.get("zones"), "zones")
 
 
 def _find_unknown_keys(settings: dict[str, Any], known: dict[str, Any]) -> Iterator[str]:
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -105,8 +105,8 @@
             self.context.host.cancel_intent(request, number)
             return
         request.held_attempts[number] = None
-        outside = self.views.is_in_other_shard(self.context.member_id, request)
-        coordinator = self.views.coordinator_of(request) if outside else ""
+        in_other_shard = self.views.is_in_other_shard(self.context.member_id, request)
+        coordinator = self.views.coordinator_of(request) if in_other_shard else ""
         intent = request.intents[number]
         for member in list(request.replicas):
             frame = AttemptIntentFrame(request.key, request.epoch, number, intent, coordinator)
--- a/starlingwheel/fleet/replication/peer_links.py
+++ b/starlingwheel/fleet/replication/peer_links.py
@@ -7,18 +7,18 @@
 from .context import ReplicationContext
 from .views import ViewTracker
 
-DIAL_RETRY_INTERVAL = 1 / 8  # of the longest timeout: after that an unreachable member is dialled again
+DIAL_RETRY_INTERVAL = 1 / 8  # of the longest timeout: after that an unreachable member is dialed again
 
 
 class PeerLinks:
-    """The members that are linked, being dialled, or currently unreachable."""
+    """The members that are linked, being dialed, or currently unreachable."""
 
     def __init__(self, context: ReplicationContext, views: ViewTracker) -> None:
         """Start with no links."""
         self.context, self.views = context, views
         self.linked: dict[str, None] = {}
-        self.dialling: dict[str, None] = {}  # members of other shards
-        self.unreachable: dict[str, float] = {}  # with the time until which they are not dialled again
+        self.dialing: dict[str, None] = {}  # members of other shards
+        self.unreachable: dict[str, float] = {}  # with the time until which they are not dialed again
 
     def __contains__(self, member: object) -> bool:
         """Return whether there is a link to that member."""
@@ -27,7 +27,7 @@
     def up(self, member: str) -> None:
         """Record that there is a link to a member: the first one, or a new one."""
         self.linked[member] = None
-        self.dialling.pop(member, None)
+        self.dialing.pop(member, None)
         self.unreachable.pop(member, None)
 
     def down(self, member: str) -> None:
@@ -35,8 +35,8 @@
         self.linked.pop(member, None)
 
     def dial_failed(self, member: str) -> None:
-        """Record that dialling a member has not led to a link."""
-        self.dialling.pop(member, None)
+        """Record that dialing a member has not led to a link."""
+        self.dialing.pop(member, None)
         self._mark_unreachable(member)
 
     def _mark_unreachable(self, member: str) -> None:
@@ -44,13 +44,13 @@
         self.unreachable[member] = self.context.now + retry_interval
 
     def drop_departed(self) -> None:
-        """Drop members that have left the view, so that they are not dialled again."""
+        """Drop members that have left the view, so that they are not dialed again."""
         view = self.views.view
-        self.dialling = {member: None for member in self.dialling if member in view}
+        self.dialing = {member: None for member in self.dialing if member in view}
         self.unreachable = {member: until for member, until in self.unreachable.items() if member in view}
 
     def pop_retriable(self) -> list[str]:
-        """Remove and return the unreachable members that may be dialled again."""
+        """Remove and return the unreachable members that may be dialed again."""
         retriable = [member for member, until in self.unreachable.items() if until <= self.context.now]
         for member in retriable:
             del self.unreachable[member]
@@ -62,14 +62,14 @@
 
     def dial(self, member: str) -> bool:
         """Open a link to a member of another shard if there is none; return whether it is up or opening."""
-        if member in self.linked or member in self.dialling:
+        if member in self.linked or member in self.dialing:
             return True
         if member not in self.views.view or member in self.unreachable:
             return False
         if not self.context.host.dial(member):
             self._mark_unreachable(member)
             return False
-        self.dialling[member] = None
+        self.dialing[member] = None
         return True
 
     def dial_holders(self) -> None:
--- a/starlingwheel/fleet/replication/placement.py
+++ b/starlingwheel/fleet/replication/placement.py
@@ -145,8 +145,10 @@
         """Replicate the request to one member; with `requests_grant` it also replies whether it is new."""
         request.owner = self.context.member_id
         coordinator = self.views.coordinator_of(request)
-        outside = self.views.is_in_other_shard(self.context.member_id, request)
-        frame = request.to_frame(requests_grant or coordinator == member, coordinator if outside else "")
+        in_other_shard = self.views.is_in_other_shard(self.context.member_id, request)
+        frame = request.to_frame(
+            requests_grant or coordinator == member, coordinator if in_other_shard else ""
+        )
         if self.context.host.send_frame(member, frame):
             request.replicas[member] = UNACKNOWLEDGED
 
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -268,7 +268,7 @@
                 # It may have rejected requests before it knew that it is their coordinator.
                 self.takeover.update(request)
             elif digest == self.views.digest and request.owner == member:
-                self.takeover.drop_unclaimed(request)
+                self.takeover.drop_unconfirmed(request)
 
     def tick(self) -> None:
         """Forget expired requests, fail clients whose waiting time has ended, and dial members again."""
--- a/starlingwheel/fleet/replication/sync.py
+++ b/starlingwheel/fleet/replication/sync.py
@@ -53,8 +53,8 @@
 
     def _update(self, request: ReplicatedRequest) -> None:
         if request.state is RequestState.REPLICA:
-            outside = self.views.is_in_other_shard(request.owner, request)
-            owner_lives = request.owner in self.views.view and not outside
+            in_other_shard = self.views.is_in_other_shard(request.owner, request)
+            owner_lives = request.owner in self.views.view and not in_other_shard
             if request.is_stale and owner_lives and not request.waiting_clients:
                 self.table.forget(request)  # its owner has not sent it, so it no longer has it
             else:
--- a/starlingwheel/fleet/replication/takeover.py
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -69,18 +69,18 @@
 
     def _update_replica(self, request: ReplicatedRequest, coordinator: str, owner_lost: bool) -> None:
         """Inform a new coordinator of a request that this member records, or take over from a lost owner."""
-        outside = self.views.is_in_other_shard(request.owner, request)
-        if (request.owner not in self.views.view or outside) and coordinator in self.links:
-            if not outside or request.informed_coordinator != coordinator:
+        in_other_shard = self.views.is_in_other_shard(request.owner, request)
+        if (request.owner not in self.views.view or in_other_shard) and coordinator in self.links:
+            if not in_other_shard or request.informed_coordinator != coordinator:
                 self.records.send(coordinator, request.to_frame(requests_grant=False))
-                request.informed_coordinator = coordinator if outside else ""
+                request.informed_coordinator = coordinator if in_other_shard else ""
             return
         # An owner whose lease has ended but that still has a link to the coordinator, this member, continues.
         successor = self.views.view.coordinator(request.key, excluding=request.owner)
         if request.owner in self.links or successor != self.context.member_id:
             return
-        # An owner in another shard does not send what it owns of its own accord, so it is dialled.
-        if not owner_lost and outside and self.links.dial(request.owner):
+        # An owner in another shard does not send what it owns of its own accord, so it is dialed.
+        if not owner_lost and in_other_shard and self.links.dial(request.owner):
             return
         self.take_over(request)
 
@@ -157,7 +157,7 @@
             return
         self.placement.dispatch(request)
 
-    def drop_unclaimed(self, request: ReplicatedRequest) -> None:
+    def drop_unconfirmed(self, request: ReplicatedRequest) -> None:
         """Forget a record that its owner, in another shard, has not confirmed with all that it owns."""
         coordinator = self.views.coordinator_of(request)
         is_replica = request.state is RequestState.REPLICA
--- a/starlingwheel/fleet/zones/evidence.py
+++ b/starlingwheel/fleet/zones/evidence.py
@@ -8,7 +8,7 @@
 
 from ..membership import Member
 from ..records import ZoneHealth, ZoneReport, ZoneState
-from .health import FAILING_FRACTION, MIN_FAILURES_IN_A_ROW, MIN_OUTCOMES, RECENT_TRIALS, FailureCounts
+from .health import FAILING_FRACTION, MIN_CONSECUTIVE_FAILURES, MIN_OUTCOMES, RECENT_TRIALS, FailureCounts
 
 SIDE_FRACTION = 0.1  # of a zone's weight: a side that has less of it is ignored
 LOST_FRACTION = 0.8  # of a zone's weight: a zone counts as lost if this much sees only failures
@@ -140,7 +140,7 @@
     def is_lost(self, zone: str) -> bool:
         """Return whether nearly all members that observe the zone see nothing but failures."""
         weights = [
-            (self.weight(member, zone), report.zones[zone].consecutive_failures >= MIN_FAILURES_IN_A_ROW)
+            (self.weight(member, zone), report.zones[zone].consecutive_failures >= MIN_CONSECUTIVE_FAILURES)
             for member, report in self.reports.items()
             if zone in report.zones and self._has_observed(member, zone)
         ]
--- a/starlingwheel/fleet/zones/health.py
+++ b/starlingwheel/fleet/zones/health.py
@@ -19,7 +19,7 @@
 SILENT_MULTIPLE = 4.0  # multiple of the mean response time after which a pending attempt counts as silent
 SILENT_MIN_WINDOWS = 1 / 16  # windows: lower bound of that time
 MIN_OUTCOMES = 4.0  # failures or responses below which no conclusion is drawn
-MIN_FAILURES_IN_A_ROW = 2  # fewer count only if no other outcome was observed
+MIN_CONSECUTIVE_FAILURES = 2  # fewer count only if no other outcome was observed
 REPORTED_WINDOWS = 2.0  # windows without a response during which a zone is still reported as failing
 FAILING_FRACTION = 1 / 4  # fraction of failed attempts from which on a zone counts as failing
 ELSEWHERE_FRACTION = 1 / 2  # of a zone's failing fraction: upper bound of the fraction that fails elsewhere
@@ -72,7 +72,7 @@
 
     current: OutcomeCounts = field(default_factory=OutcomeCounts)
     previous: OutcomeCounts = field(default_factory=OutcomeCounts)
-    failures_in_a_row: int = 0
+    consecutive_failures: int = 0
     failing_since: float = inf  # time of the first of these failures
     rejected_at: float = -inf  # time of the latest rejection
     answered_at: float = -inf  # time of the latest answer
@@ -81,14 +81,14 @@
 
     def add_failure(self, now: float) -> None:
         """Count one more consecutive failure."""
-        self.failures_in_a_row += 1
+        self.consecutive_failures += 1
         self.failing_since = min(self.failing_since, now)
 
     def add_answer(self, now: float) -> None:
         """Record an answer, which ends the consecutive failures."""
-        if self.failures_in_a_row >= MIN_FAILURES_IN_A_ROW:
+        if self.consecutive_failures >= MIN_CONSECUTIVE_FAILURES:
             self.healthy_since = now
-        self.failures_in_a_row = 0
+        self.consecutive_failures = 0
         self.failing_since = inf
         self.answered_at = now
 
@@ -270,7 +270,7 @@
             rejecting=rejecting,
             conclusive_attempts=round(seen.attempts),
             failures=round(seen.failures),
-            consecutive_failures=window.failures_in_a_row,
+            consecutive_failures=window.consecutive_failures,
         )
         trials = self.trials.get(zone)
         if trials is not None:
@@ -289,7 +289,7 @@
         fails = self._has_failures(window, counts[zone]) and self._is_zone_specific(zone, window)
         if fails and self._fraction_elsewhere(zone, counts) <= ELSEWHERE_FRACTION * fraction:
             window.failing_until = self.now + REPORTED_WINDOWS * self.window
-        elif not window.failures_in_a_row and fraction < FAILING_FRACTION:
+        elif not window.consecutive_failures and fraction < FAILING_FRACTION:
             window.failing_until = -inf
         # A member that no longer sends attempts to the zone continues to report what it has observed.
         return self.now < window.failing_until
@@ -298,8 +298,8 @@
     def _has_failures(window: OutcomeWindow, seen: FailureCounts) -> bool:
         # The threshold is low, because a member sends few attempts to zones other than its own; the plan
         # requires the reports of more than half of the weight.
-        all_failed = window.failures_in_a_row and window.failures_in_a_row >= seen.attempts
-        many_failed = seen.failures >= MIN_FAILURES_IN_A_ROW and seen.fraction >= FAILING_FRACTION
+        all_failed = window.consecutive_failures and window.consecutive_failures >= seen.attempts
+        many_failed = seen.failures >= MIN_CONSECUTIVE_FAILURES and seen.fraction >= FAILING_FRACTION
         return bool(all_failed or many_failed)
 
     def _is_zone_specific(self, zone: str, window: OutcomeWindow) -> bool:
@@ -307,7 +307,7 @@
 
         They are if another zone was healthy before this zone's failures began, and has answered since.
         """
-        if not window.failures_in_a_row:
+        if not window.consecutive_failures:
             return True
         healthy = [
             other
--- a/trials/model_replication_text.py
+++ b/trials/model_replication_text.py
@@ -12,7 +12,7 @@
     synced = sorted(views.synced_digests.items())
     view_state = (views.view.digest, views.was_synced, len(views.history), synced)
     requests = [_request_text(request) for request in replicator.requests.values()]
-    links = len(peers.linked), list(peers.dialling), list(peers.unreachable)
+    links = len(peers.linked), list(peers.dialing), list(peers.unreachable)
     return repr((name, view_state, links, records.held, records.awaiting_agreement, requests))
 
 
