--- a/trials/__main__.py
+++ b/trials/__main__.py
@@ -1,4 +1,7 @@
-"""python -m trials NAME --seed N: run a trial; exit code 0: all guarantees held, 1: one was violated."""
+"""python -m trials NAME --seed N: run a trial.
+
+Exit code 0: all guarantees held; 1: one was violated, or a run could not be completed.
+"""
 
 from __future__ import annotations
 
@@ -71,7 +74,7 @@
 
 
 def _keywords(options: argparse.Namespace) -> dict[str, Any]:
-    """Return the options to pass to the trial; those not given are left to its defaults."""
+    """Return the options to pass to the trial, without those for which its defaults apply."""
     keywords: dict[str, Any] = {"root": options.root, "fleet": not options.alone}
     if options.sidecars:
         keywords["sidecars"] = options.sidecars
--- a/trials/added.py
+++ b/trials/added.py
@@ -34,7 +34,7 @@
 
 CLIENTS = 8
 RATES = (50.0, 100.0, 200.0, 400.0)  # pairs of calls a second
-DURATION = 8.0  # at each rate
+DURATION = 8.0  # seconds at each rate
 WARM_UP = 1.5  # seconds at the start of each rate, while connections are opened: not counted
 HEADER_END = b"\r\n\r\n"
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nfine"
@@ -49,7 +49,7 @@
 def service_time(request: bytes, service: float) -> float:
     """Return the service time of a request in seconds.
 
-    It is drawn by the trace id, so that both calls of a pair take the same time.
+    The time is drawn by the trace id, so that both calls of a pair take the same time.
     """
     if not service:
         return 0.0
@@ -164,7 +164,10 @@
 def run_client(
     name: str, sidecar: str, direct: list[str], rate: float, until: float, since: float, pairs: list[Any]
 ) -> None:
-    """Make pairs of calls at random times until `until`, in random order; record them from `since` on."""
+    """Make pairs of calls at random times until `until`, and append those from `since` on to `pairs`.
+
+    The calls of a pair are made in random order and appended as latencies: direct, through the sidecar.
+    """
     rng = random.Random(name)
     through_sidecar = PersistentConnection(sidecar)
     direct_connections = [PersistentConnection(address) for address in direct]
@@ -226,7 +229,10 @@
 async def measure_rate(
     seed: int, rate: float, seconds: float, sidecar: subprocess.Popen[bytes], address: str, direct: list[str]
 ) -> tuple[list[Any], float]:
-    """Return the latencies of the pairs at one rate, and the sidecar's CPU time per call in seconds."""
+    """Return the latencies of the pairs at one rate, and the sidecar's CPU time per call in seconds.
+
+    A pair is the latencies of the direct call and of the call through the sidecar; None: it failed.
+    """
     pairs: list[Any] = []
     now = time.monotonic()
     threads = [
--- a/trials/broken.py
+++ b/trials/broken.py
@@ -20,10 +20,10 @@
 
 
 class UnrecordedAttempts(RequestPlacement):
-    """Releases each attempt immediately."""
+    """Releases each attempt without waiting for replicas."""
 
     def release_attempts(self, request: ReplicatedRequest) -> None:
-        """Release attempts whose intents no replica has acknowledged."""
+        """Release all held attempts, whether or not a replica has acknowledged their intents."""
         if request.state is RequestState.OWNING:
             for number in list(request.held_attempts):
                 del request.held_attempts[number]
@@ -71,7 +71,7 @@
 
 
 class AlwaysMayDecide(ViewTracker):
-    """Relies on its lease without an end."""
+    """Lets a member decide as if its lease never ended."""
 
     def may_decide(self) -> bool:
         """Allow decisions whatever the state of the lease and the heartbeats."""
@@ -79,7 +79,7 @@
 
 
 class HastyTakeover(RequestTakeover):
-    """Takes over requests by what this member knows, without a synchronised view."""
+    """Takes over requests by what this member alone knows, without a synchronised view."""
 
     def take_over(self, request: ReplicatedRequest) -> None:
         """Take over as if the view were synchronised."""
@@ -139,7 +139,7 @@
 
 
 class CoordinatorSuffices(RequestPlacement):
-    """Waits for one replica's acknowledgement only."""
+    """Waits for the coordinator's acknowledgement only, if this member is in another shard."""
 
     def release_attempts(self, request: ReplicatedRequest) -> None:
         """Release attempts that the coordinator has acknowledged, if this member is in another shard."""
@@ -183,7 +183,7 @@
 
 
 class MinorityDecides(PolicyReplica):
-    """Variant in which the members in the view decide, however few they are."""
+    """Variant in which the votes of the members in the view decide, however few members are in it."""
 
     def _is_majority(self, votes: Iterable[str]) -> bool:
         return True
@@ -242,7 +242,7 @@
 
 
 class MinorityLeaves(ZonePlanner):
-    """Variant that leaves a zone when any member reports that it fails."""
+    """Variant that leaves a zone when any member reports that the zone fails."""
 
     def _is_failing(self, zone: str) -> bool:
         return any(zone in report.zones and report.zones[zone].failing for report in self.reports.values())
@@ -256,7 +256,7 @@
 
 
 class RampNotShared(ZonePlanner):
-    """Variant in which each member returns with all of its traffic as soon as the fleet returns."""
+    """Variant in which each member sends a returning zone all of its traffic, not the share of the plan."""
 
     def _apply_shares(self, returning: Iterable[str]) -> None:
         shares = {
--- a/trials/outage.py
+++ b/trials/outage.py
@@ -41,7 +41,7 @@
             first_index = len(cluster.clients.requests)
             await cluster.clients.send(RATE, phase.duration, {"look": 1.0}, keyed=False)
             requests_by_phase[phase.name] = cluster.clients.requests[first_index:]
-        # By then every request has been answered or has timed out.
+        # After this pause every request has been answered or has timed out.
         await asyncio.sleep(cluster.clients.timeout + 0.5)
         for phase_name, requests in requests_by_phase.items():
             if phase_name == "after":
@@ -54,6 +54,7 @@
             result.counts[f"{phase_name}, answered"] = answered = sum(
                 request.succeeded for request in requests
             )
+        # `requests` and `answered` are now those of the last phase, after the fault.
         if answered < len(requests) * MIN_ANSWERED_FRACTION:
             result.violations.append(
                 f"{RECOVERY_TIME} s after all endpoints recovered {answered} of {len(requests)} are answered"
--- a/trials/policy.py
+++ b/trials/policy.py
@@ -24,14 +24,14 @@
 LARGE_POLICY_TENANTS = 140
 LEASE = 1  # seconds
 POLL_INTERVAL = 0.05  # seconds
-PROPOSAL_DELAY = 0.7  # seconds from the earliest possible fault to the proposal
+PROPOSAL_DELAY = 0.7  # seconds before the proposal, more than the earliest fault precedes it
 END_TIMEOUT = 12.0  # seconds from the last fault of a change to its end
 MAX_PROPOSERS = 4  # sidecars at which a proposal is tried
 NOW_KEY, NEXT_KEY = b"/trial/policy/now", b"/trial/policy/next"
 
 
 def policy_body(label: str, tenants: int = 0) -> dict[str, Any]:
-    """Return a policy with a category named `label`, and with that many tenants to make it large."""
+    """Return a policy with a category named `label`, and with `tenants` tenants to make it large."""
     category = {"name": label, "effect": "free", "payoff": 1.0} | CATEGORY_TIMES
     settings: dict[str, Any] = {
         "categories": [*CATEGORIES, category],
@@ -54,7 +54,7 @@
 
 
 def outcome(cluster: Cluster, label: str) -> str:
-    """Return 'decided' or 'dropped' by the coordination store; empty while open or if never proposed."""
+    """Return 'decided' or 'dropped' by the store; empty while the change is open or if never proposed."""
     decision = decision_in_store(cluster)
     if decision:
         categories = decision["policy"]["body"]["settings"]["categories"]
@@ -127,20 +127,20 @@
 ) -> None:
     """Wait until all sidecars serve under the last decided policy, and record those that do not."""
     loop = asyncio.get_running_loop()
-    in_force = ([change for change in changes if change.outcome == "decided"] or [Change("a0")])[-1]
-    await asyncio.sleep(max(0.0, in_force.switch_at - loop.time()))
+    last_decided = ([change for change in changes if change.outcome == "decided"] or [Change("a0")])[-1]
+    await asyncio.sleep(max(0.0, last_decided.switch_at - loop.time()))
     since = loop.time()
 
     def lagging() -> list[str]:
-        return [s.name for s in cluster.sidecars if not observer.serves(s, in_force.label, since)]
+        return [s.name for s in cluster.sidecars if not observer.serves(s, last_decided.label, since)]
 
     await _wait_until(lambda: not lagging(), seconds)
     if lagging():
-        changes[-1].faults.append(f"lagging behind {in_force.label}: {lagging()}")
+        changes[-1].faults.append(f"lagging behind {last_decided.label}: {lagging()}")
 
 
 async def store_outage(seed: int, sidecars: int = 8, root: Path = ROOT, fleet: bool = True) -> TrialResult:
-    """Stop the store for twenty lease times: no request is deferred because of that."""
+    """Stop the store for twenty lease times: no request is deferred because of the outage."""
     async with _make_cluster(seed, sidecars, root, fleet) as cluster:
         rng, change = _make_rng(seed), Change("a1")
         observer, loop = PolicyObserver(cluster), asyncio.get_running_loop()
@@ -164,7 +164,7 @@
 async def restart_without_store(
     seed: int, sidecars: int = 6, root: Path = ROOT, fleet: bool = True
 ) -> TrialResult:
-    """Restart all sidecars after a change without the store: they follow the new policy by stored data."""
+    """Restart all sidecars while the store is down: they follow the last policy from their stored data."""
     async with _make_cluster(seed, sidecars, root, fleet) as cluster:
         rng, change = _make_rng(seed), Change("a1")
         observer, loop = PolicyObserver(cluster), asyncio.get_running_loop()
@@ -233,7 +233,7 @@
         with contextlib.suppress(ConnectionBrokenError, TimeoutError, OSError):
             call = {"policy": policy_body(change.label, tenants)}
             change.proposal_status, _ = await sidecar.admin_call("PUT", "/_policy/propose", call)
-            if change.proposal_status in (200, 503):  # 503: it may have been written, which the store shows
+            if change.proposal_status in (200, 503):  # 503: the proposal may be in the store
                 break
     proposal = cluster.store.entries.get(NEXT_KEY)
     entry_value = json.loads(proposal.value) if proposal else decision_in_store(cluster)
--- a/trials/policy_faults.py
+++ b/trials/policy_faults.py
@@ -10,7 +10,7 @@
 
 from .rig import Cluster, Sidecar
 
-FAULT_COUNTS = (1, 1, 2, 3)  # of faults at a time
+FAULT_COUNTS = (1, 1, 2, 3)  # numbers of faults of one change
 FAULT_TIMES = (-0.6, -0.1, 0.02, 0.1, 0.4, 1.0, 2.0, 2.7, 2.95, 3.1)  # seconds from the proposal
 FAULT_DURATIONS = (0.2, 0.8, 1.5, 3.0, 4.0)  # seconds
 
@@ -83,7 +83,7 @@
         ]
 
     async def inject(self, fault: PolicyFault, start: float) -> None:
-        """Inject the fault at its time and end it. `start`: of the change, on the loop's clock."""
+        """Inject the fault at its time and end it. `start`: time of the proposal, on the loop's clock."""
         await asyncio.sleep(max(0.0, start + fault.at - asyncio.get_running_loop().time()))
         sidecars = self._choose_sidecars(fault.kind)
         match fault.kind:
--- a/trials/policy_observer.py
+++ b/trials/policy_observer.py
@@ -95,7 +95,11 @@
 
 
 def find_violations(answers: list[Answer], changes: list[Change], start: float) -> list[str]:
-    """Return the requests served under a policy that was dropped, or outside the time of a decided one."""
+    """Return a message for each request that was served under a policy which was not in force.
+
+    That is a policy that was not decided, or a decided one before or after its time. `start`: the time on the
+    loop's clock from which the times in the messages count.
+    """
     violations = []
     decided = [
         Change("a0", switch_at=BEFORE_ALL, outcome="decided"),
@@ -114,7 +118,11 @@
         if label not in begin_times:
             violations.append(f"served under a policy that was not decided: {details}")
         elif answer.answered_at < begin_times[label] - TIME_TOLERANCE:
-            violations.append(f"served before it held ({begin_times[label] - start:.3f}): {details}")
+            violations.append(
+                f"served before its policy was in force ({begin_times[label] - start:.3f}): {details}"
+            )
         elif answer.sent_at > end_times.get(label, AFTER_ALL) + TIME_TOLERANCE:
-            violations.append(f"served after it held ({end_times[label] - start:.3f}): {details}")
+            violations.append(
+                f"served after its policy was in force ({end_times[label] - start:.3f}): {details}"
+            )
     return violations
--- a/trials/policy_scenes.py
+++ b/trials/policy_scenes.py
@@ -26,7 +26,7 @@
 
 
 def _isolate(world: World, isolated: list[EmulatedMember], until: float, lease_renewed: bool = False) -> None:
-    """Cut members off from the others and the store until then; `lease_renewed`: they keep their leases."""
+    """Cut members off from the others and the store; `lease_renewed`: they keep their leases."""
     for member in isolated:
         (world.watch_stalled_until if lease_renewed else world.store_cut_until)[member.name] = until
         for other in world.members.values():
@@ -36,7 +36,7 @@
 
 
 def majority_cut_off(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
-    """Cut most members off from the store and the others; the few others reach the store and propose."""
+    """Cut a majority off from the store and the minority, which reaches the store and proposes a change."""
     world, members = _start_world(8, replica_type, trace)
     _isolate(world, members[:5], 20.0)
     world.run_until(6.0)
@@ -75,7 +75,7 @@
 
 
 def decision_delayed(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
-    """Delay a decision while a member joins that cannot apply it, and cut that member off."""
+    """Delay a decision until a member has joined that cannot apply the policy, and cut that member off."""
     world, members = _start_world(5, replica_type, trace)
     world.write_delays["decide"] = 0.4
     switch_at = _propose(world, members[0], "n9")
@@ -84,17 +84,17 @@
     world.run_until(world.now + 0.15)
     world.write_delays["vote"] = 50.0
     world.start("n9")
-    (entered,) = [member for member in world.members.values() if member.name == "n9"]
-    while entered.id not in entered.records.members:
+    (joined_member,) = [member for member in world.members.values() if member.name == "n9"]
+    while joined_member.id not in joined_member.records.members:
         world.run_until(world.now + TICK)
-    _isolate(world, [entered], 30.0, lease_renewed=True)
+    _isolate(world, [joined_member], 30.0, lease_renewed=True)
     world.run_until(switch_at + 3.0)
     return world
 
 
 SCENARIOS = {
-    scene.__name__: scene
-    for scene in (
+    scenario.__name__: scenario
+    for scenario in (
         majority_cut_off,
         watch_stalled_after_vote,
         paused_before_vote,
--- a/trials/rest.py
+++ b/trials/rest.py
@@ -14,7 +14,7 @@
 from .verdict import TrialResult
 
 SETTLE_TIME = 12.0  # seconds until the members have settled after the start
-DURATION = 20.0
+DURATION = 20.0  # seconds
 HEADER_BYTES = 66  # per segment: Ethernet, IP, and TCP with timestamps
 COUNTERS = ("bytes_sent", "bytes_received", "segs_out", "segs_in")
 
@@ -32,7 +32,7 @@
 def sample_sockets(processes: list[int], ports: set[str]) -> dict[int, list[int]]:
     """Return for each process the number of its sockets of the fleet and the sums of their `COUNTERS`.
 
-    `ports`: those of members and store; a socket is of the fleet if either of its ends has one of them.
+    `ports`: those of the members and of the store; a socket is of the fleet if one end has such a port.
     """
     listing = subprocess.run(
         ["ss", "-tinpH", "state", "established"], capture_output=True, text=True, check=True
@@ -55,7 +55,7 @@
 async def run_trial(
     seed: int, sidecars: int = 25, root: Path = ROOT, fleet: bool = True, cell_size: int = 0
 ) -> TrialResult:
-    """Measure for DURATION without requests; the figures are means per member, but for the highest rate."""
+    """Measure for DURATION without requests. Figures are means per member, except `the most of these`."""
     async with DirectCluster(seed, sidecars, upstreams=1, root=root, lease=3, cell_size=cell_size) as cluster:
         await asyncio.sleep(SETTLE_TIME)
         processes = [sidecar.process.pid for sidecar in cluster.sidecars if sidecar.process is not None]
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -53,7 +53,7 @@
 
 
 def shard_count_for(members: int, cell_size: int) -> int:
-    """Return the number of shards with at most `cell_size` members each on average; one if that is 0."""
+    """Return the number of shards with at most `cell_size` members each on average; 1 if `cell_size` is 0."""
     count = 1
     while cell_size and members > count * cell_size:
         count *= 2
@@ -80,7 +80,7 @@
 
     @property
     def address(self) -> str:
-        """The address on which it listens for clients, host:port."""
+        """The address on which the sidecar listens for clients, host:port."""
         return f"{self.host}:{self.port}"
 
     def _entries(self) -> list[dict[str, Any]]:
@@ -93,7 +93,7 @@
         ]
 
     async def prepare(self) -> None:
-        """Start its relays and its endpoint list server."""
+        """Start the relays and the endpoint list server of this sidecar."""
         await self.endpoint_list.server.start()
         await self.peer_relay.start()
         await self.store_relay.start()
@@ -188,7 +188,7 @@
         return self.process is not None and self.process.poll() is None
 
     async def has_sharded_view(self, members: int, shard_count: int) -> bool:
-        """Return whether it has a view of that many members and shards, and links to its whole own shard."""
+        """Return whether the sidecar has a view of that size and shard count, and links to its shard."""
         with contextlib.suppress(ConnectionBrokenError, TimeoutError):
             _, report = await self.admin_call("GET", "/_fleet")
             cells_report = report["cells"]
@@ -286,7 +286,7 @@
     def link_between(self, first: Sidecar, second: Sidecar) -> tuple[LinkDirection, LinkDirection]:
         """Return both directions of the link between two sidecars: first to second, then back.
 
-        The faults set on them apply whichever of the two opens the connection.
+        Faults set on the directions apply whichever of the two sidecars opens the connection.
         """
         directions = LinkDirection(), LinkDirection()
         second.peer_relay.links[first.host] = directions
--- a/trials/timetable.py
+++ b/trials/timetable.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault. `sidecars`: the numbers of the two that it may affect; `duration`: seconds."""
+    """One fault. `sidecars`: the numbers of the two sidecars that it may affect; `duration`: seconds."""
 
     at: float  # seconds from the start of the timetable
     kind: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class ProcessLoss:
-    """A killed process and the time on the loop's clock."""
+    """A killed process, and when it was killed on the loop's clock."""
 
     name: str
     at: float
@@ -69,7 +69,7 @@
     """Injects the faults of a timetable; all of them have ended when `inject` returns."""
 
     def __init__(self, cluster: Cluster) -> None:
-        """Create an injector for that cluster."""
+        """Create an injector for one cluster."""
         self.cluster = cluster
         self.losses: list[ProcessLoss] = []
         self.unavailable: set[str] = set()  # names of sidecars that are killed or paused at present
@@ -80,10 +80,10 @@
         tasks = []
         for fault in faults:
             await asyncio.sleep(max(0.0, start + fault.at - asyncio.get_running_loop().time()))
-            tasks.append(asyncio.create_task(self.inject_one(fault)))
+            tasks.append(asyncio.create_task(self.inject_fault(fault)))
         await asyncio.gather(*tasks)
 
-    async def inject_one(self, fault: Fault) -> None:
+    async def inject_fault(self, fault: Fault) -> None:
         """Inject one fault and wait until it has ended."""
         sidecar, peer = (self.cluster.sidecars[i] for i in fault.sidecars)
         actions: dict[str, Callable[[Sidecar, Sidecar, float], Awaitable[None]]] = {
--- a/trials/verdict.py
+++ b/trials/verdict.py
@@ -44,9 +44,11 @@
 
 
 def check_requests(requests: list[ClientRequest], runs: list[Run], start: float = 0.0) -> TrialResult:
-    """Check over all processes that requests run at most once, or within the deduplication window.
+    """Check the runs of all requests at all upstreams, and the responses that clients received.
 
-    Also checks that each response belongs to its request and to a run of it.
+    A non-idempotent request runs at most once, and a request with a key does not run again after the
+    deduplication window. Each successful response belongs to its request and to a run of that request, and
+    no 503 follows it. `start`: the time on the loop's clock from which the times in the messages count.
     """
     result = TrialResult()
     runs_by_request: dict[str, list[Run]] = {}
--- a/trials/zones.py
+++ b/trials/zones.py
@@ -1,7 +1,7 @@
-"""A zone fails and recovers: what is sent there and lost, whether sidecars leave it and how fast they return.
+"""A zone fails and recovers: which requests reach it, whether sidecars leave it and how fast they return.
 
 Counts are made at the upstreams and clients. Each case says what happens to which upstreams and links, and
-whether it helps to leave the zone: where it does not, no sidecar may leave.
+whether it helps to leave the zone. If leaving does not help, no sidecar may leave the zone.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 BEFORE_DURATION, FAULT_DURATION, AFTER_DURATION = 3.0, 5.0, 12.0  # seconds of each phase
 RATE = 220.0  # requests a second
 REQUEST_MIX = {"look": 2.0, "move": 1.0, "buy": 1.0}
-PLAN_APPLY_TIME = 0.5  # seconds after a plan that leaves a zone, after which it gets only probing requests
-PROBING_FRACTION = 0.12  # of the traffic before the fault, that may still be sent as probing requests
+PLAN_APPLY_TIME = 0.5  # seconds from a plan that leaves a zone until only probing requests may reach the zone
+PROBING_FRACTION = 0.12  # of the traffic before the fault: what may still be sent as probing requests
 BASELINE_PERIOD = 2.0  # seconds before the fault, over which the usual traffic is counted
 MIN_SHARE = 1e-9  # avoids a division by zero
 FLAP_INTERVAL = 0.05  # seconds between two updates of a flapping zone
@@ -207,26 +207,28 @@
     requests = cluster.clients.requests
     failed_at, recovered_at = period.failed_at, period.recovered_at
     requests_during = [request for request in requests if failed_at <= request.started_at < recovered_at]
-    first_ends = Counter(request.attempts[0].outcome for request in requests_during if request.attempts)
+    first_outcomes = Counter(request.attempts[0].outcome for request in requests_during if request.attempts)
     baseline = _share(cluster, zones, failed_at - BASELINE_PERIOD, failed_at)
-    seconds = [recovered_at + second for second in range(int(after))]
-    shares = [round(_share(cluster, zones, at, at + 1.0) / max(baseline, MIN_SHARE), 2) for at in seconds]
-    seconds_failing = [failed_at + second for second in range(int(recovered_at - failed_at))]
+    second_starts = [recovered_at + second for second in range(int(after))]
+    shares = [
+        round(_share(cluster, zones, at, at + 1.0) / max(baseline, MIN_SHARE), 2) for at in second_starts
+    ]
+    failing_second_starts = [failed_at + second for second in range(int(recovered_at - failed_at))]
     result.counts |= {
         "work": len(requests),
         "finished": sum(request.succeeded for request in requests),
         "while it failed": len(requests_during),
         "finished of these": sum(request.succeeded for request in requests_during),
-        "first answers": dict(sorted(first_ends.items())),
+        "first answers": dict(sorted(first_outcomes.items())),
         "sent there meanwhile": len(_runs_in(cluster, zones, failed_at, recovered_at)),
-        "by second": [len(_runs_in(cluster, zones, at, at + 1)) for at in seconds_failing],
+        "by second": [len(_runs_in(cluster, zones, at, at + 1)) for at in failing_second_starts],
         "usual share": round(baseline, 2),
         "of that after its return": shares,
     }
 
 
 def _share(cluster: Cluster, zones: tuple[str, ...], begin: float, end: float) -> float:
-    """Return the fraction of all runs in a period that were in these zones."""
+    """Return the fraction of all runs from `begin` to `end` that were in these zones."""
     return len(_runs_in(cluster, zones, begin, end)) / max(1, len(_all_runs(cluster, begin, end)))
 
 
@@ -281,7 +283,7 @@
 
 
 def make_trial(name: str) -> Callable[..., Awaitable[TrialResult]]:
-    """Return the trial of that case for the command line."""
+    """Return the trial of the case with that name, for the command line."""
 
     async def run_case(seed: int, sidecars: int = 9, root: Path = ROOT, fleet: bool = True) -> TrialResult:
         return await run_trial(seed, sidecars, root, fleet, name)
