--- a/trials/emulated/__init__.py
+++ b/trials/emulated/__init__.py
@@ -1,4 +1,4 @@
-"""The replication of a whole fleet in emulated time; `world` is where to begin reading."""
+"""Replication of requests in a whole fleet, in emulated time. The main module is `world`."""
 
 from .faults import HARSH_FAULTS, FaultRates
 from .member import Request
--- a/trials/emulated/events.py
+++ b/trials/emulated/events.py
@@ -1,4 +1,4 @@
-"""Emulated time: a queue of what is to happen, run in order."""
+"""A clock in emulated time, and a queue of scheduled actions that run in order."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 class EventQueue:
-    """Owns the emulated clock. Actions of one moment run in the order in which they were added."""
+    """The emulated clock and its actions; actions of the same time run in the order they were scheduled."""
 
     def __init__(self) -> None:
-        """Start at time 0."""
+        """Start the clock at 0 seconds."""
         self.now = 0.0  # seconds
-        self._count = 0
+        self._scheduled_count = 0
         self._queue: list[tuple[float, int, Action]] = []
 
-    def at(self, when: float, action: Action) -> None:
-        """Have an action run at that time, seconds."""
-        self._count += 1
-        heapq.heappush(self._queue, (when, self._count, action))
+    def schedule(self, when: float, action: Action) -> None:
+        """Schedule an action for the time `when`, in seconds."""
+        self._scheduled_count += 1
+        heapq.heappush(self._queue, (when, self._scheduled_count, action))
 
-    def every(self, interval: float, action: Action) -> None:
-        """Have an action run again and again, each time so many seconds after the last."""
+    def schedule_every(self, interval: float, action: Action) -> None:
+        """Schedule an action repeatedly, each time `interval` seconds after the last."""
 
         def repeat() -> None:
             action()
-            self.at(self.now + interval, repeat)
+            self.schedule(self.now + interval, repeat)
 
-        self.at(self.now + interval, repeat)
+        self.schedule(self.now + interval, repeat)
 
     def run_until(self, when: float) -> None:
-        """Run all actions up to that time, seconds."""
+        """Run all actions that are due up to the time `when`, in seconds."""
         while self._queue and self._queue[0][0] <= when:
             self.now, _, action = heapq.heappop(self._queue)
             action()
--- a/trials/emulated/faults.py
+++ b/trials/emulated/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in an emulated fleet: seeded crashes, pauses, partitions, resets and outages."""
+"""Seeded faults in an emulated fleet: crashes, pauses, partitions, resets and store outages."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from .world import World
 
 MIN_DURATION = 0.05  # seconds
-MIN_MEMBERS = 2  # that are left alive
-MAX_DURATION_FIELD = "max_duration"  # of `FaultRates`: the only one that is no rate
+MIN_MEMBERS = 2  # crashes and partitions happen only while more members than these are alive
+MAX_DURATION_FIELD = "max_duration"  # the only field of `FaultRates` that is not a rate
 
 
 @dataclass
 class FaultRates:
-    """How often a second each fault occurs in the fleet; and how long one lasts at most, seconds."""
+    """Rate of each fault in the whole fleet, per second, and the maximum duration of a fault in seconds."""
 
     crash: float = 0.5
     pause: float = 0.5
@@ -35,14 +35,14 @@
 
 
 class FaultInjector:
-    """Schedules faults and makes them happen. Each takes its duration in seconds."""
+    """Schedules and injects faults. The method of each fault takes its duration in seconds."""
 
     def __init__(self, world: World) -> None:
-        """`world`: where they happen."""
+        """Inject faults into `world`."""
         self.world = world
 
     def schedule(self, rates: FaultRates, start: float, seconds: float) -> None:
-        """Schedule faults at drawn moments of that time."""
+        """Schedule faults at random times in the `seconds` after `start`."""
         rng = self.world.rng
         for fault in fields(rates):
             if fault.name == MAX_DURATION_FIELD:
@@ -51,46 +51,46 @@
             for _ in range(int(expected) + (rng.random() < expected % 1)):
                 at = start + rng.uniform(0, seconds)
                 duration = rng.uniform(MIN_DURATION, rates.max_duration)
-                self._schedule_one(at, getattr(self, fault.name), duration)
+                self._schedule_fault(at, getattr(self, fault.name), duration)
 
-    def _schedule_one(self, at: float, fault: Callable[[float], None], duration: float) -> None:
-        self.world.events.at(at, lambda: fault(duration))
+    def _schedule_fault(self, at: float, fault: Callable[[float], None], duration: float) -> None:
+        self.world.events.schedule(at, lambda: fault(duration))
 
-    def _pair(self) -> list[EmulatedMember]:
+    def _pick_pair(self) -> list[EmulatedMember]:
         alive = self.world.live_members()
         return self.world.rng.sample(alive, 2) if len(alive) > MIN_MEMBERS else []
 
     def crash(self, duration: float) -> None:
-        """A process ends and is started again."""
+        """End a random process, and start it again after `duration`."""
         alive = self.world.live_members()
         if len(alive) > MIN_MEMBERS:
             self.world.crash(self.world.rng.choice(alive), restart_after=duration)
 
     def pause(self, duration: float) -> None:
-        """A process is stopped and resumed."""
+        """Stop a random process, and resume it after `duration`."""
         if alive := self.world.live_members():
             member = self.world.rng.choice(alive)
             member.paused_until = self.world.now + duration
-            self.world.events.at(member.paused_until, member.resume)
+            self.world.events.schedule(member.paused_until, member.resume)
 
     def partition(self, duration: float) -> None:
-        """Nothing passes between two members."""
-        if pair := self._pair():
+        """Partition two random members from each other."""
+        if pair := self._pick_pair():
             for one, other in (pair, pair[::-1]):
                 self.world.network.partitioned_until[one.name, other.name] = self.world.now + duration
 
     def one_way_partition(self, duration: float) -> None:
-        """Nothing passes from one member to another."""
-        if pair := self._pair():
+        """Drop everything that one random member sends to another, but not the reverse."""
+        if pair := self._pick_pair():
             self.world.network.partitioned_until[pair[0].name, pair[1].name] = self.world.now + duration
 
     def reset(self, duration: float) -> None:
-        """A link ends."""
+        """Close a random link of a random member."""
         members = [member for member in self.world.live_members() if member.links and not member.is_paused]
         if members:
             member = self.world.rng.choice(members)
             self.world.network.close(self.world.rng.choice(list(member.links.values())), member)
 
     def store_outage(self, duration: float) -> None:
-        """The coordination store is unreachable."""
+        """Make the coordination store unreachable for all members."""
         self.world.store.down_until = self.world.now + duration
--- a/trials/emulated/member.py
+++ b/trials/emulated/member.py
@@ -1,4 +1,4 @@
-"""One member of an emulated fleet: the program's replicator, and a host that decides by simple rules."""
+"""A member of an emulated fleet: the real `RequestReplicator`, with a host that decides by simple rules."""
 
 from __future__ import annotations
 
@@ -24,61 +24,63 @@
 
 # Seconds of emulated time.
 TIMEOUT = 2.0  # of a request
-SERVICE_TIME = 0.08  # of an endpoint, in the middle
-SILENCE_TIMEOUT = 0.3  # after which a silent link ends, and an intent is too old for its attempt
-DIAL_TIMEOUT = 0.3  # within which a dialled link comes up, or counts as failed
-DEDUPLICATION_WINDOW = 2.0  # in which endpoints drop repeats of requests that are idempotent with a key
-USED_WINDOW_FRACTION = 0.98  # of the window: so long a member relies on it
-WRITE_DELAY = 0.0002  # from the release of an attempt to its write
-CANCEL_DELAY = 0.001  # from the cancellation of an attempt to the next one
-RETRY_AFTER = 0.05  # that a member gives with a rejection
-
-MAX_ATTEMPTS = 3  # of one request
-REPLICAS = 1  # per request, beside what a view demands
+SERVICE_TIME = 0.08  # median, of an endpoint
+SILENCE_TIMEOUT = 0.3  # after which a silent link is closed, and an intent is too old to send its attempt
+DIAL_TIMEOUT = 0.3  # after which a dialled link that is not up counts as failed
+DEDUPLICATION_WINDOW = 2.0  # in which endpoints drop duplicates of requests that are idempotent with a key
+USED_WINDOW_FRACTION = 0.98  # part of the deduplication window that members rely on
+WRITE_DELAY = 0.0002  # between the release of an attempt and its write
+CANCEL_DELAY = 0.001  # between the cancellation of an attempt and the next attempt
+RETRY_AFTER = 0.05  # of a rejection
+
+MAX_ATTEMPTS = 3  # per request
+REPLICA_COUNT = 1  # per request, besides those that a view requires
 MEMORY_LIMIT = 1 << 30  # bytes recorded for other members
 ZONES = ("north", "east", "south")
 
 
 @dataclass(eq=False)
 class Request:
-    """One attempt of a client, at one member."""
+    """A request that a client sends to one member. A retry is another `Request` with the same key."""
 
-    name: bytes
-    retry_safety: str  # value of its `RetrySafety`
+    key: bytes
+    retry_safety: str  # a value of `RetrySafety`
     deadline: float  # seconds
     is_retry: bool
-    number: int  # of the requests of all clients
+    number: int  # counted over all clients
     member: EmulatedMember | None = None
-    outcome: str = ""  # status of its response, or how it ended without one; empty: open
+    outcome: str = ""  # the status of its response, or why it ended without one; empty: still open
 
 
 class EmulatedMember:
-    """`RequestReplicator`, its host, and what happens to a process."""
+    """A process of the fleet: a `RequestReplicator` and its host."""
 
     def __init__(self, world: World, name: str, number: int) -> None:
-        """`number`: how many processes were started before; it makes the member's id and term."""
+        """Start a process of the member `name`; `number`, unique among all starts, gives its id and term."""
         self.world, self.name = world, name
         self.id = f"{name}.{number:06d}"
         zone = ZONES[int(name[1:]) % len(ZONES)]
         self.member = Member(self.id, name, "", zone, term=number)
         self.replicator: Any = world.replicator_type(
-            self.id, TIMEOUT, REPLICAS, MEMORY_LIMIT, self, world.now
+            self.id, TIMEOUT, REPLICA_COUNT, MEMORY_LIMIT, self, world.now
         )
         self.links: dict[str, Link] = {}
         self.alive, self.paused_until = True, 0.0
-        self.postponed: list[Callable[[], None]] = []  # until the process is resumed
-        self.failed_attempts: dict[ReplicatedRequest, int] = {}  # that have ended without a response
+        self.postponed: list[Callable[[], None]] = []  # actions that run when the process resumes
+        self.failed_attempts: dict[
+            ReplicatedRequest, int
+        ] = {}  # attempts that ended without a response, by request
         self.renewed_at = world.now
 
-    # What happens to a process.
+    # The process.
 
     @property
     def is_paused(self) -> bool:
-        """The process is stopped for now."""
+        """Whether the process is stopped now."""
         return self.world.now < self.paused_until
 
     def run(self, action: Callable[[], None]) -> None:
-        """Run an action now, or once the process is resumed; never after its end."""
+        """Run an action now, or when a paused process resumes; drop it if the process has ended."""
         if not self.alive:
             return
         if self.is_paused:
@@ -88,21 +90,21 @@
         action()
 
     def run_after(self, delay: float, action: Callable[[], None]) -> None:
-        """Run an action so many seconds later."""
-        self.world.events.at(self.world.now + delay, lambda: self.run(action))
+        """Run an action after `delay` seconds."""
+        self.world.events.schedule(self.world.now + delay, lambda: self.run(action))
 
     def resume(self) -> None:
-        """The process goes on after a pause."""
+        """Run the postponed actions, unless another pause has begun."""
         if self.is_paused:
             return
         postponed, self.postponed = self.postponed, []
         for action in postponed:
             self.run(action)
 
-    # The host of the replicator.
+    # Methods of the replicator's host.
 
     def send_frame(self, member: str, frame: Frame) -> bool:
-        """Send a frame to a member. False: there is no link to it now."""
+        """Send a frame to a member; return False if there is no link to it now."""
         link = self.links.get(member)
         if link is None or not link.open[self.id]:
             return False
@@ -110,20 +112,20 @@
         return True
 
     def dial(self, member: str) -> bool:
-        """Open a link to a member of another shard."""
+        """Start to open a link to a member of another shard; return whether the member is in the view."""
         until = self.world.now + DIAL_TIMEOUT
         delay = self.world.rng.uniform(0.0005, 0.004)
         self.run_after(delay, lambda: self.world.network.dial(self, member, until))
         return member in self.replicator.view
 
     def release_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """Write the attempt of that intent; a pause may fall in between."""
+        """Write the attempt of an intent after a delay, in which the process may be paused."""
         intended_at = request.intents[number].started_at
-        self.run_after(WRITE_DELAY, lambda: self._write(request, number, intended_at))
+        self.run_after(WRITE_DELAY, lambda: self._write_attempt(request, number, intended_at))
 
-    def _write(self, request: ReplicatedRequest, number: int, intended_at: float) -> None:
+    def _write_attempt(self, request: ReplicatedRequest, number: int, intended_at: float) -> None:
         if self.world.now > intended_at + SILENCE_TIMEOUT:
-            # As the program does: a pause has fallen between the intent and the write.
+            # As in the program, an attempt is not sent if a pause fell between its intent and its write.
             self.replicator.attempt_not_run(request, number, NEVER_RELEASED)
             self._retry(request)
             return
@@ -137,18 +139,18 @@
             self._respond(request, response)
 
     def _respond(self, request: ReplicatedRequest, response: RecordedResponse) -> None:
-        """Give a response to the client for which the request was dispatched."""
+        """Give a response to the client whose request was dispatched."""
         client = request.dispatched_client
         if client is not None and not client.outcome:
             self.world.respond(client, response)
         request.waiting_clients.pop(client, None)
 
     def cancel_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """The attempt of that intent must never be written."""
+        """Retry the request without ever writing the attempt of this intent."""
         self.run_after(CANCEL_DELAY, lambda: self._retry(request))
 
     def _retry(self, request: ReplicatedRequest) -> None:
-        """Start another attempt, or reject the request."""
+        """Start another attempt of a dispatched request if one is allowed, else reject the request."""
         if not request.is_dispatched:
             return
         self.failed_attempts[request] = self.failed_attempts.get(request, 0) + 1
@@ -166,7 +168,7 @@
             self.replicator.wait_on(request, client, until)
 
     def dispatch(self, request: ReplicatedRequest) -> None:
-        """Dispatch a request with its history."""
+        """Start an attempt of a request if its recorded intents allow it, else fail it with status 504."""
         if self._may_attempt(request):
             self._start_attempt(request)
             return
@@ -175,7 +177,7 @@
             self._respond(request, response)
 
     def _may_attempt(self, request: ReplicatedRequest) -> bool:
-        """The rules of the program's decisions on retries and timeouts."""
+        """Return whether another attempt is allowed, by the program's rules on retries and timeouts."""
         now = self.world.now
         may_have_run = [intent for intent in request.intents if not intent.outcome]
         if now >= request.deadline:
@@ -192,21 +194,21 @@
         self.replicator.record_intent(request, number)
 
     def respond(self, request: ReplicatedRequest, client: Request, response: RecordedResponse) -> None:
-        """Give the final response to a client that waits here."""
+        """Give the final response to a client that waits at this member."""
         if not client.outcome:
             self.world.respond(client, response)
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Count a line of the log."""
+        """Count a log event, and print it if its request is traced."""
         self.world.log_event(self, event, fields)
 
     # Clients.
 
     def receive(self, request: Request) -> None:
-        """A client's request arrives."""
+        """Handle a client's request that has arrived."""
         request.member = self
         frame = ReplicateFrame(
-            request.name,
+            request.key,
             self.id,
             0,
             False,
--- a/trials/emulated/network.py
+++ b/trials/emulated/network.py
@@ -1,4 +1,4 @@
-"""The links between the members of an emulated fleet: delays, partitions and ends."""
+"""Links between the members of an emulated fleet: how they open, delay frames, are partitioned and close."""
 
 from __future__ import annotations
 
@@ -15,40 +15,41 @@
 
 # Seconds of emulated time.
 HEARTBEAT_INTERVAL = 0.1
-IDLE_LINK_TIMEOUT = 0.5  # without a frame about requests a link between shards that neither side needs ends
-PARTITION_RETRY_INTERVAL = 0.01  # when a frame on a partitioned link is tried again
+# A link between shards that neither side needs is closed after this time without a frame about requests.
+IDLE_LINK_TIMEOUT = 0.5
+PARTITION_RETRY_INTERVAL = 0.01  # between two tries to deliver a frame over a partitioned link
 DIAL_RETRY_INTERVAL = 0.02
-CONNECT_FAILURE_RATE = 0.3  # part of the moments at which no link comes up
+CONNECT_FAILURE_PROBABILITY = 0.3  # of each try to open a missing link
 
 
 class Link:
-    """One connection between two members; each side ends by itself."""
+    """A connection between two members, each of which opens and closes its own side."""
 
     def __init__(self, ends: tuple[EmulatedMember, EmulatedMember], now: float) -> None:
-        """`now`: seconds."""
+        """Open both sides at the time `now`, in seconds."""
         self.ends = ends
-        self.open = {end.id: True for end in ends}
-        self.received_at = {end.id: now for end in ends}  # the last heartbeat, by receiver
-        self.used_at = now  # when the last frame about requests was sent
-        self.arrives_at = {end.id: 0.0 for end in ends}  # the last frame, by receiver
+        self.open = {end.id: True for end in ends}  # by member
+        self.received_at = {end.id: now for end in ends}  # when the last heartbeat arrived, by receiver
+        self.used_at = now  # when the last frame other than `ViewSyncedFrame` was sent
+        self.arrives_at = {end.id: 0.0 for end in ends}  # when the last frame sent arrives, by receiver
 
     def other(self, member: EmulatedMember) -> EmulatedMember:
-        """The member at the other end."""
+        """Return the member at the other end."""
         return self.ends[1] if self.ends[0] is member else self.ends[0]
 
 
 class Network:
-    """Owns the partitions between members; opens, watches and ends their links."""
+    """The links of all members and the partitions between them."""
 
     def __init__(self, world: World) -> None:
-        """`world`: whose members are linked."""
+        """Link the members of `world`."""
         self.world = world
-        self.partitioned_until: dict[tuple[str, str], float] = {}  # by names of sender and receiver
-        self.frames: Counter[str] = Counter()  # sent, by kind
-        self.max_links = 0  # of one member, as seen now and then
+        self.partitioned_until: dict[tuple[str, str], float] = {}  # by the names of sender and receiver
+        self.sent_frames: Counter[str] = Counter()  # by type
+        self.max_links = 0  # highest link count of one member at any call of `maintain_links`
 
     def is_partitioned(self, sender: EmulatedMember, receiver: EmulatedMember) -> bool:
-        """Nothing arrives that way now."""
+        """Return whether nothing arrives in this direction now."""
         return self.world.now < self.partitioned_until.get((sender.name, receiver.name), 0.0)
 
     def _is_partitioned_either_way(self, one: EmulatedMember, other: EmulatedMember) -> bool:
@@ -57,8 +58,8 @@
     # Frames.
 
     def send(self, link: Link, sender: EmulatedMember, frame: Frame) -> None:
-        """Send a frame over a link."""
-        self.frames[type(frame).__name__] += 1
+        """Send a frame over a link, and print it if its request is traced."""
+        self.sent_frames[type(frame).__name__] += 1
         if not isinstance(frame, ViewSyncedFrame):
             link.used_at = self.world.now
         receiver = link.other(sender)
@@ -67,14 +68,14 @@
         self._deliver(link, sender, lambda: receiver.replicator.frame_received(sender.id, frame))
 
     def _deliver(self, link: Link, sender: EmulatedMember, action: Callable[[], None]) -> None:
-        """Run an action at the other end: in order, after a delay; on a partitioned link it waits."""
+        """Run an action at the other end after a delay, in order; it waits while the link is partitioned."""
         receiver = link.other(sender)
 
         def arrive() -> None:
             if self.is_partitioned(sender, receiver):
                 retry_at = max(link.arrives_at[receiver.id], self.world.now + PARTITION_RETRY_INTERVAL)
                 link.arrives_at[receiver.id] = retry_at
-                self.world.events.at(retry_at, arrive)
+                self.world.events.schedule(retry_at, arrive)
                 return
             if receiver.alive and link.open[receiver.id]:
                 receiver.run(lambda: action() if link.open[receiver.id] else None)
@@ -82,12 +83,12 @@
         delay = self.world.rng.uniform(0.0003, 0.003)
         arrives_at = max(link.arrives_at[receiver.id], self.world.now + delay)
         link.arrives_at[receiver.id] = arrives_at
-        self.world.events.at(arrives_at, arrive)
+        self.world.events.schedule(arrives_at, arrive)
 
-    # Ends of links.
+    # Maintenance and closing of links.
 
     def close(self, link: Link, member: EmulatedMember) -> None:
-        """One side ends a link; the other notices in order, if the way is open."""
+        """Close one side of a link; the other side is closed after the frames sent before have arrived."""
         if not link.open[member.id]:
             return
         link.open[member.id] = False
@@ -99,8 +100,8 @@
                 member.replicator.link_down(other.id)
         self._deliver(link, member, lambda: self.close(link, other))
 
-    def watch(self) -> None:
-        """Exchange heartbeats, end silent and idle links, open missing ones, and tick the replicators."""
+    def maintain_links(self) -> None:
+        """Exchange heartbeats, close silent and idle links, open missing ones, and tick the replicators."""
         alive = self.world.live_members()
         self._exchange_heartbeats(alive)
         running = [member for member in alive if not member.is_paused]
@@ -136,7 +137,7 @@
             self.close(link, member)
 
     def _is_idle(self, link: Link, member: EmulatedMember, other: EmulatedMember) -> bool:
-        """A link between shards that neither side needs any more."""
+        """Return whether a link between shards is idle and neither side needs it any more."""
         view = member.replicator.view
         if view.shard_count == 1 or view.shard_of_member(member.id) == view.shard_of_member(other.id):
             return False
@@ -150,13 +151,16 @@
         for one, other in self._peers(running):
             if other.id in one.links or one.id in other.links:
                 continue
-            if self._is_partitioned_either_way(one, other) or self.world.rng.random() < CONNECT_FAILURE_RATE:
+            if (
+                self._is_partitioned_either_way(one, other)
+                or self.world.rng.random() < CONNECT_FAILURE_PROBABILITY
+            ):
                 continue
-            if self._know_each_other(one, other):
+            if self._have_matching_views(one, other):
                 self._connect(one, other)
 
     def _peers(self, running: list[EmulatedMember]) -> Iterator[tuple[EmulatedMember, EmulatedMember]]:
-        """Pairs of members that keep a link: all that are of one shard."""
+        """Yield the pairs of running members that must have a link: all pairs within a shard."""
         if self.world.store.shard_count == 1 and all(
             member.replicator.view.shard_count == 1 for member in running
         ):
@@ -172,8 +176,8 @@
                     yield one, by_id[member_id]
 
     @staticmethod
-    def _know_each_other(one: EmulatedMember, other: EmulatedMember) -> bool:
-        """Each is in the other's view, and both views have as many shards."""
+    def _have_matching_views(one: EmulatedMember, other: EmulatedMember) -> bool:
+        """Return whether each is in the other's view and both views have the same shard count."""
         views = one.replicator.view, other.replicator.view
         return other.id in views[0] and one.id in views[1] and views[0].shard_count == views[1].shard_count
 
@@ -184,7 +188,7 @@
         other.run(lambda: other.replicator.link_up(one.id))
 
     def dial(self, member: EmulatedMember, other_id: str, until: float) -> None:
-        """A member opens a link to one of another shard; it fails at `until`, seconds."""
+        """Open a link to a member of another shard, or report its failure at the time `until`, in seconds."""
         if other_id in member.links:
             return
         other = self.world.members.get(other_id)
@@ -192,7 +196,11 @@
             member.replicator.link_failed(other_id)
             return
         busy = other.is_paused or member.id in other.links
-        if busy or self._is_partitioned_either_way(member, other) or not self._know_each_other(member, other):
+        if (
+            busy
+            or self._is_partitioned_either_way(member, other)
+            or not self._have_matching_views(member, other)
+        ):
             member.run_after(DIAL_RETRY_INTERVAL, lambda: self.dial(member, other_id, until))
         else:
             self._connect(member, other)
--- a/trials/emulated/store.py
+++ b/trials/emulated/store.py
@@ -1,4 +1,4 @@
-"""The coordination store of an emulated fleet: never wrong, but it may be unreachable."""
+"""The coordination store of an emulated fleet, which is always consistent but may be unreachable."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
     from .world import World
 
 LEASE_DURATION = 2.0  # seconds
-RENEWAL_FRACTION = 1 / 3  # of a lease, after which it is renewed
-POLL_INTERVAL = 0.02  # seconds between two steps
+RENEWAL_FRACTION = 1 / 3  # part of the lease's duration after which it is renewed
+POLL_INTERVAL = 0.02  # seconds between calls of `step`
 
 
 class Lease(NamedTuple):
-    """The entry of a member, until its lease ends."""
+    """A member's entry, and when its lease ends."""
 
     member: Member
     until: float  # seconds
 
 
 class CoordinationStore:
-    """Owns the leases and the count of shards; tells members of each view."""
+    """The leases and the shard count; members are sent each new view."""
 
     def __init__(self, world: World, shard_count: int) -> None:
-        """`shard_count`: into how many shards the fleet is divided from the start."""
+        """Start without leases, with the given shard count."""
         self.world = world
         self.leases: dict[str, Lease] = {}  # by member id
         self.shard_count, self.resharded_at = shard_count, -TIMEOUT
         self.down_until = 0.0
         self._last_digest = -1
 
-    def enter(self, member: EmulatedMember) -> None:
-        """A member takes a lease."""
+    def grant_lease(self, member: EmulatedMember) -> None:
+        """Grant or renew the lease of a member."""
         self.leases[member.id] = Lease(member.member, self.world.now + LEASE_DURATION)
 
     def evict(self, member_id: str) -> None:
-        """End a lease early, as a member asks that sees another one's process gone."""
+        """End the lease of a member whose process is gone, as another member requests; ignored while down."""
         if self.world.now >= self.down_until:
             self.leases.pop(member_id, None)
 
-    def divide(self, shard_count: int) -> None:
-        """The fleet is divided into so many shards from now on."""
+    def set_shard_count(self, shard_count: int) -> None:
+        """Change the shard count from now on."""
         self.shard_count, self.resharded_at = shard_count, self.world.now
 
     def step(self) -> None:
-        """Renew and end leases; tell members if the view has changed."""
+        """Renew and end leases, and send the view to all members if it has changed."""
         now = self.world.now
         if now < self.down_until:
             return
@@ -70,17 +70,17 @@
         if member.id not in self.leases:
             term = self.world.next_term()
             member.member = Member(member.id, member.name, "", member.member.zone, term=term)
-            self.enter(member)
+            self.grant_lease(member)
             member.renewed_at = now
         elif now >= member.renewed_at + LEASE_DURATION * RENEWAL_FRACTION:
             member.renewed_at = now
-            self.enter(member)
+            self.grant_lease(member)
         member.replicator.lease_until = member.renewed_at + LEASE_DURATION
 
     def _send_view(self, member: EmulatedMember, view: MembershipView) -> None:
-        """Each member gets each view, in order, in its own time."""
+        """Send a view to a member, which it gets after a random delay."""
         delay = self.world.rng.uniform(0.001, 0.03)
-        self.world.events.at(
+        self.world.events.schedule(
             self.world.now + delay,
             lambda: member.run(lambda: member.replicator.view_changed(view, gap=False)),
         )
--- a/trials/emulated_member.py
+++ b/trials/emulated_member.py
@@ -1,4 +1,4 @@
-"""One member of an emulated fleet: its policy replica, clock, lease and watch. See `emulated_policy`."""
+"""A member of an emulated fleet, with its policy replica, clock, lease and watch. See `emulated_policy`."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     from .emulated_policy import World
 
 LEASE = 2.0  # seconds
-STEP = 0.05  # seconds between the steps of a member, on average
-MAX_SKEW = 0.1  # seconds that a clock may be off, either way
-WRITE_PAUSE = 0.05  # seconds after a transaction before the next
-STATUS_INTERVAL = 1 / 320  # seconds for each member, as the program's links have it where statuses are needed
+STEP_INTERVAL = 0.05  # seconds between the steps of a member, on average
+MAX_SKEW = 0.1  # seconds that a member's clock may be ahead or behind
+MIN_WRITE_INTERVAL = 0.05  # seconds between the transactions of a member
+STATUS_INTERVAL = 1 / 320  # seconds for each member of the fleet, as on the program's links when needed
 MIN_STATUS_INTERVAL = 0.1  # seconds
-STATUS_DELAY = 0.02  # seconds that a status takes at most
+MAX_STATUS_DELAY = 0.02  # seconds
 RENEWAL_INTERVAL = LEASE / 3  # seconds
-RENEWAL_REPLY_CHANCE = 0.95
-WATCH_CHANCE = 0.7  # that the watch delivers in a step
-PROMPT_WRITE = 0.002  # seconds that a transaction takes as a rule
-PROMPT_WRITE_CHANCE = 0.9
+RENEWAL_REPLY_PROBABILITY = 0.95  # that the reply to a renewal is not lost
+WATCH_PROBABILITY = 0.7  # that the watch delivers events in a step
+PROMPT_WRITE_DELAY = 0.002  # seconds until a prompt transaction reaches the store
+PROMPT_WRITE_PROBABILITY = 0.9  # that a transaction is prompt
 
 
 class EmulatedMember:
-    """One member: its replica, clock and watch. It is the replica's host."""
+    """A process of the fleet with a policy replica, which it is the host of."""
 
     def __init__(self, world: World, name: str, number: int) -> None:
-        """`number`: of this start, over the whole fleet."""
+        """Start a process of the member `name`; `number` is unique among all starts of the fleet."""
         self.world, self.name, self.id = world, name, f"{name}.{number:06d}"
         self.skew = world.rng.uniform(-MAX_SKEW, MAX_SKEW)
         stored = world.files.get(name)
@@ -46,33 +46,33 @@
         self.renewed_at, self.entry_revision = -inf, 0
         self.wrote_at = -inf
         self.status_sent_at = 0.0
-        self.pending_statuses: dict[str, PolicyStatus] = {}  # that came while it was paused
-        self.must_read_all = True
+        self.pending_statuses: dict[str, PolicyStatus] = {}  # those received while paused, by sender
+        self.needs_full_read = True
         self.policy_replica.restore()
 
     def clock(self) -> float:
-        """The time by its own clock."""
+        """Return the time by the member's own clock."""
         return self.world.now + self.skew
 
-    # What the replica asks for; see `PolicyHost`.
+    # Methods of `PolicyHost`.
 
     def check(self, body: PolicyBody) -> str:
-        """A policy may name members that can't follow it."""
+        """Reject a policy that names this member in its setting `not`."""
         return "not here" if self.name in body["settings"].get("not", []) else ""
 
     def store(self, stored: StoredPolicy) -> None:
-        """Store it in the world's files."""
+        """Store a copy in the files of the simulation, which survive a crash."""
         self.world.files[self.name] = copy.copy(stored)
 
     def store_state(self) -> str | None:
-        """All is stored at once."""
+        """Return that everything is stored, since writes take effect at once."""
         return ""
 
     def apply_policy(self, policy: Policy) -> None:
-        """Nothing has to be put in force."""
+        """Do nothing, since no component uses the policy."""
 
     def request_decision(self, member: str) -> None:
-        """Take over the decision of that member, if it can be reached."""
+        """Adopt the decision of another member, if that can be reached and knows one."""
         other = self.world.members.get(member)
         if other is None or not self.world.is_linked(self, other):
             return
@@ -80,49 +80,49 @@
             self.policy_replica.receive_decision(other.policy_replica.decision)
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Count the event."""
+        """Count a log event, and print it if tracing is on."""
         self.world.log_counts[event] += 1
         if self.world.trace:
             print(f"{self.world.now:.3f} {self.id} {event} {fields}")
 
-    # Its steps.
+    # Steps.
 
     def step(self) -> None:
-        """Do all that is due; requests come before, in between and after."""
+        """Do what is due, unless paused, and schedule the next step."""
         if not self.alive:
             return
         if self.world.now >= self.paused_until:
-            self._run()
-        self.world.schedule(self.world.now + STEP * self.world.rng.uniform(0.5, 1.5), self.step)
+            self._run_step()
+        self.world.schedule(self.world.now + STEP_INTERVAL * self.world.rng.uniform(0.5, 1.5), self.step)
 
-    def _run(self) -> None:
-        # After a pause, what has waited is met in any order: requests may come first.
+    def _run_step(self) -> None:
+        # After a pause, waiting events may be handled in any order, so requests may come before all others.
         self.policy_replica.now = self.clock()
-        self._take_requests()
+        self._accept_requests()
         for status in self.pending_statuses.values():
             self.policy_replica.receive_status(status)
         self.pending_statuses.clear()
-        self._take_requests()
+        self._accept_requests()
         self._follow_watch()
         self.policy_replica.now = self.clock()
         self._renew_lease()
         self._send_statuses()
-        self._write()
-        self._take_requests()
+        self._write_due_transaction()
+        self._accept_requests()
 
-    def _take_requests(self) -> None:
+    def _accept_requests(self) -> None:
         if not self.policy_replica.unavailable_reason():
             self.world.observe(self, self.policy_replica.active_policy)
 
     def _follow_watch(self) -> None:
-        """The watch: late by a while, in order; nothing while the store can't be reached."""
+        """Handle the events of the watch, in order but late; none while the store is unreachable."""
         world = self.world
         if not world.reaches_store(self) or world.now < world.watch_stalled_until.get(self.name, 0.0):
             return
-        if self.must_read_all:
+        if self.needs_full_read:
             self._read_all()
             return
-        end = len(world.store.events) if world.rng.random() < WATCH_CHANCE else self.events_seen
+        end = len(world.store.events) if world.rng.random() < WATCH_PROBABILITY else self.events_seen
         changed, members_changed, last_revision = False, False, 0
         for revision, key, entry in world.store.events[self.events_seen : end]:
             if members_changed and revision != last_revision:
@@ -147,7 +147,7 @@
         self.events_seen = len(store.events)
         self.records.revision = store.revision
         self.policy_replica.update_records(self.records.copy(), True)
-        self.must_read_all = False
+        self.needs_full_read = False
 
     def _renew_lease(self) -> None:
         world, store = self.world, self.world.store
@@ -162,7 +162,7 @@
             self.entry_revision = store.revision
         world.leases[key] = world.now + LEASE
         self.renewed_at = world.now
-        if world.rng.random() < RENEWAL_REPLY_CHANCE:  # else the reply is lost
+        if world.rng.random() < RENEWAL_REPLY_PROBABILITY:
             self.policy_replica.lease_renewed(self.clock() + LEASE, self.entry_revision)
 
     def _send_statuses(self) -> None:
@@ -181,7 +181,7 @@
 
     def _send_status(self, other: EmulatedMember) -> None:
         world = self.world
-        made_at = self.clock() - world.rng.uniform(0, STATUS_DELAY)
+        made_at = self.clock() - world.rng.uniform(0, MAX_STATUS_DELAY)
         status = msgspec.structs.replace(self.policy_replica.status(), made_at=made_at)
         world.statuses_sent += 1
         if world.now < other.paused_until:
@@ -190,15 +190,15 @@
             other.policy_replica.now = other.clock()
             other.policy_replica.receive_status(status)
 
-    def _write(self) -> None:
+    def _write_due_transaction(self) -> None:
         world = self.world
-        if world.now < self.wrote_at + WRITE_PAUSE or not world.reaches_store(self):
+        if world.now < self.wrote_at + MIN_WRITE_INTERVAL or not world.reaches_store(self):
             return
         due = self.policy_replica.due()
         if isinstance(due, Transaction):
             self.wrote_at = world.now
-            # It may reach the store late, when what it was made from is over.
-            is_prompt = world.rng.random() < PROMPT_WRITE_CHANCE
-            delay = PROMPT_WRITE if is_prompt else world.rng.uniform(0, LEASE / 3)
+            # A late transaction may reach the store when the state it was based on has changed.
+            is_prompt = world.rng.random() < PROMPT_WRITE_PROBABILITY
+            delay = PROMPT_WRITE_DELAY if is_prompt else world.rng.uniform(0, LEASE / 3)
             delay = world.write_delays.get(due.kind, delay)
             world.schedule(world.now + delay, lambda: world.reaches_store(self) and world.store.write(due))
--- a/trials/emulated_policy.py
+++ b/trials/emulated_policy.py
@@ -1,9 +1,9 @@
-"""Changes of the policy of a whole fleet in emulated time: by `fleet/policy`, no sockets.
+"""Simulates policy changes of a whole fleet in emulated time: the code of `fleet/policy` without sockets.
 
-Members are stepped in one process, each with a clock of its own. They crash and come back, with what they
-stored or without, pause, and lose the coordination store and each other; the store goes down, and its replies
-are lost once they were applied. Each step of a member that may take requests is an observation: under which
-policy, and when.
+All members run in one process, each with its own clock. They crash and restart with or without their stored
+state, pause, and lose their connections to the coordination store and to each other; the store becomes
+unreachable, and replies to applied writes are lost. Each time a member could accept requests, the simulation
+records under which policy and when.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 from starlingwheel.fleet.policy.replica import DEFAULT_SWITCH_DELAY, PolicyReplica
 from starlingwheel.fleet.records import MEMBERS_PREFIX, PROPOSAL_KEY, Policy
 
-from .emulated_member import LEASE, MAX_SKEW, STEP, EmulatedMember
+from .emulated_member import LEASE, MAX_SKEW, STEP_INTERVAL, EmulatedMember
 from .emulated_store import EmulatedStore
 
-EXPIRY_INTERVAL = 0.05  # seconds between two looks at which leases have expired
-FIRST_CHANGE_AT = 3.0  # seconds until the first change
+EXPIRY_INTERVAL = 0.05  # seconds between checks for expired leases
+FIRST_CHANGE_AT = 3.0  # seconds, when the first change may be proposed
 
 ReplicaType = Callable[..., PolicyReplica]
 
 
 @dataclass
 class FaultRates:
-    """How often a second each fault happens, over the fleet."""
+    """Rate of each fault in the whole fleet, per second, and the maximum duration of a fault."""
 
     crash: float = 0.3
-    crash_without_file: float = 0.1  # a crash that loses what was stored
+    crash_without_file: float = 0.1  # a crash that loses the stored state
     pause: float = 0.4
-    store_cut: float = 0.3  # of a member from the store
-    watch_stall: float = 0.3  # a member sees no changes in the store, while it renews its lease
-    link_cut: float = 0.15  # of two members from each other
-    partition: float = 0.1  # some from the others and the store
+    store_cut: float = 0.3  # a member cannot reach the store
+    watch_stall: float = 0.3  # a member's watch delivers nothing, while its lease is renewed
+    link_cut: float = 0.15  # two members cannot reach each other
+    partition: float = 0.1  # some members cannot reach the others and the store
     store_outage: float = 0.08
-    entry_loss: float = 0.1  # of a member's entry in the store
+    entry_loss: float = 0.1  # a member's entry in the store is deleted
     max_duration: float = 10.0  # seconds, of a fault
 
 
@@ -51,12 +51,12 @@
 
 @dataclass(frozen=True)
 class PolicyOutcome:
-    """What a play has counted, and the promises that were broken."""
+    """The counts of a simulation, and the guarantees that were violated."""
 
     decided: int
     proposed: int
     requests_accepted: int
-    unavailable: int  # how often members could not know which policy held
+    unavailable: int  # how often a member could not know which policy was in force
     statuses_sent: int
     store_calls: int
     is_proposal_open: bool
@@ -64,7 +64,7 @@
 
 
 class ScheduledAction(NamedTuple):
-    """What happens at a time in seconds; `number` orders what happens at the same time."""
+    """An action and its time in seconds; `number` orders the actions of the same time."""
 
     when: float
     number: int
@@ -72,7 +72,7 @@
 
 
 class PolicyKey(NamedTuple):
-    """A policy as one member follows it."""
+    """A member and the policy that it served under."""
 
     member: str
     version: int
@@ -80,46 +80,48 @@
 
 
 class ServedSpan(NamedTuple):
-    """When a member has first and last taken requests under a policy."""
+    """The first and last time at which a member accepted requests under a policy."""
 
     first: float
     last: float
 
 
 class World:
-    """A fleet, its store and links, from one seed. Times are seconds."""
+    """A simulated fleet with its store and links, driven by one seed. Times are in seconds."""
 
     def __init__(
         self, seed: int, members: int = 8, replica_type: ReplicaType = PolicyReplica, trace: bool = False
     ) -> None:
-        """`trace`: print the members' log."""
+        """Start the members; `trace` prints their log events."""
         self.rng, self.replica_type, self.trace = random.Random(seed), replica_type, trace
         self.now, self.started, self.statuses_sent = 0.0, 0, 0
-        self.scheduled = 0  # actions so far: of two at one time, the one scheduled first comes first
+        self.scheduled = 0  # actions so far; actions of the same time run in the order they were scheduled
         self.queue: list[ScheduledAction] = []
         self.files: dict[str, StoredPolicy] = {}
         self.store = EmulatedStore()
         self.leases: dict[str, float] = {}
         self.store_down_until = 0.0
-        self.store_cut_until: dict[str, float] = {}  # by name of the member that can't reach the store
-        self.watch_stalled_until: dict[str, float] = {}  # by name of the member that sees no changes
-        self.write_delays: dict[str, float] = {}  # of transactions, by what they are
-        self.link_cut_until: dict[tuple[str, str], float] = {}  # by the names of both members
+        self.store_cut_until: dict[str, float] = {}  # by name of the member that cannot reach the store
+        self.watch_stalled_until: dict[str, float] = {}  # by name of the member whose watch delivers nothing
+        self.write_delays: dict[str, float] = {}  # by kind of transaction; overrides the random delay
+        self.link_cut_until: dict[
+            tuple[str, str], float
+        ] = {}  # by the names of both members; set for both orders
         self.members: dict[str, EmulatedMember] = {}
         self.log_counts: Counter[str] = Counter()
         self.observed: dict[PolicyKey, ServedSpan] = {}
         self.requests_accepted = 0
         for number in range(members):
             self.start(f"n{number}")
-        self.schedule(0.0, self._expire)
+        self.schedule(0.0, self._expire_leases)
 
     def schedule(self, when: float, action: Callable[[], object]) -> None:
-        """Schedule an action."""
+        """Schedule an action for the time `when`."""
         self.scheduled += 1
         heapq.heappush(self.queue, ScheduledAction(when, self.scheduled, action))
 
     def run_until(self, when: float) -> None:
-        """Play up to that time."""
+        """Run all actions that are due up to the time `when`."""
         while self.queue and self.queue[0].when <= when:
             scheduled = heapq.heappop(self.queue)
             self.now = scheduled.when
@@ -127,35 +129,35 @@
         self.now = when
 
     def start(self, name: str) -> None:
-        """Start a process of that name."""
+        """Start a process of the member `name`."""
         self.started += 1
         member = EmulatedMember(self, name, self.started)
         self.members[member.id] = member
-        self.schedule(self.now + self.rng.uniform(0, STEP), member.step)
+        self.schedule(self.now + self.rng.uniform(0, STEP_INTERVAL), member.step)
 
     def reaches_store(self, member: EmulatedMember) -> bool:
-        """Whether the member can reach the store now."""
+        """Return whether the member can reach the store now."""
         return self.now >= self.store_down_until and self.now >= self.store_cut_until.get(member.name, 0.0)
 
     def is_linked(self, member: EmulatedMember, other: EmulatedMember) -> bool:
-        """Whether the two can reach each other now."""
+        """Return whether the two members can reach each other now."""
         return self.now >= self.link_cut_until.get((member.name, other.name), 0.0)
 
     def observe(self, member: EmulatedMember, policy: Policy) -> None:
-        """The member takes requests under that policy now."""
+        """Record that the member could accept requests under the policy now."""
         self.requests_accepted += 1
         key = PolicyKey(member.id, policy.version, policy.digest)
         before = self.observed.get(key)
         self.observed[key] = ServedSpan(self.now if before is None else before.first, self.now)
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         if self.now >= self.store_down_until:
             for entry in [entry for entry, until in self.leases.items() if until <= self.now]:
                 self.end_lease(entry)
-        self.schedule(self.now + EXPIRY_INTERVAL, self._expire)
+        self.schedule(self.now + EXPIRY_INTERVAL, self._expire_leases)
 
     def end_lease(self, entry: str) -> None:
-        """End a member's lease, and its entry with it."""
+        """End a member's lease, and delete its entry."""
         self.leases.pop(entry, None)
         if entry in self.store.entries:
             self.store.revision += 1
@@ -164,7 +166,7 @@
     # Faults and changes.
 
     def crash(self, member: EmulatedMember, restart_after: float, loses_file: bool) -> None:
-        """Kill a member; it starts again after so many seconds, with its file unless `loses_file`."""
+        """Kill a member; restart it after `restart_after` seconds, without its file if `loses_file`."""
         member.alive = False
         self.members.pop(member.id, None)
         if loses_file:
@@ -174,12 +176,12 @@
         self.schedule(self.now + restart_after, lambda: self.start(member.name))
 
     def _evict(self, member: EmulatedMember) -> None:
-        """Others can't reach it, and have its entry ended."""
+        """End the lease of a member that the others cannot reach."""
         if self.now >= self.store_down_until:
             self.end_lease(f"{MEMBERS_PREFIX}{member.id}")
 
-    def fault(self, kind: str, duration: float) -> None:
-        """A fault of that kind, by its name in `FaultRates`, for so many seconds."""
+    def inject_fault(self, kind: str, duration: float) -> None:
+        """Inject a fault for `duration` seconds; `kind` is its field in `FaultRates`."""
         alive = [member for member in self.members.values() if member.alive]
         if len(alive) < 2:
             return
@@ -212,7 +214,7 @@
                 self.link_cut_until[name, other] = self.link_cut_until[other, name] = until
 
     def propose(self, number: int) -> None:
-        """Have some member that can propose a policy of that number."""
+        """Propose a policy with this number from a random member that is able to."""
         able = [
             member
             for member in self.members.values()
@@ -236,8 +238,8 @@
         if self.store.write(transaction):
             self.log_counts["proposed"] += 1
 
-    def simulate(self, changes: int, faults: FaultRates, rest: float = 20.0) -> None:
-        """`changes` one after another under faults, then `rest` seconds without."""
+    def simulate(self, changes: int, faults: FaultRates, quiet_duration: float = 20.0) -> None:
+        """Propose `changes` policies in turn under faults, then run without faults for `quiet_duration`."""
         self.run_until(FIRST_CHANGE_AT)
         interval = DEFAULT_SWITCH_DELAY * LEASE * 1.4
         for number in range(changes):
@@ -246,42 +248,47 @@
             for kind, rate in vars(faults).items():
                 if kind != "max_duration":
                     self._schedule_faults(kind, rate, begin, interval, faults.max_duration)
-        self.run_until(FIRST_CHANGE_AT + changes * interval + faults.max_duration + rest)
+        self.run_until(FIRST_CHANGE_AT + changes * interval + faults.max_duration + quiet_duration)
 
     def _schedule_faults(
         self, kind: str, rate: float, begin: float, interval: float, max_duration: float
     ) -> None:
         for _ in range(int(rate * interval) + (self.rng.random() < rate * interval % 1)):
             duration = self.rng.uniform(0.1, self.rng.choice((2.0, max_duration)))
-            # Half of them near the proposal, when votes are given and counted.
+            # Half of the faults begin near the proposal, while votes are cast and counted.
             is_near = self.rng.random() < 0.5
             when = begin + (self.rng.gauss(0.3, 0.6) if is_near else self.rng.uniform(0, interval))
-            self.schedule(max(self.now, when), lambda k=kind, d=duration: self.fault(k, d))
+            self.schedule(max(self.now, when), lambda k=kind, d=duration: self.inject_fault(k, d))
 
-    # Verdicts.
+    # Results.
 
     def violations(self) -> list[str]:
-        """Promises that were broken, by the requests that were taken."""
+        """Return the violated guarantees, judged by when members accepted requests under which policy."""
         violations, slack = [], 2 * MAX_SKEW
         decided = {(d.policy.version, d.policy.digest): d for d in self.store.decided}
         ends = {d.policy.version - 1: d.at for d in self.store.decided}
         for (member, version, digest), (first, last) in self.observed.items():
             if version and (version, digest) not in decided:
-                violations.append(f"{member} took work under {version} {digest}, which was never decided")
+                violations.append(
+                    f"{member} accepted requests under {version} {digest}, which was never decided"
+                )
                 continue
             if version and first < decided[version, digest].at - slack:
-                violations.append(f"{member} took work under {version} at {first:.3f}, before it held")
+                violations.append(
+                    f"{member} accepted requests under {version} at {first:.3f}, before it was in force"
+                )
             if last > ends.get(version, inf) + slack:
                 violations.append(
-                    f"{member} took work under {version} at {last:.3f}, {ends[version]:.3f} was its end"
+                    f"{member} accepted requests under {version} at {last:.3f}, "
+                    f"which ended at {ends[version]:.3f}"
                 )
         versions = [d.policy.version for d in self.store.decided]
         if versions != list(range(1, len(versions) + 1)):
-            violations.append(f"versions decided: {versions}")
+            violations.append(f"the decided versions are not consecutive: {versions}")
         return violations
 
-    def behind(self) -> list[str]:
-        """Members that do not serve under the last policy, once all is quiet."""
+    def outdated_members(self) -> list[str]:
+        """Return the live members that do not serve under the last decided policy."""
         last = len(self.store.decided)
         alive = [member for member in self.members.values() if member.alive]
         return [
@@ -300,12 +307,12 @@
     replica_type: ReplicaType = PolicyReplica,
     trace: bool = False,
 ) -> PolicyOutcome:
-    """Play changes under faults, and judge them."""
+    """Simulate policy changes under faults, and return the counts and violations."""
     world = World(seed, members, replica_type, trace)
     world.simulate(changes, faults if faults is not None else FaultRates())
     violations = world.violations()
-    if behind := world.behind():
-        violations.append(f"behind at the end: {behind[:4]}")
+    if outdated := world.outdated_members():
+        violations.append(f"not under the last policy at the end: {outdated[:4]}")
     return PolicyOutcome(
         decided=len(world.store.decided),
         proposed=world.log_counts["proposed"],
--- a/trials/emulated_store.py
+++ b/trials/emulated_store.py
@@ -1,4 +1,4 @@
-"""The coordination store in emulated time: transactions as the real one applies them, by revision."""
+"""A coordination store in emulated time, which applies transactions by revision as the real one does."""
 
 from __future__ import annotations
 
@@ -6,22 +6,24 @@
 
 from starlingwheel.fleet.records import DECISION_KEY, Condition, PolicyDecision, StoreEntry, Transaction
 
-ABSENT = StoreEntry(b"", 0, 0)  # what a condition on a missing key compares with
+ABSENT = StoreEntry(b"", 0, 0)  # stands for a missing key in conditions
 
 
 class EmulatedStore:
-    """Its entries, and every change of them for watches."""
+    """The entries of the store, and the history of their changes for watches."""
 
     def __init__(self) -> None:
-        """An empty store at revision 1."""
+        """Create an empty store at revision 1."""
         self.revision = 1
         self.entries: dict[str, StoreEntry] = {}
-        self.events: list[tuple[int, str, StoreEntry | None]] = []  # revision, key, None where it was deleted
+        self.events: list[
+            tuple[int, str, StoreEntry | None]
+        ] = []  # revision, key, new entry or None if deleted
         self.decided: list[PolicyDecision] = []
         self.calls = 0
 
     def holds(self, transaction: Transaction) -> bool:
-        """Whether all conditions of the transaction hold."""
+        """Return whether all conditions of the transaction hold."""
         return all(self._matches(condition) for condition in transaction.conditions)
 
     def _matches(self, condition: Condition) -> bool:
@@ -37,7 +39,7 @@
         return all(revision < condition.value for revision in revisions)
 
     def write(self, transaction: Transaction) -> bool:
-        """Apply the transaction if its conditions hold; whether they did."""
+        """Apply the transaction if its conditions hold, and return whether they did."""
         self.calls += 1
         if not self.holds(transaction):
             return False
@@ -52,7 +54,7 @@
         return True
 
     def put(self, key: str, value: bytes) -> None:
-        """Write one entry at the present revision."""
+        """Write an entry at the current revision."""
         before = self.entries.get(key)
         entry = StoreEntry(value, before.create_revision if before else self.revision, self.revision)
         self.entries[key] = entry
@@ -61,6 +63,6 @@
             self.decided.append(msgspec.json.decode(value, type=PolicyDecision))
 
     def delete(self, key: str) -> None:
-        """Delete one entry at the present revision."""
+        """Delete an entry at the current revision."""
         del self.entries[key]
         self.events.append((self.revision, key, None))
--- a/trials/emulated_zone_member.py
+++ b/trials/emulated_zone_member.py
@@ -1,4 +1,4 @@
-"""A member of a fleet in emulated time that leaves zones by the common plan, and ejects them by itself."""
+"""A member of an emulated fleet that leaves zones by the fleet's plan, and also ejects zones by itself."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 LEASE = 2.0  # seconds
 OBJECTIVE = 1.0  # seconds: the latency objective
 FIRST_EJECTION, MAX_EJECTION = OBJECTIVE / 2, 2 * OBJECTIVE  # seconds
-LOCAL_FRACTION = 0.8  # of a member's attempts that go to its own zone
-FAILURES_BEFORE_EJECTION = 3  # in a row
+LOCAL_FRACTION = 0.8  # part of a member's attempts that prefer its own zone
+FAILURES_BEFORE_EJECTION = 3  # consecutive
 
 
 class Ejection(NamedTuple):
-    """Why a member does not select a zone. Times are seconds."""
+    """The ejection of a zone by one member. Times are in seconds."""
 
     until: float
-    duration: float  # without its jitter
+    duration: float  # without jitter
 
 
 class EmulatedMember:
-    """One member: what it sees and plans, and a plain selection of zones. It is the planner's host."""
+    """A member with a zone planner, which it is the host of, and a simple selection of zones."""
 
     def __init__(self, world: World, number: int) -> None:
-        """`number`: gives its name, and its zone by turns."""
+        """Create the member with this number, which determines its name and its zone."""
         self.world, self.zone = world, ZONES[number % len(ZONES)]
         self.id = f"n{number}.0"
         self.zone_health = ZoneHealthTracker(OBJECTIVE, world.now)
@@ -41,25 +41,25 @@
             self.id, LEASE, REGIONS, world.configured_capacities, self, self.zone_health
         )
         self.zone_shares: dict[str, float] = {}
-        self.failures_in_a_row: Counter[str] = Counter()
+        self.consecutive_failures: Counter[str] = Counter()
         self.ejected: dict[str, Ejection] = {}  # by zone
         self.next_write_at = -inf
 
     def set_zone_shares(self, shares: Mapping[str, float], returning: Iterable[str]) -> None:
-        """Take over the shares, and lift ejections of zones that come back."""
+        """Replace the zone shares, and end the ejections of returning zones."""
         self.zone_shares = dict(shares)
         for zone in returning:
             self.ejected.pop(zone, None)
-            self.failures_in_a_row[zone] = 0
+            self.consecutive_failures[zone] = 0
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Nothing is logged."""
+        """Discard the log event."""
 
     def select_zone(self, excluded: str = "") -> str:
-        """A zone for an attempt; empty: there is none."""
+        """Return a zone for an attempt, or an empty string if no zone is usable."""
         rng = self.world.rng
         unusable = {zone for zone, share in self.zone_shares.items() if rng.random() >= share} | {excluded}
-        unusable |= {zone for zone, one in self.ejected.items() if self.world.now < one.until}
+        unusable |= {zone for zone, ejection in self.ejected.items() if self.world.now < ejection.until}
         usable = [zone for zone in ZONES if zone not in unusable]
         if not usable:
             return ""
@@ -68,14 +68,14 @@
         return rng.choice(usable)
 
     def attempt_ended(self, zone: str, answered: bool) -> None:
-        """Eject a zone after failures in a row, each time for longer."""
+        """Eject a zone after consecutive failures, each time for longer; an answer ends its ejection."""
         if answered:
-            self.failures_in_a_row[zone] = 0
+            self.consecutive_failures[zone] = 0
             self.ejected.pop(zone, None)
             return
-        self.failures_in_a_row[zone] += 1
-        if self.failures_in_a_row[zone] >= FAILURES_BEFORE_EJECTION:
-            before = self.ejected[zone].duration if zone in self.ejected else FIRST_EJECTION / 2
-            duration = min(2 * before, MAX_EJECTION)
+        self.consecutive_failures[zone] += 1
+        if self.consecutive_failures[zone] >= FAILURES_BEFORE_EJECTION:
+            previous = self.ejected[zone].duration if zone in self.ejected else FIRST_EJECTION / 2
+            duration = min(2 * previous, MAX_EJECTION)
             until = self.world.now + duration * self.world.rng.uniform(0.5, 1.5)
             self.ejected[zone] = Ejection(until, duration)
--- a/trials/emulated_zones.py
+++ b/trials/emulated_zones.py
@@ -1,8 +1,8 @@
-"""A zone of a whole fleet fails and returns, in emulated time: `fleet/zones`, no sockets.
+"""Simulates the failure and recovery of a zone in emulated time: the code of `fleet/zones` without sockets.
 
-Members pick zones, their own first, and eject one after failures in a row, each alone; with a plan its shares
-come on top. Upstreams and clients are modelled plainly: this plays the fleet's decisions, not those of one
-sidecar. For comparison, the members can act without a plan, or leave and return with full knowledge.
+Each member prefers its own zone, and ejects a zone after consecutive failures; the shares of the fleet's plan
+apply in addition. Upstreams and clients are simple models: the simulation covers the decisions of the fleet,
+not those of one sidecar. For comparison, members can act without a plan or with full knowledge of the faults.
 """
 
 from __future__ import annotations
@@ -22,40 +22,40 @@
 
 from .emulated.events import EventQueue
 from .emulated_store import EmulatedStore
-from .emulated_zone_cases import CASES, FAILING, ZONES, Case
+from .emulated_zone_cases import CASES, FAILING_ZONE, ZONES, Case
 from .emulated_zone_member import OBJECTIVE, EmulatedMember
 
-# Seconds:
+# Times in seconds.
 SERVICE_TIME = 0.08
-STEP = 0.05  # between the steps of the fleet
-HEDGE_DELAY = 0.3  # after which an idempotent request is sent to another zone too
-FAILS_AT, FAILS_FOR, PLAYED_AFTER = 6.0, 8.0, 26.0
+STEP_INTERVAL = 0.05  # between the steps of the fleet
+HEDGE_DELAY = 0.3  # after which an idempotent request is also sent to another zone
+FAULT_START, FAULT_DURATION, TIME_AFTER_RECOVERY = 6.0, 8.0, 26.0
 REJECTION_TIME = 0.003
 ERROR_TIME = 0.005
-RATE_WINDOW = 0.5  # that a zone's rate is taken over
-WARM_UP = 6.0  # of a zone that comes back cold
+RATE_WINDOW = 0.5  # over which the rate of attempts in a zone is measured
+WARM_UP = 6.0  # of a cold zone after its recovery
 
-RATE = 6.0  # requests a second of a member
+REQUEST_RATE = 6.0  # per second and member
 NON_IDEMPOTENT_FRACTION = 0.25
-COLD_CAPACITY = 0.25  # of its capacity that a cold zone has at first
-OVERLOAD_MULTIPLE = 2.0  # times the capacity of a cold zone at which it falls over
+COLD_CAPACITY = 0.25  # part of its capacity that a cold zone has when it recovers
+OVERLOAD_MULTIPLE = 2.0  # of its current capacity, above which a cold zone is overloaded
 MAX_RETRIES = 2
-TIMEOUT_FRACTION = 0.9  # of the objective, after which nothing more is sent
-SCARCE_CAPACITY = 1.5  # times the usual rate, below which capacities are given in the configuration
+TIMEOUT_FRACTION = 0.9  # of the objective, after which no attempt of a request is sent
+SCARCE_CAPACITY = 1.5  # multiple of the usual rate, below which the configuration states the capacities
 
 PlannerType = Callable[..., ZonePlanner]
 
 
 class Strategy(StrEnum):
-    """How members leave a zone."""
+    """How members decide to leave a zone."""
 
     PLAN = "plan"
-    UNCOORDINATED = "alone"
-    OMNISCIENT = "known"  # with full knowledge of what fails
+    UNCOORDINATED = "alone"  # each ejects zones by itself
+    OMNISCIENT = "known"  # with full knowledge of the faults
 
 
 class WrittenPlan(NamedTuple):
-    """A plan that the coordination store has had."""
+    """A plan as written to the coordination store, and when members first read it."""
 
     at: float  # seconds
     plan: ZonePlan
@@ -63,7 +63,7 @@
 
 @dataclass
 class EmulatedRequest:
-    """A request of one member's client."""
+    """A request of a client of one member."""
 
     member: EmulatedMember
     idempotent: bool
@@ -73,7 +73,7 @@
 
 
 class World:
-    """A fleet and its zones, from one seed. Times are seconds."""
+    """A simulated fleet and its zones, driven by one seed. Times are in seconds."""
 
     def __init__(
         self,
@@ -82,13 +82,13 @@
         case: Case,
         strategy: Strategy = Strategy.PLAN,
         planner_type: PlannerType = ZonePlanner,
-        fails_for: float = FAILS_FOR,
+        fault_duration: float = FAULT_DURATION,
     ) -> None:
-        """`strategy`: one of `Strategy`."""
+        """Create the members and the store's entries for them; nothing runs yet."""
         self.rng, self.case, self.strategy = random.Random(seed), case, strategy
-        self.planner_type, self.recovers_at = planner_type, FAILS_AT + fails_for
+        self.planner_type, self.recovers_at = planner_type, FAULT_START + fault_duration
         self.events = EventQueue()
-        self.usual_rate = members * RATE / len(ZONES)
+        self.usual_rate = members * REQUEST_RATE / len(ZONES)
         self.capacities = {zone: case.capacity_multiple * self.usual_rate for zone in ZONES}
         self.configured_capacities = dict(self.capacities) if case.capacity_multiple < SCARCE_CAPACITY else {}
         self.store = EmulatedStore()
@@ -99,38 +99,38 @@
             self.store.put(MEMBERS_PREFIX + member.id, msgspec.json.encode(entry))
         self.records, self.events_seen = StoreRecords(), 0
         self.arrivals: dict[str, list[float]] = {zone: [] for zone in ZONES}
-        self.admitted: dict[str, list[float]] = {zone: [] for zone in ZONES}  # those not rejected
-        self.lost: list[float] = []  # when attempts were lost to a zone that fails
+        self.admitted: dict[str, list[float]] = {zone: [] for zone in ZONES}  # attempts not rejected
+        self.failed_at: list[float] = []  # when failed attempts were started
         self.requests = self.served = self.rejected = 0
         self.requests_during_fault = self.served_during_fault = 0
-        self.overloads = 0
+        self.overloads = 0  # attempts at an overloaded cold zone
         self.plans: list[WrittenPlan] = []
         self.writes = 0
 
     @property
     def now(self) -> float:
-        """Emulated time, seconds."""
+        """The emulated time in seconds."""
         return self.events.now
 
     # The zones.
 
     def is_fault_time(self) -> bool:
-        """Whether the zones that are hurt fail now."""
-        return FAILS_AT <= self.now < self.recovers_at
+        """Return whether the time of the fault has begun and not ended."""
+        return FAULT_START <= self.now < self.recovers_at
 
     def fails(self, zone: str, member: EmulatedMember) -> bool:
-        """Whether an attempt of that member fails there now."""
+        """Return whether an attempt of the member in the zone fails now; this may draw a random number."""
         case = self.case
         if zone not in case.failing_zones or not self.is_fault_time():
             return False
-        if case.flap_duration and int((self.now - FAILS_AT) / case.flap_duration) % 2:
+        if case.flap_duration and int((self.now - FAULT_START) / case.flap_duration) % 2:
             return False
-        if case.seen_from and member.zone != case.seen_from:
+        if case.observed_from and member.zone != case.observed_from:
             return False
         return self.rng.random() < case.failing_fraction
 
     def rejects(self, zone: str) -> bool:
-        """Whether it has more than its capacity. A cold zone falls over instead."""
+        """Return whether the zone rejects an attempt, and count the overload of a cold zone."""
         admitted = self.admitted[zone]
         capacity, multiple = self.capacities[zone], 1.0
         warm_at = self.recovers_at + WARM_UP
@@ -146,8 +146,8 @@
     # Requests.
 
     def arrive(self, member: EmulatedMember) -> None:
-        """A request of that member's client."""
-        self.events.at(self.now + self.rng.expovariate(RATE), lambda: self.arrive(member))
+        """Start a request of the member's client, and schedule the next one."""
+        self.events.schedule(self.now + self.rng.expovariate(REQUEST_RATE), lambda: self.arrive(member))
         self.requests += 1
         during_fault = self.is_fault_time()
         self.requests_during_fault += during_fault
@@ -155,7 +155,7 @@
         self.start_attempt(EmulatedRequest(member, idempotent, self.now, during_fault), "", 0)
 
     def start_attempt(self, request: EmulatedRequest, excluded: str, retries: int) -> None:
-        """Send the request to a zone, unless it is answered or too old."""
+        """Send the request to a zone, unless it is answered or too old, or no zone is usable."""
         member = request.member
         zone = member.select_zone(excluded)
         if not zone or self.now > request.arrived_at + TIMEOUT_FRACTION * OBJECTIVE or request.answered:
@@ -180,26 +180,26 @@
                 retry()
 
         if fails:
-            self.lost.append(self.now)
+            self.failed_at.append(self.now)
             took = OBJECTIVE if self.case.silent else ERROR_TIME
-            self.events.at(self.now + took, lambda: end(ZoneAttemptResult.FAILED))
+            self.events.schedule(self.now + took, lambda: end(ZoneAttemptResult.FAILED))
             if self.case.silent and request.idempotent:
-                self.events.at(self.now + HEDGE_DELAY, retry)
+                self.events.schedule(self.now + HEDGE_DELAY, retry)
         elif rejects:
-            self.events.at(self.now + REJECTION_TIME, lambda: end(ZoneAttemptResult.REJECTED))
+            self.events.schedule(self.now + REJECTION_TIME, lambda: end(ZoneAttemptResult.REJECTED))
         else:
             took = SERVICE_TIME * self.rng.lognormvariate(0, 0.4)
-            self.events.at(self.now + took, lambda: end(ZoneAttemptResult.ANSWERED))
+            self.events.schedule(self.now + took, lambda: end(ZoneAttemptResult.ANSWERED))
 
     def _avoid_failing(self, zone: str, member: EmulatedMember) -> str:
-        """The zone itself, or a healthy one where it is known to fail."""
+        """Return the zone, or a healthy one if the strategy is to know that the attempt would fail."""
         knows = self.strategy == Strategy.OMNISCIENT and self.case.leaving_helps
         if knows and zone in self.case.failing_zones and self.fails(zone, member):
             return next((healthy for healthy in ZONES if healthy not in self.case.failing_zones), zone)
         return zone
 
     def _attempt_ended(self, request: EmulatedRequest, zone: str, result: ZoneAttemptResult) -> bool:
-        """Count the end of an attempt; whether to retry elsewhere."""
+        """Count the end of an attempt, and return whether to retry in another zone."""
         answered = result is ZoneAttemptResult.ANSWERED
         if result is not ZoneAttemptResult.REJECTED:
             request.member.attempt_ended(zone, answered)
@@ -215,15 +215,15 @@
     # The plan.
 
     def step(self) -> None:
-        """Have the members read the store and write to it."""
+        """Let the members read the store and write to it, and schedule the next step."""
         if self.strategy == Strategy.PLAN:
             self._read_store()
             for member in self.members:
                 self._write(member)
-        self.events.at(self.now + STEP, self.step)
+        self.events.schedule(self.now + STEP_INTERVAL, self.step)
 
     def _read_store(self) -> None:
-        """All see what was written up to the last step."""
+        """Update all members with what was written to the store since the last step."""
         events = self.store.events
         if self.events_seen == len(events):
             return
@@ -250,38 +250,40 @@
         if isinstance(due, Transaction):
             self.writes += 1
             self.store.write(due)
-            member.next_write_at = self.now + STEP
+            member.next_write_at = self.now + STEP_INTERVAL
         else:
             member.next_write_at = min(due, self.now + OBJECTIVE / 8)
 
-    def simulate(self, after: float = PLAYED_AFTER) -> None:
-        """Play until so many seconds after the zones have recovered."""
+    def simulate(self, time_after_recovery: float = TIME_AFTER_RECOVERY) -> None:
+        """Run until `time_after_recovery` seconds after the zones have recovered."""
         for member in self.members:
-            self.events.at(self.rng.expovariate(RATE), lambda member=member: self.arrive(member))
-        self.events.at(0.0, self.step)
-        self.events.run_until(self.recovers_at + after)
+            self.events.schedule(
+                self.rng.expovariate(REQUEST_RATE), lambda member=member: self.arrive(member)
+            )
+        self.events.schedule(0.0, self.step)
+        self.events.run_until(self.recovers_at + time_after_recovery)
 
-    # Verdicts.
+    # Results.
 
     def counts(self) -> dict[str, Any]:
-        """What was measured."""
+        """Return the measured figures."""
         recovered_at = self.recovers_at
-        left = next((at for at, plan in self.plans if plan.zones and at >= FAILS_AT), None)
+        left = next((at for at, plan in self.plans if plan.zones and at >= FAULT_START), None)
         complete = next((at for at, plan in self.plans if at > recovered_at and not plan.zones), None)
-        usual = sum(FAILS_AT - 3 <= at < FAILS_AT for at in self.arrivals[FAILING]) / 3
+        usual = sum(FAULT_START - 3 <= at < FAULT_START for at in self.arrivals[FAILING_ZONE]) / 3
         full_share = next(
             (
                 t
                 for t in range(int(self.now - recovered_at))
-                if self._rate(FAILING, recovered_at + t) >= 0.8 * usual
+                if self._rate(FAILING_ZONE, recovered_at + t) >= 0.8 * usual
             ),
             None,
         )
         return {
             "served": round(self.served / self.requests, 4),
             "served meanwhile": round(self.served_during_fault / max(1, self.requests_during_fault), 4),
-            "lost to the zone": len(self.lost),
-            "left after": left and round(left - FAILS_AT, 2),
+            "lost to the zone": len(self.failed_at),
+            "left after": left and round(left - FAULT_START, 2),
             "whole after": complete and round(complete - recovered_at, 2),
             "full share after": full_share,
             "plans": len(self.plans),
@@ -294,24 +296,25 @@
         return sum(at <= arrived < at + 1 for arrived in self.arrivals[zone])
 
     def violations(self) -> list[str]:
-        """Promises that were broken."""
-        violations = [*self._left_in_vain()]
+        """Return the violated guarantees."""
+        violations = [*self._check_left_zones()]
         if self.overloads:
-            violations.append(f"pushed over {self.overloads} times")
-        return [*violations, *self._moved_too_much(), *self._returned_too_fast()]
+            violations.append(f"a cold zone was overloaded by {self.overloads} attempts")
+        return [*violations, *self._check_moved_traffic(), *self._check_returning_traffic()]
 
-    def _left_in_vain(self) -> Iterable[str]:
+    def _check_left_zones(self) -> Iterable[str]:
+        """Yield a violation for each plan that leaves all zones, and for the first needless leave."""
         for at, plan in self.plans:
             zones = {zone: state.state for zone, state in plan.zones.items()}
             wrong = [zone for zone in zones if zone not in self.case.failing_zones]
             if wrong or (zones and not self.case.leaving_helps):
-                yield f"left where it does not help, at {at:.2f}: {zones}"
+                yield f"at {at:.2f} zones were left although that does not help: {zones}"
                 return
             if len(zones) == len(ZONES):
-                yield f"all left at {at:.2f}"
+                yield f"all zones were left at {at:.2f}"
 
-    def _moved_too_much(self) -> Iterable[str]:
-        """More than the other zones have capacity for."""
+    def _check_moved_traffic(self) -> Iterable[str]:
+        """Yield a violation if a plan moves more traffic than the other zones have capacity for."""
         spare = (
             (self.case.capacity_multiple - 1.0)
             * self.usual_rate
@@ -321,11 +324,11 @@
             left = [state for state in plan.zones.values() if state.state == ZoneTraffic.LEFT]
             moved = sum((1 - state.share) * self.usual_rate for state in left)
             if self.case.failing_fraction < 0.8 and moved > 2.0 * spare:
-                yield f"at {at:.2f} {moved:.0f} a second are moved, {spare:.0f} is what the others bear"
+                yield f"at {at:.2f} {moved:.0f} requests/s are moved, the others can take {spare:.0f}"
                 return
 
-    def _returned_too_fast(self) -> Iterable[str]:
-        """More attempts to a zone that returns than its share of the plan."""
+    def _check_returning_traffic(self) -> Iterable[str]:
+        """Yield a violation for each returning zone that gets more attempts than its share in a plan."""
         ends = [*[written.at for written in self.plans], self.now][1:]
         for (at, plan), end in zip(self.plans, ends, strict=True):
             for zone, state in plan.zones.items():
@@ -335,13 +338,13 @@
                 sent = sum(begin <= arrived < end for arrived in self.arrivals[zone])
                 max_sent = state.share * self.usual_rate * (end - begin)
                 if sent > 1.5 * max_sent + 4 * max_sent**0.5 + 4:
-                    allowed = f"at a share of {state.share:.2f}, {max_sent:.0f} are its part"
-                    yield f"{sent} sent to {zone} {allowed}"
+                    expected = f"{max_sent:.0f} were expected at a share of {state.share:.2f}"
+                    yield f"{sent} attempts were sent to {zone}, but {expected}"
 
 
 @dataclass
 class Outcome:
-    """What a play has counted, and the promises that it has broken."""
+    """The figures of a simulation, and the guarantees that were violated."""
 
     counts: dict[str, Any]
     violations: list[str]
@@ -354,7 +357,7 @@
     strategy: Strategy = Strategy.PLAN,
     planner_type: PlannerType = ZonePlanner,
 ) -> Outcome:
-    """Play one case from a seed."""
+    """Simulate one case from a seed."""
     world = World(seed, members, CASES[case], strategy, planner_type)
     world.simulate()
     return Outcome(world.counts(), world.violations())
--- a/trials/model_search.py
+++ b/trials/model_search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search of a model's states: every order of its events, until one breaks a promise."""
+"""Breadth-first search of a model's states, in every order of its events, for a violated invariant."""
 
 from __future__ import annotations
 
@@ -11,65 +11,65 @@
 
 
 class State(Protocol[EventT]):
-    """One state of a model."""
+    """A state of a model."""
 
     def events(self) -> Iterable[EventT]:
-        """All events that may happen in this state."""
+        """Return all events that may happen in this state."""
 
     def apply(self, event: EventT) -> None:
-        """Have the event happen, with all that follows from it."""
+        """Apply an event and its immediate consequences."""
 
     def violation(self) -> str:
-        """The promise that was broken on the way to this state; empty: none."""
+        """Return the invariant that was violated on the way to this state, or an empty string."""
 
     def key(self) -> str:
-        """The text of a state: two of one text go on alike."""
+        """Return a text that identifies the state: states with the same text have the same future."""
 
 
 StateT = TypeVar("StateT", bound=State)
 
 
 class Violation(NamedTuple, Generic[EventT]):
-    """A promise that was broken, and the events that led there."""
+    """A violated invariant, and the events that led to it."""
 
-    promise: str
+    invariant: str
     history: list[EventT]
 
 
 @dataclass
 class Exploration(Generic[EventT]):
-    """What a search has found."""
+    """The result of a search."""
 
     states: int
-    complete: bool  # all states within the bounds were seen
+    complete: bool  # all states within the bounds were visited
     violations: list[Violation[EventT]] = field(default_factory=list)
 
 
 def search(
-    first: StateT,
+    initial: StateT,
     copy: Callable[[StateT], StateT],
     max_states: int,
     visit: Callable[[StateT], None] = lambda state: None,
 ) -> Exploration:
-    """Search breadth first, so that the first history that breaks a promise is the shortest.
+    """Search breadth-first, so that the first history found to violate an invariant is a shortest one.
 
     `visit` is called with each state before its events are tried.
     """
-    seen = {first.key()}
-    waiting: deque[tuple[StateT, list[Any]]] = deque([(first, [])])  # with the events that led there
-    while waiting:
-        state, history = waiting.popleft()
+    seen = {initial.key()}
+    pending: deque[tuple[StateT, list[Any]]] = deque([(initial, [])])  # with the events that led there
+    while pending:
+        state, history = pending.popleft()
         visit(state)
         for event in list(state.events()):
-            following = copy(state)
-            following.apply(event)
-            if violated := following.violation():
+            successor = copy(state)
+            successor.apply(event)
+            if violated := successor.violation():
                 return Exploration(len(seen), False, [Violation(violated, [*history, event])])
-            key = following.key()
+            key = successor.key()
             if key in seen:
                 continue
             if len(seen) >= max_states:
                 return Exploration(len(seen), False)
             seen.add(key)
-            waiting.append((following, [*history, event]))
+            pending.append((successor, [*history, event]))
     return Exploration(len(seen), True)
