--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -30,13 +30,13 @@
     return list(capacity.measure(SMALL_SIZES, min_seconds=0.003))
 
 
-def row_of(rows: list[Row], what: str) -> Row:
+def row_of(rows: list[Row], title: str) -> Row:
     """Return the row with that title."""
-    return next(row for row in rows if row.what == what)
+    return next(row for row in rows if row.title == title)
 
 
 def test_fitted_line_and_growth_exponent_recover_their_parameters() -> None:
-    """The points lie exactly on a line, and on a parabola."""
+    """The points lie exactly on the line, and on the parabola, that are to be recovered."""
     intercept, slope, residual = fit_line((x, 7 + 3 * x) for x in (1, 2, 5, 9))
     assert (round(intercept, 9), round(slope, 9), round(residual, 9)) == (7, 3, 0)
     assert growth_exponent((x, 5 * x**2) for x in (2, 4, 8)) == pytest.approx(2)
@@ -61,18 +61,20 @@
     assert figures.at("frame told") < figures.at("frame beat") < figures.at("frame cover")
 
 
-def test_the_cost_within_a_cell_does_not_grow_with_the_fleet(lines: list[dict[str, Any]]) -> None:
-    """With one cell, the same costs grow with the fleet."""
-    figures, cell = Figures(lines), 25
-    for what in ("links at rest", "beats at rest", "`Told` and what it quickens, mean of a day"):
+def test_the_cost_within_a_shard_does_not_grow_with_the_fleet(lines: list[dict[str, Any]]) -> None:
+    """With one shard for the whole fleet, the same costs grow with it."""
+    figures, shard_size = Figures(lines), 25
+    for title in ("links at rest", "beats at rest", "`Told` and what it quickens, mean of a day"):
         # Each member restarts equally often in both fleets.
         fleets = [FleetLoad(sidecars=n, restarts_per_day=n / 6) for n in (400, 1600)]
-        in_cells = [row_of(sidecar_rows(load, figures, load.sidecars // cell), what).value for load in fleets]
-        assert in_cells[0] == pytest.approx(in_cells[1]), what
-        mesh = [row_of(sidecar_rows(load, figures), what).value for load in fleets]
-        assert mesh[1] >= mesh[0] and mesh[1] >= in_cells[1], what
-        if what != "beats at rest":
-            assert mesh[1] > 3 * mesh[0], what
+        sharded = [
+            row_of(sidecar_rows(load, figures, load.sidecars // shard_size), title).value for load in fleets
+        ]
+        assert sharded[0] == pytest.approx(sharded[1]), title
+        one_shard = [row_of(sidecar_rows(load, figures), title).value for load in fleets]
+        assert one_shard[1] >= one_shard[0] and one_shard[1] >= sharded[1], title
+        if title != "beats at rest":
+            assert one_shard[1] > 3 * one_shard[0], title
 
 
 def test_with_many_open_requests_links_on_demand_reach_all_members() -> None:
@@ -84,8 +86,8 @@
 def test_the_largest_size_of_a_scale_run_is_predicted_from_the_smaller_ones() -> None:
     """The table shows the prediction and its error. Lines of other roles are ignored."""
     lines = [
-        {"role": "alone", "phase": "rest", "cell_size": 0, "size": size, "wire_out": 100.0 + 3 * size + more}
-        for size, more in ((25, 0), (50, 0), (100, 80))
+        {"role": "alone", "phase": "rest", "cell_size": 0, "size": size, "wire_out": 100.0 + 3 * size + kink}
+        for size, kink in ((25, 0), (50, 0), (100, 80))
     ]
     lines.append({"role": "arbiter", "phase": "rest", "cell_size": 0, "size": 25, "wire_out": 1e9})
     table = capacity.scale_run_table(lines).splitlines()
@@ -107,7 +109,7 @@
     """A row without a budget is never over it."""
     rows = [Row("", str(n), "", value, "B/s", 10.0, "", "") for n, value in enumerate((5.0, 20.0, 90.0))]
     rows.append(Row("", "none", "", 1e9, "B/s", float("nan"), "", ""))
-    assert [row.what for row in over_budget(rows)] == ["2", "1"]
+    assert [row.title for row in over_budget(rows)] == ["2", "1"]
 
 
 def test_the_tables_are_put_between_the_marks_of_a_page(
