--- a/starlingwheel/fleet/config.py
+++ b/starlingwheel/fleet/config.py
@@ -1,6 +1,6 @@
 """The `fleet` part of the configuration: its types and its validation, which reports all errors at once.
 
-Keys are those of the configuration file; `rename` maps them where a field has another name.
+`rename` maps each field whose name differs from its key in the configuration file.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 ):
     """Which requests are replicated, and to how many replicas.
 
-    `request_classes`: the names of the replicated classes. `idempotency_key_header`: the header that names a
-    request where the client sends no `Idempotency-Key`. `replicas`: the number of members besides the owner
-    that record each request, its coordinator among them.
+    `request_classes`: the names of the replicated classes. `idempotency_key_header`: the header that has the
+    idempotency key if the client sends no `Idempotency-Key` header. `replicas`: the number of members besides
+    the owner that record each request, its coordinator among them.
     """
 
     request_classes: list[str]
@@ -64,9 +64,10 @@
 
     `name`: the name of the fleet. `listen`: the address for links between members; `advertise`: the address
     at which other members reach it, if that differs. `store_addresses`: addresses of the coordination store.
-    `lease_s`: duration of the lease in seconds. `state_directory`: where the policy in force is stored so
-    that it outlives the process; empty: it is not stored. `max_mean_shard_size`: the mean number of members
-    of a shard beyond which shards are split; 0: this sidecar does not change the number of shards.
+    `lease_s`: duration of the lease in seconds. `state_directory`: where the policy in force is stored, so
+    that it outlives the process; empty: the policy is not stored. `max_mean_shard_size`: the mean
+    number of members of a shard beyond which shards are split; 0: this sidecar does not change the number of
+    shards.
     """
 
     name: str
@@ -127,7 +128,7 @@
 ) -> Iterator[str]:
     """Yield the errors of the replication configuration, which a policy contains too.
 
-    `key`: the key that the configuration has, for the messages.
+    `key`: the key of the replication configuration in its file or document, for the messages.
     """
     if not isinstance(given, dict):
         yield f"{key}: not an object"
@@ -151,7 +152,7 @@
 def zones_errors(given: object, key: str) -> Iterator[str]:
     """Yield the errors of the zones configuration, which may be missing.
 
-    `key`: the key that the configuration has, for the messages.
+    `key`: the key of the zones configuration in its file or document, for the messages.
     """
     if given is None:
         return
--- a/starlingwheel/fleet/frames.py
+++ b/starlingwheel/fleet/frames.py
@@ -101,10 +101,10 @@
 class HeartbeatFrame(msgspec.Struct, array_like=True, tag=2, frozen=True):
     """A sign of life, sent when there is no other frame to send.
 
-    `view_digest`: the digest of the view that the sender has of its shard. `in_doubt`: the sender's lease may
-    have expired, or another policy may be in force. `policy_status`: the sender's own, where the receiver may
-    need it. `idle`: no request of the sender needs this link. `requests_policy_status`: the sender needs the
-    receiver's status.
+    `view_digest`: the digest of the sender's shard in the sender's view. `in_doubt`: the sender's lease may
+    have expired, or another policy may be in force. `policy_status`: the sender's policy status, if the
+    receiver may need it. `idle`: no request of the sender needs this link. `requests_policy_status`: the
+    sender needs the receiver's policy status.
     """
 
     view_digest: int
@@ -117,8 +117,8 @@
 class ViewSyncedFrame(msgspec.Struct, array_like=True, tag=3, frozen=True):
     """Sent once the sender has sent all state that the receiver needs under a view.
 
-    `view_digest`: the digest of the view that the sender has of the receiver's shard. No request is granted
-    under an older view from then on.
+    `view_digest`: the digest of the receiver's shard in the sender's view. From then on the sender grants no
+    request under an older view.
     """
 
     view_digest: int
@@ -154,7 +154,7 @@
 
 
 class FindOwnerFrame(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """Asks the member that replaces an unreachable coordinator whether it knows the owner of a request."""
+    """Asks the substitute of an unreachable coordinator whether it knows the owner of a request."""
 
     key: bytes
     fingerprint: bytes
@@ -174,7 +174,7 @@
 
 
 class AttemptNotRunFrame(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """Reports that the attempt of that number is known not to have run."""
+    """Reports that the attempt with the index `number` is known not to have run."""
 
     key: bytes
     epoch: int
@@ -193,7 +193,7 @@
 class ReplicaVerdict(StrEnum):
     """The reply of a replica, or of a member that was asked for the owner, about a request.
 
-    The values are sent.
+    `ReplicaStateFrame` contains the value.
     """
 
     GRANTED = "new"  # no other member handles the request: the receiver owns it
@@ -205,7 +205,8 @@
     NOT_COORDINATOR = "moved"  # another member is its coordinator in the sender's view
     UNKNOWN = "unknown"  # reply to `FindOwnerFrame`: the sender has no record of it
     CONTESTED = "asked"  # another member asks for it too: replicate it again once it is granted
-    OUT_OF_MEMORY = "full"  # the sender has no memory left for it and does not record it
+    # Not recorded: the sender has no memory left for it, or the clocks of both members differ too much.
+    OUT_OF_MEMORY = "full"
     RESPONSE_RECORDED = "noted"  # the final response is recorded
 
 
@@ -225,7 +226,7 @@
 
 
 class RequestFinishedFrame(msgspec.Struct, array_like=True, tag=10, frozen=True):
-    """Tells a new coordinator of a request that already has its final response."""
+    """Tells a new coordinator, or a coordinator's successor, of a request that has its final response."""
 
     key: bytes
     owner: str
@@ -256,7 +257,7 @@
 
 
 class DecisionRequestFrame(msgspec.Struct, array_like=True, tag=13, frozen=True):
-    """Asks the receiver for the policy decision."""
+    """Asks the receiver for the latest policy decision that it knows."""
 
 
 class DecisionFrame(msgspec.Struct, array_like=True, tag=14, frozen=True):
--- a/starlingwheel/fleet/membership.py
+++ b/starlingwheel/fleet/membership.py
@@ -1,7 +1,7 @@
 """Membership views: the members that hold a lease, their shards, and which members are responsible for a key.
 
-A view is identified by its digest. It covers the revisions of the members' entries in the coordination store,
-which are never reused, so two views with the same digest hold the same entries.
+A view is identified by its digest. The digest covers the revisions of the members' entries in the
+coordination store, which are never reused, so two views with the same digest hold the same entries.
 
 A member belongs to one shard by a hash of its name, and a key belongs to one by a hash of the key. The
 members that record a request are those of its key's shard, so the cost of finding them is bounded, however
@@ -61,7 +61,8 @@
     ) -> None:
         """Build the view.
 
-        `shard_count`: a power of two. `resharded_at`: since when it applies, seconds on the wall clock.
+        `shard_count`: a power of two. `resharded_at`: when the number of shards last changed, seconds on the
+        wall clock.
         """
         self.members = {member.id: member for member in sorted(members, key=lambda m: m.id)}
         self.shard_count, self.resharded_at = shard_count, resharded_at
@@ -87,11 +88,11 @@
     # Shards.
 
     def shard_of_key(self, key: bytes) -> int:
-        """Return the shard that is responsible for a key: its own one, or the next that has members."""
+        """Return the shard that is responsible for a key: that of its hash, or the next that has members."""
         return self.shard_of_position(hash_position(key)) if self.shard_count > 1 else 0
 
     def shard_of_position(self, position: int) -> int:
-        """Return the shard that is responsible for keys with that hash, which is that of `hash_position`."""
+        """Return the shard that is responsible for keys whose `hash_position` is `position`."""
         return self._next_with_members(position % self.shard_count) if self.shard_count > 1 else 0
 
     def shard_of_member(self, member: str) -> int:
@@ -136,14 +137,14 @@
         """
         if self.shard_count == 1:
             return self.digest
-        known = self._shard_digests.get(shard)
-        if known is None:
+        cached = self._shard_digests.get(shard)
+        if cached is None:
             lines = [f"{m.id} {m.term}" for m in self.members_of_shard(shard).values()]
             lines.append(
                 f"cell {shard} of {self.shard_count}, with {sum(1 for _ in self.served_shards(shard))}"
             )
-            known = self._shard_digests[shard] = digest(lines)
-        return known
+            cached = self._shard_digests[shard] = digest(lines)
+        return cached
 
     def holders(self, shard: int, older: MembershipView) -> set[str]:
         """Return the members that may hold records, made under an older view, of keys of this shard."""
@@ -181,10 +182,11 @@
         return ranked + sorted(self.fallback_members(shard).values(), key=weight, reverse=True)
 
     def coordinator(self, key: bytes, excluding: str = "") -> str:
-        """Return the key's coordinator, or with `excluding` the one if that member is lost; empty: none."""
+        """Return the key's coordinator, or its coordinator once `excluding` is lost; empty: there is none."""
         ranked = self._best_ranked.get(key)
         if ranked is None:
-            # The ranking hashes all members of the shard, and each frame about a request asks for it.
+            # Cached, because the ranking hashes all members of the shard and each frame about a request needs
+            # the coordinator.
             if len(self._best_ranked) >= MAX_CACHED_KEYS:
                 self._best_ranked.clear()
             ranked = self._best_ranked[key] = [member.id for member in self.ranked_members(key)[:2]]
@@ -195,8 +197,8 @@
 
         They are the `count` best ranked reachable members other than the owner, so the coordinator comes
         first. If all of these are in the owner's zone, the best ranked member in another zone is added, so
-        that the loss of a zone does not destroy both the request and its records. `reachable` is asked only
-        for members that are needed.
+        that the loss of a zone does not destroy both the request and its records. A member is looked up
+        in `reachable` only if it is needed, since the lookup may dial the member.
         """
         zone = self.members[owner].zone if owner in self.members else None
         chosen: list[Member] = []
--- a/starlingwheel/fleet/policy/host.py
+++ b/starlingwheel/fleet/policy/host.py
@@ -28,7 +28,7 @@
         """Return why this sidecar cannot follow that policy; empty if it can."""
 
     def store(self, stored: StoredPolicy) -> None:
-        """Begin to write the state to stable storage; `store_state` returns whether that is done."""
+        """Begin to write the state to stable storage; `store_state` returns whether the write is done."""
 
     def store_state(self) -> str | None:
         """Return whether the last state passed to `store` is stored.
--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -89,7 +89,7 @@
         if self.promise is not None and self.now >= self.promise.at:
             return "undecided"
         # The lease is compared with the clock at each request, because this process may have been paused.
-        # After its end the statuses of other members count, which expire as well.
+        # After the end of the lease the statuses of other members count, which expire as well.
         return "" if self.now < self._lease_valid_until() or self.now < self._agreed_until() else "alone"
 
     def _lease_valid_until(self) -> float:
@@ -98,8 +98,8 @@
         A new lease does not count until our own membership entry has been read from the store, together with
         any decision made in the meantime.
         """
-        seen = self.member_id in self.records.members and self.records.revision >= self.entry_revision
-        return self.lease_until if seen else -inf
+        entry_read = self.member_id in self.records.members and self.records.revision >= self.entry_revision
+        return self.lease_until if entry_read else -inf
 
     def _agreed_until(self) -> float:
         return self.peer_statuses.agreed_until(self.now, self._count_agreed_until)
@@ -179,8 +179,8 @@
             self.host.request_decision(status.member)
         elif self.promise is not None and status.is_decision_known and self._is_dropped(self.promise, status):
             self._release_promise("dropped, as reported by a member")
-        is_late = self.now >= self.started_at + ASSUME_AFTER * self.lease
-        if not self.is_decision_known and is_late and self.now < self._agreed_until():
+        may_assume = self.now >= self.started_at + ASSUME_AFTER * self.lease
+        if not self.is_decision_known and may_assume and self.now < self._agreed_until():
             self.is_decision_known = True
             self.host.log_event("policy.assumed", version=self.active_policy.version)
 
@@ -389,16 +389,16 @@
         return transactions.decide(self.records, proposal, before, self.now)
 
     def _write_in_turn(
-        self, action: str, number: int, transaction: Callable[[], Transaction | None]
+        self, action: str, number: int, make_transaction: Callable[[], Transaction | None]
     ) -> Transaction | float:
         """Return the transaction if it is this member's turn to write it, or when its turn comes.
 
-        Any member may write it: the proposal's author first, then the others one after another.
+        Any member may write the transaction: the proposal's author first, then the others in turn.
         """
         write_at = self.turns.write_at((action, number), self._turn(number), self.now)
         if self.now < write_at:
             return write_at
-        due = transaction()
+        due = make_transaction()
         assert due is not None  # a proposal is open
         return due
 
@@ -408,5 +408,5 @@
         if proposal is not None and proposal.author == self.member_id:
             return 0
         members = sorted(self.records.members)
-        place = members.index(self.member_id) if self.member_id in members else MAX_WRITE_DELAYS
-        return 1 + (place + number) % max(1, len(members))
+        position = members.index(self.member_id) if self.member_id in members else MAX_WRITE_DELAYS
+        return 1 + (position + number) % max(1, len(members))
--- a/starlingwheel/fleet/policy/statuses.py
+++ b/starlingwheel/fleet/policy/statuses.py
@@ -1,8 +1,8 @@
 """The policy statuses of other members, and until when a majority is known to follow the same policy.
 
 A member that cannot reach the coordination store continues to accept requests as long as more than half of
-the registered names follow the same policy and have not voted for a newer one: a decision needs more than
-half of them, so at least one would know about it.
+the registered names follow the same policy and have not voted for a newer one: a decision needs the votes of
+more than half of the names, so at least one of the members that are counted would have voted for it.
 """
 
 from __future__ import annotations
@@ -58,8 +58,8 @@
             return False
         self.by_member[status.member] = status
         until_before = -inf if before is None else self.valid_until(before, policy)
-        is_only_of_name = self.member_of_name.setdefault(status.name, status.member) == status.member
-        if is_only_of_name and self.valid_until(status, policy) >= until_before:
+        is_only_with_name = self.member_of_name.setdefault(status.name, status.member) == status.member
+        if is_only_with_name and self.valid_until(status, policy) >= until_before:
             self.renewed_since_count = True
         else:
             self.invalidate_count()
@@ -117,7 +117,8 @@
         for status in self.by_member.values():
             if status.name not in names or status.name == self.own_name:
                 continue
-            # Of two processes with one name, the one that knows more may have voted for a newer policy.
+            # If two processes have one name, the earlier time counts: either of them may have voted for a
+            # newer policy.
             until[status.name] = min(self.valid_until(status, policy), until.get(status.name, inf))
         needed = len(names) // 2 + 1 - (self.own_name in names)
         if not names:
--- a/starlingwheel/fleet/records.py
+++ b/starlingwheel/fleet/records.py
@@ -127,7 +127,8 @@
 
     epoch: int = 0
     zones: dict[str, ZoneState] = {}
-    capacities: dict[str, float] = {}  # by zone: the rate in attempts a second at which it rejected some
+    # By zone: the rate, in attempts a second, at which the zone rejected attempts.
+    capacities: dict[str, float] = {}
 
 
 class Sharding(msgspec.Struct, frozen=True):
@@ -162,7 +163,7 @@
     conditions: list[Condition]
     put: list[tuple[str, bytes]] = []
     delete: list[str] = []  # keys; one that ends in a slash stands for all keys below it
-    leased: bool = False  # the entries that are put expire with this member's lease
+    leased: bool = False  # the entries in `put` expire with this member's lease
 
 
 def equal(key: str, target: str, value: int) -> Condition:
@@ -176,8 +177,8 @@
     def __init__(self, shard_count: int = 0) -> None:
         """Start without entries.
 
-        `shard_count`: the number of shards in the previous records, which is kept if the entry can't be read;
-        0: not known.
+        `shard_count`: the number of shards in the previous records, which is kept if the entry with the
+        number of shards can't be read; 0: not known.
         """
         self.revision = 0
         self.previous_shard_count = shard_count
@@ -244,7 +245,7 @@
     def _put_member(self, member_id: str, entry: StoreEntry) -> None:
         member = msgspec.json.decode(entry.value, type=Member)
         if member.id != member_id:
-            raise ValueError(member_id)
+            raise ValueError(f"the entry of member {member_id!r} has the id {member.id!r}")
         self.members[member.id] = msgspec.structs.replace(member, term=entry.create_revision)
 
     def _put_policy(self, key: str, entry: StoreEntry) -> None:
@@ -270,8 +271,8 @@
             self.past_proposals[past.number] = past
 
     def _put_sharding(self, entry: StoreEntry) -> None:
-        # While the entry can't be read the last known number of shards stays in force: any other would give
-        # keys different coordinators than the other members see.
+        # While the entry can't be read the last known number of shards stays in force: with any other number
+        # this member would name other coordinators for the same keys than the other members do.
         self.shard_count = self.shard_count if self.revision else self.previous_shard_count
         self.shards_revision, self.is_shard_count_unreadable = entry.mod_revision, True
         sharding = msgspec.json.decode(entry.value, type=Sharding)
--- a/starlingwheel/fleet/replication/completion.py
+++ b/starlingwheel/fleet/replication/completion.py
@@ -19,7 +19,7 @@
 
 
 class RequestCompletion:
-    """Finishes requests and informs their replicas, coordinators, and the members and clients that wait."""
+    """Finishes requests; informs replicas, coordinators, and the members and clients that wait."""
 
     def __init__(
         self, context: ReplicationContext, views: ViewTracker, links: PeerLinks, table: RequestTable
@@ -72,7 +72,10 @@
             self.context.host.cancel_intent(request, number)
 
     def reject(self, request: ReplicatedRequest, reason: str) -> None:
-        """Reject a request for which this member has sent nothing; a member that handles it continues."""
+        """Reject a request for which this member has started no attempt.
+
+        Another member that handles the request continues.
+        """
         self.context.counts["given_up"] += 1
         self.context.host.log_event("cover.given_up", reason=reason)
         retry_after = RETRY_AFTER * self.context.longest_timeout
@@ -91,6 +94,7 @@
         request.unacknowledged_rejection, request.is_granted, request.is_retry = None, False, True
         request.replicas.clear()
         client = request.dispatched_client
+        # The client's timer may have run out while the request was dispatched, when it has no effect.
         if client in request.waiting_clients:
             self.table.schedule(request.waiting_clients[client], request, client)
 
--- a/starlingwheel/fleet/replication/context.py
+++ b/starlingwheel/fleet/replication/context.py
@@ -47,5 +47,5 @@
     now: float  # seconds on the wall clock
     longest_timeout: float  # seconds; the longest of all request classes
     replica_count: int  # replicas per request
-    memory_limit: int  # bytes recorded for other members
+    memory_limit: int  # bytes; while all requests take more, none is recorded for other members
     counts: Counter[str] = field(default_factory=Counter)
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -64,8 +64,8 @@
         request = self.table.add(ReplicatedRequest.from_frame(frame, RequestState.ASKING))
         self.table.add_client(request, client, until)
         self.context.counts["covered"] += 1
-        # A retry waits for the coordinator: another member may handle it, and cancelling an attempt costs the
-        # connection.
+        # A retry waits for the coordinator: another member may handle the request, and cancelling an attempt
+        # closes its connection.
         if not request.is_retry or self.views.coordinates(request.key):
             request.state, request.is_dispatched = RequestState.OWNING, True
         self.placement.locate_owner(request)
@@ -272,7 +272,7 @@
         self.placement.release_attempts(request)
 
     def _contested(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
-        """Handle the reply that another member asks for it too: replicate it again once it is granted."""
+        """Replicate a request, for which another member asks too, to the replica again once it is granted."""
         if request.epoch == frame.epoch and member in request.replicas:
             request.replicas[member] = NOT_SENT
             if request.is_granted:
@@ -287,9 +287,10 @@
             self._redirected(request, member, frame)
 
     def _redirected(self, request: ReplicatedRequest, member: str, frame: ReplicaStateFrame) -> None:
-        """Handle the reply that another member is the coordinator in that member's view."""
+        """Handle the reply that another member is the coordinator in the view of the replying member."""
         if request.is_granted and self.views.is_in_other_shard(self.context.member_id, request):
-            # The next coordinator will ask that replica: no attempt is released without it.
+            # The next coordinator gets the request from its replicas, so no attempt is released until this
+            # replica has acknowledged it.
             request.replicas[member], request.informed_coordinator = UNACKNOWLEDGED, ""
         elif request.contact == member and not request.is_granted:
             # Our view may stay outdated as long as the coordination store is unreachable.
@@ -299,7 +300,7 @@
                 self.placement.replicate_to(request, frame.coordinator, requests_grant=True)
 
     def _replica_full(self, request: ReplicatedRequest, member: str) -> None:
-        """Handle the reply that a replica has no memory left for the request."""
+        """Handle the reply that a replica can't record the request, mostly because its memory is full."""
         if not request.is_granted and member == request.contact:
             if request.is_retry and not request.is_idempotent:
                 self.completion.reject(request, ReplicaVerdict.OUT_OF_MEMORY.value)
--- a/starlingwheel/fleet/replication/peer_links.py
+++ b/starlingwheel/fleet/replication/peer_links.py
@@ -7,7 +7,7 @@
 from .context import ReplicationContext
 from .views import ViewTracker
 
-DIAL_RETRY_INTERVAL = 1 / 8  # of the longest timeout: after that an unreachable member is dialed again
+DIAL_RETRY_INTERVAL = 1 / 8  # of the longest timeout, until an unreachable member is dialed again
 
 
 class PeerLinks:
@@ -73,7 +73,7 @@
         return True
 
     def dial_holders(self) -> None:
-        """Dial the members of other shards that, after a change of the shards, must send us what they own."""
+        """Dial the members of other shards that must send us their records after a change of the shards."""
         if self.views.view.shard_count > 1 and not self.views.is_synced:
             for member in sorted(self.views.holders() - self.views.own_shard_members().keys()):
                 if not self.views.is_synced_by(member):
--- a/starlingwheel/fleet/replication/placement.py
+++ b/starlingwheel/fleet/replication/placement.py
@@ -38,7 +38,7 @@
         if self.views.is_in_other_shard(self.context.member_id, request):
             substitute = next(iter(self._choose_replicas(request)), "")
             if substitute and substitute not in self.links:
-                # `link_up` or `link_failed` follows.
+                # A call of the replicator's `link_up` or `link_failed` follows.
                 request.state, request.contact = RequestState.ASKING, ""
                 return
         else:
@@ -51,7 +51,7 @@
             request.contact = coordinator
             self.replicate(request)
         elif coordinator == self.context.member_id and substitute:
-            # Other members may have a view without this one, and name the coordinator in theirs.
+            # Other members may have a view without this member; the substitute names its coordinator.
             request.contact = substitute
             self.replicate_to(request, substitute, requests_grant=True)
         else:
@@ -78,7 +78,7 @@
         elif substitute and self.context.host.send_frame(
             substitute, FindOwnerFrame(request.key, request.fingerprint)
         ):
-            # Another member may handle it already, which perhaps only the coordinator knows.
+            # Another member may handle the request already, and perhaps only the coordinator knows that.
             request.state, request.contact = RequestState.ASKING, substitute
         elif self.must_wait(request):
             self.completion.reject(request, "home-unreachable")
@@ -136,8 +136,8 @@
         if not self.views.has_remote_replicas(request):
             return view.replicas(request.key, member_id, count, self.links)
         if self.views.is_in_other_shard(member_id, request):
-            # The coordinator may be lost before the owner, whose state members of that shard do not wait for,
-            # has replicated the request to the next one.
+            # Members of the key's shard do not wait until an owner in another shard has synchronised. So the
+            # coordinator may be lost before the owner has replicated the request to the next coordinator.
             count = max(MIN_REMOTE_REPLICAS, count)
         return view.replicas(request.key, member_id, count, ReachableMembers(self.links))
 
@@ -179,7 +179,7 @@
                 self.replicate_to(request, member)
             request.informed_coordinator = coordinator
         if not request.is_idempotent and coordinator and coordinator not in chosen:
-            chosen = [coordinator, *chosen]  # no attempt is released without it
+            chosen = [coordinator, *chosen]  # no attempt is released unless it has acknowledged
         unwanted = [m for m in request.replicas if m not in chosen and not self.links.dial(m)]
         for member in unwanted:
             del request.replicas[member]
@@ -192,10 +192,10 @@
         if not request.is_granted or request.state is not RequestState.OWNING or not request.held_attempts:
             return
         if self.views.coordinates(request.key) and not self.views.may_grant(request.key):
-            return  # a member that took it over under the previous view may handle it as well
-        alone = request.was_taken_over and not request.replicas and len(self.views.view.members) > 1
-        if alone and not request.is_idempotent:
-            return  # another member may have taken it over too, as each may believe that the other is lost
+            return  # a member that took the request over under the previous view may handle it as well
+        unrecorded = request.was_taken_over and not request.replicas and len(self.views.view.members) > 1
+        if unrecorded and not request.is_idempotent:
+            return  # two members may have taken the request over, each believing that the other is lost
         acknowledged = min(request.replicas.values(), default=inf)
         for number in [number for number in request.held_attempts if number < acknowledged]:
             del request.held_attempts[number]
--- a/starlingwheel/fleet/replication/records.py
+++ b/starlingwheel/fleet/replication/records.py
@@ -58,7 +58,9 @@
         """Drop what waits for a member whose link has ended."""
         self.held = [(sender, frame) for sender, frame in self.held if sender != member]
         self.awaiting_agreement = {
-            one: named for one, named in self.awaiting_agreement.items() if one[0] != member
+            (owner, key): coordinator
+            for (owner, key), coordinator in self.awaiting_agreement.items()
+            if owner != member
         }
 
     def pop_agreed(self) -> list[tuple[str, ReplicateFrame]]:
@@ -68,36 +70,36 @@
         """
         agreed = []
         awaiting_agreement, self.awaiting_agreement = self.awaiting_agreement, {}
-        for (member, key), named in awaiting_agreement.items():
+        for (member, key), owners_coordinator in awaiting_agreement.items():
             request = self.table.get(key)
             if request is None or request.state is not RequestState.REPLICA or request.owner != member:
                 continue
             coordinator = self.views.view.coordinator(key)
-            if coordinator == named or not self.views.is_in_other_shard(member, request):
+            if coordinator == owners_coordinator or not self.views.is_in_other_shard(member, request):
                 requests_grant = coordinator == self.context.member_id
-                agreed.append((member, request.to_frame(requests_grant, named)))
+                agreed.append((member, request.to_frame(requests_grant, owners_coordinator)))
             else:
-                self.awaiting_agreement[member, key] = named
+                self.awaiting_agreement[member, key] = owners_coordinator
         return agreed
 
     # Acknowledgements.
 
     def send_state(
-        self, member: str, frame: ReplicateFrame, state: str, response: RecordedResponse | None = None
+        self, member: str, frame: ReplicateFrame, verdict: str, response: RecordedResponse | None = None
     ) -> None:
-        """Reply to the sender of a frame."""
-        self.send(member, ReplicaStateFrame(frame.key, frame.epoch, state, len(frame.intents), response))
+        """Reply to the sender of a frame with a `ReplicaVerdict`, and the final response if there is one."""
+        self.send(member, ReplicaStateFrame(frame.key, frame.epoch, verdict, len(frame.intents), response))
 
     def send(self, member: str, frame: Frame) -> None:
         """Send a frame to a member."""
         self.context.host.send_frame(member, frame)
 
-    def acknowledge(self, member: str, frame: ReplicateFrame, state: str) -> None:
+    def acknowledge(self, member: str, frame: ReplicateFrame, verdict: str) -> None:
         """Acknowledge to an owner that its request is recorded, once both views name the same coordinator."""
         request, coordinator = self.table.requests[frame.key], self.views.view.coordinator(frame.key)
         spans_shards = self.views.view.shard_count > 1
         request.granted_to_owner = spans_shards and (
-            request.granted_to_owner or state == ReplicaVerdict.GRANTED
+            request.granted_to_owner or verdict == ReplicaVerdict.GRANTED
         )
         if self.views.is_in_other_shard(member, request):
             request.contact = frame.coordinator  # the coordinator in the owner's view
@@ -105,12 +107,12 @@
                 self.awaiting_agreement[member, frame.key] = frame.coordinator
                 return
             request.informed_coordinator = request.informed_coordinator or coordinator
-        self.send_state(member, frame, state)
+        self.send_state(member, frame, verdict)
 
     # Conflicts.
 
     def is_contested(self, request: ReplicatedRequest, member: str, epoch: int) -> bool:
-        """Return whether another member asks for it too and it is not known here which one was granted it."""
+        """Return whether another member wants the request too and it is unknown here who was granted it."""
         if self.views.view.shard_count == 1 or request.is_unclaimed:
             return self.views.view.shard_count > 1
         ungranted = request.state is RequestState.REPLICA and not request.granted_to_owner
@@ -129,7 +131,7 @@
         elif request.state is RequestState.REPLICA and request.epoch <= frame.epoch:
             rivals = request.owner != frame.owner and request.epoch == frame.epoch
             if rivals and request.granted_to_owner and not frame.is_granted:
-                return  # a record of an owner to which the request was never granted
+                return  # the frame describes the request of an owner to which it was never granted
             self._merge(request, frame)
 
     def record(self, request: ReplicatedRequest, frame: ReplicateFrame) -> None:
--- a/starlingwheel/fleet/replication/replica.py
+++ b/starlingwheel/fleet/replication/replica.py
@@ -22,8 +22,8 @@
 from .takeover import RequestTakeover
 from .views import ViewTracker
 
-MAX_AGE = 4  # longest timeouts: older requests are not recorded
-MAX_TIME_LEFT = 2  # longest timeouts: requests with a later deadline are not recorded
+MAX_AGE = 4  # in longest timeouts: older requests are not recorded
+MAX_TIME_LEFT = 2  # in longest timeouts: requests with a later deadline are not recorded
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 
 class ReplicaRole:
-    """Records requests for their owners, grants them, and replies who handles one."""
+    """Records requests for their owners, grants them, and tells other members who handles a request."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self.completion, self.records, self.takeover = completion, records, takeover
 
     def on_replicate(self, member: str, frame: ReplicateFrame) -> None:
-        """Handle a request to record what the sender, or a lost member, owns."""
+        """Handle a frame with a request that its sender, or a lost member, owns: record or grant it."""
         now, longest = self.context.now, self.context.longest_timeout
         if (
             not now - MAX_AGE * longest
@@ -87,7 +87,7 @@
             self._record(claim)
 
     def acknowledge_agreed(self) -> None:
-        """Handle the records again whose owners see the same coordinator since a change of the view."""
+        """Acknowledge records whose owners, since a change of the view, see the same coordinator as we do."""
         for member, frame in self.records.pop_agreed():
             self.on_replicate(member, frame)
 
@@ -99,19 +99,21 @@
         if claim.coordinator == self.context.member_id:
             return False
         member, frame, request = claim.member, claim.frame, claim.request
-        # Only the coordinator accepts requests of members out of the view, while it has a link to them.
-        outsider = member not in self.views.view
-        if outsider and request is not None:
-            outsider = not self.views.agrees_on_coordinator(member, request, frame.coordinator)
-        asks_here = claim.requests_grant and claim.is_open
-        if asks_here and frame.coordinator == self.context.member_id and not outsider:
-            self.records.hold(member, frame)  # its view is newer than ours
+        # Only the coordinator accepts requests of members that are not in the view, while it has a link to
+        # them. Another replica accepts only frames about requests that it knows, and only if the owner is in
+        # another shard and names the same coordinator.
+        unaccepted = member not in self.views.view
+        if unaccepted and request is not None:
+            unaccepted = not self.views.agrees_on_coordinator(member, request, frame.coordinator)
+        wants_grant = claim.requests_grant and claim.is_open
+        if wants_grant and frame.coordinator == self.context.member_id and not unaccepted:
+            self.records.hold(member, frame)  # the owner's view is newer than ours
             return True
-        if outsider or asks_here:
-            state = ReplicaStateFrame(
+        if unaccepted or wants_grant:
+            reply = ReplicaStateFrame(
                 frame.key, frame.epoch, ReplicaVerdict.NOT_COORDINATOR, coordinator=claim.coordinator
             )
-            self.records.send(member, state)
+            self.records.send(member, reply)
             return True
         return False
 
@@ -192,21 +194,21 @@
     def on_find_owner(self, member: str, frame: FindOwnerFrame) -> None:
         """Reply to a member that looks for the owner of a request whose coordinator it can't reach."""
         request = self.table.get(frame.key)
-        state, response = ReplicaVerdict.UNKNOWN, None
+        verdict, response = ReplicaVerdict.UNKNOWN, None
         known = (RequestState.OWNING, RequestState.REPLICA, RequestState.DONE)
         if request is not None and request.state in known:
             if request.fingerprint != frame.fingerprint:
-                state = ReplicaVerdict.KEY_REUSED
+                verdict = ReplicaVerdict.KEY_REUSED
             elif request.state is RequestState.DONE:
-                state, response = ReplicaVerdict.FINISHED, request.response
+                verdict, response = ReplicaVerdict.FINISHED, request.response
             else:
-                state = ReplicaVerdict.IN_PROGRESS
+                verdict = ReplicaVerdict.IN_PROGRESS
                 request.waiting_members[member] = None
-        # The coordinator is named if it is reachable from here: no other member may stand in for it then.
+        # The reply names the coordinator if this member reaches it: then no substitute may replace it.
         coordinator = self.views.view.coordinator(frame.key)
-        reachable = coordinator in self.links or coordinator == self.context.member_id
-        where = coordinator if reachable else ""
-        self.records.send(member, ReplicaStateFrame(frame.key, 0, state, 0, response, where))
+        if coordinator not in self.links and coordinator != self.context.member_id:
+            coordinator = ""
+        self.records.send(member, ReplicaStateFrame(frame.key, 0, verdict, 0, response, coordinator))
 
     def on_intent(self, member: str, frame: AttemptIntentFrame) -> None:
         """Record the intent of an attempt, which its owner starts once all replicas have recorded it."""
@@ -230,7 +232,7 @@
                 member, ReplicaStateFrame(key, epoch, ReplicaVerdict.SUPERSEDED, coordinator=coordinator)
             )
         elif self.records.is_contested(request, member, epoch) and not coordinates:
-            return  # the owner was already told that the request is contested
+            return  # this member has already told the owner that the request is contested
         elif request.state is not RequestState.REPLICA or (request.owner, request.epoch) != (member, epoch):
             request.waiting_members[member] = None
             self.records.send(member, ReplicaStateFrame(key, epoch, ReplicaVerdict.SUPERSEDED))
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -76,8 +76,8 @@
     ) -> None:
         """Build the components.
 
-        `longest_timeout`, `now`: seconds. `replica_count`: replicas per request. `memory_limit`: bytes
-        recorded for other members.
+        `longest_timeout`, `now`: seconds. `replica_count`: replicas per request. `memory_limit`: bytes; while
+        all requests take more, none is recorded for other members.
         """
         context = ReplicationContext(member_id, host, now, longest_timeout, replica_count, memory_limit)
         views = self.views_type(context)
@@ -164,7 +164,7 @@
 
     @property
     def is_synced(self) -> bool:
-        """Whether all members have sent what they own under the current view."""
+        """Whether all members that have to send us their records have done so under the current view."""
         return self.views.is_synced
 
     def may_decide(self) -> bool:
--- a/starlingwheel/fleet/replication/request.py
+++ b/starlingwheel/fleet/replication/request.py
@@ -77,7 +77,7 @@
     contact: str = ""  # the member that was asked for it, that handles it, or that knows its response
     is_stale: bool = False  # recorded before this member was out of the view for a while
     # For an owner in another shard than the key: the coordinator that its replicas know of. For a replica of
-    # such an owner: the member that it has informed.
+    # such an owner: the member to which it has sent the request or its response.
     informed_coordinator: str = ""
     granted_to_owner: bool = False  # the recorded owner is known to have been granted it
 
--- a/starlingwheel/fleet/replication/sync.py
+++ b/starlingwheel/fleet/replication/sync.py
@@ -1,4 +1,4 @@
-"""The end of a view's synchronisation, when all members have sent what they own under the current view."""
+"""The end of a view's synchronisation, when all members have sent their records under the current view."""
 
 from __future__ import annotations
 
--- a/starlingwheel/fleet/replication/takeover.py
+++ b/starlingwheel/fleet/replication/takeover.py
@@ -47,7 +47,7 @@
             self._update_waiting(request, coordinator)
 
     def _update_owned(self, request: ReplicatedRequest, coordinator: str) -> None:
-        """Replace replicas, which are out of the view, of a request that this member owns."""
+        """Update a request that this member owns, and replace its replicas that have left the view."""
         for member in [member for member in request.replicas if member not in self.views.view]:
             del request.replicas[member]
         if request.unacknowledged_rejection is not None:
@@ -75,17 +75,17 @@
                 self.records.send(coordinator, request.to_frame(requests_grant=False))
                 request.informed_coordinator = coordinator if in_other_shard else ""
             return
-        # An owner whose lease has ended but that still has a link to the coordinator, this member, continues.
+        # An owner that still has a link to this member continues, even if its lease has ended.
         successor = self.views.view.coordinator(request.key, excluding=request.owner)
         if request.owner in self.links or successor != self.context.member_id:
             return
-        # An owner in another shard does not send what it owns of its own accord, so it is dialed.
+        # An owner in another shard need not have a link to this member: it is dialed first.
         if not owner_lost and in_other_shard and self.links.dial(request.owner):
             return
         self.take_over(request)
 
     def _update_waiting(self, request: ReplicatedRequest, coordinator: str) -> None:
-        """Ask again for a request that waits for another member, if that is lost or has been replaced."""
+        """Locate the owner of a request again if the member that it waits for is lost or replaced."""
         contact_lost = request.contact not in self.links
         is_asking = request.state is RequestState.ASKING
         replaced = is_asking and request.contact != coordinator and coordinator in self.links
@@ -116,7 +116,7 @@
         """Handle the end of the link to a replica of a request that this member owns."""
         request.replicas[member] = UNACKNOWLEDGED
         if request.unacknowledged_rejection is not None:
-            # The replica may take the request over, so its client must not be told that it has not run.
+            # The replica may take the request over, so the client must not be told that it has not run.
             self.completion.finish(request, RecordedResponse(FAILED))
         elif self.views.has_remote_replicas(request):
             self.update(request)
@@ -158,16 +158,16 @@
         self.placement.dispatch(request)
 
     def drop_unconfirmed(self, request: ReplicatedRequest) -> None:
-        """Forget a record that its owner, in another shard, has not confirmed with all that it owns."""
+        """Forget a record whose owner, in another shard, has sent all that it owns without confirming it."""
         coordinator = self.views.coordinator_of(request)
         is_replica = request.state is RequestState.REPLICA
-        ours = is_replica and coordinator == self.context.member_id != request.contact
+        not_confirmed = is_replica and coordinator == self.context.member_id != request.contact
         awaited = (
             request.waiting_clients
             or request.waiting_members
             or (request.owner, request.key) in self.records.awaiting_agreement
         )
-        if ours and self.views.is_in_other_shard(request.owner, request) and not awaited:
+        if not_confirmed and self.views.is_in_other_shard(request.owner, request) and not awaited:
             self.table.forget(request)
 
     def record_orphan(self, frame: ReplicateFrame) -> None:
--- a/starlingwheel/fleet/replication/views.py
+++ b/starlingwheel/fleet/replication/views.py
@@ -21,10 +21,11 @@
         self.context = context
         self.view = MembershipView()
         self.changed_at = context.now  # when the view of our shard last changed
-        # The last view under which all members had sent us what they own, and the views since.
+        # The last view under which all members had sent us their records, and the views since.
         self.history: list[MembershipView] = []
         self.was_synced = False  # whether there has been such a view
-        self.synced_digests: dict[str, int] = {}  # by member: the view under which it has sent us that
+        # By member: the digest of the view under which the member has sent us its records.
+        self.synced_digests: dict[str, int] = {}
         self.heartbeats: dict[str, tuple[float, HeartbeatFrame]] = {}  # by member, with the time of receipt
         self.lease_until = -inf
 
@@ -62,15 +63,15 @@
 
     @property
     def is_synced(self) -> bool:
-        """Whether all members have sent us what they own under the current view."""
+        """Whether all members have sent us their records under the current view."""
         return not self.view.members or (self.was_synced and len(self.history) == 1)
 
     def mark_synced(self) -> None:
-        """Record that all members have sent us what they own under the current view, or no longer need to."""
+        """Record that all members have sent us their records under the current view, or no longer need to."""
         self.history, self.was_synced = [self.view], True
 
     def is_synced_by(self, member: str) -> bool:
-        """Return whether that member has sent us what it owns under the current view."""
+        """Return whether that member has sent us its records under the current view."""
         return self.synced_digests.get(member) == self.digest
 
     def sync_deadline(self) -> float:
@@ -122,11 +123,9 @@
 
     def has_changed_for(self, request: ReplicatedRequest, before: MembershipView) -> bool:
         """Return whether something that concerns the request has changed since the view `before`."""
-        now, then = (
-            self.view.shard_of_position(request.hash_position),
-            before.shard_of_position(request.hash_position),
-        )
-        changed = before.shard_digest(then) != self.view.shard_digest(now)
+        shard = self.view.shard_of_position(request.hash_position)
+        shard_before = before.shard_of_position(request.hash_position)
+        changed = before.shard_digest(shard_before) != self.view.shard_digest(shard)
         replica_gone = any(member not in self.view for member in request.replicas)
         return changed or request.owner not in self.view or replica_gone
 
@@ -151,7 +150,8 @@
     def may_grant(self, key: bytes) -> bool:
         """Return whether no other member can have granted that key.
 
-        That is so if this member is its coordinator in the last synchronised view and in all views since.
+        No other member can have done so if this member may decide and is the key's coordinator in the last
+        synchronised view and in all views since.
         """
         return (
             self.may_decide()
--- a/starlingwheel/fleet/shards.py
+++ b/starlingwheel/fleet/shards.py
@@ -2,7 +2,7 @@
 
 The number is doubled once the mean shard has more members than configured, and halved once it has fewer than
 a quarter of that; sizes in between change nothing, so a few members that join or leave do not. Any member may
-write the change, each in its turn, and a transaction that compares the entry lets only one of them succeed.
+write the change; the members take turns, and since the transaction compares the entry only one succeeds.
 `ShardPlanner` is one member's part of this and does no I/O: the host sets `now`, passes in the records of the
 coordination store, and asks `due` for the next transaction.
 """
@@ -16,11 +16,11 @@
 from .membership import MAX_SHARDS
 from .records import MEMBERS_PREFIX, SHARDS_KEY, Sharding, StoreRecords, Transaction, equal
 
-MERGE_FRACTION = 1 / 4  # of the configured mean size: below that, shards are merged
+MERGE_FRACTION = 1 / 4  # of the configured mean size: shards with a smaller mean size are merged
 STABLE_LEASES = 2.0  # leases for which the size has to stay beyond a bound before a change
 CHANGE_INTERVAL_LEASES = 8.0  # minimum of leases between two changes
 TURN_LEASES = 1 / 16  # leases between the write times of two members
-MAX_TURNS = 16  # further members write at the same time as the last of these
+MAX_TURNS = 16  # members with a later turn write at the time of this turn
 
 
 class ShardPlanner:
@@ -39,7 +39,7 @@
         self.wanted_since = inf
 
     def update_records(self, records: StoreRecords) -> None:
-        """Use the latest records of the coordination store."""
+        """Apply the records of the coordination store."""
         if records.shards_revision != self.records.shards_revision:
             self.changed_at = self.now
         self.records = records
@@ -57,11 +57,11 @@
             return 2 * count
         if members < count * self.max_mean_size * MERGE_FRACTION and count > 1:
             return count // 2
-        # An unreadable entry is written again, since members that start could not know the number of shards.
+        # An unreadable entry is written again, since members that start could not read the number of shards.
         return count if records.is_shard_count_unreadable else 0
 
     def due(self) -> Transaction | float:
-        """Return the transaction to carry out now, or when to ask again (seconds)."""
+        """Return the transaction to write now, or when to call again, in seconds."""
         if not self.wanted_count:
             return inf
         records = self.records
--- a/starlingwheel/fleet/turns.py
+++ b/starlingwheel/fleet/turns.py
@@ -11,8 +11,8 @@
     def __init__(self, delay: float, max_turns: int, max_remembered: int) -> None:
         """Start with no pending writes.
 
-        `delay`: seconds between consecutive turns; turns beyond `max_turns` wait no longer. `max_remembered`:
-        limit of the writes whose due times are remembered.
+        `delay`: seconds between consecutive turns; turns beyond `max_turns` wait as long as that turn.
+        `max_remembered`: limit of the writes whose due times are remembered.
         """
         self.delay, self.max_turns, self.max_remembered = delay, max_turns, max_remembered
         self.due_since: dict[Hashable, float] = {}
@@ -24,7 +24,10 @@
         return other
 
     def write_at(self, write: Hashable, turn: int, now: float) -> float:
-        """Return when this member may write what is due now; `turn`: how many members write before it."""
+        """Return when this member may write a change that is due now.
+
+        `write`: identifies the change. `turn`: how many members write before this one.
+        """
         since = self.due_since.setdefault(write, now)
         if len(self.due_since) > self.max_remembered:
             del self.due_since[next(iter(self.due_since))]
--- a/starlingwheel/fleet/zones/capacity.py
+++ b/starlingwheel/fleet/zones/capacity.py
@@ -10,7 +10,7 @@
 from .health import ELSEWHERE_FRACTION, FAILING_FRACTION
 
 CAPACITY_HEADROOM = 1.5  # estimated capacity, as a multiple of the highest rate at which a zone was healthy
-RATE_DECAY = 0.99  # factor applied to that rate with each window
+RATE_DECAY = 0.99  # factor applied to the highest healthy rate with each window
 
 
 class ZoneCapacities:
@@ -35,7 +35,10 @@
     def observed_capacities(
         self, plan: ZonePlan, zones: Mapping[str, ZoneState], evidence: ZoneEvidence
     ) -> dict[str, float]:
-        """Return the capacities of the plan, and the rates of zones that reject attempts under the plan."""
+        """Return the capacities of the plan, complemented by the rates of zones that reject attempts.
+
+        `zones`: the zones of the next plan; if there are none, no rate is added.
+        """
         capacities = dict(plan.capacities)
         for name, load in evidence.loads().items():
             if evidence.is_rejecting(name) and name not in capacities and zones:
--- a/starlingwheel/fleet/zones/evidence.py
+++ b/starlingwheel/fleet/zones/evidence.py
@@ -10,7 +10,7 @@
 from ..records import ZoneHealth, ZoneReport, ZoneState
 from .health import FAILING_FRACTION, MIN_CONSECUTIVE_FAILURES, MIN_OUTCOMES, RECENT_TRIALS, FailureCounts
 
-SIDE_FRACTION = 0.1  # of a zone's weight: a side that has less of it is ignored
+SIDE_FRACTION = 0.1  # of a zone's weight: if the members inside or outside have less, they are ignored
 LOST_FRACTION = 0.8  # of a zone's weight: a zone counts as lost if this much sees only failures
 MIN_RATE = 1e-9  # attempts a second, prevents a division by zero
 
@@ -102,11 +102,13 @@
     def _side_weights(self, zone: str, inside: bool) -> SideWeights:
         """Return the weights of the members inside or outside the zone."""
         side = [member.id for member in self.members.values() if (member.zone == zone) == inside]
-        reaching = [m for m in side if self.weight(m, zone) > 0 and self._has_observed(m, zone)]
-        failing = [m for m in reaching if self.reports[m].zones[zone].failing]
+        reaching = [
+            member for member in side if self.weight(member, zone) > 0 and self._has_observed(member, zone)
+        ]
+        failing = [member for member in reaching if self.reports[member].zones[zone].failing]
         return SideWeights(
-            reaching=sum(self.weight(m, zone) for m in reaching),
-            failing=sum(self.weight(m, zone) for m in failing),
+            reaching=sum(self.weight(member, zone) for member in reaching),
+            failing=sum(self.weight(member, zone) for member in failing),
         )
 
     def _has_observed(self, member: str, zone: str) -> bool:
@@ -124,10 +126,10 @@
         """
         counts_by_zone: dict[str, FailureCounts] = {}  # by the zone in which the members run
         for member, report in self.reports.items():
-            home = self.members[member].zone
+            member_zone = self.members[member].zone
             is_recent = report.at > self.now - self.window
-            if (home == zone) == inside and zone in report.zones and is_recent:
-                counts = counts_by_zone.setdefault(home, FailureCounts(0, 0))
+            if (member_zone == zone) == inside and zone in report.zones and is_recent:
+                counts = counts_by_zone.setdefault(member_zone, FailureCounts(0, 0))
                 counts.attempts += report.zones[zone].conclusive_attempts
                 counts.failures += report.zones[zone].failures
         agreements = [
--- a/starlingwheel/fleet/zones/failing.py
+++ b/starlingwheel/fleet/zones/failing.py
@@ -31,7 +31,7 @@
         failing = self._persistently_failing(agreed, loads)
         if not failing:
             return []
-        failing += self._rest_of_regions(failing, planned, loads)
+        failing += self._other_zones_of_regions(failing, planned, loads)
         staying = [
             load.failing_fraction
             for name, load in loads.items()
@@ -51,19 +51,20 @@
         self.scores = {name: min(score, MIN_FAILING_SCORE) for name, score in scores.items() if score > 0}
         return [name for name in agreed if self.scores[name] >= MIN_FAILING_SCORE]
 
-    def _rest_of_regions(
+    def _other_zones_of_regions(
         self, failing: Collection[str], planned: Collection[str], loads: Mapping[str, ZoneLoad]
     ) -> list[str]:
         """Return the other zones of regions in which more than half fail, if all others have failures too."""
-        rest: list[str] = []
+        additional: list[str] = []
         for region in {self.regions[name] for name in failing if name in self.regions}:
             inside = [name for name in loads if self.regions.get(name) == region]
-            lost = [name for name in inside if name in failing or name in planned]
+            failing_or_left = [name for name in inside if name in failing or name in planned]
             others = [
                 name
                 for name in inside
-                if name not in lost and loads[name].failing_fraction >= FAILING_FRACTION
+                if name not in failing_or_left and loads[name].failing_fraction >= FAILING_FRACTION
             ]
-            if 2 * len(lost) > len(inside) and len(lost) + len(others) == len(inside):
-                rest += others
-        return rest
+            all_affected = len(failing_or_left) + len(others) == len(inside)
+            if 2 * len(failing_or_left) > len(inside) and all_affected:
+                additional += others
+        return additional
--- a/starlingwheel/fleet/zones/health.py
+++ b/starlingwheel/fleet/zones/health.py
@@ -17,12 +17,13 @@
 
 WINDOW_OBJECTIVES = 2.0  # length of the window, as a multiple of the shortest latency objective
 SILENT_MULTIPLE = 4.0  # multiple of the mean response time after which a pending attempt counts as silent
-SILENT_MIN_WINDOWS = 1 / 16  # windows: lower bound of that time
+SILENT_MIN_WINDOWS = 1 / 16  # windows: an attempt that is pending for less does not count as silent
 MIN_OUTCOMES = 4.0  # failures or responses below which no conclusion is drawn
 MIN_CONSECUTIVE_FAILURES = 2  # fewer count only if no other outcome was observed
 REPORTED_WINDOWS = 2.0  # windows without a response during which a zone is still reported as failing
 FAILING_FRACTION = 1 / 4  # fraction of failed attempts from which on a zone counts as failing
-ELSEWHERE_FRACTION = 1 / 2  # of a zone's failing fraction: upper bound of the fraction that fails elsewhere
+# Of a zone's failing fraction: the zone counts as failing only if no larger fraction fails in other zones.
+ELSEWHERE_FRACTION = 1 / 2
 USUAL_RATE_WINDOWS = 8.0  # windows: time constant of the moving average of the usual rate
 MEAN_ANSWER_SAMPLES = 64  # responses over which the mean response time is averaged
 RECENT_TRIALS = 5  # latest trials of a zone, whose results are reported one by one
@@ -164,10 +165,10 @@
 
     def attempt_ended(self, attempt: Hashable, result: ZoneAttemptResult) -> None:
         """Record the result of an attempt. An unknown attempt is ignored."""
-        known = self.pending.pop(attempt, None)
-        if known is None:
+        pending = self.pending.pop(attempt, None)
+        if pending is None:
             return
-        zone, started_at = known
+        zone, started_at = pending
         was_silent = attempt in self.silent
         self.silent.discard(attempt)
         window = self._window(zone)
@@ -258,8 +259,8 @@
     def _zone_health(
         self, zone: str, window: OutcomeWindow, counts: Mapping[str, FailureCounts]
     ) -> ZoneHealth:
-        seen = counts[zone]
-        fraction = seen.fraction
+        zone_counts = counts[zone]
+        fraction = zone_counts.fraction
         failing = self._is_failing(zone, window, counts)
         rejecting = window.rejected_at > self.now - self.window and window.rejected >= MIN_OUTCOMES
         health = ZoneHealth(
@@ -268,8 +269,8 @@
             failing=failing,
             failing_fraction=round(max(fraction, FAILING_FRACTION) if failing else fraction, 2),
             rejecting=rejecting,
-            conclusive_attempts=round(seen.attempts),
-            failures=round(seen.failures),
+            conclusive_attempts=round(zone_counts.attempts),
+            failures=round(zone_counts.failures),
             consecutive_failures=window.consecutive_failures,
         )
         trials = self.trials.get(zone)
@@ -283,7 +284,7 @@
     def _is_failing(self, zone: str, window: OutcomeWindow, counts: Mapping[str, FailureCounts]) -> bool:
         """Return whether to report the zone as failing.
 
-        The report remains for `REPORTED_WINDOWS` without new attempts.
+        Without new attempts the zone stays reported as failing for `REPORTED_WINDOWS`.
         """
         fraction = counts[zone].fraction
         fails = self._has_failures(window, counts[zone]) and self._is_zone_specific(zone, window)
@@ -295,11 +296,11 @@
         return self.now < window.failing_until
 
     @staticmethod
-    def _has_failures(window: OutcomeWindow, seen: FailureCounts) -> bool:
+    def _has_failures(window: OutcomeWindow, counts: FailureCounts) -> bool:
         # The threshold is low, because a member sends few attempts to zones other than its own; the plan
         # requires the reports of more than half of the weight.
-        all_failed = window.consecutive_failures and window.consecutive_failures >= seen.attempts
-        many_failed = seen.failures >= MIN_CONSECUTIVE_FAILURES and seen.fraction >= FAILING_FRACTION
+        all_failed = window.consecutive_failures and window.consecutive_failures >= counts.attempts
+        many_failed = counts.failures >= MIN_CONSECUTIVE_FAILURES and counts.fraction >= FAILING_FRACTION
         return bool(all_failed or many_failed)
 
     def _is_zone_specific(self, zone: str, window: OutcomeWindow) -> bool:
--- a/starlingwheel/fleet/zones/planner.py
+++ b/starlingwheel/fleet/zones/planner.py
@@ -181,15 +181,15 @@
         return report if report is not None else self.plan_next()
 
     def _lift_ejections(self) -> None:
-        """Lift ejections in zones that were left, so that trials reach them; the share limits these."""
-        left = [
+        """Lift ejections in zones that were left, so that trials reach them; the share limits the trials."""
+        left_zones = [
             name
             for name, zone in self.plan.zones.items()
             if zone.state == ZoneTraffic.LEFT and zone.share <= TRIAL_SHARE
         ]
-        if left and self.now >= self.lift_ejections_at:
+        if left_zones and self.now >= self.lift_ejections_at:
             self.lift_ejections_at = self.now + EJECTION_LIFT_LEASES * self.lease
-            self._apply_shares(left)
+            self._apply_shares(left_zones)
 
     def plan_next(self) -> Transaction | float:
         """Return the transaction that writes the next plan if one is needed, or when to call again."""
@@ -277,8 +277,12 @@
 
     def _may_return(self, name: str, zone: ZoneState) -> bool:
         """Return whether the zone's trials succeeded, and no zone of its region is still in its pause."""
-        region = [other for other in self.plan.zones.values() if zone.region and other.region == zone.region]
-        paused = any(other.state == ZoneTraffic.LEFT and self.now < other.next_change_at for other in region)
+        same_region = [
+            other for other in self.plan.zones.values() if zone.region and other.region == zone.region
+        ]
+        paused = any(
+            other.state == ZoneTraffic.LEFT and self.now < other.next_change_at for other in same_region
+        )
         return not paused and self.evidence.recent_trials_succeeded(name, zone)
 
     def _return_succeeds(self, name: str, zone: ZoneState) -> bool:
@@ -313,7 +317,7 @@
         """Return the fraction of a zone's traffic to move: all if it is lost, else what others can take."""
         if self.evidence.is_lost(name):
             return 1.0
-        needed = sum(self.evidence.usual_rate(one) for one in failing)
+        needed = sum(self.evidence.usual_rate(zone) for zone in failing)
         return min(1.0, self.capacities.spare_capacity(failing, self.plan, loads) / needed) if needed else 0.0
 
     # Writes of the plan.
@@ -321,7 +325,7 @@
     def _write_in_turn(self, plan: ZonePlan) -> Transaction | float:
         """Return the transaction if it is this member's turn to write the plan, or when its turn comes.
 
-        Any member may write it. They do so one after another, not all at once.
+        Any member may write the plan. The members take turns, so that they do not all write at once.
         """
         members = sorted(self.records.members)
         turn = (members.index(self.member_id) + plan.epoch) % len(members)
@@ -336,8 +340,8 @@
 
     def leave_zone(self, name: str, reason: str) -> Transaction:
         """Send no traffic to the zone until an operator begins its return."""
-        left = self._left_state(name, 0, TRIAL_SHARE, self.plan.epoch + 1, reason)
-        return self._write_zone(name, msgspec.structs.replace(left, share=0.0, by_operator=True))
+        state = self._left_state(name, 0, TRIAL_SHARE, self.plan.epoch + 1, reason)
+        return self._write_zone(name, msgspec.structs.replace(state, share=0.0, by_operator=True))
 
     def hold_zone(self, name: str, reason: str) -> Transaction:
         """Hold the zone at its current share."""
--- a/starlingwheel/fleet/zones/reporter.py
+++ b/starlingwheel/fleet/zones/reporter.py
@@ -28,7 +28,10 @@
     def due(
         self, health: dict[str, ZoneHealth], members: dict[str, Member], now: float
     ) -> Transaction | None:
-        """Return the next report, if the observed health differs from the last report; otherwise None."""
+        """Return the transaction that writes a report if one is due, otherwise None.
+
+        A report is due if the observed health differs from the last report, or the last report is old.
+        """
         if now < self.reported_at + MIN_REPORT_INTERVAL_LEASES * self.lease or not health:
             return None
         if not self._is_worth_reporting(health, len(members), now):
@@ -40,10 +43,10 @@
             "zones.said", [is_member], [(ZONE_REPORTS_PREFIX + self.member_id, report)], leased=True
         )
 
-    def _is_worth_reporting(self, health: dict[str, ZoneHealth], members: int, now: float) -> bool:
+    def _is_worth_reporting(self, health: dict[str, ZoneHealth], member_count: int, now: float) -> bool:
         if now > self.reported_at + MAX_REPORT_INTERVAL_LEASES * self.lease or self._has_new_state(health):
             return True
-        interval = MIN_REPORT_INTERVAL_LEASES * self.lease * max(1.0, members / FULL_RATE_MEMBERS)
+        interval = MIN_REPORT_INTERVAL_LEASES * self.lease * max(1.0, member_count / FULL_RATE_MEMBERS)
         return now >= self.reported_at + interval and self._has_new_counts(health)
 
     def _has_new_state(self, health: dict[str, ZoneHealth]) -> bool:
@@ -56,7 +59,9 @@
         """
         return (
             any(seen.failing or seen.failures for seen in health.values())
-            or any(seen.epoch and _trials(seen) != self._reported_trials(z) for z, seen in health.items())
+            or any(
+                seen.epoch and _trials(seen) != self._reported_trials(zone) for zone, seen in health.items()
+            )
             or any(
                 seen.usual_rate > USUAL_RATE_GROWTH * self._reported_rate(zone) + USUAL_RATE_MARGIN
                 for zone, seen in health.items()
--- a/starlingwheel/net/fleet/admin.py
+++ b/starlingwheel/net/fleet/admin.py
@@ -18,7 +18,7 @@
 
 WRITE_TIMEOUT = 0.85  # seconds for which a call waits for the coordination store
 POLL_INTERVAL = 0.01  # seconds between two checks whether the store has answered
-MAX_PROPOSAL_SIZE = 2 * document.MAX_SIZE  # bytes; its policy need not be in the shortest encoding
+MAX_PROPOSAL_SIZE = 2 * document.MAX_SIZE  # bytes; the proposed policy need not be in the shortest encoding
 MAX_SWITCH_DELAY = 3600.0  # seconds from a proposal to its switch time
 OPERATORS_REASON = "operators have said so"
 
@@ -35,10 +35,10 @@
 
 
 class ProposalCommand(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a proposal. `base`: the version that it was made from; None: not checked."""
+    """The body of a proposal. `base`: the policy version that was edited; None: that is not checked."""
 
     policy: Any
-    switch_s: float | None = None  # seconds until it takes effect
+    switch_s: float | None = None  # seconds until the policy takes effect
     base: int | None = None
 
 
@@ -58,8 +58,8 @@
     replica = controller.policy_replica
     command = _decode(body, ProposalCommand)
     delay = _switch_delay(command, replica.lease)
-    if faults := controller.check(command.policy):
-        raise _rejected(HTTPStatus.BAD_REQUEST, faults)
+    if objection := controller.check(command.policy):
+        raise _rejected(HTTPStatus.BAD_REQUEST, objection)
     replica.now = context.loop.now()
     _check_may_propose(replica, command)
     transaction, proposal = replica.propose(command.policy, delay)
@@ -79,11 +79,11 @@
 
 
 def _check_may_propose(replica: PolicyReplica, command: ProposalCommand) -> None:
-    if doubt := replica.unavailable_reason():
+    if reason := replica.unavailable_reason():
         raise _rejected(
             HTTPStatus.SERVICE_UNAVAILABLE,
-            f"this sidecar does not know which policy is in force: {doubt}",
-            doubt,
+            f"this sidecar does not know which policy is in force: {reason}",
+            reason,
         )
     known = replica.decided_version
     if command.base is not None and command.base != known:
@@ -98,7 +98,7 @@
 
 
 def drop(context: SidecarContext, body: bytes) -> PendingResult:
-    """Drop the open proposal, whose version the call names; raise `CallRejectedError` if it is not open."""
+    """Drop the open proposal; raise `CallRejectedError` if it does not have the version in the body."""
     replica = context.fleet.policy_controller.policy_replica
     replica.now = context.loop.now()
     version = decode_id(body)
--- a/starlingwheel/net/fleet/connection.py
+++ b/starlingwheel/net/fleet/connection.py
@@ -25,19 +25,23 @@
     """Writes the last byte of a request once the replicator has released the attempt."""
 
     def write(self, exchange: Exchange) -> Coroutine[None]:
-        """Write the buffered request, its last byte only after the release; raise `ConnectionLostError`."""
+        """Write the request, and the last byte of a buffered one only after its attempt is released.
+
+        Raises `ConnectionLostError`.
+        """
         held: AttemptHold | None = self.context.fleet.host.held_attempts.get(exchange)
         if held is not None and not held.is_released and exchange.body_stream is None:
-            last = self.stream.take_last_byte()
+            last_byte = self.stream.take_last_byte()
             yield from super().write(exchange)
             yield from self._wait_for_release(exchange, held)
-            self.stream.unwritten.append(last)
+            self.stream.unwritten.append(last_byte)
         yield from super().write(exchange)
 
     def _wait_for_release(self, exchange: Exchange, held: AttemptHold) -> Coroutine[None]:
         """Wait until the attempt is released, because its replicas have recorded it.
 
-        If this sidecar was lost otherwise, no other member would know that the attempt may have run.
+        Without that wait, if this sidecar were lost, no other member would know that the attempt may have
+        run.
         """
         self.stream.wait_for(READ)
         while not held.is_released:
--- a/starlingwheel/net/fleet/coordinator.py
+++ b/starlingwheel/net/fleet/coordinator.py
@@ -44,13 +44,18 @@
     from .policy import PolicyController
 
 POLICY_RETRY_AFTER = 1 / 8  # of a lease: when to retry a request that arrived while the policy was in doubt
-CLIENT_WAIT_FRACTION = 0.98  # of its time left: how long a client waits for another member's response
+CLIENT_WAIT_FRACTION = 0.98  # of the request's time left: how long its client waits for another member
 MAX_KEY_LENGTH = 256  # bytes of an idempotency key
-REPLICA_MEMORY_FRACTION = 1 / 8  # of the memory limit: the part for requests recorded for other members
+# Of the memory limit: while replicated requests take more, none is recorded for other members.
+REPLICA_MEMORY_FRACTION = 1 / 8
 BYTES_PER_MB = 2**20
 IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
 BAD_REQUEST = 400
-OUTCOMES = {FINISHED: "finished", REJECTED: "deferred", FAILED: "written_off"}  # by status: the counter
+OUTCOMES = {
+    FINISHED: "finished",
+    REJECTED: "deferred",
+    FAILED: "written_off",
+}  # by status: the counter of the response
 
 
 class ReplicatingCoordinator(FleetHost, RequestCoordinator):
@@ -124,9 +129,9 @@
     def _reject_in_doubt(self, pending: PendingRequest) -> bool:
         """Reject a request while it is not known which policy is in force; return whether it was rejected.
 
-        Otherwise the request gets its class under the current policy.
+        A request that is not rejected gets its class under the current policy.
         """
-        # The clock is read again, since the time read for this turn may be from before a pause.
+        # The clock is read again: the process may have been paused since it was read for this turn.
         self.policy_replica.now = self.loop.now()
         reason = self.policy_replica.unavailable_reason()
         request = pending.request
@@ -366,5 +371,5 @@
 
     def _send_once(self, pending: PendingRequest, final: FinalResponse, how: str) -> None:
         super()._send_final_response(pending, final, how)
-        # A second response would be taken for that of the next request on the client's connection.
+        # The client would take a second response for the response to its next request on the connection.
         pending.client = DISCONNECTED_CLIENT
--- a/starlingwheel/net/fleet/etcd/lease_keeper.py
+++ b/starlingwheel/net/fleet/etcd/lease_keeper.py
@@ -70,7 +70,7 @@
             encode_base64(msgspec.json.encode(self.member)),
             lease_id,
         )
-        # The name outlives the entry: a majority is counted among all names that were ever registered.
+        # The name outlives the entry: a majority is counted among all registered names.
         name = PutRequest(
             encode_base64(f"{self.fleet_prefix}{NAMES_PREFIX}{self.member.name}"), encode_base64(b"1")
         )
--- a/starlingwheel/net/fleet/etcd/member_evictor.py
+++ b/starlingwheel/net/fleet/etcd/member_evictor.py
@@ -29,8 +29,8 @@
         """Evict the recorded members, and wait for the next one."""
         while True:
             while self.to_evict:
-                # All members notice the end of a process at the same time; after a random delay, the first
-                # one evicts it.
+                # All members notice the end of a process at the same time. Each waits for a random delay, and
+                # the first one deletes the entry.
                 yield from self.sleep_until(self.loop.now() + self.rng.random() * MIN_BACKOFF)
                 yield from self._evict(self.to_evict.popitem()[1])
             self.connection.close_if_readable((yield None))
--- a/starlingwheel/net/fleet/etcd/session.py
+++ b/starlingwheel/net/fleet/etcd/session.py
@@ -1,4 +1,4 @@
-"""The base class of the clients of etcd: calls, transactions, and backoff after a failure."""
+"""The base class of the etcd clients: calls, transactions, and backoff after a failure."""
 
 from __future__ import annotations
 
@@ -122,7 +122,10 @@
         return decode_reply(data, kind)
 
     def commit(self, transaction: Transaction, lease: str = "") -> Coroutine[bool]:
-        """Send a transaction and return whether its conditions held. `lease`: of the entries that it puts."""
+        """Send a transaction and return whether its conditions held.
+
+        `lease`: id of the lease that the written entries are attached to; empty: none.
+        """
         request = TransactionRequest(
             [self._comparison(condition) for condition in transaction.conditions],
             [self._put_operation(key, value, lease) for key, value in transaction.put]
--- a/starlingwheel/net/fleet/etcd/state_watcher.py
+++ b/starlingwheel/net/fleet/etcd/state_watcher.py
@@ -36,7 +36,7 @@
 from .session import EtcdSession
 
 MAX_LINE_SIZE = 1 << 20  # bytes of one line of a watch
-MAX_ENTRIES = 16_000  # entries read from the store; each member has three during a vote on a policy
+MAX_ENTRIES = 16_000  # entries read; a member has up to four: itself, its name, zone report and vote
 QUIET_LEASES = 3.0  # leases without a line after which a watch is restarted
 
 
@@ -105,8 +105,8 @@
         last_revision, view_changed = "", False
         for event in received.events:
             if view_changed and event.kv.mod_revision != last_revision:
-                # Each change of the members or shards is published by itself: another member may already
-                # use the view in between.
+                # Each change of the members or shards is published by itself, because another member may
+                # already act on the view between two changes.
                 self._publish(gap=False, view_changed=True)
                 view_changed = False
             last_revision = event.kv.mod_revision
--- a/starlingwheel/net/fleet/etcd/state_writer.py
+++ b/starlingwheel/net/fleet/etcd/state_writer.py
@@ -11,7 +11,7 @@
 from ..messages import WriteTransaction
 from .session import CALL_TIMEOUT_FRACTION, EtcdSession
 
-RETRY_FRACTION = CALL_TIMEOUT_FRACTION / 4  # of the lease, from a write until `due` is called again
+RETRY_FRACTION = CALL_TIMEOUT_FRACTION / 4  # of the lease: the time from a write until `due` is called again
 
 
 class StateWriter(EtcdSession):
--- a/starlingwheel/net/fleet/host.py
+++ b/starlingwheel/net/fleet/host.py
@@ -83,7 +83,8 @@
 
         `on_entry_lost` is called when this member's entry is no longer in the view. `scheduler` returns the
         scheduler to which the zone plan is applied. `times`: the shortest latency objective and the longest
-        timeout in seconds. `memory_limit`: bytes recorded for other members.
+        timeout in seconds. `memory_limit`: bytes; while replicated requests take more, none is recorded for
+        other members.
         """
         self.member_id, self.on_entry_lost, self.log = member_id, on_entry_lost, log
         self.policy_controller, self.policy_replica = policy_controller, policy_controller.policy_replica
@@ -149,9 +150,9 @@
                 self._view_changed(view, gap)
             case MemberUnreachable(member):
                 self.replicator.link_failed(member)
-            case LeaseRenewed(until, entered):
+            case LeaseRenewed(until, entry_revision):
                 self.replicator.lease_until = until
-                self.policy_replica.lease_renewed(until, entered)
+                self.policy_replica.lease_renewed(until, entry_revision)
                 self._ask_for_policy_statuses()
             case _:
                 return False
@@ -178,8 +179,8 @@
         if self.member_id in self.replicator.view and self.member_id not in view:
             self.on_entry_lost(EntryLost())
         if gap:
-            # Frames may have been sent under a view that was missed here; opening new links synchronises
-            # again.
+            # Frames may have been sent under a view that was missed here. Over new links all members send
+            # their records again.
             for link in self.links.values():
                 link.post(CLOSE)
         self.replicator.view_changed(view, gap)
@@ -191,15 +192,15 @@
         self.replicator.tick()
 
     def _ask_for_policy_statuses(self) -> None:
-        """Ask for policy statuses at once while the policy is in doubt, as peers send them only then."""
+        """Ask for policy statuses while the policy is in doubt, since heartbeats contain them only then."""
         if self.policy_replica.needs_statuses:
             for link in self.links.values():
                 link.post(POLICY_STATUS_NEEDED)
 
     def next_at(self, now: float) -> float:
         """Return when to call `tick` at the latest, seconds on the wall clock."""
-        at = self.policy_replica.next_check_at()
-        return min(self.replicator.next_at(), at if at > now else inf)
+        check_at = self.policy_replica.next_check_at()
+        return min(self.replicator.next_at(), check_at if check_at > now else inf)
 
     def make_heartbeat(self, member: str, with_policy_status: bool) -> HeartbeatFrame:
         """Return the heartbeat for a member. `with_policy_status`: the member may need our policy status."""
@@ -208,7 +209,7 @@
         in_doubt = not self.replicator.may_decide() or self.policy_replica.needs_statuses
         policy_status = self.policy_replica.status() if with_policy_status or in_doubt else None
         view = self.replicator.view
-        # Links within our own shard stay, whether a request needs them or not.
+        # Links within our own shard are never idle, whether a request needs them or not.
         in_other_shard = view.shard_of_member(member) != view.shard_of_member(self.member_id)
         idle = in_other_shard and not self.replicator.needs_link(member)
         return HeartbeatFrame(self.replicator.digest, in_doubt, policy_status, idle)
--- a/starlingwheel/net/fleet/links/activity.py
+++ b/starlingwheel/net/fleet/links/activity.py
@@ -24,7 +24,8 @@
     """The times of one link, from which its deadlines are derived.
 
     A link is active for `ACTIVE_PERIOD` after a frame about a request. Until `policy_needed_until`, one side
-    may need the other's policy status. `idle` arguments: neither side needs the link, so it may be closed.
+    may need the other's policy status. The argument `idle` of methods tells that neither side needs the link
+    and it may be closed.
     """
 
     def __init__(self, connection: FrameConnection, link_count: Callable[[], int]) -> None:
@@ -75,13 +76,13 @@
 
     def heartbeat_at(self, now: float, idle: bool) -> float:
         """Return when the next heartbeat is due."""
-        # The other side may consider the link active slightly longer.
+        # The other side may consider the link active slightly longer than this side does.
         if now < self.active_until + MISSED_HEARTBEATS * HEARTBEAT_INTERVAL and not idle:
             at = self.connection.last_sent + HEARTBEAT_INTERVAL
         else:
             at = self.connection.last_sent + self._idle_interval()
         if now < self.policy_needed_until:
-            # Frames about requests carry no policy status, so they do not replace heartbeats here.
+            # Frames about requests carry no policy status, so they do not stand for heartbeats with one.
             at = min(at, self.last_heartbeat + self._policy_interval())
         return at
 
--- a/starlingwheel/net/fleet/links/dialer.py
+++ b/starlingwheel/net/fleet/links/dialer.py
@@ -130,7 +130,7 @@
     def _dial(self, member: str) -> None:
         address = self.manager.view.members[member].address
         try:
-            # Connects from the address that this member listens on, by which others distinguish links.
+            # Connects from the IP address that this member listens on, by which observers tell links apart.
             sock = connect(address, self.manager.source)
         except ConnectionLostError:
             self.manager.link_ended(None, member, LinkEndReason.CONNECT_FAILED)
--- a/starlingwheel/net/fleet/links/errors.py
+++ b/starlingwheel/net/fleet/links/errors.py
@@ -57,7 +57,7 @@
 
 
 class LinkRejectedError(Exception):
-    """Raised to end a link. Its text is the reason's value."""
+    """Ends a link. The text of the error is the value of the reason."""
 
     def __init__(self, reason: StrEnum) -> None:
         """`reason`: a `LinkEndReason`, or a reason that a trial defines."""
--- a/starlingwheel/net/fleet/links/liveness_check.py
+++ b/starlingwheel/net/fleet/links/liveness_check.py
@@ -22,8 +22,8 @@
     """Connects once to a member's address, and requests its eviction if no process listens there.
 
     A listening member sends a hello. A refused connection, or one that ends before the first byte, shows that
-    the process has ended, before its lease expires. Silence is inconclusive. A member that is evicted by
-    mistake registers again.
+    the process has ended, so that the fleet need not wait until its lease expires. Silence is inconclusive. A
+    member that is evicted by mistake registers again.
     """
 
     def __init__(self, manager: LinkManager, member: Member) -> None:
@@ -38,7 +38,7 @@
             sock = connect(self.member.address)
         except ConnectionLostError as lost:
             if isinstance(lost.__cause__, ConnectionRefusedError):
-                self._evict()  # on the same machine, `connect` itself fails
+                self._evict()  # if the member is on this machine, `connect` itself fails
             return
         try:
             self.loop.register(sock.fileno(), self, WRITE)
--- a/starlingwheel/net/fleet/links/manager.py
+++ b/starlingwheel/net/fleet/links/manager.py
@@ -147,7 +147,7 @@
         if not hello.shard_count == link.shard_count == self.view.shard_count:
             raise LinkRejectedError(LinkEndReason.OTHER_SHARD_COUNT)
         if hello.member not in self.view:
-            # It may be in a newer view that we have not received yet; it dials again.
+            # The member may be in a newer view that we have not received yet; it dials again.
             raise LinkRejectedError(LinkEndReason.UNKNOWN_MEMBER)
         if not link.dialed and hello.member > self.hello.member:
             self._check_accepts_dial(hello.member)
@@ -158,10 +158,10 @@
         if member in self.peers:
             raise LinkRejectedError(LinkEndReason.WRONG_DIRECTION)
         if (link := self.links.get(member)) is not None:
-            # The link may have ended on the other side only: a frame sent on it reveals that.
+            # The link may have ended on the other side only, which a frame sent on it reveals.
             link.post(PROBE_LINK)
         if link is not None or member in self.dialer.dialing:
-            # Otherwise each side could end its own dial in favour of the other side's.
+            # If it were accepted, each side could end its own dial in favour of the other side's.
             raise LinkRejectedError(LinkEndReason.SIMULTANEOUS_DIAL)
 
     def link_established(self, link: PeerLink) -> None:
--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -196,7 +196,10 @@
             self._send_heartbeat(self.loop.now(), with_status=True)
 
     def _send_heartbeat(self, now: float, with_status: bool = False, request_status: bool = False) -> None:
-        """Send a heartbeat, `with_status` of our policy; `request_status` asks for the other side's."""
+        """Send a heartbeat.
+
+        `with_status`: it contains our policy status. `request_status`: it asks for the other side's status.
+        """
         policy_needed = with_status or now < self.activity.policy_needed_until
         heartbeat = self.manager.make_heartbeat(self.member, policy_needed)
         if request_status:
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -31,8 +31,8 @@
     from ..lifecycle.config import SidecarConfig
 
 
-LEAVE_TIMEOUT_FRACTION = 1 / 6  # of the lease: how long a process that ends waits to leave the view
-LEAVE_CHECKS = 32  # checks of the view in that time
+LEAVE_TIMEOUT_FRACTION = 1 / 6  # of the lease: how long a process waits to leave the view before it ends
+LEAVE_CHECKS = 32  # checks of the view during that wait
 # Leases after which a sidecar that cannot reach the store since its start serves without replication.
 STORE_TIMEOUT_LEASES = 8.0
 
@@ -101,7 +101,7 @@
         return links
 
     def begin(self) -> None:
-        """Start the actors, in this order."""
+        """Apply the stored policy and start the actors."""
         self.serve_without_store_at = self.loop.now() + STORE_TIMEOUT_LEASES * self.lease
         self.policy_controller.policy_replica.restore()
         actors: tuple[Actor, ...] = (
@@ -117,7 +117,9 @@
 
     @property
     def joined(self) -> bool:
-        """Whether this member may serve: others can see it, or the store was unavailable for too long.
+        """Whether this member may serve.
+
+        It must know the policy in force, and be in the view unless the store was unavailable for too long.
 
         A member that starts while the store is unavailable could otherwise serve a request that is in flight
         elsewhere, or follow a policy that is no longer in force.
@@ -137,9 +139,10 @@
         return self.policy_controller.reloaded_config(config)
 
     def leave(self) -> Coroutine[None]:
-        """Leave the view before the process ends: others need not wait for our lease, nor check on us.
+        """Leave the view before the process ends.
 
-        The replicas of our requests take them over once our links close.
+        Other members then need not wait until our lease expires, nor check whether our process still runs.
+        The replicas of our requests take the requests over once our links close.
         """
         member = self.host.replicator.view.members.get(self.member_id)
         self.leaving = True
@@ -171,7 +174,7 @@
         )
 
     def _next_write(self) -> Transaction | float:
-        """Return the transaction that is due, or when to ask again."""
+        """Return the transaction to write now, or when to call again."""
         now = self.loop.now()
         policy_replica = self.policy_controller.policy_replica
         policy_replica.now = now
@@ -179,13 +182,13 @@
         if isinstance(due, Transaction):
             return due
         self.shard_planner.now = now
-        for other in (
+        for other_due in (
             self.host.zone_controller.due(now, policy_replica.holds_lease),
             self.shard_planner.due(),
         ):
-            if isinstance(other, Transaction):
-                return other
-            due = min(due, other)
+            if isinstance(other_due, Transaction):
+                return other_due
+            due = min(due, other_due)
         return due
 
     def _entry_lost(self, message: EntryLost) -> None:
--- a/starlingwheel/net/fleet/messages.py
+++ b/starlingwheel/net/fleet/messages.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, eq=False)
 class LinkDown:
-    """To the host: that link has ended."""
+    """To the host: the link to that member has ended."""
 
     member: str
     link: Any
@@ -44,7 +44,10 @@
 
 @dataclass(slots=True, eq=False)
 class ViewChanged:
-    """To the host and the links: the view by the store. `gap`: views in between may have been missed."""
+    """To the host and the links: the view as read from the store.
+
+    `gap`: views between the former and this one may have been missed.
+    """
 
     view: MembershipView
     gap: bool
@@ -52,7 +55,7 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseRenewed:
-    """To the host: our lease holds until that time. `entry_revision`: the revision of our entry."""
+    """To the host: our lease holds until `until`. `entry_revision`: the revision of our membership entry."""
 
     until: float
     entry_revision: int
@@ -60,7 +63,7 @@
 
 @dataclass(slots=True, eq=False)
 class StoreRead:
-    """To the host: the records of the store. `gap`: changes in between may have been missed."""
+    """To the host: the records of the store. `gap`: changes since the former ones may have been missed."""
 
     records: StoreRecords
     gap: bool
@@ -108,14 +111,17 @@
 
 @dataclass(slots=True, eq=False)
 class WriteTransaction:
-    """To the `StateWriter`: write this once. `done`: whether it was committed; None: not known yet."""
+    """To the `StateWriter`: write the transaction once.
+
+    `done`: whether the transaction was committed; None: that is not known yet.
+    """
 
     transaction: Transaction
     done: bool | None = None
 
 
 class WritePending:
-    """To the `StateWriter`: check again what is due."""
+    """To the `StateWriter`: check again which transaction is due."""
 
 
 class RestartWatch:
--- a/starlingwheel/net/fleet/policy.py
+++ b/starlingwheel/net/fleet/policy.py
@@ -56,7 +56,7 @@
         )
         # The policy that the configuration file contains.
         self.file_policy = document.policy_from_config(config.settings, fleet.replication, fleet.zones)
-        self.fleet_host: FleetHost | None = None  # whose links carry the statuses; set once it exists
+        self.fleet_host: FleetHost | None = None  # its links carry the statuses; set once the host exists
 
     # Operations of the replica; see `PolicyHost`.
 
@@ -131,9 +131,10 @@
         return self._balancer_config_under(active_policy, config)
 
     def answer_query(self, query: PolicyQueryFrame) -> list[Frame]:
-        """Return the answer to a member that we have no link with.
+        """Return the frames that answer a member that we have no link with.
 
-        It has our status, those received over our links, and the decision if the member does not know it.
+        They are our status with the statuses received over our links, and the decision if the member does not
+        know it.
         """
         assert self.fleet_host is not None
         replica = self.policy_replica
--- a/starlingwheel/net/fleet/policy_poller.py
+++ b/starlingwheel/net/fleet/policy_poller.py
@@ -13,7 +13,7 @@
 
 MAX_QUERIES = 16  # members queried at a time
 POLL_INTERVAL = 1 / 16  # of the lifetime of a status
-REFRESH_AGE = 3 / 4  # of the lifetime: the age at which the latest status of a group is requested again
+REFRESH_AGE = 3 / 4  # of the lifetime: the age from which on a group's latest status is requested again
 QUERY_TIMEOUT = 1 / 4  # of the lifetime: how long to wait for an answer before another member is queried
 JITTER_MIN, JITTER_RANGE = 0.75, 0.5  # of the poll interval
 
--- a/starlingwheel/net/fleet/reports.py
+++ b/starlingwheel/net/fleet/reports.py
@@ -81,7 +81,7 @@
     unavailable_s: float  # total seconds in which no request was accepted
     open_proposal: dict[str, object] | None  # the proposal and its votes by member name
     past_proposals: list[PastProposal]
-    registered_names: list[str]  # of all members that ever joined the fleet
+    registered_names: list[str]  # of all members that have joined the fleet and were not retired
     peer_statuses: dict[str, PolicyStatusReport]  # by member name
     counts: Mapping[str, int]
 
@@ -112,7 +112,7 @@
         shards=ShardReport(view.shard_count, shard, list(shard_members), len(view.members)),
         view=list(shard_members.values()),
         links=sorted(replicator.links),
-        requests_by_state=Counter(item.state.value for item in replicator.requests.values()),
+        requests_by_state=Counter(request.state.value for request in replicator.requests.values()),
         used_bytes=replicator.used_bytes,
         counts=replicator.counts,
         reasons=fleet.reasons,
--- a/starlingwheel/net/fleet/responses.py
+++ b/starlingwheel/net/fleet/responses.py
@@ -55,6 +55,6 @@
         return RecordedResponse(final.status, final.retry_after)
     body = final.response.body
     if isinstance(body, BodyStream):
-        # A body that is forwarded while it arrives is not kept, so no other client can get it.
+        # A body that is forwarded while it arrives is not buffered, so no other client can get it.
         return RecordedResponse(FAILED, 0.0, final.response.content_type, b"")
     return RecordedResponse(FINISHED, 0.0, final.response.content_type, b"".join(body.views()))
--- a/starlingwheel/net/fleet/vote_store.py
+++ b/starlingwheel/net/fleet/vote_store.py
@@ -17,7 +17,7 @@
 
 
 class VoteStore:
-    """Reads the votes file at the start, and writes it on a separate thread: a slow disk blocks nothing."""
+    """Reads the votes file at the start, and writes it on a separate thread: a slow disk blocks no actor."""
 
     def __init__(self, directory: str, fleet: str, name: str, log: Callable[..., None]) -> None:
         """`directory`: of the file; empty: nothing is stored. `name`: of this member."""
--- a/starlingwheel/net/fleet/zones.py
+++ b/starlingwheel/net/fleet/zones.py
@@ -93,7 +93,7 @@
             reports={
                 members[member].name: report.zones
                 for member, report in planner.reports.items()
-                if member in members  # it may have left since
+                if member in members  # a member may have left after its report
             },
             healthy_rates=planner.capacities.healthy_rates,
             lease_expired=planner.lease_expired,
