--- a/trials/call_tree/caller.py
+++ b/trials/call_tree/caller.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class RootCall:
-    """A call at the root. `measured`: it is counted. `path`: the number of the service at each level."""
+    """A call at the root. `measured`: the call is counted. `path`: number of the service at each level."""
 
     measured: bool
     path: tuple[int, ...]
@@ -72,10 +72,10 @@
 
 
 class Caller:
-    """One sidecar for one service that it calls: the `DecisionHost` of its decisions."""
+    """The part of a sidecar that calls one service: the `DecisionHost` of the decisions for that service."""
 
     def __init__(self, tree: Tree, level: int, servers: list[Server], number: int) -> None:
-        """Start the decisions. `level`: of the servers. `number`: of the sidecar."""
+        """Start the decisions. `level`: level of the servers. `number`: number of the sidecar."""
         self.tree, self.level, self.servers = tree, level, {server.name: server for server in servers}
         plan = tree.plan
         config = _balancer_config(tree, number)
@@ -92,7 +92,7 @@
         self.scheduler.start()
 
     def call(self, time_left: float, root: RootCall, on_answer: Callable[[Answer], None]) -> Request:
-        """Call the next level. `on_answer` is called with the result."""
+        """Start a call of this service. `on_answer` is called with its result."""
         self.scheduler.set_time(self.tree.now)
         request_class = self.tree.request_class
         request = Request(request_class, self.tree.now, min(time_left, request_class.timeout))
@@ -151,7 +151,7 @@
         pending = self.pending[request]
         pending.answered = True
         self.tree.count_answer(answer, self.level, pending)
-        # Not called directly, since the decisions are still handling the event that led here.
+        # Not called directly, since the decisions are still handling the event that caused this answer.
         self.tree.schedule_after(0.0, lambda: pending.on_answer(answer))
         self.tree.schedule_after(0.0, lambda: self._forget(request))
 
@@ -175,7 +175,11 @@
         tree.schedule_after(timeout, lambda: self._end_if_pending(call, AttemptOutcome.TIMED_OUT))
 
     def _sent_time_left(self, timeout: float) -> float:
-        """Return the time left in seconds as the program sends it: whole milliseconds, at least one."""
+        """Return the time left in seconds as it is sent to the server.
+
+        The program sends whole milliseconds, at least one. If the plan does not hand the time left down, the
+        full timeout is sent instead.
+        """
         if not self.tree.plan.hands_down:
             return self.tree.request_class.timeout
         return max(1, int(timeout * MILLISECONDS)) / MILLISECONDS
--- a/trials/call_tree/command.py
+++ b/trials/call_tree/command.py
@@ -1,10 +1,11 @@
 """Calls through a tree of services in emulated time: the load that hedges and retries add up to at the leaf.
 
-Each sidecar runs the program's own `DecisionScheduler` and `Balancer` for each service that it calls, and it
-may call every service of the next level. The service that a call at the root needs at each level is drawn
-once for all attempts made for it. The servers, the network and the applications are emulated by simple rules:
-an application does its own work, calls the next level with the time that it has left, and answers with an
-error if that call failed. There are no sockets and no `fleet` part. The same seed gives the same counts.
+Each sidecar runs the program's own `DecisionScheduler` and `Balancer` for each service that it calls, and
+may call every service of the next level. For each call at the root, the service at each level is drawn once;
+all attempts made for that call use the same services. The servers, the network and the applications are
+emulated by simple rules: an application does its own work, calls the next level with the time that it has
+left, and answers with an error if that call failed. There are no sockets and no `fleet` part. The same seed
+gives the same counts.
 
 The load at a level is the number of attempts that reach it for each call at the root: 1 without hedges and
 retries.
@@ -98,8 +99,8 @@
 ) -> list[Plan]:
     """Return a plan for each seed, scene and budget. Raises `ValueError` for a budget that is no number."""
     return [
-        Plan(seed=one, scene=name, budget=None if budget == "none" else float(budget), **options)
-        for one in range(seed, seed + seeds)
+        Plan(seed=run_seed, scene=name, budget=None if budget == "none" else float(budget), **options)
+        for run_seed in range(seed, seed + seeds)
         for name in scene or SCENES
         for budget in budgets
     ]
--- a/trials/call_tree/plan.py
+++ b/trials/call_tree/plan.py
@@ -19,8 +19,9 @@
     `room`: calls that wait in the queue of a server; it rejects further ones. `due`: the latency objective in
     seconds. `effect`: the retry safety of the calls. `copies`: hedging is allowed. `budget`: hedges and
     retries that a sidecar may make for each first attempt; None: no bound, as in the program. `tells`: an
-    application whose caller is gone abandons its own call too. `hands_down`: it sends the time left.
-    `passes_on`: what-if: an application whose own call was rejected rejects its caller's, as never run.
+    application whose caller is gone abandons its own call too. `hands_down`: an application sends the time
+    left with its call. `passes_on`: what-if: an application whose own call was rejected rejects the call of
+    its caller as never run.
     `reports`: each response has a load report. `part`: fraction of the calls at the leaf that the fault hits.
     `learn`: seconds without a fault before counting begins. `lasts`: seconds of the fault. `last`: seconds
     that are counted, from the beginning of the fault. `most`: events after which a run is void, since its
@@ -56,14 +57,14 @@
         errors = (
             [f"scene: {self.scene!r} is not one of {', '.join(SCENES)}"] if self.scene not in SCENES else []
         )
-        for name, least, most in (
+        for name, minimum, maximum in (
             ("depth", 1, 12), ("services", 1, 64), ("instances", 1, 256), ("rate", 0.1, 1e5),
             ("use", 0.001, 0.95), ("part", 0.0, 1.0), ("lasts", 0.0, 600.0), ("cores", 1, 256),
             ("max_attempts", 1, 16), ("due", 0.01, 60.0), ("learn", 0.0, 600.0), ("last", 0.1, 600.0),
         ):  # fmt: skip
             value = getattr(self, name)
-            if not least <= value <= most:
-                errors.append(f"{name}: {value} is not from {least} to {most}")
+            if not minimum <= value <= maximum:
+                errors.append(f"{name}: {value} is not from {minimum} to {maximum}")
         if self.budget is not None and not 0 <= self.budget <= 10:
             errors.append(f"budget: {self.budget} is not from 0 to 10")
         if self.effect not in [effect.value for effect in RetrySafety]:
--- a/trials/call_tree/retry_budget.py
+++ b/trials/call_tree/retry_budget.py
@@ -11,10 +11,11 @@
 class RetryBudget:
     """Limits a sidecar's hedges and retries to a ratio of its first attempts, with some saved up."""
 
-    MAX_SAVED_ATTEMPTS = 10.0  # first attempts whose unused budget is kept
+    # Most hedges and retries that are saved up. At the start the budget of this many first attempts is saved.
+    MAX_SAVED_ATTEMPTS = 10.0
 
     def __init__(self, ratio: float) -> None:
-        """Start with the saved budget. `ratio`: hedges and retries for each first attempt."""
+        """Start with some budget saved. `ratio`: hedges and retries for each first attempt."""
         self.ratio, self.remaining = ratio, self.MAX_SAVED_ATTEMPTS * ratio
 
     def record_first_attempt(self) -> None:
--- a/trials/call_tree/tables.py
+++ b/trials/call_tree/tables.py
@@ -41,14 +41,15 @@
 
 
 def _what_if(result: dict[str, Any]) -> str:
-    parts = [f"a budget of {result['budget']:.0%}"] if result["budget"] is not None else []
-    # Lines with `regains` date from before requests without an endpoint added to the budget for trials.
+    conditions = [f"a budget of {result['budget']:.0%}"] if result["budget"] is not None else []
+    # Lines with the key `regains` are older than the rule that requests without an endpoint add to the budget
+    # for trials.
     if "regains" in result:
-        parts += ["with the mend, as a what-if"] if result["regains"] else ["before the mend"]
-    parts += ["a deferral below is one above"] if result.get("passes_on") else []
-    parts += ["no load reports"] if not result["reports"] else []
-    parts += [f"{result['effect']} work"] if result["effect"] != Plan.effect else []
-    return ", ".join(parts)
+        conditions += ["with the mend, as a what-if"] if result["regains"] else ["before the mend"]
+    conditions += ["a deferral below is one above"] if result.get("passes_on") else []
+    conditions += ["no load reports"] if not result["reports"] else []
+    conditions += [f"{result['effect']} work"] if result["effect"] != Plan.effect else []
+    return ", ".join(conditions)
 
 
 def _figures(runs: list[dict[str, Any]]) -> list[str]:
--- a/trials/call_tree/tree.py
+++ b/trials/call_tree/tree.py
@@ -73,7 +73,7 @@
     # Clock
 
     def schedule_at(self, when: float, action: Callable[[], None]) -> None:
-        """Schedule an action at a time."""
+        """Schedule an action at a time on the emulated clock, in seconds."""
         self.scheduled_events += 1
         heapq.heappush(self.events, (when, self.scheduled_events, action))
 
@@ -156,7 +156,7 @@
         for server in self.servers[-1]:
             server.slowdown, server.error_rate, server.hang_rate = 1.0, 0.0, 0.0
 
-    # Result: its keys are those of the JSON lines on record
+    # The result, whose keys are those of the JSON lines of earlier runs
 
     def _result(self, event_count: int) -> dict[str, Any]:
         levels = [self._level_result(level) for level in range(self.plan.depth)]
@@ -185,7 +185,7 @@
             **{kind: round(sends[kind] / max(1, sends["first"]), 4) for kind in ("copy", "retry")},
             "runs": round(self.runs[level] / root_calls, 3),
             "too late": round(self.late_runs[level] / max(1, self.runs[level]), 4),
-            "left ms": [round(time_left[int(len(time_left) * part)] * 1000) for part in (0.01, 0.5)],
+            "left ms": [round(time_left[int(len(time_left) * fraction)] * 1000) for fraction in (0.01, 0.5)],
         }
 
     def _by_second(self, counts: Counter[int]) -> list[float]:
--- a/trials/capacity/command.py
+++ b/trials/capacity/command.py
@@ -56,7 +56,7 @@
 def main(arguments: list[str] | None = None) -> int:
     """Run the command; return its exit code."""
     options = _parser().parse_args(arguments)
-    sizes = [int(one) for one in options.sizes.split(",") if one.isdigit()]
+    sizes = [int(size) for size in options.sizes.split(",") if size.isdigit()]
     if not sizes or min(sizes) < 2 or max(sizes) > 10_000 or options.sidecars < 2 or options.cells < 1:
         print(
             "sizes must be whole numbers from 2 to 10000, sidecars at least 2, cells at least 1",
--- a/trials/capacity/figures.py
+++ b/trials/capacity/figures.py
@@ -10,17 +10,17 @@
 
 
 class Figures:
-    """Measured figures by name, interpolated between sizes and extrapolated by the line of the last two."""
+    """Measured figures by name, interpolated between sizes, and extrapolated from the two nearest sizes."""
 
     def __init__(self, lines: Iterable[dict[str, Any]]) -> None:
         """`lines`: as `measure` yields them."""
         self.points: dict[str, dict[int, float]] = {}
         self.is_bytes: dict[str, bool] = {}
-        for one in lines:
-            self.is_bytes[one["figure"]] = "bytes" in one
-            value = one.get("us", one.get("bytes"))
+        for line in lines:
+            self.is_bytes[line["figure"]] = "bytes" in line
+            value = line.get("us", line.get("bytes"))
             if value is not None:
-                self.points.setdefault(one["figure"], {})[one["size"]] = float(value)
+                self.points.setdefault(line["figure"], {})[line["size"]] = float(value)
 
     def at(self, name: str, size: float = 0) -> float:
         """Return a figure at a size, by linear interpolation or extrapolation; NaN if it was not measured."""
@@ -37,7 +37,10 @@
         return y0 + (y1 - y0) * (size - x0) / (x1 - x0)
 
     def source(self, name: str, size: float) -> str:
-        """Return where the figure at that size comes from: "measured", "extrapolated" or "not measured"."""
+        """Return where the figure at that size comes from: "measured", "extrapolated" or "not measured".
+
+        Values interpolated between measured sizes count as measured.
+        """
         points = self.points.get(name, {})
         if not points:
             return "not measured"
--- a/trials/capacity/page.py
+++ b/trials/capacity/page.py
@@ -45,13 +45,15 @@
         ["event", "what", "formula, one cell", "one cell", f"{shard_count} cells"],
         (
             [
-                one.group,
-                one.title,
-                one.formula,
-                f"{number(one.value)} {one.unit}",
-                f"{number(many.value)} {many.unit}",
+                unsharded.group,
+                unsharded.title,
+                unsharded.formula,
+                f"{number(unsharded.value)} {unsharded.unit}",
+                f"{number(sharded.value)} {sharded.unit}",
             ]
-            for one, many in zip(losses(load, figures), losses(load, figures, shard_count), strict=True)
+            for unsharded, sharded in zip(
+                losses(load, figures), losses(load, figures, shard_count), strict=True
+            )
         ),
     )
     overlap_probability = 1 - exp(-load.changes_per_day / DAY * load.policy_deadline)
@@ -65,8 +67,8 @@
 
 def replace_between(page: str, begin: str, end: str, text: str) -> str:
     """Return the page with the text between two marks replaced. Raises `ValueError` if a mark is missing."""
-    before, found, rest = page.partition(begin)
-    _, closed, after = rest.partition(end)
+    before, found, after_begin = page.partition(begin)
+    _, closed, after = after_begin.partition(end)
     if not found or not closed:
         raise ValueError(f"no {begin} and {end} in the page")
     return f"{before}{begin}\n\n{text}\n\n{end}{after}"
--- a/trials/capacity/roles.py
+++ b/trials/capacity/roles.py
@@ -129,39 +129,41 @@
 
 
 def _request_rows(load: FleetLoad, figures: Figures, shard_count: int) -> list[Row]:
-    n, at, named = load.sidecars, figures.at, load.named_calls_per_sidecar
+    n, at, named_rate = load.sidecars, figures.at, load.named_calls_per_sidecar
     shard_size = n / shard_count
     link_lifetime = load.named_call_duration + timing.IDLE_LINK_TIMEOUT
-    # Counted for incoming and outgoing calls alike. Each named call has a coordinator and a replica.
-    outside = (
-        2 * expected_members_reached(n - (shard_size - 1), 2 * named, link_lifetime)
+    # Links of incoming and outgoing calls are counted. Each named call has a coordinator and a replica.
+    outside_links = (
+        2 * expected_members_reached(n - (shard_size - 1), 2 * named_rate, link_lifetime)
         if shard_count > 1
         else 0.0
     )
-    replicated = sum(at(f"frame {name}") for name in ("cover", "intend", "answered")) + 3 * 2 * HEADER_SIZE
-    replicated += 3 * at("frame kept")
+    frame_bytes = sum(at(f"frame {name}") for name in ("cover", "intend", "answered")) + 3 * 2 * HEADER_SIZE
+    frame_bytes += 3 * at("frame kept")
     placement = at("home", shard_size) + at("keepers", shard_size)  # microseconds
     role = "work in hand"
     return [
         Row(
             role, "links outside the cell while named work is in hand",
-            f"2 x {named:.0f} named calls/s x 2 members, each for {link_lifetime:.2f} s, beyond the cell",
-            outside, "sockets", LINK_SOCKET_BUDGET, "paper",
+            f"2 x {named_rate:.0f} named calls/s x 2 members, each for {link_lifetime:.2f} s,"
+            " beyond the cell",
+            outside_links, "sockets", LINK_SOCKET_BUDGET, "paper",
             "none yet" if shard_count > 1 else "the mesh has them already",
         ),
         Row(
             role, "links outside the cell that are opened", "those / how long they stay",
-            outside / link_lifetime, "a second", nan, "paper", "none yet" if shard_count > 1 else "",
+            outside_links / link_lifetime, "a second", nan, "paper", "none yet" if shard_count > 1 else "",
         ),
         Row(
             role, "a name's home and keepers",
-            f"{named:.0f}/s x ({at('home', shard_size):.0f} + {at('keepers', shard_size):.0f} us)",
-            named * placement / 1e4, "% core", CORE_BUDGET, figures.source("home", shard_size),
+            f"{named_rate:.0f}/s x ({at('home', shard_size):.0f} + {at('keepers', shard_size):.0f} us)",
+            named_rate * placement / 1e4, "% core", CORE_BUDGET, figures.source("home", shard_size),
             _bounded_by(shard_count),
         ),
         Row(
             role, "frames of a named call",
-            f"{named:.0f}/s x {replicated:.0f} B with headers, 256 B of body and answer", named * replicated,
+            f"{named_rate:.0f}/s x {frame_bytes:.0f} B with headers, 256 B of body and answer",
+            named_rate * frame_bytes,
             "B/s", nan, "read", "the price of cover, by the call",
         ),
     ]  # fmt: skip
@@ -170,7 +172,7 @@
 def _membership_rows(load: FleetLoad, figures: Figures) -> list[Row]:
     n, at = load.sidecars, figures.at
     idle_bytes, _, _ = fit_line(
-        (one.members, one.bytes_sent + HEADER_SIZE * one.segments_sent) for one in IDLE_FLEET
+        (fleet.members, fleet.bytes_sent + HEADER_SIZE * fleet.segments_sent) for fleet in IDLE_FLEET
     )
     role = "membership"
     return [
--- a/trials/capacity/scale_run.py
+++ b/trials/capacity/scale_run.py
@@ -16,13 +16,13 @@
     through the measured idle fleets, where each message wakes its process on its own.
     """
     costs = sorted(
-        1e6 * one["core"] / one["messages_out"]
-        for one in lines
-        if one.get("phase") == "restart" and one.get("role") == "alone" and one.get("messages_out")
+        1e6 * line["core"] / line["messages_out"]
+        for line in lines
+        if line.get("phase") == "restart" and line.get("role") == "alone" and line.get("messages_out")
     )
     if costs:
         return costs[len(costs) // 2]
-    return 1e4 * fit_line((one.members, one.core_percent) for one in IDLE_FLEET)[1]
+    return 1e4 * fit_line((fleet.members, fleet.core_percent) for fleet in IDLE_FLEET)[1]
 
 
 TABLE_FIGURES = {
@@ -34,7 +34,7 @@
 
 
 class Series(NamedTuple):
-    """The key of one row of the table."""
+    """What one row of the table shows: a figure of one phase, in one group of runs."""
 
     phase: str
     run: str
--- a/trials/capacity/size.py
+++ b/trials/capacity/size.py
@@ -30,7 +30,7 @@
     memory_mb: float
 
 
-# Measured on main 1343230.
+# Measured at commit 1343230.
 IDLE_FLEET = (
     IdleFigures(5, 413.0, 10.0, 0.43, 6.8, 23.0),
     IdleFigures(10, 710.0, 20.0, 0.46, 11.9, 23.0),
--- a/trials/capacity/tables.py
+++ b/trials/capacity/tables.py
@@ -46,12 +46,14 @@
         f"what carries it, {shard_count} cells",
     ]  # fmt: skip
     lines = []
-    for one, many in zip(sidecar_rows(load, figures), sidecar_rows(load, figures, shard_count), strict=True):
-        budget = f"{number(one.budget)} {one.unit}" if not isnan(one.budget) else "none told"
+    for row, sharded in zip(
+        sidecar_rows(load, figures), sidecar_rows(load, figures, shard_count), strict=True
+    ):
+        budget = f"{number(row.budget)} {row.unit}" if not isnan(row.budget) else "none told"
         lines.append(
-            [one.role, one.title, one.formula, f"{number(one.value)} {one.unit}",
-             f"{number(many.value)} {many.unit}", budget, budget_multiple(one), budget_multiple(many),
-             one.source, many.bounded_by]
+            [row.role, row.title, row.formula, f"{number(row.value)} {row.unit}",
+             f"{number(sharded.value)} {sharded.unit}", budget, budget_multiple(row),
+             budget_multiple(sharded), row.source, sharded.bounded_by]
         )  # fmt: skip
     return table(head, lines)
 
--- a/trials/capacity/totals.py
+++ b/trials/capacity/totals.py
@@ -37,13 +37,13 @@
     report_rate = n / (MAX_REPORT_INTERVAL_LEASES * LEASE)
     votes = n * load.changes_per_day / DAY
     changes = load.changes_per_day / DAY
-    member = at("member line", n) + HEADER_SIZE
-    evidence, vote = at("evidence line", n) + HEADER_SIZE, at("vote line", n) + HEADER_SIZE
+    member_bytes = at("member line", n) + HEADER_SIZE
+    evidence_bytes, vote_bytes = at("evidence line", n) + HEADER_SIZE, at("vote line", n) + HEADER_SIZE
     keepalives = n / (RENEWAL_FRACTION * LEASE)
-    text = 3 * load.policy_bytes * 4 / 3
-    history = report_rate * at("evidence line", n) * 3 / 4 + votes * at("vote line", n) * 3 / 4
+    text_bytes = 3 * load.policy_bytes * 4 / 3
+    history_bytes = report_rate * at("evidence line", n) * 3 / 4 + votes * at("vote line", n) * 3 / 4
     return [
-        Total("history kept until it is compacted", "values and keys of all writes", history * 3600,
+        Total("history kept until it is compacted", "values and keys of all writes", history_bytes * 3600,
               "B an hour"),
         Total("connections", f"{n} x 4 (lease, watch, strikes, writes)", 4.0 * n, "connections"),
         Total("keepalives", f"{n} / (a third of {LEASE:.0f} s)", keepalives, "calls/s"),
@@ -53,15 +53,15 @@
         Total("writes of votes, mean", f"{n} x {load.changes_per_day:.0f} a day", votes, "writes/s"),
         Total("writes of votes, in the second after a proposal", f"{n}", float(n), "writes/s"),
         Total("evidence told", f"{report_rate:.0f}/s x {n} watchers", report_rate * n, "events/s"),
-        Total("the same", f"x {evidence:.0f} B", report_rate * n * evidence, "B/s"),
+        Total("the same", f"x {evidence_bytes:.0f} B", report_rate * n * evidence_bytes, "B/s"),
         Total("votes told, mean", f"{votes:.0f}/s x {n} watchers", votes * n, "events/s"),
         Total("votes told, of one change", f"{n} x {n}", float(n) * n, "events"),
-        Total("the same", f"x {vote:.0f} B", float(n) * n * vote, "B"),
-        Total("policy texts told, mean", f"{load.changes_per_day:.0f} a day x {n} x {text:.0f} B",
-         changes * n * text, "B/s"),
+        Total("the same", f"x {vote_bytes:.0f} B", float(n) * n * vote_bytes, "B"),
+        Total("policy texts told, mean", f"{load.changes_per_day:.0f} a day x {n} x {text_bytes:.0f} B",
+         changes * n * text_bytes, "B/s"),
         Total("changes of members told",
-         f"{load.view_changes_per_second * DAY:.0f} a day x {n} x {member:.0f} B",
-         load.view_changes_per_second * n * member, "B/s"),
+         f"{load.view_changes_per_second * DAY:.0f} a day x {n} x {member_bytes:.0f} B",
+         load.view_changes_per_second * n * member_bytes, "B/s"),
         Total("strikes after one killed process", f"{n - 1} links reset, each asks", float(n - 1), "writes"),
     ]  # fmt: skip
 
@@ -92,9 +92,9 @@
 def operator_rows(load: FleetLoad, figures: Figures) -> list[Total]:
     """Return the sizes of the responses to operators' commands."""
     n, at = load.sidecars, figures.at
-    each = at("evidence, as told to operators")
+    evidence_bytes = at("evidence, as told to operators")
     return [
-        Total("`GET /_zones`", f"{n} x {each:.0f} B", n * each, "B"),
+        Total("`GET /_zones`", f"{n} x {evidence_bytes:.0f} B", n * evidence_bytes, "B"),
         Total("`GET /_policy` with a change open", f"{n} x {at('vote and word, as told to operators'):.0f} B",
          n * at("vote and word, as told to operators"), "B"),
         Total("`GET /_fleet`", f"{n} x {at('member, as told to operators'):.0f} B",
--- a/trials/endpoint_list/cases.py
+++ b/trials/endpoint_list/cases.py
@@ -1,4 +1,4 @@
-"""Test cases: each injects faults into a trial with client traffic and returns its result."""
+"""Cases of the trial: each injects faults under client traffic and returns the result."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 async def broken_message(fault: Fault, seed: int = 1, root: Path = ROOT) -> TrialResult:
-    """Break off the message about a drain after it is written; discovery answers slowly from then on."""
+    """Break off the message that announces a drain; discovery answers slowly from then on."""
 
     async def inject_faults(trial: Trial) -> None:
         await asyncio.sleep(0.7)
--- a/trials/endpoint_list/faults.py
+++ b/trials/endpoint_list/faults.py
@@ -62,7 +62,7 @@
         discovery.calls_per_second = inf
 
     async def outage(self, seconds: float) -> None:
-        """Stop discovery for that time."""
+        """Stop discovery for `seconds`."""
         self.trial.discovery.take_down()
         await asyncio.sleep(seconds)
         self.trial.discovery.bring_up()
@@ -96,7 +96,7 @@
         self.replaceable.append(name)
 
     async def hang_server(self, seconds: float) -> None:
-        """Have a server accept requests without answering them."""
+        """Have a server accept requests without answering them, for half of `seconds`."""
         name = self.rng.choice([*self.trial.servers])
         self.trial.hanging.add(name)
         await asyncio.sleep(seconds / 2)
@@ -110,7 +110,7 @@
         sidecar.start()
 
     async def stop(self, seconds: float) -> None:
-        """Shut a sidecar down by SIGTERM and restart it once it has ended, or by force after its deadline."""
+        """Shut a sidecar down by SIGTERM, kill its process if it has not ended in time, and restart it."""
         sidecar = self.rng.choice(self.trial.sidecars)
         process = sidecar.process
         sidecar.signal(signal.SIGTERM)
--- a/trials/endpoint_list/process.py
+++ b/trials/endpoint_list/process.py
@@ -95,7 +95,7 @@
         raise RuntimeError(f"n{self.number} is not ready: {self.log()[-2000:]}")
 
     def log(self) -> str:
-        """Return everything that its processes have logged."""
+        """Return everything that the processes of this sidecar have logged."""
         return self.path.with_suffix(".log").read_text()
 
     def log_lines(self, *events: str) -> list[dict[str, Any]]:
--- a/trials/endpoint_list/trial.py
+++ b/trials/endpoint_list/trial.py
@@ -158,11 +158,14 @@
                     f"attempt after the grace period: n{request.sidecar} to {name} "
                     f"{now - notified:.2f} s after the notice"
                 )
-        gone_at = request.disconnected_at
-        if gone_at is not None and now > gone_at + DISCONNECT_TOLERANCE + SCHEDULING_TOLERANCE:
+        disconnected_at = request.disconnected_at
+        if (
+            disconnected_at is not None
+            and now > disconnected_at + DISCONNECT_TOLERANCE + SCHEDULING_TOLERANCE
+        ):
             self.counts["for clients that had left"] += 1
             self.violations.append(
-                f"attempt {now - gone_at:.2f} s after the client disconnected: {request.trace}"
+                f"attempt {now - disconnected_at:.2f} s after the client disconnected: {request.trace}"
             )
         if request.category == "buy" and self.runs[request.trace]:
             self.counts["twice"] += 1
@@ -171,7 +174,7 @@
     # The clients.
 
     async def send(self, rate: float, seconds: float, disconnect_rate: float = 0.0) -> None:
-        """Send `rate` requests a second to each sidecar; of the clients, that fraction disconnects early."""
+        """Send `rate` requests a second to each sidecar; `disconnect_rate`: clients that disconnect early."""
         loop = asyncio.get_running_loop()
         begin = loop.time()
         for number in range(int(rate * seconds)):
@@ -246,7 +249,7 @@
 async def traffic(
     trial: Trial, rate: float, seconds: float, disconnect_rate: float = 0.0
 ) -> AsyncIterator[None]:
-    """Send requests for `seconds` while the body of the `with` statement runs."""
+    """Send requests for `seconds` from the beginning of a `with` block; wait at its end for the last one."""
     sending = asyncio.create_task(trial.send(rate, seconds, disconnect_rate))
     try:
         yield
--- a/trials/scale/__main__.py
+++ b/trials/scale/__main__.py
@@ -29,9 +29,9 @@
 
 
 def parse_sizes(text: str) -> list[int]:
-    """Parse a comma-separated list of whole numbers. Raises `ArgumentTypeError`."""
+    """Parse a comma-separated list of fleet sizes. Raises `ArgumentTypeError`."""
     try:
-        return [int(one) for one in text.split(",")]
+        return [int(size) for size in text.split(",")]
     except ValueError as error:
         raise argparse.ArgumentTypeError(f"{text!r} is not a list of whole numbers") from error
 
--- a/trials/scale/control.py
+++ b/trials/scale/control.py
@@ -27,7 +27,7 @@
     """One child process of the run."""
 
     def __init__(self, module: str) -> None:
-        """Set up a process that is not started yet. `module`: the module that it runs."""
+        """Set up a process without starting it. `module`: the module that the process runs."""
         self.module = module
         self.process: asyncio.subprocess.Process | None = None
         self.call_lock = asyncio.Lock()
--- a/trials/scale/counts.py
+++ b/trials/scale/counts.py
@@ -92,7 +92,10 @@
 
 
 def difference_of(before: Sample, after: Sample) -> Sample:
-    """Return the difference of two samples. Sockets that were closed since are not counted."""
+    """Return the difference of two samples, with the sockets and the memory of the later one.
+
+    Of the sockets in `by_socket`, those that were closed between the samples are not counted.
+    """
     difference = Sample(sockets=after.sockets, cpu_s=after.cpu_s - before.cpu_s, memory=after.memory)
     for kind in SocketKind:
         total = getattr(difference, kind)
@@ -108,8 +111,8 @@
 def process_sample(pid: int, host: str, excluded_ports: set[int], store: tuple[str, int]) -> Sample:
     """Return a sample of another process of the same user.
 
-    Its links are the sockets bound to `host` on ports other than `excluded_ports`. Closed sockets are not
-    counted.
+    The links of the process are its sockets bound to `host` on ports other than `excluded_ports`. Closed
+    sockets are not counted.
     """
     sample = Sample(cpu_s=cpu_seconds(pid), memory=resident_memory(pid))
     pidfd = os.pidfd_open(pid)
--- a/trials/scale/etcd_process.py
+++ b/trials/scale/etcd_process.py
@@ -1,6 +1,6 @@
 """The fake etcd in a process of its own, so that its cost is not counted as the run's.
 
-It reads commands from standard input, one JSON object a line.
+The process reads commands from standard input, one JSON object a line.
 """
 
 from __future__ import annotations
--- a/trials/scale/figures.py
+++ b/trials/scale/figures.py
@@ -91,13 +91,17 @@
         self.max_timer_delay = 0.0  # seconds
 
     def add(self, before: Json, after: Json, alone: Container[str], base_memory: int) -> None:
-        """Add a worker, given its samples. `base_memory`: its bytes before its members were created."""
+        """Add a worker, given its samples.
+
+        `alone`: names of the members with a process of their own. `base_memory`: bytes of the worker before
+        its members were created.
+        """
         names = list(after["members"])
-        group = self.alone if names[0] in alone else self.shared
-        group.cpu += after["cpu_s"] - before["cpu_s"]
-        group.memory += after["memory"] - base_memory
+        role = self.alone if names[0] in alone else self.shared
+        role.cpu += after["cpu_s"] - before["cpu_s"]
+        role.memory += after["memory"] - base_memory
         for name in names:
-            group.add(_sample(before["members"][name]), _sample(after["members"][name]))
+            role.add(_sample(before["members"][name]), _sample(after["members"][name]))
         for kind, total in self.totals.items():
             total.update(after[kind])
             total.subtract(before[kind])
@@ -122,13 +126,13 @@
 
 
 def role_lines(
-    before: Json, after: Json, workers: list[Process], alone: Container[str], base: dict[Process, int]
+    before: Json, after: Json, workers: list[Process], alone: Container[str], base_memory: dict[Process, int]
 ) -> list[Json]:
     """Return a line for each role, with its figures between two samples of a fleet."""
     seconds = after["at"] - before["at"]
     hollow = WorkerFigures()
     for worker, old, new in zip(workers, before["workers"], after["workers"], strict=True):
-        hollow.add(old, new, alone, base[worker])
+        hollow.add(old, new, alone, base_memory[worker])
     lines = [{"role": "hollow"} | hollow.shared.figures(seconds) | hollow.details()]
     if hollow.alone.members:
         lines.append({"role": "alone"} | hollow.alone.figures(seconds))
--- a/trials/scale/fleet.py
+++ b/trials/scale/fleet.py
@@ -40,7 +40,7 @@
     """Hollow members in worker processes, real members, and the fake etcd."""
 
     def __init__(self, options: RunOptions) -> None:
-        """Prepare the processes, which `start` starts."""
+        """Prepare the processes without starting them."""
         self.options = options
         self.layout = options.layout
         self.store = Process("trials.scale.etcd_process")
@@ -53,7 +53,7 @@
         self.address_lock: socket.socket | None = None
         self.start_figures: Json = {}
         self.shard_count = 1
-        self.last_state: dict[str, int] = {}  # of the hollow members, for the message of a failure
+        self.last_state: dict[str, int] = {}  # state of the hollow members, for the message of a failure
 
     @property
     def shared_names(self) -> list[str]:
@@ -80,8 +80,8 @@
         await self.wait_for(lambda: self.registered(self.layout.size), "not all real ones have entered")
         real_registered_at = self._report("real members are registered", started_at)
         await self.command_all("join")
-        await self.wait_for(self._have_same_view, "not all have the same view")
-        same_view_at = self._report("all members have the same view", started_at)
+        await self.wait_for(self._have_full_view, "not all hollow members have a view of the whole fleet")
+        full_view_at = self._report("all hollow members have a view of the whole fleet", started_at)
         await self._open_links()
         await self.wait_for(lambda: self.ready(self.layout.size), "hollow members are not ready")
         if not await self.real.all_ready(self.ready_timeout):
@@ -91,9 +91,9 @@
         self.start_figures = {
             "enter_s": round(registered_at - started_at, 3),
             "real_s": round(real_registered_at - registered_at, 3),
-            "view_s": round(same_view_at - real_registered_at, 3),
+            "view_s": round(full_view_at - real_registered_at, 3),
             "cells": self.shard_count,
-            "link_s": round(linked_at - same_view_at, 3),
+            "link_s": round(linked_at - full_view_at, 3),
         }
 
     async def end(self) -> None:
@@ -116,7 +116,8 @@
         }
         if options.cell_size:
             fleet_config["cell_size"] = options.cell_size
-            # The number that a fleet of this size has grown to. Otherwise it would double step by step.
+            # The number of shards to which a fleet of this size grows. Without this record the number would
+            # double step by step.
             sharding = Sharding(shard_count_for(self.layout.size, options.cell_size))
             value = msgspec.json.encode(sharding).decode()
             await self.store.send_command("put", key="/scale/cells", value=value)
@@ -215,7 +216,8 @@
         """Return whether exactly `members` members are registered in the store."""
         return (await self.store.send_command("members"))["members"] == members
 
-    async def _have_same_view(self) -> bool:
+    async def _have_full_view(self) -> bool:
+        """Return whether the view of each hollow member has all members, in enough shards."""
         states = await self.command_all("state")
         shard_counts = {count for state in states for count in state["cells"]}
         self.shard_count = max(shard_counts, default=1)
@@ -227,9 +229,9 @@
         return sharded and {size for state in states for size in state["sizes"]} == {str(self.layout.size)}
 
     async def ready(self, members: int, hollow: int | None = None) -> bool:
-        """Return whether all running hollow members are ready, with one view of `members` members.
+        """Return whether all hollow members are ready with one view, and `members` are registered.
 
-        `hollow`: how many hollow members run; None: all.
+        `hollow`: how many hollow members must be running; None: all.
         """
         states = await self.command_all("state")
         views: Counter[str] = Counter()
@@ -263,7 +265,7 @@
 
 
 def reserve_network() -> tuple[int, socket.socket]:
-    """Reserve a range of loopback addresses for this run; return it and the socket that holds it."""
+    """Reserve a loopback network; return its second byte, and the socket that keeps other runs off it."""
     for network in random.SystemRandom().sample(list(NETWORKS), len(NETWORKS)):
         sock = socket.socket()
         try:
--- a/trials/scale/hollow_host.py
+++ b/trials/scale/hollow_host.py
@@ -75,7 +75,7 @@
         config: BalancerConfig,
         log: Callable[..., None],
     ) -> None:
-        """`fleet_config`: the `fleet` section of the configuration."""
+        """Set up the host. `fleet_config`: the `fleet` section of the configuration."""
         self.counts: Counter[str] = Counter()
         self.frames: Counter[str] = Counter()
         replicated_class = fleet_config.replication.request_classes[-1]
--- a/trials/scale/limits.py
+++ b/trials/scale/limits.py
@@ -10,9 +10,9 @@
 
 DEFAULT_REAL_MEMBERS = 5  # real processes
 DEFAULT_ALONE_MEMBERS = 2  # hollow members with a process of their own
-MAX_MEMBERS = 4000  # of a fleet
+MAX_MEMBERS = 4000  # members of a fleet
 MAX_PROCESSES = 300
-MAX_DESCRIPTORS = 20_000  # of a process
+MAX_DESCRIPTORS = 20_000  # descriptors of a process
 DESCRIPTOR_FRACTION = 3 / 4  # of the limit; members need more while links are dialed again
 PROCESS_DESCRIPTORS = 64  # of a process, in addition to those of its members
 MEMBER_DESCRIPTORS = 10  # of a member, in addition to its links: store, listening, liveness checks
--- a/trials/scale/member.py
+++ b/trials/scale/member.py
@@ -67,7 +67,7 @@
     def __init__(
         self, loop: MeteredLoop, pool: BufferPool, name: str, host: str, port: int, command: dict[str, Any]
     ) -> None:
-        """`host`, `port`: where it listens for links. `command`: `begin`, as the run sent it."""
+        """`host`, `port`: where the member listens for links. `command`: `begin`, as the run sent it."""
         self.loop = loop
         self.pool = pool
         self.name = name
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -12,7 +12,7 @@
 
 from .counts import Sample, Traffic, socket_traffic
 
-NANOSECONDS = 1e9  # of a second
+NANOSECONDS = 1e9  # in a second
 
 
 class Meter:
--- a/trials/scale/phases.py
+++ b/trials/scale/phases.py
@@ -13,7 +13,7 @@
 from .fleet import POLL_INTERVAL, ScaleFleet
 
 SETTLE_TIME = 3.0  # seconds without link changes before a phase; a request keeps a link active for two
-LOST_DIVISOR = 11  # one in so many members is lost at once
+LOST_DIVISOR = 11  # one in eleven members is lost at once
 POLICY_TIMEOUT_LEASES = 5  # leases within which a policy must be in force
 Json = dict[str, Any]
 Measure = Callable[[str], AbstractAsyncContextManager[Json]]
@@ -60,7 +60,7 @@
             details |= {"restarts": restarts, "every_s": self.options.restart_interval}
 
     async def lost(self) -> None:
-        """Kill an eleventh of all members at once, and start them again once all others have noticed."""
+        """Kill an eleventh of the fleet at once, hollow members only; restart them once all have noticed."""
         count = max(1, self.layout.size // LOST_DIVISOR)
         names = self.rng.sample(self.fleet.shared_names, count)
         remaining = self.layout.hollow - count
@@ -89,13 +89,15 @@
             details |= {"status": status, "how": how, "took_s": round(time.monotonic() - proposed_at, 3)}
             if status == 200:
                 past = (await sidecar.admin_call("GET", "/_policy"))[1]["past"]
-                details["past"] = [{key: one[key] for key in ("how", "why", "version")} for one in past[-1:]]
+                details["past"] = [
+                    {key: change[key] for key in ("how", "why", "version")} for change in past[-1:]
+                ]
             else:
                 details["past"] = answer
             await asyncio.sleep(max(0.0, proposed_at + self.options.seconds - time.monotonic()))
 
     async def _policy_in_force(self, version: str, proposed_at: float) -> bool:
-        """Wait until that version is active on all hollow members; return False after some leases."""
+        """Return whether that version is active on all hollow members within POLICY_TIMEOUT_LEASES."""
         deadline = proposed_at + POLICY_TIMEOUT_LEASES * self.options.lease
         while time.monotonic() < deadline:
             states = await self.fleet.command_all("state")
--- a/trials/scale/plot.py
+++ b/trials/scale/plot.py
@@ -27,9 +27,9 @@
 def plot_figures(lines: list[dict[str, Any]], phase: str) -> Figure:
     """Return a plot with a panel for each figure and a line for each cell size and role."""
     figure, panels = plt.subplots(2, 2, figsize=(10, 7))
-    cells = sorted({line["cell_size"] for line in lines})
+    cell_sizes = sorted({line["cell_size"] for line in lines})
     for panel, (name, label) in zip(panels.flat, FIGURES.items(), strict=True):
-        for cell_size in cells:
+        for cell_size in cell_sizes:
             for role in ("arbiter",) if name == "watch_events_s" else ("hollow", "real", "alone"):
                 by_size = mean_by_size(lines, role, phase, name, cell_size)
                 if by_size:
--- a/trials/scale/slopes.py
+++ b/trials/scale/slopes.py
@@ -68,7 +68,7 @@
 
 
 def fit_form(points: Mapping[int, float], form: str) -> Fit:
-    """Fit that form by least squares. Raises `ValueError` if there are fewer sizes than terms."""
+    """Fit a form to the points by least squares. Raises `ValueError` if there are fewer sizes than terms."""
     count = FORMS[form]
     if len(points) < count:
         raise ValueError(f"{len(points)} sizes for {count} terms")
@@ -84,7 +84,7 @@
 
 
 def choose_fit(points: Mapping[int, float]) -> Fit:
-    """Return the fit of the simplest form that further terms do not improve enough.
+    """Return the fit of the simplest form whose residual a further term does not reduce enough.
 
     The square form needs one size more than it has terms. A linear form through two sizes has no residual, so
     only the prediction of a third size can test it.
@@ -172,8 +172,8 @@
         f"| largest: measured, predicted, error | at {size:,} |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    kinds = sorted({(line["cell_size"], line["phase"], line["role"]) for line in lines})
-    for cell_size, phase, role in kinds:
+    groups = sorted({(line["cell_size"], line["phase"], line["role"]) for line in lines})
+    for cell_size, phase, role in groups:
         for figure in FIGURES:
             by_size = mean_by_size(lines, role, phase, figure, cell_size)
             for span, points in fit_ranges(by_size, role, phase, knee):
@@ -186,7 +186,9 @@
 
 def _row(cells: str, phase: str, role: str, figure: str, span: str, checked: CheckedFit, size: int) -> str:
     fit = checked.fit
-    constant, linear, square = (f"{part:.4g}" if part else "-" for part in fit.coefficients)
+    constant, linear, square = (
+        f"{coefficient:.4g}" if coefficient else "-" for coefficient in fit.coefficients
+    )
     comparison = f"{checked.largest}: {checked.measured:.4g}, no prediction: too few sizes"
     if checked.predicted is not None:
         error = "-" if checked.error is None else f"{checked.error:+.1%}"
--- a/trials/scale/worker.py
+++ b/trials/scale/worker.py
@@ -1,6 +1,6 @@
 """One process of hollow members on one event loop.
 
-It reads commands from standard input, one JSON object a line.
+The process reads commands from standard input, one JSON object a line.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from .member import HollowFleetMember, HollowMember
 from .metered import MeteredLoop
 
-MAX_DEFECTS = 20  # whose tracebacks are kept
+MAX_DEFECTS = 20  # defects whose tracebacks are kept
 MAX_TRACE_SIZE = 600  # characters of the traceback of a defect
 MAX_FAULT_SIZE = 800  # characters of the traceback of a failed command
 BUFFER_COUNT = 64  # few, since hollow members have no bodies
 READ_SIZE = 1 << 20  # bytes
 READY_POLL_INTERVAL = 0.02  # seconds between checks whether members are ready
-MICROSECONDS = 1e6  # of a second
+MICROSECONDS = 1e6  # in a second
 STANDARD_INPUT = 0  # descriptor
 Json = dict[str, Any]
 
