--- a/trials/model_policy.py
+++ b/trials/model_policy.py
@@ -1,7 +1,8 @@
-"""One change of the policy and three members, in every order of events within bounds: decided or dropped.
+"""Model of one policy change by three members, explored in every order of events within bounds.
 
-Time stands still but for an event that moves it by a lease; the switch time is three of them after the
-proposal. States are copied and told apart by their text; `Bounds` limits which faults happen, not the order.
+The change ends decided or dropped. Time advances only by an event that adds the duration of a lease; the
+switch time is three lease durations after the proposal. States are copied, and compared by their text;
+`Bounds` limits how many faults happen, not the order of events.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 from .model_policy_host import DecisionRequest, ModelHost, copy_replica
 from .model_search import Exploration, search
 
-LEASE, SWITCH_DELAY, TICK = 1.0, 3.0, 1.0  # seconds
+LEASE, SWITCH_DELAY, TICK_DURATION = 1.0, 3.0, 1.0  # seconds
 MEMBER_NAMES = ("a", "b", "c")
 BODY = {"settings": {"number": 1}, "cover": {}}
-UNREAD = -1  # in place of the number of events seen: the watch has not begun
+UNREAD = -1  # number of events seen of a member whose watch has not begun
 
 ReplicaType = Callable[..., PolicyReplica]
 
 
 class DelayedWrite(NamedTuple):
-    """A transaction that has not reached the store yet, and the name of its member."""
+    """A transaction that has not reached the store yet, and the name of the member that sent it."""
 
     member: str
     transaction: Transaction
@@ -41,7 +42,7 @@
 
 @dataclass
 class Model:
-    """One state. All by name of the member."""
+    """A state of the model. Dictionaries and sets are by name of the member."""
 
     replica_type: ReplicaType
     store: EmulatedStore = field(default_factory=EmulatedStore)
@@ -50,29 +51,29 @@
     events_seen: dict[str, int] = field(default_factory=dict)
     files: dict[str, StoredPolicy] = field(default_factory=dict)
     leases: dict[str, float] = field(default_factory=dict)
-    cut: set[str] = field(default_factory=set)
+    disconnected: set[str] = field(default_factory=set)
     paused: set[str] = field(default_factory=set)
-    stalled: set[str] = field(default_factory=set)
-    delayed: list[DelayedWrite] = field(default_factory=list)
-    remaining: dict[str, int] = field(default_factory=dict)  # of each of `LIMITED`
+    stalled_watches: set[str] = field(default_factory=set)
+    delayed_writes: list[DelayedWrite] = field(default_factory=list)
+    remaining: dict[str, int] = field(default_factory=dict)  # events left, by field in `LIMITED`
     decision_requests: list[DecisionRequest] = field(default_factory=list)
     now: float = 0.0
-    started: int = 0
+    started: int = 0  # processes so far
     served_old_after_switch: bool = False
     served_new: bool = False
     served_new_before_switch: bool = False
 
-    def begin(self, bounds: Bounds) -> Model:
-        """All members have entered and know it, and one has proposed the change."""
+    def initialize(self, bounds: Bounds) -> Model:
+        """Let all members join and one of them propose the change, and return the model."""
         self.remaining = {name: getattr(bounds, name) for name in LIMITED}
         for name in MEMBER_NAMES:
             self._start(name)
             self._renew(name)
         for name in MEMBER_NAMES:
-            self._watch(name)
-        author = self.replicas["a"]
-        author.now = 0.0
-        self.store.write(author.propose(BODY, SWITCH_DELAY)[0])
+            self._follow_watch(name)
+        proposer = self.replicas["a"]
+        proposer.now = 0.0
+        self.store.write(proposer.propose(BODY, SWITCH_DELAY)[0])
         return self
 
     def _start(self, name: str) -> None:
@@ -85,7 +86,7 @@
         replica.restore()
 
     def _renew(self, name: str) -> None:
-        """Renew the lease of a member, which may enter by that."""
+        """Renew the lease of a member, which joins the fleet if it has no entry."""
         replica = self.replicas[name]
         entry = MEMBERS_PREFIX + replica.member_id
         if entry not in self.store.entries:
@@ -98,7 +99,7 @@
         replica.lease_renewed(self.now + LEASE, self.store.entries[entry].create_revision)
 
     def copy(self) -> Model:
-        """A state of its own."""
+        """Return a copy that shares no mutable state with this model."""
         other = copy.copy(self)
         other.store = copy.copy(self.store)
         other.store.entries = dict(self.store.entries)
@@ -109,25 +110,29 @@
         other.records = {name: records.copy() for name, records in self.records.items()}
         for name in ("events_seen", "files", "leases", "remaining"):
             setattr(other, name, dict(getattr(self, name)))
-        other.cut, other.paused, other.stalled = set(self.cut), set(self.paused), set(self.stalled)
-        other.delayed = self.delayed[:]
+        other.disconnected, other.paused, other.stalled_watches = (
+            set(self.disconnected),
+            set(self.paused),
+            set(self.stalled_watches),
+        )
+        other.delayed_writes = self.delayed_writes[:]
         other.decision_requests = []
         return other
 
-    # What may happen next.
+    # Possible events.
 
     def events(self) -> Iterator[Event]:
-        """All events that may happen in this state."""
+        """Yield all events that may happen in this state."""
         for name in sorted(self.paused):
             yield Event(EventKind.RESUMES, name)
         for name in self.replicas:
             if name not in self.paused:
-                yield from self._events_of(name)
+                yield from self._member_events(name)
         for name in MEMBER_NAMES:
             if name not in self.replicas:
                 yield Event(EventKind.STARTS, name)
-        for place in range(len(self.delayed)):
-            yield Event(EventKind.WRITE_ARRIVES, place=place)
+        for position in range(len(self.delayed_writes)):
+            yield Event(EventKind.WRITE_ARRIVES, position=position)
         if self.remaining["statuses"]:
             yield from self._status_events()
         yield from self._expiry_events()
@@ -139,9 +144,9 @@
             if until <= self.now and self._entry(name):
                 yield Event(EventKind.LEASE_EXPIRES, name)
 
-    def _events_of(self, name: str) -> Iterator[Event]:
-        """What a member may do, or what may happen to it."""
-        if name not in self.cut and self._has_to_write(name):
+    def _member_events(self, name: str) -> Iterator[Event]:
+        """Yield what a member may do, and the faults that may affect it."""
+        if name not in self.disconnected and self._has_transaction_due(name):
             yield Event(EventKind.WRITES, name)
             if self.remaining["delayed_writes"]:
                 yield Event(EventKind.WRITE_DELAYED, name)
@@ -149,54 +154,58 @@
             yield Event(EventKind.CRASHES, name)
         if self.remaining["pauses"]:
             yield Event(EventKind.PAUSES, name)
-        if self.remaining["cuts"] and name not in self.cut:
+        if self.remaining["cuts"] and name not in self.disconnected:
             yield Event(EventKind.CUT_OFF, name)
-        if self.remaining["watch_stalls"] and name not in self.stalled:
+        if self.remaining["watch_stalls"] and name not in self.stalled_watches:
             yield Event(EventKind.WATCH_STALLS, name)
 
-    def _has_to_write(self, name: str) -> bool:
+    def _has_transaction_due(self, name: str) -> bool:
         replica = self.replicas[name]
         replica.now = self.now
-        # Asked of a copy: a member may vote on the proposal when it is asked.
+        # `due` is called on a copy, because it may make the member vote on the proposal.
         return isinstance(copy_replica(replica, ModelHost(None, name)).due(), Transaction)
 
     def _status_events(self) -> Iterator[Event]:
-        """Statuses between members of which one may need them."""
+        """Yield statuses between pairs of members of which one is disconnected or has a stalled watch."""
         for sender in self.replicas:
             for receiver in self.replicas:
                 pair = {sender, receiver}
-                if sender != receiver and not pair & self.paused and pair & (self.cut | self.stalled):
+                if (
+                    sender != receiver
+                    and not pair & self.paused
+                    and pair & (self.disconnected | self.stalled_watches)
+                ):
                     yield Event(EventKind.STATUS_SENT, sender, receiver)
 
     def _entry(self, name: str) -> str:
-        """The key of the member's entry; empty: it has none."""
+        """Return the key of the member's entry, or an empty string if it has none."""
         return next((key for key in self.store.entries if key.startswith(f"{MEMBERS_PREFIX}{name}.")), "")
 
     def apply(self, event: Event) -> None:
-        """Have the event happen, with all that follows from it."""
+        """Apply an event, and deliver its consequences to all members that can receive them."""
         for replica in self.replicas.values():
             replica.now = self.now
-        self._apply(event)
-        # Requests may come before what the store has done is known, and after.
-        self._take_requests()
-        for name in self.replicas.keys() - self.cut - self.paused - self.stalled:
+        self._apply_event(event)
+        # Requests may arrive before members have read the changes in the store, and after.
+        self._accept_requests()
+        for name in self.replicas.keys() - self.disconnected - self.paused - self.stalled_watches:
             if self.events_seen[name] != len(self.store.events):
-                self._watch(name)
-        self._take_requests()
+                self._follow_watch(name)
+        self._accept_requests()
 
-    def _apply(self, event: Event) -> None:
+    def _apply_event(self, event: Event) -> None:
         name = event.member
         if event.kind in FAULTS:
             self._apply_fault(event.kind, name)
             return
         match event.kind:
             case EventKind.WRITES:
-                self.store.write(self._due(name))
+                self.store.write(self._due_transaction(name))
             case EventKind.WRITE_ARRIVES:
-                self.store.write(self.delayed.pop(event.place).transaction)
+                self.store.write(self.delayed_writes.pop(event.position).transaction)
             case EventKind.STARTS:
                 self._start(name)
-                if name not in self.cut:
+                if name not in self.disconnected:
                     self._renew(name)
             case EventKind.STATUS_SENT:
                 self.remaining["statuses"] -= 1
@@ -218,10 +227,10 @@
                 del self.replicas[name]
             case EventKind.CUT_OFF:
                 self.remaining["cuts"] -= 1
-                self.cut.add(name)
+                self.disconnected.add(name)
             case EventKind.WRITE_DELAYED:
                 self.remaining["delayed_writes"] -= 1
-                self.delayed.append(DelayedWrite(name, self._due(name)))
+                self.delayed_writes.append(DelayedWrite(name, self._due_transaction(name)))
             case EventKind.WATCH_STALLS:
                 pass  # not modelled: the state stays as it is
 
@@ -232,29 +241,29 @@
 
     def _tick(self) -> None:
         self.remaining["ticks"] -= 1
-        self.now += TICK
-        for name in self.replicas.keys() - self.cut - self.paused:
+        self.now += TICK_DURATION
+        for name in self.replicas.keys() - self.disconnected - self.paused:
             self._renew(name)
 
-    def _due(self, name: str) -> Transaction:
+    def _due_transaction(self, name: str) -> Transaction:
         due = self.replicas[name].due()
         assert isinstance(due, Transaction)
         return due
 
     def _send_status(self, sender: str, receiver: str) -> None:
-        """A status, and the decisions that are asked for because of it."""
+        """Deliver a status, and then the decisions that the receiver requests because of it."""
         self.replicas[receiver].receive_status(self.replicas[sender].status())
         for request in self.decision_requests:
             replica = self.replicas.get(request.sender)
-            asked = self._replica_of(request.member_id)
-            if replica is not None and asked is not None and asked.decision is not None:
-                replica.receive_decision(asked.decision)
+            known_by = self._replica_of(request.member_id)
+            if replica is not None and known_by is not None and known_by.decision is not None:
+                replica.receive_decision(known_by.decision)
         self.decision_requests.clear()
 
     def _replica_of(self, member_id: str) -> PolicyReplica | None:
         return next((replica for replica in self.replicas.values() if replica.member_id == member_id), None)
 
-    def _watch(self, name: str) -> None:
+    def _follow_watch(self, name: str) -> None:
         replica, records, store = self.replicas[name], self.records[name], self.store
         replica.now = self.now
         gap = self.events_seen[name] == UNREAD
@@ -272,8 +281,8 @@
         replica.update_records(records.copy(), gap)
         self.events_seen[name] = len(store.events)
 
-    def _take_requests(self) -> None:
-        """Requests that come now, at every member."""
+    def _accept_requests(self) -> None:
+        """Record the policy under which each member accepts requests now."""
         for name, replica in self.replicas.items():
             replica.now = self.now
             if name in self.paused or replica.unavailable_reason():
@@ -284,7 +293,7 @@
             self.served_new_before_switch |= version == 1 and self.now < SWITCH_DELAY
 
     def key(self) -> str:
-        """The text of a state: two of one text go on alike."""
+        """Return a text that identifies the state: states with the same text have the same future."""
         replicas = [
             (
                 name, r.member_id, r.active_policy.version, r.decided_version, r.promise and r.promise.number,
@@ -306,8 +315,8 @@
         world = (
             self.remaining,
             self.now,
-            sorted(self.cut),
-            [(write.member, write.transaction.kind) for write in self.delayed],
+            sorted(self.disconnected),
+            [(write.member, write.transaction.kind) for write in self.delayed_writes],
             sorted(self.leases.items()),
             self.served_old_after_switch,
             self.served_new,
@@ -315,34 +324,34 @@
         return repr((replicas, sorted(files), entries, world))
 
     def violation(self) -> str:
-        """The promise that was broken on the way to this state; empty: none."""
+        """Return the invariant that was violated on the way to this state, or an empty string."""
         decided = bool(self.store.decided)
         if self.served_old_after_switch and decided:
-            return "decided, and work was taken under the old one after the switch time"
+            return "requests were accepted under the old policy after the switch time of a decided change"
         if self.served_new and not decided:
-            return "work was taken under one that was not decided"
+            return "requests were accepted under a policy that was not decided"
         if self.served_new_before_switch:
-            return "work was taken under the new one before the switch time"
+            return "requests were accepted under the new policy before the switch time"
         return ""
 
 
 @dataclass
 class PolicyExploration(Exploration[Event]):
-    """What a search of the model has found."""
+    """The result of a search of the model."""
 
     decided: int = 0  # states in which the change is decided
-    dropped: int = 0
+    dropped: int = 0  # states in which it is dropped
 
 
 def explore(bounds: Bounds, replica_type: ReplicaType = PolicyReplica) -> PolicyExploration:
-    """All orders within the bounds."""
+    """Explore all orders of events within the bounds."""
     counts: Counter[str] = Counter()
 
-    def count_end(model: Model) -> None:
+    def count_outcome(model: Model) -> None:
         counts["decided"] += bool(model.store.decided)
         counts["dropped"] += not model.store.decided and PROPOSAL_KEY not in model.store.entries
 
-    found = search(Model(replica_type).begin(bounds), Model.copy, bounds.max_states, count_end)
+    exploration = search(Model(replica_type).initialize(bounds), Model.copy, bounds.max_states, count_outcome)
     return PolicyExploration(
-        found.states, found.complete, found.violations, counts["decided"], counts["dropped"]
+        exploration.states, exploration.complete, exploration.violations, counts["decided"], counts["dropped"]
     )
--- a/trials/model_policy_events.py
+++ b/trials/model_policy_events.py
@@ -1,4 +1,4 @@
-"""What may happen in the model of a policy change, and how often. See `model_policy`."""
+"""Events in the model of a policy change, and limits on their number. See `model_policy`."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-# Fields of `Bounds` that events use up.
+# Fields of `Bounds` that limit how often events happen.
 LIMITED = ("crashes", "cuts", "pauses", "watch_stalls", "statuses", "delayed_writes", "ticks")
 
 
 class EventKind(StrEnum):
-    """What may happen next."""
+    """The kinds of events."""
 
     PAUSES = "pauses"
     RESUMES = "resumes"
@@ -34,23 +34,23 @@
 
 
 class Event(NamedTuple):
-    """An event, and the names of its members; of `WRITE_ARRIVES`, the place among the delayed writes."""
+    """An event and the names of its members; `position` is that of the write in `delayed_writes`."""
 
     kind: EventKind
     member: str = ""
     receiver: str = ""
-    place: int = 0
+    position: int = 0
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each may happen in one history."""
+    """Limits on how often each event may happen in one history, and on the states of a search."""
 
     crashes: int = 0
-    cuts: int = 1  # of a member from the store
-    pauses: int = 0  # of a process
-    watch_stalls: int = 0  # a watch delivers nothing more, while the lease is renewed
-    statuses: int = 1  # sent to a member
-    delayed_writes: int = 0  # transactions that reach the store later than what comes after them
-    max_states: int = 40_000  # explored
-    ticks: int = 4
+    cuts: int = 1  # a member loses its connection to the store
+    pauses: int = 0  # of processes
+    watch_stalls: int = 0  # a watch delivers nothing more, while the member's lease is renewed
+    statuses: int = 1  # sent from one member to another
+    delayed_writes: int = 0  # transactions that reach the store after later events
+    max_states: int = 40_000  # at which a search ends incomplete
+    ticks: int = 4  # steps of time
--- a/trials/model_policy_host.py
+++ b/trials/model_policy_host.py
@@ -1,4 +1,4 @@
-"""Carries out in the model what a member's policy replica asks for. See `model_policy`."""
+"""The host of a policy replica in the model of a policy change. See `model_policy`."""
 
 from __future__ import annotations
 
@@ -15,46 +15,46 @@
 
 
 class DecisionRequest(NamedTuple):
-    """A request for the decision that a member knows: the sender's name, and the id of the other."""
+    """A request for a member's decision: the name of the sender, and the id of the member asked."""
 
     sender: str
     member_id: str
 
 
 class ModelHost:
-    """What a member asks of its host: the model does what matters."""
+    """The host of a member's policy replica, which changes the state of the model."""
 
     def __init__(self, model: Model | None, name: str) -> None:
-        """Without a model, what is asked leaves no trace."""
+        """Create the host of the member `name`; without a model, its methods have no effect."""
         self.model, self.name = model, name
 
     def check(self, body: PolicyBody) -> str:
-        """Every member can follow every policy."""
+        """Return no error, since every member can follow every policy."""
         return ""
 
     def store(self, stored: StoredPolicy) -> None:
-        """Store it in the model's files."""
+        """Store a copy in the model's files."""
         if self.model is not None:
             self.model.files[self.name] = copy.copy(stored)
 
     def store_state(self) -> str | None:
-        """All is stored at once."""
+        """Return that everything is stored, since writes take effect at once."""
         return ""
 
     def apply_policy(self, policy: Policy) -> None:
-        """Nothing has to be put in force."""
+        """Do nothing, since no component uses the policy."""
 
     def request_decision(self, member: str) -> None:
-        """Remember who asked for whose decision."""
+        """Record the request, which the model answers later."""
         if self.model is not None:
             self.model.decision_requests.append(DecisionRequest(self.name, member))
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Nothing is logged."""
+        """Discard the log event."""
 
 
 def copy_replica(replica: PolicyReplica, host: ModelHost) -> PolicyReplica:
-    """A copy of a member that shares what is never changed in place."""
+    """Return a copy of a replica that shares only what is never changed in place."""
     other = copy.copy(replica)
     other.host, other.stored = host, copy.copy(replica.stored)
     other.peer_statuses, other.turns = replica.peer_statuses.copy(), replica.turns.copy()
--- a/trials/model_replication.py
+++ b/trials/model_replication.py
@@ -1,8 +1,9 @@
-"""One request and three members, every order of events within bounds: the promise *once*, explored.
+"""Explores a model of one replicated request in every order of events within bounds.
 
-States are copied and told apart by their text; what is bounded is what may go wrong (`Bounds`), no order.
-Frames of one link arrive in order or not at all, everything else in any order: views, ends of links, links
-that come up, writes of attempts, responses of endpoints, retries of clients, changes of the shards.
+The invariant is that a request that is not idempotent runs at most once. States are copied, and compared by
+their text; `Bounds` limits which faults happen, not the order of events. Frames of one link arrive in order
+or not at all. All else happens in any order: new views, ends of links, new links, writes of attempts,
+responses of endpoints, retries of clients and changes of the shard count.
 """
 
 from __future__ import annotations
@@ -21,31 +22,31 @@
 
 
 class _Pickler(pickle.Pickler):
-    """Leaves the views of a model, which never change, out of a copy."""
+    """Pickles a model without its views, which never change."""
 
     def __init__(self, file: io.BytesIO, views: list[MembershipView]) -> None:
         super().__init__(file, pickle.HIGHEST_PROTOCOL)
-        self.numbers = {id(view): number for number, view in enumerate(views)}
+        self.view_numbers = {id(view): number for number, view in enumerate(views)}
 
     def persistent_id(self, obj: object) -> int | None:
-        """The number of a view of the model; None: it is copied."""
-        return self.numbers.get(id(obj)) if isinstance(obj, MembershipView) else None
+        """Return the number of a view of the model, or None for an object that is copied."""
+        return self.view_numbers.get(id(obj)) if isinstance(obj, MembershipView) else None
 
 
 class _Unpickler(pickle.Unpickler):
-    """Puts the views of a model into its copy."""
+    """Unpickles a copy of a model, which shares the views of the original."""
 
     def __init__(self, file: io.BytesIO, views: list[MembershipView]) -> None:
         super().__init__(file)
         self.views = views
 
     def persistent_load(self, pid: int) -> MembershipView:
-        """The view of that number."""
+        """Return the view with this number."""
         return self.views[pid]
 
 
 def _copy(model: Model) -> Model:
-    """A copy of a state, which shares its views. Pickling takes half the time of `copy.deepcopy`."""
+    """Return a copy of a state that shares its views. Pickling takes half the time of `copy.deepcopy`."""
     file = io.BytesIO()
     _Pickler(file, model.views).dump(model)
     file.seek(0)
@@ -53,7 +54,7 @@
 
 
 def explore(
-    effect: str, bounds: Bounds, replicator_type: Callable[..., Any] = RequestReplicator
+    retry_safety: str, bounds: Bounds, replicator_type: Callable[..., Any] = RequestReplicator
 ) -> Exploration[Event]:
-    """All orders within the bounds. `effect`: value of the request's `RetrySafety`."""
-    return search(Model(effect, replicator_type).begin(bounds), _copy, bounds.max_states)
+    """Explore all orders within the bounds for a request with this value of `RetrySafety`."""
+    return search(Model(retry_safety, replicator_type).initialize(bounds), _copy, bounds.max_states)
--- a/trials/model_replication_events.py
+++ b/trials/model_replication_events.py
@@ -1,4 +1,4 @@
-"""What may happen in the model of one replicated request, and how often. See `model_replication`."""
+"""Events in the model of one replicated request, and limits on their number. See `model_replication`."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 MEMBERS = ("a", "b", "c")
 LIMITED = (
     "crashes", "cuts", "retries", "duplicates", "shard_changes", "failed_dials", "idle_closes",
-)  # fmt: skip  # fields of `Bounds` that events use up
+)  # fmt: skip  # fields of `Bounds` that limit how often events happen
 
 
 class EventKind(StrEnum):
-    """What may happen next."""
+    """The kinds of events."""
 
     FRAME_ARRIVES = "frame_arrives"
     ATTEMPT_SENT = "attempt_sent"
@@ -38,12 +38,12 @@
 
 
 class Event(NamedTuple):
-    """An event, and the members that it concerns; of an attempt's event, its place among them."""
+    """An event and the members that it concerns; `position` is that of an attempt in its list."""
 
     kind: EventKind
     member: str = ""
     peer: str = ""
-    place: int = 0
+    position: int = 0
 
 
 SETTLES = Event(EventKind.SETTLES)
@@ -51,18 +51,18 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each fault may happen in one history."""
+    """Limits on how often each event may happen in one history, the members, and the start of the history."""
 
-    crashes: int = 1
-    cuts: int = 0
+    crashes: int = 1  # of members
+    cuts: int = 0  # of links
     retries: int = 1  # of clients
-    duplicates: int = 0  # requests of other clients with the same key
-    max_states: int = 60_000  # explored
+    duplicates: int = 0  # requests with the same key from other clients
+    max_states: int = 60_000  # at which a search ends incomplete
     members: tuple[str, ...] = MEMBERS
     shards: int = 1
-    shard_changes: int = 0  # one shard into two, or two into one
-    failed_dials: int = 0  # a link that is dialled does not come up, though its member lives
-    idle_closes: int = 0  # a link between shards that neither side needs ends
-    all_linked: bool = False  # there are links between shards too, as if left by earlier requests
-    crash_candidates: tuple[str, ...] = ()  # empty: anybody
-    initial_events: tuple[Event, ...] = ()  # what has happened before
+    shard_changes: int = 0  # from one shard to two, or from two to one
+    failed_dials: int = 0  # a dialled link does not come up although the other member is alive
+    idle_closes: int = 0  # a link between shards that neither side needs is closed
+    all_linked: bool = False  # links between shards exist from the start, as if left by earlier requests
+    crash_candidates: tuple[str, ...] = ()  # members that may crash; empty: all
+    initial_events: tuple[Event, ...] = ()  # applied before the search
--- a/trials/model_replication_state.py
+++ b/trials/model_replication_state.py
@@ -1,4 +1,4 @@
-"""One state of the model: one request, a few members, and what may happen next."""
+"""A state of the model of one replicated request: the request, the members, and the possible events."""
 
 from __future__ import annotations
 
@@ -16,40 +16,41 @@
 from .model_replication_host import Client, ModelHost, UnsentAttempt
 from .model_replication_text import replicator_text
 
-TIMEOUT = 100.0  # seconds, of the request: longer than any history
+TIMEOUT = 100.0  # seconds, of the request; longer than any history
 MEMORY_LIMIT = 1 << 20  # bytes recorded for other members
 KEY = b"x"
-LINK_END = "end"  # in place of a frame: the link has ended at the other side
+LINK_END = "end"  # queued like a frame: the other side has closed the link
 
 
 @dataclass
 class Model:
-    """One state."""
+    """A state of the model."""
 
-    effect: str  # value of the request's `RetrySafety`
+    retry_safety: str  # of the request; a value of `RetrySafety`
     replicator_type: Callable[..., Any]
     replicators: dict[str, Any] = field(default_factory=dict)
-    queues: dict[tuple[str, str], deque[Any]] = field(default_factory=dict)  # frames under way
+    # Frames in transit, by sender and receiver.
+    queues: dict[tuple[str, str], deque[Any]] = field(default_factory=dict)
     links: set[tuple[str, str]] = field(default_factory=set)
-    unsent: list[UnsentAttempt] = field(default_factory=list)
-    running: list[str] = field(default_factory=list)  # members whose attempts run at an endpoint
-    runs: int = 0
+    unsent_attempts: list[UnsentAttempt] = field(default_factory=list)
+    running_attempts: list[str] = field(default_factory=list)  # members whose attempts run at an endpoint
+    runs: int = 0  # of the request at endpoints so far
     clients: list[Client] = field(default_factory=list)
-    asked: dict[int, str] = field(default_factory=dict)  # by number of a client: the member that it asked
-    remaining: dict[str, int] = field(default_factory=dict)  # of each of `LIMITED`
-    views: list[MembershipView] = field(default_factory=list)  # one after another
-    seen_view: dict[str, int] = field(default_factory=dict)  # by member: the view that it has seen last
+    contacted: dict[int, str] = field(default_factory=dict)  # by a client's number: the member it sent to
+    remaining: dict[str, int] = field(default_factory=dict)  # events left, by field in `LIMITED`
+    views: list[MembershipView] = field(default_factory=list)  # in order, the current one last
+    seen_view: dict[str, int] = field(default_factory=dict)  # by member: the index of its view
     dialling: set[tuple[str, str]] = field(default_factory=set)
-    duplicate_at: str = ""  # the member that another client sends to
-    crash_candidates: tuple[str, ...] = ()  # empty: anybody
+    duplicate_at: str = ""  # the member that other clients send duplicates to
+    crash_candidates: tuple[str, ...] = ()  # empty: all
 
     @property
     def view(self) -> MembershipView:
-        """The view that holds."""
+        """The current view."""
         return self.views[-1]
 
-    def begin(self, bounds: Bounds) -> Model:
-        """Start all members, and make happen what has happened before."""
+    def initialize(self, bounds: Bounds) -> Model:
+        """Start all members, apply the initial events, and return the model."""
         members = [Member(name, name, "", name) for name in bounds.members]
         self.views = [MembershipView(members, bounds.shards)]
         self.duplicate_at = bounds.members[-1]
@@ -74,17 +75,17 @@
             self.apply(event)
         return self
 
-    # What may happen next.
+    # Possible events.
 
     def events(self) -> Iterator[Event]:
-        """All events that may happen in this state."""
-        for way, queue in self.queues.items():
-            if queue and way[1] in self.replicators:
-                yield Event(EventKind.FRAME_ARRIVES, *way)
-        for place in range(len(self.unsent)):
-            yield Event(EventKind.ATTEMPT_SENT, place=place)
-        for place in range(len(self.running)):
-            yield Event(EventKind.ATTEMPT_ENDS, place=place)
+        """Yield all events that may happen in this state."""
+        for direction, queue in self.queues.items():
+            if queue and direction[1] in self.replicators:
+                yield Event(EventKind.FRAME_ARRIVES, *direction)
+        for position in range(len(self.unsent_attempts)):
+            yield Event(EventKind.ATTEMPT_SENT, position=position)
+        for position in range(len(self.running_attempts)):
+            yield Event(EventKind.ATTEMPT_ENDS, position=position)
         if not self.clients:
             yield Event(EventKind.CLIENT_SENDS, next(iter(self.replicators)))
             return
@@ -124,7 +125,7 @@
 
     def _client_events(self) -> Iterator[Event]:
         clients_lost = all(
-            client.status or self.asked[client.number] not in self.replicators for client in self.clients
+            client.status or self.contacted[client.number] not in self.replicators for client in self.clients
         )
         if clients_lost and self.remaining["retries"] and self.clients[-1].status not in (200, 504):
             for name in self.replicators:
@@ -133,14 +134,14 @@
             yield Event(EventKind.DUPLICATE_SENT, self.duplicate_at)
 
     def _are_peers(self, one: str, other: str) -> bool:
-        """They are of one shard, as one of them sees it: they keep a link."""
+        """Return whether both are in one shard in the view of either, so that they must have a link."""
         seen = {self.views[self.seen_view[name]] for name in (one, other) if name in self.seen_view}
         return any(view.shard_of_member(one) == view.shard_of_member(other) for view in seen or {self.view})
 
     def _may_link(self, one: str, other: str) -> bool:
-        """No frame is left of a link before, and both know as many shards."""
-        ways = (one, other), (other, one)
-        used = any(way in self.links or self.queues[way] for way in ways)
+        """Return whether a link may come up: no link or frame remains, and their views match."""
+        directions = (one, other), (other, one)
+        used = any(direction in self.links or self.queues[direction] for direction in directions)
         views = [self.views[self.seen_view[name]] for name in (one, other)]
         return (
             not used
@@ -150,21 +151,21 @@
         )
 
     def _is_needed(self, one: str, other: str) -> bool:
-        """One side needs the link."""
+        """Return whether one side needs the link."""
         return self.replicators[one].needs_link(other) or self.replicators[other].needs_link(one)
 
-    # What happens.
+    # Effects of events.
 
     def apply(self, event: Event) -> None:
-        """Have the event happen, with all that follows from it."""
+        """Apply an event and its immediate consequences."""
         if event.kind in LINK_EVENTS:
             self._apply_link_event(event.kind, event.member, event.peer)
             return
         match event.kind:
             case EventKind.ATTEMPT_SENT:
-                self._send_attempt(event.place)
+                self._send_attempt(event.position)
             case EventKind.ATTEMPT_ENDS:
-                self._end_attempt(event.place)
+                self._end_attempt(event.position)
             case EventKind.CLIENT_SENDS:
                 self._send_or_retry(event.member)
             case EventKind.DUPLICATE_SENT:
@@ -195,117 +196,117 @@
                 self._fail_link(one, other)
 
     def _settle(self) -> None:
-        """All frames arrive, and all links come up."""
+        """Deliver all frames, and end all dials."""
         while self.dialling or any(self.queues.values()):
-            for way in sorted(self.dialling):
-                self._end_dial(*way)
-            for way in self.queues:
-                if self.queues[way]:
-                    self._deliver_frame(*way)
+            for direction in sorted(self.dialling):
+                self._end_dial(*direction)
+            for direction in self.queues:
+                if self.queues[direction]:
+                    self._deliver_frame(*direction)
 
     def _deliver_frame(self, one: str, other: str) -> None:
-        """The next frame from one member to another arrives."""
+        """Deliver the next frame from one member to another."""
         frame = self.queues[one, other].popleft()
         if frame == LINK_END:
             self._close(other, one)
         elif (other, one) in self.links:
             self.replicators[other].frame_received(one, frame)
 
-    def _send_attempt(self, place: int) -> None:
-        """A released attempt is sent to an endpoint."""
-        name = self.unsent.pop(place).member
+    def _send_attempt(self, position: int) -> None:
+        """Send a released attempt to an endpoint, unless its member is lost."""
+        name = self.unsent_attempts.pop(position).member
         if name in self.replicators:
             self.runs += 1
-            self.running.append(name)
+            self.running_attempts.append(name)
 
-    def _end_attempt(self, place: int) -> None:
-        """An endpoint answers."""
-        name = self.running.pop(place)
+    def _end_attempt(self, position: int) -> None:
+        """Give an endpoint's response to the member that sent the attempt."""
+        name = self.running_attempts.pop(position)
         if name in self.replicators:
             for request in list(self.replicators[name].requests.values()):
                 self._answer(name, request, RecordedResponse(200))
 
     def _send_or_retry(self, name: str) -> None:
-        """A client sends the request to a member, or retries it there."""
+        """Send the request from a client to a member, as a retry unless it is the first."""
         is_retry = bool(self.clients)
         self.remaining["retries"] -= is_retry
-        self._ask(name, is_retry)
+        self._begin_request(name, is_retry)
 
     def _send_duplicate(self, name: str) -> None:
-        """Another client sends a request with the same key."""
+        """Send a request with the same key from another client."""
         self.remaining["duplicates"] -= 1
-        self._ask(name, is_retry=False)
+        self._begin_request(name, is_retry=False)
 
     def _change_view(self, name: str) -> None:
-        """A member sees the next view."""
+        """Give a member the next view."""
         self.seen_view[name] += 1
         self.replicators[name].view_changed(self.views[self.seen_view[name]], False)
 
     def _change_shards(self) -> None:
-        """The count of shards changes."""
+        """Change the shard count."""
         self.remaining["shard_changes"] -= 1
         self.views.append(MembershipView(self.view.members.values(), 1 if self.view.shard_count == 2 else 2))
 
     def _link(self, one: str, other: str) -> None:
-        """A link comes up."""
+        """Open a link on both sides."""
         self.links |= {(one, other), (other, one)}
         for name, peer in ((one, other), (other, one)):
             self.dialling.discard((name, peer))
             self.replicators[name].link_up(peer)
 
     def _end_dial(self, one: str, other: str) -> None:
-        """A link that is dialled comes up, or fails where the other member is lost."""
+        """Open a dialled link, or fail it if the other member is lost."""
         if other in self.replicators:
             self._link(one, other)
         else:
             self._fail_link(one, other)
 
     def _fail_link(self, one: str, other: str) -> None:
-        """A link that is dialled does not come up."""
+        """Report to a member that the link it dialled has failed."""
         self.dialling.discard((one, other))
         self.replicators[one].link_failed(other)
 
     def _close_idle_link(self, one: str, other: str) -> None:
-        """One side ends a link that neither needs; the other notices in order."""
+        """Close one side of a link that neither needs; the other side is closed after its queued frames."""
         self.remaining["idle_closes"] -= 1
         self.queues[one, other].append(LINK_END)
         self._close(one, other)
 
     def _crash(self, name: str) -> None:
-        """A member is lost; the view without it follows."""
+        """Remove a member, end its links, and add a view without it."""
         self.remaining["crashes"] -= 1
         del self.replicators[name]
-        self.unsent = [attempt for attempt in self.unsent if attempt.member != name]
+        self.unsent_attempts = [attempt for attempt in self.unsent_attempts if attempt.member != name]
         for one, other in list(self.links):
             if one == name:
                 self.links.discard((one, other))
                 self.queues[one, other].append(LINK_END)
-        self.dialling = {way for way in self.dialling if way[0] != name}
+        self.dialling = {direction for direction in self.dialling if direction[0] != name}
         members = (member for member in self.view.members.values() if member.id in self.replicators)
         self.views.append(MembershipView(members, self.view.shard_count))
         self.seen_view = {member: self.seen_view[member] for member in self.replicators}
 
     def _cut_link(self, one: str, other: str) -> None:
-        """Nothing in between arrives; both sides notice the silence, each by itself."""
+        """Drop all frames in transit on a link; each side notices the silence by itself."""
         self.remaining["cuts"] -= 1
-        for way in ((one, other), (other, one)):
-            self.queues[way].clear()
-            self.queues[way].append(LINK_END)
+        for direction in ((one, other), (other, one)):
+            self.queues[direction].clear()
+            self.queues[direction].append(LINK_END)
 
     def _close(self, name: str, other: str) -> None:
         if (name, other) in self.links:
             self.links.discard((name, other))
             self.replicators[name].link_down(other)
 
-    # The hosts.
+    # Requests and responses.
 
-    def _ask(self, name: str, is_retry: bool) -> None:
+    def _begin_request(self, name: str, is_retry: bool) -> None:
         client = Client(len(self.clients))
         self.clients.append(client)
-        self.asked[client.number] = name
+        self.contacted[client.number] = name
         content = RecordedRequest(b"", b"", [], b"", b"")
         frame = ReplicateFrame(
-            KEY, name, 0, False, b"", "c", self.effect, 0.0, TIMEOUT, is_retry, content, []
+            KEY, name, 0, False, b"", "c", self.retry_safety, 0.0, TIMEOUT, is_retry, content, []
         )
         result, request = self.replicators[name].begin(frame, client, TIMEOUT)
         if result is BeginResult.RUN:
@@ -314,9 +315,9 @@
             client.status = request.response.status
 
     def start_attempt(self, name: str, request: ReplicatedRequest) -> None:
-        """A member's decisions start an attempt, or fail the request."""
+        """Start an attempt of a request, or fail it with status 504 if a rerun is not allowed."""
         may_have_run = any(not intent.outcome for intent in request.intents)
-        if self.effect == RetrySafety.NON_IDEMPOTENT.value and may_have_run:
+        if self.retry_safety == RetrySafety.NON_IDEMPOTENT.value and may_have_run:
             self._answer(name, request, RecordedResponse(504))
             return
         replicator = self.replicators[name]
@@ -326,26 +327,33 @@
     def _answer(self, name: str, request: ReplicatedRequest, response: RecordedResponse) -> None:
         replicator = self.replicators[name]
         client = request.dispatched_client
-        until = request.waiting_clients.pop(client, 0.0)
-        given = replicator.finish_request(request, response)
+        deadline = request.waiting_clients.pop(client, 0.0)
+        final = replicator.finish_request(request, response)
         if client is None:
             return
-        if given is None:
-            replicator.wait_on(request, client, until)
+        if final is None:
+            replicator.wait_on(request, client, deadline)
         else:
-            client.status = client.status or given.status
+            client.status = client.status or final.status
 
-    # Verdict, and comparison of states.
+    # Invariant, and comparison of states.
 
     def violation(self) -> str:
-        """The promise that was not kept; empty: none."""
-        if self.effect == RetrySafety.NON_IDEMPOTENT.value and self.runs > 1:
-            return f"ran {self.runs} times"
+        """Return the invariant that was violated, or an empty string."""
+        if self.retry_safety == RetrySafety.NON_IDEMPOTENT.value and self.runs > 1:
+            return f"not idempotent, but ran {self.runs} times"
         return ""
 
     def key(self) -> str:
-        """The text of a state: two of one text go on alike."""
+        """Return a text that identifies the state: states with the same text have the same future."""
         replicators = [replicator_text(name, member) for name, member in self.replicators.items()]
-        events = (self.queues, sorted(self.links), sorted(self.unsent), self.running, self.runs, self.clients)
+        events = (
+            self.queues,
+            sorted(self.links),
+            sorted(self.unsent_attempts),
+            self.running_attempts,
+            self.runs,
+            self.clients,
+        )
         views = [view.digest for view in self.views]
         return repr((replicators, events, self.remaining, self.seen_view, views, sorted(self.dialling)))
--- a/trials/model_replication_text.py
+++ b/trials/model_replication_text.py
@@ -1,4 +1,4 @@
-"""The text of a member's state, by which the model tells states apart."""
+"""A text of a member's state, by which the model compares states."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def replicator_text(name: str, replicator: RequestReplicator) -> str:
-    """The text of one member's state."""
+    """Return a text that identifies the state of a member."""
     views, peers, records = replicator.views, replicator.peers, replicator.records
     synced = sorted(views.synced_digests.items())
     view_state = (views.view.digest, views.was_synced, len(views.history), synced)
@@ -17,7 +17,7 @@
 
 
 def _request_text(request: ReplicatedRequest) -> str:
-    """The text of one request as a member knows it."""
+    """Return a text that identifies a request as a member knows it."""
     client = request.dispatched_client
     ownership = request.state, request.owner, request.epoch, request.intents, request.replicas
     progress = (
