--- a/fakes/http1.py
+++ b/fakes/http1.py
@@ -114,7 +114,7 @@
                 )
                 break
             except OSError:
-                # While the server was stopped, another process may have got the port for a connection.
+                # While the server was down, the system may have assigned the port to an outgoing connection.
                 if attempt == MAX_BIND_ATTEMPTS - 1:
                     raise
                 await asyncio.sleep(BIND_RETRY_INTERVAL)
--- a/tests/characterisation/simulated_day.py
+++ b/tests/characterisation/simulated_day.py
@@ -173,8 +173,8 @@
             line = self.process.stdout.readline()
             assert line, "the adapter has exited"
             self.digest.update(line.encode())
-            name, _, rest = line.rstrip("\n").partition(" ")
-            fields = dict(part.split("=", 1) for part in rest.split(" ") if part)
+            name, _, arguments = line.rstrip("\n").partition(" ")
+            fields = dict(part.split("=", 1) for part in arguments.split(" ") if part)
             if name == "END":
                 return
             if name == "ON_BEHALF":
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -110,7 +110,7 @@
 
 
 def test_a_count_is_kept_as_long_as_its_attempt_can_be_in_flight(make_host: MakeHost) -> None:
-    """That is the longest latency objective of the classes, not the shortest."""
+    """An attempt can be in flight for the longest latency objective of the classes, not just the shortest."""
     slow = type(LOOK)("slow", LOOK.retry_safety, latency_objective=4.0, priority_weight=1.0, timeout=8.0)
     host = make_host(endpoints=1, request_classes=[LOOK, slow], sidecars=3, gossip_allowed=True)
     host.receive_gossip(1, host.scheduler.balancer.endpoints.by_id["u0"], 100)
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -57,7 +57,7 @@
 
 
 def test_an_unresponsive_endpoint_gets_no_further_requests(host: FakeHost) -> None:
-    """Its attempts have no outcome that could be counted as a failure."""
+    """Attempts without a response have no outcome that could be counted as a failure."""
     host.serve(40)
     endpoint = host.scheduler.balancer.endpoints.by_id["u0"]
     hung = []
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -100,9 +100,9 @@
     restarts = [
         {"phase": "restart", "role": "alone", "core": 0.02, "messages_out": rate} for rate in (200, 400, 500)
     ]
-    rest = {"phase": "rest", "role": "alone", "core": 0.5, "messages_out": 1}
-    assert capacity.message_cost([*restarts, rest]) == pytest.approx(50)
-    assert 50 < capacity.message_cost([rest]) < 500
+    idle = {"phase": "rest", "role": "alone", "core": 0.5, "messages_out": 1}
+    assert capacity.message_cost([*restarts, idle]) == pytest.approx(50)
+    assert 50 < capacity.message_cost([idle]) < 500
 
 
 def test_rows_over_their_budget_are_ordered_by_overrun() -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -569,7 +569,7 @@
 def test_a_pushed_list_that_ended_is_reopened_well_within_the_drain_grace(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """Holds for every backoff, however often the call fails."""
+    """However often the call fails, the backoff stays below half of the drain grace."""
     harness = make_harness(settings=PUSHED_LIST_SETTINGS)
     watch = harness.push_snapshot()
     grace = harness.context.balancer_config.drain_grace
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -410,7 +410,7 @@
 def test_a_client_that_leaves_during_a_long_request_leaves_no_state(
     make_harness: Callable[..., SidecarHarness],
 ) -> None:
-    """The connection to the endpoint is closed."""
+    """The connection to the endpoint is closed, and all buffers are released."""
     harness, client, i, upstream = begin_long_request(make_harness)
     client.close()
     harness.wait_until(lambda: harness.read(upstream) == b"end")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -99,12 +99,12 @@
     """The response is written in parts as the client reads."""
     client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
-    served = next(iter(harness.wait_until(lambda: harness.context.connections.clients)))
-    served.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    connection = next(iter(harness.wait_until(lambda: harness.context.connections.clients)))
+    connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     body = bytes(range(256)) * 256
     client.sendall(harness.request_bytes())
     harness.serve(body=body)
-    harness.wait_until(lambda: served.stream.unwritten)
+    harness.wait_until(lambda: connection.stream.unwritten)
     assert harness.read_message(client)[1] == body
 
 
@@ -115,8 +115,8 @@
     harness = make_harness(settings={"categories": request_class_settings(100000)})
     client = harness.connect_client()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    served = next(iter(harness.wait_until(lambda: harness.context.connections.clients)))
-    served.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    connection = next(iter(harness.wait_until(lambda: harness.context.connections.clients)))
+    connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.sendall(harness.request_bytes())
     harness.serve(body=b"x" * MAX_REQUEST_BODY)
     assert harness.wait_until(lambda: harness.log_lines("client.end"))[0]["reason"] == "slow-reader"
