--- a/starlingwheel/net/fleet/links/activity.py
+++ b/starlingwheel/net/fleet/links/activity.py
@@ -23,9 +23,9 @@
 class LinkActivity:
     """The times of one link, from which its deadlines are derived.
 
-    A link is active for `ACTIVE_PERIOD` after a frame about a request. Until `policy_needed_until`, one side
-    may need the other's policy status. The argument `idle` of methods tells that neither side needs the link
-    and it may be closed.
+    Payload frames are all frames but hellos and heartbeats. A link is active for `ACTIVE_PERIOD` after each
+    one. Until `policy_needed_until`, one side may need the other's policy status. The argument `idle` tells
+    that neither side needs the link, so it may be closed.
     """
 
     def __init__(self, connection: FrameConnection, link_count: Callable[[], int]) -> None:
@@ -35,7 +35,7 @@
         self.active_since = 0.0
         self.active_until = -inf
         self.policy_needed_until = -inf
-        self.last_request_frame = -inf
+        self.last_payload_frame = -inf
         self.last_heartbeat = 0.0  # time of our latest heartbeat
         self.local_idle = False  # our latest heartbeat says that this side does not need the link
         self.remote_idle = False  # the other side's latest heartbeat says the same
@@ -47,14 +47,14 @@
 
     def begin(self, now: float) -> None:
         """Initialise the times at the end of the handshake."""
-        self.connection.last_received = self.connection.last_sent = self.last_request_frame = now
+        self.connection.last_received = self.connection.last_sent = self.last_payload_frame = now
 
-    def record_request_frame(self, now: float) -> None:
-        """Record that a frame about a request was sent or received: the link is active and not idle."""
+    def record_payload_frame(self, now: float) -> None:
+        """Record that a payload frame was sent or received: the link is active and not idle."""
         if now >= self.active_until or self.both_idle:
             self.active_since = now
         self.active_until = now + ACTIVE_PERIOD
-        self.last_request_frame = now
+        self.last_payload_frame = now
         self.local_idle = self.remote_idle = False
 
     def record_heartbeat_sent(self, frame: HeartbeatFrame, now: float) -> None:
@@ -82,7 +82,7 @@
         else:
             at = self.connection.last_sent + self._idle_interval()
         if now < self.policy_needed_until:
-            # Frames about requests carry no policy status, so they do not stand for heartbeats with one.
+            # Payload frames do not contain our policy status, so they do not replace these heartbeats.
             at = min(at, self.last_heartbeat + self._policy_interval())
         return at
 
@@ -95,7 +95,7 @@
 
     def close_at(self, idle: bool) -> float:
         """Return when to close the link if it is idle."""
-        return self.last_request_frame + IDLE_LINK_TIMEOUT if idle else inf
+        return self.last_payload_frame + IDLE_LINK_TIMEOUT if idle else inf
 
     def should_reply(self, now: float) -> bool:
         """Return whether to answer received frames with a heartbeat."""
--- a/starlingwheel/net/fleet/links/peer_link.py
+++ b/starlingwheel/net/fleet/links/peer_link.py
@@ -162,7 +162,7 @@
     def _handle_message(self, message: object) -> None:
         now = self.loop.now()
         if isinstance(message, SendFrame):
-            self.activity.record_request_frame(now)
+            self.activity.record_payload_frame(now)
             self.connection.send(message.data)
         elif message is POLICY_STATUS_NEEDED:
             self.activity.need_policy(now)
@@ -185,7 +185,7 @@
             if isinstance(frame, HeartbeatFrame):
                 self._handle_heartbeat(frame)
             else:
-                self.activity.record_request_frame(self.loop.now())
+                self.activity.record_payload_frame(self.loop.now())
             self.manager.notify(FrameReceived(self.member, frame))
         if frames and self.activity.should_reply(self.loop.now()):
             self._send_heartbeat(self.loop.now())
@@ -215,7 +215,7 @@
     def _close_idle(self, now: float) -> None:
         """End the link by `LinkRejectedError`, unless it has been needed since the last heartbeat."""
         if not self.manager.make_heartbeat(self.member, False).idle:
-            self.activity.last_request_frame = now
+            self.activity.last_payload_frame = now
             self.activity.local_idle = False
             return
         self.connection.send(encode_frame(LinkIdleFrame()))
--- a/starlingwheel/net/fleet/messages.py
+++ b/starlingwheel/net/fleet/messages.py
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True, eq=False)
 class SendFrame:
-    """To a link: send an encoded frame about a request."""
+    """To a link: send an encoded frame, which is not a heartbeat."""
 
     data: bytes
 
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -198,7 +198,7 @@
     theirs = second.links.links[first.id]
     link.post(SendFrame(encode_frame(FIRST_FRAME)))
     network.wait_until(lambda: second.request_frames() and theirs.activity.both_idle)
-    last_used = min(theirs.activity.last_request_frame, link.activity.last_request_frame)
+    last_used = min(theirs.activity.last_payload_frame, link.activity.last_payload_frame)
     while network.clock() < last_used + timing.IDLE_LINK_TIMEOUT - 0.1:
         network.step()
     # Only the other side's loop runs until it has closed the link.
