--- a/starlingwheel/net/http/upstream_request.py
+++ b/starlingwheel/net/http/upstream_request.py
@@ -14,6 +14,7 @@
 
 DEFAULT_HOST = (b"Host", b"backend.local")
 UPLOAD_TIME = 30.0  # seconds added to the timeout sent to the endpoint while the request body is incomplete
+# Headers that concern one connection only, and those that are set anew for each attempt.
 NOT_FORWARDED = {
     b"connection", b"keep-alive", b"te", b"trailer", b"transfer-encoding", b"upgrade", b"expect",
     b"proxy-authorization", b"proxy-authenticate", b"content-length", b"host", b"x-expires-in-ms",
@@ -49,6 +50,6 @@
 def _milliseconds_left(exchange: Exchange, pending: PendingRequest, now: float) -> int:
     """Return the time left for the request in milliseconds, at least 1."""
     seconds = exchange.deadline - now
-    if exchange.deadline == inf:  # its body is still incomplete
+    if exchange.deadline == inf:  # the request body is still incomplete
         seconds = pending.request.time_left + UPLOAD_TIME
     return max(1, int(seconds * 1000))
