--- a/trials/call_tree/caller.py
+++ b/trials/call_tree/caller.py
@@ -22,7 +22,8 @@
     from .tree import Tree
 
 MILLISECONDS = 1000
-# Seconds by which the time left may increase from one level to the next: it is sent in whole milliseconds.
+# Seconds by which the time left may seem to increase from one level to the next, since it is sent in whole
+# milliseconds.
 ROUNDING = 0.001
 
 
--- a/trials/capacity/measure.py
+++ b/trials/capacity/measure.py
@@ -1,6 +1,6 @@
 """Timing of the program's own code in this process, and the sizes of its messages.
 
-Each figure is a dict of `figure`, `size`, and `us` (microseconds of processor time) or `bytes`, which
+Each figure is a dict of `figure`, `size`, and `us` (microseconds of CPU time) or `bytes`, which
 `--measure` prints as a line of JSON.
 """
 
@@ -32,12 +32,12 @@
 SIZES = (25, 50, 200, 400, 800, 1600)
 MAX_SHARD_SIZE = 32  # members, in the figures that are timed with shards
 KEY_SIZE = 32  # bytes of a request's idempotency key
-MIN_TIMED_SECONDS = 0.15  # seconds of processor time that each figure is timed for
+MIN_TIMED_SECONDS = 0.15  # seconds of CPU time that each figure is timed for
 REPEATS = 3  # timings of each figure; the fastest is reported
 
 
 def timed(action: Callable[[], object], min_seconds: float = MIN_TIMED_SECONDS) -> float:
-    """Return the microseconds of processor time of one call, the fastest of `REPEATS` timings."""
+    """Return the microseconds of CPU time of one call, the fastest of `REPEATS` timings."""
     best = float("inf")
     for _ in range(REPEATS):
         calls, started_at = 0, time.process_time()
--- a/trials/capacity/scale_run.py
+++ b/trials/capacity/scale_run.py
@@ -10,7 +10,7 @@
 
 
 def message_cost(lines: list[dict[str, Any]]) -> float:
-    """Return the microseconds of processor time of sending one message and receiving one.
+    """Return the microseconds of CPU time of sending one message and receiving one.
 
     The result is the median of the scale runs' restart phases. Without such lines it is the slope of the line
     through the measured idle fleets, where each message wakes its process on its own.
--- a/trials/capacity/tables.py
+++ b/trials/capacity/tables.py
@@ -68,8 +68,15 @@
     return table(
         ["times its budget", "role", "what", "at this size", "figure", "what carries it"],
         (
-            [budget_multiple(r), r.role, r.title, f"{number(r.value)} {r.unit}", r.source, r.bounded_by]
-            for r in over_budget(rows)
+            [
+                budget_multiple(row),
+                row.role,
+                row.title,
+                f"{number(row.value)} {row.unit}",
+                row.source,
+                row.bounded_by,
+            ]
+            for row in over_budget(rows)
         ),
     )
 
--- a/trials/endpoint_list/faults.py
+++ b/trials/endpoint_list/faults.py
@@ -84,7 +84,7 @@
         self.trial.discovery.push_fault = Fault.NONE
 
     async def replace_server(self, seconds: float) -> None:
-        """Drain a server, remove it and add it again; it answers requests all the time."""
+        """Drain a server, remove it and add it again; the server answers requests all the time."""
         if not self.replaceable:
             return
         name = self.replaceable.pop()
--- a/trials/policy.py
+++ b/trials/policy.py
@@ -267,8 +267,9 @@
         result.violations.append(f"an error in the program was logged: {defects[0]}")
     if result.violations:
         result.violations += [
-            f"{c.label}: {c.proposal_status} {c.outcome} at {c.switch_at - cluster.start:.3f}: {c.faults}"
-            for c in changes
+            f"{change.label}: {change.proposal_status} {change.outcome}"
+            f" at {change.switch_at - cluster.start:.3f}: {change.faults}"
+            for change in changes
         ]
     uncertain_times = [
         line["after"] for sidecar in cluster.sidecars for line in sidecar.log_lines("policy.sure")
--- a/trials/policy_faults.py
+++ b/trials/policy_faults.py
@@ -142,9 +142,9 @@
             others = [sidecar for sidecar in self.cluster.sidecars if sidecar not in sidecars]
             directions += [
                 direction
-                for s in sidecars
+                for sidecar in sidecars
                 for other in others
-                for direction in self.cluster.link_between(s, other)
+                for direction in self.cluster.link_between(sidecar, other)
             ]
         if fault.kind == FaultKind.PARTITION_AND_OUTAGE:
             await self.cluster.store.take_down()
--- a/trials/policy_scenes.py
+++ b/trials/policy_scenes.py
@@ -65,7 +65,7 @@
 
 
 def cut_off_after_lease(replica_type: ReplicaType = PolicyReplica, trace: bool = False) -> World:
-    """Cut a member off from the store until its lease expires, then also from the others' statuses."""
+    """Cut a member off from the store, and later, when its lease has expired, from the other members."""
     world, members = _start_world(5, replica_type, trace)
     world.store_cut_until[members[3].name] = 40.0
     world.run_until(6.0)
--- a/trials/rig.py
+++ b/trials/rig.py
@@ -197,7 +197,7 @@
         return False
 
     def has_view_of(self, members: int) -> bool:
-        """Return whether the sidecar has a view of that many members and links to all others of them."""
+        """Return whether the sidecar has a view of that many members and links to all the others."""
         records = self.log_lines("view", "link.up", "link.down")
         views = [line for line in records if line["event"] == "view"]
         link_count = sum({"link.up": 1, "link.down": -1}.get(line["event"], 0) for line in records)
@@ -251,8 +251,14 @@
             str, dict[str, Any]
         ] = {}  # fields of list entries that differ, by upstream
         self.upstreams = [
-            Upstream(f"u{i}", ZONES[i % len(ZONES)], random.Random(f"{seed}-u{i}"), service_time, self.runs)
-            for i in range(upstreams)
+            Upstream(
+                f"u{number}",
+                ZONES[number % len(ZONES)],
+                random.Random(f"{seed}-u{number}"),
+                service_time,
+                self.runs,
+            )
+            for number in range(upstreams)
         ]
         self.sidecars = [Sidecar(self, i) for i in range(sidecars)]
         for number, seconds in (clock_offsets or {}).items():
@@ -312,7 +318,7 @@
         return affected
 
     async def finish_and_check(self, sending: asyncio.Task[None]) -> TrialResult:
-        """Wait until all requests have ended, and check them."""
+        """Wait until all requests have ended, and check their runs and responses."""
         await sending
         await self.clients.finish(self.clients.timeout + 1)
         return check_requests(self.clients.requests, self.runs, self.start)
@@ -356,15 +362,15 @@
         Raises `RuntimeError` after READY_TIMEOUT.
         """
         until = asyncio.get_running_loop().time() + READY_TIMEOUT
-        alive = [s for s in self.sidecars if s.alive]
+        alive = [sidecar for sidecar in self.sidecars if sidecar.alive]
         while asyncio.get_running_loop().time() < until:
             if self.cell_size:
                 have_view = [
-                    await s.has_sharded_view(members, self.shard_count if self.presharded else 1)
-                    for s in alive
+                    await sidecar.has_sharded_view(members, self.shard_count if self.presharded else 1)
+                    for sidecar in alive
                 ]
             else:
-                have_view = [s.has_view_of(members) for s in alive]
+                have_view = [sidecar.has_view_of(members) for sidecar in alive]
             if all(have_view):
                 return
             await asyncio.sleep(0.05)
--- a/trials/scale/counts.py
+++ b/trials/scale/counts.py
@@ -86,7 +86,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process so far in seconds."""
+    """Return the CPU time of a process so far in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
--- a/trials/scale/metered.py
+++ b/trials/scale/metered.py
@@ -1,4 +1,4 @@
-"""The program's event loop with a meter for each member: processor time of its turns and socket traffic."""
+"""The program's event loop with a meter for each member: CPU time of its turns and socket traffic."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class Meter:
     """Counts of one member.
 
-    `turn_ns`: processor time of its actors' turns, including their system calls. The loop's own time (polling
+    `turn_ns`: CPU time of its actors' turns, including their system calls. The loop's own time (polling
     sockets, queues, timers) is not included, since all members on the loop share it.
     """
 
--- a/trials/storm.py
+++ b/trials/storm.py
@@ -23,7 +23,7 @@
 REQUEST_MIX = {"look": 1.0, "buy": 1.0, "move": 1.0}
 ONE_AT_A_TIME = FaultProfile(PROCESS_FAULTS, interval=0.9, max_duration=0.6)
 SEVERAL_AT_ONCE = FaultProfile(PROCESS_FAULTS | LINK_FAULTS | STORE_FAULTS, interval=0.4, max_duration=1.5)
-MIN_TIME_LEFT = 0.4  # seconds left to a request at a loss, for the guarantee that it succeeds
+MIN_TIME_LEFT = 0.4  # seconds; requests with less time left at a loss are not counted
 
 
 async def losses(
@@ -35,7 +35,7 @@
     count: int = 30,
     cell_size: int = 0,
 ) -> TrialResult:
-    """Kill and pause processes one at a time; each is normally back before the next fault."""
+    """Kill and pause processes one at a time; each process is normally back before the next fault."""
     return await _inject_faults(seed, sidecars, root, fleet, rate, count, ONE_AT_A_TIME, cell_size)
 
 
