--- a/starlingwheel/fleet/policy/replica.py
+++ b/starlingwheel/fleet/policy/replica.py
@@ -56,7 +56,7 @@
         self.ended_proposal = stored.ended_proposal
         self.registered_names = list(stored.registered_names)
         self.started_from_file = bool(stored.registered_names)
-        self.is_decision_known = False  # read since we registered, or known from a majority's statuses
+        self.is_decision_known = False  # it was read after we registered, or a majority's statuses tell it
         self.lease_until, self.entry_revision = -inf, 0  # end of our lease; revision of our membership entry
         self.peer_statuses = PeerStatuses(name, lease)
         self.vote: Vote | None = None  # our latest vote
--- a/starlingwheel/fleet/replication/owner.py
+++ b/starlingwheel/fleet/replication/owner.py
@@ -99,7 +99,7 @@
         return len(request.intents) - 1
 
     def record_intent(self, request: ReplicatedRequest, number: int) -> None:
-        """Have the replicas record the intent of that number; its attempt is released after that."""
+        """Have the replicas record an intent; its attempt is released once they have."""
         if request.state is not RequestState.OWNING:
             request.intents[number].outcome = NEVER_RELEASED
             self.context.host.cancel_intent(request, number)
--- a/starlingwheel/fleet/replication/replicator.py
+++ b/starlingwheel/fleet/replication/replicator.py
@@ -238,7 +238,7 @@
         return any(request.concerns(member) for request in self.table.requests.values())
 
     def frame_received(self, member: str, frame: Frame) -> None:
-        """Handle a frame of a member, which is of bounded size and of a known type."""
+        """Handle a frame of a member. The link has checked the size and the type of the frame."""
         match frame:
             case HeartbeatFrame():
                 self.views.heartbeats[member] = (self.context.now, frame)
--- a/starlingwheel/fleet/zones/evidence.py
+++ b/starlingwheel/fleet/zones/evidence.py
@@ -120,9 +120,10 @@
         )
 
     def _is_failing_in_total(self, zone: str, inside: bool) -> bool:
-        """Return whether the zone fails for most of the zones that one side's members are in.
+        """Return whether the zone fails for most of the zones in which the members of one side run.
 
-        The counts are summed by these zones, because a single member may observe too few attempts.
+        The counts of the members in each of these zones are summed, because a single member may observe too
+        few attempts.
         """
         counts_by_zone: dict[str, FailureCounts] = {}  # by the zone in which the members run
         for member, report in self.reports.items():
--- a/starlingwheel/fleet/zones/health.py
+++ b/starlingwheel/fleet/zones/health.py
@@ -122,7 +122,7 @@
 class ZoneTrials:
     """The results of attempts to a zone with a reduced share, since one step of the plan."""
 
-    epoch: int  # of the plan
+    epoch: int  # the epoch of the plan at that step
     successes: int = 0
     failures: int = 0
     recent: deque[tuple[float, bool]] = field(default_factory=lambda: deque(maxlen=RECENT_TRIALS))
--- a/starlingwheel/net/fleet/member.py
+++ b/starlingwheel/net/fleet/member.py
@@ -101,7 +101,7 @@
         return links
 
     def begin(self) -> None:
-        """Apply the stored policy and start the actors."""
+        """Apply the stored policy, then start the actors in this order: links first, the poller last."""
         self.serve_without_store_at = self.loop.now() + STORE_TIMEOUT_LEASES * self.lease
         self.policy_controller.policy_replica.restore()
         actors: tuple[Actor, ...] = (
