--- a/tests/test_fleet_policy.py
+++ b/tests/test_fleet_policy.py
@@ -95,7 +95,8 @@
     """The trial is strict enough: sidecars without a fleet serve under two policies at once."""
     verdict = asyncio.run(policy.run_changes(1, sidecars=3, count=1, fleet=False))
     assert any(
-        violation.startswith("a1 ") or "after it held" in violation for violation in verdict.violations
+        violation.startswith("a1 ") or "after its policy was in force" in violation
+        for violation in verdict.violations
     )
 
 
